--- a/bench/recording.py
+++ b/bench/recording.py
@@ -1,9 +1,10 @@
 """Records what a hollow front end was told and decided, for `wickdyke replay` and tests/test_scale.py.
 
-    python -m bench.recording OUT.gz [SEED]
+    python -m bench.recording OUT.gz [SEED [WORKERS]]
 
-A fleet of 120 workers, fewer than one cell holds, in which workers drain, go, come cold and fail. A text of the module
-that decides otherwise is found by its first decision that differs.
+A fleet of 120 workers, fewer than one cell holds, or of as many as are asked for, in which workers drain, go, start
+anew and fail. By its seed functions are loaded by requests or by prewarms alone, and crossing zones costs or does not.
+A text of the module that decides otherwise is found by its first decision that differs.
 """
 
 import gzip
@@ -19,15 +20,15 @@
 WORKERS, SPAN = 120, 24000.0
 
 
-def record(path: str, seed: int) -> None:
+def record(path: str, seed: int = 1, workers: int = WORKERS) -> None:
     """Plays the fleet and writes the recording, compressed."""
     settings = Settings(front_ends=20, zones=2, loads_on_call=bool(seed % 2), crossing=0.05 * (seed % 3), memory=4000.0)
     with tempfile.TemporaryDirectory() as folder:
         raw = os.path.join(folder, "tape")
         tape = Tape(raw)
-        fleet = HollowFleet(settings, [listing(number, 2, kind=0) for number in range(WORKERS)], 1, seed, tape)
+        fleet = HollowFleet(settings, [listing(number, 2, kind=0) for number in range(workers)], 1, seed, tape)
         fleet.clients(60.0, Draw(400, 0.9, seed), SPAN)
-        chance, number = random.Random(seed), WORKERS
+        chance, number = random.Random(seed), workers
         for at in range(2, int(SPAN / 1000), 2):
             fleet.run(at * 1000.0)
             leave = chance.sample(list(fleet.workers.values()), 6)
@@ -45,4 +46,4 @@
 
 
 if __name__ == "__main__":
-    record(sys.argv[1], int(sys.argv[2]) if len(sys.argv) > 2 else 1)
+    record(sys.argv[1], *map(int, sys.argv[2:]))
