--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -1,15 +1,18 @@
 """Wall clocks that are stepped, here and on the machine that writes start times: what the list makes of them."""
 
+import time
 import unittest
 from math import inf
+from types import SimpleNamespace
+from unittest.mock import patch
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from tests import platform_rig as rig
+from tests import platform_rig as rig, test_fleet
 from tests.helpers import Fleet, verbs
 from wickdyke.gateway.parts import ListChange
-from wickdyke.platform import roster
+from wickdyke.platform import roster, serve
 
 HOUR, SECOND = 3_600_000.0, 1000.0
 UNIX = 1_700_000_000_000.0  # Unix ms at 0 of the monotonic clock, as long as no clock is stepped
@@ -316,5 +319,29 @@
         self.assertLess(self.sent(0.0, HOUR, True), 10)
 
 
+class WholeFrontEnd(test_fleet.Handed):
+    """A real front end on sockets whose wall clock is stepped, before it starts or once it follows the list."""
+
+    def test_a_live_start(self):
+        """(when, by how much): the worker was started after the last that we heard of the list."""
+        for when in ("before", "after"):
+            for step in (-HOUR, HOUR):
+                with self.subTest(when=when, step=step):
+                    stepped = SimpleNamespace(ms=step if when == "before" else 0.0)
+                    wall = SimpleNamespace(time=lambda stepped=stepped: time.time() + stepped.ms / 1000)
+                    with patch.object(serve, "time", wall):
+                        source, one, two = self.made(rig.Bus()), self.worker(), self.worker()
+                        serving = self.front_end(one.address, bus=source.address)
+                        self.until(lambda source=source: source.asked)
+                        stepped.ms = step
+                        started, began = int(time.time() * 1000), serve.clock()
+                        source.event(rig.event(2, rig.instance("w1", two.address, startedAtMs=started)))
+                        self.until(lambda serving=serving: serving.roster.offset == 2)
+                        born = serving.desk.front_end.workers["w1"].cold_from
+                        self.assertGreaterEqual(born, began - 1.0)  # the stamp is cut to whole ms
+                        self.assertLessEqual(born, serve.clock())
+                        self.end()
+
+
 if __name__ == "__main__":
     unittest.main()
