--- /dev/null
+++ b/tests/test_log_faults.py
@@ -0,0 +1,329 @@
+"""Logs, recordings and traces where their writes fail or take no more: no request waits for them or gets an error."""
+
+import errno
+import io
+import os
+import tempfile
+import threading
+import unittest
+from unittest import mock
+
+import msgspec
+
+from tests.rig import Running, until
+from wickdyke.gateway import log as logs
+from wickdyke.gateway import tape
+from wickdyke.proving import trace
+
+LONG = 30.0
+ERRORS = (errno.ENOSPC, errno.EIO, errno.EPIPE, errno.EAGAIN)
+
+
+class Folders(unittest.TestCase):
+    def setUp(self):
+        made = tempfile.TemporaryDirectory(prefix="wd-")
+        self.addCleanup(made.cleanup)
+        self.folder = made.name
+
+    def path(self, *parts):
+        return os.path.join(self.folder, *parts)
+
+
+class Writes:
+    """A stand-in for os.write: the calls on a file with the numbers `failing` fail; others take `most` bytes."""
+
+    def __init__(self, path, error, failing=(), most=1 << 20):
+        self.path, self.error, self.failing, self.most = path, error, failing, most
+        self.seen, self.real = 0, os.write
+
+    def __call__(self, descriptor, data):
+        if os.readlink(f"/proc/self/fd/{descriptor}") != os.path.realpath(self.path):
+            return self.real(descriptor, data)
+        self.seen += 1
+        if self.seen in self.failing:
+            raise OSError(self.error, os.strerror(self.error))
+        return self.real(descriptor, bytes(data[: self.most]))
+
+
+class Logs(Folders):
+    def lines(self):
+        with open(self.path("log")) as source:
+            return source.read().split("\n")
+
+    def counted(self, lines):
+        """(whole lines of ours, lines told as lost)."""
+        told = [int(line.rpartition("=")[2]) for line in lines if line.startswith('event="log lines lost"')]
+        return [line for line in lines if line.startswith("<") and line.endswith(">")], sum(told)
+
+    def test_each_write_fails(self):
+        """(error, which writes fail, bytes a write takes) -> every line is there whole or counted, in order."""
+        for error in ERRORS:
+            for failing in ((1,), (2,), (3,), (1, 2, 3), (2, 4, 6), range(2, 12)):
+                for most in (1 << 20, 7):
+                    with self.subTest(error=errno.errorcode[error], failing=failing, most=most):
+                        with open(self.path("log"), "w") as sink:
+                            with mock.patch.object(os, "write", Writes(self.path("log"), error, failing, most)):
+                                scribe = logs.Scribe(sink)
+                                for at in range(40):
+                                    scribe.msg(f"<line {at}>")
+                                    if at % 10 == 0:
+                                        self.assertTrue(until(scribe.lines.empty))
+                                scribe.close(LONG)
+                            self.assertFalse(scribe.thread.is_alive())
+                        whole, lost = self.counted(self.lines())
+                        self.assertEqual(len(set(whole)) + lost + scribe.lost, 40)
+                        self.assertEqual(len(whole), len(set(whole)))
+                        numbers = [int(line[6:-1]) for line in whole]
+                        self.assertEqual(numbers, sorted(numbers))
+
+    def test_the_thread_goes_on(self):
+        """A sink that raises whatever it likes, or is none at all, costs its lines and no more."""
+
+        class Odd(io.StringIO):
+            wrong = None
+
+            def write(self, text):
+                if self.wrong is not None:
+                    raise self.wrong
+                return super().write(text)
+
+        for wrong in (OSError(errno.EIO, ""), ValueError("closed"), RuntimeError("odd"), MemoryError()):
+            sink = Odd()
+            scribe = logs.Scribe(sink)
+            sink.wrong = wrong
+            scribe.msg("one")
+            self.assertTrue(until(lambda scribe=scribe: scribe.lost == 1))
+            sink.wrong = None
+            scribe.msg("two")
+            scribe.close(LONG)
+            self.assertEqual(sink.getvalue(), 'event="log lines lost" lines=1\ntwo\n')
+        scribe = logs.Scribe(None)
+        scribe.msg("one")
+        scribe.msg("two")
+        scribe.close(LONG)
+        self.assertEqual((scribe.lost, scribe.thread.is_alive()), (2, False))
+
+    def test_odd_text(self):
+        """Characters that UTF-8 has no bytes for are written in another way."""
+        with open(self.path("log"), "w", encoding="utf-8") as sink:
+            scribe = logs.Scribe(sink)
+            scribe.msg("<a \udc80>")
+            scribe.close(LONG)
+        self.assertEqual(self.lines(), ["<a \\udc80>", ""])
+
+    def test_a_pipe_whose_reader_is_gone(self):
+        """Requests have their answers, and the lines are counted."""
+        out, into = os.pipe()
+        with os.fdopen(into, "w") as sink, Running(sink=sink) as running:
+            os.close(out)
+            running.log.info("one")
+            self.assertTrue(until(lambda: running.scribe.lost > 0))
+            client = running.client()
+            client.ask(1, time_left_ms=5000)
+            self.assertIn("result", client.answer())
+            client.close()
+
+    def test_close_on_a_pipe_that_nobody_reads(self):
+        """It takes its time in all, not once for each of its steps."""
+        out, into = os.pipe()
+        real, steps = threading.Thread.join, []
+        with mock.patch.object(logs, "WAITING", 10):
+            scribe = logs.Scribe(os.fdopen(into, "w"))
+        scribe.msg("x" * (1 << 20))
+        self.assertTrue(until(scribe.lines.empty))
+
+        def put(line, timeout):
+            now[0] += timeout  # there is room just as the time is up
+
+        def join(thread, timeout):
+            steps.append(timeout)
+
+        now = [100.0]
+        with (
+            mock.patch.object(logs.time, "monotonic", lambda: now[0]),
+            mock.patch.object(scribe.lines, "put", put),
+            mock.patch.object(scribe.thread, "join", lambda timeout: join(scribe.thread, timeout)),
+        ):
+            scribe.close(1.0)
+        self.assertEqual(steps, [0.0])
+        os.close(out)  # ends the write
+        scribe.lines.put(None)
+        real(scribe.thread, LONG)
+        self.assertFalse(scribe.thread.is_alive())
+        scribe.sink.close()
+
+
+class Log:
+    """Keeps what it is told."""
+
+    def __init__(self):
+        self.told = []
+
+    def error(self, event, **keys):
+        self.told.append((event, keys))
+
+
+class Sink:
+    """A recording's file: the n-th write fails, and all after it."""
+
+    def __init__(self, file, error, at):
+        self.file, self.error, self.at, self.seen = file, error, at, 0
+
+    def __enter__(self):
+        return self
+
+    def __exit__(self, *raised):
+        self.file.close()
+        if self.seen >= self.at:
+            raise OSError(self.error, os.strerror(self.error))
+
+    def write(self, data):
+        self.seen += 1
+        if self.seen >= self.at:
+            self.file.write(data[: len(data) // 2])
+            raise OSError(self.error, os.strerror(self.error))
+        return self.file.write(data)
+
+
+class Recordings(Folders):
+    def made(self, error, at, log):
+        """A recording whose writes fail from the n-th on."""
+        real = open
+        with mock.patch.object(tape, "open", lambda *args: Sink(real(*args), error, at), create=True):
+            return tape.Tape(self.path("tape"), log)
+
+    def test_each_write_fails(self):
+        """The recording ends, the log is told once, nothing is held, and what is there can be read."""
+        for error in ERRORS:
+            for at in range(1, 8):
+                with self.subTest(error=errno.errorcode[error], at=at):
+                    log = Log()
+                    made = self.made(error, at, log)
+                    for number in range(6):
+                        made.heard(float(number), "left", (number,))
+                    made.close()
+                    self.assertFalse(made.thread.is_alive())
+                    for number in range(6):
+                        made.heard(float(number), "left", (number,))
+                    self.assertEqual(made.broken, at <= 6)
+                    told = [("recording ended", {"path": self.path("tape"), "why": os.strerror(error)})]
+                    self.assertEqual(log.told, told if at <= 6 else [])
+                    if at <= 6:
+                        self.assertTrue(made.entries.empty())
+                    with open(self.path("tape"), "rb") as source:
+                        self.assertEqual(len(list(tape.entries(source))), min(at - 1, 6))
+
+    def test_requests_go_on(self):
+        """A gateway whose recording fails answers as before."""
+        log = Log()
+        made = self.made(errno.ENOSPC, 3, log)
+        with Running() as running:
+            running.gateway.desk.tape = made
+            client = running.client()
+            for at in range(20):
+                client.ask(at, time_left_ms=5000)
+                self.assertIn("result", client.answer())
+            client.close()
+            self.assertTrue(until(lambda: len(log.told) == 1))
+        made.close()
+        self.assertEqual(len(log.told), 1)
+
+    def test_told_once_where_it_is_too_slow(self):
+        """A queue that is full ends it too."""
+        log = Log()
+        go_on = threading.Event()
+        with mock.patch.object(tape, "WAITING", 5):
+            made = self.made(0, 1 << 30, log)
+            with mock.patch.object(made.sink, "write", lambda data: go_on.wait(LONG)):
+                for number in range(20):
+                    made.heard(float(number), "left", (number,))
+                self.assertTrue(made.broken)
+                go_on.set()
+                made.close()
+        self.assertEqual(
+            log.told, [("recording ended", {"path": self.path("tape"), "why": "5 entries wait to be written"})]
+        )
+
+    def test_what_can_not_be_encoded(self):
+        """It ends the recording and raises nowhere."""
+        log = Log()
+        made = tape.Tape(self.path("tape"), log)
+        made.heard(1.0, "left", (object(),))
+        made.close()
+        self.assertTrue(made.broken)
+        self.assertEqual(len(log.told), 1)
+
+
+class Traces(Folders):
+    def test_each_write_fails(self):
+        """A line that was not written is an error for who wrote it, and its trace is not judged."""
+        path = self.path("t")
+        for error in (errno.ENOSPC, errno.EIO):
+            for at in range(1, 6):
+                for most in (1 << 20, 9):
+                    with (
+                        self.subTest(error=error, at=at, most=most),
+                        mock.patch("os.write", Writes(path, error, (at,), most)),
+                    ):
+                        record = trace.Recorder(path, "w")
+                        with self.assertRaises(trace.Broken):
+                            for _ in range(6):
+                                record("one")
+                        self.assertRaises(trace.Broken, record, "two")
+                        self.assertRaises(trace.Broken, trace.read, [path])
+                        trace.Recorder(path, "w")("started anew")
+                        self.assertRaises(trace.Broken, trace.read, [path])
+                        os.close(record.file)
+                        os.unlink(path)
+                        os.unlink(path + trace.INCOMPLETE)
+
+    def test_no_file_to_tell_it(self):
+        """Where no mark can be made, the trace is not found under its name."""
+        path = self.path("t")
+        record = trace.Recorder(path, "w")
+        record("one")
+        broken = mock.Mock(side_effect=OSError(errno.ENOSPC, "no space"))
+        with mock.patch.object(os, "write", Writes(path, errno.ENOSPC, (1,))), mock.patch.object(os, "open", broken):
+            self.assertRaises(trace.Broken, record, "two")
+        self.assertRaises(trace.Broken, trace.read, [path])
+
+    def test_short_writes(self):
+        """They are gone on with."""
+        path = self.path("t")
+        with mock.patch.object(os, "write", Writes(path, 0, (), 5)):
+            record = trace.Recorder(path, "w")
+            for _ in range(3):
+                record("one", t=1.0)
+        self.assertEqual([line["n"] for line in trace.read([path])], [1, 2, 3])
+
+    def test_a_line_that_is_missing(self):
+        """(numbers in a file) -> whether it is whole; a writer that was started anew counts from 1."""
+        for numbers, whole in (
+            ((1, 2, 3), True),
+            ((1, 3), False),
+            ((2, 3), False),
+            ((1, 2, 1, 2), True),
+            ((1, 1), True),
+        ):
+            with self.subTest(numbers=numbers):
+                with open(self.path("t"), "wb") as sink:
+                    for number in numbers:
+                        sink.write(msgspec.json.encode({"t": 1.0, "by": "w", "n": number, "what": "one"}) + b"\n")
+                if whole:
+                    self.assertEqual(len(trace.read([self.path("t")])), len(numbers))
+                else:
+                    self.assertRaises(trace.Broken, trace.read, [self.path("t")])
+
+    def test_threads(self):
+        """Lines of several threads have their numbers in order."""
+        record = trace.Recorder(self.path("t"), "w")
+        threads = [threading.Thread(target=lambda: [record("one") for _ in range(200)]) for _ in range(4)]
+        for thread in threads:
+            thread.start()
+        for thread in threads:
+            thread.join(LONG)
+        self.assertEqual(sorted(line["n"] for line in trace.read([self.path("t")])), list(range(1, 801)))
+
+
+if __name__ == "__main__":
+    unittest.main()
--- a/tests/test_storage_faults.py
+++ b/tests/test_storage_faults.py
@@ -245,7 +245,11 @@
         def broken(*args):
             raise OSError(errno.EIO, "removal fails")
 
-        with mock.patch.object(os, "rename", broken), mock.patch.object(shutil, "rmtree", broken):
+        def unremovable(path, *args, **named):
+            return broken() if str(path).endswith((".py", ".sexp")) else real(path, *args, **named)
+
+        real = os.unlink
+        with mock.patch.object(os, "rename", broken), mock.patch.object(os, "unlink", unremovable):
             self.assertRaises(OSError, self.take_only, cache, 2)
         left = on_disk(self.cached)
         self.assertEqual(cache.bytes, left)
@@ -263,10 +267,10 @@
         cache = self.filled()
         cache.give(self.packs[0][1])
 
-        def broken(*args):
+        def broken(*args, **named):
             raise OSError(errno.EIO, "removal fails")
 
-        with mock.patch.object(shutil, "rmtree", broken):
+        with mock.patch.object(os, "rmdir", broken), mock.patch.object(os, "unlink", broken):
             self.assertRaises(OSError, self.take_only, cache, 2)
         self.assertEqual(len(cache.sizes), 1)
         self.assertEqual(cache.bytes, on_disk(self.cached))
--- a/wickdyke/gateway/log.py
+++ b/wickdyke/gateway/log.py
@@ -1,22 +1,34 @@
 """Structured logs that never hold anybody up: lines wait in a bounded queue for a thread that writes them."""
 
+import bisect
+import io
+import itertools
 import logging
+import os
 import queue
 import re
 import sys
 import threading
+import time
 from typing import TextIO
 
 import structlog
 
 WAITING = 10000  # lines; past it they are counted instead, and the count is written when there is room again
+AT_ONCE = 200  # lines in one write
 
 
 class Scribe:
-    """Takes finished lines; a thread writes them. A full pipe costs lines, never time."""
+    """Takes finished lines; a thread writes them. A full pipe or disk, or a closed pipe, costs lines, never time.
 
-    def __init__(self, sink: TextIO) -> None:
+    Lines that did not get out whole are counted in `lost`; the count is written as soon as something can be.
+    """
+
+    def __init__(self, sink: TextIO | None) -> None:
+        """A sink of None (a process without standard error) loses all lines."""
         self.sink, self.lines, self.lost = sink, queue.Queue(WAITING), 0
+        self.lock = threading.Lock()  # guards `lost`
+        self.torn = False  # whether the last line got out in part
         self.thread = threading.Thread(target=self._write, name="log", daemon=True)
         self.thread.start()
 
@@ -25,32 +37,80 @@
         try:
             self.lines.put_nowait(line)
         except queue.Full:
-            self.lost += 1
+            self._lose(1)
 
     debug = info = warning = error = critical = msg
 
     def close(self, within: float = 1.0) -> None:
         """Writes what waits, for so many seconds at most."""
+        ends = time.monotonic() + within
         try:
             self.lines.put(None, timeout=within)
         except queue.Full:
             return
-        self.thread.join(within)
+        self.thread.join(max(0.0, ends - time.monotonic()))
+
+    def _lose(self, lines: int) -> None:
+        with self.lock:
+            self.lost += lines
 
     def _write(self) -> None:
-        while (line := self.lines.get()) is not None:
-            lost, self.lost = self.lost, 0
+        going = True
+        while going:
+            lines, going = self._waiting()
+            with self.lock:
+                lost, self.lost = self.lost, 0
+            if lost:
+                lines.insert(0, f'event="log lines lost" lines={lost}')
+            # The note of what was lost is no line of its own: where it fails, what it counts is lost still.
+            worth = [lost or 1, *[1] * (len(lines) - 1)]
+            written = self._put(lines)
+            self._lose(sum(worth[written:]))
+
+    def _waiting(self) -> tuple[list[str], bool]:
+        """(the lines that wait, some at a time; whether more may follow). Waits for the first."""
+        lines: list[str] = []
+        line = self.lines.get()
+        while line is not None:
+            lines.append(line)
+            if len(lines) == AT_ONCE:
+                return lines, True
             try:
-                if lost:
-                    self.sink.write(f'event="log lines lost" lines={lost}\n')
-                self.sink.write(line + "\n")
-                if self.lines.empty():
-                    self.sink.flush()
-            except (OSError, ValueError):
-                self.lost += lost + 1
+                line = self.lines.get_nowait()
+            except queue.Empty:
+                return lines, True
+        return lines, False
+
+    def _put(self, lines: list[str]) -> int:
+        """Writes lines; how many got out whole. Never raises: the thread is to go on whatever the sink does."""
+        pieces = [(line + "\n").encode("utf-8", "backslashreplace") for line in lines]
+        if self.torn and pieces:
+            pieces[0] = b"\n" + pieces[0]
+        data, done = memoryview(b"".join(pieces)), 0
+        try:
+            while done < len(data):
+                done += self._out(data[done:])
+        except Exception:
+            pass  # the lines are counted, and there is nowhere to tell more
+        ends = list(itertools.accumulate(map(len, pieces)))
+        written = bisect.bisect_right(ends, done)
+        if done:
+            self.torn = done not in ends
+        return written
+
+    def _out(self, data: memoryview) -> int:
+        """Writes some of it; the bytes written. Files are written past their buffers, which after an error would hold
+        lines that are counted as lost. Raises OSError, ValueError, or AttributeError where there is no sink."""
+        try:
+            descriptor = self.sink.fileno()
+        except io.UnsupportedOperation:
+            self.sink.write(bytes(data).decode())
+            self.sink.flush()
+            return len(data)
+        return os.write(descriptor, data)
 
 
-def logger(sink: TextIO, json: bool, debug: bool = False, **bound: object):
+def logger(sink: TextIO | None, json: bool, debug: bool = False, **bound: object):
     """(logger, scribe): logfmt or JSON lines with time, level and the bound keys; `debug` for each call-out too."""
     scribe = Scribe(sink)
     drawn = (
@@ -75,6 +135,6 @@
     return (f"worker {found[2]}", {"worker": found[1]}) if found else (note, {})
 
 
-def opened(path: str | None) -> TextIO:
+def opened(path: str | None) -> TextIO | None:
     """Where logs go: the end of a file, or standard error; never standard output. Raises OSError."""
     return open(path, "a", encoding="utf-8") if path else sys.stderr
--- a/wickdyke/gateway/tape.py
+++ b/wickdyke/gateway/tape.py
@@ -3,8 +3,10 @@
 The same events give the same decisions: `replay` proves it for a recording, and finds the first that differs.
 """
 
+import contextlib
 import queue
 import threading
+import time
 from collections.abc import Iterable, Iterator
 from dataclasses import asdict
 
@@ -15,6 +17,7 @@
 from wickdyke.logic import FrontEnd
 
 WAITING = 200000  # entries; a recording that can't be written as fast stops, and says so at its end
+CLOSING = 5.0  # s that the end of a recording may take
 PARTS = {
     "seat": Seat,
     "allowance": Allowance,
@@ -58,12 +61,19 @@
 
 
 class Tape:
-    """Writes the recording, by a thread of its own."""
+    """Writes the recording, by a thread of its own.
 
-    def __init__(self, path: str) -> None:
-        self.sink = open(path, "wb")  # noqa: SIM115 - closed by close()
+    One that can't be written, or not as fast as entries come, is ended: `broken` is set, the log is told once, and
+    what is on disk can be replayed up to there. Whoever records is never held up and gets no error.
+    """
+
+    def __init__(self, path: str, log=None) -> None:
+        """Raises OSError where the file can't be opened."""
+        self.path, self.log = path, log
+        self.sink = open(path, "wb")  # noqa: SIM115 - closed by the thread
         self.entries: queue.Queue = queue.Queue(WAITING)
         self.broken = False
+        self.lock = threading.Lock()
         self.thread = threading.Thread(target=self._write, name="tape", daemon=True)
         self.thread.start()
 
@@ -81,25 +91,40 @@
         self._put(("decided", decided(decision)))
 
     def close(self) -> None:
-        """Writes what waits and ends."""
-        self._put(None, 5.0)
-        self.thread.join(5.0)
-
-    def _put(self, entry: tuple | None, wait: float = 0.0) -> None:
-        if self.broken and entry is not None:
+        """Writes what waits and ends, within CLOSING s."""
+        ends = time.monotonic() + CLOSING
+        with contextlib.suppress(queue.Full):  # the file takes nothing: its thread is left to the process's end
+            self.entries.put(None, timeout=CLOSING)
+        self.thread.join(max(0.0, ends - time.monotonic()))
+
+    def _put(self, entry: tuple) -> None:
+        if self.broken:
             return
         try:
-            self.entries.put(entry, block=wait > 0, timeout=wait or None)
+            self.entries.put_nowait(entry)
         except queue.Full:
-            self.broken = True
+            self._end(f"{WAITING} entries wait to be written")
+
+    def _end(self, why: str) -> None:
+        """Nothing more is recorded; the log is told the first time."""
+        with self.lock:
+            first, self.broken = not self.broken, True
+        if first and self.log is not None:
+            self.log.error("recording ended", path=self.path, why=why)
 
     def _write(self) -> None:
         encoder = msgspec.json.Encoder()
-        with self.sink as sink:
-            while (entry := self.entries.get()) is not None:
-                sink.write(encoder.encode(entry) + b"\n")
-            if self.broken:
-                sink.write(encoder.encode(("broken off",)) + b"\n")
+        try:
+            with self.sink as sink:
+                while (entry := self.entries.get()) is not None:
+                    sink.write(encoder.encode(entry) + b"\n")
+                if self.broken:
+                    sink.write(encoder.encode(("broken off",)) + b"\n")
+        except Exception as bad:  # also a value that can't be encoded: the recording is over, the gateway is not
+            self._end(getattr(bad, "strerror", None) or f"{type(bad).__name__}: {bad}")
+            with contextlib.suppress(queue.Empty):
+                while True:  # entries that will never be written need not be held
+                    self.entries.get_nowait()
 
 
 def entries(lines: Iterable[bytes]) -> Iterator[list]:
