--- a/tests/test_log_faults.py
+++ b/tests/test_log_faults.py
@@ -111,6 +111,21 @@
             scribe.close(LONG)
         self.assertEqual(self.lines(), ["<a \\udc80>", ""])
 
+    def test_a_file_that_can_not_be_opened(self):
+        """(error) -> a full disk costs lines and not the start; a wrong path is told at the start."""
+        for error in (errno.ENOSPC, errno.EIO):
+            broken = mock.Mock(side_effect=OSError(error, os.strerror(error)))
+            with mock.patch.object(logs, "open", broken, create=True):
+                scribe = logs.Scribe(logs.opened(self.path("log")))
+                scribe.msg("<one>")
+                self.assertTrue(until(lambda scribe=scribe: scribe.lost == 1))
+            scribe.msg("<two>")
+            scribe.close(LONG)
+            scribe.sink.close()
+            self.assertEqual(self.lines(), ['event="log lines lost" lines=1', "<two>", ""])
+            os.unlink(self.path("log"))
+        self.assertRaises(OSError, logs.opened, self.path("none", "log"))
+
     def test_a_pipe_whose_reader_is_gone(self):
         """Requests have their answers, and the lines are counted."""
         out, into = os.pipe()
@@ -244,6 +259,18 @@
             log.told, [("recording ended", {"path": self.path("tape"), "why": "5 entries wait to be written"})]
         )
 
+    def test_a_file_that_can_not_be_opened(self):
+        """(error) -> a full disk costs the recording and not the start; a wrong path is told at the start."""
+        for error in (errno.ENOSPC, errno.EIO):
+            log, broken = Log(), mock.Mock(side_effect=OSError(error, os.strerror(error)))
+            with mock.patch.object(tape, "open", broken, create=True):
+                made = tape.Tape(self.path("tape"), log)
+            made.heard(1.0, "left", ("a",))
+            made.close()
+            self.assertEqual(log.told, [("recording ended", {"path": self.path("tape"), "why": os.strerror(error)})])
+            self.assertTrue(made.entries.empty())
+        self.assertRaises(OSError, tape.Tape, self.path("none", "tape"), Log())
+
     def test_what_can_not_be_encoded(self):
         """It ends the recording and raises nowhere."""
         log = Log()
--- a/wickdyke/gateway/log.py
+++ b/wickdyke/gateway/log.py
@@ -1,6 +1,7 @@
 """Structured logs that never hold anybody up: lines wait in a bounded queue for a thread that writes them."""
 
 import bisect
+import errno
 import io
 import itertools
 import logging
@@ -15,9 +16,30 @@
 import structlog
 
 WAITING = 10000  # lines; past it they are counted instead, and the count is written when there is room again
+TEMPORARY = (errno.ENOSPC, errno.EDQUOT, errno.EIO)  # of a file that may be opened later
 AT_ONCE = 200  # lines in one write
 
 
+class Late(io.TextIOBase):
+    """The end of a file that could not be opened at first. Each use of it tries again, and raises OSError until then.
+    It is for a Scribe, which writes to the descriptor."""
+
+    def __init__(self, path: str) -> None:
+        self.path, self.file = path, None
+
+    def fileno(self) -> int:
+        """The file's descriptor; raises OSError."""
+        if self.file is None:
+            self.file = open(self.path, "a", encoding="utf-8")  # noqa: SIM115 - open as long as the process lives
+        return self.file.fileno()
+
+    def close(self) -> None:
+        """Closes the file, if there is one."""
+        if self.file is not None:
+            self.file.close()
+        super().close()
+
+
 class Scribe:
     """Takes finished lines; a thread writes them. A full pipe or disk, or a closed pipe, costs lines, never time.
 
@@ -136,5 +158,15 @@
 
 
 def opened(path: str | None) -> TextIO | None:
-    """Where logs go: the end of a file, or standard error; never standard output. Raises OSError."""
-    return open(path, "a", encoding="utf-8") if path else sys.stderr
+    """Where logs go: the end of a file, or standard error; never standard output. Raises OSError.
+
+    A file that can't be opened for now is opened by a later line: a full disk does not keep a process from serving.
+    """
+    if not path:
+        return sys.stderr
+    try:
+        return open(path, "a", encoding="utf-8")
+    except OSError as bad:
+        if bad.errno not in TEMPORARY:
+            raise
+        return Late(path)
--- a/wickdyke/gateway/tape.py
+++ b/wickdyke/gateway/tape.py
@@ -4,6 +4,7 @@
 """
 
 import contextlib
+import errno
 import queue
 import threading
 import time
@@ -17,6 +18,7 @@
 from wickdyke.logic import FrontEnd
 
 WAITING = 200000  # entries; a recording that can't be written as fast stops, and says so at its end
+TEMPORARY = (errno.ENOSPC, errno.EDQUOT, errno.EIO)  # of a folder that may work again later
 CLOSING = 5.0  # s that the end of a recording may take
 PARTS = {
     "seat": Seat,
@@ -68,14 +70,20 @@
     """
 
     def __init__(self, path: str, log=None) -> None:
-        """Raises OSError where the file can't be opened."""
+        """Raises OSError where the file can never be opened; where that only fails for now, nothing is recorded."""
         self.path, self.log = path, log
-        self.sink = open(path, "wb")  # noqa: SIM115 - closed by the thread
         self.entries: queue.Queue = queue.Queue(WAITING)
         self.broken = False
         self.lock = threading.Lock()
         self.thread = threading.Thread(target=self._write, name="tape", daemon=True)
-        self.thread.start()
+        try:
+            self.sink = open(path, "wb")  # noqa: SIM115 - closed by the thread
+        except OSError as bad:
+            if bad.errno not in TEMPORARY:
+                raise
+            self._end(bad.strerror)
+        else:
+            self.thread.start()
 
     def start(self, now: float, seed: int, methods: list[Method], parts: dict) -> None:
         """What the front end was made with."""
@@ -92,6 +100,8 @@
 
     def close(self) -> None:
         """Writes what waits and ends, within CLOSING s."""
+        if not self.thread.is_alive():
+            return
         ends = time.monotonic() + CLOSING
         with contextlib.suppress(queue.Full):  # the file takes nothing: its thread is left to the process's end
             self.entries.put(None, timeout=CLOSING)
