--- a/wickdyke/gateway/serve.py
+++ b/wickdyke/gateway/serve.py
@@ -92,7 +92,7 @@
         sys.setswitchinterval(0.001)
         self.station, self.log = station, log
         seed = station.seed if station.seed is not None else random.SystemRandom().getrandbits(48)
-        self.tape = Tape(station.tape) if station.tape else None
+        self.tape = Tape(station.tape, log) if station.tape else None
         self.desk = Desk(
             station,
             seed,
