--- /dev/null
+++ b/tests/test_listener_faults.py
@@ -0,0 +1,326 @@
+"""Listeners whose system calls fail: each goes on, costs one connection at most, and leaves no descriptor open."""
+
+import errno
+import os
+import socket
+import tempfile
+import threading
+import unittest
+from types import SimpleNamespace
+from unittest.mock import Mock, patch
+
+from tests.rig import LONG, until
+from wickdyke.gateway import door
+from wickdyke.settings.station import Bounds
+from wickdyke.wire import acceptor, server
+
+# accept(2): its own errors, and those of the network that Linux passes on from the new connection.
+ACCEPT_ERRORS = (
+    errno.EAGAIN,
+    errno.ECONNABORTED,
+    errno.EHOSTDOWN,
+    errno.EHOSTUNREACH,
+    errno.EINTR,
+    errno.EMFILE,
+    errno.ENETDOWN,
+    errno.ENETUNREACH,
+    errno.ENFILE,
+    errno.ENOBUFS,
+    errno.ENOMEM,
+    errno.ENONET,
+    errno.ENOPROTOOPT,
+    errno.ENOSR,
+    errno.EOPNOTSUPP,
+    errno.EPERM,
+    errno.EPROTO,
+    errno.EPROTONOSUPPORT,
+    errno.ESOCKTNOSUPPORT,
+    errno.ETIMEDOUT,
+)
+BOUNDS = Bounds(connections=16, open_rpcs=16, open_each=16, line=1000, unread=1000, events=16)
+CONNECTIONS = 3  # made one after the other: the path of the acceptor is the same for each
+
+
+def open_descriptors():
+    return len(os.listdir("/proc/self/fd"))
+
+
+def failure(code):
+    return OSError(code, os.strerror(code))
+
+
+def replaced(module, **members):
+    """The module with some of its members replaced."""
+    return SimpleNamespace(**{**vars(module), **members})
+
+
+class FaultySocket(socket.socket):
+    """A listening socket whose accept fails from the `nth` call on, `times` times.
+
+    With `consumes` the connection is dropped by the kernel, as with ECONNABORTED; else it stays in the backlog.
+    """
+
+    code, nth, times, consumes = 0, 0, 1, False
+    calls = 0
+
+    def accept(self):
+        type(self).calls += 1
+        if self.nth <= type(self).calls < self.nth + self.times:
+            if self.consumes:
+                super().accept()[0].close()
+            raise failure(self.code)
+        return super().accept()
+
+
+def faulty_socket(**how):
+    return type("Faulty", (FaultySocket,), how)
+
+
+def faulty_thread(nth):
+    """A thread class of which the `nth` thread can't be started."""
+
+    class Thread(threading.Thread):
+        starts = 0
+
+        def start(self):
+            Thread.starts += 1
+            if Thread.starts == nth:
+                raise RuntimeError("can't start new thread")
+            super().start()
+
+    return Thread
+
+
+class Echo:
+    """A listener of wire/server.py that sends back what comes."""
+
+    module, threads_before = server, 1  # the thread of the acceptor itself is started by the module too
+
+    def __init__(self, folder):
+        self.address = os.path.join(folder, "echo.sock")
+        self.listener = server.Listener(self.address, self._serve)
+
+    def _serve(self, sock):
+        while data := sock.recv(100):
+            sock.sendall(data)
+
+    def close(self):
+        self.listener.close()
+
+
+class FrontDoor:
+    """The gateway's door with no desk: what is no JSON is answered by the door itself."""
+
+    module, threads_before = door, 1
+
+    def __init__(self, folder):
+        self.address = os.path.join(folder, "door.sock")
+        station = SimpleNamespace(bounds=BOUNDS, methods=(), stated=(), tenants=(), listen=self.address)
+        self.door = door.Door(station, Mock(), lambda: "", Mock())
+        self.door.open()
+
+    def close(self):
+        self.door.shut()
+        self.door.hang_up()
+
+
+LISTENERS = (Echo, FrontDoor)
+
+
+class Case(unittest.TestCase):
+    def setUp(self):
+        made = tempfile.TemporaryDirectory(prefix="wd-")
+        self.addCleanup(made.cleanup)
+        self.folder = made.name
+
+    def connect(self, listener):
+        sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
+        self.addCleanup(sock.close)
+        sock.settimeout(LONG)
+        sock.connect(listener.address)
+        return sock
+
+    def is_served(self, listener):
+        """Whether a new connection gets an answer; False where it is closed without one."""
+        with self.connect(listener) as sock:
+            try:
+                sock.sendall(b"{\n")
+                return bool(sock.recv(100))
+            except (BrokenPipeError, ConnectionResetError):
+                return False
+
+    def assert_none_left(self, before, threads):
+        self.assertTrue(until(lambda: open_descriptors() == before), f"{open_descriptors()} open, {before} before")
+        self.assertTrue(until(lambda: threading.active_count() == threads), threading.enumerate())
+
+
+class AcceptFails(Case):
+    def test_each_error_at_each_connection(self):
+        """The connection waits in the backlog meanwhile, and is served: none is lost."""
+        for kind in LISTENERS:
+            for code in ACCEPT_ERRORS:
+                for nth in range(1, CONNECTIONS + 1):
+                    with self.subTest(kind=kind.__name__, code=errno.errorcode[code], nth=nth):
+                        before, threads = open_descriptors(), threading.active_count()
+                        faulty = faulty_socket(code=code, nth=nth, times=2)
+                        with patch.object(server, "socket", replaced(socket, socket=faulty)):
+                            listener = kind(self.folder)
+                        try:
+                            for _ in range(CONNECTIONS):
+                                self.assertTrue(self.is_served(listener))
+                        finally:
+                            listener.close()
+                        self.assertGreaterEqual(faulty.calls, nth + 1)
+                        self.assert_none_left(before, threads)
+
+    def test_the_connection_is_dropped_with_the_error(self):
+        """It costs that connection alone."""
+        for kind in LISTENERS:
+            for code in (errno.ECONNABORTED, errno.EPROTO, errno.ENETDOWN, errno.EPERM):
+                for nth in range(1, CONNECTIONS + 1):
+                    with self.subTest(kind=kind.__name__, code=errno.errorcode[code], nth=nth):
+                        before, threads = open_descriptors(), threading.active_count()
+                        faulty = faulty_socket(code=code, nth=nth, consumes=True)
+                        with patch.object(server, "socket", replaced(socket, socket=faulty)):
+                            listener = kind(self.folder)
+                        try:
+                            served = [self.is_served(listener) for _ in range(CONNECTIONS + 1)]
+                        finally:
+                            listener.close()
+                        self.assertEqual(served, [at != nth - 1 for at in range(CONNECTIONS + 1)])
+                        self.assert_none_left(before, threads)
+
+
+class ThreadFails(Case):
+    def test_no_thread_for_a_connection(self):
+        """That one is closed; the next is served."""
+        for kind in LISTENERS:
+            for nth in range(1, CONNECTIONS + 1):
+                with self.subTest(kind=kind.__name__, nth=nth):
+                    before, threads = open_descriptors(), threading.active_count()
+                    faulty = faulty_thread(kind.threads_before + nth)
+                    with patch.object(kind.module, "threading", replaced(threading, Thread=faulty)):
+                        listener = kind(self.folder)
+                        try:
+                            served = [self.is_served(listener) for _ in range(CONNECTIONS + 1)]
+                        finally:
+                            listener.close()
+                    self.assertEqual(served[nth:], [True] * (CONNECTIONS + 1 - nth))
+                    self.assertEqual(served[: nth - 1], [True] * (nth - 1))
+                    self.assertEqual(faulty.starts, kind.threads_before + CONNECTIONS + 1)
+                    self.assert_none_left(before, threads)
+
+    def test_no_thread_for_the_acceptor(self):
+        """The listener can't be made, and leaves nothing open."""
+        before = open_descriptors()
+        with patch.object(server, "threading", replaced(threading, Thread=faulty_thread(1))):
+            with self.assertRaises(RuntimeError):
+                Echo(self.folder)
+        self.assertEqual(open_descriptors(), before)
+
+
+class ServingRaises(Case):
+    def test_what_nobody_foresaw_closes_the_connection(self):
+        before, threads = open_descriptors(), threading.active_count()
+        seen = []
+
+        def breaks(sock):
+            sock.recv(100)
+            raise RuntimeError("can't start new thread")
+
+        with patch.object(threading, "excepthook", lambda told: seen.append(told.exc_type)):
+            listener = Echo(self.folder)
+            with patch.object(listener.listener, "serve", breaks):
+                self.assertFalse(self.is_served(listener))
+            self.assertTrue(self.is_served(listener))
+            listener.close()
+            self.assert_none_left(before, threads)
+        self.assertEqual(seen, [RuntimeError])
+
+    def test_the_owner_of_a_server_is_told_that_its_peer_has_gone(self):
+        before, threads = open_descriptors(), threading.active_count()
+        gone = []
+
+        def heard(wire, request):
+            raise RuntimeError("can't start new thread")
+
+        with patch.object(threading, "excepthook", Mock()):
+            address = os.path.join(self.folder, "server.sock")
+            made = server.Server(address, heard, gone.append)
+            sock = self.connect(SimpleNamespace(address=address))
+            sock.sendall(b'{"jsonrpc":"2.0","method":"x","params":{},"id":1}\n')
+            self.assertEqual(sock.recv(1), b"")
+            sock.close()
+            made.close()
+            self.assert_none_left(before, threads)
+        self.assertEqual((len(gone), made.wires), (1, set()))
+
+
+class Opening(Case):
+    def test_each_step_fails(self):
+        """(address, call that fails) -> InUse, and nothing is left open."""
+        for address in (os.path.join(self.folder, "s.sock"), "127.0.0.1:0"):
+            for name in ("setsockopt", "bind", "listen"):
+                if name == "setsockopt" and address.startswith("/"):
+                    continue  # not called for a Unix socket
+                with self.subTest(address=address[:9], name=name):
+                    before = open_descriptors()
+                    faulty = type("Faulty", (socket.socket,), {name: Mock(side_effect=failure(errno.ENOBUFS))})
+                    with patch.object(server, "socket", replaced(socket, socket=faulty)):
+                        with self.assertRaises(server.InUse):
+                            server.listener(address)
+                    self.assertEqual(open_descriptors(), before)
+            with self.subTest(address=address[:9], name="socket"):
+                before = open_descriptors()
+                none = Mock(side_effect=failure(errno.EMFILE))
+                with patch.object(server, "socket", replaced(socket, socket=none)):
+                    with self.assertRaises(server.InUse):
+                        server.listener(address)
+                self.assertEqual(open_descriptors(), before)
+
+
+class Pauses(unittest.TestCase):
+    """How the loop spends its time while accept fails again and again."""
+
+    def accepts(self, code, waits):
+        """Runs until the loop has paused that often; gives the number of calls of accept."""
+        sock = Mock()
+        sock.accept.side_effect = failure(code)
+        sock.fileno.return_value = 3
+        made = acceptor.Acceptor(sock, Mock())
+        paused = []
+
+        def wait(span):
+            paused.append(span)
+            if len(paused) == waits:
+                made.close()
+
+        with patch.object(made.closed, "wait", wait):
+            made.run()
+        self.assertEqual(paused, [acceptor.PAUSE] * waits)
+        return sock.accept.call_count
+
+    def test_short_of_resources_each_try_waits(self):
+        for code in acceptor.SHORT_OF_RESOURCES:
+            self.assertEqual(self.accepts(code, 5), 5)
+
+    def test_other_errors_are_tried_again_at_once_up_to_a_bound(self):
+        for code in set(ACCEPT_ERRORS) - acceptor.SHORT_OF_RESOURCES:
+            self.assertEqual(self.accepts(code, 5), acceptor.RETRIES_AT_ONCE + 5)
+
+    def test_close_ends_a_pause(self):
+        sock, failed = Mock(), threading.Event()
+        sock.accept.side_effect = failure(errno.EMFILE)
+        sock.fileno.return_value = 3
+        with patch.object(acceptor, "PAUSE", 1000 * LONG):
+            made = acceptor.Acceptor(sock, Mock(), lambda error: failed.set())
+            thread = threading.Thread(target=made.run, daemon=True)
+            thread.start()
+            self.assertTrue(failed.wait(LONG))
+            made.close()
+            thread.join(LONG)
+        self.assertFalse(thread.is_alive())
+
+
+if __name__ == "__main__":
+    unittest.main()
--- a/wickdyke/gateway/door.py
+++ b/wickdyke/gateway/door.py
@@ -11,6 +11,7 @@
 from collections.abc import Callable
 
 from wickdyke.gateway import parts
+from wickdyke.wire.acceptor import Acceptor
 from wickdyke.wire.outbox import Outbox, Parcel, Unread
 from wickdyke.wire.server import listener
 from wickdyke.interface import Method, Timing
@@ -99,6 +100,9 @@
             self.outbox.close()
         except OSError:
             self.outbox.close()
+        except RuntimeError as bad:  # the thread that writes the rest could not be started
+            self.door.said("client hung up on", client=self.number, why=str(bad))
+            self.outbox.close()
 
     def close_ask(self, ask: Ask) -> bool:
         """Its id may be used again; False where it was free already."""
@@ -252,7 +256,8 @@
         self.number = 0
         self.address = station.listen
         self.sock, self.held = listener(station.listen)
-        self.thread = threading.Thread(target=self._accept, name="door", daemon=True)
+        self.acceptor = Acceptor(self.sock, self._take, lambda error: self.said("connection not taken", why=str(error)))
+        self.thread = threading.Thread(target=self.acceptor.run, name="door", daemon=True)
 
     def open(self) -> None:
         """Begins to take connections."""
@@ -286,44 +291,33 @@
         if asks:
             self.desk(("gone", asks))
 
-    def _accept(self) -> None:
-        while True:
-            try:
-                sock, _ = self.sock.accept()
-            except OSError as bad:
-                if self.sock.fileno() < 0 or bad.errno not in (23, 24, 103):  # too many files; gone already
-                    return
-                self.said("connection not taken", why=str(bad))
-                threading.Event().wait(0.05)  # else the listener would spin until a file is closed
-                continue
-            with self.lock:
-                self.number += 1
-                client = Client(self, sock, self.number)
-                full = len(self.clients) >= self.bounds.connections
-                if not full:
-                    self.clients.add(client)
-            if full:
-                self.counts["turned_away"] += 1
-                client.write(front.denied(None, "too-many-connections") + b"\n")
-                client.outbox.close()
-                sock.close()
-                continue
-            try:
-                threading.Thread(target=client.read, name=f"client-{client.number}", daemon=True).start()
-            except RuntimeError as bad:  # no thread to be had
-                self.said("connection not taken", why=str(bad))
-                client.write(front.denied(None, "too-many-connections") + b"\n")
-                client.outbox.close()
-                self.gone(client)
-                sock.close()
+    def _take(self, sock: socket.socket) -> None:
+        """Serves an accepted connection, or tells its client that it can't be served."""
+        with self.lock:
+            self.number += 1
+            client = Client(self, sock, self.number)
+            full = len(self.clients) >= self.bounds.connections
+            if not full:
+                self.clients.add(client)
+        if full:
+            self.counts["turned_away"] += 1
+            self._turn_away(client)
+            return
+        try:
+            threading.Thread(target=client.read, name=f"client-{client.number}", daemon=True).start()
+        except RuntimeError as bad:  # no thread to be had
+            self.said("connection not taken", why=str(bad))
+            self.gone(client)
+            self._turn_away(client)
+
+    def _turn_away(self, client: Client) -> None:
+        client.write(front.denied(None, "too-many-connections") + b"\n")
+        client.outbox.close()
+        client.sock.close()
 
     def shut(self) -> None:
         """Takes no more connections; those there are stay."""
-        try:
-            self.sock.shutdown(socket.SHUT_RDWR)
-        except OSError:
-            pass
-        self.sock.close()
+        self.acceptor.close()
         if ":" not in self.address or "/" in self.address:
             try:
                 os.unlink(self.address)
--- /dev/null
+++ b/wickdyke/wire/acceptor.py
@@ -0,0 +1,64 @@
+"""Accepts connections from a listening socket until it is closed, whatever accept fails with meanwhile."""
+
+import contextlib
+import errno
+import socket
+import threading
+from collections.abc import Callable
+
+# Nothing can be accepted until descriptors or memory are freed, and the connection stays in the backlog.
+SHORT_OF_RESOURCES = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM))
+PAUSE = 0.05  # s between two tries of accept while resources are short
+RETRIES_AT_ONCE = 64  # other failures in a row, after which tries are a pause apart too
+
+
+class Acceptor:
+    """The accept loop of one blocking listening socket; `run` is for a thread of its own.
+
+    `take(sock)` is given each accepted connection and owns it; where it raises, that connection is closed.
+    `failed(error)` is told of each connection that was not taken. Neither ends the loop, only `close` does.
+    """
+
+    def __init__(
+        self,
+        sock: socket.socket,
+        take: Callable[[socket.socket], None],
+        failed: Callable[[Exception], None] = lambda error: None,
+    ) -> None:
+        self.sock, self.take, self.failed = sock, take, failed
+        self.closed = threading.Event()
+
+    def run(self) -> None:
+        """Accepts until closed."""
+        failures = 0  # in a row
+        while not self.closed.is_set():
+            try:
+                sock, _ = self.sock.accept()
+            except OSError as error:
+                # Linux passes errors of the network that wait on the new connection through accept, and may drop the
+                # connection: none of accept(2)'s errors says that the listening socket is of no more use.
+                if self.closed.is_set() or self.sock.fileno() < 0:
+                    return
+                failures += 1
+                self.failed(error)
+                if error.errno in SHORT_OF_RESOURCES or failures > RETRIES_AT_ONCE:
+                    self.closed.wait(PAUSE)
+                continue
+            failures = 0
+            self._hand_over(sock)
+
+    def close(self) -> None:
+        """Ends the loop and closes the listening socket. May be called again."""
+        self.closed.set()
+        with contextlib.suppress(OSError):
+            self.sock.shutdown(socket.SHUT_RDWR)  # wakes the thread that waits in accept
+        with contextlib.suppress(OSError):
+            self.sock.close()
+
+    def _hand_over(self, sock: socket.socket) -> None:
+        try:
+            self.take(sock)
+        except Exception as error:  # one connection must not end the listener of all
+            with contextlib.suppress(OSError):
+                sock.close()
+            self.failed(error)
--- a/wickdyke/wire/server.py
+++ b/wickdyke/wire/server.py
@@ -1,5 +1,6 @@
 """A small server of one JSON-RPC object a line: one thread a connection, blocking sockets."""
 
+import contextlib
 import fcntl
 import os
 import socket
@@ -11,6 +12,7 @@
 from wickdyke.protocol import jsonrpc
 from wickdyke.protocol.lines import Lines, TooLong
 from wickdyke.settings import address as addresses
+from wickdyke.wire.acceptor import Acceptor
 from wickdyke.wire.outbox import Outbox, Parcel, Unread
 
 LINE = 64 << 20  # bytes of a line
@@ -28,34 +30,39 @@
     A lock beside the socket's file tells a live owner from a file that a killed one left behind.
     """
     family, where = addresses.parse(address)
-    held = None
-    if family == socket.AF_UNIX:
-        os.makedirs(os.path.dirname(address) or ".", exist_ok=True)
-        held = open(address + ".lock", "w")  # noqa: SIM115 - kept open as long as the socket
+    # What is open already is closed where a later step fails.
+    with contextlib.ExitStack() as opened:
+        held = None
+        if family == socket.AF_UNIX:
+            os.makedirs(os.path.dirname(address) or ".", exist_ok=True)
+            held = opened.enter_context(open(address + ".lock", "w"))
+            _claim(address, held)
         try:
-            fcntl.flock(held, fcntl.LOCK_EX | fcntl.LOCK_NB)
-        except OSError:
-            held.close()
-            raise InUse(f"{address}: somebody live listens there, expected a free one") from None
-        try:
-            if not stat.S_ISSOCK(os.lstat(address).st_mode):
-                held.close()
-                raise InUse(f"{address}: a file that is no socket stands there, expected none")
-            os.unlink(address)  # nobody holds the lock: it is left over
-        except FileNotFoundError:
-            pass
-    sock = socket.socket(family, socket.SOCK_STREAM)
-    if family != socket.AF_UNIX:
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-    try:
-        sock.bind(where)
-        sock.listen(BACKLOG)
-    except OSError as bad:
-        sock.close()
-        raise InUse(f"{address}: {bad.strerror}, expected a free one") from None
+            sock = opened.enter_context(socket.socket(family, socket.SOCK_STREAM))
+            if family != socket.AF_UNIX:
+                sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+            sock.bind(where)
+            sock.listen(BACKLOG)
+        except OSError as bad:
+            raise InUse(f"{address}: {bad.strerror}, expected a free one") from None
+        opened.pop_all()
     return sock, held
 
 
+def _claim(address: str, held: TextIO) -> None:
+    """Takes the lock and removes the socket file that a killed process left behind; raises InUse."""
+    try:
+        fcntl.flock(held, fcntl.LOCK_EX | fcntl.LOCK_NB)
+    except OSError:
+        raise InUse(f"{address}: somebody live listens there, expected a free one") from None
+    try:
+        if not stat.S_ISSOCK(os.lstat(address).st_mode):
+            raise InUse(f"{address}: a file that is no socket stands there, expected none")
+        os.unlink(address)  # nobody holds the lock: it is left over
+    except FileNotFoundError:
+        pass
+
+
 class Wire:
     """One connection; `say` may be called from any thread and never waits: who lets too much wait is hung up on."""
 
@@ -67,47 +74,65 @@
         """Sends one line; nobody may be there any more."""
         try:
             self.box.put(Parcel(body + b"\n"))
-        except (OSError, Unread):
+        except (OSError, Unread, RuntimeError):  # RuntimeError: the thread that writes the rest could not be started
             self.open = False
             self.box.close()
 
 
 class Listener:
-    """Takes connections on an address; `serve(sock)` in a thread for each, which need not close it."""
+    """Takes connections on an address; `serve(sock)` in a thread for each, which need not close it.
+
+    What accept or the start of a thread fails with costs one connection at most; only `close` ends the listener.
+    """
 
     def __init__(self, address: str, serve: Callable[[socket.socket], None]) -> None:
         self.serve = serve
         self.sock, self.held = listener(address)
         self.socks: set[socket.socket] = set()
-        threading.Thread(target=self._accept, name="accept", daemon=True).start()
+        self.lock = threading.Lock()
+        self.acceptor = Acceptor(self.sock, self._take)
+        try:
+            threading.Thread(target=self.acceptor.run, name="accept", daemon=True).start()
+        except RuntimeError:
+            self.close()
+            raise
 
     def close(self) -> None:
         """Takes no more connections and ends those there are."""
-        for sock in [self.sock, *list(self.socks)]:
-            try:
+        self.acceptor.close()
+        with self.lock:
+            socks = list(self.socks)
+        for sock in socks:
+            with contextlib.suppress(OSError):
                 sock.shutdown(socket.SHUT_RDWR)
-            except OSError:
-                pass
-        self.sock.close()
         if self.held is not None:
             self.held.close()
 
-    def _accept(self) -> None:
-        while True:
-            try:
-                sock, _ = self.sock.accept()
-            except OSError:
+    def _take(self, sock: socket.socket) -> None:
+        with self.lock:
+            if self.acceptor.closed.is_set():  # accepted as `close` went by: nobody would end it
+                sock.close()
                 return
             self.socks.add(sock)
+        try:
             threading.Thread(target=self._one, args=(sock,), name="connection", daemon=True).start()
+        except RuntimeError:
+            self._forget(sock)
+            raise
 
     def _one(self, sock: socket.socket) -> None:
         try:
             self.serve(sock)
         except OSError:
             pass
-        self.socks.discard(sock)
-        sock.close()
+        finally:
+            self._forget(sock)
+
+    def _forget(self, sock: socket.socket) -> None:
+        with self.lock:
+            self.socks.discard(sock)
+        with contextlib.suppress(OSError):
+            sock.close()
 
 
 class Server(Listener):
@@ -137,7 +162,10 @@
                             self.heard(wire, request)
         except (OSError, TooLong):
             pass
-        wire.open = False
-        self.wires.discard(wire)
-        self.gone(wire)
-        wire.box.close()
+        finally:
+            wire.open = False
+            self.wires.discard(wire)
+            try:
+                self.gone(wire)
+            finally:
+                wire.box.close()
