--- /dev/null
+++ b/tests/test_discovery_faults.py
@@ -0,0 +1,350 @@
+"""The list is followed on, whichever system call of its connection fails, and no descriptor is left open."""
+
+import errno
+import os
+import re
+import socket
+import threading
+import time
+import unittest
+from types import SimpleNamespace
+from unittest.mock import Mock, patch
+
+from tests import platform_rig as rig
+from tests.rig import until
+from wickdyke.platform import bus
+from wickdyke.wire import loop
+
+EVENTS = 3  # told by the source, one on each connection: so each step of a connection is taken that often
+PIECE = 40  # bytes that a short write takes: the request goes in several
+
+# (call, errors after which the connection is given up and made again)
+FATAL = {
+    "socket": ("EACCES", "EAFNOSUPPORT", "EINVAL", "EMFILE", "ENFILE", "ENOBUFS", "ENOMEM", "EPROTONOSUPPORT"),
+    "setblocking": ("EBADF", "ENOMEM"),
+    "connect_ex": (
+        ("EACCES", "EPERM", "EADDRINUSE", "EADDRNOTAVAIL", "EAFNOSUPPORT", "EAGAIN", "ECONNREFUSED")
+        + ("ENETUNREACH", "ETIMEDOUT", "ENOBUFS", "EHOSTUNREACH", "ENETDOWN")
+    ),
+    "SO_ERROR": ("ECONNREFUSED", "ECONNRESET", "ETIMEDOUT", "EHOSTUNREACH", "ENETUNREACH", "EADDRNOTAVAIL"),
+    "getsockopt": ("ENOBUFS", "ENOMEM"),
+    "register": ("ENOMEM", "ENOSPC"),
+    "send": (
+        ("ECONNRESET", "EPIPE", "ETIMEDOUT", "EHOSTUNREACH", "ENETUNREACH", "ENOBUFS", "ENOMEM", "ENOTCONN")
+        + ("EACCES", "ENETDOWN")
+    ),
+    "recv": ("ECONNRESET", "ECONNREFUSED", "ETIMEDOUT", "EHOSTUNREACH", "ENETUNREACH", "ENOTCONN"),
+}
+# (call, errors after which the same connection goes on)
+PASSING = {
+    "connect_ex": ("EINTR",),
+    "send": ("EAGAIN", "EINTR"),
+    "recv": ("EAGAIN", "EINTR", "ENOMEM", "ENOBUFS"),
+    "modify": ("ENOMEM", "ENOSPC", "EINTR"),
+    "unregister": ("ENOMEM", "ENOENT"),
+    "close": ("EIO", "EINTR", "ENOSPC", "EDQUOT"),
+    "poll": ("EINTR",),
+}
+RETURNED = ("connect_ex", "SO_ERROR")  # these give their error and don't raise it
+
+
+class SystemCalls:
+    """Fails the `nth` call of that name, `times` times. `piece`: bytes that a send takes at most."""
+
+    def __init__(self, name="", nth=1, code=0, times=1, piece=0):
+        self.name, self.nth, self.code, self.times, self.piece, self.count = name, nth, code, times, piece, 0
+
+    def fails(self, name):
+        """Whether that call, which is made now, fails."""
+        if name != self.name:
+            return False
+        self.count += 1
+        return self.nth <= self.count < self.nth + self.times
+
+    def enter(self, name):
+        if self.fails(name):
+            raise OSError(self.code, os.strerror(self.code))
+
+    def socket_class(calls):
+        """A socket class whose calls may fail."""
+
+        class Socket(socket.socket):
+            def __init__(self, *args, **more):
+                calls.enter("socket")
+                super().__init__(*args, **more)
+
+            def setblocking(self, flag):
+                calls.enter("setblocking")
+                super().setblocking(flag)
+
+            def connect_ex(self, address):
+                if not calls.fails("connect_ex"):
+                    return super().connect_ex(address)
+                if calls.code == errno.EINTR:
+                    super().connect_ex(address)  # it goes on being made
+                return calls.code
+
+            def getsockopt(self, *args):
+                calls.enter("getsockopt")
+                return calls.code if calls.fails("SO_ERROR") else super().getsockopt(*args)
+
+            def send(self, data, *flags):
+                calls.enter("send")
+                return super().send(data[: calls.piece] if calls.piece else data, *flags)
+
+            def recv(self, *args):
+                calls.enter("recv")
+                return super().recv(*args)
+
+            def close(self):
+                fails = self.fileno() >= 0 and calls.fails("close")
+                super().close()  # Linux frees the descriptor also where it reports an error
+                if fails:
+                    raise OSError(calls.code, os.strerror(calls.code))
+
+        return Socket
+
+    def epoll(self, real):
+        """An epoll whose calls may fail."""
+
+        def wrapped(name):
+            def call(*args):
+                self.enter(name)
+                return getattr(real, name)(*args)
+
+            return call
+
+        return SimpleNamespace(
+            close=real.close, **{name: wrapped(name) for name in ("register", "modify", "unregister", "poll")}
+        )
+
+
+class Source(rig.Listener):
+    """Tells one event on each connection, the one after the last that the asker has, then ends it."""
+
+    def __init__(self):
+        self.asked = 0
+        super().__init__()
+
+    def _serve(self, sock):
+        try:
+            with sock:
+                head = b""
+                while not head.endswith(b"\r\n\r\n"):
+                    if not (more := sock.recv(1000)):
+                        return
+                    head += more
+                self.asked += 1
+                offset = int(re.search(rb"(?i)last-event-id: (\d+)", head)[1]) + 1
+                sock.sendall(b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nConnection: close\r\n\r\n: hi\n\n")
+                sock.sendall(b'id: %d\ndata: {"offset": %d}\n\n' % (offset, offset))
+        except OSError:
+            pass
+
+
+def open_descriptors():
+    return len(os.listdir("/proc/self/fd"))
+
+
+class Case(unittest.TestCase):
+    """Time is the test's: it goes on only while the list waits to be asked for again."""
+
+    def setUp(self):
+        self.now, self.told = 0.0, []
+        self.source = Source()
+        self.addCleanup(self.source.close)
+        self.before = open_descriptors()
+        for module in (loop, bus):
+            patcher = patch.object(module, "clock", lambda: self.now)
+            patcher.start()
+            self.addCleanup(patcher.stop)
+
+    def follow(self, calls, address=None):
+        """A bus on a loop whose system calls may fail."""
+        self.told.clear()
+        self.loop = loop.Loop()
+        self.loop.epoll = calls.epoll(self.loop.epoll)
+        fakes = SimpleNamespace(**{**vars(socket), "socket": calls.socket_class()})
+        patcher = patch.object(loop, "socket", fakes)
+        patcher.start()
+        self.addCleanup(patcher.stop)
+        made = bus.Bus(self.loop, self.where(address or self.source.address), self.last, self.take, Mock(), 200.0, 1)
+        made.open()
+        return made
+
+    def where(self, address):
+        host, _, port = address.rpartition(":")
+        return host, int(port)
+
+    def last(self):
+        return self.told[-1] if self.told else 0
+
+    def take(self, events):
+        self.told += [event["offset"] for event in events if event["offset"] > self.last()]
+
+    def turn(self, made):
+        waits = made.sock is None
+        if waits:
+            self.now += 10
+        self.loop.turn(0.0 if waits else 1.0, lambda: None)
+
+    def until_told(self, made, many=EVENTS):
+        ends = time.monotonic() + rig.LONG
+        while len(self.told) < many:
+            self.assertLess(time.monotonic(), ends, f"told {self.told}, {dict(made.counts)}")
+            self.turn(made)
+        self.assertEqual(self.told[:many], list(range(1, many + 1)))
+
+    def end(self, made):
+        made.close()
+        self.loop.close()
+        self.assertEqual(self.loop.handlers, {})
+        self.assertTrue(until(lambda: open_descriptors() == self.before), f"{open_descriptors()}, {self.before} before")
+
+    def each(self, errors, check, times=1, piece=0):
+        """Calls `check` with calls of which one fails, at each time the path takes it, with each of its errors; then
+        ends what it gives, and looks for what is left open."""
+        for name, codes in errors.items():
+            for code in codes:
+                for nth in range(1, EVENTS + 1):
+                    with self.subTest(call=name, code=code, nth=nth):
+                        self.before = open_descriptors()
+                        calls = SystemCalls(name, nth, getattr(errno, code), times, piece)
+                        try:
+                            made = self.follow(calls)
+                            self.until_told(made)
+                            check(calls, made)
+                            self.end(made)
+                            self.assertGreaterEqual(calls.count, nth)
+                        finally:
+                            self.loop.close()  # so that a case that failed spoils none after it
+
+
+class Following(Case):
+    def test_each_call_fails(self):
+        """It is asked for again, no event is lost, and nothing is left open."""
+
+        def check(calls, made):
+            # A read that fails after the event has come costs nothing: the connection would have ended there.
+            self.assertGreater(made.counts["asked"], EVENTS - (calls.name == "recv"))
+
+        self.each(FATAL, check)
+
+    def test_each_call_fails_and_the_connection_goes_on(self):
+        """No further try is needed."""
+        self.each(PASSING, lambda calls, made: self.assertLessEqual(made.counts["asked"], EVENTS))
+
+    def test_each_call_fails_for_a_while(self):
+        self.each(FATAL, lambda calls, made: None, times=4)
+
+    def test_the_request_is_sent_in_pieces(self):
+        """Each write is short: the rest follows on the same connection."""
+        asked = self.source.asked
+        for piece in (1, 2, PIECE):
+            with self.subTest(piece=piece):
+                made = self.follow(SystemCalls(piece=piece))
+                self.until_told(made)
+                self.assertLessEqual(made.counts["asked"], EVENTS)
+                self.end(made)
+        self.assertGreaterEqual(self.source.asked, asked + 3 * EVENTS)
+
+    def test_a_piece_of_the_request_fails(self):
+        """At each piece of the first connection's request, with each error."""
+        self.each({"send": FATAL["send"]}, lambda calls, made: None, piece=PIECE)
+        self.each(
+            {"send": PASSING["send"]},
+            lambda calls, made: self.assertLessEqual(made.counts["asked"], EVENTS),
+            piece=PIECE,
+        )
+
+    def test_the_kernel_takes_nothing_of_the_request(self):
+        """It counts as no answer after its time, and is asked for again."""
+        made = self.follow(SystemCalls("send", 1, errno.EAGAIN, times=10**9))
+        ends = time.monotonic() + rig.LONG
+        while not made.counts["silent"]:
+            self.assertLess(time.monotonic(), ends)
+            if made.connected:
+                self.now += 10
+            self.turn(made)
+        self.assertEqual(made.counts["asked"], 1)
+        self.end(made)
+
+    def test_what_nobody_foresaw_in_a_try_is_tried_again(self):
+        made = self.follow(SystemCalls("socket", 1, errno.EMFILE))
+        faults = []
+        self.loop.fault = faults.append
+        with patch.object(bus, "dial", Mock(side_effect=MemoryError)):
+            while not faults:
+                self.turn(made)
+        self.until_told(made)
+        made.close()
+        self.loop.close()
+
+
+class Configurations(Case):
+    """Another address while the one before is at any step."""
+
+    def test_another_address_at_each_step(self):
+        """(turns made with the address before): what the other tells is told, and the one before is left."""
+        for turns in range(8):
+            with self.subTest(turns=turns):
+                other = Source()
+                self.addCleanup(other.close)
+                self.before = open_descriptors()
+                made = self.follow(SystemCalls())
+                for _ in range(turns):
+                    self.turn(made)
+                made.follow(self.where(other.address))
+                asked, had = other.asked, len(self.told)
+                self.until_told(made, had + 2)
+                self.assertGreaterEqual(other.asked, asked + 2)
+                self.end(made)
+
+    def test_another_address_while_the_request_is_half_sent(self):
+        for nth in (1, 2, 3):
+            with self.subTest(nth=nth):
+                nobody = socket.create_server(("127.0.0.1", 0))  # takes connections and reads nothing
+                self.addCleanup(nobody.close)
+                self.before = open_descriptors()
+                calls = SystemCalls("send", nth, errno.EAGAIN, times=10**9, piece=PIECE)
+                made = self.follow(calls, f"127.0.0.1:{nobody.getsockname()[1]}")
+                ends = time.monotonic() + rig.LONG
+                while calls.count < nth:
+                    self.assertLess(time.monotonic(), ends)
+                    self.turn(made)
+                calls.times = 0
+                made.follow(self.where(self.source.address))
+                self.until_told(made)
+                self.end(made)
+
+    def test_many_in_quick_succession_leave_one_retry(self):
+        """While no socket can be made, the list is asked for no more often after ten configurations than after one."""
+        calls = SystemCalls("socket", 1, errno.EMFILE, times=10**9)
+        made = self.follow(calls)
+        for _ in range(10):
+            made.follow(self.where(self.source.address))
+        while self.now < 3000:
+            self.turn(made)
+        asked = made.counts["asked"]
+        while self.now < 4000:
+            self.turn(made)
+        self.assertLessEqual(made.counts["asked"] - asked, 1000 / 100 + 1)
+        self.assertGreaterEqual(made.counts["asked"] - asked, 1000 / 220 - 1)
+        calls.times = 0
+        self.until_told(made)
+        self.end(made)
+
+    def test_many_in_quick_succession_with_connections(self):
+        threads = threading.active_count()
+        made = self.follow(SystemCalls())
+        for at in range(20):
+            made.follow(self.where(self.source.address))
+            if at % 3 == 0:
+                self.loop.turn(0.0, lambda: None)
+        self.until_told(made)
+        self.end(made)
+        self.assertTrue(until(lambda: threading.active_count() == threads))
+
+
+if __name__ == "__main__":
+    unittest.main()
--- a/wickdyke/platform/bus.py
+++ b/wickdyke/platform/bus.py
@@ -1,6 +1,7 @@
 """The list's events over HTTP: read as they come, asked for again when they stop."""
 
 import errno
+import os
 import random
 import socket
 from collections import Counter
@@ -10,7 +11,7 @@
 
 from wickdyke.platform import sse
 from wickdyke.platform.roster import Unusable, change
-from wickdyke.wire.loop import Loop, clock, dial, received
+from wickdyke.wire.loop import Loop, clock, close, dial, received
 
 PATH = "/bus/read"
 CHUNK = 1 << 16
@@ -42,6 +43,8 @@
         self.counts: Counter[str] = Counter()
         self.sock: socket.socket | None = None
         self.number, self.failed = 0, 0  # of the try under way; tries since the last answer
+        self.retry = 0  # the number of the one retry that is due; one set before it does nothing
+        self.unsent = b""  # of the request, once connected
         self.connected = self.up = self.closed = False
         self.said, self.heard, self.since = "", 0.0, 0.0
 
@@ -53,6 +56,9 @@
         """Follows another address from now on."""
         self.address, self.failed = address, 0
         self._end()
+        # Danger: each retry that is due sets the next. One left from the address before would go on beside that of the
+        # new one, and with each new configuration the list would be asked for once more in the same time.
+        self.retry += 1
         self._ask()
 
     def close(self) -> None:
@@ -65,33 +71,52 @@
             return
         self.counts["asked"] += 1
         self.number += 1
-        self.connected, self.up, self.heard = False, False, clock()
+        self.connected, self.up, self.unsent, self.heard = False, False, b"", clock()
         self.http, self.events = h11.Connection(h11.CLIENT), sse.Events()
         self.sock, code = dial(self.address)
         if self.sock is None:
             self._again(f"connect: {errno.errorcode.get(code, code)}")
             return
-        self.loop.add(self.sock, self, write=True)
+        try:
+            self.loop.add(self.sock, self, write=True)
+        except OSError as bad:
+            self._fail("watch", bad)
+            return
         self.loop.at(self.heard + self.dial, self._watch, self.number)
 
     def _again(self, why: str) -> None:
-        if why != self.said:
-            self.said = why
-            self.log.warning("list not followed", why=why, bus=":".join(map(str, self.address)))
         # Danger: hundreds of front ends that lost the list at one moment would ask for it in step, for as long as
         # it is away. Also one bus that answers only with errors. Could hurt where the list is back with a drain
         # just after a try: so `most` stays within the time in which a drain has to be heeded.
         self.failed = 1 if self.up and clock() - self.since > PULSE else self.failed + 1
         wait = min(self.most, PAUSE * GROWTH ** min(self.failed - 1, 20))
-        self.loop.at(clock() + wait * (0.5 + 0.5 * self.chance.random()), self._ask)
+        self.retry += 1
+        self.loop.at(clock() + wait * (0.5 + 0.5 * self.chance.random()), self._retry, self.retry)
+        if why != self.said:
+            self.said = why
+            self.log.warning("list not followed", why=why, bus=":".join(map(str, self.address)))
+
+    def _retry(self, number: int) -> None:
+        if number != self.retry:
+            return
+        try:
+            self._ask()
+        except Exception:
+            self.broken()  # a timer that fails is not set again by the loop
+            raise
 
     def _end(self) -> None:
         if self.sock is not None:
             self.loop.remove(self.sock)
-            self.sock.close()
+            close(self.sock)
             self.sock = None
             self.counts["ended"] += 1
 
+    def _fail(self, step: str, bad: OSError) -> None:
+        """A system call of the connection failed in that step: it is ended, and made again after a backoff."""
+        self._end()
+        self._again(f"{step}: {errno.errorcode.get(bad.errno, bad)}")
+
     def _watch(self, number: int) -> None:
         """Whether the connection of that number has said enough by now; asks again where it has not."""
         if self.sock is None or number != self.number:
@@ -105,27 +130,43 @@
         self._again("no answer" if not self.up else "silent")
 
     def writable(self) -> None:
-        """Connected, or not."""
-        if code := self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
-            self._end()
-            self._again(f"connect: {errno.errorcode.get(code, code)}")
-            return
-        self.connected, self.heard = True, clock()
+        """Connected, or not; or more of the request can be sent."""
+        if not self.connected:
+            try:
+                code = self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
+            except OSError as bad:
+                self._fail("connect", bad)
+                return
+            if code:
+                self._fail("connect", OSError(code, os.strerror(code)))
+                return
+            self.connected, self.heard = True, clock()
+            self.unsent = self._request()
+        self._send()
+
+    def _request(self) -> bytes:
         host = f"{self.address[0]}:{self.address[1]}"
-        said = self.http.send(
+        head = self.http.send(
             h11.Request(
                 method="GET",
                 target=PATH,
                 headers=[("Host", host), ("Accept", "text/event-stream"), ("Last-Event-ID", str(self.last()))],
             )
         )
-        try:
-            self.sock.send(said + (self.http.send(h11.EndOfMessage()) or b""))
-        except OSError as bad:
-            self._end()
-            self._again(f"send: {bad.strerror}")
-            return
-        self.loop.want(self.sock, False)
+        return head + (self.http.send(h11.EndOfMessage()) or b"")
+
+    def _send(self) -> None:
+        if self.unsent:
+            try:
+                sent = self.sock.send(self.unsent)
+            except (BlockingIOError, InterruptedError):
+                return  # the loop tells when it can go on
+            except OSError as bad:
+                self._fail("send", bad)
+                return
+            self.unsent = self.unsent[sent:]
+        if not self.unsent:
+            self.loop.want(self.sock, False)
 
     def broken(self) -> None:
         """It is asked for again."""
