--- a/wickdyke/platform/bus.py
+++ b/wickdyke/platform/bus.py
@@ -16,6 +16,7 @@
 PATH = "/bus/read"
 CHUNK = 1 << 16
 PULSE = 1500.0  # ms without a sign of life after which the other side has stopped: it gives one each second
+PATIENCE_MOST = 12000.0  # ms without a sign of life that are waited for while an event is coming, at most
 DIAL, DIAL_LEAST, ANSWER = 400.0, 200.0, 1500.0  # ms for a connection, at most, at least; for the head of its answer
 PAUSE, GROWTH = 50.0, 1.5  # ms after the first failure, before it is drawn; what each further one makes of that
 
@@ -45,6 +46,7 @@
         self.number, self.failed = 0, 0  # of the try under way; tries since the last answer
         self.retry = 0  # the number of the one retry that is due; one set before it does nothing
         self.unsent = b""  # of the request, once connected
+        self.patience = PULSE  # ms without a sign of life that are waited for
         self.connected = self.up = self.closed = False
         self.said, self.heard, self.since = "", 0.0, 0.0
 
@@ -121,11 +123,15 @@
         """Whether the connection of that number has said enough by now; asks again where it has not."""
         if self.sock is None or number != self.number:
             return
-        due = self.heard + (PULSE if self.up else ANSWER if self.connected else self.dial)
+        due = self.heard + (self.patience if self.up else ANSWER if self.connected else self.dial)
         if clock() < due:
             self.loop.at(due, self._watch, number)
             return
         self.counts["silent"] += 1
+        # An event that takes longer than a pulse would be begun anew for ever: a half one gets twice the time on the
+        # next connection, until one has come whole.
+        if self.up and self.events.begun:
+            self.patience = min(2 * self.patience, PATIENCE_MOST)
         self._end()
         self._again("no answer" if not self.up else "silent")
 
@@ -217,4 +223,5 @@
             except Unusable:
                 self.counts["unusable"] += 1
         if found:
+            self.patience = PULSE
             self.tell(found)
--- a/wickdyke/wire/loop.py
+++ b/wickdyke/wire/loop.py
@@ -12,6 +12,7 @@
 
 CONNECTING = (0, errno.EINPROGRESS, errno.EINTR)  # of a connect that does not block: done, or on its way
 EVENTS = 256  # events taken from the kernel in one turn
+ENDED = select.EPOLLRDHUP | select.EPOLLHUP | select.EPOLLERR  # the other side has closed or reset
 MODIFY_RETRY = 10.0  # ms until the kernel is told again what is waited for on a socket, where it had no memory for that
 SLICE = 10.0  # ms of a turn that go to those that do not come first, but for one at least
 
@@ -47,6 +48,10 @@
         sock.close()
 
 
+def _events(write: bool, read: bool) -> int:
+    return (select.EPOLLIN | select.EPOLLRDHUP if read else 0) | (select.EPOLLOUT if write else 0)
+
+
 class Handler(Protocol):
     """Whoever owns a socket. Those that come `first` are served before the others in each turn."""
 
@@ -92,13 +97,15 @@
         self.timers: list[tuple[float, int, Callable, tuple]] = []
         self.turn_number = itertools.count()
         self.unmodified: dict[int, int] = {}  # descriptor -> events the kernel could not be told of yet
+        self.served: dict[int, int] = {}  # descriptor -> when it was last served of those that are not first
+        self.serve_number = itertools.count(1)
 
     def add(self, sock: socket.socket, handler: Handler, write: bool = False) -> None:
         """Serves that socket from now on. Raises OSError where it can't be watched, and then keeps nothing of it."""
         # Danger: a handler that is kept for a socket which is not watched is found under the descriptor's number when
         # the number is used again, and `remove` of the new socket's owner fails. So the kernel comes first.
         number = sock.fileno()
-        self.epoll.register(number, select.EPOLLIN | (select.EPOLLOUT if write else 0))
+        self.epoll.register(number, _events(write, True))
         self.handlers[number] = handler
 
     def want(self, sock: socket.socket, write: bool, read: bool = True) -> None:
@@ -106,7 +113,7 @@
         then what was waited for before is: a handler may be called for what it no longer waits for."""
         number = sock.fileno()
         self.unmodified.pop(number, None)
-        self._modify(number, (select.EPOLLIN if read else 0) | (select.EPOLLOUT if write else 0))
+        self._modify(number, _events(write, read))
 
     def _modify(self, number: int, events: int) -> None:
         try:
@@ -127,6 +134,7 @@
         """Serves it no more; to be called before it is closed. Never raises: the close ends the watch in any case."""
         number = sock.fileno()
         self.unmodified.pop(number, None)
+        self.served.pop(number, None)
         if self.handlers.pop(number, None) is not None:
             with contextlib.suppress(OSError):
                 self.epoll.unregister(number)
@@ -162,7 +170,8 @@
         known = [(number, self.handlers.get(number), events) for number, events in found]
         others = []
         for number, handler, events in known:
-            if handler is not None and handler.first:
+            # Who has closed is heard before anything is decided, however many others ask at that moment.
+            if handler is not None and (handler.first or events & ENDED):
                 self.serve(number, handler, events)
             elif handler is not None:
                 others.append((number, handler, events))
@@ -174,10 +183,15 @@
             except Exception as bad:
                 self._broken(bad)
         between()
+        # The kernel tells of the same sockets first, turn after turn, while more can be read there. Who was served longest
+        # ago goes first: else clients that never stop sending keep all others unread.
+        others.sort(key=lambda each: self.served.get(each[0], 0))
         ends = clock() + SLICE
         for number, handler, events in others:
-            self.serve(number, handler, events)
-            if clock() > ends:  # the kernel tells of the rest again, those that had no turn first
+            if self.handlers.get(number) is handler:
+                self.served[number] = next(self.serve_number)
+                self.serve(number, handler, events)
+            if clock() > ends:
                 break
 
     def serve(self, number: int, handler: Handler, events: int = select.EPOLLIN) -> None:
