--- /dev/null
+++ b/tests/acceptance_rig.py
@@ -0,0 +1,117 @@
+"""A front end turned by hand on a clock that only the test moves, for tests/test_acceptance_days.py."""
+
+import time
+from types import SimpleNamespace
+from unittest.mock import patch
+
+from tests import platform_rig as rig
+from tests import test_fleet
+from wickdyke.gateway import desk
+from wickdyke.interface import Timing
+from wickdyke.platform import serve
+from wickdyke.wire import loop
+
+START = 1e9  # ms on the stand-in clock
+STEP = 5.0  # ms of it that pass between two turns
+
+LANES = [
+    *rig.SETTINGS["lanes"],
+    {
+        "name": "book",
+        "repeat": "token",
+        "key-scope": "all",
+        "window": 6000000,
+        "aim": 500000,
+        "deadline": 4000000,
+        "gain": 2.0,
+    },
+]
+LANES.append({**LANES[-1], "name": "rent", "key-scope": "zone"})
+CLASSES = ("look", "pay", "book")  # idempotent, side-effecting, with an idempotency key; `rent`'s is known in one zone
+KEY = "2d071f1f7aeaaed654f62e293c13f6a0"
+
+HEDGED = Timing(
+    soft=500.0,
+    attempt=None,
+    attempts=4,
+    pause=(0.0, 1.0, 0.0, 0.0),
+    again=frozenset({"full", "unreached", "unsent", "error", "timeout", "cut"}),
+    second=(20.0, 2, 1.0),
+    budget=None,
+    queue=None,
+    priority=0,
+)
+
+
+def settings(limits=None, **more):
+    """Settings with a class of each kind."""
+    return {**rig.SETTINGS, "lanes": LANES, "limits": {**rig.SETTINGS["limits"], **(limits or {})}, **more}
+
+
+def request(number, name="look", body=b"x", ident=None, **more):
+    """A request of that class, its id drawn from its number where none is given."""
+    more |= {"k": KEY} if name in ("book", "rent") else {}
+    return rig.dispatch(number, rig.fields(ident or f"{number:016x}", name, **more), body)
+
+
+class Stepped(test_fleet.Handed):
+    """A front end whose monotonic clock stands still until the test moves it on."""
+
+    def setUp(self):
+        super().setUp()
+        self.now = START
+        self.addCleanup(patch.stopall)
+        stand_in = SimpleNamespace(**{**vars(time), "monotonic": lambda: self.now / 1000})
+        for module in (loop, desk):
+            patch.object(module, "time", stand_in).start()
+        patch.object(serve, "LONGEST", 1.0).start()  # real ms of one wait: the clock does not move meanwhile
+
+    def front_end(self, *workers, **more):
+        self.listen = rig.free_address()  # its own: what failed before it may still hold the last
+        return super().front_end(*workers, **{"settings": settings(), **more})
+
+    def hedging(self):
+        """From now on each request may be hedged 20 ms after its first attempt."""
+        take = self.serving.front.take
+
+        def timed(event):
+            if event[0] == "asked":
+                event[1].timing = HEDGED
+            take(event)
+
+        self.serving.front.take = timed
+
+    def attempts_out(self):
+        """Orders that wait for a worker, of any kind."""
+        return sum(conn.load for link in self.serving.desk.links.values() for conn in link.all())
+
+    def settle(self):
+        """Turns until workers have answered all that is out, and no time passes."""
+        self.until(lambda: not self.attempts_out() and self.serving.desk.events.empty(), "the workers' answers")
+
+    def later(self, span, step=STEP, settle=False):
+        """Lets a time pass, a turn in each step; with `settle`, workers answer all within each."""
+        ends = self.now + span
+        while self.now < ends:
+            self.now = min(ends, self.now + step)
+            self.serving.turn()
+            if settle:
+                self.settle()
+
+    def final(self, client, within, settle=True, step=STEP):
+        """The answer that comes next, which may take so many ms; with `settle`, workers answer all at once."""
+        ends = self.now + within
+        self.serving.turn()
+        while not client.waits():
+            if settle:
+                self.settle()
+            self.serving.turn()
+            if not client.waits():
+                self.assertLess(self.now, ends, "no final answer in time")
+                self.now += step
+        return client.answer()
+
+    def no_more(self, client, span=1000.0):
+        """Nothing more comes on that connection."""
+        self.later(span, 20.0)
+        self.assertFalse(client.waits(), "a second answer, or an end")
