--- a/wickdyke/wire/loop.py
+++ b/wickdyke/wire/loop.py
@@ -183,8 +183,8 @@
             except Exception as bad:
                 self._broken(bad)
         between()
-        # The kernel tells of the same sockets first, turn after turn, while more can be read there. Who was served longest
-        # ago goes first: else clients that never stop sending keep all others unread.
+        # The kernel tells of the same sockets first, turn after turn, while more can be read there. So those served
+        # longest ago go first: else clients that never stop sending keep all others unread.
         others.sort(key=lambda each: self.served.get(each[0], 0))
         ends = clock() + SLICE
         for number, handler, events in others:
