--- /dev/null
+++ b/tests/test_deadlines.py
@@ -0,0 +1,347 @@
+"""The time left that a worker is told is that of the moment at which the first byte of the order goes."""
+
+import socket
+import tempfile
+import threading
+import unittest
+from types import SimpleNamespace
+from unittest.mock import Mock, patch
+
+import msgspec
+
+from tests.rig import Peer, Told, hello, lines_of, ok
+from tests import platform_rig as rig
+from tests.test_fleet import ASCII_A, ASCII_B, Full
+from tests.test_platform import Turned
+from wickdyke.gateway import link as rpc_link
+from wickdyke.gateway import speech as rpc_speech
+from wickdyke.interface import Method
+from wickdyke.platform import back
+from wickdyke.wire.outbox import Expired, Outbox, Parcel, Unread
+
+
+class Clock:
+    """A monotonic clock that goes on when the test says so; in ms."""
+
+    def __init__(self, test, *modules):
+        self.now = 50000.0
+        for module in modules:
+            started = patch.object(module, "clock", lambda: self.now)
+            started.start()
+            test.addCleanup(started.stop)
+
+
+def call_out():
+    """A call-out of a method `look` to a program `f`."""
+    method = Method("look", "idempotent", "all", 0.0, 1.0, 0.0, 9.0, 1.0, 0.1)
+    return SimpleNamespace(rpc=SimpleNamespace(method=method, program=SimpleNamespace(name="f", memory=64.0, lanes=1)))
+
+
+def ask(ident=ASCII_A, body=b"x"):
+    """What a client asked."""
+    return SimpleNamespace(call=SimpleNamespace(ident=ident, token="", input=body, load_ms=None))
+
+
+def told_left(parts):
+    """The `ttl` of a command `invoke`."""
+    return int(dict(pair.split(b"=") for pair in parts[2].split(b","))[b"ttl"])
+
+
+class Socket:
+    """Takes what `takes` says of each send: bytes, or an error to raise; `data` is what it took."""
+
+    def __init__(self, *takes):
+        self.takes, self.data = list(takes), b""
+
+    def send(self, data, flags):
+        takes = self.takes.pop(0)
+        if isinstance(takes, Exception):
+            raise takes
+        self.data += bytes(data[:takes])
+        return min(takes, len(data))
+
+
+class Rendered(unittest.TestCase):
+    """An outbox of a loop, and messages that are rendered as they go."""
+
+    def box(self, *takes, most=100):
+        self.sock, self.waits, self.expired, self.text = Socket(*takes), [], [], b"one"
+        return Outbox(self.sock, most, "box", self.waits.append)
+
+    def parcel(self, name="first"):
+        return Parcel(lambda: self.text, expired=lambda: self.expired.append(name))
+
+    def test_what_waits_is_rendered_when_it_goes(self):
+        box = self.box(BlockingIOError(), BlockingIOError(), 99)
+        self.assertFalse(box.put(first := self.parcel()))
+        self.text = b"two"
+        box.pump()
+        self.assertFalse(first.begun)
+        self.text = b"three"
+        box.pump()
+        self.assertEqual((self.sock.data, first.begun, box.held, self.waits), (b"three", True, 0, [True, False]))
+
+    def test_what_has_begun_stays_as_rendered(self):
+        box = self.box(1, 1, 99)
+        self.assertFalse(box.put(first := self.parcel()))
+        for text in (b"two", None):  # its deadline passes between two of its bytes
+            self.text = text
+            box.pump()
+        self.assertEqual((self.sock.data, first.begun, box.held, self.expired), (b"one", True, 0, []))
+
+    def test_what_is_over_does_not_go(self):
+        """At once or after it waited; what comes behind it goes."""
+        box = self.box(BlockingIOError(), 99)
+        box.put(first := self.parcel())
+        box.put(Parcel(b"behind"))
+        self.text = None
+        with self.assertRaises(Expired):
+            box.put(self.parcel("second"))
+        box.pump()
+        self.assertEqual((self.sock.data, first.begun, self.expired, box.held), (b"behind", False, ["first"], 0))
+
+    def test_the_bound_counts_what_was_rendered_last(self):
+        """Also where a message is shorter or longer as it goes, is begun, taken back, or over."""
+        box = self.box(BlockingIOError(), 2, 99, most=10)
+        box.put(self.parcel())
+        self.text = b"1234567"
+        box.put(second := self.parcel())
+        self.assertEqual(box.held, 10)
+        with self.assertRaises(Unread):
+            box.put(self.parcel())
+        self.text = b"12345"
+        box.pump()
+        self.assertEqual((box.held, self.sock.data), (3 + 7, b"12"))
+        self.assertTrue(box.withdraw(second))
+        self.assertEqual(box.held, 3)
+        box.pump()
+        self.assertEqual((box.held, self.sock.data), (0, b"12345"))
+
+    def test_no_memory_at_the_kernel_is_for_a_moment(self):
+        """ENOBUFS and ENOMEM of send: nothing went, and it is offered again."""
+        for code in (105, 12):
+            with self.subTest(code):
+                box = self.box(OSError(code, "no memory"), OSError(code, "no memory"), 99)
+                self.assertFalse(box.put(first := self.parcel()))
+                box.pump()
+                self.assertFalse(first.begun)
+                box.pump()
+                self.assertEqual((self.sock.data, box.held), (b"one", 0))
+
+    def test_a_thread_renders_what_goes_when_there_is_room(self):
+        """The other side reads nothing until the text has changed: what did not fit before goes as changed."""
+        here, there = socket.socketpair()
+        self.addCleanup(there.close)
+        self.addCleanup(here.close)
+        box = Outbox(here, 64 << 20, "box")
+        self.addCleanup(box.close)
+        big = b"x" * (4 << 20)
+        asked, self.text = threading.Event(), b"one"
+
+        def render():
+            asked.set()
+            return self.text
+
+        over = threading.Event()
+        self.assertFalse(box.put(Parcel(big)))
+        box.put(waits := Parcel(render))
+        box.put(gone := Parcel(lambda: b"gone" if self.text == b"one" else None, expired=over.set))
+        self.text = b"two"
+        got = b""
+        while len(got) < len(big) + 3:
+            got += there.recv(1 << 20)
+        self.assertEqual(got[len(big) :], b"two")
+        self.assertTrue(over.wait(20))
+        self.assertEqual((waits.begun, gone.begun, box.held), (True, False, 0))
+
+    def test_a_thread_ends_while_it_waits_for_room(self):
+        here, there = socket.socketpair()
+        self.addCleanup(there.close)
+        self.addCleanup(here.close)
+        box = Outbox(here, 64 << 20, "box")
+        box.put(begun := Parcel(b"x" * (4 << 20)))
+        box.put(waits := Parcel(b"y"))
+        self.assertTrue(begun.begun)
+        self.assertTrue(box.withdraw(waits))
+        box.close()
+        box.thread.join(20)
+        self.assertFalse(box.thread.is_alive())
+
+
+class Platform(Turned):
+    """Call-outs to workers of the platform."""
+
+    def setUp(self):
+        super().setUp()
+        self.pool = back.Pool(20)
+        self.clock = Clock(self, back)
+        self.speech = back.Speech(self.loop, SimpleNamespace(seat=SimpleNamespace(report=())), Mock(), 20)
+
+    def link(self, address, dial=60000.0):
+        def tell(*event):
+            self.told.append((event[2].ident, event[3]))
+
+        made = back.Link("w", address, tell, self.loop, self.pool, dial, 10000.0, ())
+        self.addCleanup(made.close)
+        return made
+
+    def held(self):
+        """A link to a worker that answers nothing, and what came there: (socket, command)."""
+        held = []
+        worker = rig.Worker(lambda _, sock, parts: (held.append((sock, parts)), True)[1])
+        self.addCleanup(worker.close)
+        self.told.clear()
+        return self.link(worker.address), held
+
+    def elsewhere(self, link):
+        """From now on nobody lets that link in; where it went before."""
+        here, (host, _, port) = link.at, Full(self).address.rpartition(":")
+        link.at = host, int(port)
+        return here
+
+    def order(self, left, ident=ASCII_A, body=b"x"):
+        return self.speech.run(call_out(), ask(ident, body), left)
+
+    def test_told_at_most_what_is_left(self):
+        """(ms left as it is sent) -> ttl, or None where it is not sent."""
+        for left, ttl in ((1500.0, 1500), (1499.99, 1499), (1.5, 1), (0.4, 1), (0.0, None), (-3.0, None)):
+            with self.subTest(left):
+                line = self.order(left).line
+                self.assertEqual(line and told_left([None, None, line.split(b"\r\n")[6]]), ttl)
+
+    def test_a_connection_that_comes_up_late(self):
+        link, held = self.held()
+        link.send(self.order(1500.0))
+        self.assertEqual(len(link.connections[0].pending), 1)
+        self.clock.now += 1000.5
+        self.until(lambda: held)
+        self.assertEqual(told_left(held[0][1]), 499)
+
+    def test_a_connection_that_comes_up_after_the_time_is_up(self):
+        """It ends as never sent, and the connection is there for others."""
+        link, held = self.held()
+        link.send(self.order(1500.0))
+        self.clock.now += 1500.0
+        self.until(lambda: self.told)
+        self.assertEqual(self.told, [(ASCII_A, "unsent")])
+        link.send(self.order(800.0, ASCII_B))
+        self.until(lambda: held)
+        self.assertEqual((held[0][1][1], told_left(held[0][1]), self.pool.used), (ASCII_B, 800, 1))
+
+    def test_a_second_dial(self):
+        """The first comes to nothing: told what is left at the second, and not dialled again when nothing is."""
+        for gone, told in ((700.0, 800), (1500.0, None)):
+            with self.subTest(gone):
+                link, held = self.held()
+                here = self.elsewhere(link)
+                link.send(self.order(1500.0))
+                link.at = here
+                self.clock.now += gone
+                link.connections[0]._late()
+                if told is None:
+                    self.assertEqual((self.told, link.connections, self.pool.used), ([(ASCII_A, "unsent")], [], 0))
+                    continue
+                self.until(lambda held=held: held)
+                self.assertEqual(told_left(held[0][1]), told)
+                link.close()
+
+    def test_what_waits_in_the_buffer(self):
+        """(ms it waits behind another) -> told what is left as its first byte goes; over, it is never sent."""
+        for waits, told in ((600.0, 900), (1600.0, None)):
+            with self.subTest(waits):
+                link, held = self.held()
+                link.send(self.order(9000.0))
+                self.until(lambda held=held: held)
+                conn = link.connections[0]
+                conn.outbox.sock = Socket(BlockingIOError())
+                conn.send(order := self.order(1500.0, ASCII_B))
+                self.assertFalse(order.parcel.begun)
+                self.clock.now += waits
+                conn.outbox.sock = conn.sock
+                if told is None:
+                    self.until(lambda: self.told)
+                    self.assertEqual((self.told, list(conn.open)), ([(ASCII_B, "unsent")], [ASCII_A]))
+                    self.assertFalse(link.unsend(order))
+                else:
+                    self.until(lambda held=held: len(held) == 2)
+                    self.assertEqual(told_left(held[1][1]), told)
+                self.assertEqual((conn.outbox.held, conn.closed), (0, False))
+                link.close()
+
+    def test_time_up_while_nobody_lets_it_in(self):
+        """Withdrawn or recalled as before: one end."""
+        link = self.link(Full(self).address, dial=60000.0)
+        link.send(order := self.order(10.0))
+        self.clock.now += 20.0
+        self.assertTrue(link.unsend(order))
+        self.assertEqual((self.told, link.connections[0].load), ([], 0))
+
+
+class JsonRpc(unittest.TestCase):
+    """Call-outs to workers of JSON-RPC: a thread for each link."""
+
+    def setUp(self):
+        made = tempfile.TemporaryDirectory(prefix="wd-")
+        self.addCleanup(made.cleanup)
+        self.clock, self.folder = Clock(self, rpc_link, rpc_speech), made.name
+        self.speech = rpc_speech.JsonRpc(SimpleNamespace(name="g", seat=SimpleNamespace(report=())))
+        self.go, self.runs = threading.Event(), []
+
+    def link(self):
+        def play(sock, number):
+            self.go.wait(20)
+            source = lines_of(sock)
+            hello(sock, source)
+            for asked in source:
+                self.runs.append(asked["params"])
+                sock.sendall(ok(asked["id"]))
+
+        peer, told = Peer(self.folder, "w", play), Told()
+        link = rpc_link.Link("w", peer.path, "g", told, 20000.0, 16 << 20, 32 << 20)
+        self.addCleanup(link.close)
+        self.addCleanup(peer.close)
+        return link, told
+
+    def order(self, left):
+        return self.speech.run(call_out(), ask(body=msgspec.Raw(b'"x"')), left)
+
+    def test_a_hello_that_comes_late(self):
+        """(ms until it comes) -> told what is left; where nothing is, never sent."""
+        link, told = self.link()
+        for left in (1500.0, 400.0):
+            link.send(self.order(left))
+        self.clock.now += 600.5
+        self.go.set()
+        ends = sorted(told.next("back")[3] for _ in range(2))
+        self.assertEqual((ends, [run["time_left_ms"] for run in self.runs]), (["ok", "unsent"], [899.5]))
+
+    def test_over_behind_what_the_worker_does_not_read(self):
+        """It never began: it ends as never sent, once, also where the link is to end with it."""
+        link, told = self.link()
+        self.go.set()
+        told.next("hello")
+        link.send(self.order(900.0))  # returns once the link has its outbox
+        self.assertEqual(told.next("back")[3], "ok")
+        order = self.order(900.0)
+        put = link.outbox.put
+
+        def behind(parcel):  # as where others wait: it is the thread's to write
+            with link.outbox.lock:
+                parcel.held = len(parcel.rendered())
+                link.outbox.held += parcel.held
+                link.outbox.waiting.append(parcel)
+                return False
+
+        with patch.object(link.outbox, "put", behind):
+            link.send(order)
+        self.clock.now += 900.0
+        link.retired = True
+        put(Parcel(b"\n"))  # wakes the thread
+        self.assertEqual(told.next("back")[2:4], (order, "unsent"))
+        link.thread.join(20)
+        self.assertFalse(link.thread.is_alive())
+        self.assertEqual(len(self.runs), 1)
+
+
+if __name__ == "__main__":
+    unittest.main()
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -959,7 +959,9 @@
             call_out = Mock()
             call_out.rpc.method.name, call_out.rpc.program.name = "book", "f"
             ask = SimpleNamespace(call=SimpleNamespace(ident=ASCII_A, token=token, input=b"x"))
-            self.assertEqual(speech.run(call_out, ask, 5.0).line, resp.command(b"invoke", ASCII_A, told, b"x"))
+            with patch.object(back, "clock", lambda: 1000.0):  # no time passes: the command has what is left by then
+                line = speech.run(call_out, ask, 5.0).line
+            self.assertEqual(line, resp.command(b"invoke", ASCII_A, told, b"x"))
 
 
 class Uncancelled(Handed):
--- a/wickdyke/gateway/link.py
+++ b/wickdyke/gateway/link.py
@@ -5,6 +5,7 @@
 `timeout`: it may have run. `full`, `miss`: the worker's word that it did not. `error`: it may have run.
 """
 
+import math
 import socket
 import threading
 import time
@@ -15,7 +16,7 @@
 import msgspec
 
 from wickdyke.gateway import parts
-from wickdyke.wire.outbox import Outbox, Parcel, Unread
+from wickdyke.wire.outbox import Expired, Outbox, Parcel, Unread
 from wickdyke.protocol import back, jsonrpc
 from wickdyke.protocol.lines import Lines, TooLong
 from wickdyke.settings import address as addresses
@@ -24,17 +25,36 @@
 CHUNK = 1 << 18  # bytes read at a time
 
 
+def clock() -> float:
+    """Monotonic time in ms."""
+    return time.monotonic() * 1000
+
+
 class Order(parts.Order):
-    """One message that is owed an answer, as it is sent."""
+    """One message that is owed an answer, as it is sent.
+
+    `params` is its bytes, or a function that renders them for the ms that are left until `ends`, a monotonic time in
+    ms.
+    """
 
-    __slots__ = ("method", "params", "parcel", "number")
+    __slots__ = ("method", "params", "ends", "parcel", "number")
 
-    def __init__(self, kind: str, key: Any, method: str, params: bytes) -> None:
+    def __init__(
+        self, kind: str, key: Any, method: str, params: bytes | Callable[[float], bytes], ends: float = math.inf
+    ) -> None:
         super().__init__(kind, key)
-        self.method, self.params = method, params
+        self.method, self.params, self.ends = method, params, ends
         self.parcel: Parcel | None = None
         self.number = -1
 
+    def line(self) -> bytes | None:
+        """The request as it may be sent now; None where its time is up."""
+        left = self.ends - clock()
+        if left <= 0:
+            return None
+        params = self.params(left) if callable(self.params) else self.params
+        return jsonrpc.request_line(self.method, params, self.number)
+
 
 class Link:
     """The connection to one worker, made anew whenever it is lost.
@@ -84,10 +104,13 @@
     def _hand_over(self, order: Order) -> str | None:
         self.number += 1
         order.number = self.number
-        order.parcel = Parcel(jsonrpc.request_line(order.method, order.params, order.number))
+        order.parcel = Parcel(order.line, expired=lambda: self._expired(order))
         self.out[order.number] = order
         try:
             self.outbox.put(order.parcel)
+        except Expired:
+            del self.out[order.number]
+            return "unsent"
         except (Unread, OSError):
             # The reader finds the connection ended and reports all that is out; what is not begun is known now.
             self.outbox.close()
@@ -96,6 +119,16 @@
                 return "unsent"
         return None
 
+    def _expired(self, order: Order) -> None:
+        """The time of an order was up before a byte of it went. Called by the thread that writes."""
+        with self.lock:
+            if self.out.pop(order.number, None) is None:
+                return
+            idle = self.retired and not self.out
+        self.tell("back", self, order, "unsent", None, None)
+        if idle:
+            self.close()
+
     def cancel(self, order: Order, done: Callable[[], None]) -> str | None:
         """Withdraws a call-out. "unsent" where no byte of it went; "cancelled" where the worker's end of the
         connection has the word, which `done` tells later where None is returned; "ended" where it has ended."""
--- a/wickdyke/gateway/speech.py
+++ b/wickdyke/gateway/speech.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from wickdyke.gateway.link import Link, Order
+from wickdyke.gateway.link import Link, Order, clock
 from wickdyke.gateway.parts import Ask, Ending
 from wickdyke.interface import CallOut, Program
 from wickdyke.protocol import back, jsonrpc
@@ -24,6 +24,8 @@
 
     def run(self, call_out: CallOut, ask: Ask, left: float) -> Order:
         """A call-out, to be waited for so many ms."""
+        # Danger: it waits for its connection and for room at the kernel: see Speech.run in wickdyke/platform/back.py.
+        ends = clock() + left
         program, call = call_out.rpc.program, ask.call
         run = back.Run(
             call_out.rpc.method.name,
@@ -35,7 +37,12 @@
             call.load_ms,
             call.token,
         )
-        return Order("run", call_out, "run", jsonrpc.encode(run))
+
+        def params(time_left: float) -> bytes:
+            run.time_left_ms = time_left
+            return jsonrpc.encode(run)
+
+        return Order("run", call_out, "run", params, ends)
 
     def hold(self, key: tuple, program: Program, copies: int) -> Order:
         """An order to have so many copies standing."""
--- a/wickdyke/platform/back.py
+++ b/wickdyke/platform/back.py
@@ -5,6 +5,7 @@
 """
 
 import errno
+import math
 import socket
 from collections import Counter, deque
 from collections.abc import Callable
@@ -15,7 +16,7 @@
 from wickdyke.platform import resp
 from wickdyke.settings.terms import REPORTS
 from wickdyke.wire.loop import Loop, clock, dial
-from wickdyke.wire.outbox import Outbox, Parcel, Unread
+from wickdyke.wire.outbox import Expired, Outbox, Parcel, Unread
 
 CHUNK = 1 << 16  # bytes read at a time
 UNREAD = 1 << 20  # bytes that may wait for a worker
@@ -76,13 +77,34 @@
 
 
 class Order(parts.Order):
-    """One message that is owed an answer, as it is sent."""
+    """One message that is owed an answer, as it is sent.
 
-    __slots__ = ("ident", "line", "parcel", "conn", "sent", "tries")
+    `command` is its bytes, or a function that renders them for the whole ms (one at least) that are left until
+    `ends`, a time of `clock`.
+    """
 
-    def __init__(self, kind: str, key: object, ident: bytes, line: bytes) -> None:
+    __slots__ = ("ident", "command", "ends", "parcel", "conn", "sent", "tries")
+
+    def __init__(
+        self,
+        kind: str,
+        key: object,
+        ident: bytes,
+        command: bytes | Callable[[int], bytes],
+        ends: float = math.inf,
+    ) -> None:
         super().__init__(kind, key)
-        self.ident, self.line, self.parcel, self.conn, self.sent, self.tries = ident, line, None, None, 0.0, 0
+        self.ident, self.command, self.ends = ident, command, ends
+        self.parcel, self.conn, self.sent, self.tries = None, None, 0.0, 0
+
+    @property
+    def line(self) -> bytes | None:
+        """The command as it may be sent now; None where its time is up."""
+        left = self.ends - clock()
+        if left <= 0:
+            return None
+        # Rounded down: a worker is told no more than is left.
+        return self.command(max(1, math.floor(left))) if callable(self.command) else self.command
 
 
 class Pool:
@@ -136,10 +158,18 @@
 
     def run(self, call_out: CallOut, ask: Ask, left: float) -> Order:
         """A call-out, to be waited for so many ms."""
-        ident = ask.call.ident
-        told = f"lane={call_out.rpc.method.name},name={call_out.rpc.program.name},ttl={max(1, round(left))}"
-        told += f",dedupe={ask.call.token}" if ask.call.token else ""
-        return Order("run", call_out, ident, resp.command(b"invoke", ident, told.encode(), ask.call.input))
+        # Danger: it waits for its connection, a second one, and room at the kernel. Told what was left when it was
+        # decided, a worker would work on past the deadline of the client. So it is written as its first byte goes.
+        ends, ident, body = clock() + left, ask.call.ident, ask.call.input
+        before = f"lane={call_out.rpc.method.name},name={call_out.rpc.program.name},ttl="
+        after = f",dedupe={ask.call.token}" if ask.call.token else ""
+        return Order(
+            "run",
+            call_out,
+            ident,
+            lambda ttl: resp.command(b"invoke", ident, f"{before}{ttl}{after}".encode(), body),
+            ends,
+        )
 
     def hold(self, key: tuple, program: Program, copies: int) -> Order:
         """An order to have so many copies standing."""
@@ -219,12 +249,25 @@
         if not self.up:
             self.pending.append(order)
             return
-        order.parcel, self.open[order.ident] = Parcel(order.line), order
+        order.parcel = Parcel(lambda: order.line, expired=lambda: self._expired(order))
+        self.open[order.ident] = order
         try:
             self.outbox.put(order.parcel)
+        except Expired:
+            self._expired(order)
         except (Unread, OSError) as bad:
             self.end(f"{type(bad).__name__}: {bad}")
 
+    def _expired(self, order: Order) -> None:
+        """The time of an order was up before a byte of it went."""
+        if self.open.get(order.ident) is not order:
+            return
+        del self.open[order.ident]
+        self.link.pool.counts["expired"] += 1
+        self.link.back(order, "unsent")
+        if not self.closed and not self.load:
+            self.link.idles(self)
+
     def _waits(self, waits: bool) -> None:
         if not self.closed:
             self.loop.want(self.sock, waits)
@@ -364,7 +407,7 @@
     def send(self, order: Order) -> None:
         """Sends it on a connection that fits; its end comes by `tell`."""
         order.link = self
-        if self.closed or self.retired:
+        if self.closed or self.retired or order.ends <= clock():
             self.back(order, "unsent")
             return
         conn = self._for_run(order.ident) if order.kind == "run" else self._for_others(order.ident)
