--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -17,14 +17,15 @@
 from wickdyke.gateway import speech as rpc_speech
 from wickdyke.interface import Method
 from wickdyke.platform import back
+from wickdyke.wire import loop
 from wickdyke.wire.outbox import Expired, Outbox, Parcel, Unread
 
 
 class Clock:
-    """A monotonic clock that goes on when the test says so; in ms."""
+    """A monotonic clock that goes on when the test says so; in whole ms, from the real one, by which timers go."""
 
     def __init__(self, test, *modules):
-        self.now = 50000.0
+        self.now = float(round(loop.clock()))
         for module in modules:
             started = patch.object(module, "clock", lambda: self.now)
             started.start()
--- /dev/null
+++ b/tests/test_worker_connection_faults.py
@@ -0,0 +1,301 @@
+"""System calls of connections to workers fail, once or thrice in a row, for every call on the path of an order."""
+
+import errno
+import os
+import socket
+import unittest
+from types import SimpleNamespace
+from unittest.mock import patch
+
+from tests import platform_rig as rig
+from tests.test_platform import Turned
+from wickdyke.interface import NEVER_RAN
+from wickdyke.platform import back, resp
+from wickdyke.wire import loop
+
+SHORT = 0  # instead of an errno: the call takes or gives one byte
+ENDED = (errno.ECONNRESET, errno.EPIPE, errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ENETUNREACH)
+MEMORY = (errno.ENOBUFS, errno.ENOMEM)
+# What Linux documents for each call (socket(2), connect(2), tcp(7), epoll_ctl(2), send(2), recv(2), getsockopt(2)).
+ERRORS = {
+    "socket": (errno.EMFILE, errno.ENFILE, errno.EACCES, errno.EPERM, *MEMORY),
+    "setsockopt": (errno.EINVAL, *MEMORY),
+    "connect": (
+        errno.EADDRNOTAVAIL,
+        errno.EADDRINUSE,
+        errno.EAGAIN,
+        errno.EINTR,
+        errno.EACCES,
+        errno.EPERM,
+        errno.ECONNREFUSED,
+        errno.ECONNABORTED,
+        *MEMORY,
+        *ENDED,
+    ),
+    "register": (errno.ENOMEM, errno.ENOSPC),
+    "modify": (errno.ENOMEM,),
+    "unregister": (errno.ENOMEM,),
+    "getsockopt": MEMORY,
+    "SO_ERROR": (errno.ECONNREFUSED, errno.EADDRNOTAVAIL, *ENDED),
+    "send": (SHORT, errno.EAGAIN, errno.EINTR, *MEMORY, *ENDED),
+    "recv": (SHORT, errno.EAGAIN, errno.EINTR, *MEMORY, *ENDED),
+}
+
+
+class Faults:
+    """Which call fails: the `nth` of that name and the `many - 1` after it. Counts the calls of each name."""
+
+    def __init__(self, name="", nth=0, code=0, many=1, chokes=False):
+        self.name, self.nth, self.code, self.many, self.chokes = name, nth, code, many, chokes
+        self.calls, self.sockets, self.begun = dict.fromkeys(ERRORS, 0), [], set()
+
+    def fails(self, name):
+        """Counts a call; whether it is to fail."""
+        self.calls[name] += 1
+        return name == self.name and self.nth <= self.calls[name] < self.nth + self.many
+
+    def check(self, name):
+        """Counts a call, and raises where it is to fail."""
+        if self.fails(name) and self.code != SHORT:
+            raise OSError(self.code, os.strerror(self.code))
+
+    def open_sockets(self):
+        return {made.fileno() for made in self.sockets} - {-1}
+
+    def socket(self, *args):
+        """Stands in for socket.socket."""
+        self.check("socket")
+        made = FaultySocket(*args)
+        made.faults, made.sends = self, 0
+        self.sockets.append(made)
+        return made
+
+
+class FaultySocket(socket.socket):
+    """A real socket whose calls fail as its `faults` say. One that chokes takes 10 bytes of the first, then none."""
+
+    def setsockopt(self, *args):
+        self.faults.check("setsockopt")
+        return super().setsockopt(*args)
+
+    def connect_ex(self, address):
+        if self.faults.fails("connect"):
+            return self.faults.code
+        return super().connect_ex(address)
+
+    def getsockopt(self, *args):
+        self.faults.check("getsockopt")
+        code = super().getsockopt(*args)
+        return self.faults.code if self.faults.fails("SO_ERROR") else code
+
+    def send(self, data, flags=0):
+        self.sends += 1
+        given = data
+        if self.faults.chokes and self.sends % 3 == 1:
+            given = data[:10]
+        elif self.faults.chokes and self.sends % 3 == 2:
+            raise BlockingIOError
+        if self.faults.fails("send"):
+            if self.faults.code != SHORT:
+                raise OSError(self.faults.code, os.strerror(self.faults.code))
+            given = data[:1]
+        sent = super().send(given, flags)
+        if sent:
+            self.faults.begun.update(ident for ident in IDENTS if ident in bytes(data))
+        return sent
+
+    def recv(self, most, flags=0):
+        if self.faults.fails("recv"):
+            if self.faults.code != SHORT:
+                raise OSError(self.faults.code, os.strerror(self.faults.code))
+            most = 1
+        return super().recv(most, flags)
+
+
+class FaultyEpoll:
+    """A real epoll whose calls fail as `faults` say."""
+
+    def __init__(self, epoll, faults):
+        self.epoll, self.faults = epoll, faults
+        self.poll, self.close = epoll.poll, epoll.close
+
+    def register(self, *args):
+        self.faults.check("register")
+        self.epoll.register(*args)
+
+    def modify(self, *args):
+        self.faults.check("modify")
+        self.epoll.modify(*args)
+
+    def unregister(self, *args):
+        self.faults.check("unregister")
+        self.epoll.unregister(*args)
+
+
+IDENTS = [b"%016d" % at for at in range(9)]
+BODY = b"x" * 300
+
+
+class OnLinks(Turned):
+    """Links on a loop of their own, to workers that serve all."""
+
+    def prepare(self, faults):
+        self.loop.close()
+        self.broken = []
+        self.loop, self.told, self.faults, self.pool = loop.Loop(self.broken.append), [], faults, back.Pool(20)
+        self.loop.epoll = FaultyEpoll(self.loop.epoll, faults)
+        stand_in = SimpleNamespace(**{**vars(socket), "socket": faults.socket})
+        return patch.object(loop, "socket", stand_in)
+
+    def link(self, worker):
+        def tell(*event):
+            self.told.append((event[2].ident, event[3]))
+
+        return back.Link("w", worker.address, tell, self.loop, self.pool, 60000.0, 60000.0, ())
+
+    def order(self, at, kind="run"):
+        ident = IDENTS[at]
+        parts = (b"invoke", ident, b"lane=look,name=x,ttl=9", BODY) if kind == "run" else (b"gauges", ident)
+        return back.Order(kind, None, ident, resp.command(*parts))
+
+    def end(self, many):
+        self.until(lambda: len(self.told) >= many, f"an end of {many}, only {self.told},")
+
+    def run_path(self, worker, healthy):
+        """Two call-outs at once and a probe beside them, then two one after the other, then one to another worker."""
+        link, other = self.link(worker), self.link(healthy)
+        for at in (0, 1):
+            link.send(self.order(at))
+        link.send(self.order(2, "probe"))
+        self.end(3)
+        for at in (3, 4):
+            link.send(self.order(at))
+            self.end(at + 1)
+        self.judge(link, other)
+        self.faults.name = ""  # the fault is over
+        link.send(self.order(5))
+        other.send(self.order(6))
+        self.end(7)
+        self.judge(link, other)
+        served = dict(self.told)
+        self.assertEqual((served[IDENTS[5]], served[IDENTS[6]]), ("ok", "ok"))
+        for each in (link, other):
+            each.close()
+        self.assertEqual((self.pool.used, self.faults.open_sockets(), self.loop.handlers), (0, set(), {}))
+        self.assertEqual(self.pool.links, set())
+        for _ in range(3):
+            self.loop.turn(0, lambda: None)
+        self.assertEqual(len(self.told), 7)
+        return link
+
+    def judge(self, link, other):
+        """One end for each order, which is true, and the books of connections are right."""
+        idents = [ident for ident, _ in self.told]
+        self.assertEqual(len(idents), len(set(idents)), self.told)
+        refused = self.faults.code == errno.ECONNREFUSED
+        for ident, outcome in self.told:
+            if outcome in NEVER_RAN:
+                self.assertNotIn(ident, self.faults.begun, outcome)
+            if not refused:  # the worker lives, and nothing said otherwise
+                self.assertNotIn(outcome, ("unreached", "cut"))
+        connections = [*link.all(), *other.all()]
+        self.assertEqual(self.pool.used, len(connections))
+        self.assertEqual({conn.sock.fileno() for conn in connections}, self.faults.open_sockets())
+        self.assertEqual(set(self.loop.handlers), self.faults.open_sockets())
+        self.assertEqual((link.doubt, link.check), ([], None))
+        self.assertEqual([conn.load for conn in connections], [0] * len(connections))
+        self.assertEqual(self.broken, [])
+
+    def workers(self):
+        """Two workers."""
+        made = [rig.Worker(), rig.Worker()]
+        for worker in made:
+            self.addCleanup(worker.close)
+        return made
+
+
+class Paths(OnLinks):
+    def test_every_call_fails_once_or_thrice(self):
+        """For every call that the path makes, every errno of it, and sockets that take all at once or choke."""
+        worker, healthy = self.workers()
+        for chokes in (False, True):
+            whole = Faults(chokes=chokes)
+            with self.prepare(whole):
+                self.run_path(worker, healthy)
+            self.assertEqual([outcome for _, outcome in self.told], ["ok"] * 7)
+            for name, codes in ERRORS.items():
+                # An unregister is on the path of a connection that ends: the last comes with the end of the test.
+                self.assertGreaterEqual(whole.calls[name], 1, name)
+                for nth in range(1, whole.calls[name] + 1):
+                    for code in codes:
+                        for many in (1, 3):
+                            fault = dict(name=name, nth=nth, code=errno.errorcode.get(code, "short"), many=many)
+                            with self.subTest(chokes=chokes, **fault):
+                                with self.prepare(Faults(name, nth, code, many, chokes)):
+                                    self.run_path(worker, healthy)
+
+
+class Unreachable(OnLinks):
+    """What is learned of a worker from connections that can't be made."""
+
+    def setUp(self):
+        super().setUp()
+        self.now = loop.clock()  # the loop's own timers go on by the real one
+        started = patch.object(back, "clock", lambda: self.now)
+        started.start()
+        self.addCleanup(started.stop)
+
+    def outcome(self, link, at):
+        before = len(self.told)
+        link.send(self.order(at))
+        self.end(before + 1)
+        return self.told[-1][1]
+
+    def test_refused_is_a_worker_that_is_away(self):
+        for name in ("connect", "SO_ERROR"):
+            with self.subTest(name), self.prepare(Faults(name, 1, errno.ECONNREFUSED)):
+                link = self.link(self.workers()[0])
+                self.assertEqual(self.outcome(link, 0), "unreached")
+                link.close()
+
+    def test_no_way_for_long_is_a_worker_that_is_away(self):
+        """A moment of any number of tries tells nothing; a second of them does, and one that succeeds ends it."""
+        for name in ("connect", "SO_ERROR"):
+            for code in (errno.ENETUNREACH, errno.EHOSTUNREACH):
+                with self.subTest(name, code=code), self.prepare(Faults(name, 1, code, 99)):
+                    link = self.link(self.workers()[0])
+                    found = []
+                    for at in range(5):
+                        found.append(self.outcome(link, at))
+                        self.now += 300.0
+                    self.assertEqual(found, ["unsent"] * 4 + ["unreached"])
+                    self.faults.name = ""
+                    self.assertEqual(self.outcome(link, 5), "ok")
+                    self.assertEqual(self.pool.used, 1)
+                    link.connections[0].end("idle")
+                    self.faults.name, self.faults.many = name, 999
+                    self.assertEqual(self.outcome(link, 6), "unsent")
+                    link.close()
+
+    def test_moments_far_apart_tell_nothing(self):
+        for name in ("connect", "SO_ERROR"):
+            with self.subTest(name), self.prepare(Faults(name, 1, errno.ENETUNREACH, 99)):
+                link = self.link(self.workers()[0])
+                for at in range(4):
+                    self.assertEqual(self.outcome(link, at), "unsent")
+                    self.now += 60000.0
+                link.close()
+
+    def test_a_fault_of_our_own_tells_nothing_of_the_worker(self):
+        """What nobody foresaw ends a connection that is being made: what waited for it has one end, never ran."""
+        with self.prepare(Faults()):
+            link = self.link(self.workers()[0])
+            link.send(self.order(0))
+            link.connections[0].broken()
+            self.end(1)
+            self.assertIn(self.told[0][1], ("ok", "unsent"))
+            link.close()
+
+
+if __name__ == "__main__":
+    unittest.main()
--- a/wickdyke/platform/back.py
+++ b/wickdyke/platform/back.py
@@ -16,7 +16,7 @@
 from wickdyke.platform import resp
 from wickdyke.settings.terms import REPORTS
 from wickdyke.wire.loop import Loop, clock, dial
-from wickdyke.wire.outbox import Expired, Outbox, Parcel, Unread
+from wickdyke.wire.outbox import SHORT_OF_MEMORY, Expired, Outbox, Parcel, Unread
 
 CHUNK = 1 << 16  # bytes read at a time
 UNREAD = 1 << 20  # bytes that may wait for a worker
@@ -34,7 +34,11 @@
     b"AILING": "error",
 }
 MET = (errno.ECONNRESET, errno.EPIPE)  # ends of a connection that was taken by the other side
-OURS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL)  # they tell nothing of a worker
+# Of the errors of connect(2) and socket(2), ECONNREFUSED alone is an answer of the worker's machine that nobody is
+# there. These say that no way to it is known, of this machine for a moment or of the worker for long. The others are
+# of this machine (descriptors, memory, ports, permissions, a signal) and tell nothing of a worker.
+NO_WAY = (errno.ENETUNREACH, errno.EHOSTUNREACH, errno.ENETDOWN, errno.EHOSTDOWN, errno.ETIMEDOUT)
+AWAY_AFTER = 1000.0  # ms for which connections find no way, none as far from the last, before a worker is away
 TRIES = 3  # connections that one order is handed to before a byte of it went, at most
 MISSES = 2  # connections in a row that do not come up in time, each begun after the last, before a worker is away
 LOST = {"run": "error", "probe": "error", "hold": "timeout"}  # an answer that got lost, at a worker that lives
@@ -201,17 +205,27 @@
         self.begun = self.used = self.heard = clock()
         self.sock, code = dial(link.at)
         # What an order that was to go here ends as, where not even that could be begun.
-        self.failed = "" if self.sock is not None else "unsent" if code in OURS else "unreached"
+        self.failed = "" if self.sock is not None else "unsent" if link.doubtful(code) else "unreached"
         if self.failed:
             self.closed = True
             link.pool.counts[f"connect_{errno.errorcode.get(code, code)}"] += 1
             return
+        try:
+            self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+        except OSError:  # reset already, which it tells as it comes up, or short of memory: it serves without
+            link.pool.counts["delayed"] += 1
+        self.outbox = Outbox(self.sock, UNREAD, link.name, self._waits)
+        try:
+            self.loop.add(self.sock, self, write=True)
+        except OSError as bad:
+            # Danger: counted and not served, it would hold its place in the pool for good, and its order its time.
+            self.closed, self.failed = True, "unsent"
+            link.pool.counts[f"register_{errno.errorcode.get(bad.errno, bad.errno)}"] += 1
+            self._release()
+            return
         link.pool.used += 1
         link.pool.links.add(link)
         link.pool.counts["dialled"] += 1
-        self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        self.outbox = Outbox(self.sock, UNREAD, link.name, self._waits)
-        self.loop.add(self.sock, self, write=True)
         self.loop.at(self.begun + link.dial, self._late)
 
     @property
@@ -240,8 +254,8 @@
             return self.sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT) != b""
         except (BlockingIOError, InterruptedError):
             return True
-        except OSError:
-            return False
+        except OSError as bad:
+            return bad.errno in SHORT_OF_MEMORY
 
     def send(self, order: Order) -> None:
         """Sends it, or has it sent once the connection is up."""
@@ -269,8 +283,15 @@
             self.link.idles(self)
 
     def _waits(self, waits: bool) -> None:
-        if not self.closed:
+        if self.closed:
+            return
+        try:
             self.loop.want(self.sock, waits)
+        except OSError:
+            self.link.pool.counts["modify_failed"] += 1
+            if waits:  # nobody would tell when it may go on: the connection is given up
+                raise
+            # The kernel goes on telling that there is room, which leads here again.
 
     def _late(self) -> None:
         if not self.up and not self.closed:
@@ -279,27 +300,33 @@
     def writable(self) -> None:
         """It has come up or failed, or what waits may go on."""
         if not self.up:
-            if code := self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
-                self.end(f"connect: {errno.errorcode.get(code, code)}", met=code in MET)
-                return
-            self.up, pending, self.pending = True, self.pending, []
-            self.loop.want(self.sock, False)
-            self.link.misses = 0
-            self.link.told_of(True)
-            for order in pending:
-                if self.closed:
-                    self.link.again(order)
-                else:
-                    self.send(order)
+            self._came_up()
             return
         try:
             self.outbox.pump()
         except OSError as bad:
             self.end(f"{type(bad).__name__}: {bad}")
 
+    def _came_up(self) -> None:
+        try:
+            code = self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
+        except OSError as bad:
+            self.end(f"getsockopt: {errno.errorcode.get(bad.errno, bad.errno)}", late=True)
+            return
+        if code:
+            late = self.link.doubtful(code)
+            self.end(f"connect: {errno.errorcode.get(code, code)}", met=code in MET, late=late)
+            return
+        self.up = True
+        self._waits(False)
+        self.link.reached()
+        self.link.told_of(True)
+        while self.pending:  # each at its turn: where the connection ends, it tells of the others
+            self.send(self.pending.pop(0))
+
     def broken(self) -> None:
         """It ends; what was on it may have run."""
-        self.end("fault")
+        self.end("fault", late=True)
 
     def readable(self) -> None:
         """Answers, or its end."""
@@ -310,10 +337,13 @@
         except (BlockingIOError, InterruptedError):
             return None
         except OSError as bad:
+            if bad.errno in SHORT_OF_MEMORY:  # recv(2): for a moment; the kernel tells of the same bytes again
+                return None
             return self.end(f"{type(bad).__name__}: {bad}")
         if not data:
             return self.end("ended by the worker")
         self.heard = clock()
+        self.link.reached()
         try:
             for answer in self.answers.feed(data):
                 self._answer(answer)
@@ -346,13 +376,12 @@
 
     def end(self, why: str, spoke: bool = False, met: bool = False, late: bool = False) -> None:
         """Ends the connection; tells how that leaves what was on it. `spoke`: the worker has just sent something;
-        `met`: it was there, and ended the connection as it came up; `late`: it did not come up in time, which may
-        yet be the connection alone."""
+        `met`: it was there, and ended the connection as it came up; `late`: it did not come up, which may yet be the
+        connection, or this machine, alone."""
         if self.closed:
             return
         was_up, self.closed = self.up, True
-        self.loop.remove(self.sock)
-        self.sock.close()
+        self._release()
         self.outbox.drop()
         link, pending, out = self.link, self.pending, self.open
         link.pool.used -= 1
@@ -373,7 +402,15 @@
         if begun:
             link.lost(begun, spoke)
         if not was_up:
-            link.told_of(None if late else met)
+            link.told_of(met or (None if late else False))
+
+    def _release(self) -> None:
+        """Gives up the socket."""
+        for give_up in (lambda: self.loop.remove(self.sock), self.sock.close):
+            try:
+                give_up()
+            except OSError:  # epoll_ctl(2), close(2): the kernel forgets a socket that is closed in either case
+                self.link.pool.counts["release_failed"] += 1
 
 
 class Link:
@@ -398,7 +435,9 @@
         self.doubt: list[Order] = []  # lost with the last connection, until a new one tells whether the worker lives
         self.check: Connection | None = None
         self.retired = self.closed = False
+        self.checks = 0  # connections made for what is in doubt now
         self.misses, self.missed_at = 0, float("-inf")  # in a row; the last
+        self.no_way_from, self.no_way_at = float("inf"), float("-inf")  # the first in a row that found none; the last
 
     def all(self) -> list[Connection]:
         """Its connections."""
@@ -483,13 +522,16 @@
             self._check()
 
     def _check(self) -> None:
-        self.check = Connection(self) if not self.closed and self.pool.room() else None
+        # Where nothing can be learned by a few, as where it is this machine that makes none, more would not tell.
+        self.checks += 1
+        more = not self.closed and self.checks <= TRIES
+        self.check = Connection(self) if more and self.pool.room() else None
         if self.check is not None and not self.check.failed:
             self.connections.insert(0, self.check)
             return
         # Nothing is known of it where no descriptor is left, and then no copies of it are taken for gone.
         lives = not self.closed and (self.check is None or self.check.failed == "unsent")
-        self.check, orders, self.doubt = None, self.doubt, []
+        self.check, orders, self.doubt, self.checks = None, self.doubt, [], 0
         self._found(orders, lives)
 
     def told_of(self, lives: bool | None) -> None:
@@ -497,7 +539,7 @@
         if self.doubt and (lives or self.check is None or self.check.closed):
             if lives is None:
                 return self._check()
-            orders, self.doubt = self.doubt, []
+            orders, self.doubt, self.checks = self.doubt, [], 0
             self._found(orders, lives)
         if self.check is not None and (self.check.closed or self.check.up):
             self.check = None
@@ -512,6 +554,26 @@
             self.misses, self.missed_at = self.misses + 1, clock()
         return self.misses < MISSES
 
+    def doubtful(self, code: int) -> bool:
+        """Whether a connection that could not be made for that error tells nothing of the worker."""
+        # Danger: a moment in which this machine finds no way to any worker is taken for one in which all start anew:
+        # all their copies forgotten, cold for the whole ramp. Also an error on the way there. Could hurt where a
+        # worker's machine has vanished: what is sent there until it is found ends as never sent.
+        if code == errno.ECONNREFUSED:
+            return False
+        if code not in NO_WAY:
+            return True
+        now = clock()
+        if now - self.no_way_at >= AWAY_AFTER:
+            self.no_way_from = now
+        self.no_way_at = now
+        return now - self.no_way_from < AWAY_AFTER
+
+    def reached(self) -> None:
+        """A connection came up, or something came on one: there is a way to the worker."""
+        self.misses = 0
+        self.no_way_at = float("-inf")
+
     def idles(self, conn: Connection) -> None:
         """A connection has nothing on it: what waits for one that is still being made goes there."""
         if conn.closed or conn.stale or conn not in self.connections:
