--- a/wickdyke/gateway/link.py
+++ b/wickdyke/gateway/link.py
@@ -5,6 +5,7 @@
 `timeout`: it may have run. `full`, `miss`: the worker's word that it did not. `error`: it may have run.
 """
 
+import errno
 import math
 import socket
 import threading
@@ -16,13 +17,29 @@
 import msgspec
 
 from wickdyke.gateway import parts
-from wickdyke.wire.outbox import Expired, Outbox, Parcel, Unread
+from wickdyke.wire.outbox import SHORT_OF_MEMORY, Expired, Outbox, Parcel, Unread
 from wickdyke.protocol import back, jsonrpc
 from wickdyke.protocol.lines import Lines, TooLong
 from wickdyke.settings import address as addresses
 
 AGAIN, AGAIN_MOST = 100.0, 1000.0  # ms between attempts to connect while nothing is asked: at first, at most
 CHUNK = 1 << 18  # bytes read at a time
+MEMORY_RETRY = 0.01  # s until a read is tried again for which the kernel had no memory
+# Errors of socket(2) and connect(2) that are of this machine, for a moment: workers are on it, so no way to them (and
+# a listening socket whose queue is full, EAGAIN) tells nothing of one.
+OURS = (
+    errno.EMFILE,
+    errno.ENFILE,
+    errno.ENOBUFS,
+    errno.ENOMEM,
+    errno.EADDRNOTAVAIL,
+    errno.EADDRINUSE,
+    errno.EAGAIN,
+    errno.EINTR,
+    errno.ENETDOWN,
+    errno.ENETUNREACH,
+    errno.EHOSTUNREACH,
+)
 
 
 def clock() -> float:
@@ -219,7 +236,12 @@
             try:
                 sock, standing, lines, rest = self._connect()
             except (OSError, jsonrpc.Fault, msgspec.MsgspecError, TooLong) as bad:
-                self._unreached(f"{type(bad).__name__}: {bad}")
+                if isinstance(bad, OSError) and bad.errno in OURS:
+                    # Danger: told as unreached, a worker that stands is taken for one that starts anew and is empty.
+                    self.counts[f"connect_{errno.errorcode[bad.errno]}"] += 1
+                    self._end_pending("unsent")
+                else:
+                    self._unreached(f"{type(bad).__name__}: {bad}")
                 with self.lock:
                     if not self.closed and not self.pending:
                         self.wanted.wait(pause / 1000)
@@ -286,7 +308,7 @@
             for line in rest:
                 self._answer(line)
             while True:
-                data = sock.recv(CHUNK)
+                data = _received(sock)
                 if not data:
                     return "ended by the worker"
                 for line in lines.feed(data):
@@ -327,9 +349,25 @@
         self.tell("lost", self, why)
 
     def _unreached(self, why: str) -> None:
+        self._end_pending("unreached")
+        self.tell("unheard", self, why)
+
+    def _end_pending(self, outcome: str) -> None:
         with self.lock:
             pending, self.pending = self.pending, []
             self.sock = None
         for order in pending:
-            self.tell("back", self, order, "unreached", None, None)
-        self.tell("unheard", self, why)
+            self.tell("back", self, order, outcome, None, None)
+
+
+def _received(sock: socket.socket) -> bytes:
+    """What comes next, empty at the end; raises OSError where the connection has ended otherwise."""
+    while True:
+        try:
+            return sock.recv(CHUNK)
+        except InterruptedError:
+            continue
+        except OSError as bad:
+            if bad.errno not in SHORT_OF_MEMORY:
+                raise
+        time.sleep(MEMORY_RETRY)
--- a/wickdyke/platform/back.py
+++ b/wickdyke/platform/back.py
@@ -698,7 +698,7 @@
     def cut(self) -> None:
         """Ends all connections; what is out there ends as cut."""
         for conn in self.all():
-            conn.end("cut")
+            conn.end("cut", late=True)  # our doing: it tells nothing of the worker
 
     def retire(self) -> None:
         """No more is to be sent; it ends with the last of what is out."""
