--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -1,9 +1,11 @@
 """The time left that a worker is told is that of the moment at which the first byte of the order goes."""
 
+import gc
 import socket
 import tempfile
 import threading
 import unittest
+import weakref
 from types import SimpleNamespace
 from unittest.mock import Mock, patch
 
@@ -34,8 +36,12 @@
 
 def call_out():
     """A call-out of a method `look` to a program `f`."""
+
+    class Kept(SimpleNamespace):
+        """Of which one can tell when it is gone."""
+
     method = Method("look", "idempotent", "all", 0.0, 1.0, 0.0, 9.0, 1.0, 0.1)
-    return SimpleNamespace(rpc=SimpleNamespace(method=method, program=SimpleNamespace(name="f", memory=64.0, lanes=1)))
+    return Kept(rpc=SimpleNamespace(method=method, program=SimpleNamespace(name="f", memory=64.0, lanes=1)))
 
 
 def ask(ident=ASCII_A, body=b"x"):
@@ -57,7 +63,7 @@
     def send(self, data, flags):
         takes = self.takes.pop(0)
         if isinstance(takes, Exception):
-            raise takes
+            raise type(takes)(*takes.args)  # itself, it would keep the frames that it went through
         self.data += bytes(data[:takes])
         return min(takes, len(data))
 
@@ -269,6 +275,34 @@
                 self.assertEqual((conn.outbox.held, conn.closed), (0, False))
                 link.close()
 
+    def test_what_has_ended_is_free_without_the_collector(self):
+        """(how an order of the buffer ends) -> nothing is kept of it: the collector comes rarely."""
+        gc.disable()
+        self.addCleanup(gc.enable)
+        for how in ("sent", "over", "withdrawn", "cut"):
+            with self.subTest(how):
+                link, held = self.held()
+                link.send(self.order(9000.0))
+                self.until(lambda held=held: held)
+                conn = link.connections[0]
+                conn.outbox.sock = Socket(BlockingIOError())
+                order = self.order(1500.0, ASCII_B)
+                conn.send(order)
+                kept = weakref.ref(order.key)
+                if how == "withdrawn":
+                    self.assertTrue(link.unsend(order))
+                elif how == "over":
+                    self.clock.now += 1500.0
+                conn.outbox.sock = conn.sock
+                if how == "sent":
+                    self.until(lambda held=held: len(held) == 2)
+                    held[1][0].sendall(rig.bulk(ASCII_B, b"ACK", b"-", b""))
+                if how != "cut":
+                    self.until(lambda conn=conn: ASCII_B not in conn.open)
+                link.close()
+                del order
+                self.assertIsNone(kept())
+
     def test_time_up_while_nobody_lets_it_in(self):
         """Withdrawn or recalled as before: one end."""
         link = self.link(Full(self).address, dial=60000.0)
