--- a/tests/test_worker_connection_faults.py
+++ b/tests/test_worker_connection_faults.py
@@ -282,6 +282,31 @@
                     self.assertEqual(self.outcome(link, 6), "unsent")
                     link.close()
 
+    def test_answers_take_back_no_late_connection(self):
+        """Of one that answers and takes no new connection: the second that is late tells, as before."""
+        with self.prepare(Faults()):
+            link = self.link(self.workers()[0])
+            self.assertEqual(self.outcome(link, 0), "ok")
+            link.misses, link.missed_at = 1, self.now
+            self.assertEqual(self.outcome(link, 1), "ok")
+            self.assertEqual(link.misses, 1)
+            link.close()
+
+    def test_each_doubt_has_its_own_checks(self):
+        """One that was taken back while it was looked into costs the next none of its connections."""
+        worker = rig.Worker(lambda *_: True)  # it answers nothing
+        self.addCleanup(worker.close)
+        with self.prepare(Faults()):
+            link = self.link(worker)
+            link.checks = back.TRIES
+            link.send(order := self.order(0))
+            self.until(lambda: self.faults.begun)
+            order.conn.end("ended by the worker")
+            self.assertEqual((self.told, link.doubt, link.checks), ([], [order], 1))
+            self.end(1)
+            self.assertEqual((self.told, link.doubt, link.checks), ([(IDENTS[0], "error")], [], 0))
+            link.close()
+
     def test_moments_far_apart_tell_nothing(self):
         for name in ("connect", "SO_ERROR"):
             with self.subTest(name), self.prepare(Faults(name, 1, errno.ENETUNREACH, 99)):
--- a/wickdyke/platform/back.py
+++ b/wickdyke/platform/back.py
@@ -319,6 +319,7 @@
             return
         self.up = True
         self._waits(False)
+        self.link.misses = 0
         self.link.reached()
         self.link.told_of(True)
         while self.pending:  # each at its turn: where the connection ends, it tells of the others
@@ -519,6 +520,7 @@
             return
         self.doubt += orders
         if self.check is None:
+            self.checks = 0
             self._check()
 
     def _check(self) -> None:
@@ -571,7 +573,6 @@
 
     def reached(self) -> None:
         """A connection came up, or something came on one: there is a way to the worker."""
-        self.misses = 0
         self.no_way_at = float("-inf")
 
     def idles(self, conn: Connection) -> None:
