--- a/wickdyke/gateway/link.py
+++ b/wickdyke/gateway/link.py
@@ -5,6 +5,8 @@
 `timeout`: it may have run. `full`, `miss`: the worker's word that it did not. `error`: it may have run.
 """
 
+import errno
+import math
 import socket
 import threading
 import time
@@ -15,26 +17,61 @@
 import msgspec
 
 from wickdyke.gateway import parts
-from wickdyke.wire.outbox import Outbox, Parcel, Unread
+from wickdyke.wire.outbox import SHORT_OF_MEMORY, Expired, Outbox, Parcel, Unread
 from wickdyke.protocol import back, jsonrpc
 from wickdyke.protocol.lines import Lines, TooLong
 from wickdyke.settings import address as addresses
 
 AGAIN, AGAIN_MOST = 100.0, 1000.0  # ms between attempts to connect while nothing is asked: at first, at most
 CHUNK = 1 << 18  # bytes read at a time
+MEMORY_RETRY = 0.01  # s until a read is tried again for which the kernel had no memory
+# Errors of socket(2) and connect(2) that are of this machine, for a moment: workers are on it, so no way to them (and
+# a listening socket whose queue is full, EAGAIN) tells nothing of one.
+OURS = (
+    errno.EMFILE,
+    errno.ENFILE,
+    errno.ENOBUFS,
+    errno.ENOMEM,
+    errno.EADDRNOTAVAIL,
+    errno.EADDRINUSE,
+    errno.EAGAIN,
+    errno.EINTR,
+    errno.ENETDOWN,
+    errno.ENETUNREACH,
+    errno.EHOSTUNREACH,
+)
+
+
+def clock() -> float:
+    """Monotonic time in ms."""
+    return time.monotonic() * 1000
 
 
 class Order(parts.Order):
-    """One message that is owed an answer, as it is sent."""
+    """One message that is owed an answer, as it is sent.
 
-    __slots__ = ("method", "params", "parcel", "number")
+    `params` is its bytes, or a function that renders them for the ms that are left until `ends`, a monotonic time in
+    ms.
+    """
+
+    __slots__ = ("method", "params", "ends", "parcel", "number")
 
-    def __init__(self, kind: str, key: Any, method: str, params: bytes) -> None:
+    def __init__(
+        self, kind: str, key: Any, method: str, params: bytes | Callable[[float], bytes], ends: float = math.inf
+    ) -> None:
         super().__init__(kind, key)
-        self.method, self.params = method, params
+        self.method, self.params, self.ends = method, params, ends
         self.parcel: Parcel | None = None
         self.number = -1
 
+    def line(self) -> bytes | None:
+        """The request as it may be sent now; None where its time is up."""
+        left = self.ends - clock()
+        if left <= 0:
+            return None
+        params = self.params(left) if callable(self.params) else self.params
+        return jsonrpc.request_line(self.method, params, self.number)
+
 
 class Link:
     """The connection to one worker, made anew whenever it is lost.
@@ -84,10 +121,13 @@
     def _hand_over(self, order: Order) -> str | None:
         self.number += 1
         order.number = self.number
-        order.parcel = Parcel(jsonrpc.request_line(order.method, order.params, order.number))
+        order.parcel = Parcel(order.line, expired=lambda: self._expired(order))
         self.out[order.number] = order
         try:
             self.outbox.put(order.parcel)
+        except Expired:
+            del self.out[order.number]
+            return "unsent"
         except (Unread, OSError):
             # The reader finds the connection ended and reports all that is out; what is not begun is known now.
             self.outbox.close()
@@ -96,6 +136,16 @@
                 return "unsent"
         return None
 
+    def _expired(self, order: Order) -> None:
+        """The time of an order was up before a byte of it went. Called by the thread that writes."""
+        with self.lock:
+            if self.out.pop(order.number, None) is None:
+                return
+            idle = self.retired and not self.out
+        self.tell("back", self, order, "unsent", None, None)
+        if idle:
+            self.close()
+
     def cancel(self, order: Order, done: Callable[[], None]) -> str | None:
         """Withdraws a call-out. "unsent" where no byte of it went; "cancelled" where the worker's end of the
         connection has the word, which `done` tells later where None is returned; "ended" where it has ended."""
@@ -186,7 +236,12 @@
             try:
                 sock, standing, lines, rest = self._connect()
             except (OSError, jsonrpc.Fault, msgspec.MsgspecError, TooLong) as bad:
-                self._unreached(f"{type(bad).__name__}: {bad}")
+                if isinstance(bad, OSError) and bad.errno in OURS:
+                    # Danger: told as unreached, a worker that stands is taken for one that starts anew and is empty.
+                    self.counts[f"connect_{errno.errorcode[bad.errno]}"] += 1
+                    self._end_pending("unsent")
+                else:
+                    self._unreached(f"{type(bad).__name__}: {bad}")
                 with self.lock:
                     if not self.closed and not self.pending:
                         self.wanted.wait(pause / 1000)
@@ -253,7 +308,7 @@
             for line in rest:
                 self._answer(line)
             while True:
-                data = sock.recv(CHUNK)
+                data = _received(sock)
                 if not data:
                     return "ended by the worker"
                 for line in lines.feed(data):
@@ -294,9 +349,25 @@
         self.tell("lost", self, why)
 
     def _unreached(self, why: str) -> None:
+        self._end_pending("unreached")
+        self.tell("unheard", self, why)
+
+    def _end_pending(self, outcome: str) -> None:
         with self.lock:
             pending, self.pending = self.pending, []
             self.sock = None
         for order in pending:
-            self.tell("back", self, order, "unreached", None, None)
-        self.tell("unheard", self, why)
+            self.tell("back", self, order, outcome, None, None)
+
+
+def _received(sock: socket.socket) -> bytes:
+    """What comes next, empty at the end; raises OSError where the connection has ended otherwise."""
+    while True:
+        try:
+            return sock.recv(CHUNK)
+        except InterruptedError:
+            continue
+        except OSError as bad:
+            if bad.errno not in SHORT_OF_MEMORY:
+                raise
+        time.sleep(MEMORY_RETRY)
