--- a/wickdyke/wire/outbox.py
+++ b/wickdyke/wire/outbox.py
@@ -98,11 +98,19 @@
                     self.waits(True)
                 return False
             if self.thread is None:
-                self.thread = threading.Thread(target=self._write, name=self.name, daemon=True)
-                self.thread.start()
+                self.thread = self._started()
             self.more.notify()
             return False
 
+    def _started(self) -> threading.Thread:
+        """The thread that writes what waits. Raises OSError where none can be had: the connection is to be ended."""
+        thread = threading.Thread(target=self._write, name=self.name, daemon=True)
+        try:
+            thread.start()
+        except RuntimeError as bad:
+            raise OSError(errno.EAGAIN, str(bad)) from None
+        return thread
+
     def _offer(self, parcel: Parcel, data: bytes | memoryview) -> int:
         """Offers the kernel `data`, the bytes of the parcel that have not gone, and returns how many it took. From the
         first that it takes, the parcel stays as rendered."""
