--- /dev/null
+++ b/tests/test_shutdown.py
@@ -0,0 +1,341 @@
+"""Graceful shutdown of a front end: steps are forced by their order and by a clock that the test sets."""
+
+import copy
+import errno
+import json
+import os
+import select
+import signal
+import tempfile
+import unittest
+from unittest.mock import Mock, patch
+
+import wickdyke.platform.serve as serve
+from tests import platform_rig as rig
+from wickdyke.gateway import desk
+from wickdyke.platform import back, bus, station
+from wickdyke.platform import front as fronts
+from wickdyke.wire import loop
+
+A, B, C, D = (letter * 16 for letter in "abcd")
+NOWHERE = "127.0.0.1:1"
+KILL_AFTER, KILL_DEADLINE = 700, 3000  # ms, from the protocol: SIGKILL after SIGTERM
+MARGIN = 100  # ms before SIGKILL by which all is to be answered
+FINAL = {"answer", "shed", "fault"}
+
+
+def with_deadline(milliseconds):
+    """The settings with that as the longest deadline."""
+    settings = copy.deepcopy(rig.SETTINGS)
+    for lane in settings["lanes"]:
+        lane["deadline"] = milliseconds * 1000
+        lane["aim"] = min(lane["aim"], lane["deadline"] // 2)
+    return settings
+
+
+class Timed(unittest.TestCase):
+    """A front end turned by the test, at times that the test sets; workers are real and hold back what is `slow`."""
+
+    def setUp(self):
+        self.now = loop.clock()
+        self.addCleanup(patch.stopall)
+        for module in (loop, desk, fronts, back, bus, serve):
+            patch.object(module, "clock", lambda: self.now).start()
+        patch.object(serve, "LONGEST", 5.0).start()
+        made = tempfile.TemporaryDirectory()
+        self.addCleanup(made.cleanup)
+        self.path, self.listen, self.held = os.path.join(made.name, "config.json"), rig.free_address(), []
+        self.over = False
+
+    def made(self, thing):
+        self.addCleanup(thing.close)
+        return thing
+
+    def worker(self):
+        return self.made(
+            rig.Worker(
+                lambda worker, sock, parts: parts[0] == b"invoke"
+                and parts[3] == b"slow"
+                and (self.held.append((sock, parts)), True)[1]
+            )
+        )
+
+    def front_end(self, *workers, opened=True, **more):
+        instances = (rig.instance(f"w{number}", worker.address) for number, worker in enumerate(workers))
+        with open(self.path, "w") as out:
+            json.dump(rig.config(self.listen, NOWHERE, *instances, **more), out)
+        self.log = Mock()
+        self.serving = serve.Serving(station.read(self.path), self.path, self.log)
+        self.addCleanup(self.end)
+        if opened:
+            self.serving.open()
+        return self.serving
+
+    def end(self):
+        for client in list(self.serving.front.clients.values()):
+            client.close()
+        for link in list(self.serving.desk.links.values()):
+            link.close()
+        self.serving.bus.close()
+        self.serving.front.shut()
+        self.serving.loop.close()
+
+    def turn(self):
+        if not self.over:
+            self.over = not self.serving.turn()
+
+    def until(self, done, what="it"):
+        for _ in range(int(rig.LONG * 200)):
+            if done():
+                return
+            self.turn()
+        self.fail(f"{what} did not come")
+
+    def client(self):
+        return self.made(rig.Client(self.listen))
+
+    def idle_client(self):
+        """A connection that was answered once."""
+        client = self.client()
+        client.send(rig.alive(1))
+        self.answer(client)
+        return client
+
+    def answer(self, client):
+        self.until(client.waits, "an answer")
+        return client.answer()
+
+    def send(self, client, data):
+        """Sends to a connection the front end knows; returns once the bytes are there to be read."""
+        port = client.sock.getsockname()[1]
+        (known,) = [each for each in self.serving.front.clients.values() if each.sock.getpeername()[1] == port]
+        client.send(data)
+        self.assertTrue(select.select([known.sock], [], [], rig.LONG)[0])
+
+    def terminate(self):
+        self.serving._end(signal.SIGTERM, None)
+        self.terminated = self.now
+
+
+class Moments(Timed):
+    def plays(self, longest, step=5.0):
+        """Requests to a worker that hangs, at many moments after SIGTERM: each has its final answer before SIGKILL."""
+        serving = self.front_end(self.worker(), settings=with_deadline(longest))
+        kill = min(longest, KILL_DEADLINE) + KILL_AFTER
+        moments = [0, 200, 599, 601, 699, 701, 749, 751, kill - 120, kill - 80, kill - 60, kill - 20]
+        moments = sorted({moment for moment in moments if moment < kill})
+        clients = [self.idle_client() for _ in range(len(moments) + 1)]
+        clients[0].send(rig.dispatch(2, rig.fields("e" * 16, d="3000"), b"loads it"))
+        self.assertEqual(self.answer(clients[0]), (2, "answer", b"did loads it"))
+        clients[0].send(rig.dispatch(3, rig.fields("f" * 16, d="1500"), b"slow"))
+        self.until(lambda: len(self.held) == 1, "the call-out")
+        self.terminate()
+        sent, answers, at = [clients.pop(0)], {}, 0.0
+        while at < kill and not self.over:
+            if moments and at >= moments[0]:
+                moments.pop(0)
+                client, before = clients.pop(0), serving.front.reads
+                self.send(client, rig.dispatch(2, rig.fields(f"{len(sent):016x}", d=str(longest)), b"slow"))
+                sent.append(client)
+                self.until(lambda before=before: serving.front.reads > before, "the read")
+            self.turn()
+            at += step
+            self.now = self.terminated + at
+        for number, client in enumerate(sent):
+            answers[number] = client.answer()[1] if client.waits() else "nothing"
+        self.assertEqual({number: word for number, word in answers.items() if word not in FINAL}, {})
+        self.assertTrue(self.over, "alive as SIGKILL may come")
+        for client in clients:  # idle until the end
+            self.assertEqual(client.answer()[1], "closed")
+
+    def test_a_longest_deadline_of_100_ms(self):
+        self.plays(100)
+
+    def test_a_longest_deadline_of_300_ms(self):
+        self.plays(300)
+
+    def test_a_longest_deadline_of_3_s(self):
+        self.plays(3000)
+
+    def test_a_longest_deadline_of_10_s(self):
+        """Counted as 3 s: who may wait for 10 s has its answer by then."""
+        self.plays(10000)
+
+    def test_too_late_for_a_worker_it_is_rejected_at_once_and_not_forwarded(self):
+        worker = self.worker()
+        serving = self.front_end(worker, settings=with_deadline(300))
+        first, second = self.idle_client(), self.idle_client()
+        first.send(rig.dispatch(2, rig.fields(A, d="300"), b"slow"))
+        self.until(lambda: len(self.held) == 1, "the call-out")
+        self.terminate()
+        self.now += 300 + KILL_AFTER - MARGIN - 10
+        serving.asked_to_end = self.now - (300 + KILL_AFTER - MARGIN - 10)
+        self.send(second, rig.dispatch(2, rig.fields(B, d="300"), b"b"))
+        self.assertEqual(self.answer(second)[1], "shed")
+        self.assertEqual(len(worker.came(b"invoke")), 1)
+
+    def test_waits_no_longer_than_to_the_next_step(self):
+        patch.object(serve, "LONGEST", 100.0).start()
+        serving = self.front_end(settings=with_deadline(100))
+        waits = []
+        with patch.object(serving.loop, "turn", lambda wait, between: waits.append(wait)):
+            self.terminate()
+            self.now += 100 + KILL_AFTER - MARGIN - 3
+            serving.turn()
+        self.assertLessEqual(waits[0], 3.01)
+
+    def test_twice(self):
+        self.front_end(self.worker())
+        client = self.idle_client()
+        self.terminate()
+        self.turn()
+        self.now += serve.GRACE - 1
+        self.serving._end(signal.SIGTERM, None)
+        self.send(client, rig.dispatch(2, rig.fields(A), b"a"))
+        self.assertEqual(self.answer(client), (2, "answer", b"did a"))
+        self.now += 1
+        self.until(lambda: self.over, "the end")
+        self.assertEqual(client.answer()[1], "closed")
+
+    def test_before_it_is_ready(self):
+        serving = self.front_end(self.worker(), opened=False)
+        self.terminate()
+        serving.open()
+        client, other = self.client(), self.client()
+        client.send(rig.alive(1))
+        self.assertEqual(self.answer(client), (1, "bad", b""))
+        self.send(client, rig.dispatch(2, rig.fields(A), b"a"))
+        self.assertEqual(self.answer(client), (2, "answer", b"did a"))
+        other.send(rig.dispatch(1, rig.fields(B), b"b"))
+        self.assertEqual(self.answer(other), (1, "answer", b"did b"))
+        self.now += serve.GRACE
+        self.until(lambda: self.over, "the end")
+
+
+class Listener(Timed):
+    def test_a_connection_1_ms_before_it_closes(self):
+        self.front_end(self.worker())
+        self.terminate()
+        self.turn()
+        self.now += serve.GRACE - 1
+        client = self.client()
+        client.send(rig.dispatch(1, rig.fields(A), b"a"))
+        self.now += 1
+        self.assertEqual(self.answer(client), (1, "answer", b"did a"))
+        self.until(lambda: self.over, "the end")
+
+    def test_one_taken_as_it_closes_brings_its_request_later(self):
+        serving = self.front_end(self.worker())
+        self.terminate()
+        self.turn()
+        client = self.client()
+        self.now += serve.GRACE
+        self.until(lambda: serving.front.shut_down, "the close")
+        self.turn()
+        self.assertFalse(self.over)
+        client.send(rig.dispatch(1, rig.fields(A), b"a"))
+        self.assertEqual(self.answer(client), (1, "answer", b"did a"))
+        self.until(lambda: self.over, "the end")
+
+    def test_one_that_never_asks_is_not_waited_for_long(self):
+        serving = self.front_end()
+        self.terminate()
+        self.turn()
+        client = self.client()
+        self.now += serve.GRACE
+        self.until(lambda: serving.front.shut_down, "the close")
+        self.now += fronts.NEW
+        self.until(lambda: self.over, "the end")
+        self.assertEqual(client.answer()[1], "closed")
+
+    def test_half_a_request_is_waited_for(self):
+        serving = self.front_end(self.worker())
+        client = self.idle_client()
+        self.terminate()
+        self.now += serve.GRACE
+        whole = rig.dispatch(2, rig.fields(A), b"a")
+        self.send(client, whole[:30])
+        self.until(lambda: any(each.frames.begun for each in serving.front.clients.values()))
+        self.turn()
+        self.assertFalse(self.over)
+        client.send(whole[30:])
+        self.assertEqual(self.answer(client), (2, "answer", b"did a"))
+        self.until(lambda: self.over, "the end")
+
+    def test_a_connection_that_can_not_be_taken_for_a_moment(self):
+        """accept fails as the listener is to close: what waits there is taken later, not reset."""
+        for number in (errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EMFILE, errno.ECONNABORTED):
+            with self.subTest(errno.errorcode[number]):
+                self.over = False
+                serving = self.front_end(self.worker())
+                self.terminate()
+                self.turn()
+                self.now += serve.GRACE
+                client, real, mended = self.client(), serving.front.sock, self.now + 50
+                client.send(rig.dispatch(1, rig.fields(A), b"a"))
+
+                def accept(real=real, mended=mended, number=number):
+                    if self.now < mended:
+                        raise OSError(number, os.strerror(number))
+                    return real.accept()
+
+                serving.front.sock = Mock(wraps=real, accept=accept)
+                for _ in range(5):
+                    self.turn()
+                    self.now += 20
+                self.assertEqual(self.answer(client), (1, "answer", b"did a"))
+                self.until(lambda: self.over, "the end")
+                self.end()
+
+
+class LastLook(Timed):
+    def test_a_request_just_before_idle_connections_are_closed(self):
+        """It crosses the end after all was looked at: it is read before its connection is closed, and answered."""
+        serving = self.front_end(self.worker())
+        client, idle = self.idle_client(), self.idle_client()
+        heard_more, sent = serving.front.heard_more, []
+
+        def look():
+            found = heard_more()
+            if not found and not sent:
+                sent.append(True)
+                self.send(client, rig.dispatch(2, rig.fields(A), b"a"))
+            return found
+
+        serving.front.heard_more = look
+        self.terminate()
+        self.now += serve.GRACE
+        self.until(lambda: sent, "the last look")
+        self.assertEqual(self.answer(client), (2, "answer", b"did a"))
+        self.until(lambda: self.over, "the end")
+        self.assertEqual(idle.answer()[1], "closed")
+
+    def test_connections_are_closed_by_the_end_of_the_last_turn(self):
+        """Not as the process has gone: until then the kernel would acknowledge requests that nobody reads."""
+        serving = self.front_end(self.worker())
+        clients = [self.idle_client() for _ in range(3)]
+        self.terminate()
+        self.now += serve.GRACE
+        self.until(lambda: self.over, "the end")
+        self.assertEqual(serving.front.clients, {})
+        self.assertEqual([client.answer()[1] for client in clients], ["closed"] * 3)
+
+    def test_a_worker_that_hangs_where_nothing_may_be_cancelled(self):
+        settings = with_deadline(300)
+        settings["limits"]["cancelling"] = False
+        self.front_end(self.worker(), settings=settings)
+        client = self.idle_client()
+        self.terminate()
+        self.turn()
+        self.now += 699
+        self.send(client, rig.dispatch(2, rig.fields(A, "pay", d="300", k="k1"), b"slow"))
+        self.until(lambda: self.held, "the call-out")
+        while self.now < self.terminated + 300 + KILL_AFTER and not self.over:
+            self.turn()
+            self.now += 5
+        self.assertTrue(self.over)
+        self.assertIn(client.answer()[1], FINAL)
+
+
+if __name__ == "__main__":
+    unittest.main()
--- a/wickdyke/gateway/desk.py
+++ b/wickdyke/gateway/desk.py
@@ -215,11 +215,21 @@
         while (decision := front_end.decide()) is not None:
             if tape is not None:
                 tape.decided(decision)
-            self.verbs[decision[0]](*decision[1:])
+            # Danger: what breaks one decision must not keep the others back until the module is woken again.
+            self._guarded(self.verbs[decision[0]], decision[1:])
 
     # ---- what happens ----
 
     def _asked(self, ask: Ask) -> None:
+        try:
+            self._admit(ask)
+        except Exception:
+            if ask.told is None and not ask.done:  # nobody else knows of it; what is told is answered by its time
+                ask.done = True
+                ask.denied("fault")
+            raise
+
+    def _admit(self, ask: Ask) -> None:
         if ask.done:  # taken back before its turn: it is no load, and the module need not hear of it
             return
         if self.stopping or len(self.asks) >= self.station.bounds.open_rpcs:
@@ -261,14 +271,17 @@
         # The module reads the client's time as up at the same moment: it answers for good on what it is told here.
         # Of one that is answered, only call-outs are left that could not be cancelled and may never end.
         self._at(clock() + self.station.answer_way / 2, self._left_open, ident)
-        for call_out, order in list(ask.orders.items()):
-            if order.link is not None and self.station.allowance.cancel:
-                order.link.cancel(order, lambda: None)
-            elif order.link is not None and not order.link.unsend(order):
-                # Danger: where nothing may be cancelled, answers that never come would hold their places for good.
-                self._at(clock() + ask.left, order.link.forget, order)
-            self._ended(ask, call_out, Ending("timeout"))
         self.told = True
+        for call_out, order in list(ask.orders.items()):
+            self._guarded(self._stop_waiting, (ask, order))
+            self._guarded(self._ended, (ask, call_out, Ending("timeout")))
+
+    def _stop_waiting(self, ask: Ask, order: Order) -> None:
+        if order.link is not None and self.station.allowance.cancel:
+            order.link.cancel(order, lambda: None)
+        elif order.link is not None and not order.link.unsend(order):
+            # Danger: where nothing may be cancelled, answers that never come would hold their places for good.
+            self._at(clock() + ask.left, order.link.forget, order)
 
     def _left_open(self, ident: int) -> None:
         ask = self.asks.get(ident)
@@ -276,8 +289,24 @@
             # Danger: an RPC that the module left open would be lost. Nothing known leads here; it is logged.
             self.counts["unanswered"] += 1
             self.log.error("rpc left open at its time", rpc=ident)
-            self._final(ask, "aborted", "left-open")
-            self._inform("left", ident)
+            self._close(ask, "aborted", "left-open")
+
+    def answer_all(self, why: str) -> None:
+        """For the loop that turns it: the process ends, so all that is open gets its final answer now. It is denied
+        where no call-out was decided."""
+        for ask in list(self.asks.values()):
+            if not ask.done:
+                self._guarded(self._close, (ask, "aborted" if ask.sent else "denied", why))
+
+    def _close(self, ask: Ask, answer: str, why: str) -> None:
+        """Its final answer, which the module did not decide."""
+        try:
+            self._final(ask, answer, why)
+        finally:
+            try:
+                self._inform("left", ask.told)
+            finally:
+                self._forget(ask)
 
     def _left(self, ask: Ask) -> None:
         if not ask.done:
@@ -412,10 +441,12 @@
             worker=call_out.place.worker.listing.ident,
             took_ms=round(clock() - call_out.sent, 1),
         )
-        self._inform(
-            "ended", ask.told, call_out.number, outcome, ask.done, ending.standing, ending.company, ending.report
-        )
-        self._forget(ask)
+        try:
+            self._inform(
+                "ended", ask.told, call_out.number, outcome, ask.done, ending.standing, ending.company, ending.report
+            )
+        finally:
+            self._forget(ask)
 
     def _withdrawn(self, ask: Ask, call_out: CallOut, outcome: str) -> None:
         if call_out in ask.orders:
@@ -437,8 +468,10 @@
     def _final(self, ask: Ask, answer: str, *said: object) -> None:
         ask.done = True
         self.counts[answer] += 1
-        self._unsend(ask)
-        getattr(ask, answer)(*said)
+        try:
+            self._unsend(ask)
+        finally:
+            getattr(ask, answer)(*said)
         self.log.debug("answered", rpc=ask.told, answer=answer, client=ask.client.number)
         ask.call.input = None  # of megabytes, maybe, while a call-out that was given up ends
 
@@ -452,7 +485,8 @@
         name = worker.listing.ident
         left = max(0.0, min(rpc.ends - clock(), rpc.ends if patience is None else patience))
         order = ask.orders[call_out] = self.speech.run(call_out, ask, left)
-        link = order.link = self._link(name)
+        # Danger: its client may have left since it was decided. Nothing begins for it.
+        link = order.link = self._link(name) if not ask.done and ask.wanted() else None
         if link is None:
             self.events.put(("back", None, order, "unsent"))
             return
--- a/wickdyke/gateway/parts.py
+++ b/wickdyke/gateway/parts.py
@@ -24,6 +24,10 @@
         self.timing = timing  # as the routes are now; a file read later is for those that come later
         self.rpc, self.sent, self.done, self.orders, self.told = None, 0, False, {}, None
 
+    def wanted(self) -> bool:
+        """Whether its client still waits for an answer, as far as can be told now."""
+        return True
+
     def ok(self, output: bytes, call_outs: int) -> None:
         """Its final answer, with what the worker gave."""
         raise NotImplementedError
--- a/wickdyke/platform/serve.py
+++ b/wickdyke/platform/serve.py
@@ -17,7 +17,10 @@
 from wickdyke.platform.station import BadConfig, Station
 from wickdyke.wire.loop import Loop
 
-GRACE = 750.0  # ms after SIGTERM in which requests are taken as before
+GRACE = 750.0  # ms after SIGTERM in which requests are taken as before, if there is as much time
+# SIGKILL may come this much later than the longest deadline (counted as so much at most) after SIGTERM, in ms.
+KILL_AFTER, KILL_DEADLINE = 700.0, 3000.0
+KILL_MARGIN = 100.0  # ms before that by which all is answered
 COUNTS = 5000.0  # ms between lines of counts
 SWEEP = 1000.0  # ms between looks for idle connections to workers
 LONGEST = 100.0  # ms that one turn waits at most, so that a signal's flag is seen
@@ -64,6 +67,8 @@
         )
         self.asked_to_end: float | None = None  # when
         self.asked_to_read = self.stopping = False
+        longest = min(KILL_DEADLINE, max(method.deadline for method in station.methods))
+        self.answer_within = longest + KILL_AFTER - KILL_MARGIN  # ms after SIGTERM
 
     def _fault(self, bad: Exception) -> None:
         last = traceback.extract_tb(bad.__traceback__)[-1]
@@ -136,22 +141,57 @@
     def turn(self) -> bool:
         """One turn; False when it is over."""
         desk = self.desk
-        wait = 0.0 if not desk.events.empty() else min(desk.next_at(), self.loop.next_at()) - clock()
+        self._drain()
+        wait = 0.0 if not desk.events.empty() else min(desk.next_at(), self.loop.next_at(), self._next_step()) - clock()
         self.loop.turn(min(wait, LONGEST), desk.turn_once)
         desk.turn_once()
         if self.asked_to_read:
             self._reread()
         if self.asked_to_end is None:
             return True
-        if not self.stopping:
-            self.stopping, self.front.ready = True, False
-            self.log.info("stopping", held=len(desk.asks))
-        if clock() - self.asked_to_end < GRACE:
+        self._drain()
+        passed = clock() - self.asked_to_end
+        if passed < min(GRACE, self.answer_within):
             return True
+        late = passed >= self.answer_within
         self.front.shut()
+        if late:
+            self._answer_all()
+        if not self.front.shut_down or not self._settled(late):
+            return True
         # What came since the kernel last told is read before the end: an RPC there has been taken, and a socket that
         # is closed with something unread resets the answer under way.
-        return not (desk.idle() and self.front.flushed()) or self.front.heard_more()
+        return self.front.heard_more() or not self.front.hang_up(late)
+
+    def _drain(self) -> None:
+        """Begins the graceful shutdown once it was asked for."""
+        if self.asked_to_end is None:
+            return
+        self.front.answer_by = self.asked_to_end + self.answer_within
+        if not self.stopping:
+            self.stopping, self.front.ready = True, False
+            self.log.info("stopping", held=len(self.desk.asks))
+
+    def _next_step(self) -> float:
+        """When the shutdown has its next step."""
+        if self.asked_to_end is None:
+            return float("inf")
+        steps = (self.asked_to_end + span for span in (min(GRACE, self.answer_within), self.answer_within))
+        now = clock()
+        return min((step for step in steps if step > now), default=float("inf"))
+
+    def _answer_all(self) -> None:
+        """SIGKILL is near: what is open gets its final answer now, what comes is rejected, no connection is taken."""
+        self.desk.stopping = True
+        if not self.front.shut_down:
+            self.front.shut(True)
+        self.desk.answer_all("stopping")
+
+    def _settled(self, late: bool) -> bool:
+        """Whether nothing is owed to clients. Until it is late, call-outs that are still out are waited for as well."""
+        if late:
+            return self.desk.events.empty() and self.front.flushed()
+        return self.desk.idle() and self.front.flushed()
 
     def run(self) -> None:
         """Serves until the end."""
