--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -178,6 +178,10 @@
         patch.object(serve, "LONGEST", 100.0).start()
         serving = self.front_end(settings=with_deadline(100))
         waits = []
+        self.until(serving.desk.events.empty, "the list")
+        never = Mock(return_value=float("inf"))
+        patch.object(serving.desk, "next_at", never).start()
+        patch.object(serving.loop, "next_at", never).start()
         with patch.object(serving.loop, "turn", lambda wait, between: waits.append(wait)):
             self.terminate()
             self.now += 100 + KILL_AFTER - MARGIN - 3
