--- a/wickdyke/platform/front.py
+++ b/wickdyke/platform/front.py
@@ -607,6 +607,7 @@
         none is left. With `at_once` no request is waited for that may be on its way."""
         # Danger: a connection left open until the process has ended acknowledges requests that nobody reads. Between
         # the read and the close one may still cross, within microseconds: the client sends it again (PROTOCOL).
+        # A shutdown for reading before that read would not prevent it: Linux acknowledges what comes after it as well.
         for client in list(self.clients.values()):
             before = self.reads
             self.guarded(client)
