--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -11,10 +11,13 @@
 from collections.abc import Iterable
 from dataclasses import replace
 from math import sqrt
+from unittest.mock import Mock
 
 from bench.hollow import HollowFleet, HollowFrontEnd, HollowWorker, Settings, listing
 from tests.helpers import Fleet, called, row
-from wickdyke.interface import RPC, Listing, Warmup, Worker
+from wickdyke.fleet import Cell
+from wickdyke.interface import RPC, Listing, Ration, Seat, Warmup, Worker
+from wickdyke.logic import Guards
 
 LEAST = Warmup(0.17, 12000.0, 2.0, 1000.0)  # the settings that the pages allow: least and greatest, and a usual one
 USUAL = Warmup(0.2, 18000.0, 2.0, 2000.0)
@@ -161,6 +164,43 @@
                 self.assertEqual(fleet.falls(), [])
 
 
+class OneZoneCarriesAll(unittest.TestCase):
+    """Front ends numbered zone by zone, of which one zone has all the traffic, always with a request at hand."""
+
+    WORK, SIZE, SERVERS = 330.0, 3.0, 12
+
+    def attempts(self, many: int, warmup: Warmup, name: str) -> list[float]:
+        """When they sent to one server in slow start; they carried half of what the servers can do, evenly."""
+        rpc, sent, pairs = Mock(), [], []
+        rpc.method.times, rpc.method.soft = [self.WORK], 0.0
+        busy = many // 3
+        for number in range(busy):
+            guards = Guards(warmup, Ration(0.0, 0.0, 0.0), Seat(number, many, 0, (), False))
+            size = self.SERVERS * self.SIZE
+            guards.carried.append((5000.0, size * 0.5 * 5000.0 / busy))
+            guards.survey([Cell(0, 0, size=size, busy=(0.5 * self.SERVERS, self.SERVERS))], 5000.0)
+            worker = Worker.listed(Listing(name, 0, 0, 0, "ready", self.SIZE, 5000.0), 1e4, 8.0)
+            worker.open_books((8, 8, 8, 8))
+            pairs.append((guards, worker))
+        for now in range(5000, int(5000 + warmup.ramp), 50):
+            for guards, worker in pairs:
+                while guards.may_call(worker, rpc, float(now)):
+                    guards.sent(worker, rpc, float(now))
+                    sent.append(now - 5000.0)
+        return sent
+
+    def test_neighbours_do_not_have_their_turns_at_once(self):
+        """(settings, front ends, server) -> no window over the budget."""
+        for warmup, many, name in itertools.product((LEAST, USUAL, GREATEST), (3, 30, 200), ("z0", "z1")):
+            with self.subTest(warmup=warmup, many=many, name=name):
+                sent = self.attempts(many, warmup, name)
+                self.assertTrue(sent)
+                for start in range(0, int(warmup.ramp - warmup.window), 100):
+                    share = present_share(warmup, start)
+                    stands = budget(warmup.multiple * share * self.SIZE * warmup.window / self.WORK)
+                    self.assertLessEqual(sum(start <= at < start + warmup.window for at in sent), stands, start)
+
+
 class OneFrontEnd(unittest.TestCase):
     """What a front end sent before it was told counts towards what it may send after."""
 
--- a/wickdyke/logic.py
+++ b/wickdyke/logic.py
@@ -8,7 +8,7 @@
 from collections import Counter, deque
 from heapq import heappush
 from itertools import accumulate, islice, product
-from math import ceil, inf, log, sqrt
+from math import ceil, gcd, inf, log, sqrt
 
 from wickdyke.chance import Chance, draw, mark
 from wickdyke.fleet import Candidates, Cell, Fleet, lot
@@ -461,7 +461,10 @@
 
 class Guards:  # the rules: every call-out and every hold passes here, and there is no way round
     def __init__(self, warmup: Warmup, ration: Ration, seat: Seat) -> None:
-        self.warmup, self.ration, self.seat, self.even = warmup, ration, seat.number / seat.of, 1 / seat.of
+        # Danger: neighbours of one zone that carry all have a turn at once. So turns go in strides.
+        stride = next(k for k in range(ceil(seat.of * GOLDEN), seat.of + 2) if gcd(k, seat.of) == 1)
+        self.seat, self.even = seat.number * stride % seat.of / seat.of, 1 / seat.of
+        self.warmup, self.ration = warmup, ration
         self.taken, self.ordered, self.carried, self.rate, self.size = deque(), deque(), deque(), 0.0, 0.0
 
     def cold(self, worker: Worker, now: float) -> bool:
