--- /dev/null
+++ b/tests/test_configuration_faults.py
@@ -0,0 +1,78 @@
+"""A configuration that can't be read at the moment of its signal; and time that a request waits before it is admitted."""
+
+import errno
+import os
+import unittest
+from unittest.mock import patch
+
+from tests import platform_rig as rig
+from tests.test_fleet import NOWHERE, Handed
+from wickdyke.platform import serve, station
+
+MOMENTARY = (errno.EMFILE, errno.ENFILE, errno.ENOMEM, errno.EIO, errno.ENOENT)
+
+
+class Signal(Handed):
+    def test_a_file_that_can_not_be_read_for_a_moment_is_read_later(self):
+        """(error of open, how often) -> the new address is followed once it can be read; the log says so once."""
+        serving = self.front_end(self.worker().address)
+        for number, code in enumerate(MOMENTARY):
+            for times in (1, 3):
+                with self.subTest(error=errno.errorcode[code], times=times):
+                    address = f"127.0.0.1:{20000 + 10 * number + times}"
+                    self.write(address)
+                    errors, opened = [OSError(code, os.strerror(code)) for _ in range(times)], open
+
+                    def failing(*args, errors=errors, opened=opened, **more):
+                        if errors:
+                            raise errors.pop()
+                        return opened(*args, **more)
+
+                    self.log.reset_mock()
+                    with patch.object(station, "open", failing, create=True), patch.object(serve, "REREAD", 1.0):
+                        serving._read(1, None)
+                        self.until(lambda address=address: serving.bus.address == station.address(address, ""))
+                    said = [call.args[0] for call in self.log.warning.call_args_list]
+                    self.assertEqual(said.count("configuration not read yet"), 1)
+
+    def test_a_file_that_can_not_be_used_is_not_read_again(self):
+        serving = self.front_end(self.worker().address)
+        with open(self.path, "w") as out:
+            out.write("{")
+        serving._read(1, None)
+        self.until(lambda: not serving.asked_to_read)
+        self.assertEqual((serving.rereading, serving.bus.address), (False, station.address(NOWHERE, "")))
+
+
+class Admission(Handed):
+    def test_time_spent_in_the_queue_is_not_left(self):
+        """A request read 1,500 ms before its turn -> its worker is told at most what its client has left by then."""
+        worker = self.worker()
+        serving, client = self.front_end(worker.address), self.client()
+        queued = []
+        with patch.object(serving.front, "take", queued.append):
+            client.send(rig.dispatch(1, rig.fields(d="4000"), b"slow"))
+            self.until(lambda: queued, "the request")
+        ((_, ask),) = queued
+        ask.begun -= 1500.0
+        serving.desk.take(queued[0])
+        self.at_worker(1)
+        fields = dict(pair.split(b"=") for pair in self.held[0][1][2].split(b","))
+        self.assertLessEqual(int(fields[b"ttl"]), 2500)
+        self.assertGreater(int(fields[b"ttl"]), 1000)
+
+    def test_one_whose_time_passed_in_the_queue_is_rejected(self):
+        worker = self.worker()
+        serving, client = self.front_end(worker.address), self.client()
+        queued = []
+        with patch.object(serving.front, "take", queued.append):
+            client.send(rig.dispatch(1, rig.fields(d="4000")))
+            self.until(lambda: queued, "the request")
+        ((_, ask),) = queued
+        ask.begun -= 4000.0
+        serving.desk.take(queued[0])
+        self.assertEqual(self.answer(client)[1], "shed")
+
+
+if __name__ == "__main__":
+    unittest.main()
--- a/wickdyke/gateway/desk.py
+++ b/wickdyke/gateway/desk.py
@@ -235,7 +235,9 @@
         if self.stopping or len(self.asks) >= self.station.bounds.open_rpcs:
             ask.denied("stopping" if self.stopping else "gateway-full")
             return
-        left = ask.left - self.station.answer_way
+        # What it waited for its turn here is no time that its client has left.
+        waited = 0.0 if ask.begun is None else clock() - ask.begun
+        left = ask.left - waited - self.station.answer_way
         if left <= 0:
             ask.denied("no-time")
             return
--- a/wickdyke/gateway/door.py
+++ b/wickdyke/gateway/door.py
@@ -7,6 +7,7 @@
 import os
 import socket
 import threading
+import time
 from collections import Counter
 from collections.abc import Callable
 
@@ -227,6 +228,7 @@
         most = held.terms.deadline if held else method.deadline
         left = min(call.time_left_ms or most, most, least or most)
         ask = Ask(self, ident, method, call, left, batch, held.timing if held else None)
+        ask.begun = time.monotonic() * 1000
         with self.lock:
             if ident in self.asks:
                 # answered without the id: an error under it would pass for the final answer of the other
--- a/wickdyke/gateway/parts.py
+++ b/wickdyke/gateway/parts.py
@@ -15,7 +15,7 @@
     `call` has the program, its figures (memory_mb, lanes, load_ms, work_ms), repeat, token and input.
     """
 
-    __slots__ = ("client", "ident", "method", "call", "left", "timing", "rpc", "sent", "done", "orders", "told")
+    __slots__ = ("client", "ident", "method", "call", "left", "timing", "rpc", "sent", "done", "orders", "told", "begun")
 
     def __init__(
         self, client: Any, ident: Any, method: Method, call: Any, left: float, timing: Timing | None = None
@@ -23,6 +23,7 @@
         self.client, self.ident, self.method, self.call, self.left = client, ident, method, call, left
         self.timing = timing  # as the routes are now; a file read later is for those that come later
         self.rpc, self.sent, self.done, self.orders, self.told = None, 0, False, {}, None
+        self.begun: float | None = None  # when it was read, in monotonic ms; `left` counts from there
 
     def wanted(self) -> bool:
         """Whether its client still waits for an answer, as far as can be told now."""
--- a/wickdyke/platform/front.py
+++ b/wickdyke/platform/front.py
@@ -277,6 +277,7 @@
             return
         left = front.within(left)
         ask = Ask(self, message.number, method, call, left)
+        ask.begun = clock()
         self.open[message.number] = front.open[call.ident] = ask
         if busy := front.busy() or ("" if left else "stopping"):
             front.counts["turned_away"] += 1
--- a/wickdyke/platform/serve.py
+++ b/wickdyke/platform/serve.py
@@ -23,6 +23,7 @@
 KILL_MARGIN = 100.0  # ms before that by which all is answered
 COUNTS = 5000.0  # ms between lines of counts
 SWEEP = 1000.0  # ms between looks for idle connections to workers
+REREAD = 100.0  # ms until a configuration that could not be read is read again
 LONGEST = 100.0  # ms that one turn waits at most, so that a signal's flag is seen
 BACK, FOLLOW = 0.4, 400.0  # part of the time for a drain in which a lost list is asked for again; ms at most
 KEPT = 12  # descriptors that are nobody's: the list's old and new connection, one being taken, a file being read
@@ -66,7 +67,7 @@
             station.seed,
         )
         self.asked_to_end: float | None = None  # when
-        self.asked_to_read = self.stopping = False
+        self.asked_to_read = self.rereading = self.stopping = False
         longest = min(KILL_DEADLINE, max(method.deadline for method in station.methods))
         self.answer_within = longest + KILL_AFTER - KILL_MARGIN  # ms after SIGTERM
 
@@ -132,12 +133,25 @@
         try:
             given = stations.load(self.path)
             address = stations.bus(given, self.path)
+        except stations.Unreadable as bad:
+            # The signal comes once, and what it tells of is owed: a descriptor or memory may be short for a moment.
+            if not self.rereading:
+                self.log.warning("configuration not read yet", why=str(bad), kept="the last good one")
+            self.rereading = True
+            self.loop.at(clock() + REREAD, self._reread_later)
+            return
         except BadConfig as bad:
+            self.rereading = False
             self.log.warning("configuration unusable", why=str(bad), kept="the last good one")
             return
+        self.rereading = False
         self.log.info("configuration read", bus=":".join(map(str, address)))
         self.bus.follow(address)
 
+    def _reread_later(self) -> None:
+        if self.rereading:
+            self._reread()
+
     def turn(self) -> bool:
         """One turn; False when it is over."""
         desk = self.desk
--- a/wickdyke/platform/station.py
+++ b/wickdyke/platform/station.py
@@ -19,6 +19,10 @@
     """The configuration can't be used: place, found, expected in one line."""
 
 
+class Unreadable(BadConfig):
+    """The file can't be read now; it may be later."""
+
+
 @dataclass(slots=True)
 class Station:
     """All that a front end of the platform is told."""
@@ -61,7 +65,7 @@
         with open(path, encoding="utf-8") as source:
             found = json.load(source)
     except OSError as bad:
-        raise BadConfig(f"{path}: {bad.strerror}, expected a file that can be read") from None
+        raise Unreadable(f"{path}: {bad.strerror}, expected a file that can be read") from None
     except (ValueError, RecursionError) as bad:
         raise BadConfig(f"{path}: {bad}, expected JSON") from None
     if not isinstance(found, dict):
