--- a/tests/test_acceptance_days.py
+++ b/tests/test_acceptance_days.py
@@ -662,8 +662,8 @@
                 self.end()
 
 
-class KnownFaults(Stepped):
-    """Seen to fail on the text they were written for."""
+class SweptAndStarved(Stepped):
+    """What the sweep of silent connections, and clients that never stop sending, must not cost. Each failed at 8f1d016."""
 
     def number_one(self):
         """The front end's side of the first client's connection."""
--- a/tests/test_configuration_faults.py
+++ b/tests/test_configuration_faults.py
@@ -1,4 +1,4 @@
-"""A configuration that can't be read at the moment of its signal; and time that a request waits before it is admitted."""
+"""A configuration that can't be read as its signal comes, and time that a request waits before it is admitted."""
 
 import errno
 import os
--- a/wickdyke/gateway/parts.py
+++ b/wickdyke/gateway/parts.py
@@ -15,7 +15,20 @@
     `call` has the program, its figures (memory_mb, lanes, load_ms, work_ms), repeat, token and input.
     """
 
-    __slots__ = ("client", "ident", "method", "call", "left", "timing", "rpc", "sent", "done", "orders", "told", "begun")
+    __slots__ = (
+        "client",
+        "ident",
+        "method",
+        "call",
+        "left",
+        "timing",
+        "rpc",
+        "sent",
+        "done",
+        "orders",
+        "told",
+        "begun",
+    )
 
     def __init__(
         self, client: Any, ident: Any, method: Method, call: Any, left: float, timing: Timing | None = None
