--- a/tests/test_acceptance_days.py
+++ b/tests/test_acceptance_days.py
@@ -663,7 +663,7 @@
 
 
 class SweptAndStarved(Stepped):
-    """What the sweep of silent connections and clients that never stop sending must not cost: each failed at 8f1d016."""
+    """What silent connections and clients that never stop sending must not cost; each failed at 8f1d016."""
 
     def number_one(self):
         """The front end's side of the first client's connection."""
