--- a/Makefile
+++ b/Makefile
@@ -15,14 +15,9 @@
 	$(BIN)/pip -q install --disable-pip-version-check -e ".[test]"
 	touch $@
 
-# The module is printed and kept in the on-call folder: its lines, and those of what it stands on, are shorter.
-SHORT := wickdyke/interface.py wickdyke/chance.py $(wildcard wickdyke/drill/*.py)
-
 lint: $(READY)
 	$(BIN)/ruff check .
-	$(BIN)/ruff check --line-length 110 wickdyke/logic.py $(SHORT)
 	$(BIN)/ruff format --check .
-	$(BIN)/ruff format --check --line-length 110 $(SHORT)
 
 unit: $(READY)
 	$(BIN)/python -m unittest discover -s tests -t .
--- a/bench/hollow.py
+++ b/bench/hollow.py
@@ -8,6 +8,7 @@
 import heapq
 import itertools
 import random
+import re
 import time
 import tracemalloc
 from collections import Counter, defaultdict, deque
@@ -16,21 +17,29 @@
 from math import sqrt
 from typing import TYPE_CHECKING
 
-from wickdyke.interface import (
-    RPC,
-    Allowance,
-    CallOut,
-    Directory,
-    Listing,
-    Method,
-    Ration,
-    Seat,
-    Shares,
-    Stock,
-    Tariff,
-    Warmup,
+from wickdyke.routing.decisions import (
+    Cancel,
+    Decision,
+    Fail,
+    FollowEndpoints,
+    Forward,
+    HealthCheck,
+    LogNote,
+    Prewarm,
+    Reject,
 )
-from wickdyke.logic import FrontEnd
+from wickdyke.routing.model import Attempt, Endpoint, Request, RequestClass
+from wickdyke.routing.settings import (
+    AttemptLimits,
+    CostWeights,
+    Discovery,
+    FunctionCache,
+    GatewayInstance,
+    PrewarmQuota,
+    SlowStart,
+    TenantQuotas,
+)
+from wickdyke.routing.router import Router
 
 if TYPE_CHECKING:
     from wickdyke.gateway.tape import Tape
@@ -40,9 +49,9 @@
 NEVER_RAN = frozenset({"full", "unreached", "unsent", "miss"})  # the judge's own reading of the protocol
 
 
-def may_have_run(rpc: RPC) -> list[CallOut]:
+def may_have_run(request: Request) -> list[Attempt]:
     """The attempts of a request that are not known never to have run."""
-    return [call_out for call_out in rpc.call_outs if call_out.outcome not in NEVER_RAN]
+    return [attempt for attempt in request.attempts if attempt.outcome not in NEVER_RAN]
 
 
 @dataclass(slots=True, frozen=True)
@@ -51,7 +60,7 @@
 
     front_ends: int = 3300
     zones: int = 11
-    idle_life: float = 12000.0  # a copy's, unused
+    idle_timeout: float = 12000.0  # a copy's, unused
     load: float = 500.0  # of a function on a worker
     work: float = 40.0  # of a request
     memory: float = 32000.0  # MB of a worker
@@ -62,41 +71,45 @@
     methods: int = 1
     crossing: float = 0.0  # price of a call to another zone
     loads_on_call: bool = True
-    ration: Ration = Ration(6.0, 0.2, 5000.0)
-    warmup: Warmup = Warmup(0.2, 18000.0, 2.0, 2000.0)
-    directory: Directory = Directory(True, 10000.0, 500.0)
+    ration: PrewarmQuota = PrewarmQuota(6.0, 0.2, 5000.0)
+    warmup: SlowStart = SlowStart(0.2, 18000.0, 2.0, 2000.0)
+    directory: Discovery = Discovery(True, 10000.0, 500.0)
 
-    def kinds(self) -> list[Method]:
+    def kinds(self) -> list[RequestClass]:
         """The kinds of request."""
         return [
-            Method(f"m{number}", self.effect, "all", 2000.0, 800.0, 0.0, self.deadline, 1.0, 0.2)
+            RequestClass(f"m{number}", self.effect, "all", 2000.0, 800.0, 0.0, self.deadline, 1.0, 0.2)
             for number in range(self.methods)
         ]
 
     def parts(self, number: int) -> dict[str, object]:
         """What the front end of that number is made with, in the zone of its turn."""
         return {
-            "seat": Seat(number, self.front_ends, number % self.zones, ("busy", "held"), False),
-            "allowance": Allowance(4, False, True, True, 300.0, 250.0),
-            "stock": Stock((self.memory,), self.idle_life, True, self.loads_on_call, 10000.0, True, True),
-            "warmup": self.warmup,
-            "ration": self.ration,
-            "directory": self.directory,
-            "tariff": Tariff(0.1, 0.05, 0.05, 0.01, self.crossing, 0.05),
-            "shares": Shares(),
+            "instance": GatewayInstance(
+                number, self.front_ends, number % self.zones, ("utilization", "in_flight"), False
+            ),
+            "attempt_limits": AttemptLimits(4, False, True, True, 300.0, 250.0),
+            "function_cache": FunctionCache(
+                (self.memory,), self.idle_timeout, True, self.loads_on_call, 10000.0, True, True
+            ),
+            "slow_start": self.warmup,
+            "prewarm_quota": self.ration,
+            "discovery": self.directory,
+            "cost_weights": CostWeights(0.1, 0.05, 0.05, 0.01, self.crossing, 0.05),
+            "tenant_quotas": TenantQuotas(),
         }
 
-    def front_end(self, now: float, number: int, tape: "Tape | None" = None) -> FrontEnd:
+    def router(self, now: float, number: int, tape: "Tape | None" = None) -> Router:
         """A front end of that number among them."""
         parts, methods = self.parts(number), self.kinds()
         if tape is not None:
             tape.start(now, number + 1, methods, parts)
-        return FrontEnd(now, number + 1, methods, **parts)
+        return Router(now, number + 1, methods, **parts)
 
 
-def listing(number: int, zones: int = 11, **more: object) -> Listing:
+def listing(number: int, zones: int = 11, **more: object) -> Endpoint:
     """The row of the worker of that number."""
-    row = Listing(f"s-{number:08x}", number % zones, 0, number // zones // RACK, "ready", 4.0, None)
+    row = Endpoint(f"s-{number:08x}", number % zones, 0, number // zones // RACK, "ready", 4.0, None)
     return replace(row, **more)
 
 
@@ -108,6 +121,11 @@
     )
 
 
+def decision_word(decision: Decision) -> str:
+    """What a decision is called in the counts and files of this rig."""
+    return re.sub(r"(?<!^)(?=[A-Z])", "_", type(decision).__name__).lower()
+
+
 class Draw:
     """Draws functions: evenly, or by Zipf's law with that exponent."""
 
@@ -134,7 +152,7 @@
 class HollowWorker:
     """A worker that answers by what it holds."""
 
-    listing: Listing
+    endpoint: Endpoint
     settings: Settings
     copies: dict[str, Copy] = field(default_factory=dict)
     held: int = 0
@@ -142,7 +160,7 @@
     dead: bool = False
 
     def _make_room(self, now: float) -> bool:
-        idle = [name for name, copy in self.copies.items() if now - copy.used > self.settings.idle_life]
+        idle = [name for name, copy in self.copies.items() if now - copy.used > self.settings.idle_timeout]
         for name in idle:
             del self.copies[name]
         return (len(self.copies) + 1) * self.settings.copy <= self.settings.memory
@@ -150,7 +168,7 @@
     def load(self, name: str, now: float) -> tuple[str, float]:
         """How the function's copy stands ("stood", "began", "awaited" or "full"), and when it does."""
         copy = self.copies.get(name)
-        if copy is not None and (now < copy.stands or now - copy.used <= self.settings.idle_life):
+        if copy is not None and (now < copy.stands or now - copy.used <= self.settings.idle_timeout):
             said = "stood" if copy.stands <= now else "awaited"
             copy.used = max(copy.used, copy.stands, now)
             return said, copy.stands
@@ -210,7 +228,7 @@
     """A front end and what it is owed."""
 
     number: int
-    front_end: FrontEnd
+    router: Router
     costs: Costs = field(default_factory=Costs)
     wake_at: float = float("-inf")
     told: dict[str, float] = field(default_factory=dict)  # when it was told that a worker drains or is gone
@@ -226,7 +244,7 @@
     def __init__(
         self,
         settings: Settings,
-        rows: Iterable[Listing],
+        rows: Iterable[Endpoint],
         front_ends: int,
         seed: int = 1,
         tape: "Tape | None" = None,
@@ -238,9 +256,19 @@
         self.cold_share: dict[str, float] = {}  # most that a cold worker got, of what it bears
         self.waits: list[float] = []  # ms until a request that began or awaited a load was answered
         self.ids = itertools.count(1)
-        self.fronts = [HollowFrontEnd(number, settings.front_end(0.0, number, tape)) for number in range(front_ends)]
+        self.handlers = {
+            Forward: self._forward,
+            Cancel: self._cancel,
+            Reject: self._reject,
+            Fail: self._fail,
+            Prewarm: self._prewarm,
+            HealthCheck: self._health_check,
+            FollowEndpoints: self._ignore,
+            LogNote: self._ignore,
+        }
+        self.fronts = [HollowFrontEnd(number, settings.router(0.0, number, tape)) for number in range(front_ends)]
         for front in self.fronts:
-            self.tell_list(front, [worker.listing for worker in self.workers.values()], True)
+            self.tell_list(front, [worker.endpoint for worker in self.workers.values()], True)
 
     # ---- time ----
 
@@ -264,10 +292,10 @@
                 if what:
                     self.tape.heard(self.now, what, given)
         began = time.process_time()
-        front.front_end.woke(self.now)
+        front.router.advance(self.now)
         if name:
-            getattr(front.front_end, name)(*args)
-        decisions = list(iter(front.front_end.decide, None))
+            getattr(front.router, name)(*args)
+        decisions = list(iter(front.router.decide, None))
         took = time.process_time() - began
         for decision in decisions if self.tape is not None else ():
             self.tape.decided(decision)
@@ -277,9 +305,9 @@
         if took > costs.longest:
             costs.longest, costs.longest_at = took, self.now
         for decision in decisions:
-            costs.decisions[decision[0]] += 1
-            getattr(self, f"_{decision[0]}")(front, *decision[1:])
-        wake = front.front_end.wake_at
+            costs.decisions[decision_word(decision)] += 1
+            self.handlers[type(decision)](front, decision)
+        wake = front.router.wake_at
         if front.wake_at <= self.now or wake < front.wake_at:
             front.wake_at = max(wake, self.now + 0.001)
             self.at(front.wake_at, self._wake, front, front.wake_at)
@@ -288,14 +316,14 @@
         if front.wake_at == due:
             self.tell(front, "")
 
-    def tell_list(self, front: HollowFrontEnd, rows: list[Listing], whole: bool = False) -> None:
+    def tell_list(self, front: HollowFrontEnd, rows: list[Endpoint], whole: bool = False) -> None:
         """Tells a front end of rows of the list."""
         for row in rows:
             if row.state == "ready":
                 front.told.pop(row.ident, None)
             else:
                 front.told.setdefault(row.ident, self.now)
-        self.tell(front, "listed", rows, whole)
+        self.tell(front, "endpoints_changed", rows, whole)
 
     def ask(self, front: HollowFrontEnd, name: str, repeat: bool = False) -> int:
         """A client asks a front end for a function."""
@@ -303,10 +331,10 @@
         front.due[ident] = self.now + settings.deadline
         front.taken.append(self.now)
         self.at(front.due[ident], self._time_up, front, ident)
-        method = front.front_end.methods[ident % settings.methods]
+        method = front.router.request_classes[ident % settings.methods]
         self.tell(
             front,
-            "took",
+            "request_received",
             ident,
             settings.deadline,
             method,
@@ -321,9 +349,9 @@
         return ident
 
     def _time_up(self, front: HollowFrontEnd, ident: int) -> None:
-        rpc = front.front_end.rpcs.get(ident)
-        for call_out in [co for co in rpc.call_outs if co.outcome is None] if rpc else ():
-            self._end(front, rpc, call_out, "timeout", None)
+        request = front.router.requests.get(ident)
+        for attempt in [co for co in request.attempts if co.outcome is None] if request else ():
+            self._end(front, request, attempt, "timeout", None)
         if front.final.pop(ident, None) is None:
             self.broken.append(f"rule 1: request {ident} of front end {front.number} was never answered")
         front.due.pop(ident, None)
@@ -334,34 +362,35 @@
         front.final[ident] = word
         front.costs.answers[word] += 1
 
-    def _deny(self, front: HollowFrontEnd, rpc: RPC, wait: float | None) -> None:
-        if rpc.method.effect != "idempotent" and may_have_run(rpc):
-            self.broken.append(f"rule 2: request {rpc.ident} was refused and may have run")
-        self._answer(front, rpc.ident, "denied")
+    def _reject(self, front: HollowFrontEnd, decision: Reject) -> None:
+        request = decision.request
+        if request.request_class.effect != "idempotent" and may_have_run(request):
+            self.broken.append(f"rule 2: request {request.ident} was refused and may have run")
+        self._answer(front, request.ident, "denied")
 
-    def _abort(self, front: HollowFrontEnd, rpc: RPC) -> None:
-        self._answer(front, rpc.ident, "aborted")
+    def _fail(self, front: HollowFrontEnd, decision: Fail) -> None:
+        self._answer(front, decision.request.ident, "aborted")
 
-    def _note(self, front: HollowFrontEnd, text: str) -> None:
+    def _ignore(self, front: HollowFrontEnd, decision: Decision) -> None:
         pass
 
-    def _follow_list(self, front: HollowFrontEnd, on: bool) -> None:
-        pass
-
-    def _cancel(self, front: HollowFrontEnd, call_out: CallOut) -> None:
-        if call_out.outcome is None:
-            self._end(front, call_out.rpc, call_out, "cancelled", None)
+    def _cancel(self, front: HollowFrontEnd, decision: Cancel) -> None:
+        attempt = decision.attempt
+        if attempt.outcome is None:
+            self._end(front, attempt.request, attempt, "cancelled", None)
 
-    def _end(self, front: HollowFrontEnd, rpc: RPC, call_out: CallOut, outcome: str, standing: str | None) -> None:
-        worker = self.workers.get(call_out.place.worker.listing.ident)
+    def _end(
+        self, front: HollowFrontEnd, request: Request, attempt: Attempt, outcome: str, standing: str | None
+    ) -> None:
+        worker = self.workers.get(attempt.replica.worker.endpoint.ident)
         report = worker.report() if worker and outcome in ("ok", "full") else None
         company = worker.held if worker and outcome == "ok" else 0
-        if outcome == "ok" and rpc.ident not in front.final:
-            self._answer(front, rpc.ident, "ok")
+        if outcome == "ok" and request.ident not in front.final:
+            self._answer(front, request.ident, "ok")
             if standing != "stood":
-                self.waits.append(self.now - rpc.taken)
-        final = rpc.ident in front.final
-        self.tell(front, "ended", rpc.ident, call_out.number, outcome, final, standing, company, report)
+                self.waits.append(self.now - request.received_at)
+        final = request.ident in front.final
+        self.tell(front, "attempt_finished", request.ident, attempt.number, outcome, final, standing, company, report)
 
     # ---- the workers' side ----
 
@@ -370,41 +399,44 @@
         if told is not None and self.now > told:
             self.broken.append(f"rule 3: front end {front.number} sent {what} to {ident}, told of at {told:.0f}")
 
-    def _call(self, front: HollowFrontEnd, rpc: RPC, worker: object, patience: float | None) -> None:
-        call_out, ident = rpc.call_outs[-1], worker.listing.ident
+    def _forward(self, front: HollowFrontEnd, decision: Forward) -> None:
+        request = decision.request
+        attempt, ident = request.attempts[-1], decision.worker.endpoint.ident
         self._may_send(front, ident, "a request")
-        earlier = [co for co in may_have_run(rpc) if co is not call_out]
-        if rpc.method.effect == "side-effecting" and earlier:
-            self.broken.append(f"rule 2: request {rpc.ident} was sent again and may have run")
+        earlier = [co for co in may_have_run(request) if co is not attempt]
+        if request.request_class.effect == "side-effecting" and earlier:
+            self.broken.append(f"rule 2: request {request.ident} was sent again and may have run")
         there = self.workers.get(ident)
         if there is None or there.dead:
-            self.at(self.now + 1.0, self._come_back, front, rpc, call_out, "unreached", None)
+            self.at(self.now + 1.0, self._come_back, front, request, attempt, "unreached", None)
             return
         self._weigh_on(there)
-        said, stands = there.load(rpc.program.name, self.now)
+        said, stands = there.load(request.function.name, self.now)
         if said == "full":
-            self.at(self.now + 1.0, self._come_back, front, rpc, call_out, "full", None)
+            self.at(self.now + 1.0, self._come_back, front, request, attempt, "full", None)
             return
         there.held += 1
         work = self.settings.work * self.random.uniform(0.5, 1.5)
-        self.at(max(self.now, stands) + work, self._served, front, rpc, call_out, there, said)
+        self.at(max(self.now, stands) + work, self._served, front, request, attempt, there, said)
 
-    def _served(self, front: HollowFrontEnd, rpc: RPC, call_out: CallOut, there: HollowWorker, said: str) -> None:
+    def _served(
+        self, front: HollowFrontEnd, request: Request, attempt: Attempt, there: HollowWorker, said: str
+    ) -> None:
         there.held -= 1
-        copy = there.copies.get(rpc.program.name)
+        copy = there.copies.get(request.function.name)
         if copy is not None:
             copy.used = max(copy.used, self.now)
-        self._come_back(front, rpc, call_out, "cut" if there.dead else "ok", None if there.dead else said)
+        self._come_back(front, request, attempt, "cut" if there.dead else "ok", None if there.dead else said)
 
     def _come_back(
-        self, front: HollowFrontEnd, rpc: RPC, call_out: CallOut, outcome: str, standing: str | None
+        self, front: HollowFrontEnd, request: Request, attempt: Attempt, outcome: str, standing: str | None
     ) -> None:
-        if call_out.outcome is None:
-            self._end(front, rpc, call_out, outcome, standing)
+        if attempt.outcome is None:
+            self._end(front, request, attempt, outcome, standing)
 
     def _weigh_on(self, there: HollowWorker) -> None:
         """Counts what a cold worker gets from all front ends within a window, against what it bears."""
-        born, warmup = there.listing.born, self.settings.warmup
+        born, warmup = there.endpoint.started_at, self.settings.warmup
         if born is None or self.now - born >= warmup.ramp or self.rate is None:
             return
         there.came.append(self.now)
@@ -415,14 +447,15 @@
         allowed = share * self.rate * warmup.window
         bears = allowed + 2 * sqrt(allowed + 2) + 2
         part = len(there.came) / bears
-        self.cold_share[there.listing.ident] = max(part, self.cold_share.get(there.listing.ident, 0.0))
+        self.cold_share[there.endpoint.ident] = max(part, self.cold_share.get(there.endpoint.ident, 0.0))
         if part > 1:
-            self.broken.append(f"rule 4: {len(there.came)} requests at {there.listing.ident}, which bears {bears:.1f}")
+            self.broken.append(f"rule 4: {len(there.came)} requests at {there.endpoint.ident}, which bears {bears:.1f}")
 
     rate: float | None = None  # requests a ms that a warm worker gets on average; cold ones are judged by it
 
-    def _hold(self, front: HollowFrontEnd, worker: object, function: object, copies: int) -> None:
-        ident, ration = worker.listing.ident, self.settings.ration
+    def _prewarm(self, front: HollowFrontEnd, decision: Prewarm) -> None:
+        function = decision.function
+        ident, ration = decision.worker.endpoint.ident, self.settings.ration
         self._may_send(front, ident, "a load order")
         front.ordered.append(self.now)
         for record in (front.ordered, front.taken):
@@ -436,28 +469,28 @@
         self.at(max(self.now + 1.0, stands), self._held, front, ident, function.name, outcome, self.now)
 
     def _held(self, front: HollowFrontEnd, ident: str, name: str, outcome: str, since: float) -> None:
-        self.tell(front, "held", ident, name, outcome, int(outcome == "ok"), self.now - since)
+        self.tell(front, "prewarm_finished", ident, name, outcome, int(outcome == "ok"), self.now - since)
 
-    def _probe(self, front: HollowFrontEnd, worker: object) -> None:
-        self.at(self.now + 1.0, self._probed, front, worker.listing.ident)
+    def _health_check(self, front: HollowFrontEnd, decision: HealthCheck) -> None:
+        self.at(self.now + 1.0, self._checked, front, decision.worker.endpoint.ident)
 
-    def _probed(self, front: HollowFrontEnd, ident: str) -> None:
+    def _checked(self, front: HollowFrontEnd, ident: str) -> None:
         there = self.workers.get(ident)
         if there is None or there.dead:
-            self.tell(front, "probed", ident, "unreached", None)
+            self.tell(front, "health_checked", ident, "unreached", None)
         else:
-            self.tell(front, "probed", ident, "ok", there.report())
+            self.tell(front, "health_checked", ident, "ok", there.report())
 
     # ---- the list ----
 
-    def announce(self, rows: list[Listing], delay: Callable[[HollowFrontEnd], float] = lambda front: 0.0) -> None:
+    def announce(self, rows: list[Endpoint], delay: Callable[[HollowFrontEnd], float] = lambda front: 0.0) -> None:
         """Changes workers, and tells each front end after its delay."""
         for row in rows:
             if row.state == "gone":
                 self.workers[row.ident].dead = True
                 del self.workers[row.ident]
             elif row.ident in self.workers:
-                self.workers[row.ident].listing = row
+                self.workers[row.ident].endpoint = row
             else:
                 self.workers[row.ident] = HollowWorker(row, self.settings)
         for front in self.fronts:
@@ -480,6 +513,6 @@
         found: dict[str, set[str]] = defaultdict(set)
         for ident, worker in self.workers.items():
             for name, copy in worker.copies.items():
-                if copy.stands <= self.now and self.now - copy.used <= self.settings.idle_life:
+                if copy.stands <= self.now and self.now - copy.used <= self.settings.idle_timeout:
                     found[name].add(ident)
         return found
--- a/bench/ordinary.py
+++ b/bench/ordinary.py
@@ -17,27 +17,36 @@
 
 def spend(routed: bool) -> float:
     """us of CPU an RPC."""
-    from wickdyke import interface
-    from wickdyke.interface import Allowance, Directory, Listing, Method, Ration, Seat, Stock, Tariff, Warmup
-    from wickdyke.logic import FrontEnd
+    from wickdyke.routing.decisions import Forward, Prewarm
+    from wickdyke.routing.model import Endpoint, RequestClass, RoutePolicy
+    from wickdyke.routing.settings import (
+        AttemptLimits,
+        CostWeights,
+        Discovery,
+        FunctionCache,
+        GatewayInstance,
+        PrewarmQuota,
+        SlowStart,
+    )
+    from wickdyke.routing.router import Router
 
-    method = Method("m", "idempotent", "all", 2000.0, 800.0, 0.0, 4000.0, 1.0, 0.2)
-    front_end = FrontEnd(
+    method = RequestClass("m", "idempotent", "all", 2000.0, 800.0, 0.0, 4000.0, 1.0, 0.2)
+    router = Router(
         0.0,
         7,
         [method],
-        Seat(0, 2, 0, ("busy", "held"), False),
-        Allowance(3, False, True, False, 0.0, 250.0),
-        Stock((32000.0,), 10000.0, True, True, 10000.0, True, True),
-        Warmup(0.2, 18000.0, 2.0, 2000.0),
-        Ration(0.0, 0.0, 0.0),
-        Directory(True, 10000.0, 1000.0),
-        Tariff(0.1, 0.05, 0.05, 0.01, 0.0, 0.05),
+        GatewayInstance(0, 2, 0, ("utilization", "in_flight"), False),
+        AttemptLimits(3, False, True, False, 0.0, 250.0),
+        FunctionCache((32000.0,), 10000.0, True, True, 10000.0, True, True),
+        SlowStart(0.2, 18000.0, 2.0, 2000.0),
+        PrewarmQuota(0.0, 0.0, 0.0),
+        Discovery(True, 10000.0, 1000.0),
+        CostWeights(0.1, 0.05, 0.05, 0.01, 0.0, 0.05),
     )
-    front_end.woke(0.0)
-    front_end.listed([Listing(f"w{at}", 0, 0, 0, "ready", 4.0, None) for at in range(WORKERS)], True)
+    router.advance(0.0)
+    router.endpoints_changed([Endpoint(f"w{at}", 0, 0, 0, "ready", 4.0, None) for at in range(WORKERS)], True)
     timing = (
-        interface.Timing(
+        RoutePolicy(
             800.0, 500.0, 3, (10.0, 2.0, 1e9, 0.5), frozenset({"full", "miss"}), None, (10000.0, 0.1, 5.0), 400.0, 0
         )
         if routed
@@ -47,30 +56,31 @@
     now, held = 1.0, []
 
     def pull() -> None:
-        for verb, *rest in iter(front_end.decide, None):
-            if verb == "call":
-                held.append(rest[0])
-            elif verb == "hold":
-                front_end.held(rest[0].listing.ident, rest[1].name, "ok", rest[2], 1.0)
+        for decision in iter(router.decide, None):
+            if isinstance(decision, Forward):
+                held.append(decision.request)
+            elif isinstance(decision, Prewarm):
+                worker, function = decision.worker.endpoint.ident, decision.function.name
+                router.prewarm_finished(worker, function, "ok", decision.replicas, 1.0)
 
     began = 0.0
     for ident in range(RPCS * 5 // 4):
         if ident == RPCS // 4:  # the first quarter warms it
             began = time.process_time()
         now += 2.0
-        front_end.woke(now)
-        front_end.took(ident, 4000.0, method, f"p{ident % PROGRAMS}", 2000.0, 2, None, None, False, *extra)
+        router.advance(now)
+        router.request_received(ident, 4000.0, method, f"p{ident % PROGRAMS}", 2000.0, 2, None, None, False, *extra)
         pull()
         if len(held) > 20:
             rpc = held.pop(0)
-            front_end.ended(rpc.ident, len(rpc.call_outs) - 1, "ok", True, "stood", 0, (0.4, 5.0))
+            router.attempt_finished(rpc.ident, len(rpc.attempts) - 1, "ok", True, "stood", 0, (0.4, 5.0))
             pull()
     return (time.process_time() - began) * 1e6 / RPCS
 
 
 def once(tree: str, routed: bool) -> float:
-    """The same in a process of its own in that checkout."""
-    argv = [sys.executable, os.path.abspath(__file__), "--one", "routed" if routed else "plain"]
+    """The same in a process of its own in that checkout, by the copy of this file there: names may differ."""
+    argv = [sys.executable, os.path.join(tree, "bench", "ordinary.py"), "--one", "routed" if routed else "plain"]
     return float(
         subprocess.run(
             argv, cwd=tree, env={**os.environ, "PYTHONPATH": tree}, check=True, capture_output=True, text=True
--- a/bench/recording.py
+++ b/bench/recording.py
@@ -32,9 +32,9 @@
         for at in range(2, int(SPAN / 1000), 2):
             fleet.run(at * 1000.0)
             leave = chance.sample(list(fleet.workers.values()), 6)
-            fleet.announce([replace(worker.listing, state="draining") for worker in leave[:3]])
-            fleet.announce([replace(worker.listing, state="gone") for worker in leave[3:]])
-            fleet.announce([listing(number + each, 2, born=fleet.now) for each in range(3)])
+            fleet.announce([replace(worker.endpoint, state="draining") for worker in leave[:3]])
+            fleet.announce([replace(worker.endpoint, state="gone") for worker in leave[3:]])
+            fleet.announce([listing(number + each, 2, started_at=fleet.now) for each in range(3)])
             for worker in chance.sample(list(fleet.workers.values()), 3):
                 worker.dead = not worker.dead
             number += 3
--- a/bench/scale.py
+++ b/bench/scale.py
@@ -47,7 +47,7 @@
     front_ends: int = 3300
     changes: float = 0.0
     methods: int = 3
-    idle_life: float = 12.0
+    idle_timeout: float = 12.0
     seconds: float = 30.0
 
 
@@ -75,7 +75,7 @@
     "front ends": Axis("front_ends", (100, 800, 3300, 6600)),
     "changes": Axis("changes", (0.0, 1.0, 10.0, 100.0)),
     "methods": Axis("methods", (3, 30, 100, 300)),
-    "idle life": Axis("idle_life", (6.0, 12.0, 30.0, 60.0)),
+    "idle life": Axis("idle_timeout", (6.0, 12.0, 30.0, 60.0)),
     "mix": Axis("exponent", (0.0, 0.8, 1.2, 1.5), LARGE),
 }
 LONG = {"hour": Axis("seconds", (3600.0,), LARGE)}  # played only where it is asked for
@@ -104,7 +104,7 @@
     """Plays a point; what one front end cost."""
     control, empty = meter(), resident()
     settings = Settings(
-        front_ends=point.front_ends, idle_life=point.idle_life * 1000, methods=point.methods, memory=1e9
+        front_ends=point.front_ends, idle_timeout=point.idle_timeout * 1000, methods=point.methods, memory=1e9
     )
     fleet = HollowFleet(settings, [], 1)
     if traced:
@@ -125,16 +125,16 @@
     number = [point.workers]
 
     def change() -> None:  # one worker goes, another comes
-        gone = fleet.workers[next(iter(fleet.workers))].listing
+        gone = fleet.workers[next(iter(fleet.workers))].endpoint
         fleet.announce([replace(gone, state="gone")])
-        fleet.announce([listing(number[0], born=fleet.now - 1e6)])
+        fleet.announce([listing(number[0], started_at=fleet.now - 1e6)])
         number[0] += 1
         fleet.at(fleet.now + 2000.0 / point.changes, change)
 
     if point.changes:
         fleet.at(START, change)
     fleet.run(START + point.seconds * 1000)
-    costs, known = front.costs, len(front.front_end.programs)
+    costs, known = front.costs, len(front.router.functions)
     found = {
         "functions_known": known,
         "core_percent": 100 * costs.processor / (point.seconds + START / 1000),
@@ -143,7 +143,7 @@
         "answers": dict(costs.answers),
         "messages": {verb: costs.decisions[verb] for verb in ("call", "hold", "probe", "cancel")},
         "broken": fleet.broken[:3],
-        "cells": len(front.front_end.fleet.cells) if index else 1,
+        "cells": len(front.router.fleet.cells) if index else 1,
         "harness_seconds": time.process_time() - begun,
     }
     found["own_ms_a_call"] = 10 * (found["core_percent"] - found["control_percent"]) / point.rate
@@ -154,8 +154,8 @@
             "bytes_a_worker": (listed - bare) / point.workers,
         }
         if index:  # what goes with the functions, while the records of their workers stay
-            front.front_end.fleet.drop(list(front.front_end.programs.values()))
-            counted["bytes_of_it_alone"] = (held - product_bytes()) / max(1, known - len(front.front_end.programs))
+            front.router.fleet.drop(list(front.router.functions.values()))
+            counted["bytes_of_it_alone"] = (held - product_bytes()) / max(1, known - len(front.router.functions))
         return counted
     found["rss_mb"] = {"empty": empty, "listed": start, "end": resident()}
     found["change_ms"] = _change_cost(fleet, point)
@@ -164,13 +164,13 @@
 
 def _change_cost(fleet: HollowFleet, point: Point) -> float:
     """Mean ms of processor time for one row: workers that come, drain, come back and go, by turns."""
-    front_end, spent = fleet.fronts[0].front_end, 0.0
+    router, spent = fleet.fronts[0].front_end, 0.0
     for step in range(CHANGES):
         row = listing(point.workers * 2 + step // 4)
         state = ("ready", "draining", "ready", "gone")[step % 4]
-        front_end.woke(fleet.now)
+        router.advance(fleet.now)
         began = time.process_time()
-        front_end.listed([replace(row, state=state)], False)
+        router.endpoints_changed([replace(row, state=state)], False)
         spent += time.process_time() - began
     return 1000 * spent / CHANGES
 
--- a/tests/acceptance_rig.py
+++ b/tests/acceptance_rig.py
@@ -7,7 +7,7 @@
 from tests import platform_rig as rig
 from tests import test_fleet
 from wickdyke.gateway import desk
-from wickdyke.interface import Timing
+from wickdyke.routing.model import RoutePolicy
 from wickdyke.platform import serve
 from wickdyke.wire import loop
 
@@ -30,15 +30,15 @@
 CLASSES = ("look", "pay", "book")  # idempotent, side-effecting, with an idempotency key; `rent`'s is known in one zone
 KEY = "2d071f1f7aeaaed654f62e293c13f6a0"
 
-HEDGED = Timing(
-    soft=500.0,
-    attempt=None,
+HEDGED = RoutePolicy(
+    latency_objective=500.0,
+    attempt_timeout=None,
     attempts=4,
-    pause=(0.0, 1.0, 0.0, 0.0),
-    again=frozenset({"full", "unreached", "unsent", "error", "timeout", "cut"}),
-    second=(20.0, 2, 1.0),
-    budget=None,
-    queue=None,
+    backoff=(0.0, 1.0, 0.0, 0.0),
+    retryable=frozenset({"full", "unreached", "unsent", "error", "timeout", "cut"}),
+    hedge=(20.0, 2, 1.0),
+    budget_terms=None,
+    queue_timeout=None,
     priority=0,
 )
 
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -167,7 +167,7 @@
 
     def __enter__(self):
         self.gateway.open()
-        assert until(lambda: len(list(self.desk.front_end.fleet.ready())) == len(self.peers)), "workers not listed"
+        assert until(lambda: len(list(self.desk.router.fleet.ready())) == len(self.peers)), "workers not listed"
         return self
 
     def __exit__(self, *why):
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -3,27 +3,28 @@
 import unittest
 
 from tests.helpers import Fleet, called, verbs
-from wickdyke.interface import Timing
+from wickdyke.routing.decisions import Forward
+from wickdyke.routing.model import RoutePolicy
 
 PLAIN = {
-    "soft": 800.0,
-    "attempt": 500.0,
+    "latency_objective": 800.0,
+    "attempt_timeout": 500.0,
     "attempts": 3,
-    "pause": (0.0, 1.0, 1e9, 0.0),
-    "again": frozenset({"full", "miss", "unreached", "unsent", "timeout"}),
-    "second": None,
-    "budget": None,
-    "queue": None,
+    "backoff": (0.0, 1.0, 1e9, 0.0),
+    "retryable": frozenset({"full", "miss", "unreached", "unsent", "timeout"}),
+    "hedge": None,
+    "budget_terms": None,
+    "queue_timeout": None,
     "priority": 0,
 }
 
 
 def timing(**more):
-    return Timing(**{**PLAIN, **more})
+    return RoutePolicy(**{**PLAIN, **more})
 
 
-def first(decisions, verb="call"):
-    return next(d for d in decisions if d[0] == verb)
+def first(decisions, verb="forward"):
+    return next(d for d, word in zip(decisions, verbs(decisions), strict=True) if word == verb)
 
 
 def fail(fleet, rpc):
@@ -39,32 +40,32 @@
     def test_patience(self):
         """A call-out goes out with its attempt's time; without a route with none."""
         fleet = Fleet()
-        self.assertEqual(first(fleet.take(timing=timing()))[3], 500.0)
-        self.assertIsNone(first(fleet.take())[3])
+        self.assertEqual(first(fleet.take(timing=timing())).timeout, 500.0)
+        self.assertIsNone(first(fleet.take()).timeout)
 
     def test_outcomes(self):
         """(outcomes one after another, timing, effect) -> call-outs in all, and the final answer."""
         for outcomes, more, effect, calls, final in (
-            (["timeout"] * 5, {}, "idempotent", 3, "deny"),
-            (["timeout"] * 5, {"attempts": 1}, "idempotent", 1, "deny"),
-            (["timeout"] * 5, {"attempts": 9}, "idempotent", 4, "deny"),  # the deployment's own most
-            (["error"], {}, "idempotent", 1, "deny"),
-            (["error"] * 5, {"again": frozenset({"error"})}, "idempotent", 3, "deny"),
-            (["full", "error"], {}, "idempotent", 2, "deny"),
-            (["full", "full", "error"], {}, "side-effecting", 3, "abort"),
-            (["timeout"], {}, "side-effecting", 1, "abort"),  # asked for past the check: rule 2 stands above
-            (["full"] * 5, {}, "side-effecting", 3, "deny"),
-            (["cancelled", "full", "full"], {"again": frozenset()}, "idempotent", 2, "deny"),
+            (["timeout"] * 5, {}, "idempotent", 3, "reject"),
+            (["timeout"] * 5, {"attempts": 1}, "idempotent", 1, "reject"),
+            (["timeout"] * 5, {"attempts": 9}, "idempotent", 4, "reject"),  # the deployment's own most
+            (["error"], {}, "idempotent", 1, "reject"),
+            (["error"] * 5, {"retryable": frozenset({"error"})}, "idempotent", 3, "reject"),
+            (["full", "error"], {}, "idempotent", 2, "reject"),
+            (["full", "full", "error"], {}, "side-effecting", 3, "fail"),
+            (["timeout"], {}, "side-effecting", 1, "fail"),  # asked for past the check: rule 2 stands above
+            (["full"] * 5, {}, "side-effecting", 3, "reject"),
+            (["cancelled", "full", "full"], {"retryable": frozenset()}, "idempotent", 2, "reject"),
         ):
             with self.subTest(outcomes=outcomes, more=more, effect=effect):
                 fleet = Fleet(workers=8, effect=effect, call_outs=4)
                 done = fleet.take(timing=timing(**more))
-                rpc, all_done = first(done)[1], list(done)
+                rpc, all_done = first(done).request, list(done)
                 for outcome in outcomes:
                     if rpc.closed:
                         break
                     all_done += fleet.end(rpc, outcome, final=False)
-                self.assertEqual((verbs(all_done).count("call"), verbs(all_done)[-1]), (calls, final))
+                self.assertEqual((verbs(all_done).count("forward"), verbs(all_done)[-1]), (calls, final))
 
     def test_pauses(self):
         """The nth further attempt waits its pause, grown and bounded, and is sent within a look of it."""
@@ -75,7 +76,7 @@
             ((0.0, 1.0, 1e9, 0.0), (0.0, 0.0)),
         ):
             fleet = Fleet(workers=8)
-            rpc = first(fleet.take(timing=timing(pause=pause)))[1]
+            rpc = first(fleet.take(timing=timing(backoff=pause))).request
             for wait in least:
                 with self.subTest(pause=pause, wait=wait):
                     done, ended = fleet.end(rpc, "full", final=False), fleet.clock
@@ -83,9 +84,9 @@
                         if done:
                             break
                         fleet.clock += 1
-                        fleet.fe.woke(fleet.clock)
+                        fleet.fe.advance(fleet.clock)
                         done = fleet.pull() if fleet.clock >= fleet.fe.wake_at else []
-                    self.assertIn("call", verbs(done))
+                    self.assertIn("forward", verbs(done))
                     took = fleet.clock - ended
                     self.assertGreaterEqual(took, wait)
                     self.assertLessEqual(took, wait * (1 + pause[3]) + 50)
@@ -93,20 +94,20 @@
     def test_pause_past_the_end(self):
         """An RPC whose pause would outlast it is answered before its time is up."""
         fleet = Fleet(workers=8)
-        rpc = first(fleet.take(left=1000.0, timing=timing(pause=(5000.0, 1.0, 1e9, 0.0))))[1]
+        rpc = first(fleet.take(left=1000.0, timing=timing(backoff=(5000.0, 1.0, 1e9, 0.0)))).request
         fleet.end(rpc, "full", final=False)
-        self.assertIn("deny", verbs(fleet.pass_time(1000)))
+        self.assertIn("reject", verbs(fleet.pass_time(1000)))
 
     def test_budget(self):
         """Further attempts are at most the floor and the share of the RPCs within the window; then none; then again."""
         fleet = Fleet(workers=8)
-        terms = timing(budget=(10000.0, 0.1, 2.0))
+        terms = timing(budget_terms=(10000.0, 0.1, 2.0))
 
         def failing(many):
             calls = 0
             for _ in range(many):
                 done = fleet.take(f"p{fleet.ids % 5}", timing=terms)
-                rpc = first(done)[1]
+                rpc = first(done).request
                 calls += fail(fleet, rpc)
             return calls - many
 
@@ -118,22 +119,24 @@
     def test_budgets_apart(self):
         """Each route pays for itself."""
         fleet = Fleet(workers=8)
-        poor, rich = (timing(budget=(1e4, 0.0, floor), account=name) for name, floor in (("poor", 1.0), ("rich", 9.0)))
+        poor, rich = (
+            timing(budget_terms=(1e4, 0.0, floor), budget_key=name) for name, floor in (("poor", 1.0), ("rich", 9.0))
+        )
         for terms, calls in ((poor, 2), (poor, 1), (rich, 3), (poor, 1), (rich, 3)):
-            rpc = first(fleet.take(timing=terms))[1]
+            rpc = first(fleet.take(timing=terms)).request
             self.assertEqual(fail(fleet, rpc), calls)
 
     def test_budget_goes_on(self):
         """A file read anew: RPCs of the route as it stands now pay for one that was taken before, and it for them."""
         fleet = Fleet(workers=8)
         before, after = (
-            timing(budget=(1e4, 0.5, 0.0), account=name, priority=at) for at, name in enumerate(("r", "r"))
+            timing(budget_terms=(1e4, 0.5, 0.0), budget_key=name, priority=at) for at, name in enumerate(("r", "r"))
         )
-        old = first(fleet.take(timing=before))[1]
+        old = first(fleet.take(timing=before)).request
         for _ in range(3):
-            fleet.end(first(fleet.take(timing=after))[1], "ok", final=True)
+            fleet.end(first(fleet.take(timing=after)).request, "ok", final=True)
         self.assertEqual(fail(fleet, old), 3)
-        self.assertEqual(fail(fleet, first(fleet.take(timing=after))[1]), 1)
+        self.assertEqual(fail(fleet, first(fleet.take(timing=after)).request), 1)
 
     def test_time_outs_lower_the_limits(self):
         """(outcome, terms, busy share, standing) -> whether the limits on our call-outs fall: a route's attempts that
@@ -145,20 +148,23 @@
             ("cancelled", timing(attempts=1), 0.95, False),
             ("error", timing(attempts=1), 0.95, False),
             ("timeout", None, 0.95, False),
-            ("timeout", timing(attempts=1, attempt=None), 0.95, False),
+            ("timeout", timing(attempts=1, attempt_timeout=None), 0.95, False),
         ):
             with self.subTest(outcome=outcome, terms=terms, busy=busy):
                 fleet = Fleet(workers=1)
                 fleet.serve(calls=8)
                 worker = fleet.fe.workers["a"]
-                before = worker.limit, fleet.fe.whole.limit
+                before = worker.concurrency_limit, fleet.fe.all_workers.concurrency_limit
                 for _ in range(12):
-                    fleet.fe.probed("a", "ok", (busy, 4.0))
-                    called = [d[1] for d in fleet.take(timing=terms) if d[0] == "call"]
+                    fleet.fe.health_checked("a", "ok", (busy, 4.0))
+                    called = [d.request for d in fleet.take(timing=terms) if isinstance(d, Forward)]
                     while called and not called[0].closed:
                         fleet.clock += 120.0
                         fleet.end(called[0], outcome, final=terms is None)
-                self.assertEqual((worker.limit < before[0], fleet.fe.whole.limit < before[1]), (lowered, lowered))
+                self.assertEqual(
+                    (worker.concurrency_limit < before[0], fleet.fe.all_workers.concurrency_limit < before[1]),
+                    (lowered, lowered),
+                )
 
     def test_second_copies(self):
         """(overlap, effect, second, time passed) -> call-outs out; never more than saved up, never at one worker."""
@@ -174,9 +180,9 @@
         ):
             with self.subTest(overlap=overlap, effect=effect, second=second, ms=ms):
                 fleet = Fleet(workers=6, overlap=overlap, effect=effect)
-                rpc = first(fleet.take(timing=timing(second=second)))[1]
+                rpc = first(fleet.take(timing=timing(hedge=second))).request
                 fleet.pass_time(ms)
-                workers = [co.place.worker for co in rpc.call_outs if co.outcome is None]
+                workers = [co.replica.worker for co in rpc.attempts if co.outcome is None]
                 self.assertEqual(len(workers), out)
                 self.assertEqual(len(set(workers)), out)
 
@@ -185,31 +191,34 @@
         for begins, want in ((("ok", 0), ["cancel"]), (("ok", 1), ["cancel"]), (("error", 0), [])):
             with self.subTest(begins=begins):
                 fleet = Fleet(workers=6, overlap=True)
-                rpc = first(fleet.take(timing=timing(second=(200.0, 2, 1.0))))[1]
+                rpc = first(fleet.take(timing=timing(hedge=(200.0, 2, 1.0)))).request
                 fleet.pass_time(300)
                 outcome, number = begins
                 self.assertEqual(verbs(fleet.end(rpc, outcome, number)), want)
                 self.assertEqual(verbs(fleet.end(rpc, "ok", 1 - number, final=True)), [])
-                self.assertNotIn(rpc.ident, fleet.fe.rpcs)
+                self.assertNotIn(rpc.ident, fleet.fe.requests)
 
     def test_queue_and_priority(self):
         """What waits for a first place is denied after its queueing time; the dearest by priority goes first."""
-        fleet = Fleet(workers=1, holds=None)  # a fill may order a second copy: it is to have one lane
+        fleet = Fleet(workers=1, holds=None)  # a placement may order a second copy: it is to have one lane
         fleet.lanes = 1
         served = fleet.serve(calls=5)
         self.assertTrue(called(served))
-        low, high = timing(priority=0, queue=2000.0, soft=3000.0), timing(priority=5, queue=2000.0, soft=3000.0)
-        short = timing(queue=120.0, soft=3000.0)
-        out = [first(fleet.take(timing=high))[1]]
+        low, high = (
+            timing(priority=0, queue_timeout=2000.0, latency_objective=3000.0),
+            timing(priority=5, queue_timeout=2000.0, latency_objective=3000.0),
+        )
+        short = timing(queue_timeout=120.0, latency_objective=3000.0)
+        out = [first(fleet.take(timing=high)).request]
         for terms in (low, low, high, short):
             fleet.take(timing=terms)
-        waiting = list(fleet.fe.waiting)
+        waiting = list(fleet.fe.dispatcher.waiting)
         self.assertEqual(len(waiting), 4)
-        self.assertEqual(verbs(fleet.pass_time(100)).count("deny"), 0)
-        self.assertIn("deny", verbs(fleet.pass_time(100)))
+        self.assertEqual(verbs(fleet.pass_time(100)).count("reject"), 0)
+        self.assertIn("reject", verbs(fleet.pass_time(100)))
         fleet.end(out[0])
         done = fleet.pass_time(100)
-        self.assertEqual(first(done)[1].timing.priority, 5)
+        self.assertEqual(first(done).request.route_policy.priority, 5)
 
 
 if __name__ == "__main__":
--- a/tests/test_client_connection_faults.py
+++ b/tests/test_client_connection_faults.py
@@ -14,7 +14,8 @@
 
 from tests import platform_rig as rig
 from tests.test_shutdown import Timed
-from wickdyke.interface import Method
+from wickdyke.routing.decisions import Forward
+from wickdyke.routing.model import RequestClass
 from wickdyke.platform import front as fronts
 from wickdyke.wire import loop, outbox
 
@@ -130,7 +131,7 @@
         self.faults = []
         self.loop = loop.Loop(self.faults.append)
         self.loop.epoll = Standin(self.loop.epoll, plan)
-        methods = [Method("look", "idempotent", "all", 0.0, 500.0, 0.0, 4000.0, 1.0, 0.1)]
+        methods = [RequestClass("look", "idempotent", "all", 0.0, 500.0, 0.0, 4000.0, 1.0, 0.1)]
         host, port = (address := rig.free_address()).split(":")
         self.front = fronts.Front(self.loop, (host, int(port)), methods, 20, self.take, lambda: "", Mock())
         made = socket.socket
@@ -284,7 +285,7 @@
             patch.object(module, "clock", lambda: self.now).start()
         self.loop, self.told = loop.Loop(), []
         self.addCleanup(self.loop.close)
-        methods = [Method("look", "idempotent", "all", 0.0, 500.0, 0.0, 4000.0, 1.0, 0.1)]
+        methods = [RequestClass("look", "idempotent", "all", 0.0, 500.0, 0.0, 4000.0, 1.0, 0.1)]
         self.address = rig.free_address()
         host, port = self.address.split(":")
         self.front = fronts.Front(self.loop, (host, int(port)), methods, 2, self.told.append, lambda: "", Mock())
@@ -483,7 +484,7 @@
     def test_the_module_breaks_as_it_is_told_of_it(self):
         serving = self.front_end(self.worker())
         client = self.idle_client()
-        with patch.object(serving.desk.front_end, "took", side_effect=ZeroDivisionError):
+        with patch.object(serving.desk.router, "request_received", side_effect=ZeroDivisionError):
             self.send(client, rig.dispatch(2, rig.fields(A), b"a"))
             self.until(lambda: serving.desk.counts["faults"] == 1, "the fault")
         self.after(1600)
@@ -501,15 +502,15 @@
     def test_one_decision_that_breaks_keeps_no_other_back(self):
         serving = self.front_end(self.worker())
         clients = [self.idle_client() for _ in range(3)]
-        verb, broken = serving.desk.verbs["call"], []
+        verb, broken = serving.desk.actions[Forward], []
 
-        def call(rpc, *more):
+        def call(decision):
             if not broken:
-                broken.append(rpc)
+                broken.append(decision.request)
                 raise ZeroDivisionError
-            verb(rpc, *more)
+            verb(decision)
 
-        serving.desk.verbs["call"] = call
+        serving.desk.actions[Forward] = call
         for number, client in enumerate(clients):
             self.send(client, rig.dispatch(2, rig.fields(f"{number:016x}"), b"a"))
         serving.front.heard_more()  # all three are decided in one pull
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -48,7 +48,7 @@
         return self.roster.rows([rig.event(self.offset, *instances, reset=reset)], self.clocks.now)
 
     def age(self, name):
-        return self.clocks.now - self.roster.listed[name][0].born
+        return self.clocks.now - self.roster.listed[name][0].started_at
 
 
 def late(name="a", started=0.0, **more):
@@ -145,7 +145,7 @@
                 view = roster.Roster(("hall",), ("std",), clocks.ahead)
                 clocks.ours -= step
                 view.rows([rig.event(1, late(started=clocks.stamp(100.0)), reset=True)], clocks.now)
-                self.assertIn(clocks.now - view.listed["a"][0].born, (0.0, 100.0))
+                self.assertIn(clocks.now - view.listed["a"][0].started_at, (0.0, 100.0))
 
     def test_no_late_start_stays_none(self):
         """Whatever the clocks do, 0 is no late start."""
@@ -155,7 +155,7 @@
             clocks.now += 60 * SECOND
             clocks.ours += step
             view.tell(late("a", 0), late("b", None), rig.instance("c", "h:3"))
-            self.assertEqual([view.roster.listed[name][0].born for name in "abc"], [None] * 3)
+            self.assertEqual([view.roster.listed[name][0].started_at for name in "abc"], [None] * 3)
 
     def test_told_again_is_no_change(self):
         """(what comes between) -> the same start keeps its time: cold ones stay cold, long known ones warm."""
@@ -238,7 +238,7 @@
         clocks.ours, clocks.writers = ours, writers
         view = View(clocks, [late("a", clocks.stamp(200.0))])
         told = {"a": clocks.stamp(200.0)}  # the stamps that each name was told with last
-        births = {"a": view.roster.listed["a"][0].born}  # and the time that this start was given
+        births = {"a": view.roster.listed["a"][0].started_at}  # and the time that this start was given
         for what, with_ in acts:
             last = view.roster.last_events
             if what in ("ours", "writers"):
@@ -263,10 +263,10 @@
             for name, (listing, _) in view.roster.listed.items():
                 if name == "old":
                     continue
-                self.assertGreaterEqual(clocks.now - listing.born, 0.0)
+                self.assertGreaterEqual(clocks.now - listing.started_at, 0.0)
                 if name not in births:
-                    self.assertLessEqual(clocks.now - listing.born, most)
-                self.assertEqual(births.setdefault(name, listing.born), listing.born)
+                    self.assertLessEqual(clocks.now - listing.started_at, most)
+                self.assertEqual(births.setdefault(name, listing.started_at), listing.started_at)
 
     @settings(max_examples=200, deadline=None, derandomize=True)
     @given(st.lists(st.tuples(st.integers(0, int(HOUR)), st.integers(0, int(roster.PROMPT))), min_size=1, max_size=20))
@@ -300,11 +300,11 @@
         listing = view.roster.listed["a"][0]
         fleet.list([listing])
         worker = fleet.fe.workers["a"]
-        self.assertTrue(fleet.fe.guards.cold(worker, fleet.clock))
-        self.assertFalse(fleet.fe.guards.cold(worker, fleet.clock + 18 * SECOND))
+        self.assertTrue(fleet.fe.slow_start.is_warming_up(worker, fleet.clock))
+        self.assertFalse(fleet.fe.slow_start.is_warming_up(worker, fleet.clock + 18 * SECOND))
         calls = 0
         for _ in range(60):
-            calls += verbs(fleet.take()).count("call")
+            calls += verbs(fleet.take()).count("forward")
         return calls
 
     def test_a_start_told_while_a_clock_is_stepped(self):
@@ -337,7 +337,7 @@
                         started, began = int(time.time() * 1000), serve.clock()
                         source.event(rig.event(2, rig.instance("w1", two.address, startedAtMs=started)))
                         self.until(lambda serving=serving: serving.roster.offset == 2)
-                        born = serving.desk.front_end.workers["w1"].cold_from
+                        born = serving.desk.router.workers["w1"].warming_since
                         self.assertGreaterEqual(born, began - 1.0)  # the stamp is cut to whole ms
                         self.assertLessEqual(born, serve.clock())
                         self.end()
--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -17,7 +17,7 @@
 from tests.test_platform import Turned
 from wickdyke.gateway import link as rpc_link
 from wickdyke.gateway import speech as rpc_speech
-from wickdyke.interface import Method
+from wickdyke.routing.model import RequestClass
 from wickdyke.platform import back
 from wickdyke.wire import loop
 from wickdyke.wire.outbox import Expired, Outbox, Parcel, Unread
@@ -34,14 +34,16 @@
             test.addCleanup(started.stop)
 
 
-def call_out():
+def attempt():
     """A call-out of a method `look` to a program `f`."""
 
     class Kept(SimpleNamespace):
         """Of which one can tell when it is gone."""
 
-    method = Method("look", "idempotent", "all", 0.0, 1.0, 0.0, 9.0, 1.0, 0.1)
-    return Kept(rpc=SimpleNamespace(method=method, program=SimpleNamespace(name="f", memory=64.0, lanes=1)))
+    method = RequestClass("look", "idempotent", "all", 0.0, 1.0, 0.0, 9.0, 1.0, 0.1)
+    return Kept(
+        request=SimpleNamespace(request_class=method, function=SimpleNamespace(name="f", memory=64.0, concurrency=1))
+    )
 
 
 def ask(ident=ASCII_A, body=b"x"):
@@ -182,7 +184,7 @@
         super().setUp()
         self.pool = back.Pool(20)
         self.clock = Clock(self, back)
-        self.speech = back.Speech(self.loop, SimpleNamespace(seat=SimpleNamespace(report=())), Mock(), 20)
+        self.speech = back.Speech(self.loop, SimpleNamespace(instance=SimpleNamespace(report_fields=())), Mock(), 20)
 
     def link(self, address, dial=60000.0):
         def tell(*event):
@@ -207,7 +209,7 @@
         return here
 
     def order(self, left, ident=ASCII_A, body=b"x"):
-        return self.speech.run(call_out(), ask(ident, body), left)
+        return self.speech.run(attempt(), ask(ident, body), left)
 
     def test_told_at_most_what_is_left(self):
         """(ms left as it is sent) -> ttl, or None where it is not sent."""
@@ -319,7 +321,7 @@
         made = tempfile.TemporaryDirectory(prefix="wd-")
         self.addCleanup(made.cleanup)
         self.clock, self.folder = Clock(self, rpc_link, rpc_speech), made.name
-        self.speech = rpc_speech.JsonRpc(SimpleNamespace(name="g", seat=SimpleNamespace(report=())))
+        self.speech = rpc_speech.JsonRpc(SimpleNamespace(name="g", instance=SimpleNamespace(report_fields=())))
         self.go, self.runs = threading.Event(), []
 
     def link(self):
@@ -338,7 +340,7 @@
         return link, told
 
     def order(self, left):
-        return self.speech.run(call_out(), ask(body=msgspec.Raw(b'"x"')), left)
+        return self.speech.run(attempt(), ask(body=msgspec.Raw(b'"x"')), left)
 
     def test_a_hello_that_comes_late(self):
         """(ms until it comes) -> told what is left; where nothing is, never sent."""
--- a/tests/test_desk.py
+++ b/tests/test_desk.py
@@ -202,7 +202,7 @@
             self.assertEqual(running.said.getvalue().count("list unusable"), 5)
             os.unlink(os.path.join(running.folder, "workers.sexp"))
             self.assertTrue(until(lambda: running.said.getvalue().count("list unusable") == 6))
-            self.assertEqual(len(list(running.desk.front_end.fleet.ready())), 1)
+            self.assertEqual(len(list(running.desk.router.fleet.ready())), 1)
 
     def test_changes(self):
         """(rows written) -> who is ready then."""
@@ -223,7 +223,7 @@
                 with self.subTest(rows=rows):
                     self.assertTrue(
                         until(
-                            lambda ready=ready: sorted(w.listing.ident for w in running.desk.front_end.fleet.ready())
+                            lambda ready=ready: sorted(w.endpoint.ident for w in running.desk.router.fleet.ready())
                             == ready
                         )
                     )
@@ -235,9 +235,9 @@
             for at in range(40):
                 client.ask(at, program=f"p{at}")
                 self.assertIn("result", client.answer())
-                if not any(w.listing.ident == "w0" for w in running.desk.front_end.fleet.ready()):
+                if not any(w.endpoint.ident == "w0" for w in running.desk.router.fleet.ready()):
                     break
-            self.assertEqual([w.listing.ident for w in running.desk.front_end.fleet.ready()], ["w1"])
+            self.assertEqual([w.endpoint.ident for w in running.desk.router.fleet.ready()], ["w1"])
             client.close()
 
     def test_restart_is_known(self):
@@ -254,10 +254,10 @@
                 pass
 
         with Running((play,), more="") as running:
-            worker = running.desk.front_end.workers["w0"]
+            worker = running.desk.router.workers["w0"]
             again.set()
-            self.assertTrue(until(lambda: running.desk.front_end.workers["w0"] is not worker))
-            self.assertGreater(running.desk.front_end.workers["w0"].cold_from, time.monotonic() * 1000 - 20000)
+            self.assertTrue(until(lambda: running.desk.router.workers["w0"] is not worker))
+            self.assertGreater(running.desk.router.workers["w0"].warming_since, time.monotonic() * 1000 - 20000)
 
 
 def _ended(running):
@@ -470,7 +470,7 @@
             alike, differs = tape.replay(lines)
             self.assertIsNone(differs)
             self.assertGreater(alike, 150)
-            at = next(n for n, line in enumerate(lines) if line.startswith(b'["decided",["call"'))
+            at = next(n for n, line in enumerate(lines) if line.startswith(b'["decided",["forward"'))
             changed = [*lines[:at], lines[at].replace(b'"w', b'"x'), *lines[at + 1 :]]
             self.assertIn("decided", tape.replay(changed)[1])
             cut_off = [*lines[:-1], lines[-1][:5]]
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -324,7 +324,7 @@
             gateway = Gateway(made.station, made.log)
             gateway.open()
             try:
-                self.assertTrue(until(lambda: any(gateway.desk.front_end.fleet.ready())))
+                self.assertTrue(until(lambda: any(gateway.desk.router.fleet.ready())))
                 with socket.create_connection(("127.0.0.1", port), LONG) as sock:
                     sock.sendall(CALL % 1)
                     self.assertIn(b'"ok"', sock.makefile("rb").readline())
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -22,7 +22,7 @@
 
 from tests import platform_rig as rig
 from tests.test_platform import Turned
-from wickdyke.interface import Method
+from wickdyke.routing.model import RequestClass
 from wickdyke.platform import back, bus, front, resp, roster, serve, sse, station, thrift
 from wickdyke.wire import loop
 
@@ -275,22 +275,22 @@
         self.told(2)
         for name in ("w0", "w1"):
             serving.desk._link(name)
-        books, links = dict(serving.desk.front_end.workers), dict(serving.desk.links)
+        books, links = dict(serving.desk.router.workers), dict(serving.desk.links)
         self.assertEqual(set(links), {"w0", "w1"})
-        cold = books["w1"].cold_from
+        cold = books["w1"].warming_since
         both = [rig.instance("w0", one.address), here]
         source.event(rig.event(3, *both, reset=True))
         source.event(rig.event(3, both[0], reset=True))  # the number came before: it changes nothing
         source.event(rig.event(4, {**both[0], "lifecycle": "DRAINING"}, both[1], reset=True))
         self.told(4)
-        workers = serving.desk.front_end.workers
-        self.assertEqual((workers, serving.desk.links, workers["w1"].cold_from), (books, links, cold))
-        self.assertEqual(workers["w0"].listing.state, "draining")
+        workers = serving.desk.router.workers
+        self.assertEqual((workers, serving.desk.links, workers["w1"].warming_since), (books, links, cold))
+        self.assertEqual(workers["w0"].endpoint.state, "draining")
         source.event(rig.event(5, both[0], {**here, "startedAtMs": start + 400}))  # drain over; another start
         self.told(5)
-        self.assertEqual((workers["w0"].listing.state, workers["w0"]), ("ready", books["w0"]))
+        self.assertEqual((workers["w0"].endpoint.state, workers["w0"]), ("ready", books["w0"]))
         self.assertIsNot(workers["w1"], books["w1"])
-        self.assertAlmostEqual(workers["w1"].cold_from, cold + 400, 3)
+        self.assertAlmostEqual(workers["w1"].warming_since, cold + 400, 3)
         self.assertEqual(serving.desk.links, links)
 
     def test_a_drain_and_its_end_at_once_is_no_change(self):
@@ -298,7 +298,7 @@
         serving = self.front_end(one.address, bus=source.address)
         self.until(lambda: source.asked)
         row = rig.instance("w0", one.address)
-        before = dict(serving.desk.front_end.workers)
+        before = dict(serving.desk.router.workers)
         source.tell(
             "".join(
                 f"id: {told['offset']}\ndata: {json.dumps(told)}\n\n"
@@ -310,8 +310,8 @@
             ).encode()
         )
         self.told(4)
-        self.assertEqual(serving.desk.front_end.workers, before)
-        self.assertEqual(serving.desk.front_end.workers["w0"].listing.state, "ready")
+        self.assertEqual(serving.desk.router.workers, before)
+        self.assertEqual(serving.desk.router.workers["w0"].endpoint.state, "ready")
 
 
 class Asking(unittest.TestCase):
@@ -915,8 +915,8 @@
         methods = {
             m.name: m
             for m in (
-                Method("look", "idempotent", "all", 0.0, 1.0, 0.0, 9.0, 1.0, 0.1),
-                Method("book", "tokened", "zone", 9.0, 1.0, 0.0, 9.0, 1.0, 0.1),
+                RequestClass("look", "idempotent", "all", 0.0, 1.0, 0.0, 9.0, 1.0, 0.1),
+                RequestClass("book", "tokened", "zone", 9.0, 1.0, 0.0, 9.0, 1.0, 0.1),
             )
         }
 
@@ -956,10 +956,10 @@
                 read(**more)
 
     def test_the_key_goes_on_to_the_worker(self):
-        speech = back.Speech(Mock(), SimpleNamespace(seat=SimpleNamespace(report=())), Mock(), 9)
+        speech = back.Speech(Mock(), SimpleNamespace(instance=SimpleNamespace(report_fields=())), Mock(), 9)
         for token, told in (("", b"lane=book,name=f,ttl=5"), ("k1", b"lane=book,name=f,ttl=5,dedupe=k1")):
             call_out = Mock()
-            call_out.rpc.method.name, call_out.rpc.program.name = "book", "f"
+            call_out.request.request_class.name, call_out.request.function.name = "book", "f"
             ask = SimpleNamespace(call=SimpleNamespace(ident=ASCII_A, token=token, input=b"x"))
             with patch.object(back, "clock", lambda: 1000.0):  # no time passes: the command has what is left by then
                 line = speech.run(call_out, ask, 5.0).line
--- a/tests/test_logic.py
+++ b/tests/test_logic.py
@@ -9,11 +9,14 @@
 from math import ceil, sqrt
 from unittest.mock import Mock
 
-from tests.helpers import Fleet, called, row, verbs
-from wickdyke.chance import draw, mark
-from wickdyke.interface import Listing, Program, Ration, Seat, Warmup, Worker, place_of
-from wickdyke.fleet import Cell, lot
-from wickdyke.logic import Guards
+from tests.helpers import Fleet, called, choose_workers, row, verbs
+from wickdyke.routing.decisions import Cancel, Forward, Prewarm, Reject
+from wickdyke.routing.seeded_random import hash_fraction, name_hash
+from wickdyke.routing.model import Endpoint, Function, Worker, replica_of, WorkSample
+from wickdyke.routing.settings import GatewayInstance, PrewarmQuota, SlowStart
+from wickdyke.routing.cells import Cell
+from wickdyke.routing.ranking import rendezvous_rank
+from wickdyke.routing.slow_start import SlowStartGuard
 
 NEVER = ("full", "unreached", "miss")
 MAYBE = ("error", "timeout", "cut", "cancelled")
@@ -22,64 +25,64 @@
 class Rules(unittest.TestCase):
     def test_what_follows_an_outcome(self):
         """(effect, scope, outcome) -> the verbs that may follow the first call-out."""
-        cases = [("idempotent", "all", outcome, "call") for outcome in NEVER + MAYBE]
-        cases += [("side-effecting", "all", outcome, "call") for outcome in NEVER]
-        cases += [("side-effecting", "all", outcome, "abort") for outcome in MAYBE]
-        cases += [("tokened", "all", outcome, "call") for outcome in NEVER + MAYBE]
-        cases += [("tokened", "zone", "error", "abort"), ("tokened", "cell", "cut", "abort")]
+        cases = [("idempotent", "all", outcome, "forward") for outcome in NEVER + MAYBE]
+        cases += [("side-effecting", "all", outcome, "forward") for outcome in NEVER]
+        cases += [("side-effecting", "all", outcome, "fail") for outcome in MAYBE]
+        cases += [("tokened", "all", outcome, "forward") for outcome in NEVER + MAYBE]
+        cases += [("tokened", "zone", "error", "fail"), ("tokened", "cell", "cut", "fail")]
         for effect, scope, outcome, verb in cases:
             with self.subTest(effect=effect, scope=scope, outcome=outcome):
                 rows = [row(name, zone=at, cell=at) for at, name in enumerate("abc")]
                 fleet = Fleet(effect=effect, scope=scope, rows=rows)
-                rpc = fleet.take()[0][1]
+                rpc = fleet.take()[0].request
                 if scope != "all":  # the one worker of the group is not to be used
                     rows = [
                         row("abc"[at], zone=at, cell=at, state="draining")
                         for at in range(3)
-                        if "abc"[at] == rpc.call_outs[0].place.worker.listing.ident
+                        if "abc"[at] == rpc.attempts[0].replica.worker.endpoint.ident
                     ]
                     fleet.list(rows, whole=False)
                 got = fleet.end(rpc, outcome) or fleet.pass_time(2500)
-                self.assertEqual([v for v in verbs(got) if v not in ("hold", "cancel")][:1], [verb])
+                self.assertEqual([v for v in verbs(got) if v not in ("prewarm", "cancel")][:1], [verb])
 
     def test_tokened_window(self):
         """No repeat once the workers have forgotten the mark; a denial where all drop repeats."""
-        for wait, verb in ((1900.0, "call"), (2100.0, "deny")):
+        for wait, verb in ((1900.0, "forward"), (2100.0, "reject")):
             with self.subTest(wait=wait):
                 fleet = Fleet(effect="tokened")
-                rpc = fleet.take()[0][1]
+                rpc = fleet.take()[0].request
                 fleet.clock += wait
                 self.assertIn(verb, verbs(fleet.end(rpc, "error")))
 
     def test_every_rpc_gets_one_answer(self):
         """(workers, what each call-out comes to) -> the last word, in time and only once."""
         for workers, outcome, effect, verb in (
-            (0, None, "idempotent", "deny"),
-            (0, None, "side-effecting", "deny"),
-            (2, "full", "side-effecting", "deny"),
-            (2, "full", "idempotent", "deny"),
-            (2, "unreached", "idempotent", "deny"),
-            (2, "timeout", "side-effecting", "abort"),
+            (0, None, "idempotent", "reject"),
+            (0, None, "side-effecting", "reject"),
+            (2, "full", "side-effecting", "reject"),
+            (2, "full", "idempotent", "reject"),
+            (2, "unreached", "idempotent", "reject"),
+            (2, "timeout", "side-effecting", "fail"),
         ):
             with self.subTest(workers=workers, outcome=outcome, effect=effect):
                 fleet = Fleet(workers=workers, effect=effect)
                 got, start = fleet.take(), fleet.clock
                 for _ in range(200):
-                    rpc = fleet.fe.rpcs.get(1)
-                    if rpc and rpc.call_outs and rpc.call_outs[-1].outcome is None:
+                    rpc = fleet.fe.requests.get(1)
+                    if rpc and rpc.attempts and rpc.attempts[-1].outcome is None:
                         fleet.clock += 1
                         got += fleet.end(rpc, outcome)
                     got += fleet.pass_time(50)
-                self.assertEqual([v for v in verbs(got) if v in ("deny", "abort")], [verb])
-                self.assertLess(verbs(got).count("call"), 5)
+                self.assertEqual([v for v in verbs(got) if v in ("reject", "fail")], [verb])
+                self.assertLess(verbs(got).count("forward"), 5)
                 self.assertGreater(fleet.clock, start + 4000)
-                self.assertFalse(fleet.fe.rpcs)
+                self.assertFalse(fleet.fe.requests)
 
     def test_deadline_timeout_is_answered_at_once(self):
-        for effect, verb in (("idempotent", "deny"), ("side-effecting", "abort")):
+        for effect, verb in (("idempotent", "reject"), ("side-effecting", "fail")):
             with self.subTest(effect=effect):
                 fleet = Fleet(effect=effect)
-                rpc = fleet.take()[0][1]
+                rpc = fleet.take()[0].request
                 fleet.clock += 4000
                 self.assertIn(verb, verbs(fleet.end(rpc, "timeout")))
 
@@ -93,7 +96,7 @@
                 fleet.list(rows, whole=whole)
                 got = fleet.serve(calls=30) + fleet.pass_time(3000)
                 self.assertNotIn(first, called(got))
-                self.assertNotIn(first, [d[1].listing.ident for d in got if d[0] == "hold"])
+                self.assertNotIn(first, [d.worker.endpoint.ident for d in got if isinstance(d, Prewarm)])
 
     def test_cold_worker_gets_little(self):
         """(age of the new worker in ms, most it may get of 40 RPCs at once)."""
@@ -101,7 +104,7 @@
             with self.subTest(age=age):
                 fleet = Fleet(workers=1)
                 fleet.serve(calls=30)
-                fleet.list([row("z", born=fleet.clock - age)], whole=False)
+                fleet.list([row("z", started_at=fleet.clock - age)], whole=False)
                 fleet.list([row("a", state="draining")], whole=False)
                 got = called([d for n in range(40) for d in fleet.take(f"q{n}")])
                 self.assertLessEqual(len(got), most)
@@ -118,10 +121,10 @@
                     for _ in range(12):
                         fleet.serve(calls=1)
                         for name in "abcd":
-                            fleet.fe.probed(name, "ok", (0.4, 2.0))
+                            fleet.fe.health_checked(name, "ok", (0.4, 2.0))
                         fleet.pass_time(gap - 100, step=gap - 100)
                     born = fleet.clock
-                    fleet.list([row("z", born=born)])
+                    fleet.list([row("z", started_at=born)])
                     for _ in range(ceil(8000 / gap)):
                         ages += [fleet.clock - born for _ in called(fleet.serve(calls=1))]
                         ages += [fleet.clock - born for _ in called(fleet.pass_time(gap - 100, step=gap - 100))]
@@ -134,9 +137,9 @@
         """(settings, ms of work, cores) -> what all front ends send that always have an RPC for the one cold worker, in
         any span of the window, never over N + 2 x root of N + 2, N being what the settings allow as it begins."""
         least, site, most = (
-            Warmup(0.17, 12000.0, 2.0, 1000.0),
-            Warmup(0.2, 18000.0, 2.0, 2000.0),
-            Warmup(0.45, 5000.0, 4.0, 2000.0),
+            SlowStart(0.17, 12000.0, 2.0, 1000.0),
+            SlowStart(0.2, 18000.0, 2.0, 2000.0),
+            SlowStart(0.45, 5000.0, 4.0, 2000.0),
         )
         for warm, work, size in (
             (least, 330.0, 3.0),
@@ -169,23 +172,23 @@
 
         def worker(name, born):
             few = (deque(maxlen=8) for _ in range(4))
-            return Worker(Listing(name, 0, 0, 0, "ready", size, born), *few, 1e4, 8.0, born, mark(name))
+            return Worker(Endpoint(name, 0, 0, 0, "ready", size, born), *few, 1e4, 8.0, born, name_hash(name))
 
         rpc = Mock()
-        rpc.method.times, rpc.method.soft = [work], 4 * work
+        rpc.request_class.durations, rpc.request_class.latency_objective = [work], 4 * work
         front_ends, sent = [], []
         for seat in range(many):
-            guards = Guards(warm, Ration(0.0, 0.0, 0.0), Seat(seat, many, 0, (), False))
+            guards = SlowStartGuard(warm, GatewayInstance(seat, many, 0, (), False))
             old = worker("old", None)
-            part = 2 * draw(mark("part"), seat)  # of the mean
-            guards.carried.extend([(5000.0, 12 * size * 0.5 * 5000 / many * part)])
-            guards.survey([Cell(0, 0, ready=[old], size=size, busy=(0.5, 1))], 5000.0)
+            part = 2 * hash_fraction(name_hash("part"), seat)  # of the mean
+            guards.served.append(WorkSample(5000.0, 12 * size * 0.5 * 5000 / many * part))
+            guards.survey([Cell(0, 0, ready=[old], size=size, utilization=(0.5, 1))], 5000.0)
             guards.rate /= 12
             front_ends.append((guards, worker("z", 5000.0)))
         for now in range(5000, int(5000 + warm.ramp), 50):
             for guards, cold in front_ends:
-                while guards.may_call(cold, rpc, float(now)):
-                    cold.sends.append((float(now), work))
+                while guards.admits(cold, rpc, float(now)):
+                    cold.slow_start_sends.append(WorkSample(float(now), work))
                     sent.append(now - 5000)
         return sent
 
@@ -193,16 +196,16 @@
         """(free, share, window): orders of any window never exceed free + share x RPCs taken in it."""
         for free, share, window in ((2.0, 0.1, 5000.0), (0.0, 0.05, 3000.0), (6.0, 0.0, 1000.0)):
             with self.subTest(free=free, share=share):
-                fleet = Fleet(ration=Ration(free, share, window))
+                fleet = Fleet(ration=PrewarmQuota(free, share, window))
                 holds, taken = [], []
                 for at in range(400):
                     taken.append(fleet.clock)
                     got = fleet.take(f"p{at % 40}")  # copies are never found, so holds are always wanted
-                    for rpc in [d[1] for d in got if d[0] == "call"]:
+                    for rpc in [d.request for d in got if isinstance(d, Forward)]:
                         fleet.clock += 5 * (at < 40)
                         got += fleet.end(rpc, "miss" if at >= 40 else "ok")  # each was answered once
                     got += fleet.pass_time(25, step=25)
-                    for _ in [d for d in got if d[0] == "hold"]:
+                    for _ in [d for d in got if isinstance(d, Prewarm)]:
                         holds.append(fleet.clock)
                         recent = [t for t in holds if fleet.clock - t < window]
                         took = [t for t in taken if fleet.clock - t < window]
@@ -222,17 +225,17 @@
                 fleet = Fleet(workers=8)
                 used = []
                 for name in "abcdefgh" * 8:
-                    fleet.fe.probed(name, "ok", (0.1, 0.3))
+                    fleet.fe.health_checked(name, "ok", (0.1, 0.3))
                 for at in range(300):
                     used += called(fleet.serve(f"p{at % 6}", calls=1, ms=gap))
                 self.assertLessEqual(len(set(used[-60:])), most)
 
     def test_spills_on_full_and_not_to_the_same(self):
         fleet = Fleet(workers=3)
-        rpc = fleet.take()[0][1]
+        rpc = fleet.take()[0].request
         got = fleet.end(rpc, "full") + fleet.end(rpc, "full")
-        self.assertEqual(len({co.place.worker for co in rpc.call_outs}), 3)
-        self.assertEqual(verbs(got)[:2], ["call", "call"])
+        self.assertEqual(len({co.replica.worker for co in rpc.attempts}), 3)
+        self.assertEqual(verbs(got)[:2], ["forward", "forward"])
 
     def test_budget_grows_and_shrinks(self):
         for outcome, compare in (("ok", self.assertGreater), ("full", self.assertLess), ("error", self.assertLess)):
@@ -240,9 +243,9 @@
                 fleet = Fleet(workers=1)
                 fleet.take()
                 worker = fleet.fe.workers["a"]
-                before = worker.budget
-                fleet.fe.held("a", "p", outcome, 1, 800.0)
-                compare(worker.budget, before)
+                before = worker.memory_budget
+                fleet.fe.prewarm_finished("a", "p", outcome, 1, 800.0)
+                compare(worker.memory_budget, before)
 
     def test_silent_worker_loses_its_good_latency(self):
         fleet = Fleet(workers=4)
@@ -257,8 +260,8 @@
     def test_sample_with_a_load_is_not_a_slow_worker(self):
         fleet = Fleet(workers=3)
         fleet.serve(calls=20)
-        rpc = fleet.take("new")[0][1]
-        worker = rpc.call_outs[0].place.worker
+        rpc = fleet.take("new")[0].request
+        worker = rpc.attempts[0].replica.worker
         before = fleet.fe.latency.pace(worker)
         fleet.clock += 1500
         fleet.end(rpc, standing="began")
@@ -270,8 +273,8 @@
         for workers in (20, 90):
             fleet = Fleet(rows=[row(f"w{n}") for n in range(workers)], front_ends=50)
             fleet.serve(calls=60)
-            fleet.fe.next_fill, looks = float("inf"), []
-            for part, name in ((fleet.fe.guards, "may_call"), (fleet.fe.health, "silent")):
+            fleet.fe.schedule.next_at, looks = float("inf"), []
+            for part, name in ((fleet.fe.slow_start, "admits"), (fleet.fe.outliers, "is_silent")):
                 setattr(part, name, Mock(wraps=getattr(part, name)))
                 looks.append(getattr(part, name))
             fleet.take("new")
@@ -287,31 +290,31 @@
                 fleet = Fleet(rows=[row(f"w{n}") for n in range(40)], front_ends=50, probe=True)
                 got = [d for _ in range(rpcs) for d in fleet.serve(calls=1)]
                 got += fleet.pass_time(10000 - fleet.clock + 1000)
-                self.assertTrue(0 < verbs(got).count("probe") <= most, verbs(got).count("probe"))
+                self.assertTrue(0 < verbs(got).count("health_check") <= most, verbs(got).count("health_check"))
 
     def test_a_program_not_called_for_a_while(self):
         """Fills go on between the last call and the end of its idle life."""
         fleet = Fleet()
         fleet.take()
-        fleet.fe.probed("a", "ok", (0.5, 2.0))
+        fleet.fe.health_checked("a", "ok", (0.5, 2.0))
         fleet.pass_time(9900, step=300)
-        self.assertTrue(fleet.fe.programs)
+        self.assertTrue(fleet.fe.functions)
 
     def test_forgets_what_was_asked_for_once(self):
         fleet = Fleet()
         for at in range(50):
             fleet.serve(f"once{at}", calls=1, ms=10.0)
         fleet.pass_time(40000, step=500)
-        self.assertFalse(fleet.fe.programs)
-        self.assertFalse(any(w.places for w in fleet.fe.workers.values()))
+        self.assertFalse(fleet.fe.functions)
+        self.assertFalse(any(w.replicas for w in fleet.fe.workers.values()))
 
     def test_lot_is_the_same_for_all(self):
         one, two = Fleet(seed=1).fe, Fleet(seed=2).fe
         for fe in (one, two):
-            fe.took(1, 4000.0, fe.methods[0], "p", 1.0, 1, None, None, False)
+            fe.request_received(1, 4000.0, fe.request_classes[0], "p", 1.0, 1, None, None, False)
         self.assertEqual(
-            [lot(one.programs["p"], w) for w in one.workers.values()],
-            [lot(two.programs["p"], w) for w in two.workers.values()],
+            [rendezvous_rank(one.functions["p"], w) for w in one.workers.values()],
+            [rendezvous_rank(two.functions["p"], w) for w in two.workers.values()],
         )
 
 
@@ -321,7 +324,7 @@
 out = []
 for at in range(200):
     out += fleet.serve(f"p{at * 7 % 13}", calls=1, ms=30.0)
-print([(d[0], getattr(d[1], 'ident', None), len(d)) for d in out])
+print([(type(d).__name__, getattr(getattr(d, 'request', None), 'ident', None)) for d in out])
 """
 
 
@@ -355,13 +358,13 @@
                 fleet.lanes = 8
                 fleet.serve(calls=2)
                 worker = fleet.fe.workers["a"]
-                before = worker.limit
-                rpcs = [d[1] for _ in range(7) for d in fleet.take() if d[0] == "call"]
+                before = worker.concurrency_limit
+                rpcs = [d.request for _ in range(7) for d in fleet.take() if isinstance(d, Forward)]
                 fleet.clock += ms
                 for rpc in rpcs:
                     fleet.end(rpc, standing=standing)
-                compare(worker.limit, before)
-                self.assertGreater(worker.limit, before * 0.2)
+                compare(worker.concurrency_limit, before)
+                self.assertGreater(worker.concurrency_limit, before * 0.2)
 
     def test_waits_for_a_full_home_and_leaves_one_that_drains(self):
         """(state of the home, how busy others are, loads on call) -> whether a call goes elsewhere while the home is
@@ -375,10 +378,10 @@
             with self.subTest(state=state, busy=busy, on_call=on_call):
                 fleet = Fleet(workers=3, loads_on_call=on_call)
                 home = called(fleet.serve(calls=200))[-1]
-                for place in fleet.fe.programs["p"].places if state == "ready" else ():
-                    place.worker.limit *= place.standing == 0
+                for place in fleet.fe.functions["p"].replicas if state == "ready" else ():
+                    place.worker.concurrency_limit *= place.loaded == 0
                 for worker in fleet.ready:
-                    worker.busy = busy
+                    worker.utilization = busy
                 fleet.list([row(home, state=state)], whole=False)
                 self.assertEqual(bool(called(fleet.take())), elsewhere)
 
@@ -388,19 +391,19 @@
             fleet.list([row(name)])
             fleet.serve(calls=3)
             fleet.pass_time(600)
-        ring, met, known = fleet.fe.programs["p"].ring, fleet.fe.health.met, fleet.fe.fleet
-        kept = (ring, met, known.workers, known.owners, known.places, known.sizes)
+        ring, met, known = fleet.fe.functions["p"].ranking, fleet.fe.outliers.last_outcomes, fleet.fe.fleet
+        kept = (ring, met, known.workers, known.ring.owners, known.positions, known.ring.size_counts)
         self.assertEqual([len(each) for each in kept], [1] * 6)
 
     def test_homes_leave_a_closed_worker(self):
         fleet = Fleet(workers=6)
         for name in "abcdef" * 8:
-            fleet.fe.probed(name, "ok", (0.2, 0.6))
+            fleet.fe.health_checked(name, "ok", (0.2, 0.6))
         for at in range(400):
             fleet.serve(f"p{at % 5}", calls=1, ms=60.0)
-        opened = set(fleet.fill.opened)
+        opened = set(fleet.placement.active)
         self.assertLess(len(opened), 6)
-        placed = {p.worker for program in fleet.fe.programs.values() for p in program.places if p.placed}
+        placed = {p.worker for program in fleet.fe.functions.values() for p in program.replicas if p.placed}
         self.assertLessEqual(placed, opened)
 
     def test_load_times_are_learnt(self):
@@ -420,10 +423,10 @@
             with self.subTest(hint=hint, seen=seen):
                 fleet = Fleet()
                 fleet.take()
-                program = fleet.fe.programs["p"]
+                program = fleet.fe.functions["p"]
                 program.load_hint = hint
                 for took in seen:
-                    fleet.fe.latency.loaded(program, took, *told)
+                    fleet.fe.latency.record_load(program, took, *told)
                 self.assertEqual(fleet.fe.latency.load_time(program), want)
 
     def test_a_miss_site_is_asked_by_a_call_then_given_a_hold(self):
@@ -432,42 +435,42 @@
             with self.subTest(outcome=outcome):
                 fleet = Fleet(workers=1, loads_on_call=False, holds=None)
                 got = fleet.take()
-                self.assertEqual(verbs(got), ["call"])
-                got = fleet.end(got[0][1], outcome) + fleet.pass_time(100)
-                self.assertEqual((verbs(got).count("hold"), verbs(got).count("call")), (holds, calls))
+                self.assertEqual(verbs(got), ["forward"])
+                got = fleet.end(got[0].request, outcome) + fleet.pass_time(100)
+                self.assertEqual((verbs(got).count("prewarm"), verbs(got).count("forward")), (holds, calls))
 
     def test_further_copies_are_left_to_workers_where_call_outs_ask(self):
         for loads_on_call in (True, False):
             fleet = Fleet(workers=3, loads_on_call=loads_on_call, front_ends=1, holds=None)
             got = [d for _ in range(30) for d in fleet.take() + fleet.pass_time(20, 10)]
-            for rpc in [d[1] for d in got if d[0] == "call"]:
+            for rpc in [d.request for d in got if isinstance(d, Forward)]:
                 got += fleet.end(rpc)
             got += fleet.pass_time(1500)
-            self.assertEqual(any(d[3] > 1 for d in got if d[0] == "hold"), loads_on_call)
+            self.assertEqual(any(d.replicas > 1 for d in got if isinstance(d, Prewarm)), loads_on_call)
 
     def test_what_was_called_once_is_not_held_ahead(self):  # too late for its own RPC, too, to order one
         fleet = Fleet(workers=6, loads_on_call=False, holds=None, front_ends=50, tells=False)
         got, held = fleet.take() + fleet.pass_time(600), 0
-        for rpc in [got[0][1]] * 3:
-            held += verbs(fleet.end(rpc, "miss")).count("hold")
-            fleet.fe.next_fill = fleet.fe.wake_at = fleet.clock
-            held += verbs(fleet.pass_time(50)).count("hold")
+        for rpc in [got[0].request] * 3:
+            held += verbs(fleet.end(rpc, "miss")).count("prewarm")
+            fleet.fe.schedule.next_at = fleet.fe.wake_at = fleet.clock
+            held += verbs(fleet.pass_time(50)).count("prewarm")
         self.assertEqual(held, 0)
 
     def test_after_misses_the_hold_goes_to_the_first_home_by_lot(self):
         for seed in range(4):  # of each front end's own
             fleet = Fleet(workers=6, loads_on_call=False, holds=None, call_outs=4, seed=seed)
             got = fleet.take()
-            for place in [place_of(got[0][1].program, worker) for worker in fleet.ready[:3]]:
+            for place in [replica_of(got[0].request.function, worker) for worker in fleet.ready[:3]]:
                 place.placed = True
-            first = min(fleet.ready[:3], key=lambda w: lot(got[0][1].program, w))
-            while not (held := [d for d in got if d[0] == "hold"]):
-                got = fleet.end(got[-1][1], "miss") + fleet.pass_time(50)
-            self.assertEqual(held[0][1], first)
+            first = min(fleet.ready[:3], key=lambda w: rendezvous_rank(got[0].request.function, w))
+            while not (held := [d for d in got if isinstance(d, Prewarm)]):
+                got = fleet.end(got[-1].request, "miss") + fleet.pass_time(50)
+            self.assertEqual(held[0].worker, first)
 
     def test_one_call_out_is_kept_for_after_the_hold(self):
         fleet = Fleet(workers=3, loads_on_call=False, holds=None, call_outs=1)
-        self.assertEqual(verbs(fleet.take()), ["hold"])
+        self.assertEqual(verbs(fleet.take()), ["prewarm"])
 
 
 class Shapes(unittest.TestCase):
@@ -476,27 +479,27 @@
     def test_reports_are_completed(self):
         """(fields, values, cores of a worker) -> busy and held as they count; absent is not 0."""
         for fields, values, busy, held in (
-            (("busy", "held"), (0.5, 3.0), 0.5, 3.0),
-            (("held",), (2.0,), 0.5, 2.0),
-            (("held",), (9.0,), 1.0, 9.0),
-            (("busy",), (0.5,), 0.5, 2.0),
-            (("busy", "queue"), (0.5, 7.0), 0.5, 9.0),
+            (("utilization", "in_flight"), (0.5, 3.0), 0.5, 3.0),
+            (("in_flight",), (2.0,), 0.5, 2.0),
+            (("in_flight",), (9.0,), 1.0, 9.0),
+            (("utilization",), (0.5,), 0.5, 2.0),
+            (("utilization", "queued"), (0.5, 7.0), 0.5, 9.0),
         ):
             with self.subTest(fields=fields, values=values):
                 fleet = Fleet(workers=2, report=fields)
                 worker, latency = fleet.fe.workers["a"], fleet.fe.latency
-                latency.width_each = 4.0 / worker.listing.size
-                latency.reported(worker, values, fleet.clock)
-                report = worker.reports[-1][1]
-                self.assertEqual((worker.busy, report["busy"], report["held"]), (busy, busy, held))
+                latency.cores_per_size = 4.0 / worker.endpoint.size
+                latency.record_report(worker, values, fleet.clock)
+                report = worker.load_reports[-1]
+                self.assertEqual((worker.utilization, report.utilization, report.in_flight), (busy, busy, held))
 
     def test_cores_by_what_tenants_are_promised(self):
         """(RPCs a second promised) -> RPCs at once of each of 4 workers, at 200 ms each; a guess where nothing is."""
         for quotas, want in (((), 4.0), ((16.0, 16.0), 2.0), ((64.0,), 4.0), ((320.0,), 20.0)):
             with self.subTest(quotas=quotas):
-                fleet = Fleet(workers=4, report=("held",), quotas=quotas)
+                fleet = Fleet(workers=4, report=("in_flight",), quotas=quotas)
                 fleet.fe.latency.survey(fleet.cell, [fleet.cell], 200.0, fleet.clock)
-                self.assertAlmostEqual(fleet.fe.latency.width(fleet.fe.workers["a"]), want)
+                self.assertAlmostEqual(fleet.fe.latency.cores(fleet.fe.workers["a"]), want)
 
     def test_a_program_spreads_where_no_company_is_told(self):
         """(company told) -> homes of a program that needs 0.6 of a worker's part."""
@@ -504,9 +507,9 @@
             with self.subTest(tells=tells):
                 fleet = Fleet(workers=6, loads_on_call=False, tells=tells)
                 fleet.take()
-                program, workers, fill = fleet.fe.programs["p"], fleet.ready, fleet.fill
-                fill.unit, fill.opened, one = 1.0, dict.fromkeys(workers), dict.fromkeys(workers, 1.0)
-                got = fill.put(program, 0.6, 1.0, [], one, one, dict.fromkeys(workers, 9e9), fleet.clock)
+                program, workers, placement = fleet.fe.functions["p"], fleet.ready, fleet.placement
+                placement.mean_room, placement.active, one = 1.0, dict.fromkeys(workers), dict.fromkeys(workers, 1.0)
+                got = choose_workers(placement, program, 0.6, one, one, dict.fromkeys(workers, 9e9))
                 self.assertEqual(len(got), homes)
 
     def test_front_ends_ask_at_several_homes_before_their_first_fill(self):
@@ -518,10 +521,10 @@
 
     def test_only_homes_are_probed_in_turn(self):
         fleet = Fleet(workers=8)
-        self.assertEqual(len(fleet.fe.rota), 8)
+        self.assertEqual(len(fleet.fe.health_checker.rota), 8)
         fleet.serve(calls=20)
-        homes = {place.worker for place in fleet.fe.programs["p"].places if place.placed}
-        self.assertEqual(set(fleet.fe.rota), homes)
+        homes = {place.worker for place in fleet.fe.functions["p"].replicas if place.placed}
+        self.assertEqual(set(fleet.fe.health_checker.rota), homes)
 
     def test_demand_counts_since_the_start(self):
         """(ms since the start) -> lanes that ten calls of 200 ms keep busy, over the time that there was."""
@@ -530,8 +533,8 @@
                 fleet = Fleet(workers=1)
                 for _ in range(10):
                     fleet.take()
-                fleet.fill.since = fleet.clock - age
-                self.assertAlmostEqual(fleet.fill.demand(fleet.fe.programs["p"], fleet.clock), lanes)
+                fleet.placement.demand.since = fleet.clock - age
+                self.assertAlmostEqual(fleet.placement.demand.own_lanes(fleet.fe.functions["p"], fleet.clock), lanes)
 
     def test_a_zone_is_a_fleet_of_its_own_where_crossing_costs(self):
         """(price of crossing, loads on call, workers of the zone shunned) -> the zones in which programs are placed."""
@@ -544,9 +547,9 @@
         ):
             with self.subTest(crossing=crossing, on_call=on_call, ill=ill):
                 fleet = Fleet(rows=rows, crossing=crossing, loads_on_call=on_call)
-                for worker in [w for w in fleet.ready if w.listing.zone == 0][:ill]:
-                    worker.shuns = 1
-                self.assertEqual({w.listing.zone for w in fleet.fill.know(fleet.clock)}, zones)
+                for worker in [w for w in fleet.ready if w.endpoint.zone == 0][:ill]:
+                    worker.ejections = 1
+                self.assertEqual({w.endpoint.zone for w in fleet.placement.scope.update(fleet.clock)}, zones)
 
     def test_other_zones_count_in_part_while_ours_is_crowded(self):
         """(busy in our zone, in the other; periods) -> how much the other's workers count, and that some are homes."""
@@ -560,23 +563,25 @@
         ):
             with self.subTest(mine=mine, far=far, periods=periods):
                 fleet = Fleet(rows=rows, crossing=0.05, loads_on_call=False)
-                fill, ready = fleet.fill, fleet.ready
+                placement, ready = fleet.placement, fleet.ready
                 for worker in ready:
-                    if (busy := far if worker.listing.zone else mine) is not None:
-                        fleet.fe.latency.reported(worker, (busy, 4.0), fleet.clock)
+                    if (busy := far if worker.endpoint.zone else mine) is not None:
+                        fleet.fe.latency.record_report(worker, (busy, 4.0), fleet.clock)
                 for _ in range(periods):
-                    fill.know(fleet.clock)
-                self.assertEqual((fill.reach, fill.known == ready), (reach, reach > 0))
+                    placement.scope.update(fleet.clock)
+                self.assertEqual((placement.scope.reach, placement.scope.workers == ready), (reach, reach > 0))
                 heads = {
-                    fill.ring(Program(f"p{n}", None, 1.0, 1, 0.0, *[deque()] * 4, mark(f"p{n}")))[0].listing.zone
+                    placement.ranking(Function(f"p{n}", None, 1.0, 1, 0.0, *[deque()] * 4, name_hash(f"p{n}")))[
+                        0
+                    ].endpoint.zone
                     for n in range(100)
                 }
                 self.assertEqual(heads, {0, 1} if reach else {0})
-                for worker in (worker for worker in ready if worker.reports):
-                    worker.reports.clear()
+                for worker in (worker for worker in ready if worker.load_reports):
+                    worker.load_reports.clear()
                 for _ in range(4):  # nothing told any more: our zone alone again
-                    fill.know(fleet.clock)
-                self.assertEqual({w.listing.zone for w in fill.known}, {0})
+                    placement.scope.update(fleet.clock)
+                self.assertEqual({w.endpoint.zone for w in placement.scope.workers}, {0})
 
     def test_the_fleet_is_as_busy_as_fresh_reports_say(self):
         """(ms since reports of 1.0, of 0.5) -> the busy share that counts for the limit on all call-outs."""
@@ -585,35 +590,37 @@
                 fleet = Fleet(workers=2)
                 for age, share in ((old, 1.0), (young, 0.5)):
                     for worker in fleet.ready:
-                        fleet.fe.latency.reported(worker, (share, 4.0), fleet.clock - age)
-                fleet.fe.next_fill = fleet.fe.wake_at = fleet.clock
+                        fleet.fe.latency.record_report(worker, (share, 4.0), fleet.clock - age)
+                fleet.fe.schedule.next_at = fleet.fe.wake_at = fleet.clock
                 fleet.pull()
-                self.assertEqual(fleet.fe.whole.reports[-1][1]["busy"], busy)
+                self.assertEqual(fleet.fe.all_workers.load_reports[-1].utilization, busy)
 
     def test_hints_of_work_count_whatever_becomes_of_the_rpc(self):
         fleet = Fleet()
         for ident, work in enumerate((100.0, 300.0), 1):
-            fleet.fe.took(ident, 4000.0, fleet.method, "p", 4000.0, 2, None, work, False)
-        self.assertEqual(fleet.fe.latency.usual(fleet.fe.programs["p"]), 200.0)
+            fleet.fe.request_received(ident, 4000.0, fleet.method, "p", 4000.0, 2, None, work, False)
+        self.assertEqual(fleet.fe.latency.usual_work(fleet.fe.functions["p"]), 200.0)
 
     def test_what_nobody_has_tells_nothing_of_workers_and_earns_no_orders(self):
         """(whether the program was answered before) -> worker shunned after errors, RPCs that count for orders."""
         for proven in (True, False):
             with self.subTest(proven=proven):
-                fleet = Fleet(workers=1, ration=Ration(1.0, 1.0, 5000.0))
+                fleet = Fleet(workers=1, ration=PrewarmQuota(1.0, 1.0, 5000.0))
                 fleet.serve(calls=1 if proven else 0)
-                before = len(fleet.fe.guards.taken)
+                before = len(fleet.fe.prewarm_limiter.requests)
                 for _ in range(4):
-                    for rpc in [d[1] for d in fleet.take() if d[0] == "call"]:
+                    for rpc in [d.request for d in fleet.take() if isinstance(d, Forward)]:
                         fleet.end(rpc, "error", final=True)
                 fleet.pass_time(600)
                 worker = fleet.fe.workers["a"]
-                self.assertEqual((bool(worker.shuns), len(fleet.fe.guards.taken) - before > 0), (proven, proven))
-                self.assertEqual(any(place.placed for place in fleet.fe.programs["p"].places), proven)
+                self.assertEqual(
+                    (bool(worker.ejections), len(fleet.fe.prewarm_limiter.requests) - before > 0), (proven, proven)
+                )
+                self.assertEqual(any(place.placed for place in fleet.fe.functions["p"].replicas), proven)
 
     def test_requests_for_functions_nobody_has_earn_no_load_orders(self):
         """Where attempts ask for copies: (functions asked for, whether one exists) -> most orders of a window."""
-        ration = Ration(3.0, 0.2, 5000.0)
+        ration = PrewarmQuota(3.0, 0.2, 5000.0)
         for unknown, known in ((60, False), (60, True), (0, True)):
             with self.subTest(unknown=unknown, known=known):
                 fleet = Fleet(workers=4, loads_on_call=False, ration=ration, holds=None)
@@ -624,66 +631,70 @@
                         got = fleet.take(name)
                         legitimate += name == "p"
                         for decision in got:
-                            if decision[0] == "call":
-                                got += fleet.end(decision[1], "ok" if name == "p" else "miss", final=name == "p")
-                            elif decision[0] == "hold":
-                                found = "ok" if decision[2].name == "p" else "error"
-                                fleet.fe.held(decision[1].listing.ident, decision[2].name, found, 1, 1.0)
+                            if isinstance(decision, Forward):
+                                got += fleet.end(decision.request, "ok" if name == "p" else "miss", final=name == "p")
+                            elif isinstance(decision, Prewarm):
+                                found = "ok" if decision.function.name == "p" else "error"
+                                fleet.fe.prewarm_finished(
+                                    decision.worker.endpoint.ident, decision.function.name, found, 1, 1.0
+                                )
                         done += got
                     done += fleet.pass_time(20, step=20.0)
-                orders = verbs(done).count("hold")
+                orders = verbs(done).count("prewarm")
                 self.assertLessEqual(orders, ration.free + ration.share * legitimate)
-                self.assertEqual(len(fleet.fe.guards.taken), legitimate)
+                self.assertEqual(len(fleet.fe.prewarm_limiter.requests), legitimate)
 
     def test_what_was_taken_before_the_first_answer_earns_orders_with_it(self):
         """(what proves that the function exists, ms after the first request) -> requests counted in the window."""
         for proof, wait, counted in (("answer", 100, 3), ("order", 100, 3), ("answer", 5100, 1), ("miss", 100, 0)):
             with self.subTest(proof=proof, wait=wait):
-                fleet = Fleet(workers=1, loads_on_call=False, ration=Ration(3.0, 0.2, 5000.0), holds=None)
+                fleet = Fleet(workers=1, loads_on_call=False, ration=PrewarmQuota(3.0, 0.2, 5000.0), holds=None)
                 fleet.serve("other", calls=1)
-                fleet.fe.guards.taken.clear()
-                first = fleet.take()[0][1]
+                fleet.fe.prewarm_limiter.requests.clear()
+                first = fleet.take()[0].request
                 fleet.take()
                 fleet.pass_time(wait)
                 fleet.take()
                 if proof == "order":
-                    fleet.fe.held("a", "p", "ok", 1, 1.0)
+                    fleet.fe.prewarm_finished("a", "p", "ok", 1, 1.0)
                 else:
                     fleet.end(first, "ok" if proof == "answer" else "miss", number=0)
-                self.assertEqual(len(fleet.fe.guards.taken), counted)
-                self.assertEqual(list(fleet.fe.guards.taken), sorted(fleet.fe.guards.taken))
+                self.assertEqual(len(fleet.fe.prewarm_limiter.requests), counted)
+                self.assertEqual(list(fleet.fe.prewarm_limiter.requests), sorted(fleet.fe.prewarm_limiter.requests))
 
     def test_answers_within_one_reading_of_the_clock(self):
-        """Attempts that took no time at all by the clock leave every later fill and choice possible."""
+        """Attempts that took no time at all by the clock leave every later placement and choice possible."""
         for tells in (True, False):
             for work in (None, 50.0):
                 with self.subTest(tells=tells, work=work):
                     fleet = Fleet(workers=2, tells=tells)
                     for number in range(200):
-                        fleet.fe.woke(fleet.clock)
-                        fleet.fe.took(1000 + number, 4000.0, fleet.method, "p", 4000.0, 2, None, work, False)
-                        for rpc in [d[1] for d in fleet.pull() if d[0] == "call"]:
-                            fleet.fe.ended(rpc.ident, 0, "ok", True, "stood", 3, (0.5, 2.0))
+                        fleet.fe.advance(fleet.clock)
+                        fleet.fe.request_received(
+                            1000 + number, 4000.0, fleet.method, "p", 4000.0, 2, None, work, False
+                        )
+                        for rpc in [d.request for d in fleet.pull() if isinstance(d, Forward)]:
+                            fleet.fe.attempt_finished(rpc.ident, 0, "ok", True, "stood", 3, (0.5, 2.0))
                         fleet.pull()
                         if number % 20 == 0:
                             fleet.pass_time(1000, step=500.0)
-                    self.assertGreater(fleet.fe.latency.average, 0.0)
-                    self.assertTrue(fleet.fe.latency.usual(fleet.fe.programs["p"]) > 0.0)
-                    self.assertIn("call", verbs(fleet.take()))
+                    self.assertGreater(fleet.fe.latency.average_pace, 0.0)
+                    self.assertTrue(fleet.fe.latency.usual_work(fleet.fe.functions["p"]) > 0.0)
+                    self.assertIn("forward", verbs(fleet.take()))
 
     def test_what_would_be_late_at_a_full_home_is_denied_at_once(self):
         """(busy, held there, age of the report in ms, loads on call) -> the verb."""
         for busy, held, age, on_call, verb in (
-            (0.95, 60.0, 0, False, "deny"),
-            (0.5, 60.0, 0, False, "call"),
-            (0.95, 1.0, 0, False, "call"),
-            (0.95, 60.0, 5000, False, "call"),
-            (0.95, 60.0, 0, True, "call"),
+            (0.95, 60.0, 0, False, "reject"),
+            (0.5, 60.0, 0, False, "forward"),
+            (0.95, 1.0, 0, False, "forward"),
+            (0.95, 60.0, 5000, False, "forward"),
+            (0.95, 60.0, 0, True, "forward"),
         ):
             with self.subTest(busy=busy, held=held, age=age, on_call=on_call):
                 fleet = Fleet(workers=1, loads_on_call=on_call)
                 fleet.serve(calls=20)
-                fleet.fe.latency.reported(fleet.fe.workers["a"], (busy, held), fleet.clock - age)
+                fleet.fe.latency.record_report(fleet.fe.workers["a"], (busy, held), fleet.clock - age)
                 self.assertIn(verb, verbs(fleet.take()))
 
     def test_many_unreached_and_none_cut_are_no_restarts(self):
@@ -695,12 +706,12 @@
         ):
             with self.subTest(outcomes=outcomes):
                 fleet = Fleet(workers=10)
-                fleet.fe.woke(fleet.clock)
+                fleet.fe.advance(fleet.clock)
                 fleet.take()
                 for worker, outcome in zip(fleet.ready, outcomes, strict=True):
-                    fleet.fe.health.saw(worker, outcome, fleet.clock)
+                    fleet.fe.outliers.record(worker, outcome, fleet.clock)
                 last = fleet.ready[-1]
-                self.assertEqual((last.cold_from is not None, last in fleet.fe.health.shunned), (lost, lost))
+                self.assertEqual((last.warming_since is not None, last in fleet.fe.outliers.ejected), (lost, lost))
 
 
 class Symptoms(unittest.TestCase):
@@ -720,23 +731,24 @@
             with self.subTest(effect=effect, shunned=shunned, heard=heard, workers=workers):
                 fleet = Fleet(workers=workers, effect=effect)
                 fleet.serve(calls=20)
-                rpc = fleet.take()[0][1]
+                rpc = fleet.take()[0].request
                 got = fleet.pass_time(100)
                 if heard:
-                    fleet.end(next(d[1] for d in fleet.take() if d[0] == "call"))
+                    fleet.end(next(d.request for d in fleet.take() if isinstance(d, Forward)))
                 if shunned:
-                    fleet.fe.health.shun(rpc.call_outs[0].place.worker, fleet.clock, "test")
+                    fleet.fe.outliers.eject(rpc.attempts[0].replica.worker, fleet.clock, "test")
                 got += fleet.pass_time(1000)
-                self.assertEqual(("cancel", rpc.call_outs[0]) in got, back)
+                cancelled = [d.attempt for d in got if isinstance(d, Cancel)]
+                self.assertEqual(rpc.attempts[0] in cancelled, back)
 
     def test_unanswered_probes_shun_and_an_answer_brings_the_trial(self):
         fleet = Fleet(workers=3, probe=True)
         home = called(fleet.serve(calls=150))[-1]
         for _ in range(3):
-            fleet.fe.probed(home, "timeout", None)
+            fleet.fe.health_checked(home, "timeout", None)
         fleet.pass_time(100)
         self.assertNotIn(home, called(fleet.serve(calls=10, ms=10.0)))
-        fleet.fe.probed(home, "ok", None)
+        fleet.fe.health_checked(home, "ok", None)
         got = [d for _ in range(3) for d in fleet.take()]
         self.assertEqual(called(got).count(home), 1)
 
@@ -745,23 +757,23 @@
         for ms, left in ((100, 2), (6000, 1)):
             with self.subTest(ms=ms):
                 fleet = Fleet(workers=1)
-                rpc = fleet.take()[0][1]
-                worker = rpc.call_outs[0].place.worker
+                rpc = fleet.take()[0].request
+                worker = rpc.attempts[0].replica.worker
                 for _ in range(2):
-                    fleet.fe.health.shun(worker, fleet.clock, "test")
+                    fleet.fe.outliers.eject(worker, fleet.clock, "test")
                 fleet.clock += ms
                 fleet.end(rpc)
-                self.assertEqual(worker.shuns, left)
+                self.assertEqual(worker.ejections, left)
 
     def test_a_copy_that_stood_unknown_is_no_load(self):
         """(ms that an answer took which does not tell) -> samples of a load's time."""
         for ms, samples in ((230.0, 0), (1500.0, 1)):
             with self.subTest(ms=ms):
                 fleet = Fleet(workers=1, holds=None)
-                rpc = next(d[1] for d in fleet.take() if d[0] == "call")
+                rpc = next(d.request for d in fleet.take() if isinstance(d, Forward))
                 fleet.clock += ms
                 fleet.end(rpc, standing=None)
-                self.assertEqual(len(rpc.program.loads), samples)
+                self.assertEqual(len(rpc.function.load_times), samples)
 
     def test_full_without_company_tells_of_memory(self):
         """(RPCs of the program held there) -> whether the copy still counts and others may load there."""
@@ -769,18 +781,18 @@
             with self.subTest(company=company):
                 fleet = Fleet(workers=2)
                 home = called(fleet.serve(calls=100))[-1]
-                rpc = fleet.take()[0][1]
-                place = rpc.call_outs[0].place
-                fleet.fe.ended(rpc.ident, 0, "full", False, None, company, None)
-                self.assertEqual(place.standing > 0, room)
+                rpc = fleet.take()[0].request
+                place = rpc.attempts[0].replica
+                fleet.fe.attempt_finished(rpc.ident, 0, "full", False, None, company, None)
+                self.assertEqual(place.loaded > 0, room)
                 self.assertEqual(home in called(fleet.take("new")) + called(fleet.take("newer")), room)
 
     def test_no_more_call_outs_than_lanes(self):
         fleet = Fleet(workers=3)
         fleet.serve(calls=200)
-        place = next(p for p in fleet.fe.programs["p"].places if p.standing)
+        place = next(p for p in fleet.fe.functions["p"].replicas if p.loaded)
         got = called([d for _ in range(9) for d in fleet.take()])
-        self.assertLessEqual(got.count(place.worker.listing.ident), place.standing * fleet.lanes)
+        self.assertLessEqual(got.count(place.worker.endpoint.ident), place.loaded * fleet.lanes)
 
     def test_denied_once_its_usual_latency_no_longer_fits(self):
         """(times that all RPCs take of their due) -> ms after which one that finds no room is denied."""
@@ -788,15 +800,15 @@
             with self.subTest(slow=slow):
                 fleet = Fleet(workers=1)
                 fleet.serve(calls=40)
-                fleet.fe.next_fill = float("inf")
-                fleet.fe.latency.average = slow
-                fleet.fe.workers["a"].limit = 0.0
-                fleet.fe.allowance = replace(fleet.fe.allowance, retry_after=300.0)
+                fleet.fe.schedule.next_at = float("inf")
+                fleet.fe.latency.average_pace = slow
+                fleet.fe.workers["a"].concurrency_limit = 0.0
+                fleet.fe.dispatcher.limits = replace(fleet.fe.dispatcher.limits, retry_after=300.0)
                 start, got = fleet.clock, fleet.take()
-                while "deny" not in verbs(got):
+                while "reject" not in verbs(got):
                     got = fleet.pass_time(50)
                 self.assertTrue(least <= fleet.clock - start <= most, fleet.clock - start)
-                self.assertTrue(0.0 < next(d[2] for d in got if d[0] == "deny") <= 300.0)
+                self.assertTrue(0.0 < next(d.retry_after for d in got if isinstance(d, Reject)) <= 300.0)
 
     def test_an_answer_given_up_counts_for_the_pace(self):
         """(outcome, ms) -> whether the worker counts as slower; not where the client only left early."""
@@ -809,8 +821,8 @@
             with self.subTest(outcome=outcome, ms=ms):
                 fleet = Fleet(workers=1)
                 fleet.serve(calls=20)
-                rpc = fleet.take()[0][1]
-                worker = rpc.call_outs[0].place.worker
+                rpc = fleet.take()[0].request
+                worker = rpc.attempts[0].replica.worker
                 before = fleet.fe.latency.pace(worker)
                 fleet.clock += ms
                 fleet.end(rpc, outcome)
@@ -822,10 +834,10 @@
             with self.subTest(outcome=outcome):
                 fleet = Fleet(workers=2)
                 fleet.serve(calls=20)
-                rpc = fleet.take()[0][1]
-                worker = rpc.call_outs[0].place.worker
+                rpc = fleet.take()[0].request
+                worker = rpc.attempts[0].replica.worker
                 fleet.end(rpc, outcome)
-                self.assertEqual(fleet.fe.guards.cold(worker, fleet.clock), cold)
+                self.assertEqual(fleet.fe.slow_start.is_warming_up(worker, fleet.clock), cold)
 
     def test_the_fleets_demand_for_a_program(self):
         """(our lanes, our part, company by worker) -> least and most lanes of the fleet."""
@@ -838,9 +850,9 @@
             with self.subTest(own=own, company=company):
                 fleet = Fleet(workers=2)
                 fleet.take()
-                program, (a, b) = fleet.fe.programs["p"], fleet.fe.workers.values()
-                program.company.extend((worker, many) for many in company for worker in (a, b))
-                self.assertTrue(least <= fleet.fill.wide(program, own, part) <= most)
+                program, (a, b) = fleet.fe.functions["p"], fleet.fe.workers.values()
+                program.concurrency_samples.extend((worker, many) for many in company for worker in (a, b))
+                self.assertTrue(least <= fleet.placement.demand.fleet_lanes(program, own, part) <= most)
 
     def test_late_answers_limit_all_our_call_outs(self):
         """(ms of each answer, busy share) -> whether what one front end has out at all workers is limited."""
@@ -848,9 +860,9 @@
             with self.subTest(ms=ms, busy=busy):
                 fleet = Fleet(workers=6, front_ends=200)
                 for at in range(12):
-                    fleet.fe.probed("f", "ok", (busy, 6.0))  # elsewhere: at a busy home they would be denied
+                    fleet.fe.health_checked("f", "ok", (busy, 6.0))  # elsewhere: at a busy home they would be denied
                     fleet.serve(f"p{at}", calls=2, ms=ms)
-                self.assertEqual(fleet.fe.whole.limit < 9.0, limited)
+                self.assertEqual(fleet.fe.all_workers.concurrency_limit < 9.0, limited)
 
     def test_little_used_programs_stay_at_home(self):
         """(load, of a room of 1 what is left at the first by lot) -> whether it is chosen anew."""
@@ -858,10 +870,10 @@
             with self.subTest(load=load, left=left):
                 fleet = Fleet(workers=3, front_ends=3)
                 fleet.take()
-                program, workers = fleet.fe.programs["p"], list(fleet.fe.workers.values())
-                home = min(workers, key=lambda w: lot(program, w))
-                fleet.fill.unit, fleet.fill.opened = 1.0, dict.fromkeys(workers)
+                program, workers = fleet.fe.functions["p"], list(fleet.fe.workers.values())
+                home = min(workers, key=lambda w: rendezvous_rank(program, w))
+                fleet.placement.mean_room, fleet.placement.active = 1.0, dict.fromkeys(workers)
                 room = {w: left if w is home else 1.0 for w in workers}
                 budget, part = dict.fromkeys(workers, 9e9), dict.fromkeys(workers, 1.0)
-                got = fleet.fill.put(program, load, 1.0, [], part, room, budget, fleet.clock)
+                got = choose_workers(fleet.placement, program, load, part, room, budget)
                 self.assertEqual(got == [home], first)
--- a/tests/test_move.py
+++ b/tests/test_move.py
@@ -6,7 +6,7 @@
 
 from tests.rig import Running, hello, lines_of, ok
 from tests.test_gateway import run
-from wickdyke.interface import Shares
+from wickdyke.routing.settings import TenantQuotas
 from wickdyke.protocol import back, jsonrpc
 from wickdyke.settings import station
 
@@ -49,11 +49,13 @@
         code, _, told = self.move()
         self.assertEqual(code, 0, told)
         old, new = station.read(self.path("old")), station.read(self.path("new"))
-        self.assertEqual((new.kinds, new.tenants, new.shares), (("new",), ("a",), Shares((50.0,))))
-        self.assertEqual([(m.name, m.soft, m.deadline) for m in new.methods], [("m", 600, 4000), ("t", 1000, 4000)])
-        self.assertEqual((new.allowance.call_outs, new.allowance.overlap), (4, False))
-        self.assertEqual((new.stock.idle_life, new.stock.loads_on_call), (8000.0, False))
-        self.assertEqual((new.warmup, new.programs[0].memory, new.zones), (old.warmup, 100.0, old.zones))
+        self.assertEqual((new.kinds, new.tenants, new.tenant_quotas), (("new",), ("a",), TenantQuotas((50.0,))))
+        self.assertEqual(
+            [(m.name, m.latency_objective, m.deadline) for m in new.methods], [("m", 600, 4000), ("t", 1000, 4000)]
+        )
+        self.assertEqual((new.attempt_limits.attempts, new.attempt_limits.hedging), (4, False))
+        self.assertEqual((new.function_cache.idle_timeout, new.function_cache.loads_on_demand), (8000.0, False))
+        self.assertEqual((new.slow_start, new.programs[0].memory, new.zones), (old.slow_start, 100.0, old.zones))
         for words in (
             '(kind "old" (memory 8 GB)) has no counterpart',
             "(most 3) became (most 4)",
@@ -123,7 +125,7 @@
                 result = client.answer()["result"]
                 self.assertEqual((result["answer"], result["call_outs"]), ("ok", call_outs))
             self.assertEqual([kind for kind in seen if kind != "probe"][:3], ["run", "hold", "run"])
-            self.assertEqual(running.desk.front_end.latency.promised, 50.0)
+            self.assertEqual(running.desk.router.latency.promised_rate, 50.0)
             client.ask(3, tenant="b")
             self.assertIn("expected one of a", client.answer()["error"]["data"])
             client.close()
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -16,7 +16,7 @@
 
 from tests import platform_rig as rig
 from wickdyke.gateway.parts import ListChange
-from wickdyke.interface import Method
+from wickdyke.routing.model import RequestClass
 from wickdyke.platform import back, front, resp, roster, sse, station, thrift
 from wickdyke.platform.serve import Serving
 from wickdyke.wire.loop import Loop, clock
@@ -99,7 +99,7 @@
 
     def test_endings(self):
         """(answer) -> outcome, standing, company, copies, report; or spoilt."""
-        names = ("busy", "held")
+        names = ("utilization", "in_flight")
         for answer, told in (
             ([b"i", b"ACK", b"why=w,ahead=3,rep=inflight:7;util:0.61", b"x"], ("ok", "stood", 3, 0, (0.61, 7.0))),
             ([b"i", b"ACK", b"rep=outstanding:7;utilization:0.61", b""], ("ok", None, 0, 0, (0.61, 7.0))),
@@ -169,7 +169,7 @@
     def test_a_start_time_read_twice_is_the_same_start(self):
         view = roster.Roster(("hall",), ("std",), lambda: 1000.5)
         late = rig.instance("a", "h:1", startedAtMs=5000)
-        self.assertEqual(view.rows([rig.event(1, late)], 4000.0).listings[0].born, 3999.5)
+        self.assertEqual(view.rows([rig.event(1, late)], 4000.0).listings[0].started_at, 3999.5)
         self.assertEqual(view.rows([rig.event(2, late)], 4099.0), ListChange([], {}))
 
 
@@ -239,7 +239,7 @@
             self.pool,
             dial,
             10000.0,
-            ("busy", "held"),
+            ("utilization", "in_flight"),
         )
         self.addCleanup(link.close)
         return link
@@ -436,7 +436,7 @@
 class Clients(Turned):
     def setUp(self):
         super().setUp()
-        methods = [Method("look", "idempotent", "all", 0.0, 500.0, 0.0, 4000.0, 1.0, 0.1)]
+        methods = [RequestClass("look", "idempotent", "all", 0.0, 500.0, 0.0, 4000.0, 1.0, 0.1)]
         self.address = rig.free_address()
         host, port = self.address.split(":")
         self.front = front.Front(self.loop, (host, int(port)), methods, 20, self.told.append, lambda: "", Mock())
@@ -608,7 +608,7 @@
         self.addCleanup(lambda: [link.close() for link in list(serving.desk.links.values())])
         serving.open()
         self.addCleanup(serving.front.shut)
-        told = serving.desk.front_end.workers["w0"]
+        told = serving.desk.router.workers["w0"]
 
         def until(done):
             ends = time.monotonic() + rig.LONG
@@ -620,21 +620,22 @@
         self.addCleanup(client.close)
         client.send(b"".join(rig.dispatch(n, rig.fields(f"{n:016x}", d="60000")) for n in (1, 2, 3)))
         until(lambda: len(held) == 3)
-        self.assertEqual(len(told.out), 3)
+        self.assertEqual(len(told.in_flight), 3)
         for answer, results in ((b"ACK", [True]), (b"EIO", [True, False])):
             sock, ident = held.pop(0)
             sock.sendall(rig.bulk(ident, answer, b"why=w,ahead=2", b""))
-            until(lambda results=results: [good for _, good in told.results] == results)
+            until(lambda results=results: [good for _, good in told.recent_results] == results)
         # an idempotent one that failed goes again: as many are out as the worker has
-        until(lambda: len(held) == len(told.out))
-        until(lambda: told.reports)
-        self.assertEqual(told.reports[-1][1], {"busy": 0.25, "held": 2.0})
+        until(lambda: len(held) == len(told.in_flight))
+        until(lambda: told.load_reports)
+        report = told.load_reports[-1]
+        self.assertEqual((report.utilization, report.in_flight), (0.25, 2.0))
         until(lambda: worker.came(b"prewarm"))
-        (place,) = serving.desk.front_end.programs["7f3a9c21e0b4d655"].places
-        until(lambda: place.ordered is None)
-        self.assertEqual(place.standing, 1)
+        (place,) = serving.desk.router.functions["7f3a9c21e0b4d655"].replicas
+        until(lambda: place.prewarm_sent_at is None)
+        self.assertEqual(place.loaded, 1)
         client.close()
-        until(lambda: not told.out and not serving.desk.asks)
+        until(lambda: not told.in_flight and not serving.desk.asks)
         self.assertEqual(serving.front.open, {})
         self.assertEqual(sum(conn.load for conn in serving.desk.links["w0"].connections), 0)
 
@@ -643,7 +644,7 @@
     """Codecs before cut, changed and random bytes: what they give or their one error, and bounded memory."""
 
     def test_nothing_but_the_one_error(self):
-        draws = random.Random(11)
+        hash_fractions = random.Random(11)
         whole = {
             "thrift": rig.dispatch(1, rig.fields(), b"body") + rig.cancel(2, 1) + rig.alive(3),
             "resp": rig.bulk(b"a", b"ACK", b"why=w,ahead=1", b"x") * 3,
@@ -675,12 +676,14 @@
         for name, good in whole.items():
             raised = 0
             for _ in range(1500):
-                data = bytearray(good if draws.random() < 0.8 else draws.randbytes(draws.randrange(300)))
-                for _ in range(draws.randrange(4)):
-                    at = draws.randrange(len(data) + 1)
-                    data[at : at + draws.randrange(3)] = draws.randbytes(draws.randrange(3))
+                data = bytearray(
+                    good if hash_fractions.random() < 0.8 else hash_fractions.randbytes(hash_fractions.randrange(300))
+                )
+                for _ in range(hash_fractions.randrange(4)):
+                    at = hash_fractions.randrange(len(data) + 1)
+                    data[at : at + hash_fractions.randrange(3)] = hash_fractions.randbytes(hash_fractions.randrange(3))
                 try:
-                    reads[name](bytes(data[: draws.randrange(len(data) + 1)]), draws.randrange(1, 40))
+                    reads[name](bytes(data[: hash_fractions.randrange(len(data) + 1)]), hash_fractions.randrange(1, 40))
                 except errors[name]:
                     raised += 1
             self.assertGreater(raised, 50, name)
@@ -728,17 +731,23 @@
                 json.dump(rig.config("127.0.0.1:1", "127.0.0.1:2"), out)
             got = station.read(path)
         self.assertEqual(
-            ([m.effect for m in got.methods], got.methods[0].soft, got.seat.of, got.seat.report, got.sockets),
-            (["idempotent", "side-effecting"], 500.0, 2, ("busy", "held"), 256),
+            (
+                [m.effect for m in got.methods],
+                got.methods[0].latency_objective,
+                got.instance.count,
+                got.instance.report_fields,
+                got.sockets,
+            ),
+            (["idempotent", "side-effecting"], 500.0, 2, ("utilization", "in_flight"), 256),
         )
         self.assertEqual(got.bounds.open_rpcs, 1024)  # of 64 MB
         self.assertEqual(
-            (got.allowance.cancel, got.allowance.overlap, got.ration.free, got.kinds),
+            (got.attempt_limits.cancel, got.attempt_limits.hedging, got.prewarm_quota.free, got.kinds),
             (True, False, 6.0, ("std", "slow")),
         )
 
 
-class Program(unittest.TestCase):
+class Function(unittest.TestCase):
     """The program as the platform starts it."""
 
     def setUp(self):
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -128,7 +128,7 @@
                             changes = roster.unheard("w", now)
                         case "draining":
                             changes = roster.draining("w")
-                self.assertEqual([(c.state, c.born) for c in changes], [] if want is None else [want])
+                self.assertEqual([(c.state, c.started_at) for c in changes], [] if want is None else [want])
                 for change in changes:
                     self.assertEqual((change.zone, change.kind, change.cell, change.size), (1, 1, 1, 4.0))
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -13,21 +13,21 @@
 
 from bench import scale
 from bench.hollow import Draw, HollowFleet, Settings, listing
-from wickdyke import fleet as index
-from wickdyke import logic
-from wickdyke.chance import draw, draws, mark
-from wickdyke.fleet import Fleet
+from wickdyke.routing import periods, ranking, router
+from wickdyke.routing.placement import Placement
+from wickdyke.routing.seeded_random import hash_fraction, hash_fractions, name_hash
+from wickdyke.routing.fleet import Fleet
 from wickdyke.gateway import tape
-from wickdyke.interface import Program, Worker
+from wickdyke.routing.model import Function, Worker
 
-WHOLE, CAPACITY, POINTS = logic.ONE_CELL, logic.CELL, logic.POINTS
+WHOLE, CAPACITY, POINTS = router.SINGLE_CELL_LIMIT, router.CELL_CAPACITY, router.POINTS_PER_FUNCTION
 SIZES = (200, 1000, 5000, 10000)
 FLAT = 1.2  # how much more something may cost in the largest fleets than in the smallest
 
 
 def made(row):
     """The books of a worker that is only listed."""
-    return Worker.listed(row, 0.0, 8.0)
+    return Worker.from_endpoint(row, 0.0, 8.0)
 
 
 def fleet_of(rows):
@@ -42,11 +42,11 @@
 
 
 def function(name):
-    return Program(name, None, 1.0, 1, 0.0, (), (), (), (), mark(name))
+    return Function(name, None, 1.0, 1, 0.0, (), (), (), (), name_hash(name))
 
 
 def first_of(fleet, name):
-    return fleet.home(name).first.listing.ident
+    return fleet.home(name).nearest.endpoint.ident
 
 
 def shape(fleet):
@@ -57,17 +57,19 @@
 class Index(unittest.TestCase):
     def test_draws_are_those_of_draw(self):
         for first in names(20):
-            others = [mark(name) for name in names(20, seed=9)]
-            self.assertEqual(draws(mark(first), others), [draw(mark(first), other) for other in others])
+            others = [name_hash(name) for name in names(20, seed=9)]
+            self.assertEqual(
+                hash_fractions(name_hash(first), others), [hash_fraction(name_hash(first), other) for other in others]
+            )
 
     def test_a_fleet_that_fits_one_cell_is_ranked_by_lot(self):
         fleet = fleet_of([listing(number, size=1.0 + number % 4) for number in range(WHOLE)])
         (cell,) = fleet.cells.values()
         for name in names(20):
-            self.assertEqual((fleet.home(name).cell, fleet.home(name).first), (cell, None))
+            self.assertEqual((fleet.home(name).cell, fleet.home(name).nearest), (cell, None))
             each = function(name)
-            lots = {w: index.lot(each, w) for w in cell.ready}
-            self.assertEqual(index.Candidates(cell.ready).ranked(each), sorted(cell.ready, key=lots.get))
+            lots = {w: ranking.rendezvous_rank(each, w) for w in cell.ready}
+            self.assertEqual(ranking.Candidates(cell.ready).ranked(each), sorted(cell.ready, key=lots.get))
 
     def test_cells_are_bounded_and_split_late(self):
         for many in SIZES:
@@ -117,7 +119,7 @@
                 for each in known:
                     cell, home = fleet.home_of(each), at_once.home(each.name)
                     self.assertEqual((cell.depth, cell.prefix), (home.cell.depth, home.cell.prefix))
-                    first = [worker and worker.listing.ident for worker in (each.first, home.first)]
+                    first = [worker and worker.endpoint.ident for worker in (each.nearest, home.nearest)]
                     self.assertEqual(first[0], first[1])
 
     def test_shares_follow_size(self):
@@ -188,9 +190,9 @@
                 name, lost = names(1)[0], set()
                 while left:
                     home = fleet.home(name)
-                    self.assertEqual(first_of(other, name), home.first.listing.ident)
+                    self.assertEqual(first_of(other, name), home.nearest.endpoint.ident)
                     self.assertTrue(home.cell.ready)
-                    away = [replace(w.listing, state=state) for w in home.cell.ready]
+                    away = [replace(w.endpoint, state=state) for w in home.cell.ready]
                     lost.update(row.ident for row in away)
                     fleet.update(away, False)
                     other.update(away[::-1], False)
@@ -241,13 +243,13 @@
         for many in SIZES:
             fleet, drawn = hollow(many), []
             fleet.run(5000.0)
-            front, inner = fleet.fronts[0], index.draws
+            front, inner = fleet.fronts[0], ranking.hash_fractions
 
             def counted(first, others, inner=inner, drawn=drawn):
                 drawn.append(len(others))
                 return inner(first, others)
 
-            with patch.object(index, "draws", counted):
+            with patch.object(ranking, "hash_fractions", counted):
                 lines = sum(count_lines(fleet.ask, front, name) for name in names(60))
             counts.append((sum(drawn) / 60, lines))
         self.assertLessEqual(max(drawn for drawn, _ in counts), CAPACITY)
@@ -264,7 +266,7 @@
             tracemalloc.start()
             try:
                 fleet.run(9000.0)
-                held.append(tracemalloc.get_traced_memory()[0] / len(fleet.fronts[0].front_end.programs))
+                held.append(tracemalloc.get_traced_memory()[0] / len(fleet.fronts[0].router.functions))
             finally:
                 tracemalloc.stop()
         self.assertLessEqual(max(held), 8 * 1024)
@@ -281,58 +283,58 @@
         self.assertLessEqual(each, 2048)
 
     def test_what_is_not_called_within_an_idle_life_is_forgotten(self):
-        fleet = hollow(1000, idle_life=5000.0)
+        fleet = hollow(1000, idle_timeout=5000.0)
         fleet.clients(60.0, Draw(160000, 0.0, 7), 8000.0)
         fleet.run(8000.0)
-        known = fleet.fronts[0].front_end.programs
+        known = fleet.fronts[0].router.functions
         self.assertTrue(known)
-        fleet.run(8000.0 + 5000.0 + 8 * logic.PERIOD)
+        fleet.run(8000.0 + 5000.0 + 8 * periods.PERIOD)
         self.assertFalse(known)
-        self.assertFalse(any(cell.functions for cell in fleet.fronts[0].front_end.fleet.cells.values()))
+        self.assertFalse(any(cell.functions for cell in fleet.fronts[0].router.fleet.cells.values()))
 
     def test_no_more_functions_are_known_than_the_bound(self):
-        with patch.object(logic, "BOOKS", 200):
+        with patch.object(router, "FUNCTIONS_KEPT", 200):
             fleet = hollow(300)
             front = fleet.fronts[0]
             for name in names(500):
                 fleet.ask(front, name)
                 fleet.run(fleet.now + 10.0)
-                out = sum(place.out > 0 for known in front.front_end.programs.values() for place in known.places)
-                self.assertLessEqual(len(front.front_end.programs), 200 + out)
+                out = sum(place.in_flight > 0 for known in front.router.functions.values() for place in known.replicas)
+                self.assertLessEqual(len(front.router.functions), 200 + out)
             fleet.run(fleet.now + 10000.0)
         self.assertEqual((fleet.broken, front.costs.answers["ok"]), ([], 500))
 
     def test_a_request_outlives_the_forgetting_of_its_function(self):
         """Requests wait, their functions are forgotten and met again, the list changes: all get their answers."""
-        with patch.object(logic, "BOOKS", 40):
+        with patch.object(router, "FUNCTIONS_KEPT", 40):
             fleet = hollow(300)
             front = fleet.fronts[0]
-            front_end = front.front_end
+            front_end = front.router
             for worker in front_end.workers.values():
-                worker.limit = 0.0
+                worker.concurrency_limit = 0.0
             asked = [(name, fleet.ask(front, name)) for name in names(60)]
-            waiting = [front_end.rpcs[ident].program for _, ident in asked]
-            forgotten = [each for each in waiting if front_end.programs.get(each.name) is not each]
+            waiting = [front_end.requests[ident].function for _, ident in asked]
+            forgotten = [each for each in waiting if front_end.functions.get(each.name) is not each]
             self.assertTrue(forgotten)
             for each in forgotten[:10]:
                 fleet.ask(front, each.name)
             fleet.announce([listing(number) for number in range(1000, 1100)])
             for worker in front_end.workers.values():
-                worker.limit = 8.0
+                worker.concurrency_limit = 8.0
             fleet.run(fleet.now + 6000.0)
             held = {name: cell for cell in front_end.fleet.cells.values() for name in cell.functions}
-            self.assertEqual((fleet.broken, set(held)), ([], set(front_end.programs)))
+            self.assertEqual((fleet.broken, set(held)), ([], set(front_end.functions)))
             self.assertEqual((front.costs.answers.total(), front.costs.answers["ok"]), (70, 70))
 
     def test_a_look_fills_one_cell(self):
         fleet, runs = hollow(5000), Counter()
-        inner = logic.Fill.run
+        inner = Placement.run
 
         def counted(fill, cells, now):
             runs[now] += 1
             return inner(fill, cells, now)
 
-        with patch.object(logic.Fill, "run", counted):
+        with patch.object(Placement, "run", counted):
             fleet.clients(127.0, Draw(160000, 0.0, 7), 6000.0)
             fleet.run(6000.0)
         self.assertEqual(set(runs.values()), {1})
@@ -340,21 +342,21 @@
     def test_functions_follow_their_cells(self):
         """Whatever the list does, each known function is in the books of the cell that is its home."""
         fleet, chance = hollow(300), random.Random(2)
-        front_end, number = fleet.fronts[0].front_end, 300
+        front_end, number = fleet.fronts[0].router, 300
         fleet.clients(60.0, Draw(3000, 0.0, 7), 30000.0)
         for step in range(40):
             grows = step < 20
             rows = [listing(number + at) for at in range(30)] if grows else [
-                replace(w.listing, state="gone") for w in chance.sample(list(fleet.workers.values()), 30)
+                replace(w.endpoint, state="gone") for w in chance.sample(list(fleet.workers.values()), 30)
             ]  # fmt: skip
             number += 30
             fleet.announce(rows)
             fleet.run(fleet.now + 600.0)
             held = {name: cell for cell in front_end.fleet.cells.values() for name in cell.functions}
-            self.assertEqual(set(held), set(front_end.programs))
+            self.assertEqual(set(held), set(front_end.functions))
             for name, cell in held.items():
-                self.assertIs(front_end.programs[name].cell, cell)
-                if front_end.programs[name].listed == front_end.fleet.version:
+                self.assertIs(front_end.functions[name].cell, cell)
+                if front_end.functions[name].fleet_version == front_end.fleet.version:
                     self.assertIs(front_end.fleet.home(name).cell, cell)
         fleet.run(40000.0)
         self.assertEqual(fleet.broken, [])
@@ -365,26 +367,26 @@
             with self.subTest(wrong=wrong):
                 fleet, name, chosen = hollow(600, front_ends=3), names(1)[0], set()
                 for front in fleet.fronts:
-                    front_end = front.front_end
+                    front_end = front.router
                     home, second = list(front_end.fleet.near(function(name), 2))
                     away = []
                     for worker in home.ready:
                         if wrong == "shunned":
-                            front_end.health.shun(worker, fleet.now, "test")
+                            front_end.outliers.eject(worker, fleet.now, "test")
                         elif wrong == "cold":
-                            worker.cold_from = fleet.now
+                            worker.warming_since = fleet.now
                         elif wrong == "at their limit":
-                            worker.limit = 0.0
+                            worker.concurrency_limit = 0.0
                         elif wrong == "without memory":
-                            worker.crammed = fleet.now + 60000.0
+                            worker.memory_short_until = fleet.now + 60000.0
                         else:
-                            away.append(replace(worker.listing, state=wrong))
+                            away.append(replace(worker.endpoint, state=wrong))
                     fleet.tell_list(front, away)
                     members = set(second.members)
                     ident = fleet.ask(front, name)
-                    (sent,) = front_end.rpcs[ident].call_outs
-                    chosen.add(sent.place.worker.listing.ident)
-                    self.assertIn(sent.place.worker.listing.ident, members)
+                    (sent,) = front_end.requests[ident].attempts
+                    chosen.add(sent.replica.worker.endpoint.ident)
+                    self.assertIn(sent.replica.worker.endpoint.ident, members)
                 self.assertEqual(len(chosen), 1)
                 fleet.run(fleet.now + 8000.0)
                 self.assertEqual(fleet.broken, [])
@@ -417,17 +419,17 @@
     """A slice of the fleet: 300 front ends, the workers of one zone of three, its functions; all rules judged."""
 
     def test_workers_and_a_zone_are_lost_and_come_back(self):
-        settings = Settings(front_ends=300, zones=3, idle_life=6000.0, load=300.0, work=20.0)
+        settings = Settings(front_ends=300, zones=3, idle_timeout=6000.0, load=300.0, work=20.0)
         fleet = HollowFleet(settings, [listing(number, 3) for number in range(240)], 300)
         fleet.rate = 300 * 0.003 / 240  # requests a ms at each front end, over the workers
         fleet.clients(300 * 3.0, Draw(6000, 0.8, 11), 13000.0)
         late, chance = lambda front: 500.0 + front.number % 7 * 100.0, random.Random(4)
         fleet.run(4000.0)
         # One worker dies, and is listed no more between 0.5 and 1.1 s later.
-        fleet.announce([replace(next(iter(fleet.workers.values())).listing, state="gone")], late)
+        fleet.announce([replace(next(iter(fleet.workers.values())).endpoint, state="gone")], late)
         fleet.run(6000.0)
         # A whole zone dies; half of it is told first to drain.
-        zone = [worker.listing for worker in fleet.workers.values() if worker.listing.zone == 2]
+        zone = [worker.endpoint for worker in fleet.workers.values() if worker.endpoint.zone == 2]
         drains = chance.sample(zone, len(zone) // 2)
         fleet.announce([replace(row, state="draining") for row in drains])
         fleet.run(6200.0)
@@ -435,7 +437,7 @@
         fleet.run(9000.0)
         cold, fleet.waits = len(zone), []
         # It is back, cold, under the same names.
-        fleet.announce([replace(row, born=fleet.now, state="ready") for row in zone], late)
+        fleet.announce([replace(row, started_at=fleet.now, state="ready") for row in zone], late)
         fleet.run(13000.0 + settings.deadline + 1.0)
         answers = sum((front.costs.answers for front in fleet.fronts), Counter())
         self.assertEqual(fleet.broken, [])
@@ -446,7 +448,7 @@
         self.assertLess(waits[len(waits) * 99 // 100], 1000.0)
         homes = [len(at) for at in fleet.places().values()]
         self.assertLess(sum(homes) / max(1, len(homes)), 1.5)
-        agreed = {(len(front.front_end.fleet.cells), tuple(front.front_end.fleet.ring)) for front in fleet.fronts}
+        agreed = {(len(front.router.fleet.cells), tuple(front.router.fleet.ring.points)) for front in fleet.fronts}
         self.assertEqual(len(agreed), 1)
 
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -7,7 +7,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from wickdyke.interface import Shares
+from wickdyke.routing.settings import TenantQuotas
 from wickdyke.protocol import jsonrpc
 from wickdyke.protocol.lines import Lines, TooLong
 from wickdyke.settings import address, roll, sexp, station
@@ -36,13 +36,15 @@
 
     def test_good(self):
         got = self.read(GOOD)
-        self.assertEqual((got.zones, got.kinds, got.seat.zone), (("a", "b"), ("quad", "duo"), 1))
-        self.assertEqual(got.stock.memory, (65536.0, 900.0))
-        self.assertEqual((got.tenants, got.shares, got.allowance.idle_close), ((), Shares(()), 15000.0))
+        self.assertEqual((got.zones, got.kinds, got.instance.zone), (("a", "b"), ("quad", "duo"), 1))
+        self.assertEqual(got.function_cache.memory, (65536.0, 900.0))
+        self.assertEqual(
+            (got.tenants, got.tenant_quotas, got.attempt_limits.idle_timeout), ((), TenantQuotas(()), 15000.0)
+        )
         more = self.read(GOOD.replace("(stock", '(tenant "a" (quota 5)) (tenant "b" (quota 2.5)) (stock'))
-        self.assertEqual((more.tenants, more.shares), (("a", "b"), Shares((5.0, 2.5))))
+        self.assertEqual((more.tenants, more.tenant_quotas), (("a", "b"), TenantQuotas((5.0, 2.5))))
         self.assertEqual(
-            [(m.name, m.effect, m.window, m.scope) for m in got.methods],
+            [(m.name, m.effect, m.dedupe_window, m.scope) for m in got.methods],
             [("m", "idempotent", 0.0, "all"), ("t", "tokened", 120000.0, "cell")],
         )
         for program, memory in (("p/one", 100.0), ("p/two", 1024.0), ("q", None)):
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -15,19 +15,21 @@
 
 from bench.hollow import HollowFleet, HollowFrontEnd, HollowWorker, Settings, listing
 from tests.helpers import Fleet, called, row
-from wickdyke.fleet import Cell
-from wickdyke.interface import RPC, Listing, Ration, Seat, Warmup, Worker
-from wickdyke.logic import Guards
-
-LEAST = Warmup(0.17, 12000.0, 2.0, 1000.0)  # the settings that the pages allow: least and greatest, and a usual one
-USUAL = Warmup(0.2, 18000.0, 2.0, 2000.0)
-GREATEST = Warmup(0.45, 5000.0, 4.0, 2000.0)
+from wickdyke.routing.decisions import Forward
+from wickdyke.routing.cells import Cell
+from wickdyke.routing.model import Endpoint, Worker, WorkSample
+from wickdyke.routing.settings import GatewayInstance, SlowStart
+from wickdyke.routing.slow_start import SlowStartGuard
+
+LEAST = SlowStart(0.17, 12000.0, 2.0, 1000.0)  # the settings that the pages allow: least and greatest, and a usual one
+USUAL = SlowStart(0.2, 18000.0, 2.0, 2000.0)
+GREATEST = SlowStart(0.45, 5000.0, 4.0, 2000.0)
 WORK = 40.0  # ms of a core for each request
 RESTART = 4000.0  # ms: when the servers die, on the fleet's clock
 REPORTED = 1000.0  # ms: the time over which a server's busy share is the mean
 
 
-def present_share(warmup: Warmup, age: float) -> float:
+def present_share(warmup: SlowStart, age: float) -> float:
     """The share of its capacity that a server of that age (ms) has."""
     return warmup.start_share + (1 - warmup.start_share) * min(1.0, age / warmup.ramp)
 
@@ -40,17 +42,17 @@
 class MeasuredServer(HollowWorker):
     """A server that reports which share of its present capacity the requests of the last second took."""
 
-    def __init__(self, listed: Listing, fleet: "MeasuredFleet") -> None:
+    def __init__(self, listed: Endpoint, fleet: "MeasuredFleet") -> None:
         super().__init__(listed, fleet.settings)
         self.fleet, self.arrived = fleet, deque()
 
     def report(self) -> tuple[float, float]:
         """Busy share and requests held."""
-        now, born = self.fleet.now, self.listing.born
+        now, born = self.fleet.now, self.endpoint.started_at
         while self.arrived and self.arrived[0] <= now - REPORTED:
             self.arrived.popleft()
         share = 1.0 if born is None else present_share(self.settings.warmup, now - born)
-        return min(1.0, len(self.arrived) * WORK / REPORTED / self.listing.size / share), float(self.held)
+        return min(1.0, len(self.arrived) * WORK / REPORTED / self.endpoint.size / share), float(self.held)
 
 
 class MeasuredFleet(HollowFleet):
@@ -60,21 +62,21 @@
 
     def __init__(self, settings: Settings, servers: int, seed: int) -> None:
         super().__init__(settings, [listing(number, 1) for number in range(servers)], settings.front_ends, seed)
-        self.workers = {ident: MeasuredServer(old.listing, self) for ident, old in self.workers.items()}
+        self.workers = {ident: MeasuredServer(old.endpoint, self) for ident, old in self.workers.items()}
         self.attempts: dict[str, list[tuple[float, int]]] = {}
         self.heard: dict[int, float] = {}  # when each front end was told of the start
 
-    def _call(self, front: HollowFrontEnd, rpc: RPC, worker: Worker, patience: float | None) -> None:
-        server = self.workers[worker.listing.ident]
+    def _forward(self, front: HollowFrontEnd, decision: Forward) -> None:
+        server = self.workers[decision.worker.endpoint.ident]
         if not server.dead:
             server.arrived.append(self.now)
-            if server.listing.born is not None:
-                self.attempts.setdefault(server.listing.ident, []).append((self.now, front.number))
-        super()._call(front, rpc, worker, patience)
+            if server.endpoint.started_at is not None:
+                self.attempts.setdefault(server.endpoint.ident, []).append((self.now, front.number))
+        super()._forward(front, decision)
 
     def traffic(self, parts: list[float], used: float, burst: float, until: float) -> None:
         """Requests at random, `used` of the capacity of all servers, `burst` times that from the restart on."""
-        capacity = sum(server.listing.size for server in self.workers.values()) / WORK
+        capacity = sum(server.endpoint.size for server in self.workers.values()) / WORK
         at, chance = 0.0, random.Random(5)
         ends = list(itertools.accumulate(parts))
         while at < until:
@@ -88,7 +90,7 @@
         for ident in idents:
             self.workers[ident].dead = True
         self.run(RESTART + gone)
-        rows = [replace(self.workers[ident].listing, born=self.now) for ident in idents]
+        rows = [replace(self.workers[ident].endpoint, started_at=self.now) for ident in idents]
         self.workers.update((each.ident, MeasuredServer(each, self)) for each in rows)
         for front in self.fronts:
             self.heard[front.number] = self.now + chance.uniform(*told)
@@ -99,11 +101,11 @@
         old, self.fronts = self.fronts, []
         for before in old:
             before.wake_at = float("-inf")  # the process is gone: it decides nothing more
-            front = HollowFrontEnd(before.number, self.settings.front_end(self.now, before.number))
+            front = HollowFrontEnd(before.number, self.settings.router(self.now, before.number))
             front.due, front.final = before.due, before.final
             self.fronts.append(front)
             self.heard[front.number] = self.now
-            self.tell_list(front, [server.listing for server in self.workers.values()], True)
+            self.tell_list(front, [server.endpoint for server in self.workers.values()], True)
 
     def falls(self) -> list[str]:
         """The servers that fell while over two thirds of the window came from front ends that had been told.
@@ -115,18 +117,19 @@
 
     def _fall(self, ident: str) -> Iterable[str]:
         warmup, window = self.settings.warmup, deque()
-        listed = self.workers[ident].listing
+        listed = self.workers[ident].endpoint
         for at, number in self.attempts[ident]:
             window.append((at, number))
             while window[0][0] <= at - warmup.window:
                 window.popleft()
-            share = present_share(warmup, window[0][0] - listed.born)
+            share = present_share(warmup, window[0][0] - listed.started_at)
             stands = budget(warmup.multiple * share * listed.size / WORK * warmup.window)
             if len(window) > stands:  # it has fallen, and stays down
                 knew = {each for sent, each in window if sent >= self.heard[each]}
                 told = sum(each in knew for _, each in window)
                 if told > 2 / 3 * len(window):
-                    yield f"{ident}: {len(window)} of {stands:.1f} at {at - listed.born:.0f} ms, {told} by the told"
+                    age = at - listed.started_at
+                    yield f"{ident}: {len(window)} of {stands:.1f} at {age:.0f} ms, {told} by the told"
                 return
 
 
@@ -135,7 +138,9 @@
 
     def played(self, many, warmup, restarted=6, used=0.6, burst=1.0, gone=1000.0, told=(300.0, 600.0), skew=False):
         """The fleet after that day, of `many` front ends, one of which has six times the others' traffic if `skew`."""
-        settings = Settings(front_ends=many, zones=1, idle_life=60000.0, load=20.0, work=WORK, copy=64.0, warmup=warmup)
+        settings = Settings(
+            front_ends=many, zones=1, idle_timeout=60000.0, load=20.0, work=WORK, copy=64.0, warmup=warmup
+        )
         fleet, until = MeasuredFleet(settings, 6, seed=1), RESTART + gone + 2.2 * warmup.window
         parts = [6.0 if skew and number == many // 2 else 1.0 for number in range(many)]
         fleet.traffic(parts, used, burst, until)
@@ -169,23 +174,23 @@
 
     WORK, SIZE, SERVERS = 330.0, 3.0, 12
 
-    def attempts(self, many: int, warmup: Warmup, name: str) -> list[float]:
+    def attempts(self, many: int, warmup: SlowStart, name: str) -> list[float]:
         """When they sent to one server in slow start; they carried half of what the servers can do, evenly."""
         rpc, sent, pairs = Mock(), [], []
-        rpc.method.times, rpc.method.soft = [self.WORK], 0.0
+        rpc.request_class.durations, rpc.request_class.latency_objective = [self.WORK], 0.0
         busy = many // 3
         for number in range(busy):
-            guards = Guards(warmup, Ration(0.0, 0.0, 0.0), Seat(number, many, 0, (), False))
+            guards = SlowStartGuard(warmup, GatewayInstance(number, many, 0, (), False))
             size = self.SERVERS * self.SIZE
-            guards.carried.append((5000.0, size * 0.5 * 5000.0 / busy))
-            guards.survey([Cell(0, 0, size=size, busy=(0.5 * self.SERVERS, self.SERVERS))], 5000.0)
-            worker = Worker.listed(Listing(name, 0, 0, 0, "ready", self.SIZE, 5000.0), 1e4, 8.0)
-            worker.open_books((8, 8, 8, 8))
+            guards.served.append(WorkSample(5000.0, size * 0.5 * 5000.0 / busy))
+            guards.survey([Cell(0, 0, size=size, utilization=(0.5 * self.SERVERS, self.SERVERS))], 5000.0)
+            worker = Worker.from_endpoint(Endpoint(name, 0, 0, 0, "ready", self.SIZE, 5000.0), 1e4, 8.0)
+            worker.open_records((8, 8, 8, 8))
             pairs.append((guards, worker))
         for now in range(5000, int(5000 + warmup.ramp), 50):
             for guards, worker in pairs:
-                while guards.may_call(worker, rpc, float(now)):
-                    guards.sent(worker, rpc, float(now))
+                while guards.admits(worker, rpc, float(now)):
+                    guards.attempt_sent(worker, rpc, float(now))
                     sent.append(now - 5000.0)
         return sent
 
@@ -209,7 +214,7 @@
         fleet = Fleet(workers=1, front_ends=1)
         for _ in range(8):
             fleet.serve(calls=5)
-            fleet.fe.probed("a", "ok", (0.5, 2.0))
+            fleet.fe.health_checked("a", "ok", (0.5, 2.0))
             fleet.pass_time(200)
         return fleet
 
@@ -224,11 +229,11 @@
     def test_attempts_before_the_start_was_listed_count(self):
         fresh, late = self.settled(), self.settled()
         born = fresh.clock
-        fresh.list([row("a", born=born)])
+        fresh.list([row("a", started_at=born)])
         allowed = self.most_at_once(fresh)
         before = self.sent_before(late, 2)
         late.pass_time(50)
-        late.list([row("a", born=born)])
+        late.list([row("a", started_at=born)])
         self.assertGreater(allowed, before)
         self.assertGreater(before, 0)
         self.assertLessEqual(before + self.most_at_once(late), allowed)
@@ -238,7 +243,7 @@
         self.assertGreater(self.sent_before(other, 2), 0)
         for fleet in (fresh, other):
             fleet.pass_time(50)
-            fleet.list([row("a", born=fleet.clock)])
+            fleet.list([row("a", started_at=fleet.clock)])
         self.assertEqual(self.most_at_once(other), self.most_at_once(fresh))
 
     def test_attempts_before_a_connection_broke_went_to_the_process_that_ended(self):
@@ -246,17 +251,22 @@
         for outcome in ("cut", "unreached"):
             with self.subTest(outcome=outcome):
                 fleet = self.settled()
-                rpcs = [each[1] for number in range(8) for each in fleet.take(f"b{number}") if each[0] == "call"]
-                worker = rpcs[0].call_outs[0].place.worker
+                rpcs = [
+                    each.request
+                    for number in range(8)
+                    for each in fleet.take(f"b{number}")
+                    if isinstance(each, Forward)
+                ]
+                worker = rpcs[0].attempts[0].replica.worker
                 fleet.end(rpcs[0], outcome)
-                self.assertTrue(fleet.fe.guards.cold(worker, fleet.clock))
-                self.assertTrue(all(at >= fleet.clock for at, _ in worker.sends))  # a retry at most
-                worker.sends.clear()
+                self.assertTrue(fleet.fe.slow_start.is_warming_up(worker, fleet.clock))
+                self.assertTrue(all(at >= fleet.clock for at, _ in worker.slow_start_sends))  # a retry at most
+                worker.slow_start_sends.clear()
                 for _ in range(3):
-                    fleet.fe.guards.sent(worker, rpcs[0], fleet.clock)
+                    fleet.fe.slow_start.attempt_sent(worker, rpcs[0], fleet.clock)
                 fleet.pass_time(50)
-                fleet.fe.guards.fell(worker, fleet.clock)
-                self.assertEqual(len(worker.sends), 3)
+                fleet.fe.slow_start.connection_lost(worker, fleet.clock)
+                self.assertEqual(len(worker.slow_start_sends), 3)
 
 
 if __name__ == "__main__":
--- a/tests/test_timing.py
+++ b/tests/test_timing.py
@@ -8,7 +8,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from wickdyke.interface import Method
+from wickdyke.routing.model import RequestClass
 from wickdyke.settings import routes, sexp
 from wickdyke.settings.sexp import Unusable
 from wickdyke.timing import check, proof
@@ -17,9 +17,9 @@
 from wickdyke.timing.terms import NEVER_RAN, OUTCOMES, Budget, Ground, Part, Pause, Second, Terms, total, worst
 
 METHODS = [
-    Method("idem", "idempotent", "all", 0, 750, 0, 4000, 1, 0.2),
-    Method("side", "side-effecting", "all", 0, 750, 0, 4000, 1, 0.2),
-    Method("tok", "tokened", "zone", 1000, 750, 0, 4000, 1, 0.2),
+    RequestClass("idem", "idempotent", "all", 0, 750, 0, 4000, 1, 0.2),
+    RequestClass("side", "side-effecting", "all", 0, 750, 0, 4000, 1, 0.2),
+    RequestClass("tok", "tokened", "zone", 1000, 750, 0, 4000, 1, 0.2),
 ]
 STRICT = Ground(overlap=False, cancel=True, dial=100.0, answer_way=20.0, tick=50.0, call_outs=3)
 OPEN = replace(STRICT, overlap=True)
--- a/tests/test_worker_connection_faults.py
+++ b/tests/test_worker_connection_faults.py
@@ -13,7 +13,7 @@
 from tests.rig import Peer, Told, willing
 from tests.test_platform import Turned
 from wickdyke.gateway import link as rpc_link
-from wickdyke.interface import NEVER_RAN
+from wickdyke.routing.model import NEVER_RAN
 from wickdyke.platform import back, resp
 from wickdyke.settings import address as addresses
 from wickdyke.wire import loop
--- a/tests/wrong.py
+++ b/tests/wrong.py
@@ -3,12 +3,13 @@
 import itertools
 import sys
 
-from wickdyke import logic
 from wickdyke.cli import main
 from wickdyke.gateway.desk import Desk
 from wickdyke.gateway.door import Ask
 from wickdyke.gateway.roster import Roster
-from wickdyke.interface import RPC
+from wickdyke.routing.model import Request
+from wickdyke.routing.prewarming import PrewarmLimiter
+from wickdyke.routing.slow_start import SlowStartGuard
 from wickdyke.settings import routes
 from wickdyke.settings.roll import Row
 
@@ -27,8 +28,8 @@
         _answer(ask, body)
 
 
-def _unsaid(desk, ask, call_out, outcome):
-    desk.events.put(("withdrawn", ask, call_out, outcome))
+def _unsaid(desk, ask, attempt, outcome):
+    desk.events.put(("withdrawn", ask, attempt, outcome))
 
 
 _rows = Roster.rows
@@ -56,17 +57,17 @@
         case "never answers":
             Ask.answer = _never
         case "repeats all":
-            RPC.may_have_run = lambda rpc: []
+            Request.may_have_run = lambda request: []
         case "cancels in silence":
             Desk._withdraw = _unsaid
         case "deaf to drains":
             Roster.rows, Roster.draining = _deaf, _draining
         case "blind to the cold":
-            logic.Guards.cold = lambda guards, worker, now: False
+            SlowStartGuard.is_warming_up = lambda guard, worker, now: False
         case "checks no routes":
             routes.sums.check = lambda terms, method, ground: []
         case "orders at will":
-            logic.Guards.may_hold = lambda guards, worker, renewal, now: worker.listing.state == "ready"
+            PrewarmLimiter.may_send = lambda limiter, worker, renewal, now: worker.endpoint.state == "ready"
         case _:
             raise SystemExit(f"no such mistake: {mistake}")
 
--- a/wickdyke/drill/codec.py
+++ b/wickdyke/drill/codec.py
@@ -4,8 +4,11 @@
 """
 
 from collections.abc import Callable, Iterator
+from dataclasses import dataclass
 
-from wickdyke.interface import RPC, CallOut, Listing, Program, Worker
+from wickdyke.routing import decisions
+from wickdyke.routing.decisions import Decision
+from wickdyke.routing.model import Endpoint
 from wickdyke.settings.terms import BadInput, count, flag, maybe, number, one_of, span, whole, word
 
 
@@ -118,10 +121,10 @@
     return read
 
 
-def listing(values: list[str]) -> Listing:
+def listing(values: list[str]) -> Endpoint:
     """One entry of the worker list."""
     ident, zone, kind, cell, state, size, born = parts("ROW", values, ROW)
-    return Listing(
+    return Endpoint(
         ident,
         zone,
         kind,
@@ -143,43 +146,57 @@
     return "-" if ms is None else str(round(ms * 1000))
 
 
-def _call(rpc: RPC, worker: Worker, patience: float | None) -> tuple:
-    return "ROUTE", str(rpc.ident), worker.listing.ident, micros(patience)
+@dataclass(slots=True, frozen=True)
+class Wake:
+    """The instance is to be advanced after that many ms; the simulator gives the cookie back."""
 
+    delay: float
+    cookie: int
 
-def _cancel(call_out: CallOut) -> tuple:
-    return "CALL_OFF", str(call_out.rpc.ident), str(call_out.number)
 
+@dataclass(slots=True, frozen=True)
+class Fault:
+    """The instance has failed."""
 
-def _hold(worker: Worker, program: Program, copies: int) -> tuple:
-    return "PRELOAD", worker.listing.ident, program.name, str(copies)
+    why: str
 
 
-def _unload(worker: Worker, program: Program) -> tuple:
-    return "EVICT", worker.listing.ident, program.name
+Reply = Decision | Wake | Fault
 
 
-VERBS: dict[str, Callable[..., tuple]] = {
-    "call": _call,
-    "cancel": _cancel,
-    "deny": lambda rpc, wait: ("SAY_NO", str(rpc.ident), micros(wait)),
-    "abort": lambda rpc: ("ERROR", str(rpc.ident)),
-    "hold": _hold,
-    "unload": _unload,
-    "probe": lambda worker: ("INSPECT", worker.listing.ident),
-    "hang_up": lambda worker: ("HANG_UP", worker.listing.ident),
-    "tell": lambda peer, data: ("WRITE_PEER", "-1" if peer is None else str(peer), data.hex() or "-"),
-    "follow_list": lambda on: ("TAIL", "1" if on else "0"),
-    "ask_list": lambda: ("REFRESH",),
-    "note": lambda text: ("REMARK", text.replace("\t", " ").replace("\n", " ")),
-    "wake": lambda delay, cookie: ("SET_TIMER", micros(delay), str(cookie)),
-    "fault": lambda text: ("EXCEPTION", text.replace("\t", " ").replace("\n", " ")),
+def _one_line(text: str) -> str:
+    return text.replace("\t", " ").replace("\n", " ")
+
+
+def _forward(decision: decisions.Forward) -> tuple:
+    return "ROUTE", str(decision.request.ident), decision.worker.endpoint.ident, micros(decision.timeout)
+
+
+def _cancel(decision: decisions.Cancel) -> tuple:
+    return "CALL_OFF", str(decision.attempt.request.ident), str(decision.attempt.number)
+
+
+def _prewarm(decision: decisions.Prewarm) -> tuple:
+    return "PRELOAD", decision.worker.endpoint.ident, decision.function.name, str(decision.replicas)
+
+
+LINES: dict[type, Callable[..., tuple]] = {
+    decisions.Forward: _forward,
+    decisions.Cancel: _cancel,
+    decisions.Reject: lambda reject: ("SAY_NO", str(reject.request.ident), micros(reject.retry_after)),
+    decisions.Fail: lambda fail: ("ERROR", str(fail.request.ident)),
+    decisions.Prewarm: _prewarm,
+    decisions.HealthCheck: lambda check: ("INSPECT", check.worker.endpoint.ident),
+    decisions.FollowEndpoints: lambda follow: ("TAIL", "1" if follow.enabled else "0"),
+    decisions.LogNote: lambda note: ("REMARK", _one_line(note.text)),
+    Wake: lambda wake: ("SET_TIMER", micros(wake.delay), str(wake.cookie)),
+    Fault: lambda fault: ("EXCEPTION", _one_line(fault.why)),
 }
 
 
-def line(instance: int, decision: tuple) -> str:
+def line(instance: int, decision: Reply) -> str:
     """One line of a reply."""
-    name, *values = VERBS[decision[0]](*decision[1:])
+    name, *values = LINES[type(decision)](decision)
     return "\t".join((name, str(instance), *values)) + "\n"
 
 
--- a/wickdyke/drill/host.py
+++ b/wickdyke/drill/host.py
@@ -4,15 +4,15 @@
 from collections.abc import Iterable, Iterator
 
 from wickdyke.drill import codec
-from wickdyke.logic import FrontEnd
+from wickdyke.routing.router import Router
 from wickdyke.settings.terms import BadInput, paired, start
 
 
 class Instance:
     """One front end and the timers the wire holds for it."""
 
-    def __init__(self, front_end: FrontEnd) -> None:
-        self.front_end = front_end
+    def __init__(self, router: Router) -> None:
+        self.router = router
         self.timer: float | None = None
         self.cookie = 0
 
@@ -60,7 +60,7 @@
                 except Exception as error:  # whatever goes wrong inside one instance is that instance's fault
                     faults[ident] = f"{type(error).__name__}: {error}"
             if ident in faults:
-                reply.append(codec.line(ident, ("fault", faults[ident])))
+                reply.append(codec.line(ident, codec.Fault(faults[ident])))
         return "".join(reply) + "ACK\n"
 
     def _line(self, lines: Iterator) -> tuple[str, list[str]]:
@@ -68,15 +68,15 @@
             return name, values
         raise BadInput(f"line {self.at + 1}: the input stops inside a batch, expected END")
 
-    def _decisions(self, instance: Instance) -> Iterator[tuple]:
-        front_end = instance.front_end
-        while (decision := front_end.decide()) is not None:
+    def _decisions(self, instance: Instance) -> Iterator[codec.Reply]:
+        router = instance.router
+        while (decision := router.decide()) is not None:
             yield decision
-        wake = front_end.wake_at
+        wake = router.wake_at
         if wake is not None and (instance.timer is None or wake < instance.timer):
             instance.timer = wake
             instance.cookie += 1
-            yield "wake", max(0.001, wake - self.now), instance.cookie
+            yield codec.Wake(max(0.001, wake - self.now), instance.cookie)
 
     def _event(self, lines: Iterator, name: str, values: list[str], touched: dict, faults: dict) -> None:
         at = self.at
@@ -86,7 +86,7 @@
             ident, seed = codec.parts(name, values[:2], (("instance", codec.count), ("seed", codec.count)))
             terms = start(paired(values[2:]))
             touched[ident] = None
-            self.instances[ident] = Instance(FrontEnd(self.now, seed, **terms))
+            self.instances[ident] = Instance(Router(self.now, seed, terms.pop("methods"), **terms))
             return
         if name not in codec.EVENTS:
             raise BadInput(f"{name[:40]!r}, expected an event or END")
@@ -119,16 +119,16 @@
         return rows
 
     def _pass_on(self, instance: Instance, name: str, values: list) -> None:
-        front_end = instance.front_end
-        front_end.woke(self.now)
+        router = instance.router
+        router.advance(self.now)
         match name, values:
             case "NEW_REQUEST", [ident, bits, left, method, program, work, _, memory, load, lanes]:
-                if method >= len(front_end.methods):
+                if method >= len(router.request_classes):
                     raise BadInput(f"NEW_REQUEST: class is {method}, expected one of the settings")
-                front_end.took(
+                router.request_received(
                     ident,
                     left,
-                    front_end.methods[method],
+                    router.request_classes[method],
                     program,
                     memory,
                     max(1, int(lanes)),
@@ -138,19 +138,19 @@
                 )
             case "REPORT_BACK", [ident, number, _, outcome, _, complete, note, report]:
                 standing, company = codec.note(note)
-                front_end.ended(ident, number, outcome, complete, standing, company, report)
+                router.attempt_finished(ident, number, outcome, complete, standing, company, report)
             case "FIRST_BYTE", [ident, number, _, _]:
-                front_end.began(ident, number)
+                router.answer_begun(ident, number)
             case "ABORTED", [ident]:
-                front_end.left(ident)
+                router.client_gone(ident)
             case "WAKEUP", [cookie]:
                 if cookie == instance.cookie:
                     instance.timer = None
             case "PING_RESULT", [worker, outcome, _, report]:
-                front_end.probed(worker, outcome, report)
+                router.health_checked(worker, outcome, report)
             case "BROUGHT_UP", [outcome, worker, copies, latency, program]:
-                front_end.held(worker, program, outcome, copies, latency)
+                router.prewarm_finished(worker, program, outcome, copies, latency)
             case "FLEET", [mode, _, rows]:
-                front_end.listed(rows, {"0": False, "3": None}.get(mode, True))
+                router.endpoints_changed(rows, {"0": False, "3": None}.get(mode, True))
             case "MEMO", _:
                 pass  # front ends have nothing to tell each other
--- a/wickdyke/gateway/desk.py
+++ b/wickdyke/gateway/desk.py
@@ -18,8 +18,10 @@
 
 from wickdyke.gateway import log as logs
 from wickdyke.gateway.parts import Ask, Ending, Link, Order, Roster, Speech
-from wickdyke.interface import CallOut, Program, Worker
-from wickdyke.logic import FrontEnd
+from wickdyke.routing.model import Attempt, Request
+from wickdyke.routing import decisions
+from wickdyke.routing.decisions import Cancel, Fail, FollowEndpoints, Forward, HealthCheck, LogNote, Prewarm, Reject
+from wickdyke.routing.router import Router
 
 if TYPE_CHECKING:  # only one of the two ways in is loaded
     from wickdyke.gateway.tape import Tape
@@ -64,29 +66,29 @@
         self.counts: Counter[str] = Counter()
         self.ident = 0
         parts = {
-            "seat": station.seat,
-            "allowance": station.allowance,
-            "stock": station.stock,
-            "warmup": station.warmup,
-            "ration": station.ration,
-            "directory": station.directory,
-            "tariff": station.tariff,
-            "shares": station.shares,
+            "instance": station.instance,
+            "attempt_limits": station.attempt_limits,
+            "function_cache": station.function_cache,
+            "slow_start": station.slow_start,
+            "prewarm_quota": station.prewarm_quota,
+            "discovery": station.discovery,
+            "cost_weights": station.cost_weights,
+            "tenant_quotas": station.tenant_quotas,
         }
         now = clock()
         if tape is not None:
             tape.start(now, seed, station.methods, parts)
-        self.front_end = FrontEnd(now, seed, station.methods, **parts)
+        self.router = Router(now, seed, station.methods, **parts)
         self.thread = threading.Thread(target=self._run, name="desk", daemon=True)
-        self.verbs = {
-            "call": self._call,
-            "cancel": self._cancel,
-            "deny": self._deny,
-            "abort": self._abort,
-            "hold": self._hold,
-            "probe": self._probe,
-            "follow_list": self._follow,
-            "note": self._note,
+        self.actions = {
+            decisions.Forward: self._call,
+            decisions.Cancel: self._cancel,
+            decisions.Reject: self._deny,
+            decisions.Fail: self._abort,
+            decisions.Prewarm: self._hold,
+            decisions.HealthCheck: self._probe,
+            decisions.FollowEndpoints: self._follow,
+            decisions.LogNote: self._note,
         }
         self.handlers = {
             "asked": self._asked,
@@ -147,7 +149,7 @@
         while self.ends and self.ends[0][1] not in self.asks:
             heapq.heappop(self.ends)
         return min(
-            self.front_end.wake_at,
+            self.router.wake_at,
             self.timers[0][0] if self.timers else float("inf"),
             self.ends[0][0] if self.ends else float("inf"),
         )
@@ -174,7 +176,7 @@
         while self.timers and self.timers[0][0] <= now:
             _, _, act, args = heapq.heappop(self.timers)
             self._guarded(act, args)
-        if self.told or self.front_end.wake_at <= now:
+        if self.told or self.router.wake_at <= now:
             self._guarded(self._pull, ())
         return True
 
@@ -201,22 +203,22 @@
         now = clock()
         if self.tape is not None:
             self.tape.heard(now, name, args)
-        self.front_end.woke(now)
-        getattr(self.front_end, name)(*args)
+        self.router.advance(now)
+        getattr(self.router, name)(*args)
         self.told = True
 
     def _pull(self) -> None:
         """Pulls all decisions and carries them out."""
-        front_end, tape, self.told = self.front_end, self.tape, False
+        router, tape, self.told = self.router, self.tape, False
         now = clock()
-        front_end.woke(now)
+        router.advance(now)
         if tape is not None:
             tape.heard(now, "decide", ())
-        while (decision := front_end.decide()) is not None:
+        while (decision := router.decide()) is not None:
             if tape is not None:
                 tape.decided(decision)
             # Danger: what breaks one decision must not keep the others back until the module is woken again.
-            self._guarded(self.verbs[decision[0]], decision[1:])
+            self._guarded(self.actions[type(decision)], (decision,))
 
     # ---- what happens ----
 
@@ -253,7 +255,7 @@
         self.counts["taken"] += 1
         heapq.heappush(self.ends, (clock() + left, self.ident))
         self._inform(
-            "took",
+            "request_received",
             self.ident,
             left,
             ask.method,
@@ -274,12 +276,12 @@
         # Of one that is answered, only call-outs are left that could not be cancelled and may never end.
         self._at(clock() + self.station.answer_way / 2, self._left_open, ident)
         self.told = True
-        for call_out, order in list(ask.orders.items()):
+        for attempt, order in list(ask.orders.items()):
             self._guarded(self._stop_waiting, (ask, order))
-            self._guarded(self._ended, (ask, call_out, Ending("timeout")))
+            self._guarded(self._ended, (ask, attempt, Ending("timeout")))
 
     def _stop_waiting(self, ask: Ask, order: Order) -> None:
-        if order.link is not None and self.station.allowance.cancel:
+        if order.link is not None and self.station.attempt_limits.cancel:
             order.link.cancel(order, lambda: None)
         elif order.link is not None and not order.link.unsend(order):
             # Danger: where nothing may be cancelled, answers that never come would hold their places for good.
@@ -290,7 +292,7 @@
         if ask is not None and not ask.done:
             # Danger: an RPC that the module left open would be lost. Nothing known leads here; it is logged.
             self.counts["unanswered"] += 1
-            self.log.error("rpc left open at its time", rpc=ident)
+            self.log.error("rpc left open at its time", request=ident)
             self._close(ask, "aborted", "left-open")
 
     def answer_all(self, why: str) -> None:
@@ -306,7 +308,7 @@
             self._final(ask, answer, why)
         finally:
             try:
-                self._inform("left", ask.told)
+                self._inform("client_gone", ask.told)
             finally:
                 self._forget(ask)
 
@@ -315,7 +317,7 @@
             ask.done = True
             self.counts["left"] += 1
             if ask.told is not None:
-                self._inform("left", ask.told)
+                self._inform("client_gone", ask.told)
                 self._unsend(ask)
                 self._forget(ask)
 
@@ -341,21 +343,21 @@
     def _listed(self, changes: list) -> None:
         if not changes:
             return
-        for listing in changes:
+        for endpoint in changes:
             # Danger: what waits for a connection that is being made would go out after the time for a drain.
             # Also what waits for a worker to read. Could hurt nowhere: it never ran, and goes elsewhere.
-            if listing.state != "ready" and listing.ident in self.links:
-                self.links[listing.ident].recall()
+            if endpoint.state != "ready" and endpoint.ident in self.links:
+                self.links[endpoint.ident].recall()
         if len(changes) > LINES:
-            self.log.info("workers listed", **Counter(listing.state for listing in changes))
-        for listing in changes if len(changes) <= LINES else ():
+            self.log.info("workers listed", **Counter(endpoint.state for endpoint in changes))
+        for endpoint in changes if len(changes) <= LINES else ():
             self.log.info(
                 "worker listed",
-                worker=listing.ident,
-                state=listing.state,
-                up_ms=None if listing.born is None else round(clock() - listing.born),
+                worker=endpoint.ident,
+                state=endpoint.state,
+                up_ms=None if endpoint.started_at is None else round(clock() - endpoint.started_at),
             )
-        self._inform("listed", changes, False)
+        self._inform("endpoints_changed", changes, False)
 
     def _hello(self, link: Link, standing) -> None:
         if self.links.get(link.name) is link:
@@ -383,33 +385,33 @@
                 self.breaker.load_failed(program, worker, clock())
             elif self.breaker and ending.outcome == "ok" and ending.copies:
                 self.breaker.stood(program)
-            self._inform("held", worker, program, ending.outcome, ending.copies, clock() - at)
+            self._inform("prewarm_finished", worker, program, ending.outcome, ending.copies, clock() - at)
         elif order.kind == "probe":
-            self._inform("probed", order.key, ending.outcome, ending.report)
+            self._inform("health_checked", order.key, ending.outcome, ending.report)
 
     def _run_back(self, order: Order, ending: Ending) -> None:
-        call_out: CallOut = order.key
-        ask = self.asks.get(call_out.rpc.ident)
-        if ask is None or call_out not in ask.orders:
+        attempt: Attempt = order.key
+        ask = self.asks.get(attempt.request.ident)
+        if ask is None or attempt not in ask.orders:
             self.counts["late"] += 1
             return
         if ending.outcome == "ok":
             if self.breaker:
-                self.breaker.stood(call_out.rpc.program.name)
+                self.breaker.stood(attempt.request.function.name)
             if not ask.done:
                 if self.breaker:
-                    self.breaker.ran(call_out.rpc.program.name, ask.call.input)
-                self._final(ask, "ok", ending.output, len(call_out.rpc.call_outs))
-            self._ended(ask, call_out, ending)
+                    self.breaker.ran(attempt.request.function.name, ask.call.input)
+                self._final(ask, "ok", ending.output, len(attempt.request.attempts))
+            self._ended(ask, attempt, ending)
             return
-        self._ended(ask, call_out, ending)
+        self._ended(ask, attempt, ending)
         if self.breaker:
-            self._harmed(ask, call_out, ending)
+            self._harmed(ask, attempt, ending)
 
-    def _harmed(self, ask: Ask, call_out: CallOut, ending: Ending) -> None:
+    def _harmed(self, ask: Ask, attempt: Attempt, ending: Ending) -> None:
         """A call-out did not come to its answer: what that says of its program, or of the call."""
-        program, worker = call_out.rpc.program.name, call_out.place.worker.listing.ident
-        if ending.outcome == "miss" and self.station.stock.loads_on_call:
+        program, worker = attempt.request.function.name, attempt.replica.worker.endpoint.ident
+        if ending.outcome == "miss" and self.station.function_cache.loads_on_demand:
             self.breaker.load_failed(program, worker, clock())
         if ask.done or not (ending.inside or ending.outcome == "cut"):
             return
@@ -421,51 +423,62 @@
             if self.breaker.cut(worker, seen.start if seen else 0, program, mark):
                 self._at(clock() + WENT_DOWN, self._settle, worker)
         # Danger: taken before the bar, it goes on from copy to copy by its attempts. Idempotent: denied is as good.
-        rpc = call_out.rpc
-        if rpc.method.effect == "idempotent" and not rpc.closed and self.breaker.is_barred(program, mark):
+        request = attempt.request
+        if (
+            request.request_class.effect == "idempotent"
+            and not request.closed
+            and self.breaker.is_barred(program, mark)
+        ):
             self._final(ask, "denied", "poison", self.breaker.calls.pauses.first)
-            self._inform("left", ask.told)
+            self._inform("client_gone", ask.told)
             self._forget(ask)
 
     def _settle(self, worker: str) -> None:
         seen, link = self.roster.seen.get(worker), self.links.get(worker)
         self.breaker.settle(worker, seen.start if seen and link and link.up else None, clock())
 
-    def _ended(self, ask: Ask, call_out: CallOut, ending: Ending) -> None:
+    def _ended(self, ask: Ask, attempt: Attempt, ending: Ending) -> None:
         outcome = ending.outcome
-        del ask.orders[call_out]
+        del ask.orders[attempt]
         self.counts[f"call_outs_{outcome}"] += 1
         self.log.debug(
             "call-out ended",
-            rpc=ask.told,
-            call_out=call_out.number,
+            request=ask.told,
+            attempt=attempt.number,
             outcome=outcome,
-            worker=call_out.place.worker.listing.ident,
-            took_ms=round(clock() - call_out.sent, 1),
+            worker=attempt.replica.worker.endpoint.ident,
+            took_ms=round(clock() - attempt.sent_at, 1),
         )
         try:
             self._inform(
-                "ended", ask.told, call_out.number, outcome, ask.done, ending.standing, ending.company, ending.report
+                "attempt_finished",
+                ask.told,
+                attempt.number,
+                outcome,
+                ask.done,
+                ending.standing,
+                ending.company,
+                ending.report,
             )
         finally:
             self._forget(ask)
 
-    def _withdrawn(self, ask: Ask, call_out: CallOut, outcome: str) -> None:
-        if call_out in ask.orders:
-            self._ended(ask, call_out, Ending(outcome))
+    def _withdrawn(self, ask: Ask, attempt: Attempt, outcome: str) -> None:
+        if attempt in ask.orders:
+            self._ended(ask, attempt, Ending(outcome))
 
     def _unsend(self, ask: Ask) -> None:
         # Danger: what waits for a connection would go out after its RPC has ended, also where nothing may be
         # cancelled. Could hurt nowhere: no byte of it went.
-        for call_out, order in list(ask.orders.items()):
+        for attempt, order in list(ask.orders.items()):
             if order.link is not None and order.link.unsend(order):
-                self.events.put(("withdrawn", ask, call_out, "unsent"))
+                self.events.put(("withdrawn", ask, attempt, "unsent"))
 
     def _forget(self, ask: Ask) -> None:
         if ask.done and not ask.orders:
             self.asks.pop(ask.told, None)
             if ask.rpc is not None:  # it is closed: without the circle it goes at once, not by the collector
-                ask.rpc.call_outs.clear()
+                ask.rpc.attempts.clear()
 
     def _final(self, ask: Ask, answer: str, *said: object) -> None:
         ask.done = True
@@ -474,93 +487,99 @@
             self._unsend(ask)
         finally:
             getattr(ask, answer)(*said)
-        self.log.debug("answered", rpc=ask.told, answer=answer, client=ask.client.number)
+        self.log.debug("answered", request=ask.told, answer=answer, client=ask.client.number)
         ask.call.input = None  # of megabytes, maybe, while a call-out that was given up ends
 
     # ---- what is decided ----
 
-    def _call(self, rpc, worker: Worker, patience: float | None) -> None:
-        ask = self.asks[rpc.ident]
-        ask.rpc = rpc
-        call_out = rpc.call_outs[ask.sent]
+    def _call(self, decision: Forward) -> None:
+        request, worker, patience = decision.request, decision.worker, decision.timeout
+        ask = self.asks[request.ident]
+        ask.rpc = request
+        attempt = request.attempts[ask.sent]
         ask.sent += 1
-        name = worker.listing.ident
-        left = max(0.0, min(rpc.ends - clock(), rpc.ends if patience is None else patience))
-        order = ask.orders[call_out] = self.speech.run(call_out, ask, left)
+        name = worker.endpoint.ident
+        left = max(0.0, min(request.deadline - clock(), request.deadline if patience is None else patience))
+        order = ask.orders[attempt] = self.speech.run(attempt, ask, left)
         # Danger: its client may have left since it was decided. Nothing begins for it.
         link = order.link = self._link(name) if not ask.done and ask.wanted() else None
         if link is None:
             self.events.put(("back", None, order, "unsent"))
             return
-        if patience is not None and clock() + patience < rpc.ends:
-            self._at(clock() + patience, self._patience_up, ask, call_out)
+        if patience is not None and clock() + patience < request.deadline:
+            self._at(clock() + patience, self._patience_up, ask, attempt)
         link.send(order)
 
-    def _patience_up(self, ask: Ask, call_out: CallOut) -> None:
-        if call_out in ask.orders:
-            order = ask.orders[call_out]
-            if self.station.allowance.cancel:
-                self._withdraw(ask, call_out, "timeout")
+    def _patience_up(self, ask: Ask, attempt: Attempt) -> None:
+        if attempt in ask.orders:
+            order = ask.orders[attempt]
+            if self.station.attempt_limits.cancel:
+                self._withdraw(ask, attempt, "timeout")
             elif order.link is not None and order.link.unsend(order):
-                self._ended(ask, call_out, Ending("unsent"))
+                self._ended(ask, attempt, Ending("unsent"))
             else:  # it is out no more as far as the module goes; the check of routes has seen to the rest
-                self._ended(ask, call_out, Ending("timeout"))
+                self._ended(ask, attempt, Ending("timeout"))
 
-    def _cancel(self, call_out: CallOut) -> None:
-        ask = self.asks.get(call_out.rpc.ident)
-        if ask is not None and call_out in ask.orders:
-            self._withdraw(ask, call_out, "cancelled")
+    def _cancel(self, decision: Cancel) -> None:
+        attempt = decision.attempt
+        ask = self.asks.get(attempt.request.ident)
+        if ask is not None and attempt in ask.orders:
+            self._withdraw(ask, attempt, "cancelled")
 
-    def _withdraw(self, ask: Ask, call_out: CallOut, outcome: str) -> None:
+    def _withdraw(self, ask: Ask, attempt: Attempt, outcome: str) -> None:
         # Danger: the next call-out beside one whose cancel still waits in our buffer would be a second at once.
         # So the outcome is told only when the cancel is with the kernel, or the connection is cut for it.
-        order = ask.orders[call_out]
+        order = ask.orders[attempt]
         link = order.link
 
         def done() -> None:
-            self.events.put(("withdrawn", ask, call_out, outcome))
+            self.events.put(("withdrawn", ask, attempt, outcome))
 
         said = link.cancel(order, done) if link is not None else "ended"
         if said == "unsent":
-            self.events.put(("withdrawn", ask, call_out, "unsent"))
+            self.events.put(("withdrawn", ask, attempt, "unsent"))
         elif said == "cancelled":
             done()
         elif said is None:
-            self._at(clock() + self.station.allowance.dial, self._cut, ask, call_out, link)
+            self._at(clock() + self.station.attempt_limits.connect_timeout, self._cut, ask, attempt, link)
 
-    def _cut(self, ask: Ask, call_out: CallOut, link: Link) -> None:
-        if call_out in ask.orders:
+    def _cut(self, ask: Ask, attempt: Attempt, link: Link) -> None:
+        if attempt in ask.orders:
             self.log.warning("link cut", worker=link.name, why="it does not read, and a call-out is to end")
             link.cut()
 
-    def _deny(self, rpc, wait: float | None) -> None:
-        ask, why = self.asks[rpc.ident], self._why(rpc)
+    def _deny(self, decision: Reject) -> None:
+        request, wait = decision.request, decision.retry_after
+        ask, why = self.asks[request.ident], self._why(request)
         self.counts[f"denied_{why}"] += 1
         self._final(ask, "denied", why, wait)
         self._forget(ask)
 
-    def _abort(self, rpc) -> None:
-        ask = self.asks[rpc.ident]
-        self._final(ask, "aborted", self._why(rpc))
+    def _abort(self, decision: Fail) -> None:
+        request = decision.request
+        ask = self.asks[request.ident]
+        self._final(ask, "aborted", self._why(request))
         self._forget(ask)
 
-    def _why(self, rpc) -> str:
-        ended = [call_out.outcome for call_out in rpc.call_outs if call_out.outcome]
+    def _why(self, request: Request) -> str:
+        ended = [attempt.outcome for attempt in request.attempts if attempt.outcome]
         return ended[-1] if ended else "no-place"
 
-    def _hold(self, worker: Worker, program: Program, copies: int) -> None:
-        name = worker.listing.ident
+    def _hold(self, decision: Prewarm) -> None:
+        worker, program, copies = decision.worker, decision.function, decision.replicas
+        name = worker.endpoint.ident
         link = self._link(name)
         order = self.speech.hold((name, program.name, clock()), program, copies)
         self.counts["holds"] += 1
         if link is None:
             self.events.put(("back", None, order, "unsent"))
             return
-        self._at(clock() + self.station.stock.hold_wait, self._unanswered, link, order)
+        self._at(clock() + self.station.function_cache.prewarm_timeout, self._unanswered, link, order)
         link.send(order)
 
-    def _probe(self, worker: Worker) -> None:
-        name = worker.listing.ident
+    def _probe(self, decision: HealthCheck) -> None:
+        worker = decision.worker
+        name = worker.endpoint.ident
         link, order = self._link(name), self.speech.probe(name)
         self.counts["probes"] += 1
         if link is None:
@@ -573,9 +592,9 @@
         if link.forget(order):
             self._back(link, order, "timeout")
 
-    def _follow(self, on: bool) -> None:
-        self.log.info("list followed", on=on)  # the list is pushed to us by its watcher in any case
+    def _follow(self, decision: FollowEndpoints) -> None:
+        self.log.info("list followed", on=decision.enabled)  # the list is pushed to us by its watcher in any case
 
-    def _note(self, text: str) -> None:
-        event, keys = logs.keys(text)
+    def _note(self, decision: LogNote) -> None:
+        event, keys = logs.keys(decision.text)
         self.log.info(event, **keys)
--- a/wickdyke/gateway/door.py
+++ b/wickdyke/gateway/door.py
@@ -15,7 +15,7 @@
 from wickdyke.wire.acceptor import Acceptor
 from wickdyke.wire.outbox import Outbox, Parcel, Unread
 from wickdyke.wire.server import listener
-from wickdyke.interface import Method, Timing
+from wickdyke.routing.model import RequestClass, RoutePolicy
 from wickdyke.protocol import front, jsonrpc
 from wickdyke.protocol.lines import Lines, TooLong
 from wickdyke.settings.routes import Routes
@@ -50,11 +50,11 @@
         self,
         client: "Client",
         ident: jsonrpc.Ident,
-        method: Method,
+        method: RequestClass,
         call: front.Call,
         left: float,
         batch: Batch | None,
-        timing: Timing | None,
+        timing: RoutePolicy | None,
     ) -> None:
         super().__init__(client, ident, method, call, left, timing)
         self.batch = batch
--- a/wickdyke/gateway/parts.py
+++ b/wickdyke/gateway/parts.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import Any, Protocol
 
-from wickdyke.interface import CallOut, Listing, Method, Program, Timing
+from wickdyke.routing.model import Attempt, Endpoint, Function, RequestClass, RoutePolicy
 
 
 class Ask:
@@ -31,7 +31,7 @@
     )
 
     def __init__(
-        self, client: Any, ident: Any, method: Method, call: Any, left: float, timing: Timing | None = None
+        self, client: Any, ident: Any, method: RequestClass, call: Any, left: float, timing: RoutePolicy | None = None
     ) -> None:
         self.client, self.ident, self.method, self.call, self.left = client, ident, method, call, left
         self.timing = timing  # as the routes are now; a file read later is for those that come later
@@ -116,10 +116,10 @@
     def link(self, name: str, address: str, tell: Any) -> Link:
         """The way to one worker."""
 
-    def run(self, call_out: CallOut, ask: Ask, left: float) -> Order:
+    def run(self, attempt: Attempt, ask: Ask, left: float) -> Order:
         """A call-out, to be waited for so many ms."""
 
-    def hold(self, key: tuple, program: Program, copies: int) -> Order:
+    def hold(self, key: tuple, program: Function, copies: int) -> Order:
         """An order to have so many copies standing."""
 
     def probe(self, key: str) -> Order:
@@ -133,7 +133,7 @@
 class ListChange:
     """What an input changed of the list: listings, and where workers are (None: listed no more)."""
 
-    listings: list[Listing]
+    listings: list[Endpoint]
     addresses: dict[str, str | None]
 
 
--- /dev/null
+++ b/wickdyke/gateway/recording_words.py
@@ -0,0 +1,115 @@
+"""Reads recordings written under earlier names: one table for inputs, settings, decisions and log notes."""
+
+import re
+
+INPUTS = {
+    "took": "request_received",
+    "ended": "attempt_finished",
+    "held": "prewarm_finished",
+    "probed": "health_checked",
+    "listed": "endpoints_changed",
+    "left": "client_gone",
+    "began": "answer_begun",
+}
+DECISIONS = {
+    "call": "forward",
+    "deny": "reject",
+    "abort": "fail",
+    "hold": "prewarm",
+    "probe": "health_check",
+    "follow_list": "follow_endpoints",
+}
+PARTS = {
+    "seat": "instance",
+    "allowance": "attempt_limits",
+    "stock": "function_cache",
+    "warmup": "slow_start",
+    "ration": "prewarm_quota",
+    "directory": "discovery",
+    "tariff": "cost_weights",
+    "shares": "tenant_quotas",
+}
+FIELDS = {
+    "instance": {"number": "index", "of": "count", "report": "report_fields", "by_work": "weight_by_work"},
+    "attempt_limits": {
+        "call_outs": "attempts",
+        "overlap": "hedging",
+        "probe": "health_checks",
+        "dial": "connect_timeout",
+        "idle_close": "idle_timeout",
+    },
+    "function_cache": {
+        "idle_life": "idle_timeout",
+        "may_hold": "may_prewarm",
+        "loads_on_call": "loads_on_demand",
+        "hold_wait": "prewarm_timeout",
+        "tells_standing": "reports_warmth",
+        "tells_company": "reports_concurrency",
+    },
+    "discovery": {"ask_within": "poll_within"},
+    "cost_weights": {"probe": "health_check", "crossing": "cross_zone"},
+}
+REQUEST_CLASS = {
+    "window": "dedupe_window",
+    "soft": "latency_objective",
+    "soft_stretch": "objective_per_work",
+    "gain": "priority_weight",
+    "late_gain": "late_weight",
+}
+ROUTE_POLICY = {
+    "soft": "latency_objective",
+    "attempt": "attempt_timeout",
+    "pause": "backoff",
+    "again": "retryable",
+    "second": "hedge",
+    "budget": "budget_terms",
+    "queue": "queue_timeout",
+    "account": "budget_key",
+}
+ENDPOINT = {"born": "started_at"}
+REPORT_FIELDS = {"held": "in_flight", "busy": "utilization", "queue": "queued"}
+NOTES = (
+    (re.compile(r" shunned for "), " ejected for "),
+    (re.compile(r"silent with (\d+) out$"), r"silent with \1 in flight"),
+)
+
+
+def modern(entry: list) -> list:
+    """An entry of a recording in today's names; one that has them already is left as it is."""
+    match entry:
+        case ["start", now, seed, classes, parts]:
+            return ["start", now, seed, [_renamed(each, REQUEST_CLASS) for each in classes], _parts(parts)]
+        case ["heard", now, name, args]:
+            return ["heard", now, INPUTS.get(name, name), _arguments(INPUTS.get(name, name), args)]
+        case ["decided", ["note", text]]:
+            return ["decided", ["note", _note(text)]]
+        case ["decided", [verb, *about]]:
+            return ["decided", [DECISIONS.get(verb, verb), *about]]
+    return entry
+
+
+def _renamed(record: dict, names: dict[str, str]) -> dict:
+    return {names.get(name, name): value for name, value in record.items()}
+
+
+def _parts(parts: dict) -> dict:
+    named = _renamed(parts, PARTS)
+    renamed = {name: _renamed(part, FIELDS.get(name, {})) for name, part in named.items()}
+    if "instance" in renamed:
+        fields = renamed["instance"]["report_fields"]
+        renamed["instance"]["report_fields"] = [REPORT_FIELDS.get(field, field) for field in fields]
+    return renamed
+
+
+def _arguments(name: str, args: list) -> list:
+    if name == "endpoints_changed":
+        return [[_renamed(endpoint, ENDPOINT) for endpoint in args[0]], *args[1:]]
+    if name == "request_received" and isinstance(args[-1], dict):
+        return [*args[:-1], _renamed(args[-1], ROUTE_POLICY)]
+    return args
+
+
+def _note(text: str) -> str:
+    for old, new in NOTES:
+        text = old.sub(new, text)
+    return text
