--- a/wickdyke/gateway/roster.py
+++ b/wickdyke/gateway/roster.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 
 from wickdyke.gateway.parts import ListChange
-from wickdyke.interface import Listing
+from wickdyke.routing.model import Endpoint
 from wickdyke.protocol.back import Standing
 from wickdyke.settings.roll import Row
 
@@ -30,7 +30,7 @@
     def __init__(self, zones: tuple[str, ...], kinds: tuple[str, ...]) -> None:
         self.zones, self.kinds = zones, kinds
         self.seen: dict[str, Seen] = {}
-        self.passed: dict[str, Listing] = {}
+        self.passed: dict[str, Endpoint] = {}
 
     def __len__(self) -> int:
         return len(self.seen)
@@ -42,7 +42,7 @@
         addresses = {name: self.address(name) for name in {**before, **self.seen}}
         return ListChange(listings, {name: at for name, at in addresses.items() if before.get(name) != at})
 
-    def _rows(self, rows: list[Row], now: float) -> list[Listing]:
+    def _rows(self, rows: list[Row], now: float) -> list[Endpoint]:
         changes = []
         named = {row.name: row for row in rows}
         for name, seen in list(self.seen.items()):
@@ -68,7 +68,7 @@
         """Where a listed worker is."""
         return self.seen[name].row.address if name in self.seen else None
 
-    def hello(self, name: str, standing: Standing, now: float) -> list[Listing]:
+    def hello(self, name: str, standing: Standing, now: float) -> list[Endpoint]:
         """A worker was connected to and said who it is."""
         seen = self.seen.get(name)
         if seen is None:
@@ -80,7 +80,7 @@
         seen.known, seen.draining = True, standing.draining
         return self._changed(name)
 
-    def unheard(self, name: str, now: float) -> list[Listing]:
+    def unheard(self, name: str, now: float) -> list[Endpoint]:
         """No connection could be made. One never heard counts as just started."""
         seen = self.seen.get(name)
         if seen is None or seen.known:
@@ -88,19 +88,19 @@
         seen.known, seen.born = True, now
         return self._changed(name)
 
-    def draining(self, name: str) -> list[Listing]:
+    def draining(self, name: str) -> list[Endpoint]:
         """A worker said itself that it drains: believed at once, whatever the list says."""
         if (seen := self.seen.get(name)) is None:
             return []
         seen.draining = True
         return self._changed(name)
 
-    def _changed(self, name: str) -> list[Listing]:
+    def _changed(self, name: str) -> list[Endpoint]:
         seen = self.seen[name]
         if not seen.known:
             return []
         row = seen.row
-        listing = Listing(
+        listing = Endpoint(
             name,
             self.zones.index(row.zone) if row.zone in self.zones else 0,
             self.kinds.index(row.kind) if row.kind in self.kinds else 0,
@@ -115,5 +115,5 @@
         return [listing]
 
 
-def _with(listing: Listing, state: str) -> Listing:
-    return Listing(listing.ident, listing.zone, listing.kind, listing.cell, state, listing.size, listing.born)
+def _with(listing: Endpoint, state: str) -> Endpoint:
+    return Endpoint(listing.ident, listing.zone, listing.kind, listing.cell, state, listing.size, listing.started_at)
--- a/wickdyke/gateway/serve.py
+++ b/wickdyke/gateway/serve.py
@@ -14,7 +14,7 @@
 from wickdyke.gateway.speech import JsonRpc
 from wickdyke.gateway.tape import Tape
 from wickdyke.gateway.circuit_breaker import CircuitBreaker
-from wickdyke.logic import TICK
+from wickdyke.routing.periods import TICK
 from wickdyke.settings import roll, routes
 from wickdyke.settings.sexp import NotYet, Unusable
 from wickdyke.settings.station import Station
@@ -79,8 +79,10 @@
 
 def ground(station: Station) -> Ground:
     """What routes are checked against: the deployment's figures, and how often the module looks."""
-    allowance = station.allowance
-    return Ground(allowance.overlap, allowance.cancel, allowance.dial, station.answer_way, TICK, allowance.call_outs)
+    allowance = station.attempt_limits
+    return Ground(
+        allowance.hedging, allowance.cancel, allowance.connect_timeout, station.answer_way, TICK, allowance.attempts
+    )
 
 
 class Gateway:
@@ -100,7 +102,7 @@
             JsonRpc(station),
             Roster(station.zones, station.kinds),
             self.tape,
-            CircuitBreaker(station.isolation, station.seat.of, log),
+            CircuitBreaker(station.isolation, station.instance.count, log),
         )
         self.door = Door(station, self.desk.take, self.desk.busy, log.warning)
         self.watchers = [
@@ -143,7 +145,9 @@
         for watcher in self.watchers:
             watcher.open()
         self.door.open()
-        self.log.info("serving", socket=self.station.listen, seat=f"{self.station.seat.number}/{self.station.seat.of}")
+        self.log.info(
+            "serving", socket=self.station.listen, seat=f"{self.station.instance.index}/{self.station.instance.count}"
+        )
 
     def stop(self) -> None:
         """Takes no more RPCs, answers all it holds within their deadlines, then ends."""
--- a/wickdyke/gateway/speech.py
+++ b/wickdyke/gateway/speech.py
@@ -4,7 +4,7 @@
 
 from wickdyke.gateway.link import Link, Order, clock
 from wickdyke.gateway.parts import Ask, Ending
-from wickdyke.interface import CallOut, Program
+from wickdyke.routing.model import Attempt, Function
 from wickdyke.protocol import back, jsonrpc
 from wickdyke.settings.station import Station
 
@@ -15,24 +15,32 @@
     eager = True  # a worker's hello tells since when it is up
 
     def __init__(self, station: Station) -> None:
-        self.station, self.names = station, station.seat.report
+        self.station, self.names = station, station.instance.report_fields
 
     def link(self, name: str, address: str, tell) -> Link:
         """The way to one worker."""
         bounds = self.station.bounds
-        return Link(name, address, self.station.name, tell, self.station.allowance.dial, bounds.line, bounds.unread)
+        return Link(
+            name,
+            address,
+            self.station.name,
+            tell,
+            self.station.attempt_limits.connect_timeout,
+            bounds.line,
+            bounds.unread,
+        )
 
-    def run(self, call_out: CallOut, ask: Ask, left: float) -> Order:
+    def run(self, attempt: Attempt, ask: Ask, left: float) -> Order:
         """A call-out, to be waited for so many ms."""
         # Danger: it waits for its connection and for room at the kernel: see Speech.run in wickdyke/platform/back.py.
         ends = clock() + left
-        program, call = call_out.rpc.program, ask.call
+        program, call = attempt.request.function, ask.call
         run = back.Run(
-            call_out.rpc.method.name,
+            attempt.request.request_class.name,
             program.name,
             call.input,
             program.memory,
-            program.lanes,
+            program.concurrency,
             left,
             call.load_ms,
             call.token,
@@ -42,11 +50,11 @@
             run.time_left_ms = time_left
             return jsonrpc.encode(run)
 
-        return Order("run", call_out, "run", params, ends)
+        return Order("run", attempt, "run", params, ends)
 
-    def hold(self, key: tuple, program: Program, copies: int) -> Order:
+    def hold(self, key: tuple, program: Function, copies: int) -> Order:
         """An order to have so many copies standing."""
-        hold = back.Hold(program.name, program.memory, program.lanes, copies, program.load_hint or None)
+        hold = back.Hold(program.name, program.memory, program.concurrency, copies, program.load_hint or None)
         return Order("hold", key, "hold", jsonrpc.encode(hold))
 
     def probe(self, key: str) -> Order:
--- a/wickdyke/gateway/tape.py
+++ b/wickdyke/gateway/tape.py
@@ -13,49 +13,71 @@
 
 import msgspec
 
-from wickdyke.interface import Allowance, Directory, Listing, Method, Ration, Seat, Shares, Stock, Tariff, Timing
-from wickdyke.interface import Warmup
-from wickdyke.logic import FrontEnd
+from wickdyke.routing.model import Endpoint, RequestClass, RoutePolicy
+from wickdyke.routing.settings import (
+    AttemptLimits,
+    CostWeights,
+    Discovery,
+    FunctionCache,
+    GatewayInstance,
+    PrewarmQuota,
+    TenantQuotas,
+)
+from wickdyke.routing.settings import SlowStart
+from wickdyke.gateway.recording_words import modern
+from wickdyke.routing.decisions import (
+    Cancel,
+    Decision,
+    Fail,
+    FollowEndpoints,
+    Forward,
+    HealthCheck,
+    LogNote,
+    Prewarm,
+    Reject,
+)
+from wickdyke.routing.router import Router
 
 WAITING = 200000  # entries; a recording that can't be written as fast stops, and says so at its end
 TEMPORARY = (errno.ENOSPC, errno.EDQUOT, errno.EIO)  # of a folder that may work again later
 CLOSING = 5.0  # s that the end of a recording may take
 PARTS = {
-    "seat": Seat,
-    "allowance": Allowance,
-    "stock": Stock,
-    "warmup": Warmup,
-    "ration": Ration,
-    "directory": Directory,
-    "tariff": Tariff,
-    "shares": Shares,
+    "instance": GatewayInstance,
+    "attempt_limits": AttemptLimits,
+    "function_cache": FunctionCache,
+    "slow_start": SlowStart,
+    "prewarm_quota": PrewarmQuota,
+    "discovery": Discovery,
+    "cost_weights": CostWeights,
+    "tenant_quotas": TenantQuotas,
 }
 
 
-def decided(decision: tuple) -> list:
-    """A decision in ids."""
-    verb, *rest = decision
-    match verb:
-        case "call":
-            rpc, worker, patience = rest
-            return [verb, rpc.ident, worker.listing.ident, patience]
-        case "cancel":
-            return [verb, rest[0].rpc.ident, rest[0].number]
-        case "deny":
-            return [verb, rest[0].ident, rest[1]]
-        case "abort":
-            return [verb, rest[0].ident]
-        case "hold":
-            return [verb, rest[0].listing.ident, rest[1].name, rest[2]]
-        case "probe":
-            return [verb, rest[0].listing.ident]
-    return [verb, *rest]
+def decided(decision: Decision) -> list:
+    """A decision by the identifiers of what it is about."""
+    match decision:
+        case Forward(request, worker, timeout):
+            return ["forward", request.ident, worker.endpoint.ident, timeout]
+        case Cancel(attempt):
+            return ["cancel", attempt.request.ident, attempt.number]
+        case Reject(request, retry_after):
+            return ["reject", request.ident, retry_after]
+        case Fail(request):
+            return ["fail", request.ident]
+        case Prewarm(worker, function, replicas):
+            return ["prewarm", worker.endpoint.ident, function.name, replicas]
+        case HealthCheck(worker):
+            return ["health_check", worker.endpoint.ident]
+        case FollowEndpoints(enabled):
+            return ["follow_endpoints", enabled]
+        case LogNote(text):
+            return ["note", text]
 
 
 def _plain(value: object) -> object:
-    if isinstance(value, Method):
+    if isinstance(value, RequestClass):
         return value.name
-    if isinstance(value, Listing | Timing):
+    if isinstance(value, Endpoint | RoutePolicy):
         return asdict(value)
     if isinstance(value, (list, tuple)):
         return [_plain(each) for each in value]
@@ -85,9 +107,9 @@
         else:
             self.thread.start()
 
-    def start(self, now: float, seed: int, methods: list[Method], parts: dict) -> None:
+    def start(self, now: float, seed: int, methods: list[RequestClass], parts: dict) -> None:
         """What the front end was made with."""
-        named = [{k: v for k, v in asdict(method).items() if k != "times"} for method in methods]
+        named = [{k: v for k, v in asdict(method).items() if k != "durations"} for method in methods]
         self._put(("start", now, seed, named, {name: asdict(part) for name, part in parts.items()}))
 
     def heard(self, now: float, name: str, args: tuple) -> None:
@@ -154,10 +176,10 @@
     first = next(source, None)
     if not first or first[0] != "start":
         return 0, "found no start, expected it as the first entry"
-    _, now, seed, methods, parts = first
-    known = [msgspec.convert(method, Method, strict=False) for method in methods]
+    _, now, seed, methods, parts = modern(first)
+    known = [msgspec.convert(method, RequestClass, strict=False) for method in methods]
     named = {method.name: method for method in known}
-    front_end = FrontEnd(
+    router = Router(
         now, seed, known, **{name: msgspec.convert(parts[name], kind) for name, kind in PARTS.items() if name in parts}
     )
     alike, said = 0, []
@@ -172,7 +194,7 @@
         )
 
     want: list | None = None
-    for entry in source:
+    for entry in map(modern, source):
         if entry[0] == "decided":
             want.append(entry[1])
             continue
@@ -182,18 +204,18 @@
             alike += len(want)
             want = None
         _, now, name, args = entry
-        front_end.woke(now)
+        router.advance(now)
         if name == "decide":
-            said, want = [decided(decision) for decision in iter(front_end.decide, None)], []
+            said, want = [decided(decision) for decision in iter(router.decide, None)], []
             continue
-        if name == "listed":
-            args = [[Listing(**row) for row in args[0]], args[1]]
-        elif name == "took":
+        if name == "endpoints_changed":
+            args = [[Endpoint(**row) for row in args[0]], args[1]]
+        elif name == "request_received":
             args[2] = named[args[2]]
             if args[-1] is not None:
-                args[-1] = msgspec.convert(args[-1], Timing)
-        elif name in ("ended", "probed") and args[-1] is not None:
+                args[-1] = msgspec.convert(args[-1], RoutePolicy)
+        elif name in ("attempt_finished", "health_checked") and args[-1] is not None:
             args[-1] = tuple(args[-1])
-        getattr(front_end, name)(*args)
+        getattr(router, name)(*args)
     # decisions after the last input may have been cut off with the recording
     return alike + len(want or ()), None
--- a/wickdyke/platform/back.py
+++ b/wickdyke/platform/back.py
@@ -12,7 +12,7 @@
 
 from wickdyke.gateway import parts
 from wickdyke.gateway.parts import Ask, Ending
-from wickdyke.interface import CallOut, Program
+from wickdyke.routing.model import Attempt, Function
 from wickdyke.platform import resp
 from wickdyke.settings.terms import REPORTS
 from wickdyke.wire.loop import Loop, clock, dial
@@ -44,7 +44,13 @@
 LOST = {"run": "error", "probe": "error", "hold": "timeout"}  # an answer that got lost, at a worker that lives
 NOTES = {"w": "stood", "c": "began", "j": "awaited", "f": "load failed"}
 # Reports come under the protocol's words or under those of the settings.
-WORDS = REPORTS | {"inflight": "held", "util": "busy", "latency_ms": "recent", "qps": "rate", "eps": "errors"}
+WORDS = REPORTS | {
+    "inflight": "in_flight",
+    "util": "utilization",
+    "latency_ms": "recent",
+    "qps": "rate",
+    "eps": "errors",
+}
 
 
 def report(text: str, names: tuple[str, ...]) -> tuple[float, ...] | None:
@@ -140,7 +146,7 @@
 
     def __init__(self, loop: Loop, station, log, most: int) -> None:
         self.loop, self.station, self.log = loop, station, log
-        self.pool, self.names = Pool(most), station.seat.report
+        self.pool, self.names = Pool(most), station.instance.report_fields
         self.number = 0
 
     def _tag(self) -> bytes:
@@ -155,27 +161,27 @@
             tell,
             self.loop,
             self.pool,
-            self.station.allowance.dial,
-            self.station.allowance.idle_close * IDLE_PART,
+            self.station.attempt_limits.connect_timeout,
+            self.station.attempt_limits.idle_timeout * IDLE_PART,
             self.names,
         )
 
-    def run(self, call_out: CallOut, ask: Ask, left: float) -> Order:
+    def run(self, attempt: Attempt, ask: Ask, left: float) -> Order:
         """A call-out, to be waited for so many ms."""
         # Danger: it waits for its connection, a second one, and room at the kernel. Told what was left when it was
         # decided, a worker would work on past the deadline of the client. So it is written as its first byte goes.
         ends, ident, body = clock() + left, ask.call.ident, ask.call.input
-        before = f"lane={call_out.rpc.method.name},name={call_out.rpc.program.name},ttl="
+        before = f"lane={attempt.request.request_class.name},name={attempt.request.function.name},ttl="
         after = f",dedupe={ask.call.token}" if ask.call.token else ""
         return Order(
             "run",
-            call_out,
+            attempt,
             ident,
             lambda ttl: resp.command(b"invoke", ident, f"{before}{ttl}{after}".encode(), body),
             ends,
         )
 
-    def hold(self, key: tuple, program: Program, copies: int) -> Order:
+    def hold(self, key: tuple, program: Function, copies: int) -> Order:
         """An order to have so many copies standing."""
         tag = self._tag()
         return Order("hold", key, tag, resp.command(b"prewarm", tag, f"name={program.name},units={copies}".encode()))
--- a/wickdyke/platform/roster.py
+++ b/wickdyke/platform/roster.py
@@ -25,7 +25,7 @@
 from dataclasses import replace
 
 from wickdyke.gateway.parts import ListChange
-from wickdyke.interface import Listing
+from wickdyke.routing.model import Endpoint
 
 PROMPT = 2000.0  # ms by which an event may tell late of a start while the list is followed: a lost one ends after 1.5 s
 OUTAGE = 10000.0  # ms without events that are believed to be the list's fault, at most, on a new connection
@@ -71,7 +71,7 @@
         self.births: dict[str, tuple[float, float]] = {}  # of listed late starts: as told (Unix ms), as the desk's ms
         self.gone_births: dict[str, tuple[float, float]] = {}  # of deleted ones, the latest GONE_KEPT
         self.offset, self.unusable = 0, 0
-        self.listed: dict[str, tuple[Listing, str]] = {}  # with where it is
+        self.listed: dict[str, tuple[Endpoint, str]] = {}  # with where it is
 
     def __len__(self) -> int:
         return len(self.listed)
@@ -82,7 +82,7 @@
 
     def rows(self, events: Iterable[dict], now: float) -> ListChange:
         """Events came, in their order; those that came before change nothing."""
-        before: dict[str, tuple[Listing, str] | None] = {}  # of those that an event names
+        before: dict[str, tuple[Endpoint, str] | None] = {}  # of those that an event names
         self.oldest_age = self._oldest_age(now)
         for event in events:
             if event["offset"] > self.offset:
@@ -108,7 +108,7 @@
             return PROMPT
         return PROMPT + min(OUTAGE, now - self.last_events)
 
-    def _take(self, topology: object, before: dict[str, tuple[Listing, str] | None], now: float) -> None:
+    def _take(self, topology: object, before: dict[str, tuple[Endpoint, str] | None], now: float) -> None:
         instances = topology.get("instances") if isinstance(topology, dict) else None
         if not isinstance(instances, list):
             self.unusable += topology is not None
@@ -158,14 +158,14 @@
         possible = now - self.oldest_age <= born <= now
         return started, born if possible else now
 
-    def _row(self, each: dict, now: float) -> tuple[Listing, str, tuple[float, float] | None]:
+    def _row(self, each: dict, now: float) -> tuple[Endpoint, str, tuple[float, float] | None]:
         ident, address, started = each["instanceId"], each["hostPort"], each.get("startedAtMs") or 0
         host, sign, port = address.rpartition(":")
         if not (isinstance(ident, str) and ident and host and sign and 0 < int(port) < 65536):
             raise ValueError(address)
         zone, kind = each.get("zone"), each.get("machineType")
         birth = self._birth(ident, float(started), now) if started else None
-        listing = Listing(
+        listing = Endpoint(
             ident,
             self.zones.index(zone) if zone in self.zones else 0,
             self.kinds.index(kind) if kind in self.kinds else 0,
--- a/wickdyke/platform/serve.py
+++ b/wickdyke/platform/serve.py
@@ -63,7 +63,7 @@
             lambda: self.roster.offset,
             self._events,
             log,
-            min(FOLLOW, BACK * station.directory.drain_grace),
+            min(FOLLOW, BACK * station.discovery.drain_grace),
             station.seed,
         )
         self.asked_to_end: float | None = None  # when
--- a/wickdyke/platform/station.py
+++ b/wickdyke/platform/station.py
@@ -5,7 +5,17 @@
 from dataclasses import dataclass
 from types import SimpleNamespace
 
-from wickdyke.interface import Allowance, Directory, Method, Ration, Seat, Shares, Stock, Tariff, Warmup
+from wickdyke.routing.model import RequestClass
+from wickdyke.routing.settings import (
+    AttemptLimits,
+    CostWeights,
+    Discovery,
+    FunctionCache,
+    GatewayInstance,
+    PrewarmQuota,
+    SlowStart,
+    TenantQuotas,
+)
 from wickdyke.platform.roster import Unusable, change
 from wickdyke.settings import terms
 
@@ -37,15 +47,15 @@
     zones: tuple[str, ...]
     kinds: tuple[str, ...]
     tenants: tuple[str, ...]
-    methods: list[Method]
-    seat: Seat
-    allowance: Allowance
-    stock: Stock
-    warmup: Warmup
-    ration: Ration
-    directory: Directory
-    tariff: Tariff
-    shares: Shares
+    methods: list[RequestClass]
+    instance: GatewayInstance
+    attempt_limits: AttemptLimits
+    function_cache: FunctionCache
+    slow_start: SlowStart
+    prewarm_quota: PrewarmQuota
+    discovery: Discovery
+    cost_weights: CostWeights
+    tenant_quotas: TenantQuotas
     bounds: SimpleNamespace
     answer_way: float = ANSWER_WAY
     probe_wait: float = PROBE_WAIT
--- a/wickdyke/protocol/back.py
+++ b/wickdyke/protocol/back.py
@@ -106,8 +106,14 @@
     return jsonrpc.request_line("run", jsonrpc.encode(run), number)
 
 
-def report(values: dict[str, float] | None, names: tuple[str, ...]) -> tuple[float, ...] | None:
-    """A worker's report in the order of `names`; None where it is not whole."""
+# What the words of a report mean to the router.
+REPORT_FIELDS = {"busy": "utilization", "held": "in_flight", "queue": "queued"}
+REPORT_WORDS = {field: word for word, field in REPORT_FIELDS.items()}
+
+
+def report(values: dict[str, float] | None, fields: tuple[str, ...]) -> tuple[float, ...] | None:
+    """A worker's report in the order of the router's `fields`; None where it is not whole."""
+    names = [REPORT_WORDS.get(field, field) for field in fields]
     if not values or any(name not in values for name in names):
         return None
     return tuple(values[name] for name in names)
--- /dev/null
+++ b/wickdyke/routing/dispatcher.py
@@ -0,0 +1,309 @@
+"""Decides what becomes of each open request: forwarded, kept waiting, hedged, withdrawn, rejected or failed."""
+
+from collections import deque
+from collections.abc import Callable
+from dataclasses import dataclass, field
+from heapq import heappush
+
+from wickdyke.routing.fleet import Fleet
+from wickdyke.routing.decisions import Cancel, Decision, Fail, Forward, Reject
+from wickdyke.routing.latency import (
+    OVERDUE_FACTOR,
+    OVERDUE_LEAST,
+    REPORT_AGE,
+    WORKER_RECORDS,
+    LatencyEstimator,
+)
+from wickdyke.routing.model import (
+    Attempt,
+    Effect,
+    Function,
+    Outcome,
+    Replica,
+    Request,
+    RequestClass,
+    Worker,
+    active_attempts,
+    begin_attempt,
+)
+from wickdyke.routing.outliers import OutlierDetector
+from wickdyke.routing.periods import TICK
+from wickdyke.routing.placement import FILL_UTILIZATION
+from wickdyke.routing.prewarming import Prewarmer, PrewarmLimiter, PrewarmPlan
+from wickdyke.routing.retries import attempts_allowed, may_attempt_at, may_reject, may_wait, within_retry_budget
+from wickdyke.routing.selection import ReplicaSelector
+from wickdyke.routing.settings import AttemptLimits, FunctionCache
+from wickdyke.routing.slow_start import SlowStartGuard
+
+TIME_FOR_ATTEMPT = 2 * TICK  # ms before its deadline up to which a request may be attempted
+RETRY_LOOK_EVERY = 3 * TICK  # ms between looks for a retry that found no worker
+LATE_FACTOR = 1.5  # times its expected latency by which a request is to be in time
+
+Kind = tuple[Function, RequestClass, bool]
+
+
+@dataclass(slots=True)
+class Dispatcher:
+    """Owns the open requests. Its decisions are appended to `decisions`."""
+
+    limits: AttemptLimits
+    cache: FunctionCache
+    latency: LatencyEstimator
+    slow_start: SlowStartGuard
+    prewarm_limiter: PrewarmLimiter
+    prewarmer: Prewarmer
+    selector: ReplicaSelector
+    outliers: OutlierDetector
+    fleet: Fleet
+    all_workers: Worker  # all workers as one, for the limit on all our attempts
+    decisions: deque[Decision]
+    requests: dict[int, Request] = field(default_factory=dict)
+    todo: deque[Request] = field(default_factory=deque)  # to be looked at
+    waiting: list[Request] = field(default_factory=list)  # until the next tick
+    unplaceable: set[Kind] = field(default_factory=set)  # that found no replica at this time
+
+    def open(self, request: Request) -> None:
+        """Takes a new request."""
+        self.requests[request.ident] = request
+        self.todo.append(request)
+
+    def look_again(self, request: Request) -> None:
+        """An attempt of the request has ended without an answer."""
+        if not request.queued:
+            request.queued = True
+            self.todo.append(request)
+
+    def look_at_waiting(self, rank: Callable[[Request], tuple]) -> None:
+        """Looks at all that wait again, in that order."""
+        self.waiting.sort(key=rank)
+        self.todo.extend(self.waiting)
+        self.waiting = []
+
+    def close(self, request: Request) -> None:
+        """The request has its answer, or its client has gone: what is in flight is cancelled."""
+        request.closed = True
+        in_flight = [attempt for attempt in request.attempts if attempt.outcome is None]
+        if self.limits.cancel:
+            self.decisions.extend(map(Cancel, in_flight))
+        if not in_flight:
+            self.requests.pop(request.ident, None)
+
+    def dispatch(self, request: Request, now: float) -> None:
+        """Decides what becomes of a request that has nothing in flight."""
+        request.queued = False
+        if request.closed or any(attempt.outcome is None for attempt in request.attempts):
+            return
+        may_go_on, replica = self._may_go_on(request, now), None
+        if may_go_on and now >= request.not_before:
+            replica = self.find_replica(request, set(), now)
+        if replica and self._rejected_early(replica, request, now):
+            may_go_on = False
+        if replica and may_go_on and self._forward_or_prewarm(replica, request, now):
+            return
+        if may_go_on and self._may_wait(request, now):
+            self._wait(request, replica, now)
+        else:
+            self._give_up(request)
+
+    def _may_go_on(self, request: Request, now: float) -> bool:
+        if not request.route_policy:
+            return True
+        last = request.attempts[-1].outcome if request.attempts else None
+        more = len(request.attempts) < attempts_allowed(request, self.limits)
+        return more and within_retry_budget(request, last, now)
+
+    # ---- finding a replica ----
+
+    def find_replica(self, request: Request, besides: set[Worker], now: float) -> Replica | None:
+        """A replica for the next attempt, at none of those workers; None where there is none now."""
+        if now >= request.deadline - TIME_FOR_ATTEMPT or self._all_attempts_in_use(now):
+            return None
+        # To look at thousands that wait would take longer than the time between two looks. The first to find no replica
+        # tells for all like it, until something is heard.
+        kind = request.function, request.request_class, not request.attempts
+        if kind in self.unplaceable:
+            return None
+        replica = self._choose(request, besides, now)
+        if replica is None and not request.attempts:
+            self.unplaceable.add(kind)
+        return replica
+
+    def _all_attempts_in_use(self, now: float) -> bool:
+        limited = not self.cache.loads_on_demand
+        return limited and active_attempts(self.all_workers, now) >= self.all_workers.concurrency_limit
+
+    def _choose(self, request: Request, besides: set[Worker], now: float) -> Replica | None:
+        can_serve = self._filter(request, besides, now)
+        if self.outliers.network_fault:  # while new connections fail, workers with one that stands come first
+            kept = self.limits.idle_timeout
+            connected = self.selector.choose(
+                request, lambda w: w.last_heard and now - w.last_heard < kept and can_serve(w), now
+            )
+            if connected:
+                return connected
+        return self.selector.choose(request, can_serve, now)
+
+    def _filter(self, request: Request, besides: set[Worker], now: float) -> Callable[[Worker], bool]:
+        most = attempts_allowed(request, self.limits)
+        missed = {
+            attempt.replica.worker
+            for attempt in request.attempts
+            if attempt.outcome == Outcome.MISS
+            and attempt.replica.prewarm_sent_at is None
+            and not self.latency.is_loaded(attempt.replica, now)
+        }
+
+        def can_serve(worker: Worker) -> bool:
+            return (
+                worker not in besides
+                and worker.ejected_until <= now
+                and not (worker in missed and not self.prewarm_limiter.may_send(worker, False, now))
+                and not (worker.ejections and (worker.in_flight or worker.failed_checks))
+                and self.slow_start.admits(worker, request, now)
+                and may_attempt_at(request, worker, most, now)
+            )
+
+        return can_serve
+
+    # ---- forwarding ----
+
+    def _rejected_early(self, replica: Replica, request: Request, now: float) -> bool:
+        """Whether a first attempt would be late at a worker that is full already.
+
+        In an overload each of many front ends sends little, and queues make all late. That hurts where the last report
+        was of a short burst.
+        """
+        if request.attempts or self.cache.loads_on_demand or not replica.worker.load_reports:
+            return False
+        report = replica.worker.load_reports[-1]
+        full = now - report.received_at < REPORT_AGE and (report.utilization or 0.0) >= FILL_UTILIZATION
+        if not full or not self.latency.is_loaded(replica, now):
+            return False
+        expected = self.latency.expected_latency(replica, request, now)
+        return now + LATE_FACTOR * expected > request.objective_at
+
+    def _forward_or_prewarm(self, replica: Replica, request: Request, now: float) -> bool:
+        """Forwards the request, if it is not to wait for a prewarm of the replica; whether it was forwarded."""
+        prewarmed = replica.prewarm_sent_at is not None and replica.prewarm_sent_at < now
+        if (
+            self.cache.loads_on_demand
+            or self.latency.is_loaded(replica, now)
+            or prewarmed
+            or self._may_ask_first(replica, request, now)
+        ):
+            if request.attempts and request.route_policy and request.route_policy.budget_terms:
+                request.retry_budget.retries.append(now)
+            self.forward(request, replica, now)
+            return True
+        if replica.prewarm_sent_at is None:  # an attempt would miss, and might overtake the prewarm
+            self.prewarmer.send(PrewarmPlan(replica, 1, False), now)
+        return False
+
+    def _may_ask_first(self, replica: Replica, request: Request, now: float) -> bool:
+        """Whether an attempt may find out that the function is not loaded there.
+
+        Each of many front ends would spend its quota on replicas that others' prewarms brought. A miss proves that none
+        is loaded; that hurts where misses are slow.
+        """
+        load_time = self.latency.load_time(replica.function)
+        another_left = len(request.attempts) + 1 < attempts_allowed(request, self.limits)
+        asked_before = any(attempt.replica is replica for attempt in request.attempts)
+        return another_left and now - replica.last_miss > load_time and not asked_before
+
+    def forward(self, request: Request, replica: Replica, now: float) -> None:
+        """Sends the next attempt to the replica."""
+        worker, warm = replica.worker, self.latency.is_loaded(replica, now)
+        worker.open_records(WORKER_RECORDS)
+        active = active_attempts(worker, now), active_attempts(self.all_workers, now)
+        expected = self.latency.expected_latency(replica, request, now)
+        overdue_at = now + max(OVERDUE_LEAST, OVERDUE_FACTOR * expected)
+        attempt = Attempt(request, len(request.attempts), replica, now, expected, warm, *active, overdue_at)
+        begin_attempt(attempt)
+        self.all_workers.in_flight.append(attempt)
+        for each in (worker, self.all_workers) if warm else ():
+            heappush(each.overdue_queue, (overdue_at, request.ident, attempt.number, attempt))
+            each.active += 1
+        self.slow_start.attempt_sent(worker, request, now)
+        timeout = request.route_policy.attempt_timeout if request.route_policy else None
+        self.decisions.append(Forward(request, worker, timeout))
+        if warm:
+            replica.last_used = now
+        elif self.cache.loads_on_demand:
+            replica.loading_since = replica.loading_since or now
+
+    # ---- waiting and giving up ----
+
+    def _may_wait(self, request: Request, now: float) -> bool:
+        if now >= request.deadline - TIME_FOR_ATTEMPT or not may_wait(request):
+            return False
+        if len(request.attempts) >= attempts_allowed(request, self.limits):
+            return False
+        return not self._is_late(request, now)
+
+    def _is_late(self, request: Request, now: float) -> bool:
+        """Whether its usual latency no longer fits; by its route, whether it has queued for too long."""
+        usual = self.latency.expected_work(request) * self.latency.average_pace
+        late = now + usual >= request.objective_at
+        policy = request.route_policy
+        if not policy:
+            return late
+        timeout = policy.queue_timeout
+        queued_out = not request.attempts and timeout is not None and now - request.received_at >= timeout
+        return late and now >= request.not_before or queued_out
+
+    def _wait(self, request: Request, replica: Replica | None, now: float) -> None:
+        request.queued = True
+        if request.attempts and not replica and not self.cache.loads_on_demand:  # the quota is spent: looks cost CPU
+            request.not_before = max(request.not_before, now + RETRY_LOOK_EVERY)
+        self.waiting.append(request)
+
+    def _give_up(self, request: Request) -> None:
+        if may_reject(request):
+            usual = self.latency.expected_work(request) * self.latency.average_pace
+            self.decisions.append(Reject(request, min(self.limits.retry_after, usual) or None))
+        else:
+            self.decisions.append(Fail(request))
+        self.close(request)
+
+    # ---- hedging and withdrawing ----
+
+    def hedge(self, request: Request, now: float) -> None:
+        """Sends a second attempt while the first is silent, as far as its route states and has saved up.
+
+        A worker may be slow or lose answers, and the request would sit there. Under load it doubles the work. The first
+        answer counts, the rest is cancelled.
+        """
+        terms, budget = request.route_policy.hedge, request.retry_budget
+        if terms is None or not self.limits.hedging or budget.hedge_tokens < 1:
+            return
+        after, at_once, _ = terms
+        in_flight = [attempt for attempt in request.attempts if attempt.outcome is None]
+        if request.closed or not 0 < len(in_flight) < at_once or now - in_flight[-1].sent_at < after:
+            return
+        if replica := self.find_replica(request, {attempt.replica.worker for attempt in in_flight}, now):
+            budget.hedge_tokens -= 1
+            self.forward(request, replica, now)
+
+    def withdraw_from(self, worker: Worker, now: float) -> None:
+        """Cancels what an ejected worker has said nothing of, where another may take it.
+
+        A request would sit out its time at a worker that hangs. Where work goes on after a cancel it is done twice: so
+        never where a worker is slow and answers others.
+        """
+        if not self.limits.cancel or worker.ejected_until <= now:
+            return
+        for attempt in worker.in_flight:
+            if self._may_withdraw(attempt, worker, now):
+                attempt.withdrawn = True
+                self.decisions.append(Cancel(attempt))
+
+    def _may_withdraw(self, attempt: Attempt, worker: Worker, now: float) -> bool:
+        request = attempt.request
+        if request.closed or attempt.withdrawn or request.request_class.effect != Effect.IDEMPOTENT:
+            return False
+        if len(request.attempts) >= attempts_allowed(request, self.limits):
+            return False
+        if worker.last_heard > attempt.sent_at or not within_retry_budget(request, Outcome.CANCELLED, now):
+            return False
+        left = {each.replica.worker for each in request.attempts if each.withdrawn} | {worker}
+        return any(other.ejected_until <= now for other in self.fleet.ready(left))
--- /dev/null
+++ b/wickdyke/routing/fleet.py
@@ -0,0 +1,265 @@
+"""The listed workers as cells of bounded size, and the functions known, each with its home.
+
+What is here follows from the list alone, so front ends that hold the same list agree without talking, whatever order
+its changes came in. A fleet of at most `single_cell_limit` workers is one cell. In a larger one, a worker's identifier
+is hashed to a path of bits. A binary trie over the paths ends in a cell wherever at most `cell_capacity` workers lie
+below a node (extendible hashing: Fagin et al., ACM TODS 4(3), 1979). A cell that overflows is split in two, two that
+fit one again are merged; no other cell is touched. The cell of a function's nearest worker on the hash ring is its
+home; without the home's workers, the nearest of the others gives the next cell.
+"""
+
+from collections.abc import Callable, Collection, Iterable, Iterator
+from dataclasses import dataclass, replace
+from hashlib import blake2b
+from heapq import nsmallest
+from itertools import chain, islice
+from math import ceil
+from struct import unpack
+from typing import Any
+
+from wickdyke.routing.cells import Cell
+from wickdyke.routing.hash_ring import HashRing, points_of
+from wickdyke.routing.model import Endpoint, EndpointState, Function, Worker, forget_replicas
+from wickdyke.routing.ranking import size_of
+
+PATH_BITS = 64
+FORGOTTEN_AT_ONCE = 1 / 8  # of a cell's functions, where too many are known
+
+
+@dataclass(slots=True, frozen=True)
+class Home:
+    """A function's cell, and its nearest worker there; none where all are one cell, whose order is by rank alone."""
+
+    cell: Cell
+    nearest: Worker | None = None
+
+
+@dataclass(slots=True, frozen=True)
+class FleetChanges:
+    """What an update of the list changed: workers that are gone, and cells in which others are ready than before."""
+
+    gone: list[Worker]
+    cells: list[Cell]
+
+
+class Fleet:
+    """The listed workers and the functions that are known.
+
+    `make_worker` gives the record of a worker that is new on the list, `make_placement` that of a cell's placement.
+    """
+
+    def __init__(
+        self,
+        single_cell_limit: int,
+        cell_capacity: int,
+        points_per_function: int,
+        make_worker: Callable[[Endpoint], Worker],
+        make_placement: Callable[[Cell], Any],
+    ) -> None:
+        self.single_cell_limit, self.cell_capacity = single_cell_limit, cell_capacity
+        self.points_per_function = points_per_function
+        self.make_worker, self.make_placement = make_worker, make_placement
+        self.workers: dict[str, Worker] = {}
+        self.functions: dict[str, Function] = {}
+        self.cells: dict[tuple[int, int], Cell] = {}
+        self._open(Cell(0, 0))
+        self.cells_without_workers: set[Cell] = set(self.cells.values())
+        self.version = 0  # grows with each change that may move a function's home
+        self.ring = HashRing()
+        self.positions: dict[str, tuple[int, int]] = {}  # path, point on the ring
+        self.next_cell = 0
+        self.touched: dict[Cell, None] = {}
+        self.ended: list[Cell] = []
+
+    # ---- the endpoint list ----
+
+    def update(self, endpoints: Iterable[Endpoint], whole: bool) -> FleetChanges:
+        """Takes entries of the list: all of it, or what has changed. The cost follows the entries."""
+        named = {endpoint.ident: endpoint for endpoint in endpoints}
+        missing = [ident for ident in self.workers if ident not in named] if whole else []
+        gone = [self._remove(ident) for ident in missing]
+        for ident, endpoint in named.items():
+            worker = self.workers.get(ident)
+            if worker and _replaces(endpoint, worker):
+                gone.append(self._remove(ident))
+        for endpoint in named.values():
+            if endpoint.state != EndpointState.GONE:
+                self._put(endpoint)
+        return self._changes(gone)
+
+    def _changes(self, gone: list[Worker]) -> FleetChanges:
+        live = [cell for cell in self.touched if self.cells.get((cell.depth, cell.prefix)) is cell]
+        changed = []
+        for cell in live:
+            if cell.refresh():
+                changed.append(cell)
+            if cell.ready:
+                self.cells_without_workers.discard(cell)
+            else:
+                self.cells_without_workers.add(cell)
+        ended, self.touched, self.ended = self.ended, {}, []
+        self.cells_without_workers.difference_update(ended)
+        self.version += bool(live or ended)
+        return FleetChanges(gone, changed)
+
+    def _put(self, endpoint: Endpoint) -> None:
+        worker = self.workers.get(endpoint.ident)
+        if worker is None:
+            self._add(endpoint)
+            return
+        if worker.endpoint.size != endpoint.size:
+            self.ring.resize(endpoint.ident, size_of(endpoint))
+            self.version += 1
+        worker.endpoint = endpoint
+        self.touched[self.cell_of(endpoint.ident)] = None
+
+    def _add(self, endpoint: Endpoint) -> None:
+        ident = endpoint.ident
+        worker = self.workers[ident] = self.make_worker(endpoint)
+        path, point = unpack(">2Q", blake2b(ident.encode(), digest_size=16).digest())
+        self.positions[ident] = path, point
+        self.ring.insert(point, ident, size_of(endpoint))
+        cell = self.cell_of(ident)
+        cell.members[ident] = worker
+        self.touched[cell] = None
+        if len(self.workers) > self.single_cell_limit:
+            self._split(cell)
+
+    def _remove(self, ident: str) -> Worker:
+        worker, cell = self.workers.pop(ident), self.cell_of(ident)
+        _, point = self.positions.pop(ident)
+        self.ring.remove(point, ident)
+        del cell.members[ident]
+        self.touched[cell] = None
+        if len(self.workers) == self.single_cell_limit:
+            self._replace(list(self.cells.values()), [Cell(0, 0, dict(self.workers))])
+        while cell.depth and len(self.workers) > self.single_cell_limit and (joined := self._merge(cell)):
+            cell = joined
+        worker.endpoint, worker.failed_checks = replace(worker.endpoint, state=EndpointState.GONE), 0
+        forget_replicas(list(worker.replicas.values()))
+        return worker
+
+    # ---- cells ----
+
+    def cell_of(self, ident: str) -> Cell:
+        """The cell of a listed worker."""
+        path, depth = self.positions[ident][0], 0
+        while (cell := self.cells.get((depth, path >> PATH_BITS - depth))) is None:
+            depth += 1
+        return cell
+
+    def _split(self, cell: Cell) -> None:
+        if len(cell.members) <= self.cell_capacity or cell.depth == PATH_BITS:
+            return
+        depth = cell.depth + 1
+        halves = [Cell(depth, cell.prefix << 1 | bit) for bit in (0, 1)]
+        for ident, worker in cell.members.items():
+            halves[self.positions[ident][0] >> PATH_BITS - depth & 1].members[ident] = worker
+        self._replace([cell], halves)
+        for half in halves:
+            self._split(half)
+
+    def _merge(self, cell: Cell) -> Cell | None:
+        sibling = self.cells.get((cell.depth, cell.prefix ^ 1))
+        if sibling is None or len(cell.members) + len(sibling.members) > self.cell_capacity:
+            return None
+        joined = Cell(cell.depth - 1, cell.prefix >> 1, {**cell.members, **sibling.members})
+        self._replace([cell, sibling], [joined])
+        return joined
+
+    def _replace(self, old: list[Cell], new: list[Cell]) -> None:
+        for cell in old:
+            del self.cells[cell.depth, cell.prefix]
+            self.ended.append(cell)
+        for cell in new:
+            self._open(cell)
+            self.touched[cell] = None
+        for cell in old:  # until they are settled, or called again
+            new[0].functions.update(cell.functions)
+            for function in cell.functions.values():
+                function.cell = new[0]
+
+    def _open(self, cell: Cell) -> None:
+        self.cells[cell.depth, cell.prefix] = cell
+        cell.placement = self.make_placement(cell)
+
+    def in_turn(self, many: int) -> list[Cell]:
+        """Of the next so many cells, those with functions; each call goes on where the last one stopped."""
+        cells = list(self.cells.values())
+        at = self.next_cell % len(cells)
+        self.next_cell = at + many
+        return [cell for cell in islice(chain(cells[at:], cells[:at]), many) if cell.functions]
+
+    def ready(self, besides: Collection[Worker] = ()) -> Iterator[Worker]:
+        """The other workers that may be sent something, as far as the list tells."""
+        everyone = chain.from_iterable(cell.ready for cell in self.cells.values())
+        return (worker for worker in everyone if worker not in besides)
+
+    # ---- functions ----
+
+    def enter(self, function: Function) -> Cell:
+        """Makes a function known; its home."""
+        self.functions[function.name] = function
+        return self.home_of(function)
+
+    def drop(self, functions: Iterable[Function]) -> None:
+        """Forgets functions, but for those with an attempt in flight."""
+        for function in functions:
+            if not any(replica.in_flight for replica in function.replicas):
+                forget_replicas(list(function.replicas))
+                del self.functions[function.name], function.cell.functions[function.name]
+
+    def shrink(self, most: int) -> None:
+        """Forgets functions called longest ago, of the cell that has most, where more than so many are known."""
+        if len(self.functions) > most:
+            known = max((cell.functions for cell in self.cells.values()), key=len)
+            many = ceil(len(known) * FORGOTTEN_AT_ONCE)
+            self.drop(nsmallest(many, known.values(), lambda function: function.last_called))
+
+    def home_of(self, function: Function) -> Cell:
+        """The cell of a function, looked up again only where the list has changed since."""
+        if function.fleet_version != self.version:
+            home = self.home(function.name) or Home(function.cell or next(iter(self.cells.values())))
+            if home.cell is not function.cell or home.nearest is not function.nearest:
+                self._move(function, home)
+            function.fleet_version = self.version
+        return function.cell
+
+    def _move(self, function: Function, home: Home) -> None:
+        # A request may wait that is older than its function's forgetting, and another of the same name be known since.
+        if self.functions.get(function.name) is function:
+            if function.cell is not None:
+                del function.cell.functions[function.name]
+            home.cell.functions[function.name] = function
+        function.cell, function.nearest, function.ranked_from = home.cell, home.nearest, None
+
+    def settle(self, cell: Cell, before: float) -> None:
+        """Sends the functions of a cell that the list has moved to their homes; forgets those called before (ms)."""
+        for function in [each for each in cell.functions.values() if each.fleet_version != self.version]:
+            self.home_of(function)
+        self.drop([function for function in cell.functions.values() if function.last_called < before])
+
+    def near(self, function: Function, many: int) -> Iterator[Cell]:
+        """The first cells of a known function, its home before the next ones, so many at most."""
+        cells = [self.home_of(function)]
+        yield cells[0]
+        while len(cells) < many and (home := self.home(function.name, cells)):
+            cells.append(home.cell)
+            yield home.cell
+
+    def home(self, name: str, besides: Collection[Cell] = ()) -> Home | None:
+        """The nearest cell of the function of that name that has a ready worker, but for `besides`; None without."""
+        if len(self.cells) == 1:
+            (only,) = self.cells.values()
+            return None if only in besides else Home(only)
+        excluded = self.cells_without_workers.union(besides)
+        if len(excluded) >= len(self.cells):
+            return None
+        points = points_of(name, self.points_per_function)
+        ident = self.ring.nearest(points, lambda each: bool(excluded) and self.cell_of(each) in excluded)
+        return None if ident is None else Home(self.cell_of(ident), self.workers[ident])
+
+
+def _replaces(endpoint: Endpoint, worker: Worker) -> bool:
+    """Whether the entry says that the worker known is gone: removed, or started anew under the same identifier."""
+    return endpoint.state == EndpointState.GONE or endpoint.started_at != worker.endpoint.started_at
--- /dev/null
+++ b/wickdyke/routing/hash_ring.py
@@ -0,0 +1,84 @@
+"""Multi-probe consistent hashing (Appleton and O'Reilly, arXiv:1505.00062, 2015) of functions to workers.
+
+A worker has one point on a ring of 2**64, a function has several. A worker's distance from a function is the shortest
+way from one of the function's points up to the worker's, divided by the worker's size. So shares follow size, a worker
+that joins takes just its own share, and one that leaves gives up just that.
+"""
+
+from bisect import bisect_left
+from collections import Counter
+from collections.abc import Callable
+from hashlib import blake2b
+from math import inf
+from struct import unpack
+
+POINT_BITS = 64
+RING = 2**POINT_BITS
+DIGEST_POINTS = 8  # points that one digest of 64 bytes gives
+
+
+def points_of(name: str, count: int) -> list[int]:
+    """The points on the ring of the function of that name."""
+    text = name.encode()
+    digests = (
+        blake2b(text, digest_size=DIGEST_POINTS * POINT_BITS // 8, salt=bytes([number])).digest()
+        for number in range(-(-count // DIGEST_POINTS))
+    )
+    return [point for digest in digests for point in unpack(f">{DIGEST_POINTS}Q", digest)][:count]
+
+
+class HashRing:
+    """The points of all workers, in order, each with its owner's identifier and size."""
+
+    def __init__(self) -> None:
+        self.points: list[int] = []
+        self.owners: list[str] = []
+        self.sizes: dict[str, float] = {}
+        self.size_counts: Counter[float] = Counter()
+
+    def insert(self, point: int, ident: str, size: float) -> None:
+        """Adds a worker's point."""
+        at = self._index(point, ident)
+        self.points.insert(at, point)
+        self.owners.insert(at, ident)
+        self.sizes[ident] = size
+        self.size_counts[size] += 1
+
+    def remove(self, point: int, ident: str) -> None:
+        """Removes a worker's point."""
+        at = self._index(point, ident)
+        del self.points[at], self.owners[at]
+        self._forget_size(self.sizes.pop(ident))
+
+    def resize(self, ident: str, size: float) -> None:
+        """Changes a worker's size."""
+        self._forget_size(self.sizes[ident])
+        self.sizes[ident] = size
+        self.size_counts[size] += 1
+
+    def _forget_size(self, size: float) -> None:
+        self.size_counts[size] -= 1
+        if not self.size_counts[size]:
+            del self.size_counts[size]
+
+    def _index(self, point: int, ident: str) -> int:
+        at = bisect_left(self.points, point)
+        while at < len(self.points) and self.points[at] == point and self.owners[at] < ident:
+            at += 1
+        return at
+
+    def nearest(self, points: list[int], excluded: Callable[[str], bool]) -> str | None:
+        """The identifier of the worker nearest to a function's points, of those not excluded."""
+        ring, largest, best, found = self.points, max(self.size_counts), inf, None
+        many = len(ring)
+        for point in points:
+            at = bisect_left(ring, point)
+            for step in range(at - many, at):  # a negative index goes round the ring
+                way = (ring[step] - point) % RING
+                if way >= best * largest:
+                    break
+                ident = self.owners[step]
+                distance = way / self.sizes[ident]
+                if distance < best and not excluded(ident):
+                    best, found = distance, ident
+        return found
--- /dev/null
+++ b/wickdyke/routing/model.py
@@ -0,0 +1,374 @@
+"""What the router knows of functions, workers, requests and attempts.
+
+These are plain records with the few operations that keep them consistent; nothing here decides. Times are milliseconds
+on the host's monotonic clock, spans are milliseconds, memory is in MB.
+"""
+
+from collections import deque
+from collections.abc import Sequence
+from dataclasses import dataclass, field
+from enum import StrEnum
+from heapq import heappop
+from typing import Any, NamedTuple
+
+from wickdyke.routing.samples import Recent, trim
+from wickdyke.routing.seeded_random import name_hash
+
+
+class Outcome(StrEnum):
+    """How an attempt, a prewarm or a health check ended.
+
+    The values are the words of recordings and of the simulator's adapter.
+    """
+
+    OK = "ok"
+    ERROR = "error"  # the worker answered that it failed: it may have run
+    FULL = "full"  # rejected for lack of capacity: it never ran
+    MISS = "miss"  # the function is not loaded there: it never ran
+    TIMEOUT = "timeout"  # no answer in time: it may have run
+    UNREACHED = "unreached"  # no connection could be made: it never ran
+    CONNECTION_LOST = "cut"  # the connection ended under it: it may have run
+    CANCELLED = "cancelled"  # withdrawn: it may have run
+    UNSENT = "unsent"  # no byte of it was sent: it never ran
+
+
+class Effect(StrEnum):
+    """Whether a request may run more than once."""
+
+    IDEMPOTENT = "idempotent"
+    KEYED = "tokened"  # with an idempotency key, within the deduplication window and scope
+    SIDE_EFFECTING = "side-effecting"
+
+
+class EndpointState(StrEnum):
+    """What the endpoint list says of a worker."""
+
+    READY = "ready"
+    DRAINING = "draining"
+    GONE = "gone"
+
+
+class LoadNote(StrEnum):
+    """What an answer says of the replica that served it."""
+
+    STOOD = "stood"  # it was loaded already
+    BEGAN = "began"  # this attempt began the load
+    AWAITED = "awaited"  # it waited for a load that had begun before
+    FAILED = "load failed"
+
+
+NEVER_RAN = frozenset({Outcome.FULL, Outcome.UNREACHED, Outcome.UNSENT, Outcome.MISS})
+
+
+class LatencySample(NamedTuple):
+    """How long (ms) an answer that came `at` (ms) took, and the work in it (ms on the average worker)."""
+
+    at: float
+    latency: float
+    work: float
+
+
+class ResultSample(NamedTuple):
+    """Whether what ended `at` (ms) ended well."""
+
+    at: float
+    good: bool
+
+
+class ObjectiveShare(NamedTuple):
+    """The part of its latency objective that an answer took, and our attempts that were active there as it was sent."""
+
+    share: float
+    active: int
+
+
+class WorkSample(NamedTuple):
+    """Work (ms on the average worker) that was sent or served `at` (ms)."""
+
+    at: float
+    work: float
+
+
+class LoadReport(NamedTuple):
+    """What a worker reported; None where neither it nor the other field tells.
+
+    `own_in_flight` are our attempts that were in flight there as the report came.
+    """
+
+    received_at: float
+    utilization: float | None
+    in_flight: float | None
+    pinned_memory: float
+    own_in_flight: int
+
+
+@dataclass(slots=True, eq=False, repr=False)
+class RequestClass:
+    """A class of requests, as the settings state it.
+
+    `scope` (all, zone or cell) is where an idempotency key is known for `dedupe_window`; `latency_objective` is the
+    time within which an answer has its full weight, longer by `objective_per_work` for each ms of work.
+    """
+
+    name: str
+    effect: str
+    scope: str
+    dedupe_window: float
+    latency_objective: float
+    objective_per_work: float
+    deadline: float
+    priority_weight: float
+    late_weight: float
+    durations: deque | None = None
+
+
+@dataclass(slots=True, frozen=True, eq=False)
+class RoutePolicy:
+    """What an operator's route states of the attempts of its requests.
+
+    `backoff` is (first, growth, most, spread), `hedge` (after, at once, share of requests), `budget_terms` (window,
+    share, floor). Equal policies are one object: the retry budget is kept by `budget_key`.
+    """
+
+    latency_objective: float
+    attempt_timeout: float | None
+    attempts: int
+    backoff: tuple[float, float, float, float]
+    retryable: frozenset[str]
+    hedge: tuple[float, int, float] | None
+    budget_terms: tuple[float, float, float] | None
+    queue_timeout: float | None
+    priority: int
+    budget_key: str = ""
+
+
+@dataclass(slots=True, eq=False, repr=False)
+class RetryBudget:
+    """What a route's requests may still spend: recent requests and retries, and hedge tokens saved up."""
+
+    requests: deque = field(default_factory=deque)
+    retries: deque = field(default_factory=deque)
+    hedge_tokens: float = 0.0
+
+
+@dataclass(slots=True, frozen=True)
+class Endpoint:
+    """One entry of the endpoint list; `started_at` is None unless the worker started late."""
+
+    ident: str
+    zone: int
+    kind: int
+    cell: int
+    state: str
+    size: float
+    started_at: float | None
+
+
+@dataclass(slots=True, eq=False, repr=False)
+class Worker:
+    """A worker as this front end knows it.
+
+    `latency_samples`, `recent_results`, `load_reports`, `objective_shares` and `slow_start_sends` are empty tuples
+    until something is first sent there, so that a worker that is only listed costs little memory.
+    """
+
+    endpoint: Endpoint
+    latency_samples: Sequence[LatencySample]
+    recent_results: Sequence[ResultSample]
+    load_reports: Sequence[LoadReport]
+    objective_shares: Sequence[ObjectiveShare]
+    memory_budget: float
+    concurrency_limit: float
+    warming_since: float | None  # when its slow start began
+    name_hash: int
+    slow_start_sends: Sequence[WorkSample] = field(default_factory=deque)
+    in_flight: list["Attempt"] = field(default_factory=list)
+    overdue_queue: list[tuple] = field(default_factory=list)  # heap of active attempts by when they are overdue
+    active: int = 0
+    replicas: dict["Function", "Replica"] = field(default_factory=dict)
+    ejected_until: float = 0.0
+    ejections: int = 0
+    failed_checks: int = 0
+    memory_short_until: float = 0.0
+    last_heard: float = 0.0
+    last_checked: float = 0.0
+    limit_lowered_at: float = 0.0
+    utilization: float = 0.0
+    sampled_latency: float = 0.0
+    sampled_work: float = 0.0
+
+    @classmethod
+    def from_endpoint(cls, endpoint: Endpoint, memory_budget: float, concurrency_limit: float) -> "Worker":
+        """A worker that is only listed: warming up since it started, with no records yet."""
+        name = name_hash(endpoint.ident)
+        return cls(endpoint, (), (), (), (), memory_budget, concurrency_limit, endpoint.started_at, name, ())
+
+    def sum_samples(self, since: float) -> None:
+        """Sums up latency and work of the answers that came after that time (ms)."""
+        trim(self.latency_samples, since)
+        self.sampled_latency = sum(sample.latency for sample in self.latency_samples)
+        self.sampled_work = sum(sample.work for sample in self.latency_samples)
+
+    def pinned_memory(self) -> float:
+        """The part of its memory that its last report says is in use; 0 where it does not tell."""
+        return self.load_reports[-1].pinned_memory if self.load_reports else 0.0
+
+    def open_records(self, lengths: tuple[int, int, int, int]) -> None:
+        """Begins the records, of so many samples at most, if it has none yet."""
+        if self.slow_start_sends == ():
+            records = (Recent(most) for most in lengths)
+            self.latency_samples, self.recent_results, self.load_reports, self.objective_shares = records
+            self.slow_start_sends = Recent()
+
+
+@dataclass(slots=True, eq=False, repr=False)
+class Function:
+    """What a request runs and a worker loads.
+
+    `cell` is its home, with `nearest` its nearest worker there, both as of the fleet's version `fleet_version`;
+    `ranking` ranks the workers of `ranked_from`.
+    """
+
+    name: str
+    request_class: RequestClass
+    memory: float
+    concurrency: int  # requests that one replica runs at once
+    load_hint: float
+    recent_calls: deque
+    durations: deque
+    load_times: deque
+    concurrency_samples: deque  # (worker, requests of this function in flight there)
+    name_hash: int = 0
+    replicas: list["Replica"] = field(default_factory=list)
+    last_called: float = 0.0
+    placed_at: float = float("-inf")
+    ranking: list[Worker] = field(default_factory=list)
+    ranked_from: Any = None
+    verified: bool = False  # a request of it was answered, or it was loaded
+    cell: Any = None
+    nearest: Worker | None = None
+    fleet_version: int = -1
+
+
+@dataclass(slots=True, eq=False, repr=False)
+class Replica:
+    """A function on a worker: how many copies are believed loaded, how many are wanted, and when it was last used."""
+
+    function: Function
+    worker: Worker
+    loaded: int = 0
+    wanted: int = 0
+    placed: bool = False
+    last_used: float = 0.0
+    prewarm_sent_at: float | None = None
+    loading_since: float | None = None
+    last_miss: float = float("-inf")
+    full_until: float = 0.0
+    in_flight: int = 0
+
+    def concurrency(self) -> int:
+        """Requests that may run there at once."""
+        return max(1, self.loaded) * self.function.concurrency
+
+
+@dataclass(slots=True, eq=False, repr=False)
+class Request:
+    """One request as received; `objective_at` is when an answer is wanted, `deadline` when the client's time is up."""
+
+    ident: int
+    function: Function
+    request_class: RequestClass
+    received_at: float
+    deadline: float
+    objective_at: float
+    work: float | None
+    is_repeat: bool
+    route_policy: RoutePolicy | None = None
+    retry_budget: RetryBudget | None = None
+    not_before: float = 0.0
+    attempts: list["Attempt"] = field(default_factory=list)
+    closed: bool = False
+    queued: bool = False
+
+    def may_have_run(self) -> list["Attempt"]:
+        """Its attempts that are not known never to have run."""
+        return [attempt for attempt in self.attempts if attempt.outcome not in NEVER_RAN]
+
+
+@dataclass(slots=True, eq=False, repr=False)
+class Attempt:
+    """One attempt of a request at a replica.
+
+    `warm`: a loaded replica was expected; `active_at_worker` and `active_in_total` count our attempts that were active
+    as it was sent.
+    """
+
+    request: Request
+    number: int
+    replica: Replica
+    sent_at: float
+    expected_latency: float
+    warm: bool
+    active_at_worker: int
+    active_in_total: int
+    overdue_at: float = 0.0
+    outcome: str | None = None
+    withdrawn: bool = False  # cancelled in favour of another worker
+
+
+def replica_of(function: Function, worker: Worker) -> Replica:
+    """The function's replica on that worker, entered on both if it is new."""
+    replica = worker.replicas.get(function)
+    if replica is None:
+        replica = worker.replicas[function] = Replica(function, worker)
+        function.replicas.append(replica)
+    return replica
+
+
+def forget_replicas(replicas: list[Replica]) -> None:
+    """Removes replicas from their workers and functions."""
+    for replica in replicas:
+        replica.worker.replicas.pop(replica.function, None)
+        if replica in replica.function.replicas:
+            replica.function.replicas.remove(replica)
+
+
+def clear_replicas(worker: Worker) -> None:
+    """Nothing is loaded or loading on that worker any more."""
+    for replica in worker.replicas.values():
+        replica.loaded = 0
+        replica.loading_since = None
+        replica.last_used = 0.0
+
+
+def begin_attempt(attempt: Attempt) -> None:
+    """Enters an attempt that is sent."""
+    attempt.request.attempts.append(attempt)
+    attempt.replica.in_flight += 1
+    attempt.replica.worker.in_flight.append(attempt)
+
+
+def finish_attempt(attempt: Attempt, outcome: str) -> None:
+    """Enters how an attempt ended; it is in flight no more."""
+    if attempt.outcome is None:
+        attempt.replica.in_flight -= 1
+        attempt.replica.worker.in_flight.remove(attempt)
+    attempt.outcome = outcome
+
+
+def active_attempts(worker: Worker, now: float) -> int:
+    """Our attempts that use its cores now: neither waiting for a load nor overdue at that time (ms).
+
+    Counted as they change, since thousands may be in flight.
+    """
+    while worker.overdue_queue and worker.overdue_queue[0][0] < now:
+        attempt = heappop(worker.overdue_queue)[-1]
+        worker.active -= attempt.warm and attempt.outcome is None
+    return worker.active
+
+
+def end_activity(attempt: Attempt, workers: tuple[Worker, ...], now: float) -> None:
+    """Takes an attempt out of the count of those active at these workers."""
+    for worker in workers if attempt.warm and attempt.outcome is None else ():
+        active_attempts(worker, now)
+        worker.active -= attempt.overdue_at >= now
--- /dev/null
+++ b/wickdyke/routing/placement_schedule.py
@@ -0,0 +1,59 @@
+"""When each cell is placed anew: one cell at a time, so that no turn takes long."""
+
+from dataclasses import dataclass
+
+from wickdyke.routing.cells import Cell
+from wickdyke.routing.fleet import Fleet
+from wickdyke.routing.latency import REPORT_AGE
+from wickdyke.routing.model import LoadReport, Worker
+from wickdyke.routing.periods import PERIOD, TICK
+from wickdyke.routing.samples import pooled_mean
+from wickdyke.routing.seeded_random import SeededRandom
+from wickdyke.routing.settings import FunctionCache
+from wickdyke.routing.slow_start import SlowStartGuard
+
+PERIOD_SPREAD = 0.2  # by which periods differ, so that front ends fall out of step
+FEW_CALLS = 16  # in a period; with fewer it is made longer
+LONGER_MOST = 4.0  # times
+FORGET_AFTER = 3  # idle timeouts after which a function is forgotten, in a fleet of one cell
+CELLS_SEEN = 32  # cells looked at for one placement
+
+
+@dataclass(slots=True)
+class PlacementSchedule:
+    """Picks the cell that is longest due, and keeps what all cells share up to date."""
+
+    fleet: Fleet
+    cache: FunctionCache
+    slow_start: SlowStartGuard
+    all_workers: Worker  # all workers as one
+    random: SeededRandom
+    next_at: float  # ms
+    surveyed_at: float  # ms
+
+    def due_cell(self, now: float) -> Cell | None:
+        """The cell that is to be placed now, surveyed; sets when the next is due."""
+        cells = list(self.fleet.cells.values())
+        used = self.fleet.in_turn(CELLS_SEEN) or cells[:1]
+        cell = max(used, key=lambda each: each.lateness(now))
+        if len(cells) > CELLS_SEEN and cell.lateness(now) < 1:
+            self.next_at = now + (TICK if self.fleet.functions else PERIOD)
+            return None
+        self._reschedule(cell, cells, used, now)
+        self.fleet.settle(cell, now - self.cache.idle_timeout * (FORGET_AFTER if len(cells) == 1 else 1))
+        cell.sum_reports(now - REPORT_AGE)
+        if len(cells) == 1 or now - self.surveyed_at >= PERIOD:
+            self._survey(cells, now)
+        return cell
+
+    def _reschedule(self, cell: Cell, cells: list[Cell], used: list[Cell], now: float) -> None:
+        longer = min(LONGER_MOST, max(1.0, FEW_CALLS / (1 + cell.calls_since)))
+        drawn = 1 - PERIOD_SPREAD / 2 + PERIOD_SPREAD * self.random.fraction()
+        cell.placed_at, cell.period, cell.calls_since = now, PERIOD * longer * drawn, 0
+        self.next_at = max(now + TICK, min(each.due() for each in used) if len(cells) <= CELLS_SEEN else now)
+
+    def _survey(self, cells: list[Cell], now: float) -> None:
+        self.surveyed_at = now
+        self.slow_start.survey(cells, now)
+        utilization = pooled_mean([cell.reported_utilization for cell in cells], 0.0)
+        self.all_workers.load_reports.append(LoadReport(now, utilization, None, 0.0, 0))
--- /dev/null
+++ b/wickdyke/routing/results.py
@@ -0,0 +1,124 @@
+"""Enters what came of attempts and prewarms in the records that decisions are made from."""
+
+from dataclasses import dataclass
+
+from wickdyke.routing.concurrency import adapt_limit
+from wickdyke.routing.latency import LatencyEstimator
+from wickdyke.routing.model import (
+    Attempt,
+    LoadNote,
+    Outcome,
+    Replica,
+    Worker,
+    end_activity,
+    finish_attempt,
+)
+from wickdyke.routing.outliers import OutlierDetector
+from wickdyke.routing.prewarming import PrewarmLimiter
+from wickdyke.routing.selection import FULL_WAIT
+from wickdyke.routing.settings import FunctionCache
+from wickdyke.routing.slow_start import SlowStartGuard
+
+MEMORY_SHORT_FOR = 1000.0  # ms after a worker had no memory for a replica
+BUDGET_GROWTH = 1.25  # of a worker's memory budget after a prewarm that was answered in full
+BUDGET_SHRINK = 0.7  # after one that was rejected or failed
+
+
+@dataclass(slots=True)
+class ResultRecorder:
+    """Keeps replicas, estimates and memory budgets up to date."""
+
+    cache: FunctionCache
+    latency: LatencyEstimator
+    slow_start: SlowStartGuard
+    prewarm_limiter: PrewarmLimiter
+    outliers: OutlierDetector
+    all_workers: Worker
+
+    def attempt_finished(
+        self,
+        attempt: Attempt,
+        outcome: str,
+        load_note: str | None,
+        concurrent: int,
+        report: tuple[float, ...] | None,
+        now: float,
+    ) -> None:
+        """Enters how an attempt ended. `concurrent`: requests of the function in flight there as it came."""
+        worker, function = attempt.replica.worker, attempt.request.function
+        if load_note in (LoadNote.BEGAN, LoadNote.AWAITED):
+            end_activity(attempt, (worker, self.all_workers), now)
+            attempt.warm = False
+        self._adapt_limits(attempt, outcome, now)
+        end_activity(attempt, (worker, self.all_workers), now)
+        if attempt.outcome is None:
+            self.all_workers.in_flight.remove(attempt)
+        finish_attempt(attempt, outcome)
+        if attempt.warm or load_note == LoadNote.STOOD:
+            self.latency.record_attempt(attempt, outcome, now)
+        if outcome == Outcome.OK:
+            self._served(attempt, load_note, concurrent, now)
+        elif outcome == Outcome.MISS:
+            _missed(attempt.replica, now)
+        elif outcome == Outcome.FULL:
+            self._full(attempt.replica, concurrent, now)
+        # Clients that ask for what nobody has would make workers look sick, as would functions that are broken. That
+        # misleads where a worker fails all functions that only it has had.
+        blamed = function.verified or outcome != Outcome.ERROR
+        self.outliers.record(worker, outcome if blamed else Outcome.MISS, now)
+        self.latency.record_report(worker, report, now)
+
+    def _adapt_limits(self, attempt: Attempt, outcome: str, now: float) -> None:
+        policy = attempt.request.route_policy
+        timed_out = outcome == Outcome.TIMEOUT and policy is not None and policy.attempt_timeout is not None
+        if not attempt.warm or not (outcome == Outcome.OK or timed_out):
+            return
+        gates = [(attempt.replica.worker, attempt.active_at_worker)]
+        if not attempt.active_at_worker:  # of all workers it tells only where nothing of ours was beside it
+            gates.append((self.all_workers, attempt.active_in_total))
+        for gate, active in gates:
+            if attempt.sent_at >= gate.limit_lowered_at:
+                adapt_limit(gate, attempt, active, timed_out, now)
+
+    def _served(self, attempt: Attempt, load_note: str | None, concurrent: int, now: float) -> None:
+        request, replica, function = attempt.request, attempt.replica, attempt.request.function
+        if self.cache.reports_concurrency:
+            function.concurrency_samples.append((replica.worker, concurrent))
+        self.slow_start.request_served(request, now)
+        if replica.loading_since is not None and load_note in (LoadNote.BEGAN, None) and not attempt.warm:
+            took = now - replica.loading_since - self.latency.expected_work(request)
+            self.latency.record_load(function, took, load_note == LoadNote.BEGAN)
+        replica.loaded, replica.last_used, replica.loading_since = max(1, replica.loaded), now, None
+        self.prewarm_limiter.verify(function, now)
+
+    def _full(self, replica: Replica, concurrent: int, now: float) -> None:
+        # Full workers answer at once and would draw more. That hurts where they are full briefly, or lack memory.
+        function, worker = replica.function, replica.worker
+        gap = (now - function.recent_calls[0]) / len(function.recent_calls)
+        pause = max(FULL_WAIT, gap * (1 - function.cell.placement.own_share))
+        replica.full_until = now + min(pause, self.cache.idle_timeout / 2)
+        if not concurrent and self.cache.reports_concurrency and not replica.in_flight:  # nor memory for a replica
+            if worker.memory_short_until <= now:
+                worker.memory_budget *= BUDGET_SHRINK
+            worker.memory_short_until = now + MEMORY_SHORT_FOR
+            replica.loaded, replica.last_used = 0, 0.0
+
+    def prewarm_finished(self, replica: Replica, outcome: str, copies: int, took: float, now: float) -> None:
+        """Enters how a prewarm ended after `took` ms, with so many copies loaded."""
+        worker, function = replica.worker, replica.function
+        replica.prewarm_sent_at = replica.loading_since = None
+        if outcome == Outcome.OK:
+            self.latency.record_load(function, 0.0 if replica.loaded else took)
+            worker.last_heard, replica.loaded, replica.last_used = now, copies, now
+            self.prewarm_limiter.verify(function, now)
+            most = self.cache.memory_on(worker.endpoint)
+            worker.memory_budget = min(worker.memory_budget * BUDGET_GROWTH, most)
+        elif outcome in (Outcome.FULL, Outcome.ERROR):
+            replica.loaded, replica.full_until = copies, now + self.cache.idle_timeout / 8
+            worker.memory_budget = max(worker.memory_budget * BUDGET_SHRINK, function.memory)
+        else:
+            self.outliers.record(worker, outcome, now)
+
+
+def _missed(replica: Replica, now: float) -> None:
+    replica.loaded, replica.loading_since, replica.last_miss = 0, None, now
--- /dev/null
+++ b/wickdyke/routing/retries.py
@@ -0,0 +1,85 @@
+"""Whether and when a request may be attempted again, and what may be answered when it may not."""
+
+from wickdyke.routing.model import Effect, Outcome, Request, RetryBudget, RoutePolicy, Worker
+from wickdyke.routing.samples import trim_times
+from wickdyke.routing.seeded_random import SeededRandom
+from wickdyke.routing.settings import AttemptLimits
+
+HEDGE_TOKENS_MOST = 4.0  # hedged requests saved up
+
+
+class RetryBudgets:
+    """The retry budgets of routes, kept across files of routes by their key."""
+
+    def __init__(self) -> None:
+        self.by_key: dict[str, RetryBudget] = {}
+
+    def __bool__(self) -> bool:
+        return bool(self.by_key)
+
+    def request_received(self, policy: RoutePolicy, now: float) -> RetryBudget:
+        """Pays a request into its route's budget; the budget."""
+        budget = self.by_key.setdefault(policy.budget_key, RetryBudget())
+        if policy.budget_terms:
+            budget.requests.append(now)
+        earned = policy.hedge[2] if policy.hedge else 0.0
+        budget.hedge_tokens = min(HEDGE_TOKENS_MOST, budget.hedge_tokens + earned)
+        return budget
+
+
+def attempts_allowed(request: Request, limits: AttemptLimits) -> int:
+    """Attempts that the request may have in all."""
+    if request.route_policy is None:
+        return limits.attempts
+    return min(limits.attempts, request.route_policy.attempts)
+
+
+def may_attempt_at(request: Request, worker: Worker, most: int, now: float) -> bool:
+    """Whether one more attempt, at that worker, breaks no promise on what may run more than once."""
+    if request.closed or len(request.attempts) >= most or now >= request.deadline:
+        return False
+    may_have_run, request_class = request.may_have_run(), request.request_class
+    if not may_have_run or request_class.effect == Effect.IDEMPOTENT:
+        return True
+    if request_class.effect != Effect.KEYED or now >= may_have_run[0].sent_at + request_class.dedupe_window:
+        return False
+    scope = request_class.scope
+    return scope == "all" or all(
+        getattr(attempt.replica.worker.endpoint, scope) == getattr(worker.endpoint, scope) for attempt in may_have_run
+    )
+
+
+def may_wait(request: Request) -> bool:
+    """Whether it may be kept for a later attempt."""
+    return request.request_class.effect == Effect.IDEMPOTENT or not request.may_have_run()
+
+
+def may_reject(request: Request) -> bool:
+    """Whether asking again is harmless, so that it may be rejected; otherwise it has failed."""
+    everywhere = request.request_class.effect == Effect.KEYED and request.request_class.scope == "all"
+    return may_wait(request) or everywhere
+
+
+def schedule_retry(request: Request, outcome: str, random: SeededRandom, now: float) -> None:
+    """Sets when the next attempt may go, by the backoff of its route."""
+    first, growth, most, spread = request.route_policy.backoff
+    wait = min(most, first * growth ** (len(request.attempts) - 1)) * (1 + spread * random.fraction())
+    request.not_before = now + (0.0 if outcome == Outcome.CANCELLED else wait)  # withdrawn: it has waited enough
+
+
+def within_retry_budget(request: Request, outcome: str | None, now: float) -> bool:
+    """Whether a further attempt is wanted after that outcome, and paid for.
+
+    Retries multiply an overload, and failing workers. The budget hurts where it is far too small.
+    """
+    policy = request.route_policy
+    if policy is None or not request.attempts:
+        return True
+    if outcome != Outcome.CANCELLED and outcome not in policy.retryable:
+        return False
+    if policy.budget_terms is None:
+        return True
+    (window, share, floor), budget = policy.budget_terms, request.retry_budget
+    trim_times(budget.requests, now - window)
+    trim_times(budget.retries, now - window)
+    return len(budget.retries) + 1 <= floor + share * len(budget.requests)
--- /dev/null
+++ b/wickdyke/routing/router.py
@@ -0,0 +1,323 @@
+"""The router: a state machine that is told what happens and asked what to do.
+
+The host advances its time and passes inputs, which only update its state; then it calls `decide` until that returns
+None, and carries out what was decided. `wake_at` is when to advance it next if nothing comes before.
+"""
+
+from collections import deque
+from math import inf
+
+from wickdyke.routing.cells import Cell
+from wickdyke.routing.fleet import Fleet
+from wickdyke.routing.concurrency import LIMIT_START
+from wickdyke.routing.control_budget import ControlBudget
+from wickdyke.routing.decisions import Decision, FollowEndpoints, LogNote
+from wickdyke.routing.demand import CALLS_KEPT
+from wickdyke.routing.dispatcher import Dispatcher
+from wickdyke.routing.health_checks import CHECK_EVERY, CHECK_SOON, HealthChecker
+from wickdyke.routing.latency import DURATIONS_KEPT, OBJECTIVE_SHARES_KEPT, LatencyEstimator, is_overdue
+from wickdyke.routing.model import Endpoint, Function, Outcome, Request, RequestClass, RoutePolicy, Worker
+from wickdyke.routing.outliers import EXPECTED_LEAST, OutlierDetector
+from wickdyke.routing.periods import TICK
+from wickdyke.routing.placement import Placement
+from wickdyke.routing.placement_schedule import PlacementSchedule
+from wickdyke.routing.prewarming import Prewarmer, PrewarmLimiter, PrewarmPlan
+from wickdyke.routing.results import ResultRecorder
+from wickdyke.routing.retries import RetryBudgets, schedule_retry
+from wickdyke.routing.samples import Recent
+from wickdyke.routing.seeded_random import SeededRandom, name_hash
+from wickdyke.routing.selection import ReplicaSelector
+from wickdyke.routing.settings import (
+    AttemptLimits,
+    CostWeights,
+    Discovery,
+    FunctionCache,
+    GatewayInstance,
+    PrewarmQuota,
+    SlowStart,
+    TenantQuotas,
+)
+from wickdyke.routing.slow_start import SlowStartGuard
+
+SINGLE_CELL_LIMIT = 128  # workers of a fleet that is one cell
+CELL_CAPACITY = 48  # workers of a cell in a larger fleet
+POINTS_PER_FUNCTION = 16  # on the hash ring
+FUNCTIONS_KEPT = 16384
+
+
+class Router:
+    """One front end's decisions, which depend on its settings, seed and inputs alone."""
+
+    def __init__(
+        self,
+        now: float,
+        seed: int,
+        request_classes: list[RequestClass],
+        instance: GatewayInstance,
+        attempt_limits: AttemptLimits,
+        function_cache: FunctionCache,
+        slow_start: SlowStart,
+        prewarm_quota: PrewarmQuota,
+        discovery: Discovery,
+        cost_weights: CostWeights,
+        tenant_quotas: TenantQuotas = TenantQuotas(),  # noqa: B008 - it is frozen
+    ) -> None:
+        self.now, self.wake_at = now, now
+        self.request_classes, self.instance, self.cache = request_classes, instance, function_cache
+        for request_class in request_classes:
+            request_class.durations = deque(maxlen=DURATIONS_KEPT)
+        self.notes: deque[str] = deque()
+        self.decisions: deque[Decision] = deque()
+        self.planned: deque[PrewarmPlan] = deque()
+        self.random = SeededRandom(seed)
+        self.discovery, self.following = discovery, discovery.pushed
+        self.latency = LatencyEstimator(function_cache, instance, tenant_quotas)
+        self.slow_start = SlowStartGuard(slow_start, instance)
+        self.prewarm_limiter = PrewarmLimiter(prewarm_quota)
+        self.outliers = OutlierDetector(self.notes.append, self.latency, self.slow_start)
+        self.control_budget = ControlBudget()
+        self.retry_budgets = RetryBudgets()
+        self.all_workers = _all_workers()
+
+        def make_worker(endpoint: Endpoint) -> Worker:
+            memory = function_cache.memory_on(endpoint) / instance.count
+            return Worker.from_endpoint(endpoint, memory, LIMIT_START)
+
+        def make_placement(cell: Cell) -> Placement:
+            return Placement(cell, self.latency, function_cache, instance, cost_weights, now)
+
+        self.fleet = Fleet(SINGLE_CELL_LIMIT, CELL_CAPACITY, POINTS_PER_FUNCTION, make_worker, make_placement)
+        self._assemble(attempt_limits, now)
+
+    def _assemble(self, limits: AttemptLimits, now: float) -> None:
+        """Makes the parts that decide, from those that know."""
+        cache, latency, fleet = self.cache, self.latency, self.fleet
+        self.health_checker = HealthChecker(limits.health_checks, self.control_budget, self.decisions)
+        self.prewarmer = Prewarmer(cache, self.prewarm_limiter, self.control_budget, latency, self.decisions)
+        self.results = ResultRecorder(
+            cache, latency, self.slow_start, self.prewarm_limiter, self.outliers, self.all_workers
+        )
+        self.schedule = PlacementSchedule(fleet, cache, self.slow_start, self.all_workers, self.random, now, now)
+        self.dispatcher = Dispatcher(
+            limits=limits,
+            cache=cache,
+            latency=latency,
+            slow_start=self.slow_start,
+            prewarm_limiter=self.prewarm_limiter,
+            prewarmer=self.prewarmer,
+            selector=ReplicaSelector(fleet, self.outliers, self.random),
+            outliers=self.outliers,
+            fleet=fleet,
+            all_workers=self.all_workers,
+            decisions=self.decisions,
+        )
+
+    @property
+    def workers(self) -> dict[str, Worker]:
+        """The listed workers by their identifier."""
+        return self.fleet.workers
+
+    @property
+    def functions(self) -> dict[str, Function]:
+        """The functions known, by name."""
+        return self.fleet.functions
+
+    @property
+    def requests(self) -> dict[int, Request]:
+        """The requests that are open, or have attempts in flight."""
+        return self.dispatcher.requests
+
+    # ---- inputs: they only update the state ----
+
+    def advance(self, now: float) -> None:
+        """The time is `now` (ms)."""
+        self.now = now
+        self.dispatcher.unplaceable.clear()
+
+    def endpoints_changed(self, endpoints: list[Endpoint], whole: bool | None) -> None:
+        """Entries of the endpoint list came: all of it, or what has changed; with None it must be followed anew."""
+        if whole is None:
+            self.following = self.discovery.pushed
+        changes = self.fleet.update(endpoints, bool(whole))
+        for worker in changes.gone:
+            self.outliers.forget(worker)
+            self.slow_start.carry_over(worker, self.workers.get(worker.endpoint.ident))
+        for cell in changes.cells:
+            self.health_checker.watch(cell.ready)
+            cell.placement.scope.invalidate()  # sizes may have changed
+            cell.placement.scope.update(self.now)
+
+    def request_received(
+        self,
+        ident: int,
+        time_left: float,
+        request_class: RequestClass,
+        name: str,
+        memory: float,
+        concurrency: int,
+        load_hint: float | None,
+        work: float | None,
+        is_repeat: bool,
+        policy: RoutePolicy | None = None,
+    ) -> None:
+        """A request came for the function of that name, of `memory` MB, with hints of load time and work (ms)."""
+        now = self.now
+        function = self.functions.get(name)
+        if function is None:
+            function = self._new_function(name, request_class, memory, concurrency, load_hint or 0)
+        function.last_called = now
+        function.recent_calls.append(now)
+        self.control_budget.request_received()
+        self.fleet.home_of(function).calls_since += 1
+        wanted = policy.latency_objective if policy else request_class.latency_objective
+        objective = now + min(time_left, wanted + request_class.objective_per_work * (work or 0.0))
+        request = Request(ident, function, request_class, now, now + time_left, objective, work, is_repeat, policy)
+        if policy:
+            request.retry_budget = self.retry_budgets.request_received(policy, now)
+        self.prewarm_limiter.request_received(function, now)
+        if work is not None:
+            function.durations.append(work)
+            request_class.durations.append(work)
+        self.dispatcher.open(request)
+        self.wake_at = min(self.wake_at, now + TICK)
+
+    def _new_function(
+        self, name: str, request_class: RequestClass, memory: float, concurrency: int, load_hint: float
+    ) -> Function:
+        calls, durations, load_times, samples = map(
+            Recent, (CALLS_KEPT, DURATIONS_KEPT, DURATIONS_KEPT, DURATIONS_KEPT)
+        )
+        function = Function(
+            name,
+            request_class,
+            memory,
+            concurrency,
+            load_hint,
+            calls,
+            durations,
+            load_times,
+            samples,
+            name_hash(name),
+            last_called=self.now,
+        )
+        self.fleet.enter(function)
+        self.fleet.shrink(FUNCTIONS_KEPT)
+        return function
+
+    def answer_begun(self, ident: int, number: int) -> None:
+        """The first byte of an answer was passed on: the request may not be answered otherwise any more."""
+        if ident in self.requests:
+            self.requests[ident].closed = True
+
+    def attempt_finished(
+        self,
+        ident: int,
+        number: int,
+        outcome: str,
+        final: bool,
+        load_note: str | None,
+        concurrent: int,
+        report: tuple[float, ...] | None,
+    ) -> None:
+        """An attempt ended; `final` where the client has its answer, `report` in the order of the settings' fields."""
+        now, request = self.now, self.requests.get(ident)
+        if request is None or number >= len(request.attempts):
+            return
+        self.results.attempt_finished(request.attempts[number], outcome, load_note, concurrent, report, now)
+        request.closed = request.closed or final
+        if request.route_policy and outcome != Outcome.OK:
+            schedule_retry(request, outcome, self.random, now)
+        if request.closed:
+            self.dispatcher.close(request)
+        else:
+            self.dispatcher.look_again(request)
+
+    def client_gone(self, ident: int) -> None:
+        """The client closed its connection or cancelled the request."""
+        if request := self.requests.get(ident):
+            self.dispatcher.close(request)
+
+    def prewarm_finished(self, worker_ident: str, name: str, outcome: str, copies: int, took: float) -> None:
+        """A prewarm ended after `took` ms, with so many copies loaded."""
+        worker, function = self.workers.get(worker_ident), self.functions.get(name)
+        replica = worker.replicas.get(function) if worker else None
+        if replica is not None:
+            self.results.prewarm_finished(replica, outcome, copies, took, self.now)
+
+    def health_checked(self, ident: str, outcome: str, report: tuple[float, ...] | None) -> None:
+        """A health check ended."""
+        if worker := self.workers.get(ident):
+            self.latency.record_report(worker, report, self.now)
+            self.health_checker.finished(worker, outcome, self.now)
+            if outcome == Outcome.UNREACHED:
+                self.outliers.record(worker, outcome, self.now)
+            self.wake_at = min(self.wake_at, self.now + TICK)
+
+    # ---- decisions ----
+
+    def decide(self) -> Decision | None:
+        """The next decision, or None where there is none now."""
+        if self.now >= self.wake_at:
+            self._tick()
+        while not (self.notes or self.decisions):
+            if self.dispatcher.todo:
+                self.dispatcher.dispatch(self.dispatcher.todo.popleft(), self.now)
+            elif self.planned:
+                self.prewarmer.send(self.planned.popleft(), self.now)
+            else:
+                return None
+        return LogNote(self.notes.popleft()) if self.notes else self.decisions.popleft()
+
+    def _tick(self) -> None:
+        now = self.now
+        if not self.following:
+            self.following = True
+            self.decisions.append(FollowEndpoints(True))
+        self._look_for_silent_workers(now)
+        for worker in self.outliers.ejected:
+            self.health_checker.check(worker, CHECK_EVERY, now)
+        self.health_checker.check_in_turn(TICK, now)
+        hedgeable = [attempt.request for attempt in self.all_workers.in_flight if attempt.request.route_policy]
+        for request in dict.fromkeys(hedgeable) if self.retry_budgets else ():
+            self.dispatcher.hedge(request, now)
+        self.dispatcher.look_at_waiting(self._rank)
+        if now >= self.schedule.next_at:
+            self._place(now)
+        busy = self.requests or self.health_checker.unanswered
+        self.wake_at = min(self.schedule.next_at, now + TICK if busy else self.schedule.next_at)
+
+    def _look_for_silent_workers(self, now: float) -> None:
+        in_flight = ((each.replica.worker, now - each.sent_at) for each in self.all_workers.in_flight)
+        # Nothing else can be overdue yet.
+        suspects = [worker for worker, age in in_flight if age >= EXPECTED_LEAST or worker.ejections]
+        for worker in dict.fromkeys(suspects + self.health_checker.unanswered):
+            self.dispatcher.withdraw_from(worker, now)
+            if worker.ejected_until <= now and self.outliers.is_silent(worker, now):
+                self.outliers.eject(worker, now, f"silent with {len(worker.in_flight)} in flight")
+            oldest = worker.in_flight[0] if worker.in_flight else None
+            if oldest and worker.last_heard <= oldest.sent_at and is_overdue(oldest, now):
+                self.health_checker.check(worker, CHECK_SOON, now)  # a decision hangs on it
+
+    def _rank(self, request: Request) -> tuple[float, float]:
+        """Order of those that wait: by their routes' priority, then by weight, or by weight for the work in them."""
+        priority = request.route_policy.priority if request.route_policy else 0
+        work = 1 if self.instance.weight_by_work else self.latency.expected_work(request)
+        return -priority, -request.request_class.priority_weight / work
+
+    def _place(self, now: float) -> None:
+        cell = self.schedule.due_cell(now)
+        if cell is None or not cell.ready:
+            return
+        cell.placement.run(list(self.fleet.cells.values()), now)
+        if self.cache.may_prewarm:
+            self.planned.extend(self.prewarmer.plan(cell, now))
+        # Reports of workers without a placed function would decide nothing.
+        replicas = (replica for function in cell.functions.values() for replica in function.replicas)
+        homes = {replica.worker: None for replica in replicas if replica.placed}
+        self.health_checker.watch(homes or cell.ready)
+
+
+def _all_workers() -> Worker:
+    """All workers as one, for the limit on all our attempts."""
+    records = (deque(maxlen=OBJECTIVE_SHARES_KEPT) for _ in range(4))
+    return Worker(Endpoint("", 0, 0, 0, "ready", 1.0, None), *records, 0.0, inf, None, 0)
--- a/wickdyke/samples.py
+++ b/wickdyke/routing/samples.py
@@ -1,14 +1,17 @@
-"""Arithmetic on short records of samples: no decisions, no values."""
+"""Arithmetic on short records of samples."""
 
 from collections import deque
 from collections.abc import Collection, Hashable, Iterable
 
-Pair = tuple[float, float]
+Sums = tuple[float, float]
 
 
 class Recent(list):
-    """The last samples, `most` of them if it is given. A deque would take 600 bytes for one sample, this takes 100:
-    most functions and workers of a large fleet have one or two."""
+    """The newest samples, `most` of them if it is given.
+
+    A deque would take 600 bytes for one sample, this takes 100: most functions and workers of a large fleet have one
+    or two.
+    """
 
     __slots__ = ("most",)
 
@@ -28,7 +31,7 @@
             self.append(sample)
 
     def popleft(self) -> object:
-        """Takes the oldest."""
+        """Removes and returns the oldest."""
         return self.pop(0)
 
 
@@ -37,15 +40,15 @@
     return sum(samples) / len(samples) if samples else absent
 
 
-def pooled(parts: Iterable[tuple[float, int]], absent: float) -> float:
-    """The mean of samples of which each part tells sum and count, or `absent` where there are none."""
+def pooled_mean(parts: Iterable[tuple[float, int]], absent: float) -> float:
+    """The mean of samples of which each part gives sum and count, or `absent` where there are none."""
     sums, counts = zip(*parts, strict=True)
     return sum(sums) / sum(counts) if sum(counts) else absent
 
 
-def added(parts: Iterable[dict[Hashable, Pair]]) -> dict[Hashable, Pair]:
+def sum_by_key(parts: Iterable[dict[Hashable, Sums]]) -> dict[Hashable, Sums]:
     """The sums of the pairs that the parts have under each key."""
-    total: dict[Hashable, Pair] = {}
+    total: dict[Hashable, Sums] = {}
     for part in parts:
         for key, (first, second) in part.items():
             one, other = total.get(key, (0.0, 0.0))
@@ -57,3 +60,9 @@
     """Drops the samples, tuples that begin with their time in ms, of that time and earlier."""
     while samples and samples[0][0] <= before:
         samples.popleft()
+
+
+def trim_times(times: deque[float], before: float) -> None:
+    """Drops the times (ms) up to and including `before`."""
+    while times and times[0] <= before:
+        times.popleft()
--- a/wickdyke/settings/routes.py
+++ b/wickdyke/settings/routes.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from wickdyke.interface import Method, Timing
+from wickdyke.routing.model import RequestClass, RoutePolicy
 from wickdyke.settings import check, sexp
 from wickdyke.settings.check import Field, Notes, choice, count, number, record, span, text
 from wickdyke.settings.sexp import Atom, Form, Spot
@@ -38,7 +38,7 @@
     route: Route
     terms: Terms
     origins: dict[str, Spot]
-    timing: Timing
+    timing: RoutePolicy
 
 
 @dataclass(slots=True)
@@ -177,12 +177,12 @@
         route.line = line
 
 
-def _terms(route: Route, method: Method, notes: Notes) -> Held:
+def _terms(route: Route, method: RequestClass, notes: Notes) -> Held:
     origins, values = {}, {}
     for name in READERS:
         if (held := route.holds(name)) is not None:
             values[name], origins[name] = held
-    soft, deadline = values.get("soft-deadline", method.soft), values.get("deadline", method.deadline)
+    soft, deadline = values.get("soft-deadline", method.latency_objective), values.get("deadline", method.deadline)
     attempt, linger = values.get("attempt", (None, None))
     second = values.get("second")
     if second is not None:
@@ -210,7 +210,7 @@
     return Held(route, terms, origins, timing(terms, route.name))
 
 
-def build(forms: list[Form], path: str, methods: list[Method], ground: Ground) -> Routes:
+def build(forms: list[Form], path: str, methods: list[RequestClass], ground: Ground) -> Routes:
     """Checks the forms of a file; raises Unusable with all that is wrong."""
     notes = Notes()
     form = check.only_form(forms, "routes", path, notes)
@@ -244,9 +244,9 @@
     return Routes(routes, Table([(route.takes, route) for route in routes]), held)
 
 
-def arithmetic_method(method: Method) -> arithmetic.Method:
+def arithmetic_method(method: RequestClass) -> arithmetic.Method:
     """What the check needs of a method."""
-    return arithmetic.Method(method.name, method.effect, method.scope, method.window)
+    return arithmetic.Method(method.name, method.effect, method.scope, method.dedupe_window)
 
 
 def fix(refusal: sums.Refusal) -> str:
@@ -263,17 +263,17 @@
     notes.add(other.spot, f'route "{other.name}" and "{one.name}" of line {one.spot.line} both for {what}', expected)
 
 
-def read(path: str, methods: list[Method], ground: Ground) -> Routes:
+def read(path: str, methods: list[RequestClass], ground: Ground) -> Routes:
     """Reads and checks a file."""
     return build(sexp.read(path), path, methods, ground)
 
 
-def timing(terms: Terms, account: str) -> Timing:
+def timing(terms: Terms, account: str) -> RoutePolicy:
     """The terms as the module takes them. What a route's RPCs may still spend goes by its name, so that it goes on in
     a file read anew, also for those taken under the earlier one."""
     pause, second, budget = terms.pause, terms.second, terms.budget
     most = min(pause.most, terms.deadline)  # a recording has no word for the infinite, and longer is never over
-    return Timing(
+    return RoutePolicy(
         terms.soft,
         terms.attempt,
         terms.attempts,
--- a/wickdyke/settings/station.py
+++ b/wickdyke/settings/station.py
@@ -3,7 +3,18 @@
 import os
 from dataclasses import dataclass
 
-from wickdyke.interface import Allowance, Directory, Method, Ration, Seat, Shares, Stock, Tariff, Warmup
+from wickdyke.routing.model import RequestClass
+from wickdyke.routing.settings import (
+    AttemptLimits,
+    CostWeights,
+    Discovery,
+    FunctionCache,
+    GatewayInstance,
+    PrewarmQuota,
+    SlowStart,
+    TenantQuotas,
+)
+from wickdyke.protocol.back import REPORT_FIELDS
 from wickdyke.quarantine.bars import Isolation
 from wickdyke.settings import address, check, sexp
 from wickdyke.settings.check import Field, Notes, choice, count, flag, number, record, size, span, text, words
@@ -52,21 +63,21 @@
     seed: int | None
     zones: tuple[str, ...]
     kinds: tuple[str, ...]
-    methods: list[Method]
+    methods: list[RequestClass]
     programs: list[Stated]
-    seat: Seat
-    allowance: Allowance
-    stock: Stock
-    warmup: Warmup
-    ration: Ration
-    directory: Directory
-    tariff: Tariff
+    instance: GatewayInstance
+    attempt_limits: AttemptLimits
+    function_cache: FunctionCache
+    slow_start: SlowStart
+    prewarm_quota: PrewarmQuota
+    discovery: Discovery
+    cost_weights: CostWeights
     bounds: Bounds
     answer_way: float
     probe_wait: float
     isolation: Isolation = Isolation()
     tenants: tuple[str, ...] = ()
-    shares: Shares = Shares()
+    tenant_quotas: TenantQuotas = TenantQuotas()
 
     def stated(self, program: str) -> Stated | None:
         """What is stated of a program: the exact name before the longest beginning."""
@@ -90,8 +101,37 @@
     soft_stretch: float,
     gain: float,
     late_gain: float,
-) -> tuple[Method, Spot]:
-    return Method(name, effect, scope, window, soft_deadline, soft_stretch, deadline, gain, late_gain), spot
+) -> tuple[RequestClass, Spot]:
+    return RequestClass(name, effect, scope, window, soft_deadline, soft_stretch, deadline, gain, late_gain), spot
+
+
+def _attempt_limits(spot: Spot, most: int, overlap: bool, probe: bool, dial: float, idle_close: float, **rest):
+    return AttemptLimits(
+        attempts=most, hedging=overlap, health_checks=probe, connect_timeout=dial, idle_timeout=idle_close, **rest
+    )
+
+
+def _function_cache(
+    spot: Spot,
+    idle_life: float,
+    may_hold: bool,
+    loads_on_call: bool,
+    hold_wait: float,
+    tells_standing: bool,
+    tells_company: bool,
+) -> dict[str, object]:
+    return {
+        "idle_timeout": idle_life,
+        "may_prewarm": may_hold,
+        "loads_on_demand": loads_on_call,
+        "prewarm_timeout": hold_wait,
+        "reports_warmth": tells_standing,
+        "reports_concurrency": tells_company,
+    }
+
+
+def _cost_weights(spot: Spot, probe: float, crossing: float, **rest: float) -> CostWeights:
+    return CostWeights(health_check=probe, cross_zone=crossing, **rest)
 
 
 METHOD = record(
@@ -118,7 +158,7 @@
 FOLLOWED = record(lambda spot, file, reread: (file, reread), file=Field(text), reread=Field(span(5.0, 60000.0), 100.0))
 SEAT = record(lambda spot, number, of: (number, of, spot), number=Field(count(0, 100000)), of=Field(count(1, 100000)))
 CALL_OUTS = record(
-    lambda spot, most, **rest: Allowance(call_outs=most, **rest),
+    _attempt_limits,
     most=Field(count(1, 100), 3),
     overlap=Field(flag, False),
     cancel=Field(flag, True),
@@ -129,7 +169,7 @@
 )
 TENANT = record(lambda spot, name, quota: (name, quota, spot), named=True, quota=Field(number(0.001, 1e9)))
 STOCK = record(
-    _part(dict),
+    _function_cache,
     idle_life=Field(span(1.0)),
     may_hold=Field(flag, True),
     loads_on_call=Field(flag, True),
@@ -138,15 +178,15 @@
     tells_company=Field(flag, True),
 )
 WARMUP = record(
-    _part(Warmup),
+    _part(SlowStart),
     start_share=Field(number(0.001, 1)),
     ramp=Field(span()),
     multiple=Field(number(1, 1000)),
     window=Field(span(1.0)),
 )
-RATION = record(_part(Ration), free=Field(number(0, 1e6)), share=Field(number(0, 1e6)), window=Field(span()))
+RATION = record(_part(PrewarmQuota), free=Field(number(0, 1e6)), share=Field(number(0, 1e6)), window=Field(span()))
 TARIFF = record(
-    _part(Tariff),
+    _cost_weights,
     **{name: Field(number(0, 100), 0.0) for name in ("waste", "late", "fetch", "probe", "crossing", "idle_memory")},
 )
 BOUNDS = record(
@@ -209,12 +249,12 @@
     seat=Field(SEAT, (0, 1, None)),
     report=Field(words, ("busy", "held")),
     by_work=Field(flag, False),
-    call_outs=Field(CALL_OUTS, Allowance(3, False, True, True, 0.0, 250.0)),
+    call_outs=Field(CALL_OUTS, AttemptLimits(3, False, True, True, 0.0, 250.0)),
     stock=Field(STOCK),
     warmup=Field(WARMUP),
-    ration=Field(RATION, Ration(0.0, 0.0, 0.0)),
+    ration=Field(RATION, PrewarmQuota(0.0, 0.0, 0.0)),
     drain_grace=Field(span()),
-    tariff=Field(TARIFF, Tariff(0, 0, 0, 0, 0, 0)),
+    tariff=Field(TARIFF, CostWeights(0, 0, 0, 0, 0, 0)),
     bounds=Field(BOUNDS, Bounds(1024, 32768, 4096, 16.0, 32.0, 100000)),
     answer_way=Field(span(0.0, 60000.0), 20.0),
     probe_wait=Field(span(1.0, 60000.0), 250.0),
@@ -226,13 +266,17 @@
 def _contradictions(spot: Spot, got: dict, notes: Notes) -> None:
     way = got["answer_way"]
     for method, at in got["method"]:
-        if method.soft >= method.deadline:
-            notes.add(at, f"a soft deadline of {method.soft:g} ms", f"one before the deadline, {method.deadline:g} ms")
+        if method.latency_objective >= method.deadline:
+            notes.add(
+                at,
+                f"a soft deadline of {method.latency_objective:g} ms",
+                f"one before the deadline, {method.deadline:g} ms",
+            )
         if method.deadline <= way:
             notes.add(at, f"a deadline of {method.deadline:g} ms", f"more than answer-way, {way:g} ms")
-        if method.effect == "tokened" and not method.window:
+        if method.effect == "tokened" and not method.dedupe_window:
             notes.add(at, f'method "{method.name}" tokened without a window', "(window TIME) in it")
-        if method.effect != "tokened" and method.window:
+        if method.effect != "tokened" and method.dedupe_window:
             notes.add(at, f'method "{method.name}" {method.effect} with a window', "a window only where tokened")
     for what, names, spots in (
         ("method", [m.name for m, _ in got["method"]], [at for _, at in got["method"]]),
@@ -297,13 +341,19 @@
         kinds=tuple(kind for kind, _, _ in got["kind"]),
         methods=[method for method, _ in got["method"]],
         programs=got["program"],
-        seat=Seat(number_, of, zones.index(got["at"]) if got["at"] else 0, got["report"], got["by_work"]),
-        allowance=got["call_outs"],
-        stock=Stock(memory=tuple(memory for _, memory, _ in got["kind"]), **got["stock"]),
-        warmup=got["warmup"],
-        ration=got["ration"],
-        directory=Directory(True, 0.0, got["drain_grace"]),
-        tariff=got["tariff"],
+        instance=GatewayInstance(
+            number_,
+            of,
+            zones.index(got["at"]) if got["at"] else 0,
+            tuple(REPORT_FIELDS.get(word, word) for word in got["report"]),
+            got["by_work"],
+        ),
+        attempt_limits=got["call_outs"],
+        function_cache=FunctionCache(memory=tuple(memory for _, memory, _ in got["kind"]), **got["stock"]),
+        slow_start=got["warmup"],
+        prewarm_quota=got["ration"],
+        discovery=Discovery(True, 0.0, got["drain_grace"]),
+        cost_weights=got["tariff"],
         bounds=Bounds(
             bounds.connections,
             bounds.open_rpcs,
@@ -316,5 +366,5 @@
         probe_wait=got["probe_wait"],
         isolation=got["isolation"],
         tenants=tuple(tenant for tenant, _, _ in got["tenant"]),
-        shares=Shares(tuple(quota for _, quota, _ in got["tenant"])),
+        tenant_quotas=TenantQuotas(tuple(quota for _, quota, _ in got["tenant"])),
     )
--- a/wickdyke/settings/terms.py
+++ b/wickdyke/settings/terms.py
@@ -6,7 +6,17 @@
 
 from collections.abc import Callable
 
-from wickdyke.interface import Allowance, Directory, Method, Ration, Seat, Shares, Stock, Tariff, Warmup
+from wickdyke.routing.model import RequestClass
+from wickdyke.routing.settings import (
+    AttemptLimits,
+    CostWeights,
+    Discovery,
+    FunctionCache,
+    GatewayInstance,
+    PrewarmQuota,
+    SlowStart,
+    TenantQuotas,
+)
 
 
 class BadInput(Exception):
@@ -79,9 +89,9 @@
 
 EFFECTS = {"pure": "idempotent", "token": "tokened", "side_effect": "side-effecting"}
 REPORTS = {
-    "outstanding": "held",
-    "backlog": "queue",
-    "utilization": "busy",
+    "outstanding": "in_flight",
+    "backlog": "queued",
+    "utilization": "utilization",
     "recent_ms": "recent",
     "throughput": "rate",
     "errors_per_s": "errors",
@@ -125,22 +135,22 @@
 scope = one_of({"all": "all", "zone": "zone", "cell": "cell"})
 
 
-def method(terms: Terms, place: int) -> Method:
+def method(terms: Terms, place: int) -> RequestClass:
     """One of the methods."""
 
     def at(name: str, read: Callable, absent: object = None):
         return terms.get(f"lanes.{place}.{name}", read, absent)
 
-    return Method(
+    return RequestClass(
         name=at("name", str),
         effect=at("repeat", one_of(EFFECTS)),
         scope=at("key-scope", scope, "all"),
-        window=at("window", span, 0.0),
-        soft=at("aim", span),
-        soft_stretch=at("aim-stretch", number, 0.0),
+        dedupe_window=at("window", span, 0.0),
+        latency_objective=at("aim", span),
+        objective_per_work=at("aim-stretch", number, 0.0),
         deadline=at("deadline", span),
-        gain=at("gain", number),
-        late_gain=at("late-worth", number, 0.0),
+        priority_weight=at("gain", number),
+        late_weight=at("late-worth", number, 0.0),
     )
 
 
@@ -181,56 +191,56 @@
     get = terms.get
     return {
         "methods": [method(terms, place) for place in range(get("lanes.count", count))],
-        "seat": Seat(
-            number=get("self-index", count),
-            of=get("instances", count),
+        "instance": GatewayInstance(
+            index=get("self-index", count),
+            count=get("instances", count),
             zone=get("zone", count, 0),
-            report=tuple(REPORTS.get(name, name) for name in terms.names("report.fields")),
-            by_work=get("value-by", one_of({"request": False, "work": True}), False),
+            report_fields=tuple(REPORTS.get(name, name) for name in terms.names("report.fields")),
+            weight_by_work=get("value-by", one_of({"request": False, "work": True}), False),
         ),
-        "allowance": Allowance(
-            call_outs=get("limits.send-cap", count),
-            overlap=get("limits.second-copies", truth),
+        "attempt_limits": AttemptLimits(
+            attempts=get("limits.send-cap", count),
+            hedging=get("limits.second-copies", truth),
             cancel=get("limits.cancelling", truth),
-            probe=get("limits.probing", truth),
+            health_checks=get("limits.probing", truth),
             retry_after=get("limits.max-retry-after", span, 0.0) if get("limits.retry-after", truth, False) else 0.0,
-            dial=get("limits.dial-timeout", span),
-            idle_close=get("limits.idle-close", span, 15000.0),
+            connect_timeout=get("limits.dial-timeout", span),
+            idle_timeout=get("limits.idle-close", span, 15000.0),
         ),
-        "stock": Stock(
+        "function_cache": FunctionCache(
             memory=terms.numbers("family-info.memory-mb-by-kind"),
-            idle_life=get("family-info.idle-life", span),
-            may_hold=get("family-info.may-load", truth),
-            loads_on_call=get("family-info.if-cold", one_of({"load": True, "miss": False})),
-            hold_wait=get("family-info.load-wait", span),
-            tells_standing=get("family-info.warm-notes", truth),
-            tells_company=get("family-info.says-company", truth),
+            idle_timeout=get("family-info.idle-life", span),
+            may_prewarm=get("family-info.may-load", truth),
+            loads_on_demand=get("family-info.if-cold", one_of({"load": True, "miss": False})),
+            prewarm_timeout=get("family-info.load-wait", span),
+            reports_warmth=get("family-info.warm-notes", truth),
+            reports_concurrency=get("family-info.says-company", truth),
         ),
-        "warmup": Warmup(
+        "slow_start": SlowStart(
             start_share=get("rules.cold-from", number),
             ramp=get("rules.ramp-time", span),
             multiple=get("rules.overload-factor", number),
             window=get("rules.tip-after", span),
         ),
-        "ration": Ration(
+        "prewarm_quota": PrewarmQuota(
             free=get("family-info.free-loads", number, 0.0),
             share=get("family-info.load-part", number, 0.0),
             window=get("family-info.load-window", span, 0.0),
         ),
-        "directory": Directory(
+        "discovery": Discovery(
             pushed=get("discovery", one_of({"automatic": True, "subscribe": False})),
-            ask_within=get("rules.ask-within", span, 0.0),
+            poll_within=get("rules.ask-within", span, 0.0),
             drain_grace=get("rules.stop-sending-within", span),
         ),
-        "shares": Shares(
+        "tenant_quotas": TenantQuotas(
             quotas=tuple(get(f"tenants.{place}.quota-rps", number) for place in range(get("tenants.count", count, 0)))
         ),
-        "tariff": Tariff(
+        "cost_weights": CostWeights(
             waste=get("prices.waste", number, 0.0),
             late=get("prices.late-fail", number, 0.0),
             fetch=get("prices.origin", number, 0.0),
-            probe=get("prices.probe", number, 0.0),
-            crossing=get("prices.cross-zone", number, 0.0),
+            health_check=get("prices.probe", number, 0.0),
+            cross_zone=get("prices.cross-zone", number, 0.0),
             idle_memory=get("family-info.idle-memory-cost", number, 0.0),
         ),
     }
