--- a/bench/answerer.py
+++ b/bench/answerer.py
@@ -4,14 +4,14 @@
 import threading
 
 from wickdyke.protocol import back, jsonrpc
-from wickdyke.wire.server import Server, Wire
+from wickdyke.transport.line_server import LineServer, LineConnection
 
 STANDING = jsonrpc.encode(back.Standing(back.VERSION, "answerer", 1, 1e9))
 RAN = b'{"output":null,"standing":"stood","company":1,"report":{"busy":0.3,"held":1}}'
 PROBED = b'{"report":{"busy":0.3,"held":1}}'
 
 
-def heard(wire: Wire, request: jsonrpc.Request) -> None:
+def heard(wire: LineConnection, request: jsonrpc.Request) -> None:
     """Answers."""
     match request.method:
         case "run":
@@ -25,6 +25,6 @@
 
 
 if __name__ == "__main__":
-    Server(sys.argv[1], heard, lambda wire: None)
+    LineServer(sys.argv[1], heard, lambda wire: None)
     print("ready", flush=True)
     threading.Event().wait()
--- a/bench/hollow.py
+++ b/bench/hollow.py
@@ -42,7 +42,7 @@
 from wickdyke.routing.router import Router
 
 if TYPE_CHECKING:
-    from wickdyke.gateway.tape import Tape
+    from wickdyke.gateway.recording import DecisionRecorder
 
 RACK = 40  # workers that share a rack
 FRAMES = 4  # of a call stack that are kept of an allocation
@@ -99,7 +99,7 @@
             "tenant_quotas": TenantQuotas(),
         }
 
-    def router(self, now: float, number: int, tape: "Tape | None" = None) -> Router:
+    def router(self, now: float, number: int, tape: "DecisionRecorder | None" = None) -> Router:
         """A front end of that number among them."""
         parts, methods = self.parts(number), self.kinds()
         if tape is not None:
@@ -247,7 +247,7 @@
         rows: Iterable[Endpoint],
         front_ends: int,
         seed: int = 1,
-        tape: "Tape | None" = None,
+        tape: "DecisionRecorder | None" = None,
     ) -> None:
         self.settings, self.random, self.now, self.tape = settings, random.Random(seed), 0.0, tape
         self.turn, self.events = itertools.count(), []
--- a/bench/recording.py
+++ b/bench/recording.py
@@ -15,7 +15,7 @@
 from dataclasses import replace
 
 from bench.hollow import Draw, HollowFleet, Settings, listing
-from wickdyke.gateway.tape import Tape
+from wickdyke.gateway.recording import DecisionRecorder
 
 WORKERS, SPAN = 120, 24000.0
 
@@ -25,7 +25,7 @@
     settings = Settings(front_ends=20, zones=2, loads_on_call=bool(seed % 2), crossing=0.05 * (seed % 3), memory=4000.0)
     with tempfile.TemporaryDirectory() as folder:
         raw = os.path.join(folder, "tape")
-        tape = Tape(raw)
+        tape = DecisionRecorder(raw)
         fleet = HollowFleet(settings, [listing(number, 2, kind=0) for number in range(workers)], 1, seed, tape)
         fleet.clients(60.0, Draw(400, 0.9, seed), SPAN)
         chance, number = random.Random(seed), workers
--- a/bench/relay.py
+++ b/bench/relay.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from wickdyke.wire.outbox import Outbox, Parcel
+from wickdyke.transport.write_buffer import WriteBuffer, OutgoingMessage
 from wickdyke.protocol import back, front, jsonrpc
 from wickdyke.protocol.lines import Lines
 
@@ -42,7 +42,7 @@
     for worker in workers:
         sock = socket.socket(socket.AF_UNIX)
         sock.connect(worker)
-        boxes.append(Outbox(sock, UNREAD, worker))
+        boxes.append(WriteBuffer(sock, UNREAD, worker))
         threading.Thread(target=reader, args=(sock, answered), daemon=True).start()
 
     def desk() -> None:
@@ -53,10 +53,10 @@
                     n = next(number)
                     out[n] = box, ident
                     run = back.Run(call.method, call.program, call.input, 100.0, 1, 1000.0)
-                    next(turn).put(Parcel(jsonrpc.request_line("run", jsonrpc.encode(run), n)))
+                    next(turn).put(OutgoingMessage(jsonrpc.request_line("run", jsonrpc.encode(run), n)))
                 case ("back", n, ran):
                     box, ident = out.pop(n)
-                    box.put(Parcel(front.ok(ident, bytes(ran.output), 1) + b"\n"))
+                    box.put(OutgoingMessage(front.ok(ident, bytes(ran.output), 1) + b"\n"))
 
     threading.Thread(target=desk, daemon=True).start()
     listener = socket.socket(socket.AF_UNIX)
@@ -65,9 +65,9 @@
     print("ready", flush=True)
     while True:
         sock, _ = listener.accept()
-        box = Outbox(sock, UNREAD, "client")
+        box = WriteBuffer(sock, UNREAD, "client")
 
-        def asked(line: bytes, box: Outbox = box) -> None:
+        def asked(line: bytes, box: WriteBuffer = box) -> None:
             for request in jsonrpc.requests(line):
                 events.put(("asked", box, request.ident, jsonrpc.params(front.Call, request.params, request.ident)))
 
--- a/tests/acceptance_rig.py
+++ b/tests/acceptance_rig.py
@@ -6,10 +6,10 @@
 
 from tests import platform_rig as rig
 from tests import test_fleet
-from wickdyke.gateway import desk
+from wickdyke.gateway import coordinator
 from wickdyke.routing.model import RoutePolicy
-from wickdyke.platform import serve
-from wickdyke.wire import loop
+from wickdyke.platform import service
+from wickdyke.transport import event_loop
 
 START = 1e9  # ms on the stand-in clock
 STEP = 5.0  # ms of it that pass between two turns
@@ -62,9 +62,9 @@
         self.now = START
         self.addCleanup(patch.stopall)
         stand_in = SimpleNamespace(**{**vars(time), "monotonic": lambda: self.now / 1000})
-        for module in (loop, desk):
+        for module in (event_loop, coordinator):
             patch.object(module, "time", stand_in).start()
-        patch.object(serve, "LONGEST", 1.0).start()  # real ms of one wait: the clock does not move meanwhile
+        patch.object(service, "LONGEST", 1.0).start()  # real ms of one wait: the clock does not move meanwhile
 
     def front_end(self, *workers, **more):
         self.listen = rig.free_address()  # its own: what failed before it may still hold the last
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -9,7 +9,7 @@
 import time
 
 from wickdyke.gateway import log as logs
-from wickdyke.gateway.serve import Gateway
+from wickdyke.gateway.service import Gateway
 from wickdyke.protocol import back, jsonrpc
 from wickdyke.settings import station
 from wickdyke.settings.roll import Row, written
--- a/tests/test_acceptance_days.py
+++ b/tests/test_acceptance_days.py
@@ -11,8 +11,8 @@
 from tests import platform_rig as rig
 from tests.acceptance_rig import CLASSES, Stepped, request, settings
 from tests.test_fleet import Full, reset, wait_for
-from wickdyke.platform import back, serve
-from wickdyke.platform import station as stations
+from wickdyke.platform import worker_client, service
+from wickdyke.platform import configuration as stations
 
 
 def end(sock, how):
@@ -80,7 +80,7 @@
         for how in ("closed", "reset"):
             for name in CLASSES:
                 with self.subTest(how=how, name=name):
-                    client, alive, ended = self.idle_connection(), back.Connection.alive, []
+                    client, alive, ended = self.idle_connection(), worker_client.WorkerConnection.alive, []
 
                     def look(conn, how=how, alive=alive, ended=ended):
                         stands = alive(conn)
@@ -90,7 +90,7 @@
                             wait_for(self, lambda: not alive(conn))
                         return stands
 
-                    with patch.object(back.Connection, "alive", look):
+                    with patch.object(worker_client.WorkerConnection, "alive", look):
                         client.send(request(2, name))
                         number, got, _ = self.final(client, 1550)
                     self.assertEqual((number, len(ended)), (2, 1))
@@ -263,7 +263,7 @@
             client.send(rig.alive(1))
             self.answer(client)
         serving._end(signal.SIGTERM, None)
-        self.later(serve.GRACE - 1, settle=True)
+        self.later(service.GRACE - 1, settle=True)
         shut = serving.front.shut
 
         def crossing():
@@ -365,7 +365,7 @@
             client.send(request(at, CLASSES[at % 3]))
             self.assertEqual(self.final(client, 500), (at, "answer", b"did x"))
         self.assertEqual(len(one.came(b"invoke")), before)
-        self.now += serve.GRACE + 1
+        self.now += service.GRACE + 1
         self.until(lambda: not serving.turn(), "the end")
         self.assertEqual(self.faults(), [])
 
--- a/tests/test_client_connection_faults.py
+++ b/tests/test_client_connection_faults.py
@@ -16,8 +16,8 @@
 from tests.test_shutdown import Timed
 from wickdyke.routing.decisions import Forward
 from wickdyke.routing.model import RequestClass
-from wickdyke.platform import front as fronts
-from wickdyke.wire import loop, outbox
+from wickdyke.platform import client_server as fronts
+from wickdyke.transport import event_loop, write_buffer
 
 A, B, C = (letter * 16 for letter in "abc")
 ACCEPT = (
@@ -123,17 +123,17 @@
     def setUp(self):
         self.now = 0.0
         self.addCleanup(patch.stopall)
-        for module in (loop, fronts):
+        for module in (event_loop, fronts):
             patch.object(module, "clock", lambda: self.now).start()
 
     def begin(self, plan, piece=None):
         self.now, self.taken = 0.0, []
         self.faults = []
-        self.loop = loop.Loop(self.faults.append)
+        self.loop = event_loop.EventLoop(self.faults.append)
         self.loop.epoll = Standin(self.loop.epoll, plan)
         methods = [RequestClass("look", "idempotent", "all", 0.0, 500.0, 0.0, 4000.0, 1.0, 0.1)]
         host, port = (address := rig.free_address()).split(":")
-        self.front = fronts.Front(self.loop, (host, int(port)), methods, 20, self.take, lambda: "", Mock())
+        self.front = fronts.ClientServer(self.loop, (host, int(port)), methods, 20, self.take, lambda: "", Mock())
         made = socket.socket
         with patch.object(fronts.socket, "socket", lambda *given: Standin(made(*given), plan, piece)):
             self.front.listen()
@@ -281,14 +281,14 @@
     def setUp(self):
         self.now = 0.0
         self.addCleanup(patch.stopall)
-        for module in (loop, fronts):
+        for module in (event_loop, fronts):
             patch.object(module, "clock", lambda: self.now).start()
-        self.loop, self.told = loop.Loop(), []
+        self.loop, self.told = event_loop.EventLoop(), []
         self.addCleanup(self.loop.close)
         methods = [RequestClass("look", "idempotent", "all", 0.0, 500.0, 0.0, 4000.0, 1.0, 0.1)]
         self.address = rig.free_address()
         host, port = self.address.split(":")
-        self.front = fronts.Front(self.loop, (host, int(port)), methods, 2, self.told.append, lambda: "", Mock())
+        self.front = fronts.ClientServer(self.loop, (host, int(port)), methods, 2, self.told.append, lambda: "", Mock())
         self.front.listen()
         self.addCleanup(self.front.shut)
         self.addCleanup(lambda: [client.close() for client in list(self.front.clients.values())])
@@ -376,7 +376,7 @@
         first, second = self.client(), self.client()
         ask = self.asked(first, rig.dispatch(1, rig.fields(A)))
         other = self.asked(second, rig.dispatch(1, rig.fields(B)), 2)
-        with patch.object(outbox.Outbox, "pump"):  # the kernel takes nothing for now
+        with patch.object(write_buffer.WriteBuffer, "pump"):  # the kernel takes nothing for now
             known = ask.client
             real = known.outbox.sock
             known.outbox.sock = Mock(send=Mock(side_effect=BlockingIOError))
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -11,8 +11,8 @@
 
 from tests import platform_rig as rig, test_fleet
 from tests.helpers import Fleet, verbs
-from wickdyke.gateway.parts import ListChange
-from wickdyke.platform import roster, serve
+from wickdyke.gateway.interfaces import EndpointListChange
+from wickdyke.platform import endpoint_list, service
 
 HOUR, SECOND = 3_600_000.0, 1000.0
 UNIX = 1_700_000_000_000.0  # Unix ms at 0 of the monotonic clock, as long as no clock is stepped
@@ -40,7 +40,7 @@
     def __init__(self, clocks, known=(), connected=100.0):
         self.clocks, self.offset = clocks, 0
         self.connected_at = clocks.now + connected
-        self.roster = roster.Roster(("hall",), ("std",), clocks.ahead, lambda: self.connected_at)
+        self.roster = endpoint_list.EndpointList(("hall",), ("std",), clocks.ahead, lambda: self.connected_at)
         self.tell(rig.instance("old", "h:9"), *known, reset=True)
 
     def tell(self, *instances, reset=False):
@@ -66,7 +66,7 @@
             (True, 0.0, HOUR),
             (False, 60 * SECOND, 0.0),
             (False, 60 * SECOND, 700.0),
-            (False, 60 * SECOND, roster.PROMPT),
+            (False, 60 * SECOND, endpoint_list.PROMPT),
             (False, 1000.0, 1500.0),
         ):
             with self.subTest(known=known, after=after, age=age):
@@ -119,7 +119,7 @@
                 clocks.writers += step
                 view.tell(late(started=clocks.stamp(100.0)))
                 self.assertGreaterEqual(view.age("a"), 0.0)
-                self.assertLessEqual(view.age("a"), roster.PROMPT + roster.OUTAGE)
+                self.assertLessEqual(view.age("a"), endpoint_list.PROMPT + endpoint_list.OUTAGE)
 
     def test_a_start_in_the_future_is_now(self):
         """Told at the start or live: just started, and its age grows from here on."""
@@ -133,7 +133,7 @@
                     view.tell(late(started=stamp))
                 self.assertEqual(view.age("a"), 0.0)
                 clocks.now += 5 * SECOND
-                self.assertEqual(view.tell(late(started=stamp)), ListChange([], {}))
+                self.assertEqual(view.tell(late(started=stamp)), EndpointListChange([], {}))
                 self.assertEqual(view.age("a"), 5 * SECOND)
 
     def test_our_clock_is_stepped_between_its_two_readings_at_the_start(self):
@@ -142,7 +142,7 @@
             with self.subTest(step):
                 clocks = Clocks()
                 clocks.ours += step  # wrong at first, and right when the list is read
-                view = roster.Roster(("hall",), ("std",), clocks.ahead)
+                view = endpoint_list.EndpointList(("hall",), ("std",), clocks.ahead)
                 clocks.ours -= step
                 view.rows([rig.event(1, late(started=clocks.stamp(100.0)), reset=True)], clocks.now)
                 self.assertIn(clocks.now - view.listed["a"][0].started_at, (0.0, 100.0))
@@ -192,18 +192,18 @@
                 clocks.writers += step
                 change = view.tell(late("a", clocks.stamp(100.0)))
                 self.assertEqual([row.ident for row in change.listings], ["a"])
-                self.assertTrue(0.0 <= view.age("a") <= roster.PROMPT)
+                self.assertTrue(0.0 <= view.age("a") <= endpoint_list.PROMPT)
 
     def test_deleted_starts_are_kept_within_a_bound(self):
         clocks = Clocks()
         view = View(clocks)
-        for at in range(roster.GONE_KEPT + 50):
+        for at in range(endpoint_list.GONE_KEPT + 50):
             clocks.now += 1
             row = late(f"n{at}", clocks.stamp())
             view.tell(row)
             view.tell({**row, "lifecycle": "DELETED"})
-        self.assertEqual(len(view.roster.gone_births), roster.GONE_KEPT)
-        self.assertIn(f"n{roster.GONE_KEPT + 49}", view.roster.gone_births)
+        self.assertEqual(len(view.roster.gone_births), endpoint_list.GONE_KEPT)
+        self.assertIn(f"n{endpoint_list.GONE_KEPT + 49}", view.roster.gone_births)
         self.assertEqual((len(view.roster), view.roster.births), (1, {}))
 
     def test_stamps_that_are_no_time(self):
@@ -258,8 +258,8 @@
                 view.tell(late(with_, told[with_], lifecycle="DELETED"))
             elif what == "whole":
                 view.tell(*(late(name, told[name]) for name in sorted(with_) if name in told), reset=True)
-            fresh = clocks.now - view.connected_at <= roster.PROMPT
-            most = roster.PROMPT + fresh * min(roster.OUTAGE, clocks.now - last)
+            fresh = clocks.now - view.connected_at <= endpoint_list.PROMPT
+            most = endpoint_list.PROMPT + fresh * min(endpoint_list.OUTAGE, clocks.now - last)
             for name, (listing, _) in view.roster.listed.items():
                 if name == "old":
                     continue
@@ -269,7 +269,11 @@
                 self.assertEqual(births.setdefault(name, listing.started_at), listing.started_at)
 
     @settings(max_examples=200, deadline=None, derandomize=True)
-    @given(st.lists(st.tuples(st.integers(0, int(HOUR)), st.integers(0, int(roster.PROMPT))), min_size=1, max_size=20))
+    @given(
+        st.lists(
+            st.tuples(st.integers(0, int(HOUR)), st.integers(0, int(endpoint_list.PROMPT))), min_size=1, max_size=20
+        )
+    )
     def test_an_ordinary_day_is_exact(self, starts):
         """(ms until the next start is told, by how much late), no clock stepped: the very number of the clocks."""
         clocks = Clocks()
@@ -329,17 +333,17 @@
                 with self.subTest(when=when, step=step):
                     stepped = SimpleNamespace(ms=step if when == "before" else 0.0)
                     wall = SimpleNamespace(time=lambda stepped=stepped: time.time() + stepped.ms / 1000)
-                    with patch.object(serve, "time", wall):
+                    with patch.object(service, "time", wall):
                         source, one, two = self.made(rig.Bus()), self.worker(), self.worker()
                         serving = self.front_end(one.address, bus=source.address)
                         self.until(lambda source=source: source.asked)
                         stepped.ms = step
-                        started, began = int(time.time() * 1000), serve.clock()
+                        started, began = int(time.time() * 1000), service.clock()
                         source.event(rig.event(2, rig.instance("w1", two.address, startedAtMs=started)))
                         self.until(lambda serving=serving: serving.roster.offset == 2)
                         born = serving.desk.router.workers["w1"].warming_since
                         self.assertGreaterEqual(born, began - 1.0)  # the stamp is cut to whole ms
-                        self.assertLessEqual(born, serve.clock())
+                        self.assertLessEqual(born, service.clock())
                         self.end()
 
 
--- a/tests/test_configuration_faults.py
+++ b/tests/test_configuration_faults.py
@@ -7,7 +7,7 @@
 
 from tests import platform_rig as rig
 from tests.test_fleet import NOWHERE, Handed
-from wickdyke.platform import serve, station
+from wickdyke.platform import service, configuration
 
 MOMENTARY = (errno.EMFILE, errno.ENFILE, errno.ENOMEM, errno.EIO, errno.ENOENT)
 
@@ -29,9 +29,12 @@
                         return opened(*args, **more)
 
                     self.log.reset_mock()
-                    with patch.object(station, "open", failing, create=True), patch.object(serve, "REREAD", 1.0):
+                    with (
+                        patch.object(configuration, "open", failing, create=True),
+                        patch.object(service, "REREAD", 1.0),
+                    ):
                         serving._read(1, None)
-                        self.until(lambda address=address: serving.bus.address == station.address(address, ""))
+                        self.until(lambda address=address: serving.bus.address == configuration.address(address, ""))
                     said = [call.args[0] for call in self.log.warning.call_args_list]
                     self.assertEqual(said.count("configuration not read yet"), 1)
 
@@ -41,7 +44,7 @@
             out.write("{")
         serving._read(1, None)
         self.until(lambda: not serving.asked_to_read)
-        self.assertEqual((serving.rereading, serving.bus.address), (False, station.address(NOWHERE, "")))
+        self.assertEqual((serving.rereading, serving.bus.address), (False, configuration.address(NOWHERE, "")))
 
 
 class Admission(Handed):
--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -15,19 +15,19 @@
 from tests import platform_rig as rig
 from tests.test_fleet import ASCII_A, ASCII_B, Full
 from tests.test_platform import Turned
-from wickdyke.gateway import link as rpc_link
-from wickdyke.gateway import speech as rpc_speech
+from wickdyke.gateway import worker_client as rpc_link
+from wickdyke.gateway import worker_protocol as rpc_speech
 from wickdyke.routing.model import RequestClass
-from wickdyke.platform import back
-from wickdyke.wire import loop
-from wickdyke.wire.outbox import Expired, Outbox, Parcel, Unread
+from wickdyke.platform import worker_client
+from wickdyke.transport import event_loop
+from wickdyke.transport.write_buffer import Expired, WriteBuffer, OutgoingMessage, PeerTooSlow
 
 
 class Clock:
     """A monotonic clock that goes on when the test says so; in whole ms, from the real one, by which timers go."""
 
     def __init__(self, test, *modules):
-        self.now = float(round(loop.clock()))
+        self.now = float(round(event_loop.clock()))
         for module in modules:
             started = patch.object(module, "clock", lambda: self.now)
             started.start()
@@ -75,10 +75,10 @@
 
     def box(self, *takes, most=100):
         self.sock, self.waits, self.expired, self.text = Socket(*takes), [], [], b"one"
-        return Outbox(self.sock, most, "box", self.waits.append)
+        return WriteBuffer(self.sock, most, "box", self.waits.append)
 
     def parcel(self, name="first"):
-        return Parcel(lambda: self.text, expired=lambda: self.expired.append(name))
+        return OutgoingMessage(lambda: self.text, expired=lambda: self.expired.append(name))
 
     def test_what_waits_is_rendered_when_it_goes(self):
         box = self.box(BlockingIOError(), BlockingIOError(), 99)
@@ -102,7 +102,7 @@
         """At once or after it waited; what comes behind it goes."""
         box = self.box(BlockingIOError(), 99)
         box.put(first := self.parcel())
-        box.put(Parcel(b"behind"))
+        box.put(OutgoingMessage(b"behind"))
         self.text = None
         with self.assertRaises(Expired):
             box.put(self.parcel("second"))
@@ -116,7 +116,7 @@
         self.text = b"1234567"
         box.put(second := self.parcel())
         self.assertEqual(box.held, 10)
-        with self.assertRaises(Unread):
+        with self.assertRaises(PeerTooSlow):
             box.put(self.parcel())
         self.text = b"12345"
         box.pump()
@@ -142,7 +142,7 @@
         here, there = socket.socketpair()
         self.addCleanup(there.close)
         self.addCleanup(here.close)
-        box = Outbox(here, 64 << 20, "box")
+        box = WriteBuffer(here, 64 << 20, "box")
         self.addCleanup(box.close)
         big = b"x" * (4 << 20)
         asked, self.text = threading.Event(), b"one"
@@ -152,9 +152,9 @@
             return self.text
 
         over = threading.Event()
-        self.assertFalse(box.put(Parcel(big)))
-        box.put(waits := Parcel(render))
-        box.put(gone := Parcel(lambda: b"gone" if self.text == b"one" else None, expired=over.set))
+        self.assertFalse(box.put(OutgoingMessage(big)))
+        box.put(waits := OutgoingMessage(render))
+        box.put(gone := OutgoingMessage(lambda: b"gone" if self.text == b"one" else None, expired=over.set))
         self.text = b"two"
         got = b""
         while len(got) < len(big) + 3:
@@ -167,9 +167,9 @@
         here, there = socket.socketpair()
         self.addCleanup(there.close)
         self.addCleanup(here.close)
-        box = Outbox(here, 64 << 20, "box")
-        box.put(begun := Parcel(b"x" * (4 << 20)))
-        box.put(waits := Parcel(b"y"))
+        box = WriteBuffer(here, 64 << 20, "box")
+        box.put(begun := OutgoingMessage(b"x" * (4 << 20)))
+        box.put(waits := OutgoingMessage(b"y"))
         self.assertTrue(begun.begun)
         self.assertTrue(box.withdraw(waits))
         box.close()
@@ -182,15 +182,17 @@
 
     def setUp(self):
         super().setUp()
-        self.pool = back.Pool(20)
-        self.clock = Clock(self, back)
-        self.speech = back.Speech(self.loop, SimpleNamespace(instance=SimpleNamespace(report_fields=())), Mock(), 20)
+        self.pool = worker_client.ConnectionPool(20)
+        self.clock = Clock(self, worker_client)
+        self.speech = worker_client.PlatformWorkerProtocol(
+            self.loop, SimpleNamespace(instance=SimpleNamespace(report_fields=())), Mock(), 20
+        )
 
     def link(self, address, dial=60000.0):
         def tell(*event):
             self.told.append((event[2].ident, event[3]))
 
-        made = back.Link("w", address, tell, self.loop, self.pool, dial, 10000.0, ())
+        made = worker_client.WorkerClient("w", address, tell, self.loop, self.pool, dial, 10000.0, ())
         self.addCleanup(made.close)
         return made
 
@@ -321,7 +323,9 @@
         made = tempfile.TemporaryDirectory(prefix="wd-")
         self.addCleanup(made.cleanup)
         self.clock, self.folder = Clock(self, rpc_link, rpc_speech), made.name
-        self.speech = rpc_speech.JsonRpc(SimpleNamespace(name="g", instance=SimpleNamespace(report_fields=())))
+        self.speech = rpc_speech.JsonRpcWorkerProtocol(
+            SimpleNamespace(name="g", instance=SimpleNamespace(report_fields=()))
+        )
         self.go, self.runs = threading.Event(), []
 
     def link(self):
@@ -334,7 +338,7 @@
                 sock.sendall(ok(asked["id"]))
 
         peer, told = Peer(self.folder, "w", play), Told()
-        link = rpc_link.Link("w", peer.path, "g", told, 20000.0, 16 << 20, 32 << 20)
+        link = rpc_link.WorkerClient("w", peer.path, "g", told, 20000.0, 16 << 20, 32 << 20)
         self.addCleanup(link.close)
         self.addCleanup(peer.close)
         return link, told
@@ -373,7 +377,7 @@
             link.send(order)
         self.clock.now += 900.0
         link.retired = True
-        put(Parcel(b"\n"))  # wakes the thread
+        put(OutgoingMessage(b"\n"))  # wakes the thread
         self.assertEqual(told.next("back")[2:4], (order, "unsent"))
         link.thread.join(20)
         self.assertFalse(link.thread.is_alive())
--- a/tests/test_desk.py
+++ b/tests/test_desk.py
@@ -16,8 +16,8 @@
 
 from tests.rig import LONG, Client, Running, hello, lines_of, ok, until, willing
 from wickdyke.gateway import log as logs
-from wickdyke.gateway import tape
-from wickdyke.wire.server import InUse, listener
+from wickdyke.gateway import recording
+from wickdyke.transport.line_server import AddressInUse, listener
 from wickdyke.protocol import back, jsonrpc
 from wickdyke.settings.roll import Row, written
 
@@ -302,7 +302,7 @@
             client.close()
             running.gateway.tape.close()
             with open(running.station.tape, "rb") as source:
-                self.assertIsNone(tape.replay(source)[1])
+                self.assertIsNone(recording.replay(source)[1])
 
     def test_change_that_strands(self):
         """A budget that lives by its share is not taken from RPCs in flight: first a floor, then, once they are
@@ -467,23 +467,23 @@
             with open(running.station.tape, "rb") as source:
                 lines = source.readlines()
             running.desk.events.put(None)
-            alike, differs = tape.replay(lines)
+            alike, differs = recording.replay(lines)
             self.assertIsNone(differs)
             self.assertGreater(alike, 150)
             at = next(n for n, line in enumerate(lines) if line.startswith(b'["decided",["forward"'))
             changed = [*lines[:at], lines[at].replace(b'"w', b'"x'), *lines[at + 1 :]]
-            self.assertIn("decided", tape.replay(changed)[1])
+            self.assertIn("decided", recording.replay(changed)[1])
             cut_off = [*lines[:-1], lines[-1][:5]]
-            self.assertIsNone(tape.replay(cut_off)[1])
+            self.assertIsNone(recording.replay(cut_off)[1])
             running.gateway.desk.end = lambda: None  # ended already
 
     def test_slow_disk(self):
         """A recording that can't be written as fast stops and says so; nobody waits for it."""
-        with tempfile.TemporaryDirectory(prefix="wd-") as folder, unittest.mock.patch.object(tape, "WAITING", 50):
+        with tempfile.TemporaryDirectory(prefix="wd-") as folder, unittest.mock.patch.object(recording, "WAITING", 50):
             path = os.path.join(folder, "fifo")
             os.mkfifo(path)
             reader = os.open(path, os.O_RDONLY | os.O_NONBLOCK)
-            made = tape.Tape(path)
+            made = recording.DecisionRecorder(path)
             for at in range(100000):
                 made.heard(float(at), "left", ("x" * 100,))
                 if made.broken:
@@ -498,7 +498,7 @@
             os.close(reader)
             lines = b"".join(got).splitlines(keepends=True)
             self.assertEqual(lines[-1], b'["broken off"]\n')
-            self.assertEqual(len(list(tape.entries(lines))), len(lines) - 1)
+            self.assertEqual(len(list(recording.entries(lines))), len(lines) - 1)
 
 
 class Logs(unittest.TestCase):
@@ -614,7 +614,7 @@
         """A live owner is left alone; what a killed one left behind is replaced; a file is not touched."""
         with tempfile.TemporaryDirectory(prefix="wd-") as folder:
             process, path = self.serve(folder, silent)
-            with self.assertRaisesRegex(InUse, "somebody live"):
+            with self.assertRaisesRegex(AddressInUse, "somebody live"):
                 listener(path)
             process.kill()
             process.wait()
@@ -625,7 +625,7 @@
             plain = os.path.join(folder, "plain")
             with open(plain, "w") as out:
                 out.write("x")
-            with self.assertRaisesRegex(InUse, "no socket"):
+            with self.assertRaisesRegex(AddressInUse, "no socket"):
                 listener(plain)
             self.assertTrue(os.path.exists(plain))
 
--- a/tests/test_discovery_faults.py
+++ b/tests/test_discovery_faults.py
@@ -12,8 +12,8 @@
 
 from tests import platform_rig as rig
 from tests.rig import until
-from wickdyke.platform import bus
-from wickdyke.wire import loop
+from wickdyke.platform import discovery
+from wickdyke.transport import event_loop
 
 EVENTS = 3  # told by the source, one on each connection: so each step of a connection is taken that often
 PIECE = 40  # bytes that a short write takes: the request goes in several
@@ -154,7 +154,7 @@
         self.source = Source()
         self.addCleanup(self.source.close)
         self.before = open_descriptors()
-        for module in (loop, bus):
+        for module in (event_loop, discovery):
             patcher = patch.object(module, "clock", lambda: self.now)
             patcher.start()
             self.addCleanup(patcher.stop)
@@ -162,13 +162,15 @@
     def follow(self, calls, address=None):
         """A bus on a loop whose system calls may fail."""
         self.told.clear()
-        self.loop = loop.Loop()
+        self.loop = event_loop.EventLoop()
         self.loop.epoll = calls.epoll(self.loop.epoll)
         fakes = SimpleNamespace(**{**vars(socket), "socket": calls.socket_class()})
-        patcher = patch.object(loop, "socket", fakes)
+        patcher = patch.object(event_loop, "socket", fakes)
         patcher.start()
         self.addCleanup(patcher.stop)
-        made = bus.Bus(self.loop, self.where(address or self.source.address), self.last, self.take, Mock(), 200.0, 1)
+        made = discovery.DiscoveryClient(
+            self.loop, self.where(address or self.source.address), self.last, self.take, Mock(), 200.0, 1
+        )
         made.open()
         return made
 
@@ -273,7 +275,7 @@
         made = self.follow(SystemCalls("socket", 1, errno.EMFILE))
         faults = []
         self.loop.fault = faults.append
-        with patch.object(bus, "dial", Mock(side_effect=MemoryError)):
+        with patch.object(discovery, "dial", Mock(side_effect=MemoryError)):
             while not faults:
                 self.turn(made)
         self.until_told(made)
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -319,7 +319,7 @@
             port = free.getsockname()[1]
         with Running(more="") as made:
             made.station.listen = f"127.0.0.1:{port}"
-            from wickdyke.gateway.serve import Gateway
+            from wickdyke.gateway.service import Gateway
 
             gateway = Gateway(made.station, made.log)
             gateway.open()
--- a/tests/test_drill.py
+++ b/tests/test_drill.py
@@ -19,7 +19,7 @@
 
 
 def play(text):
-    run = subprocess.run([sys.executable, "-m", "wickdyke.drill"], input=text.encode(), capture_output=True)
+    run = subprocess.run([sys.executable, "-m", "wickdyke.simulator"], input=text.encode(), capture_output=True)
     return run.returncode, run.stdout.decode(), run.stderr.decode()
 
 
--- a/tests/test_event_loop_faults.py
+++ b/tests/test_event_loop_faults.py
@@ -8,7 +8,7 @@
 from types import SimpleNamespace
 from unittest.mock import Mock, patch
 
-from wickdyke.wire import loop
+from wickdyke.transport import event_loop
 
 NO_MEMORY = (errno.ENOMEM, errno.ENOSPC)
 
@@ -57,12 +57,12 @@
 class Case(unittest.TestCase):
     def setUp(self):
         self.now, self.faults = 0.0, []
-        patcher = patch.object(loop, "clock", lambda: self.now)
+        patcher = patch.object(event_loop, "clock", lambda: self.now)
         patcher.start()
         self.addCleanup(patcher.stop)
         self.epoll = FaultyEpoll()
-        with patch.object(loop.select, "epoll", lambda: self.epoll):
-            self.loop = loop.Loop(self.faults.append)
+        with patch.object(event_loop.select, "epoll", lambda: self.epoll):
+            self.loop = event_loop.EventLoop(self.faults.append)
         self.addCleanup(self.loop.close)
 
     def pair(self):
@@ -127,7 +127,7 @@
                     for _ in range(times):
                         self.turn()
                         self.assertEqual(handler.told, [])
-                        self.turn(loop.MODIFY_RETRY)
+                        self.turn(event_loop.MODIFY_RETRY)
                     self.turn()
                     self.assertEqual(handler.told, ["writable"])
                     self.assertEqual((self.loop.unmodified, self.faults), ({}, []))
@@ -142,7 +142,7 @@
         self.loop.want(mine, True)
         self.loop.want(mine, False)
         for _ in range(3):
-            self.turn(loop.MODIFY_RETRY)
+            self.turn(event_loop.MODIFY_RETRY)
         self.assertEqual(handler.told, [])
 
     def test_two_that_fail_one_after_the_other(self):
@@ -152,7 +152,7 @@
         self.epoll.errors = {"modify": [failure(errno.ENOMEM)] * 2}
         self.loop.want(mine, False)
         self.loop.want(mine, True)
-        self.turn(loop.MODIFY_RETRY)
+        self.turn(event_loop.MODIFY_RETRY)
         self.turn()
         self.assertEqual((handler.told, self.loop.timers), (["writable"], []))
 
@@ -171,7 +171,7 @@
         self.loop.add(again, fresh)
         with patch.object(self.epoll, "modify", Mock(), create=True) as modify:
             for _ in range(3):
-                self.turn(loop.MODIFY_RETRY)
+                self.turn(event_loop.MODIFY_RETRY)
             modify.assert_not_called()
         self.assertEqual((old.told, self.faults), ([], []))
 
@@ -249,7 +249,7 @@
             (errno.ENOTCONN, b""),
         ):
             with self.subTest(errno.errorcode[code]):
-                self.assertEqual(loop.received(Mock(recv=Mock(side_effect=failure(code))), 100), given)
+                self.assertEqual(event_loop.received(Mock(recv=Mock(side_effect=failure(code))), 100), given)
 
 
 class Dial(unittest.TestCase):
@@ -263,8 +263,8 @@
 
     def dial(self, address=None, **members):
         fake = type("Faulty", (socket.socket,), members)
-        with patch.object(loop, "socket", SimpleNamespace(**{**vars(socket), "socket": fake})):
-            return loop.dial(address or self.address)
+        with patch.object(event_loop, "socket", SimpleNamespace(**{**vars(socket), "socket": fake})):
+            return event_loop.dial(address or self.address)
 
     def test_each_step_fails(self):
         """The error is given, and no socket is left open."""
@@ -305,7 +305,7 @@
     def test_an_address_that_can_not_be_one(self):
         for address in (("127.0.0.1", 70000), ("127.0.0.1", -1), ("a" * 100 + ".", 1)):
             with self.subTest(address=address):
-                sock, code = loop.dial(address)
+                sock, code = event_loop.dial(address)
                 self.assertEqual((sock, code != 0), (None, True))
                 self.assertEqual(open_descriptors(), self.before)
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -23,8 +23,18 @@
 from tests import platform_rig as rig
 from tests.test_platform import Turned
 from wickdyke.routing.model import RequestClass
-from wickdyke.platform import back, bus, front, resp, roster, serve, sse, station, thrift
-from wickdyke.wire import loop
+from wickdyke.platform import (
+    worker_client,
+    discovery,
+    client_server,
+    resp,
+    endpoint_list,
+    service,
+    sse,
+    configuration,
+    thrift,
+)
+from wickdyke.transport import event_loop
 
 NOWHERE = "127.0.0.1:9"
 A, B, C = "a" * 16, "b" * 16, "c" * 16
@@ -45,7 +55,7 @@
     def none(*args, **more):
         raise OSError(errno.EMFILE, "Too many open files")
 
-    with patch.object(loop, "socket", SimpleNamespace(**{**vars(socket), "socket": none})):
+    with patch.object(event_loop, "socket", SimpleNamespace(**{**vars(socket), "socket": none})):
         yield
 
 
@@ -110,7 +120,7 @@
     def front_end(self, *workers, bus=NOWHERE, **more):
         self.write(bus, *workers, **more)
         self.log = Mock()
-        self.serving = serve.Serving(station.read(self.path), self.path, self.log)
+        self.serving = service.Service(configuration.read(self.path), self.path, self.log)
         self.addCleanup(self.end)
         self.serving.open()
         return self.serving
@@ -165,7 +175,7 @@
 
         serving.front.shut = just_before
         serving._end(signal.SIGTERM, None)
-        serving.asked_to_end -= serve.GRACE  # it is long ago: the door is shut in the next turn
+        serving.asked_to_end -= service.GRACE  # it is long ago: the door is shut in the next turn
         self.assertTrue(serving.turn())
         self.assertTrue(serving.front.shut_down)
         half.send(whole[25:])
@@ -183,7 +193,7 @@
         client.send(rig.alive(1))
         self.answer(client)
         serving._end(signal.SIGTERM, None)
-        serving.asked_to_end -= serve.GRACE
+        serving.asked_to_end -= service.GRACE
         flushed, sent = serving.front.flushed, []
 
         def look():
@@ -201,10 +211,10 @@
     def test_the_time_counts_from_the_signal(self):
         """Also of one that comes in a signal's own turn, or before the front end serves: alive says no."""
         self.front_end()
-        before = loop.clock()
+        before = event_loop.clock()
         for handler in (signal.SIGTERM, signal.SIGINT):
             self.serving._end(handler, None)
-        self.assertTrue(before <= self.serving.asked_to_end <= loop.clock())
+        self.assertTrue(before <= self.serving.asked_to_end <= event_loop.clock())
         first = self.serving.asked_to_end
         self.serving._end(signal.SIGTERM, None)
         self.assertEqual(self.serving.asked_to_end, first)
@@ -265,7 +275,7 @@
     def test_a_whole_list_keeps_who_stays(self):
         """Links, cold time and state of a worker outlast a list sent whole, late or twice; another start does not."""
         # Real clocks: on a busy machine the steps below may take longer than an event may be late.
-        self.enterContext(patch.object(roster, "PROMPT", rig.LONG * 1000))
+        self.enterContext(patch.object(endpoint_list, "PROMPT", rig.LONG * 1000))
         source, one, two = self.lists(), self.worker(), self.worker()
         serving = self.front_end(one.address, two.address, bus=source.address)
         self.until(lambda: source.asked)
@@ -320,16 +330,16 @@
     def setUp(self):
         self.now, self.told = 0.0, []
         self.addCleanup(patch.stopall)
-        for module in (loop, bus):
+        for module in (event_loop, discovery):
             patch.object(module, "clock", lambda: self.now).start()
-        self.loop = loop.Loop()
+        self.loop = event_loop.EventLoop()
         self.addCleanup(self.loop.close)
         self.source = rig.Bus()
         self.addCleanup(self.source.close)
 
     def follow(self, address, most=200.0, seed=1):
         host, _, port = address.rpartition(":")
-        made = bus.Bus(self.loop, (host, int(port)), lambda: 7, self.told.extend, Mock(), most, seed)
+        made = discovery.DiscoveryClient(self.loop, (host, int(port)), lambda: 7, self.told.extend, Mock(), most, seed)
         self.addCleanup(made.close)
         made.open()
         return made
@@ -433,7 +443,7 @@
 class Timers(unittest.TestCase):
     def test_what_comes_again_comes_again_after_it_failed(self):
         faults, calls = [], []
-        made = loop.Loop(faults.append)
+        made = event_loop.EventLoop(faults.append)
         self.addCleanup(made.close)
 
         def fails():
@@ -448,7 +458,7 @@
 
     def test_a_number_that_is_used_again_within_a_turn(self):
         """One that is served ends another and makes a new socket, which gets its number: it is told nothing."""
-        made, told = loop.Loop(), []
+        made, told = event_loop.EventLoop(), []
         self.addCleanup(made.close)
         pairs = [socket.socketpair() for _ in range(2)]
         self.addCleanup(lambda: [end.close() for pair in pairs for end in pair])
@@ -639,10 +649,10 @@
 
     def setUp(self):
         super().setUp()
-        self.pool = back.Pool(20)
+        self.pool = worker_client.ConnectionPool(20)
 
     def link(self, address, dial=40.0):
-        made = back.Link(
+        made = worker_client.WorkerClient(
             "w",
             address,
             lambda *event: self.told.append((event[2].ident, event[3])),
@@ -656,7 +666,7 @@
         return made
 
     def order(self, ident=ASCII_A, kind="run"):
-        return back.Order(kind, None, ident, resp.command(b"invoke", ident, b"lane=look,name=x,ttl=9", b"b"))
+        return worker_client.Command(kind, None, ident, resp.command(b"invoke", ident, b"lane=look,name=x,ttl=9", b"b"))
 
     def held(self):
         """A link to a worker that answers nothing by itself, and what came there: (socket, command)."""
@@ -676,8 +686,10 @@
         """The first that does not come up is tried again; with the second in a row nobody is there."""
         link = self.link(Full(self).address)
         dials = []
-        init = back.Connection.__init__
-        with patch.object(back.Connection, "__init__", lambda *to: (dials.append(list(self.told)), init(*to))[1]):
+        init = worker_client.WorkerConnection.__init__
+        with patch.object(
+            worker_client.WorkerConnection, "__init__", lambda *to: (dials.append(list(self.told)), init(*to))[1]
+        ):
             link.send(self.order())
             self.until(lambda: self.told)
         self.assertEqual((dials, self.told), ([[], []], [(ASCII_A, "unreached")]))
@@ -900,10 +912,10 @@
                 given["limits"]["sockets"] = limit
                 with open(path, "w") as out:
                     json.dump(given, out)
-                made = serve.Serving(station.read(path), path, Mock())
+                made = service.Service(configuration.read(path), path, Mock())
                 self.addCleanup(made.loop.close)
-                most, used = made.front.most + made.speech.pool.most, serve.descriptors(limit)
-                self.assertLessEqual(most + used + serve.KEPT - 1, limit)  # the loop's own was made in between
+                most, used = made.front.most + made.speech.pool.most, service.descriptors(limit)
+                self.assertLessEqual(most + used + service.KEPT - 1, limit)  # the loop's own was made in between
                 self.assertGreater(most, limit / 2)
                 self.assertLessEqual(made.front.most, made.speech.pool.most)
 
@@ -922,7 +934,7 @@
 
         def read(**more):
             given = {k: v for k, v in rig.fields(**more).items() if v is not None}
-            return front.checked(thrift.Message("dispatch", 1, given, b"", 0), methods, ("north", "south"))[1]
+            return client_server.checked(thrift.Message("dispatch", 1, given, b"", 0), methods, ("north", "south"))[1]
 
         call = read(
             t="north",
@@ -952,16 +964,20 @@
             {"c": "book"},
             {"zz": "1"},
         ):
-            with self.subTest(more), self.assertRaises(front.Unfit):
+            with self.subTest(more), self.assertRaises(client_server.InvalidRequest):
                 read(**more)
 
     def test_the_key_goes_on_to_the_worker(self):
-        speech = back.Speech(Mock(), SimpleNamespace(instance=SimpleNamespace(report_fields=())), Mock(), 9)
+        speech = worker_client.PlatformWorkerProtocol(
+            Mock(), SimpleNamespace(instance=SimpleNamespace(report_fields=())), Mock(), 9
+        )
         for token, told in (("", b"lane=book,name=f,ttl=5"), ("k1", b"lane=book,name=f,ttl=5,dedupe=k1")):
             call_out = Mock()
             call_out.request.request_class.name, call_out.request.function.name = "book", "f"
             ask = SimpleNamespace(call=SimpleNamespace(ident=ASCII_A, token=token, input=b"x"))
-            with patch.object(back, "clock", lambda: 1000.0):  # no time passes: the command has what is left by then
+            with patch.object(
+                worker_client, "clock", lambda: 1000.0
+            ):  # no time passes: the command has what is left by then
                 line = speech.run(call_out, ask, 5.0).line
             self.assertEqual(line, resp.command(b"invoke", ASCII_A, told, b"x"))
 
--- a/tests/test_link.py
+++ b/tests/test_link.py
@@ -8,8 +8,8 @@
 import unittest
 
 from tests.rig import Peer, Told, hello, lines_of, ok, until
-from wickdyke.gateway.link import Link, Order
-from wickdyke.wire.outbox import Outbox, Parcel, Unread
+from wickdyke.gateway.worker_client import WorkerClient, Command
+from wickdyke.transport.write_buffer import WriteBuffer, OutgoingMessage, PeerTooSlow
 from wickdyke.protocol import back, jsonrpc
 
 BIG = b'"' + b"x" * (8 << 20) + b'"'
@@ -94,14 +94,14 @@
         self.count += 1
         peer = Peer(self.folder, f"w{self.count}", play)
         told = Told()
-        link = Link("w", peer.path, "g", told, dial, line, 32 << 20)
+        link = WorkerClient("w", peer.path, "g", told, dial, line, 32 << 20)
         self.addCleanup(link.close)
         self.addCleanup(peer.close)
         return link, told, peer
 
     def run_once(self, play, params=b"{}", **more):
         link, told, _ = self.link(play, **more)
-        order = Order("run", None, "run", params)
+        order = Command("run", None, "run", params)
         link.send(order)
         return told.next("back")[2:]
 
@@ -153,15 +153,15 @@
         ):
             with self.subTest(case=name):
                 self.assertEqual(self.run_once(play, dial=150.0)[1], "unreached")
-        link = Link("w", os.path.join(self.folder, "nobody"), "g", told := Told(), 1000.0, 1 << 20, 1 << 20)
+        link = WorkerClient("w", os.path.join(self.folder, "nobody"), "g", told := Told(), 1000.0, 1 << 20, 1 << 20)
         self.addCleanup(link.close)
-        link.send(Order("run", None, "run", b"{}"))
+        link.send(Command("run", None, "run", b"{}"))
         self.assertEqual(told.next("back")[3], "unreached")
 
     def test_second_answer(self):
         """Two answers with one number: the first counts; the second, and one for what was never asked, do not."""
         link, told, _ = self.link(answering(ok, ok, b'{"jsonrpc":"2.0","id":99,"result":1}\n'))
-        link.send(Order("run", None, "run", b"{}"))
+        link.send(Command("run", None, "run", b"{}"))
         self.assertEqual(told.next("back")[3], "ok")
         self.assertTrue(until(lambda: link.counts == {"late": 1, "stray": 1}), link.counts)
         self.assertTrue(told.events.empty())
@@ -182,13 +182,13 @@
                 sock.sendall(ok(asked["id"]))
 
         link, told, _ = self.link(play)
-        link.send(Order("run", "first", "run", b"{}"))
+        link.send(Command("run", "first", "run", b"{}"))
         self.assertEqual(told.next("back")[3], "cut")
         told.next("lost")
-        link.send(Order("run", "second", "run", b"{}"))
+        link.send(Command("run", "second", "run", b"{}"))
         ready.set()
         self.assertEqual(told.next("back")[3], "unsent")
-        link.send(Order("run", "third", "run", b"{}"))
+        link.send(Command("run", "third", "run", b"{}"))
         self.assertEqual(told.next("back")[3], "ok")
 
     def test_worker_that_reads_nothing(self):
@@ -201,7 +201,7 @@
         link, told, _ = self.link(play)
         told.next("hello")
         self.assertTrue(until(lambda: link.outbox is not None))
-        orders = [Order("run", at, "run", BIG) for at in range(3)]
+        orders = [Command("run", at, "run", BIG) for at in range(3)]
         for order in orders:
             link.send(order)  # must not wait
         self.assertTrue(until(lambda: orders[0].parcel.begun))
@@ -222,7 +222,7 @@
         link, told, _ = self.link(play, dial=1000.0)
         self.assertTrue(until(lambda: link.outbox is not None))
         for at in range(6):
-            link.send(Order("run", at, "run", BIG))
+            link.send(Command("run", at, "run", BIG))
         got = sorted(told.next("back")[3] for _ in range(6))
         self.assertEqual(got.count("cut"), 1, got)
         self.assertEqual(set(got) - {"cut"}, {"unsent"} if "unreached" not in got else {"unsent", "unreached"})
@@ -244,7 +244,7 @@
         link, told, _ = self.link(play)
         told.next("hello")
         self.assertTrue(until(lambda: link.outbox is not None))
-        order = Order("run", None, "run", b"{}")
+        order = Command("run", None, "run", b"{}")
         link.send(order)
         self.assertEqual(link.cancel(order, lambda: None), "cancelled")
         self.assertEqual(link.cancel(order, lambda: None), "ended")
@@ -263,14 +263,14 @@
             sock.sendall(ok(run["id"]))
 
         link, told, _ = self.link(play)
-        link.send(Order("run", 1, "run", b"{}"))
+        link.send(Command("run", 1, "run", b"{}"))
         self.assertTrue(until(lambda: link.out))
         link.retire()
         answer.set()
         self.assertEqual(told.next("back")[3], "ok")
         link.thread.join(20)
         self.assertFalse(link.thread.is_alive())
-        link.send(Order("run", 2, "run", b"{}"))
+        link.send(Command("run", 2, "run", b"{}"))
         self.assertEqual(told.next("back")[3], "unsent")
 
 
@@ -278,22 +278,22 @@
     def test_order_and_bound(self):
         """All bytes arrive in their order, whoever wrote them; past the bound it is Unread."""
         here, there = socket.socketpair()
-        box = Outbox(here, 1 << 20, "box")
+        box = WriteBuffer(here, 1 << 20, "box")
         sent = b""
         for at in range(40):
             data = bytes([at]) * 20000
             sent += data
-            box.put(Parcel(data))
+            box.put(OutgoingMessage(data))
         got = b""
         while len(got) < len(sent):
             got += there.recv(1 << 16)
         self.assertEqual(got, sent)
-        with self.assertRaises(Unread):
+        with self.assertRaises(PeerTooSlow):
             for _ in range(100):
-                box.put(Parcel(b"x" * 50000))
+                box.put(OutgoingMessage(b"x" * 50000))
         box.close()
         with self.assertRaises(OSError):
-            box.put(Parcel(b"x"))
+            box.put(OutgoingMessage(b"x"))
         if box.thread:
             box.thread.join(20)
             self.assertFalse(box.thread.is_alive())
--- a/tests/test_listener_faults.py
+++ b/tests/test_listener_faults.py
@@ -10,9 +10,9 @@
 from unittest.mock import Mock, patch
 
 from tests.rig import LONG, until
-from wickdyke.gateway import door
+from wickdyke.gateway import client_server
 from wickdyke.settings.station import Bounds
-from wickdyke.wire import acceptor, server
+from wickdyke.transport import acceptor, line_server
 
 # accept(2): its own errors, and those of the network that Linux passes on from the new connection.
 ACCEPT_ERRORS = (
@@ -94,11 +94,11 @@
 class Echo:
     """A listener of wire/server.py that sends back what comes."""
 
-    module, threads_before = server, 1  # the thread of the acceptor itself is started by the module too
+    module, threads_before = line_server, 1  # the thread of the acceptor itself is started by the module too
 
     def __init__(self, folder):
         self.address = os.path.join(folder, "echo.sock")
-        self.listener = server.Listener(self.address, self._serve)
+        self.listener = line_server.Listener(self.address, self._serve)
 
     def _serve(self, sock):
         while data := sock.recv(100):
@@ -111,12 +111,12 @@
 class FrontDoor:
     """The gateway's door with no desk: what is no JSON is answered by the door itself."""
 
-    module, threads_before = door, 1
+    module, threads_before = client_server, 1
 
     def __init__(self, folder):
         self.address = os.path.join(folder, "door.sock")
         station = SimpleNamespace(bounds=BOUNDS, methods=(), stated=(), tenants=(), listen=self.address)
-        self.door = door.Door(station, Mock(), lambda: "", Mock())
+        self.door = client_server.ClientServer(station, Mock(), lambda: "", Mock())
         self.door.open()
 
     def close(self):
@@ -163,7 +163,7 @@
                     with self.subTest(kind=kind.__name__, code=errno.errorcode[code], nth=nth):
                         before, threads = open_descriptors(), threading.active_count()
                         faulty = faulty_socket(code=code, nth=nth, times=2)
-                        with patch.object(server, "socket", replaced(socket, socket=faulty)):
+                        with patch.object(line_server, "socket", replaced(socket, socket=faulty)):
                             listener = kind(self.folder)
                         try:
                             for _ in range(CONNECTIONS):
@@ -181,7 +181,7 @@
                     with self.subTest(kind=kind.__name__, code=errno.errorcode[code], nth=nth):
                         before, threads = open_descriptors(), threading.active_count()
                         faulty = faulty_socket(code=code, nth=nth, consumes=True)
-                        with patch.object(server, "socket", replaced(socket, socket=faulty)):
+                        with patch.object(line_server, "socket", replaced(socket, socket=faulty)):
                             listener = kind(self.folder)
                         try:
                             served = [self.is_served(listener) for _ in range(CONNECTIONS + 1)]
@@ -213,7 +213,7 @@
     def test_no_thread_for_the_acceptor(self):
         """The listener can't be made, and leaves nothing open."""
         before = open_descriptors()
-        with patch.object(server, "threading", replaced(threading, Thread=faulty_thread(1))):
+        with patch.object(line_server, "threading", replaced(threading, Thread=faulty_thread(1))):
             with self.assertRaises(RuntimeError):
                 Echo(self.folder)
         self.assertEqual(open_descriptors(), before)
@@ -246,7 +246,7 @@
 
         with patch.object(threading, "excepthook", Mock()):
             address = os.path.join(self.folder, "server.sock")
-            made = server.Server(address, heard, gone.append)
+            made = line_server.LineServer(address, heard, gone.append)
             sock = self.connect(SimpleNamespace(address=address))
             sock.sendall(b'{"jsonrpc":"2.0","method":"x","params":{},"id":1}\n')
             self.assertEqual(sock.recv(1), b"")
@@ -266,16 +266,16 @@
                 with self.subTest(address=address[:9], name=name):
                     before = open_descriptors()
                     faulty = type("Faulty", (socket.socket,), {name: Mock(side_effect=failure(errno.ENOBUFS))})
-                    with patch.object(server, "socket", replaced(socket, socket=faulty)):
-                        with self.assertRaises(server.InUse):
-                            server.listener(address)
+                    with patch.object(line_server, "socket", replaced(socket, socket=faulty)):
+                        with self.assertRaises(line_server.AddressInUse):
+                            line_server.listener(address)
                     self.assertEqual(open_descriptors(), before)
             with self.subTest(address=address[:9], name="socket"):
                 before = open_descriptors()
                 none = Mock(side_effect=failure(errno.EMFILE))
-                with patch.object(server, "socket", replaced(socket, socket=none)):
-                    with self.assertRaises(server.InUse):
-                        server.listener(address)
+                with patch.object(line_server, "socket", replaced(socket, socket=none)):
+                    with self.assertRaises(line_server.AddressInUse):
+                        line_server.listener(address)
                 self.assertEqual(open_descriptors(), before)
 
 
--- a/tests/test_log_faults.py
+++ b/tests/test_log_faults.py
@@ -12,7 +12,7 @@
 
 from tests.rig import Running, until
 from wickdyke.gateway import log as logs
-from wickdyke.gateway import tape
+from wickdyke.gateway import recording
 from wickdyke.proving import trace
 
 LONG = 30.0
@@ -63,7 +63,7 @@
                     with self.subTest(error=errno.errorcode[error], failing=failing, most=most):
                         with open(self.path("log"), "w") as sink:
                             with mock.patch.object(os, "write", Writes(self.path("log"), error, failing, most)):
-                                scribe = logs.Scribe(sink)
+                                scribe = logs.LogWriter(sink)
                                 for at in range(40):
                                     scribe.msg(f"<line {at}>")
                                     if at % 10 == 0:
@@ -89,7 +89,7 @@
 
         for wrong in (OSError(errno.EIO, ""), ValueError("closed"), RuntimeError("odd"), MemoryError()):
             sink = Odd()
-            scribe = logs.Scribe(sink)
+            scribe = logs.LogWriter(sink)
             sink.wrong = wrong
             scribe.msg("one")
             self.assertTrue(until(lambda scribe=scribe: scribe.lost == 1))
@@ -97,7 +97,7 @@
             scribe.msg("two")
             scribe.close(LONG)
             self.assertEqual(sink.getvalue(), 'event="log lines lost" lines=1\ntwo\n')
-        scribe = logs.Scribe(None)
+        scribe = logs.LogWriter(None)
         scribe.msg("one")
         scribe.msg("two")
         scribe.close(LONG)
@@ -106,7 +106,7 @@
     def test_odd_text(self):
         """Characters that UTF-8 has no bytes for are written in another way."""
         with open(self.path("log"), "w", encoding="utf-8") as sink:
-            scribe = logs.Scribe(sink)
+            scribe = logs.LogWriter(sink)
             scribe.msg("<a \udc80>")
             scribe.close(LONG)
         self.assertEqual(self.lines(), ["<a \\udc80>", ""])
@@ -116,7 +116,7 @@
         for error in (errno.ENOSPC, errno.EIO):
             broken = mock.Mock(side_effect=OSError(error, os.strerror(error)))
             with mock.patch.object(logs, "open", broken, create=True):
-                scribe = logs.Scribe(logs.opened(self.path("log")))
+                scribe = logs.LogWriter(logs.opened(self.path("log")))
                 scribe.msg("<one>")
                 self.assertTrue(until(lambda scribe=scribe: scribe.lost == 1))
             scribe.msg("<two>")
@@ -143,7 +143,7 @@
         out, into = os.pipe()
         real, steps = threading.Thread.join, []
         with mock.patch.object(logs, "WAITING", 10):
-            scribe = logs.Scribe(os.fdopen(into, "w"))
+            scribe = logs.LogWriter(os.fdopen(into, "w"))
         scribe.msg("x" * (1 << 20))
         self.assertTrue(until(scribe.lines.empty))
 
@@ -204,8 +204,8 @@
     def made(self, error, at, log):
         """A recording whose writes fail from the n-th on."""
         real = open
-        with mock.patch.object(tape, "open", lambda *args: Sink(real(*args), error, at), create=True):
-            return tape.Tape(self.path("tape"), log)
+        with mock.patch.object(recording, "open", lambda *args: Sink(real(*args), error, at), create=True):
+            return recording.DecisionRecorder(self.path("tape"), log)
 
     def test_each_write_fails(self):
         """The recording ends, the log is told once, nothing is held, and what is there can be read."""
@@ -226,7 +226,7 @@
                     if at <= 6:
                         self.assertTrue(made.entries.empty())
                     with open(self.path("tape"), "rb") as source:
-                        self.assertEqual(len(list(tape.entries(source))), min(at - 1, 6))
+                        self.assertEqual(len(list(recording.entries(source))), min(at - 1, 6))
 
     def test_requests_go_on(self):
         """A gateway whose recording fails answers as before."""
@@ -247,7 +247,7 @@
         """A queue that is full ends it too."""
         log = Log()
         go_on = threading.Event()
-        with mock.patch.object(tape, "WAITING", 5):
+        with mock.patch.object(recording, "WAITING", 5):
             made = self.made(0, 1 << 30, log)
             with mock.patch.object(made.sink, "write", lambda data: go_on.wait(LONG)):
                 for number in range(20):
@@ -263,18 +263,18 @@
         """(error) -> a full disk costs the recording and not the start; a wrong path is told at the start."""
         for error in (errno.ENOSPC, errno.EIO):
             log, broken = Log(), mock.Mock(side_effect=OSError(error, os.strerror(error)))
-            with mock.patch.object(tape, "open", broken, create=True):
-                made = tape.Tape(self.path("tape"), log)
+            with mock.patch.object(recording, "open", broken, create=True):
+                made = recording.DecisionRecorder(self.path("tape"), log)
             made.heard(1.0, "left", ("a",))
             made.close()
             self.assertEqual(log.told, [("recording ended", {"path": self.path("tape"), "why": os.strerror(error)})])
             self.assertTrue(made.entries.empty())
-        self.assertRaises(OSError, tape.Tape, self.path("none", "tape"), Log())
+        self.assertRaises(OSError, recording.DecisionRecorder, self.path("none", "tape"), Log())
 
     def test_what_can_not_be_encoded(self):
         """It ends the recording and raises nowhere."""
         log = Log()
-        made = tape.Tape(self.path("tape"), log)
+        made = recording.DecisionRecorder(self.path("tape"), log)
         made.heard(1.0, "left", (object(),))
         made.close()
         self.assertTrue(made.broken)
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -15,11 +15,11 @@
 from unittest.mock import Mock, patch
 
 from tests import platform_rig as rig
-from wickdyke.gateway.parts import ListChange
+from wickdyke.gateway.interfaces import EndpointListChange
 from wickdyke.routing.model import RequestClass
-from wickdyke.platform import back, front, resp, roster, sse, station, thrift
-from wickdyke.platform.serve import Serving
-from wickdyke.wire.loop import Loop, clock
+from wickdyke.platform import worker_client, client_server, resp, endpoint_list, sse, configuration, thrift
+from wickdyke.platform.service import Service
+from wickdyke.transport.event_loop import EventLoop, clock
 
 GOOD = rig.message(
     "dispatch", 7, b"\x0d\x00\x01" + rig.table({"c": "look"}) + b"\x0b\x00\x02" + rig.text(b"hi") + b"\x00"
@@ -93,7 +93,7 @@
         ):
             with self.subTest(name):
                 answers = resp.Answers()
-                with self.assertRaises(resp.Spoilt):
+                with self.assertRaises(resp.InvalidAnswer):
                     answers.feed(rig.bulk(b"a", b"ACK", b"-", b"") + raw)
                 self.assertEqual(len(answers.whole), 1)
 
@@ -116,9 +116,9 @@
         ):
             with self.subTest(answer):
                 if told is None:
-                    self.assertRaises(resp.Spoilt, back.ending, answer, names)
+                    self.assertRaises(resp.InvalidAnswer, worker_client.ending, answer, names)
                 else:
-                    got = back.ending(answer, names)
+                    got = worker_client.ending(answer, names)
                     self.assertEqual((got.outcome, got.standing, got.company, got.copies, got.report), told)
 
 
@@ -129,7 +129,7 @@
             events = sse.Events()
             got = [e for at in range(0, len(stream), size) for e in events.feed(stream[at : at + size])]
             self.assertEqual([(e.ident, e.data) for e in got], [("3", '{"a":\n1}'), ("4", "b")])
-        with self.assertRaises(sse.TooMuch):
+        with self.assertRaises(sse.EventTooLarge):
             sse.Events().feed(b"data: " + b"x" * (sse.EVENT + 1))
 
     def test_the_view(self):
@@ -158,7 +158,7 @@
             ("no list at all", [{"offset": 2, "topology": 5}, {"offset": 3}], [], {"a": "h:1"}),
         ):
             with self.subTest(name):
-                view = roster.Roster(("hall",), ("std", "slow"), lambda: 1000.0)
+                view = endpoint_list.EndpointList(("hall",), ("std", "slow"), lambda: 1000.0)
                 view.rows([rig.event(1, a, reset=True)], 0.0)
                 change = view.rows(events, 0.0)
                 self.assertEqual(sorted((row.ident, row.state) for row in change.listings), changes)
@@ -167,17 +167,17 @@
                 self.assertEqual(change.addresses, {at: addresses.get(at) for at in moved})
 
     def test_a_start_time_read_twice_is_the_same_start(self):
-        view = roster.Roster(("hall",), ("std",), lambda: 1000.5)
+        view = endpoint_list.EndpointList(("hall",), ("std",), lambda: 1000.5)
         late = rig.instance("a", "h:1", startedAtMs=5000)
         self.assertEqual(view.rows([rig.event(1, late)], 4000.0).listings[0].started_at, 3999.5)
-        self.assertEqual(view.rows([rig.event(2, late)], 4099.0), ListChange([], {}))
+        self.assertEqual(view.rows([rig.event(2, late)], 4099.0), EndpointListChange([], {}))
 
 
 class Turned(unittest.TestCase):
     """What is turned by a loop in the test's own thread."""
 
     def setUp(self):
-        self.loop, self.told = Loop(), []
+        self.loop, self.told = EventLoop(), []
         self.addCleanup(self.loop.close)
 
     def until(self, done, what="it"):
@@ -230,8 +230,8 @@
     def link(self, play=None, dial=5000.0, most=20):
         self.worker = rig.Worker(play)
         self.addCleanup(self.worker.close)
-        self.pool = back.Pool(most)
-        link = back.Link(
+        self.pool = worker_client.ConnectionPool(most)
+        link = worker_client.WorkerClient(
             "w",
             self.worker.address,
             lambda *event: self.told.append(event),
@@ -250,7 +250,7 @@
             "hold": (b"prewarm", ident, b"name=x,units=1"),
             "probe": (b"gauges", ident),
         }[kind]
-        return back.Order(kind, None, ident, resp.command(*verb))
+        return worker_client.Command(kind, None, ident, resp.command(*verb))
 
     def ended(self, many=1):
         self.until(lambda: len(self.told) >= many, "an end")
@@ -439,7 +439,9 @@
         methods = [RequestClass("look", "idempotent", "all", 0.0, 500.0, 0.0, 4000.0, 1.0, 0.1)]
         self.address = rig.free_address()
         host, port = self.address.split(":")
-        self.front = front.Front(self.loop, (host, int(port)), methods, 20, self.told.append, lambda: "", Mock())
+        self.front = client_server.ClientServer(
+            self.loop, (host, int(port)), methods, 20, self.told.append, lambda: "", Mock()
+        )
         self.front.listen()
         self.addCleanup(self.front.shut)
         self.addCleanup(lambda: [client.close() for client in list(self.front.clients.values())])
@@ -540,7 +542,7 @@
         self.assertEqual((self.front.open, self.front.clients), ({}, {}))
 
     def test_silence_and_half_a_frame_end_in_time_and_who_asked_once_stays(self):
-        with patch.object(front, "SILENT", 100.0):
+        with patch.object(client_server, "SILENT", 100.0):
             silent, half, asked = self.client(), self.client(), self.client()
             half.send(rig.dispatch(1, rig.fields())[:30])
             asked.send(rig.alive(1))
@@ -572,7 +574,7 @@
         silent = [self.client() for _ in range(18)]
         self.until(lambda: len(self.front.clients) == 20)
         for client in self.front.clients.values():
-            client.since -= front.NEW
+            client.since -= client_server.NEW
         more = self.client()
         more.send(rig.alive(1))
         self.assertEqual(self.answer(more)[1], "bad")
@@ -601,7 +603,7 @@
             path = os.path.join(folder, "config.json")
             with open(path, "w") as out:
                 json.dump(rig.config(rig.free_address(), bus.address, rig.instance("w0", worker.address)), out)
-            serving = Serving(station.read(path), path, Mock())
+            serving = Service(configuration.read(path), path, Mock())
         self.addCleanup(serving.loop.close)
         self.addCleanup(lambda: [client.close() for client in list(serving.front.clients.values())])
         self.addCleanup(serving.bus.close)
@@ -662,17 +664,21 @@
             answers = resp.Answers()
             for at in range(0, len(data), size):
                 for answer in answers.feed(data[at : at + size]):
-                    back.ending(answer, ("busy",))
+                    worker_client.ending(answer, ("busy",))
                 self.assertLessEqual(len(answers.buffer), resp.PART + 2 + size)
 
         def sse_reads(data, size):
             events = sse.Events()
             for at in range(0, len(data), size):
                 for found in events.feed(data[at : at + size]):
-                    roster.Roster((), (), lambda: 0.0).rows([roster.change(found.data)], 0.0)
+                    endpoint_list.EndpointList((), (), lambda: 0.0).rows([endpoint_list.change(found.data)], 0.0)
 
         reads = {"thrift": thrift_reads, "resp": resp_reads, "sse": sse_reads}
-        errors = {"thrift": thrift.Unreadable, "resp": resp.Spoilt, "sse": (sse.TooMuch, roster.Unusable)}
+        errors = {
+            "thrift": thrift.Unreadable,
+            "resp": resp.InvalidAnswer,
+            "sse": (sse.EventTooLarge, endpoint_list.Unusable),
+        }
         for name, good in whole.items():
             raised = 0
             for _ in range(1500):
@@ -729,7 +735,7 @@
             path = os.path.join(folder, "config.json")
             with open(path, "w") as out:
                 json.dump(rig.config("127.0.0.1:1", "127.0.0.1:2"), out)
-            got = station.read(path)
+            got = configuration.read(path)
         self.assertEqual(
             (
                 [m.effect for m in got.methods],
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -4,7 +4,7 @@
 import tempfile
 import unittest
 
-from wickdyke.gateway.roster import Roster
+from wickdyke.gateway.endpoint_list import EndpointList
 from wickdyke.protocol.back import Standing
 from wickdyke.settings import roll
 from wickdyke.settings.roll import Row
@@ -115,7 +115,7 @@
             ),
         ):
             with self.subTest(case=name):
-                roster = Roster(("z1", "z2"), ("k1", "k2"))
+                roster = EndpointList(("z1", "z2"), ("k1", "k2"))
                 changes = []
                 for now, what, *more in inputs:
                     now = float(now)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -17,7 +17,7 @@
 from wickdyke.routing.placement import Placement
 from wickdyke.routing.seeded_random import hash_fraction, hash_fractions, name_hash
 from wickdyke.routing.fleet import Fleet
-from wickdyke.gateway import tape
+from wickdyke.gateway import recording
 from wickdyke.routing.model import Function, Worker
 
 WHOLE, CAPACITY, POINTS = router.SINGLE_CELL_LIMIT, router.CELL_CAPACITY, router.POINTS_PER_FUNCTION
@@ -398,7 +398,7 @@
         folder = os.path.join(os.path.dirname(__file__), "recordings")
         for name in sorted(os.listdir(folder)):
             with self.subTest(name), gzip.open(os.path.join(folder, name)) as source:
-                alike, differs = tape.replay(source)
+                alike, differs = recording.replay(source)
                 self.assertEqual((alike > 2000, differs), (True, None))
 
 
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -10,12 +10,12 @@
 import unittest
 from unittest.mock import Mock, patch
 
-import wickdyke.platform.serve as serve
+import wickdyke.platform.service as service
 from tests import platform_rig as rig
-from wickdyke.gateway import desk
-from wickdyke.platform import back, bus, station
-from wickdyke.platform import front as fronts
-from wickdyke.wire import loop
+from wickdyke.gateway import coordinator
+from wickdyke.platform import worker_client, discovery, configuration
+from wickdyke.platform import client_server as fronts
+from wickdyke.transport import event_loop
 
 A, B, C, D = (letter * 16 for letter in "abcd")
 NOWHERE = "127.0.0.1:1"
@@ -37,11 +37,11 @@
     """A front end turned by the test, at times that the test sets; workers are real and hold back what is `slow`."""
 
     def setUp(self):
-        self.now = loop.clock()
+        self.now = event_loop.clock()
         self.addCleanup(patch.stopall)
-        for module in (loop, desk, fronts, back, bus, serve):
+        for module in (event_loop, coordinator, fronts, worker_client, discovery, service):
             patch.object(module, "clock", lambda: self.now).start()
-        patch.object(serve, "LONGEST", 5.0).start()
+        patch.object(service, "LONGEST", 5.0).start()
         made = tempfile.TemporaryDirectory()
         self.addCleanup(made.cleanup)
         self.path, self.listen, self.held = os.path.join(made.name, "config.json"), rig.free_address(), []
@@ -65,7 +65,7 @@
         with open(self.path, "w") as out:
             json.dump(rig.config(self.listen, NOWHERE, *instances, **more), out)
         self.log = Mock()
-        self.serving = serve.Serving(station.read(self.path), self.path, self.log)
+        self.serving = service.Service(configuration.read(self.path), self.path, self.log)
         self.addCleanup(self.end)
         if opened:
             self.serving.open()
@@ -175,7 +175,7 @@
         self.assertEqual(len(worker.came(b"invoke")), 1)
 
     def test_waits_no_longer_than_to_the_next_step(self):
-        patch.object(serve, "LONGEST", 100.0).start()
+        patch.object(service, "LONGEST", 100.0).start()
         serving = self.front_end(settings=with_deadline(100))
         waits = []
         self.until(serving.desk.events.empty, "the list")
@@ -193,7 +193,7 @@
         client = self.idle_client()
         self.terminate()
         self.turn()
-        self.now += serve.GRACE - 1
+        self.now += service.GRACE - 1
         self.serving._end(signal.SIGTERM, None)
         self.send(client, rig.dispatch(2, rig.fields(A), b"a"))
         self.assertEqual(self.answer(client), (2, "answer", b"did a"))
@@ -212,7 +212,7 @@
         self.assertEqual(self.answer(client), (2, "answer", b"did a"))
         other.send(rig.dispatch(1, rig.fields(B), b"b"))
         self.assertEqual(self.answer(other), (1, "answer", b"did b"))
-        self.now += serve.GRACE
+        self.now += service.GRACE
         self.until(lambda: self.over, "the end")
 
 
@@ -221,7 +221,7 @@
         self.front_end(self.worker())
         self.terminate()
         self.turn()
-        self.now += serve.GRACE - 1
+        self.now += service.GRACE - 1
         client = self.client()
         client.send(rig.dispatch(1, rig.fields(A), b"a"))
         self.now += 1
@@ -233,7 +233,7 @@
         self.terminate()
         self.turn()
         client = self.client()
-        self.now += serve.GRACE
+        self.now += service.GRACE
         self.until(lambda: serving.front.shut_down, "the close")
         self.turn()
         self.assertFalse(self.over)
@@ -246,7 +246,7 @@
         self.terminate()
         self.turn()
         client = self.client()
-        self.now += serve.GRACE
+        self.now += service.GRACE
         self.until(lambda: serving.front.shut_down, "the close")
         self.now += fronts.NEW
         self.until(lambda: self.over, "the end")
@@ -256,7 +256,7 @@
         serving = self.front_end(self.worker())
         client = self.idle_client()
         self.terminate()
-        self.now += serve.GRACE
+        self.now += service.GRACE
         whole = rig.dispatch(2, rig.fields(A), b"a")
         self.send(client, whole[:30])
         self.until(lambda: any(each.frames.begun for each in serving.front.clients.values()))
@@ -274,7 +274,7 @@
                 serving = self.front_end(self.worker())
                 self.terminate()
                 self.turn()
-                self.now += serve.GRACE
+                self.now += service.GRACE
                 client, real, mended = self.client(), serving.front.sock, self.now + 50
                 client.send(rig.dispatch(1, rig.fields(A), b"a"))
 
@@ -308,7 +308,7 @@
 
         serving.front.heard_more = look
         self.terminate()
-        self.now += serve.GRACE
+        self.now += service.GRACE
         self.until(lambda: sent, "the last look")
         self.assertEqual(self.answer(client), (2, "answer", b"did a"))
         self.until(lambda: self.over, "the end")
@@ -319,7 +319,7 @@
         serving = self.front_end(self.worker())
         clients = [self.idle_client() for _ in range(3)]
         self.terminate()
-        self.now += serve.GRACE
+        self.now += service.GRACE
         self.until(lambda: self.over, "the end")
         self.assertEqual(serving.front.clients, {})
         self.assertEqual([client.answer()[1] for client in clients], ["closed"] * 3)
--- a/tests/test_worker_connection_faults.py
+++ b/tests/test_worker_connection_faults.py
@@ -12,11 +12,11 @@
 from tests import platform_rig as rig
 from tests.rig import Peer, Told, willing
 from tests.test_platform import Turned
-from wickdyke.gateway import link as rpc_link
+from wickdyke.gateway import worker_client as rpc_link
 from wickdyke.routing.model import NEVER_RAN
-from wickdyke.platform import back, resp
+from wickdyke.platform import worker_client, resp
 from wickdyke.settings import address as addresses
-from wickdyke.wire import loop
+from wickdyke.transport import event_loop
 
 SHORT = 0  # instead of an errno: the call takes or gives one byte
 ENDED = (errno.ECONNRESET, errno.EPIPE, errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ENETUNREACH)
@@ -147,21 +147,26 @@
     def prepare(self, faults):
         self.loop.close()
         self.broken = []
-        self.loop, self.told, self.faults, self.pool = loop.Loop(self.broken.append), [], faults, back.Pool(20)
+        self.loop, self.told, self.faults, self.pool = (
+            event_loop.EventLoop(self.broken.append),
+            [],
+            faults,
+            worker_client.ConnectionPool(20),
+        )
         self.loop.epoll = FaultyEpoll(self.loop.epoll, faults)
         stand_in = SimpleNamespace(**{**vars(socket), "socket": faults.socket})
-        return patch.object(loop, "socket", stand_in)
+        return patch.object(event_loop, "socket", stand_in)
 
     def link(self, worker):
         def tell(*event):
             self.told.append((event[2].ident, event[3]))
 
-        return back.Link("w", worker.address, tell, self.loop, self.pool, 60000.0, 60000.0, ())
+        return worker_client.WorkerClient("w", worker.address, tell, self.loop, self.pool, 60000.0, 60000.0, ())
 
     def order(self, at, kind="run"):
         ident = IDENTS[at]
         parts = (b"invoke", ident, b"lane=look,name=x,ttl=9", BODY) if kind == "run" else (b"gauges", ident)
-        return back.Order(kind, None, ident, resp.command(*parts))
+        return worker_client.Command(kind, None, ident, resp.command(*parts))
 
     def end(self, many):
         self.until(lambda: len(self.told) >= many, f"an end of {many}, only {self.told},")
@@ -245,8 +250,8 @@
 
     def setUp(self):
         super().setUp()
-        self.now = loop.clock()  # the loop's own timers go on by the real one
-        started = patch.object(back, "clock", lambda: self.now)
+        self.now = event_loop.clock()  # the loop's own timers go on by the real one
+        started = patch.object(worker_client, "clock", lambda: self.now)
         started.start()
         self.addCleanup(started.stop)
 
@@ -298,7 +303,7 @@
         self.addCleanup(worker.close)
         with self.prepare(Faults()):
             link = self.link(worker)
-            link.checks = back.TRIES
+            link.checks = worker_client.TRIES
             link.send(order := self.order(0))
             self.until(lambda: self.faults.begun)
             order.conn.end("ended by the worker")
@@ -378,7 +383,7 @@
         self.made += 1
         peer, told = Peer(self.folder, f"w{self.made}", willing), Told()
         self.addCleanup(peer.close)
-        link = rpc_link.Link("w", peer.path, "g", told, 20000.0, 16 << 20, 32 << 20)
+        link = rpc_link.WorkerClient("w", peer.path, "g", told, 20000.0, 16 << 20, 32 << 20)
         self.addCleanup(link.close)
         return link, told
 
@@ -397,10 +402,10 @@
 
                 with patch.object(rpc_link.addresses, "connect", fails_first):
                     link, told = self.link()
-                    link.send(first := rpc_link.Order("run", 1, "run", b"{}"))
+                    link.send(first := rpc_link.Command("run", 1, "run", b"{}"))
                     go.set()
                     self.assertEqual(told.events.get(timeout=20)[2:4], (first, "unsent"))
-                    link.send(second := rpc_link.Order("run", 2, "run", b"{}"))
+                    link.send(second := rpc_link.Command("run", 2, "run", b"{}"))
                     self.assertEqual(told.events.get(timeout=20)[0], "hello")
                     self.assertEqual(told.events.get(timeout=20)[2:4], (second, "ok"))
                     link.close()
@@ -411,7 +416,7 @@
                 with patch.object(rpc_link.addresses, "connect", side_effect=OSError(code, os.strerror(code))):
                     link, told = self.link()
                     told.next("unheard")
-                    link.send(rpc_link.Order("run", 1, "run", b"{}"))
+                    link.send(rpc_link.Command("run", 1, "run", b"{}"))
                     self.assertEqual(told.next("back")[3], "unreached")
                     link.close()
 
@@ -427,7 +432,7 @@
                 with patch.object(rpc_link.addresses, "connect", faulty):
                     link, told = self.link()
                     told.next("hello")
-                    link.send(rpc_link.Order("run", 1, "run", b"{}"))
+                    link.send(rpc_link.Command("run", 1, "run", b"{}"))
                     self.assertEqual(told.next("back", "lost")[3:4], ("ok",))
                     link.close()
 
--- a/tests/test_write_buffer.py
+++ b/tests/test_write_buffer.py
@@ -5,7 +5,7 @@
 import unittest
 from unittest.mock import patch
 
-from wickdyke.wire.outbox import Outbox, Parcel
+from wickdyke.transport.write_buffer import WriteBuffer, OutgoingMessage
 
 LARGE = bytes(8 << 20)  # more than the kernel takes at once
 
@@ -15,12 +15,12 @@
         ours, theirs = socket.socketpair()
         self.addCleanup(ours.close)
         self.addCleanup(theirs.close)
-        box = Outbox(ours, 64 << 20, "peer")
+        box = WriteBuffer(ours, 64 << 20, "peer")
         with patch.object(threading.Thread, "start", side_effect=RuntimeError("can't start new thread")):
             with self.assertRaises(OSError):
-                box.put(Parcel(LARGE))
+                box.put(OutgoingMessage(LARGE))
         self.assertIsNone(box.thread)
-        box.put(Parcel(b"last"))
+        box.put(OutgoingMessage(b"last"))
         received = bytearray()
         while not received.endswith(b"last"):
             received += theirs.recv(1 << 20)
--- a/tests/wrong.py
+++ b/tests/wrong.py
@@ -4,9 +4,9 @@
 import sys
 
 from wickdyke.cli import main
-from wickdyke.gateway.desk import Desk
-from wickdyke.gateway.door import Ask
-from wickdyke.gateway.roster import Roster
+from wickdyke.gateway.coordinator import Coordinator
+from wickdyke.gateway.client_server import PendingRequest
+from wickdyke.gateway.endpoint_list import EndpointList
 from wickdyke.routing.model import Request
 from wickdyke.routing.prewarming import PrewarmLimiter
 from wickdyke.routing.slow_start import SlowStartGuard
@@ -14,7 +14,7 @@
 from wickdyke.settings.roll import Row
 
 _turn = itertools.count(1)
-_answer = Ask.answer
+_answer = PendingRequest.answer
 
 
 def _twice(ask, body):
@@ -32,7 +32,7 @@
     desk.events.put(("withdrawn", ask, attempt, outcome))
 
 
-_rows = Roster.rows
+_rows = EndpointList.rows
 
 
 def _deaf(roster, rows, now):
@@ -53,15 +53,15 @@
         case "none":
             pass
         case "answers twice":
-            Ask.answer = _twice
+            PendingRequest.answer = _twice
         case "never answers":
-            Ask.answer = _never
+            PendingRequest.answer = _never
         case "repeats all":
             Request.may_have_run = lambda request: []
         case "cancels in silence":
-            Desk._withdraw = _unsaid
+            Coordinator._withdraw = _unsaid
         case "deaf to drains":
-            Roster.rows, Roster.draining = _deaf, _draining
+            EndpointList.rows, EndpointList.draining = _deaf, _draining
         case "blind to the cold":
             SlowStartGuard.is_warming_up = lambda guard, worker, now: False
         case "checks no routes":
--- a/wickdyke/cli/check.py
+++ b/wickdyke/cli/check.py
@@ -5,7 +5,7 @@
 
 import click
 
-from wickdyke.gateway.serve import ground
+from wickdyke.gateway.service import ground
 from wickdyke.proving import script as scripts
 from wickdyke.settings import roll, routes, sexp, station, workshop
 from wickdyke.worker import package
--- a/wickdyke/cli/move.py
+++ b/wickdyke/cli/move.py
@@ -5,7 +5,7 @@
 
 import click
 
-from wickdyke.gateway.serve import ground
+from wickdyke.gateway.service import ground
 from wickdyke.settings import check, move, roll, routes, sexp, station
 from wickdyke.settings.sexp import Unusable
 
--- a/wickdyke/cli/routes.py
+++ b/wickdyke/cli/routes.py
@@ -4,7 +4,7 @@
 
 import click
 
-from wickdyke.gateway.serve import ground
+from wickdyke.gateway.service import ground
 from wickdyke.proving.report import table
 from wickdyke.settings import routes as files
 from wickdyke.settings import station
--- a/wickdyke/cli/serve.py
+++ b/wickdyke/cli/serve.py
@@ -8,12 +8,12 @@
 import click
 
 from wickdyke.gateway import log as logs
-from wickdyke.gateway.serve import Gateway, until_signal
+from wickdyke.gateway.service import Gateway, until_signal
 from wickdyke.proving import script as scripts
 from wickdyke.proving.director import Director, Failed
 from wickdyke.settings import station
 from wickdyke.settings.sexp import Unusable
-from wickdyke.wire.server import InUse
+from wickdyke.transport.line_server import AddressInUse
 
 BAD = 2  # exit code of input that can't be used
 
@@ -47,7 +47,7 @@
     log, scribe = logs.logger(sink, as_json, debug, gateway=made.name)
     try:
         gateway = Gateway(made, log)
-    except (InUse, Unusable) as bad:
+    except (AddressInUse, Unusable) as bad:
         _fail(str(bad))
     except OSError as bad:
         _fail(f"{bad.filename or made.listen}: {bad.strerror}")
--- a/wickdyke/cli/worker.py
+++ b/wickdyke/cli/worker.py
@@ -9,8 +9,8 @@
 from wickdyke.proving.trace import Recorder
 from wickdyke.settings import workshop
 from wickdyke.settings.sexp import Unusable
-from wickdyke.wire import ending
-from wickdyke.wire.server import InUse
+from wickdyke.transport import termination
+from wickdyke.transport.line_server import AddressInUse
 from wickdyke.worker import package
 from wickdyke.worker.fetch import Service
 from wickdyke.worker.runtime import Worker
@@ -46,17 +46,17 @@
         _fail(f"{bad.filename}: found no file to append to ({bad.strerror}), expected one")
     log, scribe = logs.logger(sink, as_json, worker=shop.name)
     trace = trace or shop.trace
-    ended = ending.asked()
+    ended = termination.asked()
     try:
         source = Folder(shop.folder) if shop.folder else Service(shop.service)
         made = Worker(shop, source, log, Recorder(trace, shop.name) if trace else None, start)
         made.open()
-    except InUse as bad:
+    except AddressInUse as bad:
         _fail(str(bad))
     except OSError as bad:
         _fail(f"{bad.filename or shop.listen}: {bad.strerror}")
     print(f"ready {shop.listen}", flush=True)
-    ending.wait(ended)
+    termination.wait(ended)
     made.drain(shop.run_time + 1000)
     made.close()
     scribe.close()
@@ -103,13 +103,13 @@
     except OSError as bad:
         _fail(f"{bad.filename}: found no file to append to ({bad.strerror}), expected one")
     log, scribe = logs.logger(sink, False, store=depot.listen)
-    ended = ending.asked()
+    ended = termination.asked()
     try:
         made = Store(depot.listen, depot.folder, depot.pace * (1 << 20), depot.readers, log)
-    except InUse as bad:
+    except AddressInUse as bad:
         _fail(str(bad))
     print(f"ready {depot.listen}", flush=True)
-    ending.wait(ended)
+    termination.wait(ended)
     made.close()
     scribe.close()
 
--- a/wickdyke/gateway/door.py
+++ b/wickdyke/gateway/client_server.py
@@ -11,10 +11,10 @@
 from collections import Counter
 from collections.abc import Callable
 
-from wickdyke.gateway import parts
-from wickdyke.wire.acceptor import Acceptor
-from wickdyke.wire.outbox import Outbox, Parcel, Unread
-from wickdyke.wire.server import listener
+from wickdyke.gateway import interfaces
+from wickdyke.transport.acceptor import Acceptor
+from wickdyke.transport.write_buffer import WriteBuffer, OutgoingMessage, PeerTooSlow
+from wickdyke.transport.line_server import listener
 from wickdyke.routing.model import RequestClass, RoutePolicy
 from wickdyke.protocol import front, jsonrpc
 from wickdyke.protocol.lines import Lines, TooLong
@@ -28,7 +28,7 @@
 class Batch:
     """The answers of one batch, sent together once all are there."""
 
-    def __init__(self, client: "Client", owed: int) -> None:
+    def __init__(self, client: "ClientConnection", owed: int) -> None:
         self.client, self.owed, self.bodies, self.lock = client, owed, [], threading.Lock()
 
     def answer(self, body: bytes | None) -> None:
@@ -41,14 +41,14 @@
         self.client.write(b"[" + b",".join(self.bodies) + b"]\n")
 
 
-class Ask(parts.Ask):
+class PendingRequest(interfaces.PendingRequest):
     """One call of a client."""
 
     __slots__ = ("batch",)
 
     def __init__(
         self,
-        client: "Client",
+        client: "ClientConnection",
         ident: jsonrpc.Ident,
         method: RequestClass,
         call: front.Call,
@@ -82,20 +82,20 @@
             self.client.write(body + b"\n")
 
 
-class Client:
+class ClientConnection:
     """One connection of a client."""
 
-    def __init__(self, door: "Door", sock: socket.socket, number: int) -> None:
+    def __init__(self, door: "ClientServer", sock: socket.socket, number: int) -> None:
         self.door, self.sock, self.number = door, sock, number
-        self.outbox = Outbox(sock, door.bounds.unread, f"client-{number}-out")
-        self.asks: dict[jsonrpc.Ident, Ask] = {}
+        self.outbox = WriteBuffer(sock, door.bounds.unread, f"client-{number}-out")
+        self.asks: dict[jsonrpc.Ident, PendingRequest] = {}
         self.lock = threading.Lock()
 
     def write(self, line: bytes) -> None:
         """Writes without waiting; whoever does not read is hung up on."""
         try:
-            self.outbox.put(Parcel(line))
-        except Unread as much:
+            self.outbox.put(OutgoingMessage(line))
+        except PeerTooSlow as much:
             self.door.said("client hung up on", client=self.number, why=f"does not read: {much}")
             self.door.counts["unread"] += 1
             self.outbox.close()
@@ -105,7 +105,7 @@
             self.door.said("client hung up on", client=self.number, why=str(bad))
             self.outbox.close()
 
-    def close_ask(self, ask: Ask) -> bool:
+    def close_ask(self, ask: PendingRequest) -> bool:
         """Its id may be used again; False where it was free already."""
         with self.lock:
             if self.asks.get(ask.ident) is not ask:
@@ -178,7 +178,7 @@
         elif body is not None:
             self.write(body + b"\n")
 
-    def _checked(self, request: jsonrpc.Request, batch: Batch | None, least: float | None) -> Ask | None:
+    def _checked(self, request: jsonrpc.Request, batch: Batch | None, least: float | None) -> PendingRequest | None:
         ident = request.ident
         if request.method == "cancel":
             cancel = jsonrpc.params(front.Cancel, request.params, ident)
@@ -227,7 +227,7 @@
         held = self.door.routes.find(call.method, call.program, call.tenant) if self.door.routes else None
         most = held.terms.deadline if held else method.deadline
         left = min(call.time_left_ms or most, most, least or most)
-        ask = Ask(self, ident, method, call, left, batch, held.timing if held else None)
+        ask = PendingRequest(self, ident, method, call, left, batch, held.timing if held else None)
         ask.begun = time.monotonic() * 1000
         with self.lock:
             if ident in self.asks:
@@ -237,7 +237,7 @@
         return ask
 
 
-class Door:
+class ClientServer:
     """The listener on one Unix socket or loopback address.
 
     `desk` takes an event ("asked", ask), ("left", ask) or ("gone", [asks]); `busy` says in one word why no more
@@ -253,7 +253,7 @@
         self.stated, self.tenants = station.stated, station.tenants
         self.routes: Routes | None = None
         self.counts: Counter[str] = Counter()
-        self.clients: set[Client] = set()
+        self.clients: set[ClientConnection] = set()
         self.lock = threading.Lock()
         self.number = 0
         self.address = station.listen
@@ -278,13 +278,13 @@
             return min(call.time_left_ms or most, held.terms.deadline if held else method.deadline if method else most)
         return most
 
-    def refuses(self, client: Client) -> str:
+    def refuses(self, client: ClientConnection) -> str:
         """Why a call of this client can't be taken now, in one word, or nothing."""
         if len(client.asks) > self.bounds.open_each:
             return "connection-full"
         return self.busy()
 
-    def gone(self, client: Client) -> None:
+    def gone(self, client: ClientConnection) -> None:
         """A client hung up: it has left with all it had out."""
         with self.lock:
             self.clients.discard(client)
@@ -297,7 +297,7 @@
         """Serves an accepted connection, or tells its client that it can't be served."""
         with self.lock:
             self.number += 1
-            client = Client(self, sock, self.number)
+            client = ClientConnection(self, sock, self.number)
             full = len(self.clients) >= self.bounds.connections
             if not full:
                 self.clients.add(client)
@@ -312,7 +312,7 @@
             self.gone(client)
             self._turn_away(client)
 
-    def _turn_away(self, client: Client) -> None:
+    def _turn_away(self, client: ClientConnection) -> None:
         client.write(front.denied(None, "too-many-connections") + b"\n")
         client.outbox.close()
         client.sock.close()
--- a/wickdyke/gateway/desk.py
+++ b/wickdyke/gateway/coordinator.py
@@ -17,15 +17,22 @@
 from typing import TYPE_CHECKING
 
 from wickdyke.gateway import log as logs
-from wickdyke.gateway.parts import Ask, Ending, Link, Order, Roster, Speech
+from wickdyke.gateway.interfaces import (
+    PendingRequest,
+    CommandResult,
+    WorkerClient,
+    Command,
+    EndpointList,
+    WorkerProtocol,
+)
 from wickdyke.routing.model import Attempt, Request
 from wickdyke.routing import decisions
 from wickdyke.routing.decisions import Cancel, Fail, FollowEndpoints, Forward, HealthCheck, LogNote, Prewarm, Reject
 from wickdyke.routing.router import Router
 
 if TYPE_CHECKING:  # only one of the two ways in is loaded
-    from wickdyke.gateway.tape import Tape
     from wickdyke.gateway.circuit_breaker import CircuitBreaker
+    from wickdyke.gateway.recording import DecisionRecorder
 
 ROUND = 512  # events told to the module before its decisions are pulled, at most
 
@@ -39,7 +46,7 @@
     return time.monotonic() * 1000
 
 
-class Desk:
+class Coordinator:
     """Carries out what the module decides; see docs/architecture.md for the door it uses."""
 
     def __init__(
@@ -47,9 +54,9 @@
         station,
         seed: int,
         log,
-        speech: Speech,
-        roster: Roster,
-        tape: "Tape | None" = None,
+        speech: WorkerProtocol,
+        roster: EndpointList,
+        tape: "DecisionRecorder | None" = None,
         breaker: "CircuitBreaker | None" = None,
     ) -> None:
         self.station, self.log, self.tape, self.breaker = station, log, tape, breaker
@@ -60,8 +67,8 @@
         # garbage would walk over them all if they held anything else.
         self.ends: list[tuple[float, int]] = []
         self.turn = itertools.count()
-        self.links: dict[str, Link] = {}
-        self.asks: dict[int, Ask] = {}
+        self.links: dict[str, WorkerClient] = {}
+        self.asks: dict[int, PendingRequest] = {}
         self.stopping = self.told = False
         self.counts: Counter[str] = Counter()
         self.ident = 0
@@ -222,7 +229,7 @@
 
     # ---- what happens ----
 
-    def _asked(self, ask: Ask) -> None:
+    def _asked(self, ask: PendingRequest) -> None:
         try:
             self._admit(ask)
         except Exception:
@@ -231,7 +238,7 @@
                 ask.denied("fault")
             raise
 
-    def _admit(self, ask: Ask) -> None:
+    def _admit(self, ask: PendingRequest) -> None:
         if ask.done:  # taken back before its turn: it is no load, and the module need not hear of it
             return
         if self.stopping or len(self.asks) >= self.station.bounds.open_rpcs:
@@ -278,9 +285,9 @@
         self.told = True
         for attempt, order in list(ask.orders.items()):
             self._guarded(self._stop_waiting, (ask, order))
-            self._guarded(self._ended, (ask, attempt, Ending("timeout")))
+            self._guarded(self._ended, (ask, attempt, CommandResult("timeout")))
 
-    def _stop_waiting(self, ask: Ask, order: Order) -> None:
+    def _stop_waiting(self, ask: PendingRequest, order: Command) -> None:
         if order.link is not None and self.station.attempt_limits.cancel:
             order.link.cancel(order, lambda: None)
         elif order.link is not None and not order.link.unsend(order):
@@ -302,7 +309,7 @@
             if not ask.done:
                 self._guarded(self._close, (ask, "aborted" if ask.sent else "denied", why))
 
-    def _close(self, ask: Ask, answer: str, why: str) -> None:
+    def _close(self, ask: PendingRequest, answer: str, why: str) -> None:
         """Its final answer, which the module did not decide."""
         try:
             self._final(ask, answer, why)
@@ -312,7 +319,7 @@
             finally:
                 self._forget(ask)
 
-    def _left(self, ask: Ask) -> None:
+    def _left(self, ask: PendingRequest) -> None:
         if not ask.done:
             ask.done = True
             self.counts["left"] += 1
@@ -321,7 +328,7 @@
                 self._unsend(ask)
                 self._forget(ask)
 
-    def _gone(self, asks: list[Ask]) -> None:
+    def _gone(self, asks: list[PendingRequest]) -> None:
         for ask in asks:
             self._left(ask)
 
@@ -334,7 +341,7 @@
                 self._link(name)
         self._listed(change.listings)
 
-    def _link(self, name: str) -> Link | None:
+    def _link(self, name: str) -> WorkerClient | None:
         """The way to a listed worker, made when it is first needed: most of a large fleet never is."""
         if name not in self.links and (address := self.roster.address(name)) is not None:
             self.links[name] = self.speech.link(name, address, self.tell)
@@ -359,23 +366,25 @@
             )
         self._inform("endpoints_changed", changes, False)
 
-    def _hello(self, link: Link, standing) -> None:
+    def _hello(self, link: WorkerClient, standing) -> None:
         if self.links.get(link.name) is link:
             self._listed(self.roster.hello(link.name, standing, clock()))
 
-    def _unheard(self, link: Link, why: str) -> None:
+    def _unheard(self, link: WorkerClient, why: str) -> None:
         if self.links.get(link.name) is link:
             self._listed(self.roster.unheard(link.name, clock()))
 
-    def _lost(self, link: Link, why: str) -> None:
+    def _lost(self, link: WorkerClient, why: str) -> None:
         self.counts["links_lost"] += 1
         self.log.info("link lost", worker=link.name, why=why)
 
-    def _draining(self, link: Link) -> None:
+    def _draining(self, link: WorkerClient) -> None:
         if self.links.get(link.name) is link:
             self._listed(self.roster.draining(link.name))
 
-    def _back(self, link: Link | None, order: Order, outcome: str, result: object = None, data: object = None) -> None:
+    def _back(
+        self, link: WorkerClient | None, order: Command, outcome: str, result: object = None, data: object = None
+    ) -> None:
         ending = self.speech.ending(order, outcome, result, data)
         if order.kind == "run":
             self._run_back(order, ending)
@@ -389,7 +398,7 @@
         elif order.kind == "probe":
             self._inform("health_checked", order.key, ending.outcome, ending.report)
 
-    def _run_back(self, order: Order, ending: Ending) -> None:
+    def _run_back(self, order: Command, ending: CommandResult) -> None:
         attempt: Attempt = order.key
         ask = self.asks.get(attempt.request.ident)
         if ask is None or attempt not in ask.orders:
@@ -408,7 +417,7 @@
         if self.breaker:
             self._harmed(ask, attempt, ending)
 
-    def _harmed(self, ask: Ask, attempt: Attempt, ending: Ending) -> None:
+    def _harmed(self, ask: PendingRequest, attempt: Attempt, ending: CommandResult) -> None:
         """A call-out did not come to its answer: what that says of its program, or of the call."""
         program, worker = attempt.request.function.name, attempt.replica.worker.endpoint.ident
         if ending.outcome == "miss" and self.station.function_cache.loads_on_demand:
@@ -437,7 +446,7 @@
         seen, link = self.roster.seen.get(worker), self.links.get(worker)
         self.breaker.settle(worker, seen.start if seen and link and link.up else None, clock())
 
-    def _ended(self, ask: Ask, attempt: Attempt, ending: Ending) -> None:
+    def _ended(self, ask: PendingRequest, attempt: Attempt, ending: CommandResult) -> None:
         outcome = ending.outcome
         del ask.orders[attempt]
         self.counts[f"call_outs_{outcome}"] += 1
@@ -463,24 +472,24 @@
         finally:
             self._forget(ask)
 
-    def _withdrawn(self, ask: Ask, attempt: Attempt, outcome: str) -> None:
+    def _withdrawn(self, ask: PendingRequest, attempt: Attempt, outcome: str) -> None:
         if attempt in ask.orders:
-            self._ended(ask, attempt, Ending(outcome))
+            self._ended(ask, attempt, CommandResult(outcome))
 
-    def _unsend(self, ask: Ask) -> None:
+    def _unsend(self, ask: PendingRequest) -> None:
         # Danger: what waits for a connection would go out after its RPC has ended, also where nothing may be
         # cancelled. Could hurt nowhere: no byte of it went.
         for attempt, order in list(ask.orders.items()):
             if order.link is not None and order.link.unsend(order):
                 self.events.put(("withdrawn", ask, attempt, "unsent"))
 
-    def _forget(self, ask: Ask) -> None:
+    def _forget(self, ask: PendingRequest) -> None:
         if ask.done and not ask.orders:
             self.asks.pop(ask.told, None)
             if ask.rpc is not None:  # it is closed: without the circle it goes at once, not by the collector
                 ask.rpc.attempts.clear()
 
-    def _final(self, ask: Ask, answer: str, *said: object) -> None:
+    def _final(self, ask: PendingRequest, answer: str, *said: object) -> None:
         ask.done = True
         self.counts[answer] += 1
         try:
@@ -510,15 +519,15 @@
             self._at(clock() + patience, self._patience_up, ask, attempt)
         link.send(order)
 
-    def _patience_up(self, ask: Ask, attempt: Attempt) -> None:
+    def _patience_up(self, ask: PendingRequest, attempt: Attempt) -> None:
         if attempt in ask.orders:
             order = ask.orders[attempt]
             if self.station.attempt_limits.cancel:
                 self._withdraw(ask, attempt, "timeout")
             elif order.link is not None and order.link.unsend(order):
-                self._ended(ask, attempt, Ending("unsent"))
+                self._ended(ask, attempt, CommandResult("unsent"))
             else:  # it is out no more as far as the module goes; the check of routes has seen to the rest
-                self._ended(ask, attempt, Ending("timeout"))
+                self._ended(ask, attempt, CommandResult("timeout"))
 
     def _cancel(self, decision: Cancel) -> None:
         attempt = decision.attempt
@@ -526,7 +535,7 @@
         if ask is not None and attempt in ask.orders:
             self._withdraw(ask, attempt, "cancelled")
 
-    def _withdraw(self, ask: Ask, attempt: Attempt, outcome: str) -> None:
+    def _withdraw(self, ask: PendingRequest, attempt: Attempt, outcome: str) -> None:
         # Danger: the next call-out beside one whose cancel still waits in our buffer would be a second at once.
         # So the outcome is told only when the cancel is with the kernel, or the connection is cut for it.
         order = ask.orders[attempt]
@@ -543,7 +552,7 @@
         elif said is None:
             self._at(clock() + self.station.attempt_limits.connect_timeout, self._cut, ask, attempt, link)
 
-    def _cut(self, ask: Ask, attempt: Attempt, link: Link) -> None:
+    def _cut(self, ask: PendingRequest, attempt: Attempt, link: WorkerClient) -> None:
         if attempt in ask.orders:
             self.log.warning("link cut", worker=link.name, why="it does not read, and a call-out is to end")
             link.cut()
@@ -588,7 +597,7 @@
         self._at(clock() + self.station.probe_wait, self._unanswered, link, order)
         link.send(order)
 
-    def _unanswered(self, link: Link, order: Order) -> None:
+    def _unanswered(self, link: WorkerClient, order: Command) -> None:
         if link.forget(order):
             self._back(link, order, "timeout")
 
--- a/wickdyke/gateway/roster.py
+++ b/wickdyke/gateway/endpoint_list.py
@@ -6,7 +6,7 @@
 
 from dataclasses import dataclass, field
 
-from wickdyke.gateway.parts import ListChange
+from wickdyke.gateway.interfaces import EndpointListChange
 from wickdyke.routing.model import Endpoint
 from wickdyke.protocol.back import Standing
 from wickdyke.settings.roll import Row
@@ -24,7 +24,7 @@
     past: set[int] = field(default_factory=set)
 
 
-class Roster:
+class EndpointList:
     """The merged view. Each input returns the listings that changed, for the module's `listed(rows, False)`."""
 
     def __init__(self, zones: tuple[str, ...], kinds: tuple[str, ...]) -> None:
@@ -35,12 +35,12 @@
     def __len__(self) -> int:
         return len(self.seen)
 
-    def rows(self, rows: list[Row], now: float) -> ListChange:
+    def rows(self, rows: list[Row], now: float) -> EndpointListChange:
         """A whole list came. Who is not on it is gone."""
         before = {name: seen.row.address for name, seen in self.seen.items()}
         listings = self._rows(rows, now)
         addresses = {name: self.address(name) for name in {**before, **self.seen}}
-        return ListChange(listings, {name: at for name, at in addresses.items() if before.get(name) != at})
+        return EndpointListChange(listings, {name: at for name, at in addresses.items() if before.get(name) != at})
 
     def _rows(self, rows: list[Row], now: float) -> list[Endpoint]:
         changes = []
--- a/wickdyke/gateway/parts.py
+++ b/wickdyke/gateway/interfaces.py
@@ -9,7 +9,7 @@
 from wickdyke.routing.model import Attempt, Endpoint, Function, RequestClass, RoutePolicy
 
 
-class Ask:
+class PendingRequest:
     """One RPC of a client, checked. The desk answers it once, or drops it when the client has left.
 
     `call` has the program, its figures (memory_mb, lanes, load_ms, work_ms), repeat, token and input.
@@ -55,18 +55,18 @@
         raise NotImplementedError
 
 
-class Order:
+class Command:
     """One message that is owed an answer: a call-out (run), a hold or a probe. `key` is the desk's."""
 
     __slots__ = ("kind", "key", "link")
 
     def __init__(self, kind: str, key: Any) -> None:
         self.kind, self.key = kind, key
-        self.link: Link | None = None
+        self.link: WorkerClient | None = None
 
 
 @dataclass(slots=True, frozen=True)
-class Ending:
+class CommandResult:
     """How an order ended, and what came with it; `inside` is how many calls were in a copy that ended."""
 
     outcome: str
@@ -78,24 +78,24 @@
     inside: int = 0
 
 
-class Link(Protocol):
+class WorkerClient(Protocol):
     """One worker. It tells `("back", link, order, outcome, result, data)` of each order once."""
 
     name: str
 
-    def send(self, order: Order) -> None:
+    def send(self, order: Command) -> None:
         """Sends it, or has it sent once connected."""
 
-    def cancel(self, order: Order, done: Any) -> str | None:
+    def cancel(self, order: Command, done: Any) -> str | None:
         """Withdraws a call-out; see wickdyke/gateway/link.py for what it returns."""
 
-    def unsend(self, order: Order) -> bool:
+    def unsend(self, order: Command) -> bool:
         """Takes back what has not begun to go out; True where it was so, and it has ended."""
 
     def recall(self) -> None:
         """Nothing new goes there: what has not begun to go out ends as unsent."""
 
-    def forget(self, order: Order) -> bool:
+    def forget(self, order: Command) -> bool:
         """No answer is waited for any more; False where it has ended already."""
 
     def cut(self) -> None:
@@ -108,39 +108,39 @@
         """Ends it at once."""
 
 
-class Speech(Protocol):
+class WorkerProtocol(Protocol):
     """How workers are spoken to; `eager` where a link is to be made as soon as its worker is listed."""
 
     eager: bool
 
-    def link(self, name: str, address: str, tell: Any) -> Link:
+    def link(self, name: str, address: str, tell: Any) -> WorkerClient:
         """The way to one worker."""
 
-    def run(self, attempt: Attempt, ask: Ask, left: float) -> Order:
+    def run(self, attempt: Attempt, ask: PendingRequest, left: float) -> Command:
         """A call-out, to be waited for so many ms."""
 
-    def hold(self, key: tuple, program: Function, copies: int) -> Order:
+    def hold(self, key: tuple, program: Function, copies: int) -> Command:
         """An order to have so many copies standing."""
 
-    def probe(self, key: str) -> Order:
+    def probe(self, key: str) -> Command:
         """A question for a report."""
 
-    def ending(self, order: Order, outcome: str, result: object, data: object) -> Ending:
+    def ending(self, order: Command, outcome: str, result: object, data: object) -> CommandResult:
         """What a link told of an order's end."""
 
 
 @dataclass(slots=True, frozen=True)
-class ListChange:
+class EndpointListChange:
     """What an input changed of the list: listings, and where workers are (None: listed no more)."""
 
     listings: list[Endpoint]
     addresses: dict[str, str | None]
 
 
-class Roster(Protocol):
+class EndpointList(Protocol):
     """The view of the list."""
 
-    def rows(self, rows: list, now: float) -> ListChange:
+    def rows(self, rows: list, now: float) -> EndpointListChange:
         """What came from the list, and what it changed."""
 
     def address(self, name: str) -> str | None:
--- a/wickdyke/gateway/log.py
+++ b/wickdyke/gateway/log.py
@@ -20,7 +20,7 @@
 AT_ONCE = 200  # lines in one write
 
 
-class Late(io.TextIOBase):
+class DeferredFile(io.TextIOBase):
     """The end of a file that could not be opened at first. Each use of it tries again, and raises OSError until then.
     It is for a Scribe, which writes to the descriptor."""
 
@@ -40,7 +40,7 @@
         super().close()
 
 
-class Scribe:
+class LogWriter:
     """Takes finished lines; a thread writes them. A full pipe or disk, or a closed pipe, costs lines, never time.
 
     Lines that did not get out whole are counted in `lost`; the count is written as soon as something can be.
@@ -134,7 +134,7 @@
 
 def logger(sink: TextIO | None, json: bool, debug: bool = False, **bound: object):
     """(logger, scribe): logfmt or JSON lines with time, level and the bound keys; `debug` for each call-out too."""
-    scribe = Scribe(sink)
+    scribe = LogWriter(sink)
     drawn = (
         structlog.processors.JSONRenderer()
         if json
@@ -169,4 +169,4 @@
     except OSError as bad:
         if bad.errno not in TEMPORARY:
             raise
-        return Late(path)
+        return DeferredFile(path)
--- a/wickdyke/gateway/tape.py
+++ b/wickdyke/gateway/recording.py
@@ -84,7 +84,7 @@
     return value
 
 
-class Tape:
+class DecisionRecorder:
     """Writes the recording, by a thread of its own.
 
     One that can't be written, or not as fast as entries come, is ended: `broken` is set, the log is told once, and
--- a/wickdyke/gateway/serve.py
+++ b/wickdyke/gateway/service.py
@@ -7,12 +7,12 @@
 import threading
 from collections.abc import Callable
 
-from wickdyke.gateway import door as doors
-from wickdyke.gateway.desk import Desk, clock
-from wickdyke.gateway.door import Door
-from wickdyke.gateway.roster import Roster
-from wickdyke.gateway.speech import JsonRpc
-from wickdyke.gateway.tape import Tape
+from wickdyke.gateway import client_server as doors
+from wickdyke.gateway.coordinator import Coordinator, clock
+from wickdyke.gateway.client_server import ClientServer
+from wickdyke.gateway.endpoint_list import EndpointList
+from wickdyke.gateway.worker_protocol import JsonRpcWorkerProtocol
+from wickdyke.gateway.recording import DecisionRecorder
 from wickdyke.gateway.circuit_breaker import CircuitBreaker
 from wickdyke.routing.periods import TICK
 from wickdyke.settings import roll, routes
@@ -20,7 +20,7 @@
 from wickdyke.settings.station import Station
 from wickdyke.timing.change import Succession
 from wickdyke.timing.terms import Ground
-from wickdyke.wire import ending
+from wickdyke.transport import termination
 
 
 class Watcher:
@@ -94,17 +94,17 @@
         sys.setswitchinterval(0.001)
         self.station, self.log = station, log
         seed = station.seed if station.seed is not None else random.SystemRandom().getrandbits(48)
-        self.tape = Tape(station.tape, log) if station.tape else None
-        self.desk = Desk(
+        self.tape = DecisionRecorder(station.tape, log) if station.tape else None
+        self.desk = Coordinator(
             station,
             seed,
             log,
-            JsonRpc(station),
-            Roster(station.zones, station.kinds),
+            JsonRpcWorkerProtocol(station),
+            EndpointList(station.zones, station.kinds),
             self.tape,
             CircuitBreaker(station.isolation, station.instance.count, log),
         )
-        self.door = Door(station, self.desk.take, self.desk.busy, log.warning)
+        self.door = ClientServer(station, self.desk.take, self.desk.busy, log.warning)
         self.watchers = [
             Watcher(
                 "list",
@@ -174,9 +174,9 @@
 
 def until_signal(gateway: Gateway, ready: Callable[[], None]) -> int:
     """Serves until SIGTERM or SIGINT; a second signal ends it at once. `ready` is called once it serves."""
-    ended = ending.asked()
+    ended = termination.asked()
     gateway.open()
     ready()
-    ending.wait(ended)
+    termination.wait(ended)
     gateway.stop()
     return 0
--- a/wickdyke/gateway/link.py
+++ b/wickdyke/gateway/worker_client.py
@@ -16,8 +16,8 @@
 
 import msgspec
 
-from wickdyke.gateway import parts
-from wickdyke.wire.outbox import SHORT_OF_MEMORY, Expired, Outbox, Parcel, Unread
+from wickdyke.gateway import interfaces
+from wickdyke.transport.write_buffer import SHORT_OF_MEMORY, Expired, WriteBuffer, OutgoingMessage, PeerTooSlow
 from wickdyke.protocol import back, jsonrpc
 from wickdyke.protocol.lines import Lines, TooLong
 from wickdyke.settings import address as addresses
@@ -47,7 +47,7 @@
     return time.monotonic() * 1000
 
 
-class Order(parts.Order):
+class Command(interfaces.Command):
     """One message that is owed an answer, as it is sent.
 
     `params` is its bytes, or a function that renders them for the ms that are left until `ends`, a monotonic time in
@@ -61,7 +61,7 @@
     ) -> None:
         super().__init__(kind, key)
         self.method, self.params, self.ends = method, params, ends
-        self.parcel: Parcel | None = None
+        self.parcel: OutgoingMessage | None = None
         self.number = -1
 
     def line(self) -> bytes | None:
@@ -73,7 +73,7 @@
         return jsonrpc.request_line(self.method, params, self.number)
 
 
-class Link:
+class WorkerClient:
     """The connection to one worker, made anew whenever it is lost.
 
     `tell(what, link, ...)` is called from the link's threads:
@@ -88,9 +88,9 @@
         self.dial, self.line, self.unread = dial, line, unread
         self.lock = threading.Lock()
         self.wanted = threading.Condition(self.lock)
-        self.pending: list[Order] = []
-        self.out: dict[int, Order] = {}
-        self.outbox: Outbox | None = None
+        self.pending: list[Command] = []
+        self.out: dict[int, Command] = {}
+        self.outbox: WriteBuffer | None = None
         self.start: int | None = None
         self.number = 0
         self.retired = self.closed = False
@@ -104,7 +104,7 @@
         """Whether there is a connection."""
         return self.outbox is not None
 
-    def send(self, order: Order) -> None:
+    def send(self, order: Command) -> None:
         """Sends it, or has it sent once connected; its end comes by `tell` in each case."""
         failed = None
         with self.lock:
@@ -118,17 +118,17 @@
         if failed:
             self.tell("back", self, order, failed, None, None)
 
-    def _hand_over(self, order: Order) -> str | None:
+    def _hand_over(self, order: Command) -> str | None:
         self.number += 1
         order.number = self.number
-        order.parcel = Parcel(order.line, expired=lambda: self._expired(order))
+        order.parcel = OutgoingMessage(order.line, expired=lambda: self._expired(order))
         self.out[order.number] = order
         try:
             self.outbox.put(order.parcel)
         except Expired:
             del self.out[order.number]
             return "unsent"
-        except (Unread, OSError):
+        except (PeerTooSlow, OSError):
             # The reader finds the connection ended and reports all that is out; what is not begun is known now.
             self.outbox.close()
             if not order.parcel.begun:
@@ -136,7 +136,7 @@
                 return "unsent"
         return None
 
-    def _expired(self, order: Order) -> None:
+    def _expired(self, order: Command) -> None:
         """The time of an order was up before a byte of it went. Called by the thread that writes."""
         with self.lock:
             if self.out.pop(order.number, None) is None:
@@ -146,7 +146,7 @@
         if idle:
             self.close()
 
-    def cancel(self, order: Order, done: Callable[[], None]) -> str | None:
+    def cancel(self, order: Command, done: Callable[[], None]) -> str | None:
         """Withdraws a call-out. "unsent" where no byte of it went; "cancelled" where the worker's end of the
         connection has the word, which `done` tells later where None is returned; "ended" where it has ended."""
         with self.lock:
@@ -156,26 +156,26 @@
                 return "ended"
             line = jsonrpc.told_line("cancel", jsonrpc.encode(back.Cancel(order.number)))
             try:
-                if not self.outbox.put(Parcel(line, lambda: self._cancelled(order, done))):
+                if not self.outbox.put(OutgoingMessage(line, lambda: self._cancelled(order, done))):
                     return None
-            except (Unread, OSError):
+            except (PeerTooSlow, OSError):
                 self.outbox.close()
                 return None  # the reader reports it as cut
             del self.out[order.number]
             return "cancelled"
 
-    def _cancelled(self, order: Order, done: Callable[[], None]) -> None:
+    def _cancelled(self, order: Command, done: Callable[[], None]) -> None:
         with self.lock:
             if self.out.pop(order.number, None) is None:
                 return
         done()
 
-    def unsend(self, order: Order) -> bool:
+    def unsend(self, order: Command) -> bool:
         """Takes back what has not begun to go out; True where it was so, and it has ended."""
         with self.lock:
             return self._unsend(order)
 
-    def _unsend(self, order: Order) -> bool:
+    def _unsend(self, order: Command) -> bool:
         if order in self.pending:
             self.pending.remove(order)
             return True
@@ -191,7 +191,7 @@
         for order in taken:
             self.tell("back", self, order, "unsent", None, None)
 
-    def forget(self, order: Order) -> bool:
+    def forget(self, order: Command) -> bool:
         """No answer is waited for any more; False where it has ended already."""
         with self.lock:
             if order in self.pending:
@@ -290,14 +290,14 @@
 
     def _read(self, sock: socket.socket, standing: back.Standing, lines: Lines, rest: list[bytes]) -> str:
         self.tell("hello", self, standing)
-        failed: list[Order] = []
+        failed: list[Command] = []
         with self.lock:
             if self.closed:
                 sock.close()
                 return "closed"
             # Danger: what waited was meant for the worker as it was; this one may be cold and empty.
             fresh, self.start = self.start not in (None, standing.start), standing.start
-            self.outbox = Outbox(sock, self.unread, f"link-{self.name}-out")
+            self.outbox = WriteBuffer(sock, self.unread, f"link-{self.name}-out")
             waiting, self.pending = self.pending, []
             for order in waiting:
                 if fresh or self._hand_over(order):
--- a/wickdyke/platform/__main__.py
+++ b/wickdyke/platform/__main__.py
@@ -2,7 +2,7 @@
 
 import sys
 
-from wickdyke.platform.serve import main
+from wickdyke.platform.service import main
 
 if __name__ == "__main__":
     sys.exit(main())
--- a/wickdyke/platform/front.py
+++ b/wickdyke/platform/client_server.py
@@ -11,10 +11,10 @@
 from contextlib import suppress
 from dataclasses import dataclass
 
-from wickdyke.gateway import parts
+from wickdyke.gateway import interfaces
 from wickdyke.platform import thrift
-from wickdyke.wire.loop import Loop, clock, received
-from wickdyke.wire.outbox import Outbox, Parcel, Unread
+from wickdyke.transport.event_loop import EventLoop, clock, received
+from wickdyke.transport.write_buffer import WriteBuffer, OutgoingMessage, PeerTooSlow
 
 CHUNK = 1 << 15  # bytes read at a time
 OPEN = 32  # requests open on one connection at most
@@ -40,7 +40,7 @@
 FIELDS = ("c", "i", "d", "o", "tags", "t", "h", "k", "r")
 
 
-class Unfit(Exception):
+class InvalidRequest(Exception):
     """A request that can't be used, in words for its sender."""
 
 
@@ -61,7 +61,7 @@
 
 def _figure(text: str, name: str, most: float) -> float:
     if not FIGURE.fullmatch(text) or not 0 < float(text) <= most:
-        raise Unfit(f"{name} is {text[:20]!r}, expected a number of at most {most:g}")
+        raise InvalidRequest(f"{name} is {text[:20]!r}, expected a number of at most {most:g}")
     return float(text)
 
 
@@ -69,25 +69,25 @@
     """(method, call, ms that the client waits) of a request; raises Unfit."""
     fields = message.fields
     if unknown := fields.keys() - set(FIELDS):
-        raise Unfit(f"field {min(unknown)[:20]!r}, expected {', '.join(FIELDS)}")
+        raise InvalidRequest(f"field {min(unknown)[:20]!r}, expected {', '.join(FIELDS)}")
     if (method := methods.get(fields.get("c", ""))) is None:
-        raise Unfit(f"c is {fields.get('c', '')[:20]!r}, expected a class")
+        raise InvalidRequest(f"c is {fields.get('c', '')[:20]!r}, expected a class")
     for name in "io":
         if not IDENT.fullmatch(fields.get(name, "")):
-            raise Unfit(f"{name} is {fields.get(name, '')[:20]!r}, expected 16 hex digits")
+            raise InvalidRequest(f"{name} is {fields.get(name, '')[:20]!r}, expected 16 hex digits")
     left = _figure(fields.get("d", ""), "d", TIME_MOST)
     figures: dict[str, float] = {}
     for pair in filter(None, fields.get("tags", "").split(";")):
         name, _, value = pair.partition(":")
         if name not in MOST or name in figures:
-            raise Unfit(f"tag {name[:20]!r}, expected {', '.join(MOST)}, each once")
+            raise InvalidRequest(f"tag {name[:20]!r}, expected {', '.join(MOST)}, each once")
         figures[name] = _figure(value, name, MOST[name])
     if "t" in fields and tenants and fields["t"] not in tenants:
-        raise Unfit(f"t is {fields['t'][:20]!r}, expected a tenant")
+        raise InvalidRequest(f"t is {fields['t'][:20]!r}, expected a tenant")
     if not KEY.fullmatch(fields.get("k", "" if method.effect == "tokened" else "-")):
-        raise Unfit(f"k is {fields.get('k', '')[:20]!r}, expected a key of letters and digits")
+        raise InvalidRequest(f"k is {fields.get('k', '')[:20]!r}, expected a key of letters and digits")
     if not REPEAT.fullmatch(fields.get("r", "0")):
-        raise Unfit(f"r is {fields['r'][:20]!r}, expected a number, true or false")
+        raise InvalidRequest(f"r is {fields['r'][:20]!r}, expected a number, true or false")
     work = _figure(fields["h"], "h", TIME_MOST) if "h" in fields else None
     return (
         method,
@@ -106,7 +106,7 @@
     )
 
 
-class Ask(parts.Ask):
+class PendingRequest(interfaces.PendingRequest):
     """One request of a client."""
 
     __slots__ = ("verb",)
@@ -137,16 +137,16 @@
             self.client.write(frame)
 
 
-class Client:
+class ClientConnection:
     """One connection of a client."""
 
     first = False
 
-    def __init__(self, front: "Front", sock: socket.socket, number: int) -> None:
+    def __init__(self, front: "ClientServer", sock: socket.socket, number: int) -> None:
         self.front, self.sock, self.number = front, sock, number
-        self.outbox = Outbox(sock, UNREAD, "client", self._waits)
+        self.outbox = WriteBuffer(sock, UNREAD, "client", self._waits)
         self.frames = thrift.Frames()
-        self.open: dict[int, Ask] = {}
+        self.open: dict[int, PendingRequest] = {}
         self.last = 0
         # When what is begun began; when it was last of use; when it was last read.
         self.since = self.used = self.looked = clock()
@@ -268,15 +268,15 @@
         try:
             method, call, left = checked(message, front.methods, front.tenants)
             if len(self.open) >= OPEN:
-                raise Unfit(f"{OPEN} requests are open on this connection")
+                raise InvalidRequest(f"{OPEN} requests are open on this connection")
             if call.ident in front.open:
-                raise Unfit("a request of that id is open")
-        except Unfit as bad:
+                raise InvalidRequest("a request of that id is open")
+        except InvalidRequest as bad:
             front.unfit(str(bad))
             self.write(thrift.problem("dispatch", message.number, str(bad)))
             return
         left = front.within(left)
-        ask = Ask(self, message.number, method, call, left)
+        ask = PendingRequest(self, message.number, method, call, left)
         ask.begun = clock()
         self.open[message.number] = front.open[call.ident] = ask
         if busy := front.busy() or ("" if left else "stopping"):
@@ -285,7 +285,7 @@
         else:
             front.take(("asked", ask))
 
-    def done(self, ask: Ask) -> bool:
+    def done(self, ask: PendingRequest) -> bool:
         """It is owed nothing more; False where it was not already."""
         if self.open.get(ask.ident) is not ask:
             return False
@@ -300,9 +300,9 @@
             return
         self.answered = True
         try:
-            if self.outbox.put(Parcel(frame)) and self.ending and not self.open:
+            if self.outbox.put(OutgoingMessage(frame)) and self.ending and not self.open:
                 self.close()
-        except (Unread, OSError):
+        except (PeerTooSlow, OSError):
             self.front.counts["unread"] += 1
             self.close()
 
@@ -348,14 +348,14 @@
             front.take(("gone", asks))
 
 
-class Front:
+class ClientServer:
     """The listener and its clients."""
 
     first = False
 
     def __init__(
         self,
-        loop: Loop,
+        loop: EventLoop,
         address: tuple[str, int],
         methods: list,
         most: int,
@@ -366,8 +366,8 @@
     ) -> None:
         self.loop, self.address, self.most, self.take, self.busy, self.log = loop, address, most, take, busy, log
         self.methods, self.tenants = {method.name: method for method in methods}, tenants
-        self.clients: dict[int, Client] = {}
-        self.open: dict[bytes, Ask] = {}  # by the client's id
+        self.clients: dict[int, ClientConnection] = {}
+        self.open: dict[bytes, PendingRequest] = {}  # by the client's id
         self.counts: Counter[str] = Counter()
         self.number, self.reads, self.ready, self.shut_down = 0, 0, False, False
         self.paused = self.drained = self.watched = False
@@ -420,7 +420,7 @@
             return left
         return most if most >= LEAST_LEFT else 0.0
 
-    def guarded(self, handler: "Front | Client") -> None:
+    def guarded(self, handler: "ClientServer | ClientConnection") -> None:
         """Lets it read now, whether or not the kernel told of it; one that breaks ends alone."""
         try:
             handler.readable()
@@ -430,7 +430,7 @@
             self.loop.fault(bad)
             handler.broken()
 
-    def read_all(self, client: Client) -> None:
+    def read_all(self, client: ClientConnection) -> None:
         """Reads what has come from that client by now, up to a bound."""
         for _ in range(LOOKS):
             before = self.reads
@@ -476,10 +476,10 @@
         with suppress(OSError):
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self.number += 1
-        client = self.clients[self.number] = Client(self, sock, self.number)
+        client = self.clients[self.number] = ClientConnection(self, sock, self.number)
         self._watch(client)
 
-    def _watch(self, client: Client) -> None:
+    def _watch(self, client: ClientConnection) -> None:
         """Has the loop serve a connection. While that fails it is polled, and closed by the sweep if it is silent."""
         # Danger: closed for ENOMEM or ENOSPC of a moment, its first request would be lost unread. Also ENOBUFS. Could
         # hurt where it lasts: a timer for each connection.
@@ -494,7 +494,7 @@
             self.loop.at(clock() + RETRY, self._watch, client)
             self.guarded(client)
 
-    def forget(self, client: Client) -> None:
+    def forget(self, client: ClientConnection) -> None:
         """Closes the socket of a client."""
         with suppress(OSError):
             if client.watched:
@@ -536,7 +536,7 @@
         # Also clients that connect for each request. Could hurt who keeps a connection idle: it connects again.
         old = clock() - NEW
 
-        def use(client: Client) -> int:
+        def use(client: ClientConnection) -> int:
             if client.since >= old and (client.frames.begun or not client.answered):
                 return 2
             return 1 if client.answered else 0
@@ -551,7 +551,7 @@
                 return True
         return False
 
-    def _spare(self, client: Client) -> bool:
+    def _spare(self, client: ClientConnection) -> bool:
         """Whether it has nothing open, and no answer on its way that it may still read."""
         return not client.open and (client.outbox.empty() or clock() - client.used > SILENT)
 
@@ -568,7 +568,7 @@
                 else:
                     client.close()
 
-    def _overdue(self, client: Client, now: float) -> bool:
+    def _overdue(self, client: ClientConnection, now: float) -> bool:
         # Danger: hundreds that connect and say nothing, or half a frame, take the descriptors. Also those that
         # never read. Could hurt who connects long before it asks: it is told by the close.
         if client.ending:  # its requests end by their own times; then it has as long to read the last answer
--- a/wickdyke/platform/station.py
+++ b/wickdyke/platform/configuration.py
@@ -16,7 +16,7 @@
     SlowStart,
     TenantQuotas,
 )
-from wickdyke.platform.roster import Unusable, change
+from wickdyke.platform.endpoint_list import Unusable, change
 from wickdyke.settings import terms
 
 RPCS, LEAST, EACH_MB = 4096, 256, 16.0  # open at once at most, at least; of each MB that there is
@@ -25,16 +25,16 @@
 PROBE_WAIT = 250.0  # ms that an answer to a probe is waited for
 
 
-class BadConfig(Exception):
+class ConfigurationError(Exception):
     """The configuration can't be used: place, found, expected in one line."""
 
 
-class Unreadable(BadConfig):
+class Unreadable(ConfigurationError):
     """The file can't be read now; it may be later."""
 
 
 @dataclass(slots=True)
-class Station:
+class Configuration:
     """All that a front end of the platform is told."""
 
     name: str
@@ -65,7 +65,7 @@
     """(host, port)."""
     host, _, port = str(text).rpartition(":")
     if not host or not port.isascii() or not port.isdigit() or not 0 < int(port) < 65536:
-        raise BadConfig(f"{place} is {text!r}, expected HOST:PORT")
+        raise ConfigurationError(f"{place} is {text!r}, expected HOST:PORT")
     return host, int(port)
 
 
@@ -77,9 +77,9 @@
     except OSError as bad:
         raise Unreadable(f"{path}: {bad.strerror}, expected a file that can be read") from None
     except (ValueError, RecursionError) as bad:
-        raise BadConfig(f"{path}: {bad}, expected JSON") from None
+        raise ConfigurationError(f"{path}: {bad}, expected JSON") from None
     if not isinstance(found, dict):
-        raise BadConfig(f"{path}: a {type(found).__name__}, expected an object")
+        raise ConfigurationError(f"{path}: a {type(found).__name__}, expected an object")
     return found
 
 
@@ -87,37 +87,37 @@
     limits = given.get("limits")
     value = limits.get(name) if isinstance(limits, dict) else None
     if isinstance(value, bool) or not isinstance(value, int | float) or not value >= least:
-        raise BadConfig(f"{path}: limits.{name} is {value!r}, expected a number of at least {least:g}")
+        raise ConfigurationError(f"{path}: limits.{name} is {value!r}, expected a number of at least {least:g}")
     return value
 
 
-def read(path: str, listen: str | None = None, name: str | None = None) -> Station:
+def read(path: str, listen: str | None = None, name: str | None = None) -> Configuration:
     """Reads and checks a configuration; what the environment says of address and name goes first."""
     given = load(path)
     seed = given.get("seed")
     try:
         number = int(seed, 16) if isinstance(seed, str) else int(seed)
     except (TypeError, ValueError):
-        raise BadConfig(f"{path}: seed is {seed!r}, expected hex digits") from None
+        raise ConfigurationError(f"{path}: seed is {seed!r}, expected hex digits") from None
     settings = given.get("settings")
     if not isinstance(settings, dict):
-        raise BadConfig(f"{path}: settings is {type(settings).__name__}, expected an object")
+        raise ConfigurationError(f"{path}: settings is {type(settings).__name__}, expected an object")
     known = given.get("known")
     batch = known.get("batch") if isinstance(known, dict) else None
     if not isinstance(batch, list):
-        raise BadConfig(f"{path}: known.batch is {batch!r}, expected a list of events")
+        raise ConfigurationError(f"{path}: known.batch is {batch!r}, expected a list of events")
     pairs = terms.nested(settings, f"{path}: settings")
     try:
         started = terms.start(pairs)
         events = [change(json.dumps(each)) for each in batch]
     except terms.BadInput as bad:
-        raise BadConfig(str(bad)) from None
+        raise ConfigurationError(str(bad)) from None
     except Unusable as bad:
-        raise BadConfig(f"{path}: known.batch has {bad}") from None
+        raise ConfigurationError(f"{path}: known.batch has {bad}") from None
     if not started["methods"]:
-        raise BadConfig(f"{path}: settings has no classes, expected one at least")
+        raise ConfigurationError(f"{path}: settings has no classes, expected one at least")
     memory = _limit(given, path, "memory_mb", 1)
-    return Station(
+    return Configuration(
         name=name or str(given.get("name") or "gateway"),
         listen=address(listen or given.get("listen"), f"{path}: listen"),
         bus=bus(given, path),
@@ -142,5 +142,5 @@
     """Where the configuration is."""
     path = os.environ.get("GW_CONFIG")
     if not path:
-        raise BadConfig("the environment has no GW_CONFIG, expected the path of the configuration")
+        raise ConfigurationError("the environment has no GW_CONFIG, expected the path of the configuration")
     return path
--- a/wickdyke/platform/bus.py
+++ b/wickdyke/platform/discovery.py
@@ -10,8 +10,8 @@
 import h11
 
 from wickdyke.platform import sse
-from wickdyke.platform.roster import Unusable, change
-from wickdyke.wire.loop import Loop, clock, close, dial, received
+from wickdyke.platform.endpoint_list import Unusable, change
+from wickdyke.transport.event_loop import EventLoop, clock, close, dial, received
 
 PATH = "/bus/read"
 CHUNK = 1 << 16
@@ -21,14 +21,14 @@
 PAUSE, GROWTH = 50.0, 1.5  # ms after the first failure, before it is drawn; what each further one makes of that
 
 
-class Bus:
+class DiscoveryClient:
     """Follows the events from one address. `tell` takes those that came, `asked` when they are asked for again."""
 
     first = True
 
     def __init__(
         self,
-        loop: Loop,
+        loop: EventLoop,
         address: tuple[str, int],
         last: Callable[[], int],
         tell: Callable[[list[dict]], None],
@@ -189,7 +189,7 @@
             while (event := self.http.next_event()) not in (h11.NEED_DATA, h11.PAUSED):
                 if isinstance(event, h11.Response):
                     if event.status_code != 200:
-                        raise sse.TooMuch(f"status {event.status_code}")
+                        raise sse.EventTooLarge(f"status {event.status_code}")
                     self.up, self.heard, self.since = True, clock(), clock()
                     if self.said:
                         self.said = ""
@@ -199,7 +199,7 @@
                 else:
                     over = True
                     break
-        except (h11.ProtocolError, sse.TooMuch) as bad:
+        except (h11.ProtocolError, sse.EventTooLarge) as bad:
             over, self.up = True, self.up and data == b""
             if data:
                 self.counts["spoilt"] += 1
--- a/wickdyke/platform/roster.py
+++ b/wickdyke/platform/endpoint_list.py
@@ -24,7 +24,7 @@
 from collections.abc import Callable, Iterable
 from dataclasses import replace
 
-from wickdyke.gateway.parts import ListChange
+from wickdyke.gateway.interfaces import EndpointListChange
 from wickdyke.routing.model import Endpoint
 
 PROMPT = 2000.0  # ms by which an event may tell late of a start while the list is followed: a lost one ends after 1.5 s
@@ -49,7 +49,7 @@
     return found
 
 
-class Roster:
+class EndpointList:
     """The merged view; `rows` returns what changed, at a cost that follows the events and not the list.
 
     `wall_ahead()` reads by how many ms the Unix clock is ahead of the desk's now; `connected_at()` when the connection
@@ -80,7 +80,7 @@
         """Where a listed worker is."""
         return self.listed[name][1] if name in self.listed else None
 
-    def rows(self, events: Iterable[dict], now: float) -> ListChange:
+    def rows(self, events: Iterable[dict], now: float) -> EndpointListChange:
         """Events came, in their order; those that came before change nothing."""
         before: dict[str, tuple[Endpoint, str] | None] = {}  # of those that an event names
         self.oldest_age = self._oldest_age(now)
@@ -98,7 +98,7 @@
                 changed.append(listing)
             if address != (was and was[1]):
                 addresses[name] = address
-        return ListChange(gone + changed, addresses)
+        return EndpointListChange(gone + changed, addresses)
 
     def _oldest_age(self, now: float) -> float:
         """How old a worker can be, in ms, that the events which came now tell of first."""
--- a/wickdyke/platform/resp.py
+++ b/wickdyke/platform/resp.py
@@ -8,7 +8,7 @@
 PARTS, PART, LINE = 8, 256 * 1024, 24  # parts of an answer at most; bytes of one at most; of a line of a length
 
 
-class Spoilt(Exception):
+class InvalidAnswer(Exception):
     """What came is no answer: nothing after it on this connection can be trusted."""
 
 
@@ -24,9 +24,9 @@
     try:
         pairs = [pair.partition("=") for pair in text.decode().split(",")]
     except UnicodeDecodeError:
-        raise Spoilt("fields that are no UTF-8") from None
+        raise InvalidAnswer("fields that are no UTF-8") from None
     if not all(name and sign for name, sign, _ in pairs):
-        raise Spoilt("fields that are no name=value")
+        raise InvalidAnswer("fields that are no name=value")
     return {name: value for name, _, value in pairs}
 
 
@@ -60,7 +60,7 @@
             if len(buffer) < self.length + 2:
                 return False
             if buffer[self.length : self.length + 2] != b"\r\n":
-                raise Spoilt("a part that is longer than it says")
+                raise InvalidAnswer("a part that is longer than it says")
             self.parts.append(bytes(buffer[: self.length]))
             del buffer[: self.length + 2]
             self.length, self.missing = -1, self.missing - 1
@@ -71,18 +71,18 @@
         if not buffer:
             return False
         if buffer[0] != (36 if self.missing else 42):  # $ and *
-            raise Spoilt(f"{bytes(buffer[:8])!r} where a length was due")
+            raise InvalidAnswer(f"{bytes(buffer[:8])!r} where a length was due")
         end = buffer.find(b"\r\n", 0, LINE)
         if end < 0:
             if len(buffer) >= LINE:
-                raise Spoilt("a length that does not end")
+                raise InvalidAnswer("a length that does not end")
             return False
         digits = bytes(buffer[1:end])
         if not digits.isdigit():
-            raise Spoilt(f"a length of {digits!r}")
+            raise InvalidAnswer(f"a length of {digits!r}")
         length, most = int(digits), self.part if self.missing else PARTS
         if length > most or not (length or self.missing):
-            raise Spoilt(f"a length of {length} where {most} is the most")
+            raise InvalidAnswer(f"a length of {length} where {most} is the most")
         del buffer[: end + 2]
         if self.missing:
             self.length = length
--- a/wickdyke/platform/serve.py
+++ b/wickdyke/platform/service.py
@@ -8,14 +8,14 @@
 import traceback
 
 from wickdyke.gateway import log as logs
-from wickdyke.gateway.desk import Desk, clock
-from wickdyke.platform import station as stations
-from wickdyke.platform.back import Speech
-from wickdyke.platform.bus import Bus
-from wickdyke.platform.front import Front
-from wickdyke.platform.roster import Roster
-from wickdyke.platform.station import BadConfig, Station
-from wickdyke.wire.loop import Loop
+from wickdyke.gateway.coordinator import Coordinator, clock
+from wickdyke.platform import configuration as stations
+from wickdyke.platform.worker_client import PlatformWorkerProtocol
+from wickdyke.platform.discovery import DiscoveryClient
+from wickdyke.platform.client_server import ClientServer
+from wickdyke.platform.endpoint_list import EndpointList
+from wickdyke.platform.configuration import ConfigurationError, Configuration
+from wickdyke.transport.event_loop import EventLoop
 
 GRACE = 750.0  # ms after SIGTERM in which requests are taken as before, if there is as much time
 # SIGKILL may come this much later than the longest deadline (counted as so much at most) after SIGTERM, in ms.
@@ -41,23 +41,25 @@
     return count
 
 
-class Serving:
+class Service:
     """One front end. `run` serves until it was asked to end and nothing is owed."""
 
-    def __init__(self, station: Station, path: str, log) -> None:
+    def __init__(self, station: Configuration, path: str, log) -> None:
         self.station, self.path, self.log = station, path, log
-        self.loop = Loop(self._fault)
+        self.loop = EventLoop(self._fault)
         # The wall clock is read first: a pause between the two readings makes workers younger, to the safe side.
-        self.roster = Roster(station.zones, station.kinds, lambda: time.time() * 1000 - clock(), lambda: self.bus.since)
+        self.roster = EndpointList(
+            station.zones, station.kinds, lambda: time.time() * 1000 - clock(), lambda: self.bus.since
+        )
         # Danger: clients that idle take all descriptors, and neither the list nor a worker can be reached. So what the
         # process may hold is dealt out whole, to clients a half at most, and the rest is kept back.
         free = station.sockets - descriptors(station.sockets) - KEPT
-        self.speech = Speech(self.loop, station, log, free - free // 2)
-        self.desk = Desk(station, station.seed, log, self.speech, self.roster)
-        self.front = Front(
+        self.speech = PlatformWorkerProtocol(self.loop, station, log, free - free // 2)
+        self.desk = Coordinator(station, station.seed, log, self.speech, self.roster)
+        self.front = ClientServer(
             self.loop, station.listen, station.methods, free // 2, self.desk.take, self.desk.busy, log, station.tenants
         )
-        self.bus = Bus(
+        self.bus = DiscoveryClient(
             self.loop,
             station.bus,
             lambda: self.roster.offset,
@@ -140,7 +142,7 @@
             self.rereading = True
             self.loop.at(clock() + REREAD, self._reread_later)
             return
-        except BadConfig as bad:
+        except ConfigurationError as bad:
             self.rereading = False
             self.log.warning("configuration unusable", why=str(bad), kept="the last good one")
             return
@@ -219,11 +221,11 @@
     try:
         path = stations.config_path()
         station = stations.read(path, os.environ.get("GW_LISTEN"), os.environ.get("GW_NAME"))
-    except BadConfig as bad:
+    except ConfigurationError as bad:
         print(f"wickdyke.platform: {bad}", file=sys.stderr)
         return 2
     log, scribe = logs.logger(sys.stderr, False)
-    serving = Serving(station, path, log.bind(gateway=station.name))
+    serving = Service(station, path, log.bind(gateway=station.name))
     serving.signals()
     # Danger: the collector walks over all that is kept while RPCs wait. Nearly all goes by its count; the few
     # circles wait longer.
--- a/wickdyke/platform/sse.py
+++ b/wickdyke/platform/sse.py
@@ -5,7 +5,7 @@
 EVENT = 1 << 22  # bytes of one event at most: a whole list of 20,000 workers, some 200 bytes each
 
 
-class TooMuch(Exception):
+class EventTooLarge(Exception):
     """An event that does not end."""
 
 
@@ -51,5 +51,5 @@
             elif name == "id":
                 self.ident = value
         if self.held + len(self.buffer) > EVENT:
-            raise TooMuch(f"an event of over {EVENT} bytes")
+            raise EventTooLarge(f"an event of over {EVENT} bytes")
         return found
--- a/wickdyke/platform/back.py
+++ b/wickdyke/platform/worker_client.py
@@ -10,13 +10,13 @@
 from collections import Counter, deque
 from collections.abc import Callable
 
-from wickdyke.gateway import parts
-from wickdyke.gateway.parts import Ask, Ending
+from wickdyke.gateway import interfaces
+from wickdyke.gateway.interfaces import PendingRequest, CommandResult
 from wickdyke.routing.model import Attempt, Function
 from wickdyke.platform import resp
 from wickdyke.settings.terms import REPORTS
-from wickdyke.wire.loop import Loop, clock, dial
-from wickdyke.wire.outbox import SHORT_OF_MEMORY, Expired, Outbox, Parcel, Unread
+from wickdyke.transport.event_loop import EventLoop, clock, dial
+from wickdyke.transport.write_buffer import SHORT_OF_MEMORY, Expired, WriteBuffer, OutgoingMessage, PeerTooSlow
 
 CHUNK = 1 << 16  # bytes read at a time
 UNREAD = 1 << 20  # bytes that may wait for a worker
@@ -67,16 +67,16 @@
     return tuple(values[name] for name in names)
 
 
-def ending(answer: list[bytes], names: tuple[str, ...]) -> Ending:
+def ending(answer: list[bytes], names: tuple[str, ...]) -> CommandResult:
     """How an order ended, from the worker's answer; raises Spoilt."""
     if len(answer) != 4 or answer[1] not in OUTCOMES:
-        raise resp.Spoilt(f"an answer of {len(answer)} parts, {answer[1:2]!r}")
+        raise resp.InvalidAnswer(f"an answer of {len(answer)} parts, {answer[1:2]!r}")
     told = resp.fields(answer[2])
     try:
         company, copies = int(told.get("ahead", "0")), int(told.get("units", "0"))
     except ValueError:
-        raise resp.Spoilt("counts that are no numbers") from None
-    return Ending(
+        raise resp.InvalidAnswer("counts that are no numbers") from None
+    return CommandResult(
         OUTCOMES[answer[1]],
         answer[3],
         NOTES.get(told.get("why", "")),
@@ -86,7 +86,7 @@
     )
 
 
-class Order(parts.Order):
+class Command(interfaces.Command):
     """One message that is owed an answer, as it is sent.
 
     `command` is its bytes, or a function that renders them for the whole ms (one at least) that are left until
@@ -117,12 +117,12 @@
         return self.command(max(1, math.floor(left))) if callable(self.command) else self.command
 
 
-class Pool:
+class ConnectionPool:
     """How many connections to workers there may be, over all links."""
 
     def __init__(self, most: int) -> None:
         self.most, self.used = most, 0
-        self.links: set[Link] = set()  # those with a connection
+        self.links: set[WorkerClient] = set()  # those with a connection
         self.counts: Counter[str] = Counter()
 
     def room(self) -> bool:
@@ -139,23 +139,23 @@
             link.sweep()
 
 
-class Speech:
+class PlatformWorkerProtocol:
     """How workers of the platform are spoken to."""
 
     eager = False
 
-    def __init__(self, loop: Loop, station, log, most: int) -> None:
+    def __init__(self, loop: EventLoop, station, log, most: int) -> None:
         self.loop, self.station, self.log = loop, station, log
-        self.pool, self.names = Pool(most), station.instance.report_fields
+        self.pool, self.names = ConnectionPool(most), station.instance.report_fields
         self.number = 0
 
     def _tag(self) -> bytes:
         self.number += 1
         return b"t%d" % self.number
 
-    def link(self, name: str, address: str, tell) -> "Link":
+    def link(self, name: str, address: str, tell) -> "WorkerClient":
         """The way to one worker."""
-        return Link(
+        return WorkerClient(
             name,
             address,
             tell,
@@ -166,14 +166,14 @@
             self.names,
         )
 
-    def run(self, attempt: Attempt, ask: Ask, left: float) -> Order:
+    def run(self, attempt: Attempt, ask: PendingRequest, left: float) -> Command:
         """A call-out, to be waited for so many ms."""
         # Danger: it waits for its connection, a second one, and room at the kernel. Told what was left when it was
         # decided, a worker would work on past the deadline of the client. So it is written as its first byte goes.
         ends, ident, body = clock() + left, ask.call.ident, ask.call.input
         before = f"lane={attempt.request.request_class.name},name={attempt.request.function.name},ttl="
         after = f",dedupe={ask.call.token}" if ask.call.token else ""
-        return Order(
+        return Command(
             "run",
             attempt,
             ident,
@@ -181,30 +181,30 @@
             ends,
         )
 
-    def hold(self, key: tuple, program: Function, copies: int) -> Order:
+    def hold(self, key: tuple, program: Function, copies: int) -> Command:
         """An order to have so many copies standing."""
         tag = self._tag()
-        return Order("hold", key, tag, resp.command(b"prewarm", tag, f"name={program.name},units={copies}".encode()))
+        return Command("hold", key, tag, resp.command(b"prewarm", tag, f"name={program.name},units={copies}".encode()))
 
-    def probe(self, key: str) -> Order:
+    def probe(self, key: str) -> Command:
         """A question for a report."""
         tag = self._tag()
-        return Order("probe", key, tag, resp.command(b"gauges", tag))
+        return Command("probe", key, tag, resp.command(b"gauges", tag))
 
-    def ending(self, order: Order, outcome: str, result: Ending | None, data: object) -> Ending:
+    def ending(self, order: Command, outcome: str, result: CommandResult | None, data: object) -> CommandResult:
         """What a link told of an order's end: read already where an answer came."""
-        return result if result is not None else Ending(outcome)
+        return result if result is not None else CommandResult(outcome)
 
 
-class Connection:
+class WorkerConnection:
     """One connection to a worker."""
 
     first = True
 
-    def __init__(self, link: "Link") -> None:
+    def __init__(self, link: "WorkerClient") -> None:
         self.link, self.loop = link, link.loop
-        self.open: dict[bytes, Order] = {}
-        self.pending: list[Order] = []  # until it is up
+        self.open: dict[bytes, Command] = {}
+        self.pending: list[Command] = []  # until it is up
         self.past: deque[bytes] = deque(maxlen=PAST)
         self.answers = resp.Answers()
         self.up = self.closed = self.stale = False
@@ -220,7 +220,7 @@
             self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         except OSError:  # reset already, which it tells as it comes up, or short of memory: it serves without
             link.pool.counts["delayed"] += 1
-        self.outbox = Outbox(self.sock, UNREAD, link.name, self._waits)
+        self.outbox = WriteBuffer(self.sock, UNREAD, link.name, self._waits)
         try:
             self.loop.add(self.sock, self, write=True)
         except OSError as bad:
@@ -263,22 +263,22 @@
         except OSError as bad:
             return bad.errno in SHORT_OF_MEMORY
 
-    def send(self, order: Order) -> None:
+    def send(self, order: Command) -> None:
         """Sends it, or has it sent once the connection is up."""
         order.conn, order.sent, self.used = self, clock(), clock()
         if not self.up:
             self.pending.append(order)
             return
-        order.parcel = Parcel(lambda: order.line, expired=lambda: self._expired(order))
+        order.parcel = OutgoingMessage(lambda: order.line, expired=lambda: self._expired(order))
         self.open[order.ident] = order
         try:
             self.outbox.put(order.parcel)
         except Expired:
             self._expired(order)
-        except (Unread, OSError) as bad:
+        except (PeerTooSlow, OSError) as bad:
             self.end(f"{type(bad).__name__}: {bad}")
 
-    def _expired(self, order: Order) -> None:
+    def _expired(self, order: Command) -> None:
         """The time of an order was up before a byte of it went."""
         if self.open.get(order.ident) is not order:
             return
@@ -354,11 +354,11 @@
         try:
             for answer in self.answers.feed(data):
                 self._answer(answer)
-        except resp.Spoilt as bad:
+        except resp.InvalidAnswer as bad:
             for answer in list(self.answers.whole):  # what was whole before it stands
                 try:
                     self._answer(answer)
-                except resp.Spoilt:
+                except resp.InvalidAnswer:
                     break
             self.link.pool.counts["spoilt"] += 1
             return self.end(f"spoilt: {bad}", spoke=True)
@@ -420,7 +420,7 @@
                 self.link.pool.counts["release_failed"] += 1
 
 
-class Link:
+class WorkerClient:
     """All connections to one worker."""
 
     def __init__(
@@ -428,8 +428,8 @@
         name: str,
         address: str,
         tell: Callable[..., None],
-        loop: Loop,
-        pool: Pool,
+        loop: EventLoop,
+        pool: ConnectionPool,
         dial: float,
         idle: float,
         names: tuple[str, ...],
@@ -437,20 +437,20 @@
         self.name, self.tell, self.loop, self.pool = name, tell, loop, pool
         host, _, port = address.rpartition(":")
         self.at, self.dial, self.idle, self.names = (host, int(port)), dial, idle, names
-        self.connections: list[Connection] = []  # for call-outs; the last used at the end
-        self.beside: Connection | None = None  # for holds and probes
-        self.doubt: list[Order] = []  # lost with the last connection, until a new one tells whether the worker lives
-        self.check: Connection | None = None
+        self.connections: list[WorkerConnection] = []  # for call-outs; the last used at the end
+        self.beside: WorkerConnection | None = None  # for holds and probes
+        self.doubt: list[Command] = []  # lost with the last connection, until a new one tells whether the worker lives
+        self.check: WorkerConnection | None = None
         self.retired = self.closed = False
         self.checks = 0  # connections made for what is in doubt now
         self.misses, self.missed_at = 0, float("-inf")  # in a row; the last
         self.no_way_from, self.no_way_at = float("inf"), float("-inf")  # the first in a row that found none; the last
 
-    def all(self) -> list[Connection]:
+    def all(self) -> list[WorkerConnection]:
         """Its connections."""
         return [*self.connections, *([self.beside] if self.beside else [])]
 
-    def send(self, order: Order) -> None:
+    def send(self, order: Command) -> None:
         """Sends it on a connection that fits; its end comes by `tell`."""
         order.link = self
         if self.closed or self.retired or order.ends <= clock():
@@ -462,7 +462,7 @@
         else:
             conn.send(order)
 
-    def _for_run(self, ident: bytes) -> Connection | None:
+    def _for_run(self, ident: bytes) -> WorkerConnection | None:
         self.sweep()
         for conn in reversed(self.connections):
             if not conn.load and conn.takes(ident):
@@ -470,7 +470,7 @@
                     return conn
                 conn.end("ended while idle")
         if self.pool.room():
-            conn = Connection(self)
+            conn = WorkerConnection(self)
             if not conn.failed:
                 self.connections.append(conn)
                 return conn
@@ -478,14 +478,14 @@
                 return conn
         return min((conn for conn in self.connections if conn.takes(ident)), key=lambda w: w.load, default=None)
 
-    def _for_others(self, ident: bytes) -> Connection | None:
+    def _for_others(self, ident: bytes) -> WorkerConnection | None:
         conn = self.beside
         if conn is not None and conn.load == 0 and not (clock() - conn.used < self.idle and conn.alive()):
             conn.end("idle")
         if self.beside is None or not self.beside.takes(ident):
             if not self.pool.room():
                 return None
-            conn = Connection(self)
+            conn = WorkerConnection(self)
             if conn.failed:
                 return conn
             if self.beside is not None:  # it ends with what is on it
@@ -501,13 +501,13 @@
             if not conn.load and (conn.stale or now - conn.used > self.idle):
                 conn.end("idle")
 
-    def back(self, order: Order, outcome: str, found: Ending | None = None) -> None:
+    def back(self, order: Command, outcome: str, found: CommandResult | None = None) -> None:
         """Tells how an order ended."""
         self.tell("back", self, order, outcome, found, None)
         if self.retired:
             self._maybe_close()
 
-    def again(self, order: Order) -> None:
+    def again(self, order: Command) -> None:
         """A connection ended as it came up, before a byte of the order went: once more on another."""
         order.tries += 1
         if order.tries < TRIES:
@@ -515,7 +515,7 @@
         else:
             self.back(order, "unsent")
 
-    def lost(self, orders: list[Order], spoke: bool) -> None:
+    def lost(self, orders: list[Command], spoke: bool) -> None:
         """A connection ended with these out: they may have run."""
         # Danger: a cut says that the process is gone, with all that it had loaded. What ends beside connections that
         # stand, or on an answer that can't be read, tells of answers only; where none stands, a new connection tells.
@@ -533,7 +533,7 @@
         # Where nothing can be learned by a few, as where it is this machine that makes none, more would not tell.
         self.checks += 1
         more = not self.closed and self.checks <= TRIES
-        self.check = Connection(self) if more and self.pool.room() else None
+        self.check = WorkerConnection(self) if more and self.pool.room() else None
         if self.check is not None and not self.check.failed:
             self.connections.insert(0, self.check)
             return
@@ -553,7 +553,7 @@
             self.check = None
         return None
 
-    def missed(self, conn: Connection) -> bool:
+    def missed(self, conn: WorkerConnection) -> bool:
         """A connection has not come up in time; whether that may yet be the connection alone."""
         # Danger: one connection of many comes up late or never, and the module takes a worker it could not reach for
         # one that starts anew: all its copies forgotten, cold for the whole ramp. Also an answer to the first step
@@ -581,7 +581,7 @@
         """A connection came up, or something came on one: there is a way to the worker."""
         self.no_way_at = float("-inf")
 
-    def idles(self, conn: Connection) -> None:
+    def idles(self, conn: WorkerConnection) -> None:
         """A connection has nothing on it: what waits for one that is still being made goes there."""
         if conn.closed or conn.stale or conn not in self.connections:
             return
@@ -592,12 +592,12 @@
                     conn.send(order)
                     return
 
-    def _found(self, orders: list[Order], lives: bool) -> None:
+    def _found(self, orders: list[Command], lives: bool) -> None:
         for order in orders:
             if order.conn is not None:  # else it was taken back meanwhile
                 self.back(order, LOST[order.kind] if lives else "cut")
 
-    def gone(self, conn: Connection) -> None:
+    def gone(self, conn: WorkerConnection) -> None:
         """A connection has ended."""
         if conn is self.beside:
             self.beside = None
@@ -606,14 +606,14 @@
         if not self.all():
             self.pool.links.discard(self)
 
-    def cancel(self, order: Order, done: Callable[[], None]) -> str | None:
+    def cancel(self, order: Command, done: Callable[[], None]) -> str | None:
         """Withdraws a call-out: as wickdyke/gateway/link.py has it."""
         said = self._cancel(order, done)
         if self.retired:  # that may have been the last
             self._maybe_close()
         return said
 
-    def _cancel(self, order: Order, done: Callable[[], None]) -> str | None:
+    def _cancel(self, order: Command, done: Callable[[], None]) -> str | None:
         conn = order.conn
         if order in self.doubt:
             order.conn = None
@@ -631,9 +631,9 @@
             return "cancelled"
         try:
             with_kernel = conn.outbox.put(
-                Parcel(resp.command(b"abort", order.ident), lambda: self._cancelled(conn, order, done))
+                OutgoingMessage(resp.command(b"abort", order.ident), lambda: self._cancelled(conn, order, done))
             )
-        except (Unread, OSError) as bad:
+        except (PeerTooSlow, OSError) as bad:
             conn.end(f"{type(bad).__name__}: {bad}")  # which tells of all that was on it
             return None
         if not with_kernel:
@@ -641,24 +641,24 @@
         self._given_up(conn, order)
         return "cancelled"
 
-    def _cancelled(self, conn: Connection, order: Order, done: Callable[[], None]) -> None:
+    def _cancelled(self, conn: WorkerConnection, order: Command, done: Callable[[], None]) -> None:
         if conn.open.get(order.ident) is order:
             self._given_up(conn, order)
             done()
 
-    def _given_up(self, conn: Connection, order: Order) -> None:
+    def _given_up(self, conn: WorkerConnection, order: Command) -> None:
         conn.open.pop(order.ident, None)
         conn.past.append(order.ident)
         conn.stale = conn.stale or conn.heard <= order.sent or conn.answers.begun
 
-    def unsend(self, order: Order) -> bool:
+    def unsend(self, order: Command) -> bool:
         """Takes back what has not begun to go out; True where it was so, and it has ended."""
         taken = self._unsend(order)
         if taken and self.retired:
             self._maybe_close()
         return taken
 
-    def _unsend(self, order: Order) -> bool:
+    def _unsend(self, order: Command) -> bool:
         conn = order.conn
         if conn is None or conn.closed:
             return False
@@ -677,14 +677,14 @@
                 if self._unsend(order):
                     self.back(order, "unsent")
 
-    def forget(self, order: Order) -> bool:
+    def forget(self, order: Command) -> bool:
         """No answer is waited for any more; False where it has ended already."""
         was_out = self._forget(order)
         if self.retired:
             self._maybe_close()
         return was_out
 
-    def _forget(self, order: Order) -> bool:
+    def _forget(self, order: Command) -> bool:
         conn = order.conn
         if order in self.doubt:
             order.conn = None
--- a/wickdyke/proving/standin.py
+++ b/wickdyke/proving/standin.py
@@ -16,7 +16,7 @@
 import msgspec
 
 from wickdyke.protocol import back, jsonrpc
-from wickdyke.wire.server import Server, Wire
+from wickdyke.transport.line_server import LineServer, LineConnection
 from wickdyke.proving.trace import Recorder, clock
 
 
@@ -64,7 +64,9 @@
 class Job:
     """A call-out that is held here."""
 
-    def __init__(self, wire: Wire, ident: int, run: back.Run, asked: Input, company: int, number: int) -> None:
+    def __init__(
+        self, wire: LineConnection, ident: int, run: back.Run, asked: Input, company: int, number: int
+    ) -> None:
         self.wire, self.ident, self.run, self.asked, self.company = wire, ident, run, asked, company
         self.number = number
         self.standing, self.copy, self.core, self.ended = "stood", None, False, False
@@ -84,8 +86,8 @@
         self.waiting: dict[str, deque[Job]] = {}
         self.cores: deque[Job] = deque()
         self.running = 0
-        self.jobs: dict[tuple[Wire, int], Job] = {}
-        self.holds: list[tuple[Wire, int, str, int]] = []
+        self.jobs: dict[tuple[LineConnection, int], Job] = {}
+        self.holds: list[tuple[LineConnection, int, str, int]] = []
         self.loads: deque[Copy] = deque()
         self.loading = 0
         self.received: deque[tuple[float, float]] = deque()
@@ -97,7 +99,7 @@
         self.record("started", start=build.start, cold=build.cold, cores=build.cores, speed=build.speed)
         threading.Thread(target=self._beat, daemon=True).start()
         self._refresh()
-        self.server = Server(build.socket, self._heard, self._gone)
+        self.server = LineServer(build.socket, self._heard, self._gone)
 
     # ---- time ----
 
@@ -145,7 +147,7 @@
 
     # ---- what comes in ----
 
-    def _heard(self, wire: Wire, request: jsonrpc.Request) -> None:
+    def _heard(self, wire: LineConnection, request: jsonrpc.Request) -> None:
         with self.lock:
             act = {
                 "hello": self._hello,
@@ -160,7 +162,7 @@
                 return
             act(wire, request)
 
-    def _hello(self, wire: Wire, request: jsonrpc.Request) -> None:
+    def _hello(self, wire: LineConnection, request: jsonrpc.Request) -> None:
         hello = msgspec.json.decode(request.params, type=back.Hello)
         wire.who = hello.gateway
         self.record("hello", gateway=wire.who, start=self.build.start)
@@ -178,11 +180,11 @@
     def _hangs(self) -> bool:
         return "hang" in self.faults
 
-    def _probe(self, wire: Wire, request: jsonrpc.Request) -> None:
+    def _probe(self, wire: LineConnection, request: jsonrpc.Request) -> None:
         if not self._hangs():
             wire.say(jsonrpc.result(request.ident, jsonrpc.encode(back.Probed(self.report))))
 
-    def _run(self, wire: Wire, request: jsonrpc.Request) -> None:
+    def _run(self, wire: LineConnection, request: jsonrpc.Request) -> None:
         run = msgspec.json.decode(request.params, type=back.Run)
         asked = msgspec.json.decode(run.input, type=Input)
         now = clock()
@@ -242,7 +244,7 @@
         self.waiting.setdefault(run.program, deque()).append(job)
         self._lanes(run.program)
 
-    def _cancel(self, wire: Wire, request: jsonrpc.Request) -> None:
+    def _cancel(self, wire: LineConnection, request: jsonrpc.Request) -> None:
         job = self.jobs.get((wire, msgspec.json.decode(request.params, type=back.Cancel).id))
         if job is not None:
             self.record("cancel", mark=job.asked.mark, gateway=wire.who, job=job.number)
@@ -251,7 +253,7 @@
             else:
                 self._end(job, "cancelled")
 
-    def _gone(self, wire: Wire) -> None:
+    def _gone(self, wire: LineConnection) -> None:
         with self.lock:
             if wire.who:
                 self.record("hung-up", gateway=wire.who)
@@ -323,7 +325,7 @@
         self._holds()
         self._fetches()
 
-    def _hold(self, wire: Wire, request: jsonrpc.Request) -> None:
+    def _hold(self, wire: LineConnection, request: jsonrpc.Request) -> None:
         hold = msgspec.json.decode(request.params, type=back.Hold)
         self.record("hold", gateway=wire.who, program=hold.program, copies=hold.copies, start=self.build.start)
         if self._hangs():
@@ -356,7 +358,7 @@
                 continue
             self.holds.remove(held)
 
-    def _drop(self, wire: Wire, request: jsonrpc.Request) -> None:
+    def _drop(self, wire: LineConnection, request: jsonrpc.Request) -> None:
         program = msgspec.json.decode(request.params, type=back.Drop).program
         copies = self.copies.get(program, [])
         copies[:] = [copy for copy in copies if copy.busy or not copy.ready]
--- a/wickdyke/proving/store.py
+++ b/wickdyke/proving/store.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from wickdyke.protocol import jsonrpc
-from wickdyke.wire.server import Server, Wire
+from wickdyke.transport.line_server import LineServer, LineConnection
 from wickdyke.proving.trace import Recorder, clock
 
 
@@ -29,13 +29,13 @@
         self.build, self.record = build, Recorder(build.trace, "store")
         self.lock = threading.RLock()
         self.due = threading.Condition(self.lock)
-        self.fetches: list[tuple[float, int, Wire, jsonrpc.Ident]] = []
+        self.fetches: list[tuple[float, int, LineConnection, jsonrpc.Ident]] = []
         self.turn = itertools.count()
         self.stalled = 0.0
         threading.Thread(target=self._beat, daemon=True).start()
-        self.server = Server(build.socket, self._heard, lambda wire: None)
+        self.server = LineServer(build.socket, self._heard, lambda wire: None)
 
-    def _heard(self, wire: Wire, request: jsonrpc.Request) -> None:
+    def _heard(self, wire: LineConnection, request: jsonrpc.Request) -> None:
         took = float(msgspec.json.decode(request.params)["took_ms"])
         with self.lock:
             if len(self.fetches) >= self.build.most:
--- a/wickdyke/drill/__main__.py
+++ b/wickdyke/simulator/__main__.py
@@ -4,7 +4,7 @@
 import os
 import sys
 
-from wickdyke.drill.host import Host
+from wickdyke.simulator.host import Host
 from wickdyke.settings.terms import BadInput
 
 
@@ -21,7 +21,7 @@
             sink.write(reply)
             sink.flush()
     except BadInput as bad:
-        print(f"wickdyke.drill: {bad}", file=sys.stderr)
+        print(f"wickdyke.simulator: {bad}", file=sys.stderr)
         return 2
     except BrokenPipeError:
         # Nobody reads the replies any more: there is nothing left to do, nor to say.
--- a/wickdyke/drill/host.py
+++ b/wickdyke/simulator/host.py
@@ -3,7 +3,7 @@
 import math
 from collections.abc import Iterable, Iterator
 
-from wickdyke.drill import codec
+from wickdyke.simulator import codec
 from wickdyke.routing.router import Router
 from wickdyke.settings.terms import BadInput, paired, start
 
--- a/wickdyke/wire/loop.py
+++ b/wickdyke/transport/event_loop.py
@@ -84,7 +84,7 @@
         return None if bad.errno in (errno.ENOMEM, errno.ENOBUFS) else b""
 
 
-class Loop:
+class EventLoop:
     """Waits for sockets and for times.
 
     `add` raises OSError where the kernel has no memory (ENOMEM) or no watches left (ENOSPC), and then leaves nothing
--- a/wickdyke/wire/server.py
+++ b/wickdyke/transport/line_server.py
@@ -12,15 +12,15 @@
 from wickdyke.protocol import jsonrpc
 from wickdyke.protocol.lines import Lines, TooLong
 from wickdyke.settings import address as addresses
-from wickdyke.wire.acceptor import Acceptor
-from wickdyke.wire.outbox import Outbox, Parcel, Unread
+from wickdyke.transport.acceptor import Acceptor
+from wickdyke.transport.write_buffer import WriteBuffer, OutgoingMessage, PeerTooSlow
 
 LINE = 64 << 20  # bytes of a line
 UNREAD = 64 << 20  # bytes that may wait for one peer
 BACKLOG = 512
 
 
-class InUse(Exception):
+class AddressInUse(Exception):
     """Somebody listens there already."""
 
 
@@ -44,7 +44,7 @@
             sock.bind(where)
             sock.listen(BACKLOG)
         except OSError as bad:
-            raise InUse(f"{address}: {bad.strerror}, expected a free one") from None
+            raise AddressInUse(f"{address}: {bad.strerror}, expected a free one") from None
         opened.pop_all()
     return sock, held
 
@@ -54,27 +54,31 @@
     try:
         fcntl.flock(held, fcntl.LOCK_EX | fcntl.LOCK_NB)
     except OSError:
-        raise InUse(f"{address}: somebody live listens there, expected a free one") from None
+        raise AddressInUse(f"{address}: somebody live listens there, expected a free one") from None
     try:
         if not stat.S_ISSOCK(os.lstat(address).st_mode):
-            raise InUse(f"{address}: a file that is no socket stands there, expected none")
+            raise AddressInUse(f"{address}: a file that is no socket stands there, expected none")
         os.unlink(address)  # nobody holds the lock: it is left over
     except FileNotFoundError:
         pass
 
 
-class Wire:
+class LineConnection:
     """One connection; `say` may be called from any thread and never waits: who lets too much wait is hung up on."""
 
     def __init__(self, sock: socket.socket, unread: int = UNREAD) -> None:
-        self.sock, self.box, self.open = sock, Outbox(sock, unread, "wire"), True
+        self.sock, self.box, self.open = sock, WriteBuffer(sock, unread, "wire"), True
         self.who = ""
 
     def say(self, body: bytes) -> None:
         """Sends one line; nobody may be there any more."""
         try:
-            self.box.put(Parcel(body + b"\n"))
-        except (OSError, Unread, RuntimeError):  # RuntimeError: the thread that writes the rest could not be started
+            self.box.put(OutgoingMessage(body + b"\n"))
+        except (
+            OSError,
+            PeerTooSlow,
+            RuntimeError,
+        ):  # RuntimeError: the thread that writes the rest could not be started
             self.open = False
             self.box.close()
 
@@ -135,22 +139,22 @@
             sock.close()
 
 
-class Server(Listener):
+class LineServer(Listener):
     """Lines of JSON-RPC: `heard(wire, request)` for each request, `gone(wire)` when one hangs up."""
 
     def __init__(
         self,
         address: str,
-        heard: Callable[[Wire, jsonrpc.Request], None],
-        gone: Callable[[Wire], None],
+        heard: Callable[[LineConnection, jsonrpc.Request], None],
+        gone: Callable[[LineConnection], None],
         line: int = LINE,
     ) -> None:
         self.heard, self.gone, self.line = heard, gone, line
-        self.wires: set[Wire] = set()
+        self.wires: set[LineConnection] = set()
         super().__init__(address, self._read)
 
     def _read(self, sock: socket.socket) -> None:
-        wire, lines = Wire(sock), Lines(self.line)
+        wire, lines = LineConnection(sock), Lines(self.line)
         self.wires.add(wire)
         try:
             while data := sock.recv(1 << 18):
--- a/wickdyke/wire/outbox.py
+++ b/wickdyke/transport/write_buffer.py
@@ -12,7 +12,7 @@
 LOOK_AGAIN = 1000  # ms that a thread waits at most for room at the kernel before it looks whether it is to end
 
 
-class Unread(Exception):
+class PeerTooSlow(Exception):
     """The other side reads too little: more is waiting for it than is allowed."""
 
 
@@ -20,7 +20,7 @@
     """The deadline of a message passed before a byte of it went: it is not sent."""
 
 
-class Parcel:
+class OutgoingMessage:
     """One message on its way out. `begun` once a byte of it may have been handed to the kernel.
 
     `data` is its bytes, or a function that renders them: called each time that its first byte is offered to the
@@ -49,7 +49,7 @@
         self.data, self.expired = b"", None
 
 
-class Outbox:
+class WriteBuffer:
     """Sends at once what the kernel takes at once; a thread of its own writes the rest, or a loop by `pump`.
 
     `most` is the greatest number of bytes that may wait. The thread is begun only when something has to wait, so
@@ -61,13 +61,13 @@
         self.sock, self.most, self.name, self.waits = sock, most, name, waits
         self.lock = threading.Lock()
         self.more = threading.Condition(self.lock)
-        self.waiting: deque[Parcel] = deque()
+        self.waiting: deque[OutgoingMessage] = deque()
         self.held = 0
         self.thread: threading.Thread | None = None
         self.closed = False
         self.no_memory = False  # whether the kernel had none for the last that it was offered
 
-    def put(self, parcel: Parcel) -> bool:
+    def put(self, parcel: OutgoingMessage) -> bool:
         """True where all of it is with the kernel already; raises Unread past the bound, Expired where its deadline
         has passed, OSError when closed."""
         with self.lock:
@@ -90,7 +90,7 @@
             parcel.held = len(data) - sent
             if self.held + parcel.held > self.most:
                 parcel.release()
-                raise Unread(f"{self.held} bytes wait to be read")
+                raise PeerTooSlow(f"{self.held} bytes wait to be read")
             self.held += parcel.held
             self.waiting.append(parcel)
             if self.waits is not None:
@@ -111,7 +111,7 @@
             raise OSError(errno.EAGAIN, str(bad)) from None
         return thread
 
-    def _offer(self, parcel: Parcel, data: bytes | memoryview) -> int:
+    def _offer(self, parcel: OutgoingMessage, data: bytes | memoryview) -> int:
         """Offers the kernel `data`, the bytes of the parcel that have not gone, and returns how many it took. From the
         first that it takes, the parcel stays as rendered."""
         self.no_memory = False
@@ -146,7 +146,7 @@
         parcel.release()
         return True, tell
 
-    def withdraw(self, parcel: Parcel) -> bool:
+    def withdraw(self, parcel: OutgoingMessage) -> bool:
         """Takes back what was not begun; False where a byte of it may be with the kernel."""
         with self.lock:
             if parcel.begun or parcel not in self.waiting:
--- a/wickdyke/worker/runtime.py
+++ b/wickdyke/worker/runtime.py
@@ -18,8 +18,8 @@
 from wickdyke.protocol.lines import Lines, TooLong
 from wickdyke.settings.sexp import Unusable
 from wickdyke.settings.workshop import Workshop
-from wickdyke.wire.outbox import Outbox, Parcel, Unread
-from wickdyke.wire.server import Server, Wire
+from wickdyke.transport.write_buffer import WriteBuffer, OutgoingMessage, PeerTooSlow
+from wickdyke.transport.line_server import LineServer, LineConnection
 from wickdyke.worker import copy as copies
 from wickdyke.worker import meter, schedule, source
 from wickdyke.worker.cache import Cache, NoRoom
@@ -56,7 +56,7 @@
 
     def __init__(self, copy: Copy, sock: socket.socket, output: int, digest: str) -> None:
         self.copy, self.sock, self.output, self.digest = copy, sock, output, digest
-        self.box = Outbox(sock, 2 * copies.LINE, f"copy {copy.number}")
+        self.box = WriteBuffer(sock, 2 * copies.LINE, f"copy {copy.number}")
         self.pid = 0
         self.ready: threading.Event = threading.Event()
         self.failed: str | None = None
@@ -65,8 +65,8 @@
     def say(self, message: dict) -> bool:
         """Sends it a line; False where it reads too little or is gone."""
         try:
-            self.box.put(Parcel(msgspec.json.encode(message) + b"\n"))
-        except (OSError, Unread):
+            self.box.put(OutgoingMessage(msgspec.json.encode(message) + b"\n"))
+        except (OSError, PeerTooSlow):
             return False
         return True
 
@@ -105,14 +105,14 @@
         self.lock = threading.RLock()
         self.due = threading.Condition(self.lock)
         self.houses: dict[int, House] = {}
-        self.runs: dict[tuple[Wire, jsonrpc.Ident], back.Run] = {}
+        self.runs: dict[tuple[LineConnection, jsonrpc.Ident], back.Run] = {}
         self.numbers: dict[int, Call] = {}
         self.stopped: dict[int, Copy] = {}
         self.marks: dict[int, tuple[str, str]] = {}
         self.turn = 0
         self.ended = threading.Event()
         self.measured: dict[str, float] = {"copies": 0.0, "worker": 0.0, "parent": 0.0, "cache": 0.0}
-        self.server: Server | None = None
+        self.server: LineServer | None = None
         self.control, theirs = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
         self.parent = subprocess.Popen(
             [sys.executable, "-m", "wickdyke.worker.parent", str(theirs.fileno())],
@@ -128,7 +128,7 @@
         for act, name in ((self._beat, "beat"), (self._parent, "parent"), (self._meter, "meter")):
             threading.Thread(target=act, name=name, daemon=True).start()
         self.record("started", start=self.start, cold=self.shop.ramp.ramp > 0, cores=self.shop.calls_at_once, speed=1.0)
-        self.server = Server(self.shop.listen, self._heard, self._gone)
+        self.server = LineServer(self.shop.listen, self._heard, self._gone)
         self.log.info("serving", socket=self.shop.listen, start=self.start)
 
     def drain(self, within: float) -> bool:
@@ -164,7 +164,7 @@
 
     # ---- what gateways say ----
 
-    def _heard(self, wire: Wire, request: jsonrpc.Request) -> None:
+    def _heard(self, wire: LineConnection, request: jsonrpc.Request) -> None:
         act = {
             "hello": self._hello,
             "run": self._run,
@@ -183,7 +183,7 @@
             if not request.told:
                 wire.say(jsonrpc.problem(request.ident, jsonrpc.BAD_PARAMS, f"Invalid params: {bad}"[:300]))
 
-    def _hello(self, wire: Wire, request: jsonrpc.Request) -> None:
+    def _hello(self, wire: LineConnection, request: jsonrpc.Request) -> None:
         wire.who = msgspec.json.decode(request.params, type=back.Hello).gateway
         self.record("hello", gateway=wire.who, start=self.start)
         wire.say(
@@ -195,7 +195,7 @@
             )
         )
 
-    def _probe(self, wire: Wire, request: jsonrpc.Request) -> None:
+    def _probe(self, wire: LineConnection, request: jsonrpc.Request) -> None:
         with self.lock:
             body = jsonrpc.encode(back.Probed(self._report()))
         wire.say(jsonrpc.result(request.ident, body))
@@ -210,7 +210,7 @@
             **{f"{what}_mb": mb for what, mb in self.measured.items()},
         }
 
-    def _run(self, wire: Wire, request: jsonrpc.Request) -> None:
+    def _run(self, wire: LineConnection, request: jsonrpc.Request) -> None:
         run = msgspec.json.decode(request.params, type=back.Run)
         key = wire, request.ident
         with self.lock:
@@ -235,7 +235,7 @@
             self.schedule.call(key, run.program, run.memory_mb, run.lanes, run.time_left_ms)
             self._act()
 
-    def _hold(self, wire: Wire, request: jsonrpc.Request) -> None:
+    def _hold(self, wire: LineConnection, request: jsonrpc.Request) -> None:
         hold = msgspec.json.decode(request.params, type=back.Hold)
         with self.lock:
             self.record("hold", gateway=wire.who, program=hold.program, copies=hold.copies, start=self.start)
@@ -243,17 +243,17 @@
             self.schedule.hold((wire, request.ident), hold.program, hold.memory_mb, hold.lanes, hold.copies)
             self._act()
 
-    def _drop(self, wire: Wire, request: jsonrpc.Request) -> None:
+    def _drop(self, wire: LineConnection, request: jsonrpc.Request) -> None:
         with self.lock:
             self.schedule.drop(msgspec.json.decode(request.params, type=back.Drop).program)
             self._act()
 
-    def _cancel(self, wire: Wire, request: jsonrpc.Request) -> None:
+    def _cancel(self, wire: LineConnection, request: jsonrpc.Request) -> None:
         with self.lock:
             self._left((wire, msgspec.json.decode(request.params, type=back.Cancel).id), "cancelled")
             self._act()
 
-    def _gone(self, wire: Wire) -> None:
+    def _gone(self, wire: LineConnection) -> None:
         with self.lock:
             if wire.who:
                 self.record("hung-up", gateway=wire.who)
@@ -269,7 +269,7 @@
         self.schedule.woke(clock())
         self.schedule.cancel(key)
 
-    def _note_end(self, run: back.Run, wire: Wire, how: str, cancel: bool = False) -> None:
+    def _note_end(self, run: back.Run, wire: LineConnection, how: str, cancel: bool = False) -> None:
         mark, job = self.marks.pop(id(run))
         if cancel:
             self.record("cancel", mark=mark, gateway=wire.who, job=job)
--- a/wickdyke/worker/store.py
+++ b/wickdyke/worker/store.py
@@ -13,7 +13,7 @@
 
 from wickdyke.protocol import jsonrpc
 from wickdyke.protocol.lines import Lines, TooLong
-from wickdyke.wire.server import Listener
+from wickdyke.transport.line_server import Listener
 from wickdyke.worker.source import Folder, Found, Unknown
 
 CHUNK, LINE = 1 << 16, 1 << 16
