--- a/tests/acceptance_rig.py
+++ b/tests/acceptance_rig.py
@@ -6,7 +6,8 @@
 
 from tests import platform_rig as rig
 from tests import test_fleet
-from wickdyke.gateway import coordinator
+from wickdyke.gateway import context
+from wickdyke.gateway.events import RequestReceived
 from wickdyke.routing.model import RoutePolicy
 from wickdyke.platform import service
 from wickdyke.transport import event_loop
@@ -62,9 +63,9 @@
         self.now = START
         self.addCleanup(patch.stopall)
         stand_in = SimpleNamespace(**{**vars(time), "monotonic": lambda: self.now / 1000})
-        for module in (event_loop, coordinator):
+        for module in (event_loop, context):
             patch.object(module, "time", stand_in).start()
-        patch.object(service, "LONGEST", 1.0).start()  # real ms of one wait: the clock does not move meanwhile
+        patch.object(service, "WAIT_MOST", 1.0).start()  # real ms of one wait: the clock does not move meanwhile
 
     def front_end(self, *workers, **more):
         self.listen = rig.free_address()  # its own: what failed before it may still hold the last
@@ -72,22 +73,24 @@
 
     def hedging(self):
         """From now on each request may be hedged 20 ms after its first attempt."""
-        take = self.serving.front.take
+        take = self.serving.client_server.post
 
         def timed(event):
-            if event[0] == "asked":
-                event[1].timing = HEDGED
+            if isinstance(event, RequestReceived):
+                event.pending.route_policy = HEDGED
             take(event)
 
-        self.serving.front.take = timed
+        self.serving.client_server.post = timed
 
     def attempts_out(self):
         """Orders that wait for a worker, of any kind."""
-        return sum(conn.load for link in self.serving.desk.links.values() for conn in link.all())
+        return sum(
+            conn.commands_in_flight for link in self.serving.coordinator.workers.clients.values() for conn in link.all()
+        )
 
     def settle(self):
         """Turns until workers have answered all that is out, and no time passes."""
-        self.until(lambda: not self.attempts_out() and self.serving.desk.events.empty(), "the workers' answers")
+        self.until(lambda: not self.attempts_out() and self.serving.coordinator.events.empty(), "the workers' answers")
 
     def later(self, span, step=STEP, settle=False):
         """Lets a time pass, a turn in each step; with `settle`, workers answer all within each."""
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -8,6 +8,7 @@
 import threading
 import time
 
+from wickdyke.gateway import events
 from wickdyke.gateway import log as logs
 from wickdyke.gateway.service import Gateway
 from wickdyke.protocol import back, jsonrpc
@@ -149,7 +150,7 @@
         self.said = sink or io.StringIO()
         self.log, self.scribe = logs.logger(self.said, False)
         self.gateway = Gateway(self.station, self.log)
-        self.desk = self.gateway.desk
+        self.coordinator = self.gateway.coordinator
 
     def write(self, text):
         """Replaces the worker list."""
@@ -167,13 +168,13 @@
 
     def __enter__(self):
         self.gateway.open()
-        assert until(lambda: len(list(self.desk.router.fleet.ready())) == len(self.peers)), "workers not listed"
+        assert until(lambda: len(list(self.coordinator.router.fleet.ready())) == len(self.peers)), "workers not listed"
         return self
 
     def __exit__(self, *why):
         for peer in self.peers:
             peer.close()
-        self.gateway.door.shut()
+        self.gateway.client_server.shut()
         self.gateway.close()
         self.scribe.close()
         self.made.cleanup()
@@ -210,14 +211,31 @@
         self.sock.close()
 
 
+WORDS = {
+    events.RequestReceived: "received",
+    events.RequestCancelled: "cancelled",
+    events.ClientClosed: "closed",
+    events.CommandFinished: "finished",
+    events.WorkerConnected: "connected",
+    events.WorkerConnectionLost: "lost",
+    events.WorkerUnreachable: "unreachable",
+    events.WorkerDraining: "draining",
+}
+
+
+def plain(event):
+    """An event of the coordinator as a tuple: its word, then its fields."""
+    return WORDS[type(event)], *(getattr(event, name) for name in event.__slots__)
+
+
 class Told:
     """Keeps what a link or a door tells."""
 
     def __init__(self):
         self.events = queue.Queue()
 
-    def __call__(self, *event):
-        self.events.put(event)
+    def __call__(self, event):
+        self.events.put(plain(event))
 
     def next(self, *kinds):
         """The next event of one of these kinds."""
--- a/tests/test_acceptance_days.py
+++ b/tests/test_acceptance_days.py
@@ -11,7 +11,9 @@
 from tests import platform_rig as rig
 from tests.acceptance_rig import CLASSES, Stepped, request, settings
 from tests.test_fleet import Full, reset, wait_for
-from wickdyke.platform import worker_client, service
+from wickdyke.platform import worker_connection
+from wickdyke.gateway.events import EndpointsReceived
+from wickdyke.platform import service
 from wickdyke.platform import configuration as stations
 
 
@@ -69,7 +71,9 @@
             for name in CLASSES:
                 with self.subTest(how=how, name=name):
                     client = self.idle_connection()
-                    conn = next(c for link in self.serving.desk.links.values() for c in link.connections)
+                    conn = next(
+                        c for link in self.serving.coordinator.workers.clients.values() for c in link.connections
+                    )
                     end(self.socks[-1], how)
                     wait_for(self, lambda conn=conn: not conn.alive())
                     self.check(client, name, ("answer",), 1500)
@@ -80,7 +84,7 @@
         for how in ("closed", "reset"):
             for name in CLASSES:
                 with self.subTest(how=how, name=name):
-                    client, alive, ended = self.idle_connection(), worker_client.WorkerConnection.alive, []
+                    client, alive, ended = self.idle_connection(), worker_connection.WorkerConnection.alive, []
 
                     def look(conn, how=how, alive=alive, ended=ended):
                         stands = alive(conn)
@@ -90,7 +94,7 @@
                             wait_for(self, lambda: not alive(conn))
                         return stands
 
-                    with patch.object(worker_client.WorkerConnection, "alive", look):
+                    with patch.object(worker_connection.WorkerConnection, "alive", look):
                         client.send(request(2, name))
                         number, got, _ = self.final(client, 1550)
                     self.assertEqual((number, len(ended)), (2, 1))
@@ -128,7 +132,7 @@
         for client in clients:
             self.assertEqual(self.final(client, 1500)[1], "answer")
         self.settle()
-        conns = [conn for link in self.serving.desk.links.values() for conn in link.connections]
+        conns = [conn for link in self.serving.coordinator.workers.clients.values() for conn in link.connections]
         for sock in set(self.socks):
             reset(sock)
         for conn in conns:
@@ -147,12 +151,12 @@
 
     def second_worker(self, address):
         """Tells of one more worker."""
-        self.serving.desk.take(("rows", [rig.event(2, rig.instance("w9", address))]))
+        self.serving.coordinator.post(EndpointsReceived([rig.event(2, rig.instance("w9", address))]))
         self.serving.turn()
 
     def refused(self):
         """How many attempts met a refused connection."""
-        counts = self.serving.speech.pool.counts
+        counts = self.serving.protocol.pool.counts
         return sum(many for name, many in counts.items() if name.startswith("connect"))
 
     def test_a_retry_that_is_refused(self):
@@ -170,7 +174,7 @@
                 number, word, _ = self.final(client, 1550, settle=False)
                 self.assertEqual((number, word in ("shed", "fault", "answer")), (1, True))
                 self.no_more(client)
-                self.assertEqual((self.serving.desk.asks, self.faults()), ({}, []))
+                self.assertEqual((self.serving.coordinator.requests.by_id, self.faults()), ({}, []))
                 self.held.clear()
                 self.end()
 
@@ -188,7 +192,7 @@
         self.answer_held()
         self.assertEqual(self.answer(client), (1, "answer", b"at last"))
         self.no_more(client)
-        self.assertEqual((self.serving.desk.asks, self.faults()), ({}, []))
+        self.assertEqual((self.serving.coordinator.requests.by_id, self.faults()), ({}, []))
 
     def test_a_hedged_request_and_the_first_attempt_fail_in_one_turn(self):
         """The hedge's worker and the first one's connection are both reset unread: one final answer."""
@@ -205,7 +209,7 @@
         self.assertEqual(number, 1)
         self.assertIn(word, ("answer", "fault", "shed"))  # it is idempotent: a refusal is as good
         self.no_more(client)
-        self.assertEqual((self.serving.desk.asks, self.faults()), ({}, []))
+        self.assertEqual((self.serving.coordinator.requests.by_id, self.faults()), ({}, []))
 
     def test_both_answer_in_one_turn(self):
         """The hedge's answer and the first attempt's are read in one turn: the client gets one."""
@@ -220,7 +224,7 @@
         self.answer_held(b"one")
         self.assertEqual(self.answer(client), (1, "answer", b"one"))
         self.no_more(client)
-        self.assertEqual((self.serving.desk.asks, self.faults()), ({}, []))
+        self.assertEqual((self.serving.coordinator.requests.by_id, self.faults()), ({}, []))
 
 
 STEP_OF_HEDGE = 1.0  # ms
@@ -237,7 +241,7 @@
         client.send(request(1, "pay", b"slow"))
         self.at_worker(1)
         client.send(struct.pack(">i", -1) + request(2, "pay"))
-        self.until(lambda: any(each.ending for each in self.serving.front.clients.values()))
+        self.until(lambda: any(each.ending for each in self.serving.client_server.clients.values()))
         self.assertEqual(self.answer(client)[1], "exception")
         client.send(request(3, "pay"))
         self.later(100)
@@ -263,16 +267,16 @@
             client.send(rig.alive(1))
             self.answer(client)
         serving._end(signal.SIGTERM, None)
-        self.later(service.GRACE - 1, settle=True)
-        shut = serving.front.shut
+        self.later(service.GRACE_PERIOD - 1, settle=True)
+        shut = serving.client_server.shut
 
         def crossing():
-            if not serving.front.shut_down:
+            if not serving.client_server.shut_down:
                 for at, client in enumerate(clients):
                     client.send(request(2, CLASSES[at % 3], ident=f"{50 + at:016x}"))
             shut()
 
-        serving.front.shut = crossing
+        serving.client_server.shut = crossing
         self.now += 2
         serving.turn()
         for client in clients:
@@ -330,7 +334,7 @@
         self.assertEqual(sorted(number for number, _, _ in answers), list(range(1, 31)))
         self.assertLessEqual({word for _, word, _ in answers}, {"shed", "fault"})
         self.no_more(client)
-        self.assertEqual((self.serving.desk.asks, self.faults()), ({}, []))
+        self.assertEqual((self.serving.coordinator.requests.by_id, self.faults()), ({}, []))
 
 
 class LongQuiet(Stepped):
@@ -346,9 +350,9 @@
         port = int(source.address.rpartition(":")[2])
         source.listener.shutdown(socket.SHUT_RDWR)
         source.close()
-        self.until(lambda: serving.bus.counts["ended"])
+        self.until(lambda: serving.discovery.counts["ended"])
         self.later(90000.0, 50.0, settle=True)  # nothing but an outage: all idle connections end
-        self.assertFalse(any(link.connections for link in serving.desk.links.values()))
+        self.assertFalse(any(link.connections for link in serving.coordinator.workers.clients.values()))
         client.send(request(2, "pay"))
         self.assertEqual(self.final(client, 500), (2, "answer", b"did x"))
         again, make = rig.Bus.__new__(rig.Bus), socket.create_server
@@ -359,13 +363,13 @@
         self.until(lambda: (self.later(50.0), again.asked)[1], "the list's next request")
         again.event(rig.event(2, rig.instance("w0", one.address, lifecycle="DRAINING")))
         serving._end(signal.SIGTERM, None)
-        self.until(lambda: serving.roster.offset == 2, "the drain")
+        self.until(lambda: serving.endpoints.offset == 2, "the drain")
         before = len(one.came(b"invoke"))
         for at in range(3, 9):
             client.send(request(at, CLASSES[at % 3]))
             self.assertEqual(self.final(client, 500), (at, "answer", b"did x"))
         self.assertEqual(len(one.came(b"invoke")), before)
-        self.now += service.GRACE + 1
+        self.now += service.GRACE_PERIOD + 1
         self.until(lambda: not serving.turn(), "the end")
         self.assertEqual(self.faults(), [])
 
@@ -406,11 +410,11 @@
             serving._read(signal.SIGHUP, None)
             self.until(lambda: last.asked)
         last.event(rig.event(2, rig.instance("w1", self.worker().address)))
-        self.until(lambda: serving.roster.offset == 2)
+        self.until(lambda: serving.endpoints.offset == 2)
         for _ in range(5):
             serving.turn()
-        self.assertEqual((len(serving.roster), last.asked), (2, [1]))
-        self.assertEqual(serving.bus.address[1], int(last.address.rpartition(":")[2]))
+        self.assertEqual((len(serving.endpoints), last.asked), (2, [1]))
+        self.assertEqual(serving.discovery.address[1], int(last.address.rpartition(":")[2]))
 
     def test_ten_in_a_row_while_requests_run(self):
         """Each moves discovery while a request is open: each is answered, numbers go on, nothing is left behind."""
@@ -425,9 +429,9 @@
             self.write(source.address)
             serving._read(signal.SIGHUP, None)
             many = len(source.asked)
-            self.until(lambda source=source, many=many: len(source.asked) > many and serving.bus.up)
+            self.until(lambda source=source, many=many: len(source.asked) > many and serving.discovery.up)
             source.event(rig.event(at + 1, rig.instance(f"x{at}", worker.address, lifecycle="DRAINING")))
-            self.until(lambda at=at: serving.roster.offset == at + 1)
+            self.until(lambda at=at: serving.endpoints.offset == at + 1)
             self.answer_held()
             self.assertEqual(self.final(client, 500), (at, "answer", b"at last"))
         self.assertEqual((sources[0].asked, sources[1].asked), ([1, 2, 4, 6, 8, 10], [1, 3, 5, 7, 9]))
@@ -439,7 +443,7 @@
             with self.subTest(cut):
                 old, new, worker = self.made(rig.Bus()), self.made(rig.Bus()), self.worker()
                 serving = self.front_end(worker.address, bus=old.address)
-                self.until(lambda old=old, bus=serving.bus: old.asked and bus.up)
+                self.until(lambda old=old, bus=serving.discovery: old.asked and bus.up)
                 self.write(new.address, worker.address)
                 with open(self.path) as source:
                     whole = source.read()
@@ -448,7 +452,7 @@
                 serving._read(signal.SIGHUP, None)
                 for _ in range(5):
                     serving.turn()
-                self.assertEqual((new.asked, serving.bus.up), ([], True))
+                self.assertEqual((new.asked, serving.discovery.up), ([], True))
                 client = self.client()
                 client.send(request(1))
                 self.assertEqual(self.final(client, 500)[1], "answer")
@@ -498,13 +502,13 @@
 
     def reading(self):
         """Counts reads of the list, so that each piece is read alone."""
-        read, self.reads = self.serving.bus.readable, 0
+        read, self.reads = self.serving.discovery.readable, 0
 
         def readable():
             self.reads += 1
             read()
 
-        self.serving.bus.readable = readable
+        self.serving.discovery.readable = readable
 
     def piece(self, sock, data, pause):
         """Writes so much, has it read, and lets a time pass; False where that connection has ended."""
@@ -528,8 +532,8 @@
         event = told(2, rig.instance("w1", worker.address))
         for byte in event:
             self.assertTrue(self.piece(source.readers[0], bytes([byte]), 1200 / len(event)))
-        self.until(lambda: serving.roster.offset == 2)
-        self.assertEqual((len(source.readers), serving.bus.counts["silent"]), (1, 0))
+        self.until(lambda: serving.endpoints.offset == 2)
+        self.assertEqual((len(source.readers), serving.discovery.counts["silent"]), (1, 0))
 
     def test_crowded(self):
         """503 for 30 s, then served: requests go on, it is asked again apart, and the events are told."""
@@ -542,12 +546,12 @@
             self.assertEqual(self.final(client, 500)[1], "answer")
             for _ in range(50):
                 self.later(10.0, 10.0, settle=True)
-                self.until(lambda: serving.bus.sock is None, "the word that it is crowded")
-        self.assertLess(serving.bus.counts["asked"], 30000 / 100)
-        self.assertGreater(serving.bus.counts["asked"], 30000 / 500)
+                self.until(lambda: serving.discovery.sock is None, "the word that it is crowded")
+        self.assertLess(serving.discovery.counts["asked"], 30000 / 100)
+        self.assertGreater(serving.discovery.counts["asked"], 30000 / 500)
         source.crowded, seen = False, 0
         self.until(lambda: (self.later(20.0), source.readers)[1], "the next request for the list")
-        while serving.roster.offset < 2:
+        while serving.endpoints.offset < 2:
             for sock in source.readers[seen:]:
                 try:
                     sock.sendall(HEAD + told(2, rig.instance("w1", worker.address)))
@@ -555,7 +559,7 @@
                     pass
             seen = len(source.readers)
             self.later(20.0)
-        self.assertEqual(len(serving.roster), 2)
+        self.assertEqual(len(serving.endpoints), 2)
         self.assertEqual(self.faults(), [])
 
     def test_connections_taken_late(self):
@@ -567,13 +571,13 @@
             client.send(request(number, CLASSES[number % 3]))
             self.assertEqual(self.final(client, 500)[1], "answer")
             self.later(1000, 10.0, settle=True)
-        self.assertLess(serving.bus.counts["asked"], 30000 / 100)
+        self.assertLess(serving.discovery.counts["asked"], 30000 / 100)
         source = self.made(rig.Bus())
         self.write(source.address, worker.address)
         serving._read(signal.SIGHUP, None)
-        self.until(lambda: source.asked and serving.bus.up)
+        self.until(lambda: source.asked and serving.discovery.up)
         source.event(rig.event(2, rig.instance("w1", worker.address)))
-        self.until(lambda: serving.roster.offset == 2)
+        self.until(lambda: serving.endpoints.offset == 2)
         self.assertEqual(self.faults(), [])
 
 
@@ -592,7 +596,7 @@
     def gone(self, client, how):
         """It leaves, and 0.1 s pass."""
         self.leave(client, how)
-        self.until(lambda: self.serving.desk.counts["left"], "its leaving")
+        self.until(lambda: self.serving.coordinator.counts["clients_gone"], "its leaving")
         self.later(100)
 
     def test_a_retry(self):
@@ -667,13 +671,13 @@
 
     def number_one(self):
         """The front end's side of the first client's connection."""
-        return next(iter(self.serving.front.clients.values()))
+        return next(iter(self.serving.client_server.clients.values()))
 
     def test_a_first_request_that_came_as_its_silent_connection_ends(self):
         """The connection said nothing for 2 s, and its request is there, unread, as the sweep comes: it is answered."""
         self.front_end(self.worker().address)
         client = self.client()
-        self.until(lambda: self.serving.front.clients)
+        self.until(lambda: self.serving.client_server.clients)
         self.later(1990.0)
         client.send(request(1))
         wait_for(self, lambda: peeked(self.number_one().sock))
@@ -685,7 +689,7 @@
         self.front_end(self.worker().address)
         client, whole = self.client(), request(1)
         client.send(whole[:20])
-        self.until(lambda: self.serving.front.clients and self.number_one().frames.begun)
+        self.until(lambda: self.serving.client_server.clients and self.number_one().frames.begun)
         self.later(1990.0)
         client.send(whole[20:])
         wait_for(self, lambda: peeked(self.number_one().sock))
@@ -727,9 +731,9 @@
                         pass
                     sent[sock] += 1
             self.later(100, 20.0, settle=True)
-            if serving.roster.offset == 2:
+            if serving.endpoints.offset == 2:
                 break
-        self.assertEqual(serving.roster.offset, 2, f"asked {serving.bus.counts['asked']} times in 30 s")
+        self.assertEqual(serving.endpoints.offset, 2, f"asked {serving.discovery.counts['asked']} times in 30 s")
 
     def costly(self, ms):
         """Each read of a client takes so many ms from now on."""
@@ -785,18 +789,18 @@
                     flood.sock.send(rig.cancel(1, 1) * 1000)
             except BlockingIOError:
                 pass
-        self.until(lambda: len(serving.front.clients) == 3)
+        self.until(lambda: len(serving.client_server.clients) == 3)
         client = self.client()
-        self.until(lambda: len(serving.front.clients) == 4)
+        self.until(lambda: len(serving.client_server.clients) == 4)
         client.send(request(1))
-        wait_for(self, lambda: peeked(serving.front.clients[4].sock))
+        wait_for(self, lambda: peeked(serving.client_server.clients[4].sock))
         with self.costly(6.0):
             for _ in range(10):  # 30 reads, while each of the three has bytes for more
                 serving.turn()
-                if any(each.last for each in serving.front.clients.values()):
+                if any(each.last for each in serving.client_server.clients.values()):
                     break
-        self.assertTrue(all(peeked(each.sock) for each in serving.front.clients.values() if not each.last))
-        self.assertTrue(any(each.last for each in serving.front.clients.values()), "its request was not read")
+        self.assertTrue(all(peeked(each.sock) for each in serving.client_server.clients.values() if not each.last))
+        self.assertTrue(any(each.last for each in serving.client_server.clients.values()), "its request was not read")
 
 
 def peeked(sock):
--- a/tests/test_client_connection_faults.py
+++ b/tests/test_client_connection_faults.py
@@ -14,6 +14,9 @@
 
 from tests import platform_rig as rig
 from tests.test_shutdown import Timed
+from tests.rig import plain
+from wickdyke.platform import client_connection
+from wickdyke.gateway.events import RequestReceived
 from wickdyke.routing.decisions import Forward
 from wickdyke.routing.model import RequestClass
 from wickdyke.platform import client_server as fronts
@@ -123,7 +126,7 @@
     def setUp(self):
         self.now = 0.0
         self.addCleanup(patch.stopall)
-        for module in (event_loop, fronts):
+        for module in (event_loop, fronts, client_connection):
             patch.object(module, "clock", lambda: self.now).start()
 
     def begin(self, plan, piece=None):
@@ -141,8 +144,8 @@
 
     def take(self, event):
         self.taken.append(event)
-        if event[0] == "asked":
-            event[1].ok(b"done", 1)
+        if isinstance(event, RequestReceived):
+            event.pending.succeed(b"done", 1)
 
     def until(self, done, what):
         for _ in range(2000):
@@ -216,15 +219,15 @@
                 plan = Plan()
                 address = self.begin(plan)
                 self.take = self.taken.append
-                self.front.take = self.take
+                self.front.post = self.take
                 client = rig.Client(address)
                 client.send(rig.dispatch(1, rig.fields()))
                 self.until(lambda: self.taken, "the request")
                 plan.name, plan.number, plan.code = "recv", plan.counts["recv"] + 1, code
                 client.send(b"\0")
                 self.until(lambda: not self.front.clients, "the end")
-                (_, ask), gone = self.taken
-                self.assertEqual(gone, ("gone", [ask]))
+                received, closed = self.taken
+                self.assertEqual(plain(closed), ("closed", [received.pending]))
                 self.assertEqual(self.front.open, {})
                 client.close()
                 self.front.shut()
@@ -281,7 +284,7 @@
     def setUp(self):
         self.now = 0.0
         self.addCleanup(patch.stopall)
-        for module in (event_loop, fronts):
+        for module in (event_loop, fronts, client_connection):
             patch.object(module, "clock", lambda: self.now).start()
         self.loop, self.told = event_loop.EventLoop(), []
         self.addCleanup(self.loop.close)
@@ -309,7 +312,7 @@
         """Sends, and gives the request that came last of so many."""
         client.send(data)
         self.until(lambda: len(self.told) == many, "a request")
-        return self.told[-1][1]
+        return self.told[-1].pending
 
     def there(self, client):
         """Waits until what the client did is there to be read."""
@@ -322,7 +325,7 @@
         self.until(lambda: next(iter(self.front.clients.values())).frames.begun)
         self.now += fronts.SILENT + 2 * fronts.SWEEP
         self.loop.turn(0.0, lambda: None)
-        ask.ok(b"done", 1)
+        ask.succeed(b"done", 1)
         self.until(client.waits)
         self.assertEqual(client.answer(), (1, "answer", b"done"))
         self.until(client.waits)
@@ -336,7 +339,7 @@
         for _ in range(15):
             self.now += fronts.SWEEP
             self.loop.turn(0.0, lambda: None)
-        ask.ok(b"done", 1)
+        ask.succeed(b"done", 1)
         self.until(client.waits)
         self.assertEqual(client.answer(), (1, "answer", b"done"))
         self.until(client.waits)
@@ -356,7 +359,7 @@
                 if cut is not None:
                     client.send(cancels[cut:])
                 self.until(lambda: len(self.told) == 3, "the cancel")
-                self.assertEqual(self.told[-1], ("left", ask))
+                self.assertEqual(plain(self.told[-1]), ("cancelled", ask))
                 self.assertEqual(list(self.front.open), [A.encode()])
                 client.close()
                 self.until(lambda: not self.front.clients)
@@ -369,7 +372,7 @@
         self.there(next(iter(self.front.clients.values())))
         self.now += fronts.SILENT + 2 * fronts.SWEEP
         self.front._sweep()
-        self.assertEqual([event[0] for event in self.told], ["asked"])
+        self.assertEqual([type(event) for event in self.told], [RequestReceived])
         self.assertTrue(self.front.clients)
 
     def test_room_is_not_made_of_one_whose_answer_is_on_its_way(self):
@@ -378,10 +381,10 @@
         other = self.asked(second, rig.dispatch(1, rig.fields(B)), 2)
         with patch.object(write_buffer.WriteBuffer, "pump"):  # the kernel takes nothing for now
             known = ask.client
-            real = known.outbox.sock
-            known.outbox.sock = Mock(send=Mock(side_effect=BlockingIOError))
-            ask.ok(b"done", 1)
-            known.outbox.sock = real
+            real = known.write_buffer.sock
+            known.write_buffer.sock = Mock(send=Mock(side_effect=BlockingIOError))
+            ask.succeed(b"done", 1)
+            known.write_buffer.sock = real
             third = self.client()
             self.until(lambda: self.front.counts["accepted"] == 3)
             self.assertEqual(self.front.counts["no_room"], 1)
@@ -389,7 +392,7 @@
         self.assertEqual(first.answer(), (1, "answer", b"done"))
         self.until(third.waits)
         self.assertEqual(third.answer()[1], "closed")
-        other.ok(b"done", 1)
+        other.succeed(b"done", 1)
         self.until(second.waits)
         self.assertEqual(second.answer()[1], "answer")
 
@@ -398,10 +401,10 @@
         ask = self.asked(client, rig.dispatch(1, rig.fields(A)))
         known = ask.client
         self.loop.fault = Mock()
-        with patch.object(fronts.thrift, "read", side_effect=ZeroDivisionError):
+        with patch.object(client_connection.thrift, "read", side_effect=ZeroDivisionError):
             client.send(rig.dispatch(2, rig.fields(B)))
             self.until(lambda: known.ending)
-        ask.ok(b"done", 1)
+        ask.succeed(b"done", 1)
         self.until(client.waits)
         self.assertEqual(client.answer(), (1, "answer", b"done"))
 
@@ -412,16 +415,17 @@
                 self.told.clear()
                 client = self.client()
                 ask = self.asked(client, rig.dispatch(1, rig.fields(A)))
-                self.assertTrue(ask.wanted())
-                ask.told = 1
+                self.assertTrue(ask.still_wanted())
+                ask.router_id = 1
                 if leaves == "close":
                     client.close()
                 else:
                     client.send(rig.cancel(2, 1))
                 self.there(ask.client)
                 self.now += 100
-                self.assertFalse(ask.wanted())
-                self.assertEqual(self.told[1:], [("gone", [ask]) if leaves == "close" else ("left", ask)])
+                self.assertFalse(ask.still_wanted())
+                want = ("closed", [ask]) if leaves == "close" else ("cancelled", ask)
+                self.assertEqual([plain(event) for event in self.told[1:]], [want])
 
 
 class Attempts(Timed):
@@ -444,7 +448,7 @@
         self.until(lambda: self.held, "the call-out")
         before = sum(len(worker.came(b"invoke")) for worker in workers)
         self.now += 150
-        known = next(iter(serving.front.clients.values()))
+        known = next(iter(serving.client_server.clients.values()))
         if how == "closes":
             client.close()
         elif how == "cancels":
@@ -458,7 +462,7 @@
         if how == "stays":
             self.until(lambda: self.held, "the retry")
         else:
-            self.until(lambda: not serving.desk.asks, "the end of the request")
+            self.until(lambda: not serving.coordinator.requests.by_id, "the end of the request")
         for _ in range(10):
             self.turn()
         return sum(len(worker.came(b"invoke")) for worker in workers) - before
@@ -484,25 +488,28 @@
     def test_the_module_breaks_as_it_is_told_of_it(self):
         serving = self.front_end(self.worker())
         client = self.idle_client()
-        with patch.object(serving.desk.router, "request_received", side_effect=ZeroDivisionError):
+        with patch.object(serving.coordinator.router, "request_received", side_effect=ZeroDivisionError):
             self.send(client, rig.dispatch(2, rig.fields(A), b"a"))
-            self.until(lambda: serving.desk.counts["faults"] == 1, "the fault")
+            self.until(lambda: serving.coordinator.counts["faults"] == 1, "the fault")
         self.after(1600)
         self.assertEqual(self.answer(client)[1], "fault")
-        self.assertEqual(serving.desk.asks, {})
+        self.assertEqual(serving.coordinator.requests.by_id, {})
 
     def test_the_desk_breaks_before_it_has_taken_it(self):
         serving = self.front_end(self.worker())
         client = self.idle_client()
-        serving.desk.breaker = Mock(turned_away=Mock(side_effect=ZeroDivisionError))
+        serving.coordinator.isolation.breaker = Mock(turned_away=Mock(side_effect=ZeroDivisionError))
         self.send(client, rig.dispatch(2, rig.fields(A), b"a"))
         self.assertEqual(self.answer(client)[1], "shed")
-        self.assertEqual((serving.desk.counts["faults"], serving.desk.asks, serving.front.open), (1, {}, {}))
+        self.assertEqual(
+            (serving.coordinator.counts["faults"], serving.coordinator.requests.by_id, serving.client_server.open),
+            (1, {}, {}),
+        )
 
     def test_one_decision_that_breaks_keeps_no_other_back(self):
         serving = self.front_end(self.worker())
         clients = [self.idle_client() for _ in range(3)]
-        verb, broken = serving.desk.actions[Forward], []
+        verb, broken = serving.coordinator.actions[Forward], []
 
         def call(decision):
             if not broken:
@@ -510,20 +517,20 @@
                 raise ZeroDivisionError
             verb(decision)
 
-        serving.desk.actions[Forward] = call
+        serving.coordinator.actions[Forward] = call
         for number, client in enumerate(clients):
             self.send(client, rig.dispatch(2, rig.fields(f"{number:016x}"), b"a"))
-        serving.front.heard_more()  # all three are decided in one pull
+        serving.client_server.heard_more()  # all three are decided in one pull
         for client in clients[1:]:
             self.assertEqual(self.answer(client)[1], "answer")
         self.after(1600)
         self.assertIn(self.answer(clients[0])[1], ("shed", "fault"))
-        self.assertEqual(serving.desk.asks, {})
+        self.assertEqual(serving.coordinator.requests.by_id, {})
 
     def test_an_answer_goes_out_where_taking_back_breaks(self):
         serving = self.front_end(self.worker())
         client = self.idle_client()
-        with patch.object(serving.desk, "_unsend", side_effect=ZeroDivisionError):
+        with patch.object(serving.coordinator.requests, "withdraw_unsent", side_effect=ZeroDivisionError):
             self.send(client, rig.dispatch(2, rig.fields(A), b"a"))
             self.assertEqual(self.answer(client), (2, "answer", b"did a"))
 
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -45,7 +45,7 @@
 
     def tell(self, *instances, reset=False):
         self.offset += 1
-        return self.roster.rows([rig.event(self.offset, *instances, reset=reset)], self.clocks.now)
+        return self.roster.apply([rig.event(self.offset, *instances, reset=reset)], self.clocks.now)
 
     def age(self, name):
         return self.clocks.now - self.roster.listed[name][0].started_at
@@ -144,7 +144,7 @@
                 clocks.ours += step  # wrong at first, and right when the list is read
                 view = endpoint_list.EndpointList(("hall",), ("std",), clocks.ahead)
                 clocks.ours -= step
-                view.rows([rig.event(1, late(started=clocks.stamp(100.0)), reset=True)], clocks.now)
+                view.apply([rig.event(1, late(started=clocks.stamp(100.0)), reset=True)], clocks.now)
                 self.assertIn(clocks.now - view.listed["a"][0].started_at, (0.0, 100.0))
 
     def test_no_late_start_stays_none(self):
@@ -191,7 +191,7 @@
                 clocks.now += 60 * SECOND
                 clocks.writers += step
                 change = view.tell(late("a", clocks.stamp(100.0)))
-                self.assertEqual([row.ident for row in change.listings], ["a"])
+                self.assertEqual([row.ident for row in change.endpoints], ["a"])
                 self.assertTrue(0.0 <= view.age("a") <= endpoint_list.PROMPT)
 
     def test_deleted_starts_are_kept_within_a_bound(self):
@@ -340,8 +340,8 @@
                         stepped.ms = step
                         started, began = int(time.time() * 1000), service.clock()
                         source.event(rig.event(2, rig.instance("w1", two.address, startedAtMs=started)))
-                        self.until(lambda serving=serving: serving.roster.offset == 2)
-                        born = serving.desk.router.workers["w1"].warming_since
+                        self.until(lambda serving=serving: serving.endpoints.offset == 2)
+                        born = serving.coordinator.router.workers["w1"].warming_since
                         self.assertGreaterEqual(born, began - 1.0)  # the stamp is cut to whole ms
                         self.assertLessEqual(born, service.clock())
                         self.end()
--- a/tests/test_configuration_faults.py
+++ b/tests/test_configuration_faults.py
@@ -31,10 +31,12 @@
                     self.log.reset_mock()
                     with (
                         patch.object(configuration, "open", failing, create=True),
-                        patch.object(service, "REREAD", 1.0),
+                        patch.object(service, "REREAD_AFTER", 1.0),
                     ):
                         serving._read(1, None)
-                        self.until(lambda address=address: serving.bus.address == configuration.address(address, ""))
+                        self.until(
+                            lambda address=address: serving.discovery.address == configuration.address(address, "")
+                        )
                     said = [call.args[0] for call in self.log.warning.call_args_list]
                     self.assertEqual(said.count("configuration not read yet"), 1)
 
@@ -43,8 +45,10 @@
         with open(self.path, "w") as out:
             out.write("{")
         serving._read(1, None)
-        self.until(lambda: not serving.asked_to_read)
-        self.assertEqual((serving.rereading, serving.bus.address), (False, configuration.address(NOWHERE, "")))
+        self.until(lambda: not serving.reload_asked)
+        self.assertEqual(
+            (serving.reload_pending, serving.discovery.address), (False, configuration.address(NOWHERE, ""))
+        )
 
 
 class Admission(Handed):
@@ -53,12 +57,12 @@
         worker = self.worker()
         serving, client = self.front_end(worker.address), self.client()
         queued = []
-        with patch.object(serving.front, "take", queued.append):
+        with patch.object(serving.client_server, "post", queued.append):
             client.send(rig.dispatch(1, rig.fields(d="4000"), b"slow"))
             self.until(lambda: queued, "the request")
-        ((_, ask),) = queued
-        ask.begun -= 1500.0
-        serving.desk.take(queued[0])
+        ask = queued[0].pending
+        ask.received_at -= 1500.0
+        serving.coordinator.post(queued[0])
         self.at_worker(1)
         fields = dict(pair.split(b"=") for pair in self.held[0][1][2].split(b","))
         self.assertLessEqual(int(fields[b"ttl"]), 2500)
@@ -68,12 +72,12 @@
         worker = self.worker()
         serving, client = self.front_end(worker.address), self.client()
         queued = []
-        with patch.object(serving.front, "take", queued.append):
+        with patch.object(serving.client_server, "post", queued.append):
             client.send(rig.dispatch(1, rig.fields(d="4000")))
             self.until(lambda: queued, "the request")
-        ((_, ask),) = queued
-        ask.begun -= 4000.0
-        serving.desk.take(queued[0])
+        ask = queued[0].pending
+        ask.received_at -= 4000.0
+        serving.coordinator.post(queued[0])
         self.assertEqual(self.answer(client)[1], "shed")
 
 
--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -15,10 +15,11 @@
 from tests import platform_rig as rig
 from tests.test_fleet import ASCII_A, ASCII_B, Full
 from tests.test_platform import Turned
+from wickdyke.platform import connection_pool
 from wickdyke.gateway import worker_client as rpc_link
 from wickdyke.gateway import worker_protocol as rpc_speech
 from wickdyke.routing.model import RequestClass
-from wickdyke.platform import worker_client
+from wickdyke.platform import worker_client, worker_command, worker_connection, worker_protocol
 from wickdyke.transport import event_loop
 from wickdyke.transport.write_buffer import Expired, WriteBuffer, OutgoingMessage, PeerTooSlow
 
@@ -182,17 +183,17 @@
 
     def setUp(self):
         super().setUp()
-        self.pool = worker_client.ConnectionPool(20)
-        self.clock = Clock(self, worker_client)
-        self.speech = worker_client.PlatformWorkerProtocol(
+        self.pool = connection_pool.ConnectionPool(20)
+        self.clock = Clock(self, worker_client, worker_command, worker_connection, worker_protocol)
+        self.speech = worker_protocol.PlatformWorkerProtocol(
             self.loop, SimpleNamespace(instance=SimpleNamespace(report_fields=())), Mock(), 20
         )
 
     def link(self, address, dial=60000.0):
-        def tell(*event):
-            self.told.append((event[2].ident, event[3]))
+        def notify(event):
+            self.told.append((event.command.ident, event.outcome))
 
-        made = worker_client.WorkerClient("w", address, tell, self.loop, self.pool, dial, 10000.0, ())
+        made = worker_client.WorkerClient("w", address, notify, self.loop, self.pool, dial, 10000.0, ())
         self.addCleanup(made.close)
         return made
 
@@ -211,13 +212,13 @@
         return here
 
     def order(self, left, ident=ASCII_A, body=b"x"):
-        return self.speech.run(attempt(), ask(ident, body), left)
+        return self.speech.attempt_command(attempt(), ask(ident, body), left)
 
     def test_told_at_most_what_is_left(self):
         """(ms left as it is sent) -> ttl, or None where it is not sent."""
         for left, ttl in ((1500.0, 1500), (1499.99, 1499), (1.5, 1), (0.4, 1), (0.0, None), (-3.0, None)):
             with self.subTest(left):
-                line = self.order(left).line
+                line = self.order(left).render()
                 self.assertEqual(line and told_left([None, None, line.split(b"\r\n")[6]]), ttl)
 
     def test_a_connection_that_comes_up_late(self):
@@ -248,7 +249,7 @@
                 link.send(self.order(1500.0))
                 link.at = here
                 self.clock.now += gone
-                link.connections[0]._late()
+                link.connections[0]._timed_out()
                 if told is None:
                     self.assertEqual((self.told, link.connections, self.pool.used), ([(ASCII_A, "unsent")], [], 0))
                     continue
@@ -264,19 +265,19 @@
                 link.send(self.order(9000.0))
                 self.until(lambda held=held: held)
                 conn = link.connections[0]
-                conn.outbox.sock = Socket(BlockingIOError())
+                conn.write_buffer.sock = Socket(BlockingIOError())
                 conn.send(order := self.order(1500.0, ASCII_B))
-                self.assertFalse(order.parcel.begun)
+                self.assertFalse(order.message.begun)
                 self.clock.now += waits
-                conn.outbox.sock = conn.sock
+                conn.write_buffer.sock = conn.sock
                 if told is None:
                     self.until(lambda: self.told)
                     self.assertEqual((self.told, list(conn.open)), ([(ASCII_B, "unsent")], [ASCII_A]))
-                    self.assertFalse(link.unsend(order))
+                    self.assertFalse(link.withdraw_unsent(order))
                 else:
                     self.until(lambda held=held: len(held) == 2)
                     self.assertEqual(told_left(held[1][1]), told)
-                self.assertEqual((conn.outbox.held, conn.closed), (0, False))
+                self.assertEqual((conn.write_buffer.held, conn.closed), (0, False))
                 link.close()
 
     def test_what_has_ended_is_free_without_the_collector(self):
@@ -289,15 +290,15 @@
                 link.send(self.order(9000.0))
                 self.until(lambda held=held: held)
                 conn = link.connections[0]
-                conn.outbox.sock = Socket(BlockingIOError())
+                conn.write_buffer.sock = Socket(BlockingIOError())
                 order = self.order(1500.0, ASCII_B)
                 conn.send(order)
                 kept = weakref.ref(order.key)
                 if how == "withdrawn":
-                    self.assertTrue(link.unsend(order))
+                    self.assertTrue(link.withdraw_unsent(order))
                 elif how == "over":
                     self.clock.now += 1500.0
-                conn.outbox.sock = conn.sock
+                conn.write_buffer.sock = conn.sock
                 if how == "sent":
                     self.until(lambda held=held: len(held) == 2)
                     held[1][0].sendall(rig.bulk(ASCII_B, b"ACK", b"-", b""))
@@ -312,8 +313,8 @@
         link = self.link(Full(self).address, dial=60000.0)
         link.send(order := self.order(10.0))
         self.clock.now += 20.0
-        self.assertTrue(link.unsend(order))
-        self.assertEqual((self.told, link.connections[0].load), ([], 0))
+        self.assertTrue(link.withdraw_unsent(order))
+        self.assertEqual((self.told, link.connections[0].commands_in_flight), ([], 0))
 
 
 class JsonRpc(unittest.TestCase):
@@ -344,7 +345,7 @@
         return link, told
 
     def order(self, left):
-        return self.speech.run(attempt(), ask(body=msgspec.Raw(b'"x"')), left)
+        return self.speech.attempt_command(attempt(), ask(body=msgspec.Raw(b'"x"')), left)
 
     def test_a_hello_that_comes_late(self):
         """(ms until it comes) -> told what is left; where nothing is, never sent."""
@@ -353,32 +354,32 @@
             link.send(self.order(left))
         self.clock.now += 600.5
         self.go.set()
-        ends = sorted(told.next("back")[3] for _ in range(2))
+        ends = sorted(told.next("finished")[3] for _ in range(2))
         self.assertEqual((ends, [run["time_left_ms"] for run in self.runs]), (["ok", "unsent"], [899.5]))
 
     def test_over_behind_what_the_worker_does_not_read(self):
         """It never began: it ends as never sent, once, also where the link is to end with it."""
         link, told = self.link()
         self.go.set()
-        told.next("hello")
+        told.next("connected")
         link.send(self.order(900.0))  # returns once the link has its outbox
-        self.assertEqual(told.next("back")[3], "ok")
+        self.assertEqual(told.next("finished")[3], "ok")
         order = self.order(900.0)
-        put = link.outbox.put
+        put = link.write_buffer.put
 
         def behind(parcel):  # as where others wait: it is the thread's to write
-            with link.outbox.lock:
+            with link.write_buffer.lock:
                 parcel.held = len(parcel.rendered())
-                link.outbox.held += parcel.held
-                link.outbox.waiting.append(parcel)
+                link.write_buffer.held += parcel.held
+                link.write_buffer.waiting.append(parcel)
                 return False
 
-        with patch.object(link.outbox, "put", behind):
+        with patch.object(link.write_buffer, "put", behind):
             link.send(order)
         self.clock.now += 900.0
-        link.retired = True
+        link.draining = True
         put(OutgoingMessage(b"\n"))  # wakes the thread
-        self.assertEqual(told.next("back")[2:4], (order, "unsent"))
+        self.assertEqual(told.next("finished")[2:4], (order, "unsent"))
         link.thread.join(20)
         self.assertFalse(link.thread.is_alive())
         self.assertEqual(len(self.runs), 1)
--- a/tests/test_desk.py
+++ b/tests/test_desk.py
@@ -117,14 +117,17 @@
                 client = running.client()
                 client.ask("x")
                 self.assertTrue(
-                    until(lambda running=running: running.desk.asks and next(iter(running.desk.asks.values())).orders)
+                    until(
+                        lambda running=running: running.coordinator.requests.by_id
+                        and next(iter(running.coordinator.requests.by_id.values())).commands
+                    )
                 )
                 if how == "cancel":
                     client.tell(jsonrpc.told_line("cancel", b'{"id":"x"}'))
                 else:
                     client.close()
                 self.assertTrue(cancelled.wait(LONG))
-                self.assertTrue(until(lambda running=running: not running.desk.asks))
+                self.assertTrue(until(lambda running=running: not running.coordinator.requests.by_id))
                 if how == "cancel":
                     client.ask("x")  # the id is free again
                 client.close()
@@ -134,11 +137,11 @@
         with Running((silent,)) as running:
             client = running.client()
             client.ask("x")
-            self.assertTrue(until(lambda: running.desk.asks))
-            first = next(iter(running.desk.asks.values()))
+            self.assertTrue(until(lambda: running.coordinator.requests.by_id))
+            first = next(iter(running.coordinator.requests.by_id.values()))
             client.tell(jsonrpc.told_line("cancel", b'{"id":"x"}'))
             client.ask("x")
-            self.assertTrue(until(lambda: any(ask is not first for ask in running.desk.asks.values())))
+            self.assertTrue(until(lambda: any(ask is not first for ask in running.coordinator.requests.by_id.values())))
             first.answer(b'{"wrong":1}')
             client.sock.settimeout(0.2)
             with self.assertRaises(TimeoutError):
@@ -150,9 +153,9 @@
         with Running((silent,), deadline="700 ms", soft="600 ms", more="(call-outs (cancel no))") as running:
             client = running.client()
             client.ask(1)
-            self.assertTrue(until(lambda: running.desk.asks))
+            self.assertTrue(until(lambda: running.coordinator.requests.by_id))
             client.close()
-            self.assertTrue(until(lambda: not running.desk.asks))
+            self.assertTrue(until(lambda: not running.coordinator.requests.by_id))
 
     def test_payload(self):
         """A payload of megabytes goes through as it is, to the worker and back."""
@@ -181,10 +184,10 @@
         with Running((deaf,), deadline="60 s", soft="50 s") as running:
             client = running.client()
             client.ask(1, input="x" * (8 << 20))
-            self.assertTrue(until(lambda: any(ask.orders for ask in running.desk.asks.values())))
+            self.assertTrue(until(lambda: any(ask.commands for ask in running.coordinator.requests.by_id.values())))
             client.close()
             self.assertTrue(until(lambda: "link cut" in running.said.getvalue()))
-            self.assertTrue(until(lambda: not running.desk.asks))
+            self.assertTrue(until(lambda: not running.coordinator.requests.by_id))
 
 
 class Lists(unittest.TestCase):
@@ -202,7 +205,7 @@
             self.assertEqual(running.said.getvalue().count("list unusable"), 5)
             os.unlink(os.path.join(running.folder, "workers.sexp"))
             self.assertTrue(until(lambda: running.said.getvalue().count("list unusable") == 6))
-            self.assertEqual(len(list(running.desk.router.fleet.ready())), 1)
+            self.assertEqual(len(list(running.coordinator.router.fleet.ready())), 1)
 
     def test_changes(self):
         """(rows written) -> who is ready then."""
@@ -223,7 +226,9 @@
                 with self.subTest(rows=rows):
                     self.assertTrue(
                         until(
-                            lambda ready=ready: sorted(w.endpoint.ident for w in running.desk.router.fleet.ready())
+                            lambda ready=ready: sorted(
+                                w.endpoint.ident for w in running.coordinator.router.fleet.ready()
+                            )
                             == ready
                         )
                     )
@@ -235,9 +240,9 @@
             for at in range(40):
                 client.ask(at, program=f"p{at}")
                 self.assertIn("result", client.answer())
-                if not any(w.endpoint.ident == "w0" for w in running.desk.router.fleet.ready()):
+                if not any(w.endpoint.ident == "w0" for w in running.coordinator.router.fleet.ready()):
                     break
-            self.assertEqual([w.endpoint.ident for w in running.desk.router.fleet.ready()], ["w1"])
+            self.assertEqual([w.endpoint.ident for w in running.coordinator.router.fleet.ready()], ["w1"])
             client.close()
 
     def test_restart_is_known(self):
@@ -254,15 +259,15 @@
                 pass
 
         with Running((play,), more="") as running:
-            worker = running.desk.router.workers["w0"]
+            worker = running.coordinator.router.workers["w0"]
             again.set()
-            self.assertTrue(until(lambda: running.desk.router.workers["w0"] is not worker))
-            self.assertGreater(running.desk.router.workers["w0"].warming_since, time.monotonic() * 1000 - 20000)
+            self.assertTrue(until(lambda: running.coordinator.router.workers["w0"] is not worker))
+            self.assertGreater(running.coordinator.router.workers["w0"].warming_since, time.monotonic() * 1000 - 20000)
 
 
 def _ended(running):
     """Call-outs whose time was up, or that the module took back before."""
-    return running.desk.counts["call_outs_timeout"] + running.desk.counts["call_outs_cancelled"]
+    return running.coordinator.counts["call_outs_timeout"] + running.coordinator.counts["call_outs_cancelled"]
 
 
 class Routed(unittest.TestCase):
@@ -286,21 +291,23 @@
         with Running((silent, silent), routes=self.ROUTE % (9000, 1), tape=True) as running:
             client = running.client()
             client.ask(1, program="pa")
-            self.assertTrue(until(lambda: running.desk.asks))
-            before = next(iter(running.desk.asks.values())).timing
+            self.assertTrue(until(lambda: running.coordinator.requests.by_id))
+            before = next(iter(running.coordinator.requests.by_id.values())).timing
             for bad in (self.ROUTE % (200, 1), "(route", self.ROUTE % (9000, 9)):
                 said = running.said.getvalue().count("routes unusable")
                 running.route(bad)
                 self.assertTrue(until(lambda said=said: running.said.getvalue().count("routes unusable") == said + 1))
-            self.assertEqual(running.gateway.door.routes.find("idem", "p").terms.deadline, 9000)
+            self.assertEqual(running.gateway.client_server.routes.find("idem", "p").terms.deadline, 9000)
             running.route(self.ROUTE % (7000, 2))
-            self.assertTrue(until(lambda: running.gateway.door.routes.find("idem", "p").terms.deadline == 7000))
+            self.assertTrue(
+                until(lambda: running.gateway.client_server.routes.find("idem", "p").terms.deadline == 7000)
+            )
             client.ask(2, program="pb")
             answers = {each["id"]: each["error"]["data"]["why"] for each in (client.answer(), client.answer())}
             self.assertEqual(answers, {1: "timeout", 2: "timeout"})
             self.assertEqual((before.attempts, _ended(running)), (1, 3))
             client.close()
-            running.gateway.tape.close()
+            running.gateway.recorder.close()
             with open(running.station.tape, "rb") as source:
                 self.assertIsNone(recording.replay(source)[1])
 
@@ -315,7 +322,7 @@
         with Running((silent, silent), routes=bare % "", more="(call-outs (most 3) (dial 200 ms))") as running:
 
             def named():
-                return [route.name for route in running.gateway.door.routes.routes]
+                return [route.name for route in running.gateway.client_server.routes.routes]
 
             def said():
                 return running.said.getvalue().count("routes unusable")
@@ -324,7 +331,9 @@
             self.assertTrue(until(lambda: said() == 1))
             self.assertIn('route \\"r\\" is gone', running.said.getvalue())
             running.route(bare % " (floor 1)")
-            self.assertTrue(until(lambda: running.gateway.door.routes.routes[0].stated["budget"][0].floor == 1))
+            self.assertTrue(
+                until(lambda: running.gateway.client_server.routes.routes[0].stated["budget"][0].floor == 1)
+            )
             running.route(other)
             self.assertTrue(until(lambda: named() == ["s"]))
             self.assertLessEqual(said(), 2)
@@ -374,7 +383,7 @@
                 self.assertEqual(said["answer"], "denied")
                 if said["why"] == "load-failed":
                     self.assertLessEqual(0, said["retry_after_ms"])
-            self.assertGreater(running.desk.counts["turned_away_load-failed"], 20)
+            self.assertGreater(running.coordinator.counts["turned_away_load-failed"], 20)
             self.assertLess(sum(seen.values()), 20)
             client.ask("other", program="pgood")
             self.assertEqual(client.answer()["result"]["answer"], "ok")
@@ -438,10 +447,10 @@
                     for ident in range(3):
                         client.ask(ident, "side", input={"n": "bad"})
                         self.assertEqual(client.answer()["error"]["data"]["answer"], "aborted")
-                        self.assertTrue(until(lambda running=running: not running.desk.breaker.cuts))
-                        if "p" in running.desk.breaker.calls.barred:
+                        self.assertTrue(until(lambda running=running: not running.coordinator.isolation.breaker.cuts))
+                        if "p" in running.coordinator.isolation.breaker.calls.barred:
                             break
-                    self.assertEqual("p" in running.desk.breaker.calls.barred, barred)
+                    self.assertEqual("p" in running.coordinator.isolation.breaker.calls.barred, barred)
                     client.close()
 
 
@@ -461,12 +470,12 @@
             got = {client.answer()["id"] for _ in range(150)}
             self.assertEqual(got, set(range(150)))
             client.close()
-            running.gateway.door.shut()
-            running.desk.end()
-            running.gateway.tape.close()
+            running.gateway.client_server.shut()
+            running.coordinator.end()
+            running.gateway.recorder.close()
             with open(running.station.tape, "rb") as source:
                 lines = source.readlines()
-            running.desk.events.put(None)
+            running.coordinator.events.put(None)
             alike, differs = recording.replay(lines)
             self.assertIsNone(differs)
             self.assertGreater(alike, 150)
@@ -475,7 +484,7 @@
             self.assertIn("decided", recording.replay(changed)[1])
             cut_off = [*lines[:-1], lines[-1][:5]]
             self.assertIsNone(recording.replay(cut_off)[1])
-            running.gateway.desk.end = lambda: None  # ended already
+            running.gateway.coordinator.end = lambda: None  # ended already
 
     def test_slow_disk(self):
         """A recording that can't be written as fast stops and says so; nobody waits for it."""
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -9,6 +9,7 @@
 from hypothesis import strategies as st
 
 from tests.rig import LONG, Client, Running, hello, lines_of, until, willing
+from wickdyke.gateway.events import RequestReceived
 from wickdyke.protocol import jsonrpc
 
 
@@ -225,7 +226,7 @@
                 client = running.client()
                 for at in range(5):
                     client.ask(at)
-                self.assertTrue(until(lambda running=running: len(running.desk.asks) == 5))
+                self.assertTrue(until(lambda running=running: len(running.coordinator.requests.by_id) == 5))
                 client.ask(6)
                 got = client.answer()
                 self.assertEqual((got["id"], got["error"]["data"]["why"]), (6, why))
@@ -234,8 +235,8 @@
     def test_overrun(self):
         """Past the desk's queue of events an RPC is denied at once; those in it are answered when it goes on."""
         with Running(more="(bounds (events 10))") as running:
-            go, asked = threading.Event(), running.desk.handlers["asked"]
-            running.desk.handlers["asked"] = lambda ask: (go.wait(LONG), asked(ask))
+            go, asked = threading.Event(), running.coordinator.handlers[RequestReceived]
+            running.coordinator.handlers[RequestReceived] = lambda event: (go.wait(LONG), asked(event))
             client = running.client()
             for at in range(40):
                 client.ask(at)
@@ -275,9 +276,11 @@
                 other.ask(at)
                 got = other.answer()  # ok, or denied where the flood has taken all places
                 self.assertTrue(got["id"] == at and ("result" in got or got["error"]["code"] == -32001), got)
-            self.assertTrue(until(lambda: running.gateway.door.counts["unread"] == 1), running.gateway.door.counts)
+            self.assertTrue(
+                until(lambda: running.gateway.client_server.counts["unread"] == 1), running.gateway.client_server.counts
+            )
             self.assertTrue(sent.wait(LONG))
-            self.assertTrue(until(lambda: not running.desk.asks))
+            self.assertTrue(until(lambda: not running.coordinator.requests.by_id))
             self.assertTrue(until(lambda: "does not read" in running.said.getvalue()))
             for each in (deaf, other):
                 each.close()
@@ -292,11 +295,11 @@
                 got = [client.answer() for _ in range(50)]
                 self.assertEqual(sorted(each["id"] for each in got), list(range(50)))
                 self.assertTrue(all("result" in each or each["error"]["code"] == -32001 for each in got))
-            self.assertEqual(running.desk.counts["unanswered"], 0)
+            self.assertEqual(running.coordinator.counts["unanswered"], 0)
             for client in clients:
                 client.close()
-            self.assertTrue(until(lambda: not running.gateway.door.clients))
-            self.assertTrue(until(lambda: not running.desk.asks))
+            self.assertTrue(until(lambda: not running.gateway.client_server.clients))
+            self.assertTrue(until(lambda: not running.coordinator.requests.by_id))
 
     def test_half_lines(self):
         """Those that never end their line cost a thread each and nothing else."""
@@ -324,12 +327,12 @@
             gateway = Gateway(made.station, made.log)
             gateway.open()
             try:
-                self.assertTrue(until(lambda: any(gateway.desk.router.fleet.ready())))
+                self.assertTrue(until(lambda: any(gateway.coordinator.router.fleet.ready())))
                 with socket.create_connection(("127.0.0.1", port), LONG) as sock:
                     sock.sendall(CALL % 1)
                     self.assertIn(b'"ok"', sock.makefile("rb").readline())
             finally:
-                gateway.door.shut()
+                gateway.client_server.shut()
                 gateway.close()
 
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -22,11 +22,13 @@
 
 from tests import platform_rig as rig
 from tests.test_platform import Turned
+from wickdyke.platform import requests
+from wickdyke.gateway.interfaces import CommandKind
+from wickdyke.platform import worker_client, worker_command, connection_pool, worker_protocol, worker_connection
+from wickdyke.gateway.events import ClientClosed, EndpointsReceived
 from wickdyke.routing.model import RequestClass
 from wickdyke.platform import (
-    worker_client,
     discovery,
-    client_server,
     resp,
     endpoint_list,
     service,
@@ -126,12 +128,12 @@
         return self.serving
 
     def end(self):
-        for client in list(self.serving.front.clients.values()):
+        for client in list(self.serving.client_server.clients.values()):
             client.close()
-        for link in list(self.serving.desk.links.values()):
+        for link in list(self.serving.coordinator.workers.clients.values()):
             link.close()
-        self.serving.bus.close()
-        self.serving.front.shut()
+        self.serving.discovery.close()
+        self.serving.client_server.shut()
         self.serving.loop.close()
 
     def until(self, done, what="it"):
@@ -164,8 +166,8 @@
         whole = rig.dispatch(1, rig.fields(B), b"b")
         half.send(whole[:25])
         self.at_worker(1)
-        self.until(lambda: any(client.frames.begun for client in serving.front.clients.values()))
-        shut, waiting = serving.front.shut, []
+        self.until(lambda: any(client.frames.begun for client in serving.client_server.clients.values()))
+        shut, waiting = serving.client_server.shut, []
 
         def just_before():  # taken by the kernel, and not by the program, as the door is shut
             if not waiting:
@@ -173,11 +175,11 @@
                 waiting[0].send(rig.dispatch(1, rig.fields(C), b"c"))
             shut()
 
-        serving.front.shut = just_before
+        serving.client_server.shut = just_before
         serving._end(signal.SIGTERM, None)
-        serving.asked_to_end -= service.GRACE  # it is long ago: the door is shut in the next turn
+        serving.shutdown_asked_at -= service.GRACE_PERIOD  # it is long ago: the door is shut in the next turn
         self.assertTrue(serving.turn())
-        self.assertTrue(serving.front.shut_down)
+        self.assertTrue(serving.client_server.shut_down)
         half.send(whole[25:])
         self.assertEqual(self.answer(waiting[0]), (1, "answer", b"did c"))
         self.assertEqual(self.answer(half), (1, "answer", b"did b"))
@@ -193,8 +195,8 @@
         client.send(rig.alive(1))
         self.answer(client)
         serving._end(signal.SIGTERM, None)
-        serving.asked_to_end -= service.GRACE
-        flushed, sent = serving.front.flushed, []
+        serving.shutdown_asked_at -= service.GRACE_PERIOD
+        flushed, sent = serving.client_server.flushed, []
 
         def look():
             found = flushed()
@@ -203,7 +205,7 @@
                 sent.append(True)
             return found
 
-        serving.front.flushed = look
+        serving.client_server.flushed = look
         self.assertTrue(serving.turn())
         self.assertEqual(self.answer(client), (2, "answer", b"did a"))
         self.until(lambda: not serving.turn(), "the end")
@@ -214,10 +216,10 @@
         before = event_loop.clock()
         for handler in (signal.SIGTERM, signal.SIGINT):
             self.serving._end(handler, None)
-        self.assertTrue(before <= self.serving.asked_to_end <= event_loop.clock())
-        first = self.serving.asked_to_end
+        self.assertTrue(before <= self.serving.shutdown_asked_at <= event_loop.clock())
+        first = self.serving.shutdown_asked_at
         self.serving._end(signal.SIGTERM, None)
-        self.assertEqual(self.serving.asked_to_end, first)
+        self.assertEqual(self.serving.shutdown_asked_at, first)
         client = self.client()
         client.send(rig.alive(1))
         self.assertEqual(self.answer(client), (1, "bad", b""))
@@ -232,7 +234,7 @@
 
         with patch.object(socket, "socket", Noted):
             serving = self.front_end(self.worker().address)
-            serving.signals()
+            serving.handle_signals()
             for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
                 self.addCleanup(signal.signal, number, signal.SIG_DFL)
             os.kill(os.getpid(), signal.SIGTERM)
@@ -247,7 +249,7 @@
         return made
 
     def told(self, number):
-        self.until(lambda: self.serving.roster.offset >= number, f"event {number}")
+        self.until(lambda: self.serving.endpoints.offset >= number, f"event {number}")
 
     def test_a_new_configuration_while_a_worker_drains(self):
         """(where the drain is told) -> nothing goes there, and the numbers go on at the new address."""
@@ -284,8 +286,8 @@
         source.event(rig.event(2, here))
         self.told(2)
         for name in ("w0", "w1"):
-            serving.desk._link(name)
-        books, links = dict(serving.desk.router.workers), dict(serving.desk.links)
+            serving.coordinator.workers.client(name)
+        books, links = dict(serving.coordinator.router.workers), dict(serving.coordinator.workers.clients)
         self.assertEqual(set(links), {"w0", "w1"})
         cold = books["w1"].warming_since
         both = [rig.instance("w0", one.address), here]
@@ -293,22 +295,24 @@
         source.event(rig.event(3, both[0], reset=True))  # the number came before: it changes nothing
         source.event(rig.event(4, {**both[0], "lifecycle": "DRAINING"}, both[1], reset=True))
         self.told(4)
-        workers = serving.desk.router.workers
-        self.assertEqual((workers, serving.desk.links, workers["w1"].warming_since), (books, links, cold))
+        workers = serving.coordinator.router.workers
+        self.assertEqual(
+            (workers, serving.coordinator.workers.clients, workers["w1"].warming_since), (books, links, cold)
+        )
         self.assertEqual(workers["w0"].endpoint.state, "draining")
         source.event(rig.event(5, both[0], {**here, "startedAtMs": start + 400}))  # drain over; another start
         self.told(5)
         self.assertEqual((workers["w0"].endpoint.state, workers["w0"]), ("ready", books["w0"]))
         self.assertIsNot(workers["w1"], books["w1"])
         self.assertAlmostEqual(workers["w1"].warming_since, cold + 400, 3)
-        self.assertEqual(serving.desk.links, links)
+        self.assertEqual(serving.coordinator.workers.clients, links)
 
     def test_a_drain_and_its_end_at_once_is_no_change(self):
         source, one = self.lists(), self.worker()
         serving = self.front_end(one.address, bus=source.address)
         self.until(lambda: source.asked)
         row = rig.instance("w0", one.address)
-        before = dict(serving.desk.router.workers)
+        before = dict(serving.coordinator.router.workers)
         source.tell(
             "".join(
                 f"id: {told['offset']}\ndata: {json.dumps(told)}\n\n"
@@ -320,8 +324,8 @@
             ).encode()
         )
         self.told(4)
-        self.assertEqual(serving.desk.router.workers, before)
-        self.assertEqual(serving.desk.router.workers["w0"].endpoint.state, "ready")
+        self.assertEqual(serving.coordinator.router.workers, before)
+        self.assertEqual(serving.coordinator.router.workers["w0"].endpoint.state, "ready")
 
 
 class Asking(unittest.TestCase):
@@ -507,13 +511,13 @@
     def test_a_request_that_came_to_one_that_is_to_make_room(self):
         """All places are taken, and the one of least use has just asked, unread: it is read, and another goes."""
         serving = self.front_end(self.worker().address)
-        serving.front.most = 3
+        serving.client_server.most = 3
         clients = [self.client() for _ in range(3)]
         for at, client in enumerate(clients):
             client.send(rig.alive(1))
             self.answer(client)
-            next(c for c in serving.front.clients.values() if c.number == at + 1).used = float(at)
-        read, asked = serving.front.readable, []
+            next(c for c in serving.client_server.clients.values() if c.number == at + 1).used = float(at)
+        read, asked = serving.client_server.readable, []
 
         def accept():  # between the kernel's word of the new connection and its being taken
             if not asked:
@@ -521,7 +525,7 @@
                 asked.append(True)
             read()
 
-        serving.front.readable = accept
+        serving.client_server.readable = accept
         more = self.client()
         more.send(rig.alive(1))
         self.assertEqual(self.answer(clients[0]), (2, "answer", b"did a"))
@@ -534,12 +538,14 @@
         client = self.client()
         client.send(rig.dispatch(1, rig.fields(A), b"a"))
         self.answer(client)
-        link = serving.desk.links["w0"]
-        kept = [weakref.ref(thing) for thing in (link.connections[0], next(iter(serving.front.clients.values())))]
+        link = serving.coordinator.workers.clients["w0"]
+        kept = [
+            weakref.ref(thing) for thing in (link.connections[0], next(iter(serving.client_server.clients.values())))
+        ]
         gc.disable()
         self.addCleanup(gc.enable)
         client.close()
-        self.until(lambda: not serving.front.clients)
+        self.until(lambda: not serving.client_server.clients)
         link.connections[0].end("idle")
         serving.loop.timers.clear()  # when a connection would have been late
         self.assertEqual([each() for each in kept], [None, None])
@@ -555,7 +561,7 @@
                     )
                     client = self.client()
                     client.send(rig.dispatch(1, rig.fields(A, "pay"), b"x"))
-                    link = serving.desk.links["w0"]
+                    link = serving.coordinator.workers.clients["w0"]
                     self.until(lambda link=link: any(conn.pending for conn in link.connections))
                     if how == "cancel":
                         client.send(rig.cancel(2, 1))
@@ -568,10 +574,10 @@
                             client.sock.shutdown(socket.SHUT_WR)  # an end, with no reset for what it has not read
                         else:
                             client.close()
-                    self.until(lambda s=serving: s.desk.counts["left"], "its leaving")
+                    self.until(lambda s=serving: s.coordinator.counts["clients_gone"], "its leaving")
                     serving.turn()
-                    self.assertEqual(serving.desk.asks, {})
-                    self.assertFalse(any(conn.load for conn in link.connections))
+                    self.assertEqual(serving.coordinator.requests.by_id, {})
+                    self.assertFalse(any(conn.commands_in_flight for conn in link.connections))
                     self.assertEqual(self.faults(), [])
                     self.end()
 
@@ -583,20 +589,19 @@
                 serving = self.front_end(full.address, settings=self.settings(**{"dial-timeout": 60000000}))
                 client = self.client()
                 client.send(rig.dispatch(1, rig.fields(A, "pay"), b"x"))
-                link = serving.desk.links["w0"]
+                link = serving.coordinator.workers.clients["w0"]
                 self.until(lambda link=link: any(conn.pending for conn in link.connections))
-                serving.desk.take(
-                    (
-                        "rows",
+                serving.coordinator.post(
+                    EndpointsReceived(
                         [
                             rig.event(
                                 2, rig.instance("w0", full.address, lifecycle=state), rig.instance("w9", other.address)
                             )
-                        ],
+                        ]
                     )
                 )
                 self.assertEqual(self.answer(client), (1, "answer", b"did x"))
-                self.assertFalse(any(conn.load for conn in link.connections))
+                self.assertFalse(any(conn.commands_in_flight for conn in link.connections))
                 self.end()
 
     def test_between_two_call_outs(self):
@@ -607,9 +612,9 @@
         self.at_worker(1)
         client.close()
         gone = []
-        take = serving.front.take
-        serving.front.take = lambda event: (gone.append(event[0]), take(event))
-        self.until(lambda: "gone" in gone)
+        take = serving.client_server.post
+        serving.client_server.post = lambda event: (gone.append(type(event)), take(event))
+        self.until(lambda: ClientClosed in gone)
         sock, parts = self.held.pop()
         try:
             sock.sendall(rig.bulk(parts[1], b"AGAIN", b"-", b""))
@@ -617,7 +622,7 @@
             pass  # ended with the call-out
         for _ in range(4):
             serving.turn()
-        self.assertEqual((self.held, serving.desk.asks), ([], {}))
+        self.assertEqual((self.held, serving.coordinator.requests.by_id), ([], {}))
 
     def test_a_reset_under_an_answer(self):
         """The client's reset has come, unread, when the answer is written: its connection ends alone."""
@@ -631,17 +636,18 @@
         self.answer_held()
         self.answer_held(b"second")
         self.assertEqual(self.answer(good), (1, "answer", b"second"))
-        self.until(lambda: len(serving.front.clients) == 1)
-        self.assertEqual((serving.front.open, serving.desk.asks, self.faults()), ({}, {}, []))
+        self.until(lambda: len(serving.client_server.clients) == 1)
+        self.assertEqual((serving.client_server.open, serving.coordinator.requests.by_id, self.faults()), ({}, {}, []))
 
     def test_nothing_more_of_an_rpc_that_was_answered(self):
         """A call-out that has not begun as another one answers never goes out."""
         order = Mock()
-        order.link.unsend.return_value = True
+        order.link.withdraw_unsent.return_value = True
         self.front_end(self.worker().address)
-        ask = Mock(orders={"one": order}, told=None)
-        self.serving.desk._final(ask, "ok", b"", 1)
-        order.link.unsend.assert_called_once_with(order)
+        ask = Mock(commands={"one": order}, router_id=None)
+        ask.succeed.__name__ = "succeed"
+        self.serving.coordinator.requests.answer(ask, ask.succeed, b"", 1)
+        order.link.withdraw_unsent.assert_called_once_with(order)
 
 
 class Dialled(Turned):
@@ -649,13 +655,13 @@
 
     def setUp(self):
         super().setUp()
-        self.pool = worker_client.ConnectionPool(20)
+        self.pool = connection_pool.ConnectionPool(20)
 
     def link(self, address, dial=40.0):
         made = worker_client.WorkerClient(
             "w",
             address,
-            lambda *event: self.told.append((event[2].ident, event[3])),
+            lambda event: self.told.append((event.command.ident, event.outcome)),
             self.loop,
             self.pool,
             dial,
@@ -665,8 +671,10 @@
         self.addCleanup(made.close)
         return made
 
-    def order(self, ident=ASCII_A, kind="run"):
-        return worker_client.Command(kind, None, ident, resp.command(b"invoke", ident, b"lane=look,name=x,ttl=9", b"b"))
+    def order(self, ident=ASCII_A, kind=CommandKind.ATTEMPT):
+        return worker_command.Command(
+            kind, None, ident, resp.command(b"invoke", ident, b"lane=look,name=x,ttl=9", b"b")
+        )
 
     def held(self):
         """A link to a worker that answers nothing by itself, and what came there: (socket, command)."""
@@ -686,9 +694,9 @@
         """The first that does not come up is tried again; with the second in a row nobody is there."""
         link = self.link(Full(self).address)
         dials = []
-        init = worker_client.WorkerConnection.__init__
+        init = worker_connection.WorkerConnection.__init__
         with patch.object(
-            worker_client.WorkerConnection, "__init__", lambda *to: (dials.append(list(self.told)), init(*to))[1]
+            worker_connection.WorkerConnection, "__init__", lambda *to: (dials.append(list(self.told)), init(*to))[1]
         ):
             link.send(self.order())
             self.until(lambda: self.told)
@@ -699,19 +707,19 @@
         for at in range(5):
             link.send(self.order(b"%016d" % at))
         for conn in list(link.connections):
-            conn._late()
-        self.assertEqual((link.misses, self.told, len(link.connections)), (1, [], 5))
-        link.connections[0]._late()
+            conn._timed_out()
+        self.assertEqual((link.timeouts_in_row, self.told, len(link.connections)), (1, [], 5))
+        link.connections[0]._timed_out()
         self.assertEqual([outcome for _, outcome in self.told], ["unreached"])
 
     def test_one_that_came_up_takes_the_misses_back(self):
         worker = rig.Worker()
         self.addCleanup(worker.close)
         link = self.link(worker.address, dial=60000.0)
-        link.misses = 1
+        link.timeouts_in_row = 1
         link.send(self.order())
         self.until(lambda: self.told)
-        self.assertEqual((self.told, link.misses), ([(ASCII_A, "ok")], 0))
+        self.assertEqual((self.told, link.timeouts_in_row), ([(ASCII_A, "ok")], 0))
 
     def test_what_waits_for_a_connection_goes_on_one_that_idles(self):
         link, held = self.held()
@@ -719,7 +727,7 @@
         self.until(lambda: held)
         self.elsewhere(link)
         link.send(self.order(ASCII_B))
-        self.assertEqual([conn.load for conn in link.connections], [1, 1])
+        self.assertEqual([conn.commands_in_flight for conn in link.connections], [1, 1])
         for at in range(2):
             self.until(lambda at=at: len(held) > at)
             held[at][0].sendall(rig.bulk(held[at][1][1], b"ACK", b"-", b""))
@@ -729,15 +737,15 @@
 
     def test_a_drain_ends_what_has_not_gone(self):
         """(told how) -> what waits for a connection ends as never sent; nothing goes out later."""
-        for how in ("recall", "retire"):
+        for how in ("withdraw_all_unsent", "drain"):
             with self.subTest(how):
                 self.told.clear()
                 link = self.link(Full(self).address, dial=60000.0)
                 link.send(self.order())
-                link.send(self.order(b"t1", "hold"))
+                link.send(self.order(b"t1", CommandKind.PREWARM))
                 getattr(link, how)()
                 self.assertEqual(sorted(self.told), [(ASCII_A, "unsent"), (b"t1", "unsent")])
-                self.assertEqual([conn.load for conn in link.all()], [0] * len(link.all()))
+                self.assertEqual([conn.commands_in_flight for conn in link.all()], [0] * len(link.all()))
 
     def test_no_descriptor_is_no_word_of_the_worker(self):
         worker = rig.Worker()
@@ -745,7 +753,7 @@
         link = self.link(worker.address)
         with no_descriptor():
             link.send(self.order())
-            link.send(self.order(b"t1", "probe"))
+            link.send(self.order(b"t1", CommandKind.HEALTH_CHECK))
         self.assertEqual(self.told, [(ASCII_A, "unsent"), (b"t1", "unsent")])
         self.assertEqual((self.pool.used, link.all()), (0, []))
         link.send(self.order(ASCII_B))
@@ -761,7 +769,7 @@
         self.until(lambda: link.connections and link.connections[0].up)
         with no_descriptor():
             self.until(lambda: self.told)
-        self.assertEqual((self.told, link.doubt, link.check), ([(ASCII_A, "error")], [], None))
+        self.assertEqual((self.told, link.unresolved, link.probe_connection), ([(ASCII_A, "error")], [], None))
 
     def test_a_late_check_is_made_again_before_a_worker_is_gone(self):
         """(dials that come to nothing after the cut) -> error where a later one is met, cut where none is."""
@@ -772,12 +780,12 @@
                 self.until(lambda held=held: held)
                 here = self.elsewhere(link)
                 held[0][0].shutdown(socket.SHUT_RDWR)
-                self.until(lambda link=link: link.check is not None)
+                self.until(lambda link=link: link.probe_connection is not None)
                 for _ in range(misses):
                     self.assertEqual(self.told, [])
                     if misses == 1:
                         link.at = here
-                    link.check._late()
+                    link.probe_connection._timed_out()
                 self.until(lambda: self.told)
                 self.assertEqual(self.told, [(ASCII_A, outcome)])
 
@@ -790,20 +798,20 @@
                 self.until(lambda held=held: held)
                 self.elsewhere(link)
                 held[0][0].shutdown(socket.SHUT_RDWR)
-                self.until(lambda link=link: link.doubt)
+                self.until(lambda link=link: link.unresolved)
                 if how == "cancel":
                     self.assertEqual(link.cancel(order, lambda: None), "cancelled")
                 elif how == "forget":
-                    self.assertTrue(link.forget(order))
+                    self.assertTrue(link.abandon(order))
                 else:
-                    link.retire()
+                    link.drain()
                     self.assertFalse(link.closed)
-                self.assertFalse(link.unsend(order))
+                self.assertFalse(link.withdraw_unsent(order))
                 for _ in range(2):
-                    if link.check is not None:
-                        link.check._late()
+                    if link.probe_connection is not None:
+                        link.probe_connection._timed_out()
                 self.assertEqual(self.told, [(ASCII_A, "cut")] if how == "retire" else [])
-                self.assertEqual((link.doubt, link.closed), ([], how == "retire"))
+                self.assertEqual((link.unresolved, link.closed), ([], how == "retire"))
 
     def test_an_answer_that_stops_short(self):
         """The connection is of no further use, also where its call-out was only forgotten or ended by itself."""
@@ -816,7 +824,7 @@
                 held[0][0].sendall(whole[:-4] if how == "forget" else whole + whole[:-4])
                 self.until(lambda link=link: link.connections[0].answers.begun)
                 if how == "forget":
-                    self.assertTrue(link.forget(order))
+                    self.assertTrue(link.abandon(order))
                 self.assertFalse(any(conn.takes(ASCII_B) for conn in link.connections))
                 link.send(self.order(ASCII_B))
                 self.until(lambda held=held: len(held) == 2)
@@ -914,10 +922,12 @@
                     json.dump(given, out)
                 made = service.Service(configuration.read(path), path, Mock())
                 self.addCleanup(made.loop.close)
-                most, used = made.front.most + made.speech.pool.most, service.descriptors(limit)
-                self.assertLessEqual(most + used + service.KEPT - 1, limit)  # the loop's own was made in between
+                most, used = made.client_server.most + made.protocol.pool.most, service.open_descriptors(limit)
+                self.assertLessEqual(
+                    most + used + service.DESCRIPTORS_RESERVED - 1, limit
+                )  # the loop's own was made in between
                 self.assertGreater(most, limit / 2)
-                self.assertLessEqual(made.front.most, made.speech.pool.most)
+                self.assertLessEqual(made.client_server.most, made.protocol.pool.most)
 
 
 class CustomersOfOthers(unittest.TestCase):
@@ -934,7 +944,7 @@
 
         def read(**more):
             given = {k: v for k, v in rig.fields(**more).items() if v is not None}
-            return client_server.checked(thrift.Message("dispatch", 1, given, b"", 0), methods, ("north", "south"))[1]
+            return requests.check(thrift.Message("dispatch", 1, given, b"", 0), methods, ("north", "south"))[1]
 
         call = read(
             t="north",
@@ -964,21 +974,23 @@
             {"c": "book"},
             {"zz": "1"},
         ):
-            with self.subTest(more), self.assertRaises(client_server.InvalidRequest):
+            with self.subTest(more), self.assertRaises(requests.InvalidRequest):
                 read(**more)
 
     def test_the_key_goes_on_to_the_worker(self):
-        speech = worker_client.PlatformWorkerProtocol(
+        speech = worker_protocol.PlatformWorkerProtocol(
             Mock(), SimpleNamespace(instance=SimpleNamespace(report_fields=())), Mock(), 9
         )
         for token, told in (("", b"lane=book,name=f,ttl=5"), ("k1", b"lane=book,name=f,ttl=5,dedupe=k1")):
             call_out = Mock()
             call_out.request.request_class.name, call_out.request.function.name = "book", "f"
             ask = SimpleNamespace(call=SimpleNamespace(ident=ASCII_A, token=token, input=b"x"))
-            with patch.object(
-                worker_client, "clock", lambda: 1000.0
-            ):  # no time passes: the command has what is left by then
-                line = speech.run(call_out, ask, 5.0).line
+            # No time passes: the command has what is left by then.
+            with (
+                patch.object(worker_protocol, "clock", lambda: 1000.0),
+                patch.object(worker_command, "clock", lambda: 1000.0),
+            ):
+                line = speech.attempt_command(call_out, ask, 5.0).render()
             self.assertEqual(line, resp.command(b"invoke", ASCII_A, told, b"x"))
 
 
@@ -990,10 +1002,10 @@
         client = self.client()
         client.send(rig.dispatch(1, rig.fields(A, "pay", d="400"), b"slow"))
         self.assertEqual(self.answer(client)[1], "fault")
-        link = serving.desk.links["w0"]
-        self.assertEqual((len(self.held), [conn.load for conn in link.connections]), (1, [1]))
-        self.until(lambda: not any(conn.load for conn in link.connections), "its place")
-        self.assertEqual((worker.came(b"abort"), serving.desk.asks, link.connections), ([], {}, []))
+        link = serving.coordinator.workers.clients["w0"]
+        self.assertEqual((len(self.held), [conn.commands_in_flight for conn in link.connections]), (1, [1]))
+        self.until(lambda: not any(conn.commands_in_flight for conn in link.connections), "its place")
+        self.assertEqual((worker.came(b"abort"), serving.coordinator.requests.by_id, link.connections), ([], {}, []))
 
 
 if __name__ == "__main__":
--- a/tests/test_link.py
+++ b/tests/test_link.py
@@ -8,6 +8,7 @@
 import unittest
 
 from tests.rig import Peer, Told, hello, lines_of, ok, until
+from wickdyke.gateway.interfaces import CommandKind
 from wickdyke.gateway.worker_client import WorkerClient, Command
 from wickdyke.transport.write_buffer import WriteBuffer, OutgoingMessage, PeerTooSlow
 from wickdyke.protocol import back, jsonrpc
@@ -101,9 +102,9 @@
 
     def run_once(self, play, params=b"{}", **more):
         link, told, _ = self.link(play, **more)
-        order = Command("run", None, "run", params)
+        order = Command(CommandKind.ATTEMPT, None, "run", params)
         link.send(order)
-        return told.next("back")[2:]
+        return told.next("finished")[2:]
 
     def test_outcomes(self):
         """(worker, params of the call-out) -> the outcome told."""
@@ -155,14 +156,14 @@
                 self.assertEqual(self.run_once(play, dial=150.0)[1], "unreached")
         link = WorkerClient("w", os.path.join(self.folder, "nobody"), "g", told := Told(), 1000.0, 1 << 20, 1 << 20)
         self.addCleanup(link.close)
-        link.send(Command("run", None, "run", b"{}"))
-        self.assertEqual(told.next("back")[3], "unreached")
+        link.send(Command(CommandKind.ATTEMPT, None, "run", b"{}"))
+        self.assertEqual(told.next("finished")[3], "unreached")
 
     def test_second_answer(self):
         """Two answers with one number: the first counts; the second, and one for what was never asked, do not."""
         link, told, _ = self.link(answering(ok, ok, b'{"jsonrpc":"2.0","id":99,"result":1}\n'))
-        link.send(Command("run", None, "run", b"{}"))
-        self.assertEqual(told.next("back")[3], "ok")
+        link.send(Command(CommandKind.ATTEMPT, None, "run", b"{}"))
+        self.assertEqual(told.next("finished")[3], "ok")
         self.assertTrue(until(lambda: link.counts == {"late": 1, "stray": 1}), link.counts)
         self.assertTrue(told.events.empty())
 
@@ -182,14 +183,14 @@
                 sock.sendall(ok(asked["id"]))
 
         link, told, _ = self.link(play)
-        link.send(Command("run", "first", "run", b"{}"))
-        self.assertEqual(told.next("back")[3], "cut")
+        link.send(Command(CommandKind.ATTEMPT, "first", "run", b"{}"))
+        self.assertEqual(told.next("finished")[3], "cut")
         told.next("lost")
-        link.send(Command("run", "second", "run", b"{}"))
+        link.send(Command(CommandKind.ATTEMPT, "second", "run", b"{}"))
         ready.set()
-        self.assertEqual(told.next("back")[3], "unsent")
-        link.send(Command("run", "third", "run", b"{}"))
-        self.assertEqual(told.next("back")[3], "ok")
+        self.assertEqual(told.next("finished")[3], "unsent")
+        link.send(Command(CommandKind.ATTEMPT, "third", "run", b"{}"))
+        self.assertEqual(told.next("finished")[3], "ok")
 
     def test_worker_that_reads_nothing(self):
         """What is past the kernel's buffers waits with us; cancelled there it was never sent, else it was cut."""
@@ -199,16 +200,16 @@
             threading.Event().wait(60)
 
         link, told, _ = self.link(play)
-        told.next("hello")
+        told.next("connected")
         self.assertTrue(until(lambda: link.outbox is not None))
-        orders = [Command("run", at, "run", BIG) for at in range(3)]
+        orders = [Command(CommandKind.ATTEMPT, at, "run", BIG) for at in range(3)]
         for order in orders:
             link.send(order)  # must not wait
         self.assertTrue(until(lambda: orders[0].parcel.begun))
         self.assertEqual(link.cancel(orders[2], lambda: None), "unsent")
         self.assertIsNone(link.cancel(orders[0], lambda: None))
-        link.cut()
-        got = {event[2].key: event[3] for event in (told.next("back"), told.next("back"))}
+        link.disconnect()
+        got = {event[2].key: event[3] for event in (told.next("finished"), told.next("finished"))}
         self.assertEqual(got, {0: "cut", 1: "unsent"})
 
     def test_bound(self):
@@ -222,8 +223,8 @@
         link, told, _ = self.link(play, dial=1000.0)
         self.assertTrue(until(lambda: link.outbox is not None))
         for at in range(6):
-            link.send(Command("run", at, "run", BIG))
-        got = sorted(told.next("back")[3] for _ in range(6))
+            link.send(Command(CommandKind.ATTEMPT, at, "run", BIG))
+        got = sorted(told.next("finished")[3] for _ in range(6))
         self.assertEqual(got.count("cut"), 1, got)
         self.assertEqual(set(got) - {"cut"}, {"unsent"} if "unreached" not in got else {"unsent", "unreached"})
 
@@ -242,9 +243,9 @@
                 pass
 
         link, told, _ = self.link(play)
-        told.next("hello")
+        told.next("connected")
         self.assertTrue(until(lambda: link.outbox is not None))
-        order = Command("run", None, "run", b"{}")
+        order = Command(CommandKind.ATTEMPT, None, "run", b"{}")
         link.send(order)
         self.assertEqual(link.cancel(order, lambda: None), "cancelled")
         self.assertEqual(link.cancel(order, lambda: None), "ended")
@@ -263,15 +264,15 @@
             sock.sendall(ok(run["id"]))
 
         link, told, _ = self.link(play)
-        link.send(Command("run", 1, "run", b"{}"))
+        link.send(Command(CommandKind.ATTEMPT, 1, "run", b"{}"))
         self.assertTrue(until(lambda: link.out))
-        link.retire()
+        link.drain()
         answer.set()
-        self.assertEqual(told.next("back")[3], "ok")
+        self.assertEqual(told.next("finished")[3], "ok")
         link.thread.join(20)
         self.assertFalse(link.thread.is_alive())
-        link.send(Command("run", 2, "run", b"{}"))
-        self.assertEqual(told.next("back")[3], "unsent")
+        link.send(Command(CommandKind.ATTEMPT, 2, "run", b"{}"))
+        self.assertEqual(told.next("finished")[3], "unsent")
 
 
 class Outboxes(unittest.TestCase):
--- a/tests/test_listener_faults.py
+++ b/tests/test_listener_faults.py
@@ -115,7 +115,7 @@
 
     def __init__(self, folder):
         self.address = os.path.join(folder, "door.sock")
-        station = SimpleNamespace(bounds=BOUNDS, methods=(), stated=(), tenants=(), listen=self.address)
+        station = SimpleNamespace(bounds=BOUNDS, request_classes=(), stated=(), tenants=(), listen=self.address)
         self.door = client_server.ClientServer(station, Mock(), lambda: "", Mock())
         self.door.open()
 
--- a/tests/test_log_faults.py
+++ b/tests/test_log_faults.py
@@ -233,7 +233,7 @@
         log = Log()
         made = self.made(errno.ENOSPC, 3, log)
         with Running() as running:
-            running.gateway.desk.tape = made
+            running.gateway.coordinator.driver.recorder = made
             client = running.client()
             for at in range(20):
                 client.ask(at, time_left_ms=5000)
--- a/tests/test_move.py
+++ b/tests/test_move.py
@@ -51,7 +51,8 @@
         old, new = station.read(self.path("old")), station.read(self.path("new"))
         self.assertEqual((new.kinds, new.tenants, new.tenant_quotas), (("new",), ("a",), TenantQuotas((50.0,))))
         self.assertEqual(
-            [(m.name, m.latency_objective, m.deadline) for m in new.methods], [("m", 600, 4000), ("t", 1000, 4000)]
+            [(m.name, m.latency_objective, m.deadline) for m in new.request_classes],
+            [("m", 600, 4000), ("t", 1000, 4000)],
         )
         self.assertEqual((new.attempt_limits.attempts, new.attempt_limits.hedging), (4, False))
         self.assertEqual((new.function_cache.idle_timeout, new.function_cache.loads_on_demand), (8000.0, False))
@@ -125,7 +126,7 @@
                 result = client.answer()["result"]
                 self.assertEqual((result["answer"], result["call_outs"]), ("ok", call_outs))
             self.assertEqual([kind for kind in seen if kind != "probe"][:3], ["run", "hold", "run"])
-            self.assertEqual(running.desk.router.latency.promised_rate, 50.0)
+            self.assertEqual(running.coordinator.router.latency.promised_rate, 50.0)
             client.ask(3, tenant="b")
             self.assertIn("expected one of a", client.answer()["error"]["data"])
             client.close()
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -15,7 +15,10 @@
 from unittest.mock import Mock, patch
 
 from tests import platform_rig as rig
-from wickdyke.gateway.interfaces import EndpointListChange
+from tests.rig import plain
+from wickdyke.platform import worker_command, connection_pool, worker_results
+from wickdyke.gateway.events import ClientClosed, RequestReceived
+from wickdyke.gateway.interfaces import CommandKind, EndpointListChange
 from wickdyke.routing.model import RequestClass
 from wickdyke.platform import worker_client, client_server, resp, endpoint_list, sse, configuration, thrift
 from wickdyke.platform.service import Service
@@ -116,10 +119,10 @@
         ):
             with self.subTest(answer):
                 if told is None:
-                    self.assertRaises(resp.InvalidAnswer, worker_client.ending, answer, names)
+                    self.assertRaises(resp.InvalidAnswer, worker_results.read_result, answer, names)
                 else:
-                    got = worker_client.ending(answer, names)
-                    self.assertEqual((got.outcome, got.standing, got.company, got.copies, got.report), told)
+                    got = worker_results.read_result(answer, names)
+                    self.assertEqual((got.outcome, got.load_note, got.concurrent, got.replicas, got.report), told)
 
 
 class List(unittest.TestCase):
@@ -159,9 +162,9 @@
         ):
             with self.subTest(name):
                 view = endpoint_list.EndpointList(("hall",), ("std", "slow"), lambda: 1000.0)
-                view.rows([rig.event(1, a, reset=True)], 0.0)
-                change = view.rows(events, 0.0)
-                self.assertEqual(sorted((row.ident, row.state) for row in change.listings), changes)
+                view.apply([rig.event(1, a, reset=True)], 0.0)
+                change = view.apply(events, 0.0)
+                self.assertEqual(sorted((row.ident, row.state) for row in change.endpoints), changes)
                 self.assertEqual({at: view.address(at) for at in view.listed}, addresses)
                 moved = {at for at in {"a", *addresses} if {"a": "h:1"}.get(at) != addresses.get(at)}
                 self.assertEqual(change.addresses, {at: addresses.get(at) for at in moved})
@@ -169,8 +172,8 @@
     def test_a_start_time_read_twice_is_the_same_start(self):
         view = endpoint_list.EndpointList(("hall",), ("std",), lambda: 1000.5)
         late = rig.instance("a", "h:1", startedAtMs=5000)
-        self.assertEqual(view.rows([rig.event(1, late)], 4000.0).listings[0].started_at, 3999.5)
-        self.assertEqual(view.rows([rig.event(2, late)], 4099.0), EndpointListChange([], {}))
+        self.assertEqual(view.apply([rig.event(1, late)], 4000.0).endpoints[0].started_at, 3999.5)
+        self.assertEqual(view.apply([rig.event(2, late)], 4099.0), EndpointListChange([], {}))
 
 
 class Turned(unittest.TestCase):
@@ -230,11 +233,11 @@
     def link(self, play=None, dial=5000.0, most=20):
         self.worker = rig.Worker(play)
         self.addCleanup(self.worker.close)
-        self.pool = worker_client.ConnectionPool(most)
+        self.pool = connection_pool.ConnectionPool(most)
         link = worker_client.WorkerClient(
             "w",
             self.worker.address,
-            lambda *event: self.told.append(event),
+            lambda event: self.told.append(plain(event)),
             self.loop,
             self.pool,
             dial,
@@ -244,13 +247,13 @@
         self.addCleanup(link.close)
         return link
 
-    def order(self, ident=b"9b1f03aa5c7e2d41", kind="run"):
+    def order(self, ident=b"9b1f03aa5c7e2d41", kind=CommandKind.ATTEMPT):
         verb = {
-            "run": (b"invoke", ident, b"lane=look,name=x,ttl=9", b"b"),
-            "hold": (b"prewarm", ident, b"name=x,units=1"),
-            "probe": (b"gauges", ident),
+            CommandKind.ATTEMPT: (b"invoke", ident, b"lane=look,name=x,ttl=9", b"b"),
+            CommandKind.PREWARM: (b"prewarm", ident, b"name=x,units=1"),
+            CommandKind.HEALTH_CHECK: (b"gauges", ident),
         }[kind]
-        return worker_client.Command(kind, None, ident, resp.command(*verb))
+        return worker_command.Command(kind, None, ident, resp.command(*verb))
 
     def ended(self, many=1):
         self.until(lambda: len(self.told) >= many, "an end")
@@ -303,7 +306,7 @@
                 self.told.clear()
                 link = self.link(play)
                 if beside:
-                    link.send(self.order(b"t1", "probe"))
+                    link.send(self.order(b"t1", CommandKind.HEALTH_CHECK))
                     self.ended()
                     self.told.clear()
                 link.send(self.order())
@@ -316,7 +319,7 @@
         link = self.link(lambda worker, sock, parts: parts[0] == b"prewarm" and (sock.sendall(b"??"), True)[1])
         link.send(self.order())
         self.ended()
-        link.send(self.order(b"t1", "hold"))
+        link.send(self.order(b"t1", CommandKind.PREWARM))
         self.assertEqual(self.ended(2)[1], (b"t1", "timeout"))
 
     def test_reset_as_it_comes_up(self):
@@ -404,19 +407,19 @@
 
     def test_a_retired_worker_that_says_nothing_ends_with_the_last_given_up(self):
         """(how the last goes) -> all connections ended, nothing kept."""
-        for kind in ("run", "probe"):
+        for kind in (CommandKind.ATTEMPT, CommandKind.HEALTH_CHECK):
             with self.subTest(kind):
                 link = self.link(lambda worker, sock, parts: True)
-                orders = [self.order(b"a" * 16), self.order(b"t1", "probe")]
+                orders = [self.order(b"a" * 16), self.order(b"t1", CommandKind.HEALTH_CHECK)]
                 for order in orders:
                     link.send(order)
                 self.until(lambda: len(self.worker.came(b"invoke") + self.worker.came(b"gauges")) == 2)
-                link.retire()
-                for order in orders if kind == "probe" else orders[::-1]:
-                    if order.kind == "run":
+                link.drain()
+                for order in orders if kind == CommandKind.HEALTH_CHECK else orders[::-1]:
+                    if order.kind == CommandKind.ATTEMPT:
                         self.assertEqual(link.cancel(order, lambda: None), "cancelled")
                     else:
-                        self.assertTrue(link.forget(order))
+                        self.assertTrue(link.abandon(order))
                 self.assertEqual((self.pool.used, self.pool.links, link.closed), (0, set(), True))
 
     def test_a_retired_worker_ends_with_what_is_out(self):
@@ -424,7 +427,7 @@
         link = self.link(lambda worker, sock, parts: parts[0] == b"invoke" and (held.append((sock, parts)), True)[1])
         link.send(self.order())
         self.until(lambda: held)
-        link.retire()
+        link.drain()
         self.assertEqual((self.told, self.pool.used), ([], 1))
         held[0][0].sendall(rig.bulk(held[0][1][1], b"ACK", b"-", b"x"))
         self.assertEqual(self.ended(), [(b"9b1f03aa5c7e2d41", "ok")])
@@ -459,20 +462,22 @@
         client = self.client()
         client.send(rig.dispatch(1, rig.fields(), b"\x00\xff"))
         self.until(lambda: self.told)
-        ((_, ask),) = self.told
+        (received,) = self.told
+        ask = received.pending
         call = ask.call
         self.assertEqual(
-            (call.ident, call.program, call.input, call.memory_mb, call.lanes, ask.left, ask.method.name),
+            (call.ident, call.program, call.input, call.memory_mb, call.lanes, ask.time_left, ask.request_class.name),
             (b"9b1f03aa5c7e2d41", "7f3a9c21e0b4d655", b"\x00\xff", 512.0, 2, 1500.0, "look"),
         )
-        ask.ok(b"done", 1)
-        ask.denied("late")  # one answer only
+        ask.succeed(b"done", 1)
+        ask.reject("late")  # one answer only
         self.assertEqual(self.answer(client), (1, "answer", b"done"))
         for word in ("shed", "fault"):
             self.told.clear()
             client.send(rig.dispatch(2 if word == "shed" else 3, rig.fields()))
             self.until(lambda: self.told)
-            self.told[0][1].denied("x") if word == "shed" else self.told[0][1].aborted("x")
+            ask = self.told[0].pending
+            ask.reject("x") if word == "shed" else ask.fail("x")
             self.assertEqual(self.answer(client)[1], word)
 
     def test_what_can_not_be_used_gets_an_error_or_a_close_and_goes_no_further(self):
@@ -509,7 +514,7 @@
                 client = self.client()
                 client.send(raw)
                 self.assertEqual(self.answer(client)[1], word)
-                self.assertEqual([event for event in self.told if event[0] == "asked"], [])
+                self.assertEqual([event for event in self.told if isinstance(event, RequestReceived)], [])
 
     def test_numbers_and_ids_that_are_open(self):
         """A second request under an open id is refused; under an open number the connection ends after it."""
@@ -519,7 +524,7 @@
         self.assertEqual(len(self.told), 1)
         client.send(rig.dispatch(2, rig.fields("a" * 16)))
         self.assertEqual(self.answer(client)[1], "exception")
-        self.told[0][1].denied("x")
+        self.told[0].pending.reject("x")
         self.assertEqual(self.answer(client)[1], "shed")
         self.assertEqual(self.answer(client)[1], "closed")
         self.assertEqual((len(self.told), self.front.open), (1, {}))
@@ -534,11 +539,11 @@
         client = self.client()
         client.send(b"".join(rig.dispatch(n, rig.fields(f"{n:016x}")) + rig.cancel(n, n) for n in range(1, 9)))
         self.until(lambda: len(self.told) == 16)
-        self.assertTrue(all(event[1].done for event in self.told))
+        self.assertTrue(all(event.pending.closed for event in self.told))
         client.send(rig.dispatch(9, rig.fields()))
         self.until(lambda: len(self.told) == 17)
         client.close()
-        self.until(lambda: self.told[-1][0] == "gone")
+        self.until(lambda: isinstance(self.told[-1], ClientClosed))
         self.assertEqual((self.front.open, self.front.clients), ({}, {}))
 
     def test_silence_and_half_a_frame_end_in_time_and_who_asked_once_stays(self):
@@ -581,7 +586,7 @@
         self.assertEqual(self.answer(silent[0])[1], "closed")
         first.send(rig.alive(2))
         self.assertEqual(self.answer(first)[1], "bad")
-        self.told[0][1].ok(b"", 1)
+        self.told[0].pending.succeed(b"", 1)
         self.assertEqual(self.answer(busy)[1], "answer")
 
 
@@ -605,12 +610,12 @@
                 json.dump(rig.config(rig.free_address(), bus.address, rig.instance("w0", worker.address)), out)
             serving = Service(configuration.read(path), path, Mock())
         self.addCleanup(serving.loop.close)
-        self.addCleanup(lambda: [client.close() for client in list(serving.front.clients.values())])
-        self.addCleanup(serving.bus.close)
-        self.addCleanup(lambda: [link.close() for link in list(serving.desk.links.values())])
+        self.addCleanup(lambda: [client.close() for client in list(serving.client_server.clients.values())])
+        self.addCleanup(serving.discovery.close)
+        self.addCleanup(lambda: [link.close() for link in list(serving.coordinator.workers.clients.values())])
         serving.open()
-        self.addCleanup(serving.front.shut)
-        told = serving.desk.router.workers["w0"]
+        self.addCleanup(serving.client_server.shut)
+        told = serving.coordinator.router.workers["w0"]
 
         def until(done):
             ends = time.monotonic() + rig.LONG
@@ -618,7 +623,7 @@
                 self.assertLess(time.monotonic(), ends)
                 serving.turn()
 
-        client = rig.Client(":".join(map(str, serving.station.listen)))
+        client = rig.Client(":".join(map(str, serving.configuration.listen)))
         self.addCleanup(client.close)
         client.send(b"".join(rig.dispatch(n, rig.fields(f"{n:016x}", d="60000")) for n in (1, 2, 3)))
         until(lambda: len(held) == 3)
@@ -633,13 +638,15 @@
         report = told.load_reports[-1]
         self.assertEqual((report.utilization, report.in_flight), (0.25, 2.0))
         until(lambda: worker.came(b"prewarm"))
-        (place,) = serving.desk.router.functions["7f3a9c21e0b4d655"].replicas
+        (place,) = serving.coordinator.router.functions["7f3a9c21e0b4d655"].replicas
         until(lambda: place.prewarm_sent_at is None)
         self.assertEqual(place.loaded, 1)
         client.close()
-        until(lambda: not told.in_flight and not serving.desk.asks)
-        self.assertEqual(serving.front.open, {})
-        self.assertEqual(sum(conn.load for conn in serving.desk.links["w0"].connections), 0)
+        until(lambda: not told.in_flight and not serving.coordinator.requests.by_id)
+        self.assertEqual(serving.client_server.open, {})
+        self.assertEqual(
+            sum(conn.commands_in_flight for conn in serving.coordinator.workers.clients["w0"].connections), 0
+        )
 
 
 class Random(unittest.TestCase):
@@ -664,14 +671,14 @@
             answers = resp.Answers()
             for at in range(0, len(data), size):
                 for answer in answers.feed(data[at : at + size]):
-                    worker_client.ending(answer, ("busy",))
+                    worker_results.read_result(answer, ("busy",))
                 self.assertLessEqual(len(answers.buffer), resp.PART + 2 + size)
 
         def sse_reads(data, size):
             events = sse.Events()
             for at in range(0, len(data), size):
                 for found in events.feed(data[at : at + size]):
-                    endpoint_list.EndpointList((), (), lambda: 0.0).rows([endpoint_list.change(found.data)], 0.0)
+                    endpoint_list.EndpointList((), (), lambda: 0.0).apply([endpoint_list.change(found.data)], 0.0)
 
         reads = {"thrift": thrift_reads, "resp": resp_reads, "sse": sse_reads}
         errors = {
@@ -738,8 +745,8 @@
             got = configuration.read(path)
         self.assertEqual(
             (
-                [m.effect for m in got.methods],
-                got.methods[0].latency_objective,
+                [m.effect for m in got.request_classes],
+                got.request_classes[0].latency_objective,
                 got.instance.count,
                 got.instance.report_fields,
                 got.sockets,
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -39,95 +39,108 @@
         """(inputs at times) -> the (state, born) passed on by the last of them; None for nothing."""
         far = 100000.0
         for name, inputs, want in (
-            ("listed and not yet heard", [(0, "rows", [row()])], None),
-            ("heard", [(0, "rows", [row()]), (5, "hello", said(1, far))], ("ready", 5 - far)),
-            ("not to be reached: as just started", [(0, "rows", [row()]), (9, "unheard")], ("ready", 9)),
-            ("still not to be reached", [(0, "rows", [row()]), (9, "unheard"), (20, "unheard")], None),
-            ("heard after all", [(0, "rows", [row()]), (9, "unheard"), (20, "hello", said(1, 50))], ("ready", -30)),
+            ("listed and not yet heard", [(0, "entries", [row()])], None),
+            ("heard", [(0, "entries", [row()]), (5, "connected", said(1, far))], ("ready", 5 - far)),
+            ("not to be reached: as just started", [(0, "entries", [row()]), (9, "unreachable")], ("ready", 9)),
+            ("still not to be reached", [(0, "entries", [row()]), (9, "unreachable"), (20, "unreachable")], None),
+            (
+                "heard after all",
+                [(0, "entries", [row()]), (9, "unreachable"), (20, "connected", said(1, 50))],
+                ("ready", -30),
+            ),
             (
                 "connected anew, the same",
-                [(0, "rows", [row()]), (5, "hello", said(1, far)), (9, "hello", said(1, far + 4))],
+                [(0, "entries", [row()]), (5, "connected", said(1, far)), (9, "connected", said(1, far + 4))],
                 None,
             ),
             (
                 "restarted, told by itself",
-                [(0, "rows", [row()]), (5, "hello", said(1, far)), (50, "hello", said(2, 10))],
+                [(0, "entries", [row()]), (5, "connected", said(1, far)), (50, "connected", said(2, 10))],
                 ("ready", 40),
             ),
             (
                 "restarted, told by the list",
-                [(0, "rows", [row(start=1)]), (5, "hello", said(1, far)), (50, "rows", [row(start=2)])],
+                [(0, "entries", [row(start=1)]), (5, "connected", said(1, far)), (50, "entries", [row(start=2)])],
                 ("ready", 50),
             ),
             (
                 "then by itself: no news",
                 [
-                    (0, "rows", [row(start=1)]),
-                    (5, "hello", said(1, far)),
-                    (50, "rows", [row(start=2)]),
-                    (60, "hello", said(2, 20)),
+                    (0, "entries", [row(start=1)]),
+                    (5, "connected", said(1, far)),
+                    (50, "entries", [row(start=2)]),
+                    (60, "connected", said(2, 20)),
                 ],
                 None,
             ),
             (
                 "a list that lags behind its word",
                 [
-                    (0, "rows", [row(start=1)]),
-                    (5, "hello", said(1, far)),
-                    (50, "hello", said(2, 10)),
-                    (60, "rows", [row(start=1)]),
+                    (0, "entries", [row(start=1)]),
+                    (5, "connected", said(1, far)),
+                    (50, "connected", said(2, 10)),
+                    (60, "entries", [row(start=1)]),
                 ],
                 None,
             ),
             (
                 "draining by the list",
-                [(0, "rows", [row()]), (5, "hello", said(1, far)), (9, "rows", [row("draining")])],
+                [(0, "entries", [row()]), (5, "connected", said(1, far)), (9, "entries", [row("draining")])],
                 ("draining", 5 - far),
             ),
             (
                 "draining by its word",
-                [(0, "rows", [row()]), (5, "hello", said(1, far)), (9, "draining")],
+                [(0, "entries", [row()]), (5, "connected", said(1, far)), (9, "draining")],
                 ("draining", 5 - far),
             ),
             (
                 "the list does not undo its word",
-                [(0, "rows", [row()]), (5, "hello", said(1, far)), (9, "draining"), (20, "rows", [row()])],
+                [(0, "entries", [row()]), (5, "connected", said(1, far)), (9, "draining"), (20, "entries", [row()])],
                 None,
             ),
             (
                 "its new start does",
-                [(0, "rows", [row()]), (5, "hello", said(1, far)), (9, "draining"), (20, "hello", said(2, 0))],
+                [
+                    (0, "entries", [row()]),
+                    (5, "connected", said(1, far)),
+                    (9, "draining"),
+                    (20, "connected", said(2, 0)),
+                ],
                 ("ready", 20),
             ),
-            ("draining in its hello", [(0, "rows", [row()]), (5, "hello", said(1, far, True))], ("draining", 5 - far)),
-            ("gone", [(0, "rows", [row()]), (5, "hello", said(1, far)), (9, "rows", [])], ("gone", 5 - far)),
+            (
+                "draining in its hello",
+                [(0, "entries", [row()]), (5, "connected", said(1, far, True))],
+                ("draining", 5 - far),
+            ),
+            ("gone", [(0, "entries", [row()]), (5, "connected", said(1, far)), (9, "entries", [])], ("gone", 5 - far)),
             (
                 "gone by its state",
-                [(0, "rows", [row()]), (5, "hello", said(1, far)), (9, "rows", [row("gone")])],
+                [(0, "entries", [row()]), (5, "connected", said(1, far)), (9, "entries", [row("gone")])],
                 ("gone", 5 - far),
             ),
-            ("gone before it was heard", [(0, "rows", [row()]), (9, "rows", [])], None),
-            ("heard when gone", [(0, "rows", [row()]), (9, "rows", []), (10, "hello", said(1))], None),
+            ("gone before it was heard", [(0, "entries", [row()]), (9, "entries", [])], None),
+            ("heard when gone", [(0, "entries", [row()]), (9, "entries", []), (10, "connected", said(1))], None),
             (
                 "another address: another worker",
-                [(0, "rows", [row()]), (5, "hello", said(1, far)), (9, "rows", [row(address="b")])],
+                [(0, "entries", [row()]), (5, "connected", said(1, far)), (9, "entries", [row(address="b")])],
                 ("gone", 5 - far),
             ),
         ):
             with self.subTest(case=name):
-                roster = EndpointList(("z1", "z2"), ("k1", "k2"))
+                endpoints = EndpointList(("z1", "z2"), ("k1", "k2"))
                 changes = []
                 for now, what, *more in inputs:
                     now = float(now)
                     match what:
-                        case "rows":
-                            changes = roster.rows(more[0], now).listings
-                        case "hello":
-                            changes = roster.hello("w", more[0], now)
-                        case "unheard":
-                            changes = roster.unheard("w", now)
+                        case "entries":
+                            changes = endpoints.apply(more[0], now).endpoints
+                        case "connected":
+                            changes = endpoints.hello("w", more[0], now)
+                        case "unreachable":
+                            changes = endpoints.unreachable("w", now)
                         case "draining":
-                            changes = roster.draining("w")
+                            changes = endpoints.draining("w")
                 self.assertEqual([(c.state, c.started_at) for c in changes], [] if want is None else [want])
                 for change in changes:
                     self.assertEqual((change.zone, change.kind, change.cell, change.size), (1, 1, 1, 4.0))
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -44,7 +44,7 @@
         more = self.read(GOOD.replace("(stock", '(tenant "a" (quota 5)) (tenant "b" (quota 2.5)) (stock'))
         self.assertEqual((more.tenants, more.tenant_quotas), (("a", "b"), TenantQuotas((5.0, 2.5))))
         self.assertEqual(
-            [(m.name, m.effect, m.dedupe_window, m.scope) for m in got.methods],
+            [(m.name, m.effect, m.dedupe_window, m.scope) for m in got.request_classes],
             [("m", "idempotent", 0.0, "all"), ("t", "tokened", 120000.0, "cell")],
         )
         for program, memory in (("p/one", 100.0), ("p/two", 1024.0), ("q", None)):
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -12,8 +12,15 @@
 
 import wickdyke.platform.service as service
 from tests import platform_rig as rig
-from wickdyke.gateway import coordinator
-from wickdyke.platform import worker_client, discovery, configuration
+from wickdyke.gateway import context
+from wickdyke.platform import (
+    configuration,
+    discovery,
+    worker_client,
+    worker_command,
+    worker_connection,
+    worker_protocol,
+)
 from wickdyke.platform import client_server as fronts
 from wickdyke.transport import event_loop
 
@@ -39,9 +46,19 @@
     def setUp(self):
         self.now = event_loop.clock()
         self.addCleanup(patch.stopall)
-        for module in (event_loop, coordinator, fronts, worker_client, discovery, service):
+        for module in (
+            event_loop,
+            context,
+            fronts,
+            worker_client,
+            worker_command,
+            worker_connection,
+            worker_protocol,
+            discovery,
+            service,
+        ):
             patch.object(module, "clock", lambda: self.now).start()
-        patch.object(service, "LONGEST", 5.0).start()
+        patch.object(service, "WAIT_MOST", 5.0).start()
         made = tempfile.TemporaryDirectory()
         self.addCleanup(made.cleanup)
         self.path, self.listen, self.held = os.path.join(made.name, "config.json"), rig.free_address(), []
@@ -72,12 +89,12 @@
         return self.serving
 
     def end(self):
-        for client in list(self.serving.front.clients.values()):
+        for client in list(self.serving.client_server.clients.values()):
             client.close()
-        for link in list(self.serving.desk.links.values()):
+        for link in list(self.serving.coordinator.workers.clients.values()):
             link.close()
-        self.serving.bus.close()
-        self.serving.front.shut()
+        self.serving.discovery.close()
+        self.serving.client_server.shut()
         self.serving.loop.close()
 
     def turn(self):
@@ -108,7 +125,7 @@
     def send(self, client, data):
         """Sends to a connection the front end knows; returns once the bytes are there to be read."""
         port = client.sock.getsockname()[1]
-        (known,) = [each for each in self.serving.front.clients.values() if each.sock.getpeername()[1] == port]
+        (known,) = [each for each in self.serving.client_server.clients.values() if each.sock.getpeername()[1] == port]
         client.send(data)
         self.assertTrue(select.select([known.sock], [], [], rig.LONG)[0])
 
@@ -134,10 +151,10 @@
         while at < kill and not self.over:
             if moments and at >= moments[0]:
                 moments.pop(0)
-                client, before = clients.pop(0), serving.front.reads
+                client, before = clients.pop(0), serving.client_server.reads
                 self.send(client, rig.dispatch(2, rig.fields(f"{len(sent):016x}", d=str(longest)), b"slow"))
                 sent.append(client)
-                self.until(lambda before=before: serving.front.reads > before, "the read")
+                self.until(lambda before=before: serving.client_server.reads > before, "the read")
             self.turn()
             at += step
             self.now = self.terminated + at
@@ -169,18 +186,18 @@
         self.until(lambda: len(self.held) == 1, "the call-out")
         self.terminate()
         self.now += 300 + KILL_AFTER - MARGIN - 10
-        serving.asked_to_end = self.now - (300 + KILL_AFTER - MARGIN - 10)
+        serving.shutdown_asked_at = self.now - (300 + KILL_AFTER - MARGIN - 10)
         self.send(second, rig.dispatch(2, rig.fields(B, d="300"), b"b"))
         self.assertEqual(self.answer(second)[1], "shed")
         self.assertEqual(len(worker.came(b"invoke")), 1)
 
     def test_waits_no_longer_than_to_the_next_step(self):
-        patch.object(service, "LONGEST", 100.0).start()
+        patch.object(service, "WAIT_MOST", 100.0).start()
         serving = self.front_end(settings=with_deadline(100))
         waits = []
-        self.until(serving.desk.events.empty, "the list")
+        self.until(serving.coordinator.events.empty, "the list")
         never = Mock(return_value=float("inf"))
-        patch.object(serving.desk, "next_at", never).start()
+        patch.object(serving.coordinator, "next_at", never).start()
         patch.object(serving.loop, "next_at", never).start()
         with patch.object(serving.loop, "turn", lambda wait, between: waits.append(wait)):
             self.terminate()
@@ -193,7 +210,7 @@
         client = self.idle_client()
         self.terminate()
         self.turn()
-        self.now += service.GRACE - 1
+        self.now += service.GRACE_PERIOD - 1
         self.serving._end(signal.SIGTERM, None)
         self.send(client, rig.dispatch(2, rig.fields(A), b"a"))
         self.assertEqual(self.answer(client), (2, "answer", b"did a"))
@@ -212,7 +229,7 @@
         self.assertEqual(self.answer(client), (2, "answer", b"did a"))
         other.send(rig.dispatch(1, rig.fields(B), b"b"))
         self.assertEqual(self.answer(other), (1, "answer", b"did b"))
-        self.now += service.GRACE
+        self.now += service.GRACE_PERIOD
         self.until(lambda: self.over, "the end")
 
 
@@ -221,7 +238,7 @@
         self.front_end(self.worker())
         self.terminate()
         self.turn()
-        self.now += service.GRACE - 1
+        self.now += service.GRACE_PERIOD - 1
         client = self.client()
         client.send(rig.dispatch(1, rig.fields(A), b"a"))
         self.now += 1
@@ -233,8 +250,8 @@
         self.terminate()
         self.turn()
         client = self.client()
-        self.now += service.GRACE
-        self.until(lambda: serving.front.shut_down, "the close")
+        self.now += service.GRACE_PERIOD
+        self.until(lambda: serving.client_server.shut_down, "the close")
         self.turn()
         self.assertFalse(self.over)
         client.send(rig.dispatch(1, rig.fields(A), b"a"))
@@ -246,8 +263,8 @@
         self.terminate()
         self.turn()
         client = self.client()
-        self.now += service.GRACE
-        self.until(lambda: serving.front.shut_down, "the close")
+        self.now += service.GRACE_PERIOD
+        self.until(lambda: serving.client_server.shut_down, "the close")
         self.now += fronts.NEW
         self.until(lambda: self.over, "the end")
         self.assertEqual(client.answer()[1], "closed")
@@ -256,10 +273,10 @@
         serving = self.front_end(self.worker())
         client = self.idle_client()
         self.terminate()
-        self.now += service.GRACE
+        self.now += service.GRACE_PERIOD
         whole = rig.dispatch(2, rig.fields(A), b"a")
         self.send(client, whole[:30])
-        self.until(lambda: any(each.frames.begun for each in serving.front.clients.values()))
+        self.until(lambda: any(each.frames.begun for each in serving.client_server.clients.values()))
         self.turn()
         self.assertFalse(self.over)
         client.send(whole[30:])
@@ -274,8 +291,8 @@
                 serving = self.front_end(self.worker())
                 self.terminate()
                 self.turn()
-                self.now += service.GRACE
-                client, real, mended = self.client(), serving.front.sock, self.now + 50
+                self.now += service.GRACE_PERIOD
+                client, real, mended = self.client(), serving.client_server.sock, self.now + 50
                 client.send(rig.dispatch(1, rig.fields(A), b"a"))
 
                 def accept(real=real, mended=mended, number=number):
@@ -283,7 +300,7 @@
                         raise OSError(number, os.strerror(number))
                     return real.accept()
 
-                serving.front.sock = Mock(wraps=real, accept=accept)
+                serving.client_server.sock = Mock(wraps=real, accept=accept)
                 for _ in range(5):
                     self.turn()
                     self.now += 20
@@ -297,7 +314,7 @@
         """It crosses the end after all was looked at: it is read before its connection is closed, and answered."""
         serving = self.front_end(self.worker())
         client, idle = self.idle_client(), self.idle_client()
-        heard_more, sent = serving.front.heard_more, []
+        heard_more, sent = serving.client_server.heard_more, []
 
         def look():
             found = heard_more()
@@ -306,9 +323,9 @@
                 self.send(client, rig.dispatch(2, rig.fields(A), b"a"))
             return found
 
-        serving.front.heard_more = look
+        serving.client_server.heard_more = look
         self.terminate()
-        self.now += service.GRACE
+        self.now += service.GRACE_PERIOD
         self.until(lambda: sent, "the last look")
         self.assertEqual(self.answer(client), (2, "answer", b"did a"))
         self.until(lambda: self.over, "the end")
@@ -319,9 +336,9 @@
         serving = self.front_end(self.worker())
         clients = [self.idle_client() for _ in range(3)]
         self.terminate()
-        self.now += service.GRACE
+        self.now += service.GRACE_PERIOD
         self.until(lambda: self.over, "the end")
-        self.assertEqual(serving.front.clients, {})
+        self.assertEqual(serving.client_server.clients, {})
         self.assertEqual([client.answer()[1] for client in clients], ["closed"] * 3)
 
     def test_a_worker_that_hangs_where_nothing_may_be_cancelled(self):
--- a/tests/test_worker_connection_faults.py
+++ b/tests/test_worker_connection_faults.py
@@ -12,6 +12,8 @@
 from tests import platform_rig as rig
 from tests.rig import Peer, Told, willing
 from tests.test_platform import Turned
+from wickdyke.platform import worker_command, connection_pool
+from wickdyke.gateway.interfaces import CommandKind
 from wickdyke.gateway import worker_client as rpc_link
 from wickdyke.routing.model import NEVER_RAN
 from wickdyke.platform import worker_client, resp
@@ -151,22 +153,24 @@
             event_loop.EventLoop(self.broken.append),
             [],
             faults,
-            worker_client.ConnectionPool(20),
+            connection_pool.ConnectionPool(20),
         )
         self.loop.epoll = FaultyEpoll(self.loop.epoll, faults)
         stand_in = SimpleNamespace(**{**vars(socket), "socket": faults.socket})
         return patch.object(event_loop, "socket", stand_in)
 
     def link(self, worker):
-        def tell(*event):
-            self.told.append((event[2].ident, event[3]))
+        def notify(event):
+            self.told.append((event.command.ident, event.outcome))
 
-        return worker_client.WorkerClient("w", worker.address, tell, self.loop, self.pool, 60000.0, 60000.0, ())
+        return worker_client.WorkerClient("w", worker.address, notify, self.loop, self.pool, 60000.0, 60000.0, ())
 
-    def order(self, at, kind="run"):
+    def order(self, at, kind=CommandKind.ATTEMPT):
         ident = IDENTS[at]
-        parts = (b"invoke", ident, b"lane=look,name=x,ttl=9", BODY) if kind == "run" else (b"gauges", ident)
-        return worker_client.Command(kind, None, ident, resp.command(*parts))
+        parts = (
+            (b"invoke", ident, b"lane=look,name=x,ttl=9", BODY) if kind == CommandKind.ATTEMPT else (b"gauges", ident)
+        )
+        return worker_command.Command(kind, None, ident, resp.command(*parts))
 
     def end(self, many):
         self.until(lambda: len(self.told) >= many, f"an end of {many}, only {self.told},")
@@ -176,7 +180,7 @@
         link, other = self.link(worker), self.link(healthy)
         for at in (0, 1):
             link.send(self.order(at))
-        link.send(self.order(2, "probe"))
+        link.send(self.order(2, CommandKind.HEALTH_CHECK))
         self.end(3)
         for at in (3, 4):
             link.send(self.order(at))
@@ -212,8 +216,8 @@
         self.assertEqual(self.pool.used, len(connections))
         self.assertEqual({conn.sock.fileno() for conn in connections}, self.faults.open_sockets())
         self.assertEqual(set(self.loop.handlers), self.faults.open_sockets())
-        self.assertEqual((link.doubt, link.check), ([], None))
-        self.assertEqual([conn.load for conn in connections], [0] * len(connections))
+        self.assertEqual((link.unresolved, link.probe_connection), ([], None))
+        self.assertEqual([conn.commands_in_flight for conn in connections], [0] * len(connections))
         self.assertEqual(self.broken, [])
 
     def workers(self):
@@ -292,9 +296,9 @@
         with self.prepare(Faults()):
             link = self.link(self.workers()[0])
             self.assertEqual(self.outcome(link, 0), "ok")
-            link.misses, link.missed_at = 1, self.now
+            link.timeouts_in_row, link.timed_out_at = 1, self.now
             self.assertEqual(self.outcome(link, 1), "ok")
-            self.assertEqual(link.misses, 1)
+            self.assertEqual(link.timeouts_in_row, 1)
             link.close()
 
     def test_each_doubt_has_its_own_checks(self):
@@ -303,13 +307,13 @@
         self.addCleanup(worker.close)
         with self.prepare(Faults()):
             link = self.link(worker)
-            link.checks = worker_client.TRIES
+            link.probe_count = worker_client.SENDS_MOST
             link.send(order := self.order(0))
             self.until(lambda: self.faults.begun)
-            order.conn.end("ended by the worker")
-            self.assertEqual((self.told, link.doubt, link.checks), ([], [order], 1))
+            order.connection.end("ended by the worker")
+            self.assertEqual((self.told, link.unresolved, link.probe_count), ([], [order], 1))
             self.end(1)
-            self.assertEqual((self.told, link.doubt, link.checks), ([(IDENTS[0], "error")], [], 0))
+            self.assertEqual((self.told, link.unresolved, link.probe_count), ([(IDENTS[0], "error")], [], 0))
             link.close()
 
     def test_moments_far_apart_tell_nothing(self):
@@ -336,7 +340,7 @@
         with self.prepare(Faults()):
             link = self.link(self.workers()[0])
             link.send(self.order(0))
-            link.cut()
+            link.disconnect()
             self.end(1)
             self.assertEqual((self.told, self.pool.used), ([(IDENTS[0], "ok")], 1))
             link.close()
@@ -402,11 +406,11 @@
 
                 with patch.object(rpc_link.addresses, "connect", fails_first):
                     link, told = self.link()
-                    link.send(first := rpc_link.Command("run", 1, "run", b"{}"))
+                    link.send(first := rpc_link.Command(CommandKind.ATTEMPT, 1, "run", b"{}"))
                     go.set()
                     self.assertEqual(told.events.get(timeout=20)[2:4], (first, "unsent"))
-                    link.send(second := rpc_link.Command("run", 2, "run", b"{}"))
-                    self.assertEqual(told.events.get(timeout=20)[0], "hello")
+                    link.send(second := rpc_link.Command(CommandKind.ATTEMPT, 2, "run", b"{}"))
+                    self.assertEqual(told.events.get(timeout=20)[0], "connected")
                     self.assertEqual(told.events.get(timeout=20)[2:4], (second, "ok"))
                     link.close()
 
@@ -415,9 +419,9 @@
             with self.subTest(errno.errorcode[code]):
                 with patch.object(rpc_link.addresses, "connect", side_effect=OSError(code, os.strerror(code))):
                     link, told = self.link()
-                    told.next("unheard")
-                    link.send(rpc_link.Command("run", 1, "run", b"{}"))
-                    self.assertEqual(told.next("back")[3], "unreached")
+                    told.next("unreachable")
+                    link.send(rpc_link.Command(CommandKind.ATTEMPT, 1, "run", b"{}"))
+                    self.assertEqual(told.next("finished")[3], "unreached")
                     link.close()
 
     def test_a_read_that_finds_no_memory_or_is_short(self):
@@ -431,9 +435,9 @@
 
                 with patch.object(rpc_link.addresses, "connect", faulty):
                     link, told = self.link()
-                    told.next("hello")
-                    link.send(rpc_link.Command("run", 1, "run", b"{}"))
-                    self.assertEqual(told.next("back", "lost")[3:4], ("ok",))
+                    told.next("connected")
+                    link.send(rpc_link.Command(CommandKind.ATTEMPT, 1, "run", b"{}"))
+                    self.assertEqual(told.next("finished", "lost")[3:4], ("ok",))
                     link.close()
 
 
--- a/tests/wrong.py
+++ b/tests/wrong.py
@@ -4,8 +4,9 @@
 import sys
 
 from wickdyke.cli import main
-from wickdyke.gateway.coordinator import Coordinator
+from wickdyke.gateway.attempts import Attempts
 from wickdyke.gateway.client_server import PendingRequest
+from wickdyke.gateway.events import AttemptWithdrawn
 from wickdyke.gateway.endpoint_list import EndpointList
 from wickdyke.routing.model import Request
 from wickdyke.routing.prewarming import PrewarmLimiter
@@ -28,11 +29,11 @@
         _answer(ask, body)
 
 
-def _unsaid(desk, ask, attempt, outcome):
-    desk.events.put(("withdrawn", ask, attempt, outcome))
+def _unsaid(attempts, pending, attempt, outcome):
+    attempts.context.post(AttemptWithdrawn(pending, attempt, outcome))
 
 
-_rows = EndpointList.rows
+_rows = EndpointList.apply
 
 
 def _deaf(roster, rows, now):
@@ -59,9 +60,9 @@
         case "repeats all":
             Request.may_have_run = lambda request: []
         case "cancels in silence":
-            Coordinator._withdraw = _unsaid
+            Attempts._withdraw = _unsaid
         case "deaf to drains":
-            EndpointList.rows, EndpointList.draining = _deaf, _draining
+            EndpointList.apply, EndpointList.draining = _deaf, _draining
         case "blind to the cold":
             SlowStartGuard.is_warming_up = lambda guard, worker, now: False
         case "checks no routes":
--- a/wickdyke/cli/check.py
+++ b/wickdyke/cli/check.py
@@ -14,7 +14,7 @@
 def _station(file: str) -> None:
     made = station.read(file)
     if made.routes is not None:
-        routes.read(made.routes, made.methods, ground(made))
+        routes.read(made.routes, made.request_classes, ground(made))
 
 
 KINDS = {
--- a/wickdyke/cli/move.py
+++ b/wickdyke/cli/move.py
@@ -65,7 +65,7 @@
     told = []
     for name, read in (
         (made.workers, lambda file: roll.read(file, made.zones, made.kinds)),
-        (made.routes, lambda file: routes.read(file, made.methods, ground(made))),
+        (made.routes, lambda file: routes.read(file, made.request_classes, ground(made))),
     ):
         try:
             if name is not None:
--- a/wickdyke/cli/routes.py
+++ b/wickdyke/cli/routes.py
@@ -31,13 +31,16 @@
     """
     try:
         made = station.read(file)
-        found = files.read(made.routes, made.methods, ground(made)) if made.routes else None
+        found = files.read(made.routes, made.request_classes, ground(made)) if made.routes else None
     except Unusable as bad:
         print(bad, file=sys.stderr)
         raise SystemExit(2) from None
-    known = next((each for each in made.methods if each.name == method), None)
+    known = next((each for each in made.request_classes if each.name == method), None)
     if known is None:
-        print(f"METHOD: found {method}, expected one of {', '.join(m.name for m in made.methods)}", file=sys.stderr)
+        print(
+            f"METHOD: found {method}, expected one of {', '.join(m.name for m in made.request_classes)}",
+            file=sys.stderr,
+        )
         raise SystemExit(2)
     held = found.find(method, program, tenant) if found else None
     if held is None:
--- a/wickdyke/gateway/client_server.py
+++ b/wickdyke/gateway/client_server.py
@@ -12,6 +12,7 @@
 from collections.abc import Callable
 
 from wickdyke.gateway import interfaces
+from wickdyke.gateway.events import ClientClosed, Event, RequestCancelled, RequestReceived
 from wickdyke.transport.acceptor import Acceptor
 from wickdyke.transport.write_buffer import WriteBuffer, OutgoingMessage, PeerTooSlow
 from wickdyke.transport.line_server import listener
@@ -50,31 +51,31 @@
         self,
         client: "ClientConnection",
         ident: jsonrpc.Ident,
-        method: RequestClass,
+        request_class: RequestClass,
         call: front.Call,
-        left: float,
+        time_left: float,
         batch: Batch | None,
-        timing: RoutePolicy | None,
+        route_policy: RoutePolicy | None,
     ) -> None:
-        super().__init__(client, ident, method, call, left, timing)
+        super().__init__(client, ident, request_class, call, time_left, route_policy)
         self.batch = batch
 
-    def ok(self, output: bytes, call_outs: int) -> None:
+    def succeed(self, output: bytes, attempts: int) -> None:
         """Its final answer, with what the worker gave."""
-        self.answer(front.ok(self.ident, output, call_outs))
+        self.answer(front.ok(self.ident, output, attempts))
 
-    def denied(self, why: str, wait: float | None = None) -> None:
+    def reject(self, why: str, retry_after: float | None = None) -> None:
         """Its final answer: nothing was done."""
-        self.answer(front.denied(self.ident, why, wait))
+        self.answer(front.denied(self.ident, why, retry_after))
 
-    def aborted(self, why: str) -> None:
+    def fail(self, why: str) -> None:
         """Its final answer: nothing is promised."""
         self.answer(front.aborted(self.ident, why))
 
     def answer(self, body: bytes) -> None:
         """Sends the final answer, unless the client has left the call."""
         # Danger: a cancel read while the answer was on its way has freed the id, and it may be another call's by now.
-        if not self.client.close_ask(self):
+        if not self.client.release(self):
             return
         if self.batch is not None:
             self.batch.answer(body)
@@ -85,51 +86,51 @@
 class ClientConnection:
     """One connection of a client."""
 
-    def __init__(self, door: "ClientServer", sock: socket.socket, number: int) -> None:
-        self.door, self.sock, self.number = door, sock, number
-        self.outbox = WriteBuffer(sock, door.bounds.unread, f"client-{number}-out")
-        self.asks: dict[jsonrpc.Ident, PendingRequest] = {}
+    def __init__(self, server: "ClientServer", sock: socket.socket, number: int) -> None:
+        self.server, self.sock, self.number = server, sock, number
+        self.write_buffer = WriteBuffer(sock, server.bounds.unread, f"client-{number}-out")
+        self.pending: dict[jsonrpc.Ident, PendingRequest] = {}
         self.lock = threading.Lock()
 
     def write(self, line: bytes) -> None:
         """Writes without waiting; whoever does not read is hung up on."""
         try:
-            self.outbox.put(OutgoingMessage(line))
+            self.write_buffer.put(OutgoingMessage(line))
         except PeerTooSlow as much:
-            self.door.said("client hung up on", client=self.number, why=f"does not read: {much}")
-            self.door.counts["unread"] += 1
-            self.outbox.close()
+            self.server.warn("client hung up on", client=self.number, why=f"does not read: {much}")
+            self.server.counts["unread"] += 1
+            self.write_buffer.close()
         except OSError:
-            self.outbox.close()
+            self.write_buffer.close()
         except RuntimeError as bad:  # the thread that writes the rest could not be started
-            self.door.said("client hung up on", client=self.number, why=str(bad))
-            self.outbox.close()
+            self.server.warn("client hung up on", client=self.number, why=str(bad))
+            self.write_buffer.close()
 
-    def close_ask(self, ask: PendingRequest) -> bool:
+    def release(self, pending: PendingRequest) -> bool:
         """Its id may be used again; False where it was free already."""
         with self.lock:
-            if self.asks.get(ask.ident) is not ask:
+            if self.pending.get(pending.ident) is not pending:
                 return False
-            del self.asks[ask.ident]
+            del self.pending[pending.ident]
             return True
 
     def read(self) -> None:
         """The reader thread: until the client hangs up."""
-        lines = Lines(self.door.bounds.line)
+        lines = Lines(self.server.bounds.line)
         try:
             while data := self.sock.recv(CHUNK):
                 for line in lines.feed(data):
                     self._line(line)
         except TooLong as bad:
-            self.door.counts["malformed"] += 1
+            self.server.counts["malformed"] += 1
             self.write(jsonrpc.refusal(jsonrpc.Fault(jsonrpc.INVALID, str(bad))) + b"\n")
-            self.door.said("client hung up on", client=self.number, why=str(bad))
+            self.server.warn("client hung up on", client=self.number, why=str(bad))
         except OSError:
             pass
         finally:
             # what is written already reaches a client that still reads
-            self.outbox.close()
-            self.door.gone(self)
+            self.write_buffer.close()
+            self.server.gone(self)
             self.sock.close()
 
     def _line(self, line: bytes) -> None:
@@ -145,7 +146,7 @@
                 self._one(each, None, None)
             return
         # Danger: one array answers all, so the first whose time is up would answer late. All have the least.
-        least = min((self.door.time_left(each) for each in requests), default=None)
+        least = min((self.server.time_left(each) for each in requests), default=None)
         batch = Batch(self, len(requests))
         for each in requests:
             self._one(each, batch, least)
@@ -154,23 +155,23 @@
         try:
             if isinstance(request, jsonrpc.Fault):
                 raise request
-            ask = self._checked(request, batch, least)
+            pending = self._checked(request, batch, least)
         except jsonrpc.Fault as fault:
-            self.door.counts["malformed"] += 1
+            self.server.counts["malformed"] += 1
             told = isinstance(request, jsonrpc.Request) and request.told
             self._say(None if told else jsonrpc.refusal(fault), batch)
             return
-        if ask is None:
+        if pending is None:
             if batch is not None:
                 batch.answer(None)
             return
-        full = self.door.refuses(self)
+        full = self.server.refuses(self)
         if full:
-            self.close_ask(ask)
-            self.door.counts["refused"] += 1
+            self.release(pending)
+            self.server.counts["refused"] += 1
             self._say(front.denied(request.ident, full), batch)
             return
-        self.door.desk(("asked", ask))
+        self.server.post(RequestReceived(pending))
 
     def _say(self, body: bytes | None, batch: Batch | None) -> None:
         if batch is not None:
@@ -185,27 +186,27 @@
             if not request.told:
                 raise jsonrpc.Fault(jsonrpc.INVALID, "cancel: expected a notification, without an id", ident)
             with self.lock:
-                ask = self.asks.pop(cancel.id, None)
-            if ask is not None:
-                if ask.batch is not None:
-                    ask.batch.answer(None)
-                self.door.desk(("left", ask))
+                pending = self.pending.pop(cancel.id, None)
+            if pending is not None:
+                if pending.batch is not None:
+                    pending.batch.answer(None)
+                self.server.post(RequestCancelled(pending))
             return None
         if request.method != "call":
             raise jsonrpc.Fault(jsonrpc.NO_METHOD, f"{request.method[:60]}: expected call or cancel", ident)
         if request.told or ident is None:
             raise jsonrpc.Fault(jsonrpc.INVALID, "call: expected an id that is a string or a number", ident)
         call = jsonrpc.params(front.Call, request.params, ident)
-        method = self.door.methods.get(call.method)
+        method = self.server.request_classes.get(call.method)
         if method is None:
             raise jsonrpc.Fault(
                 jsonrpc.BAD_PARAMS,
-                f"method: {call.method[:60]}, expected one of " + ", ".join(self.door.methods),
+                f"method: {call.method[:60]}, expected one of " + ", ".join(self.server.request_classes),
                 ident,
             )
         if method.effect == "tokened" and not call.token:
             raise jsonrpc.Fault(jsonrpc.BAD_PARAMS, f"token: missing, and {method.name} is tokened", ident)
-        stated = self.door.stated(call.program)
+        stated = self.server.stated(call.program)
         if call.memory_mb is None:
             if stated is None:
                 raise jsonrpc.Fault(
@@ -218,38 +219,37 @@
             call.lanes = stated.lanes if stated else 1
         if call.load_ms is None and stated:
             call.load_ms = stated.load
-        if call.tenant and self.door.tenants and call.tenant not in self.door.tenants:
+        if call.tenant and self.server.tenants and call.tenant not in self.server.tenants:
             raise jsonrpc.Fault(
                 jsonrpc.BAD_PARAMS,
-                f"tenant: {call.tenant[:60]}, expected one of " + ", ".join(self.door.tenants),
+                f"tenant: {call.tenant[:60]}, expected one of " + ", ".join(self.server.tenants),
                 ident,
             )
-        held = self.door.routes.find(call.method, call.program, call.tenant) if self.door.routes else None
+        held = self.server.routes.find(call.method, call.program, call.tenant) if self.server.routes else None
         most = held.terms.deadline if held else method.deadline
         left = min(call.time_left_ms or most, most, least or most)
-        ask = PendingRequest(self, ident, method, call, left, batch, held.timing if held else None)
-        ask.begun = time.monotonic() * 1000
+        pending = PendingRequest(self, ident, method, call, left, batch, held.timing if held else None)
+        pending.received_at = time.monotonic() * 1000
         with self.lock:
-            if ident in self.asks:
+            if ident in self.pending:
                 # answered without the id: an error under it would pass for the final answer of the other
                 raise jsonrpc.Fault(jsonrpc.INVALID, f"id: {ident!r} is in use by a call that is not answered yet")
-            self.asks[ident] = ask
-        return ask
+            self.pending[ident] = pending
+        return pending
 
 
 class ClientServer:
     """The listener on one Unix socket or loopback address.
 
-    `desk` takes an event ("asked", ask), ("left", ask) or ("gone", [asks]); `busy` says in one word why no more
-    can be taken, or nothing.
+    `post` takes what happens; `busy` says in one word why no more can be taken, or nothing; `warn` logs.
     """
 
     def __init__(
-        self, station: Station, desk: Callable[[tuple], None], busy: Callable[[], str], said: Callable[..., None]
+        self, station: Station, post: Callable[[Event], None], busy: Callable[[], str], warn: Callable[..., None]
     ) -> None:
         self.bounds: Bounds = station.bounds
-        self.desk, self.busy, self.said = desk, busy, said
-        self.methods = {method.name: method for method in station.methods}
+        self.post, self.busy, self.warn = post, busy, warn
+        self.request_classes = {method.name: method for method in station.request_classes}
         self.stated, self.tenants = station.stated, station.tenants
         self.routes: Routes | None = None
         self.counts: Counter[str] = Counter()
@@ -258,8 +258,8 @@
         self.number = 0
         self.address = station.listen
         self.sock, self.held = listener(station.listen)
-        self.acceptor = Acceptor(self.sock, self._take, lambda error: self.said("connection not taken", why=str(error)))
-        self.thread = threading.Thread(target=self.acceptor.run, name="door", daemon=True)
+        self.acceptor = Acceptor(self.sock, self._take, lambda error: self.warn("connection not taken", why=str(error)))
+        self.thread = threading.Thread(target=self.acceptor.run, name="client-server", daemon=True)
 
     def open(self) -> None:
         """Begins to take connections."""
@@ -267,20 +267,20 @@
 
     def time_left(self, request: jsonrpc.Request | jsonrpc.Fault) -> float:
         """The time stated in a request, as far as it can be read; else the greatest."""
-        most = max((method.deadline for method in self.methods.values()), default=0.0)
+        most = max((method.deadline for method in self.request_classes.values()), default=0.0)
         if isinstance(request, jsonrpc.Request) and request.method == "call":
             try:
                 call = jsonrpc.params(front.Call, request.params, None)
             except jsonrpc.Fault:
                 return most
-            method = self.methods.get(call.method)
+            method = self.request_classes.get(call.method)
             held = self.routes.find(call.method, call.program, call.tenant) if self.routes and method else None
             return min(call.time_left_ms or most, held.terms.deadline if held else method.deadline if method else most)
         return most
 
     def refuses(self, client: ClientConnection) -> str:
         """Why a call of this client can't be taken now, in one word, or nothing."""
-        if len(client.asks) > self.bounds.open_each:
+        if len(client.pending) > self.bounds.open_each:
             return "connection-full"
         return self.busy()
 
@@ -289,9 +289,9 @@
         with self.lock:
             self.clients.discard(client)
         with client.lock:
-            asks, client.asks = list(client.asks.values()), {}
-        if asks:
-            self.desk(("gone", asks))
+            pending_requests, client.pending = list(client.pending.values()), {}
+        if pending_requests:
+            self.post(ClientClosed(pending_requests))
 
     def _take(self, sock: socket.socket) -> None:
         """Serves an accepted connection, or tells its client that it can't be served."""
@@ -308,13 +308,13 @@
         try:
             threading.Thread(target=client.read, name=f"client-{client.number}", daemon=True).start()
         except RuntimeError as bad:  # no thread to be had
-            self.said("connection not taken", why=str(bad))
+            self.warn("connection not taken", why=str(bad))
             self.gone(client)
             self._turn_away(client)
 
     def _turn_away(self, client: ClientConnection) -> None:
         client.write(front.denied(None, "too-many-connections") + b"\n")
-        client.outbox.close()
+        client.write_buffer.close()
         client.sock.close()
 
     def shut(self) -> None:
@@ -331,11 +331,11 @@
     def flushed(self) -> bool:
         """Whether all answers are with the kernel."""
         with self.lock:
-            return all(client.outbox.empty() for client in self.clients)
+            return all(client.write_buffer.empty() for client in self.clients)
 
     def hang_up(self) -> None:
         """Ends all connections."""
         with self.lock:
             clients = list(self.clients)
         for client in clients:
-            client.outbox.close()
+            client.write_buffer.close()
--- a/wickdyke/gateway/endpoint_list.py
+++ b/wickdyke/gateway/endpoint_list.py
@@ -35,12 +35,12 @@
     def __len__(self) -> int:
         return len(self.seen)
 
-    def rows(self, rows: list[Row], now: float) -> EndpointListChange:
+    def apply(self, entries: list[Row], now: float) -> EndpointListChange:
         """A whole list came. Who is not on it is gone."""
         before = {name: seen.row.address for name, seen in self.seen.items()}
-        listings = self._rows(rows, now)
+        endpoints = self._rows(entries, now)
         addresses = {name: self.address(name) for name in {**before, **self.seen}}
-        return EndpointListChange(listings, {name: at for name, at in addresses.items() if before.get(name) != at})
+        return EndpointListChange(endpoints, {name: at for name, at in addresses.items() if before.get(name) != at})
 
     def _rows(self, rows: list[Row], now: float) -> list[Endpoint]:
         changes = []
@@ -80,7 +80,7 @@
         seen.known, seen.draining = True, standing.draining
         return self._changed(name)
 
-    def unheard(self, name: str, now: float) -> list[Endpoint]:
+    def unreachable(self, name: str, now: float) -> list[Endpoint]:
         """No connection could be made. One never heard counts as just started."""
         seen = self.seen.get(name)
         if seen is None or seen.known:
--- a/wickdyke/gateway/interfaces.py
+++ b/wickdyke/gateway/interfaces.py
@@ -1,147 +1,173 @@
-"""What the desk uses of the ways in and out: asks, links, their orders, and the view of the list.
+"""What the coordinator uses of its surroundings: pending requests, worker clients, their commands, the endpoint list.
 
-JSON-RPC (door, link, speech, roster beside this) is one set of them, wickdyke/platform the other.
+The JSON-RPC gateway (client_server, worker_client, worker_protocol, endpoint_list beside this) is one implementation,
+`wickdyke/platform` the other.
 """
 
 from dataclasses import dataclass
+from enum import StrEnum
 from typing import Any, Protocol
 
-from wickdyke.routing.model import Attempt, Endpoint, Function, RequestClass, RoutePolicy
+from wickdyke.routing.model import Attempt, Endpoint, Function, Request, RequestClass, RoutePolicy
 
 
 class PendingRequest:
-    """One RPC of a client, checked. The desk answers it once, or drops it when the client has left.
+    """One checked request of a client. The coordinator answers it once, or drops it when the client has left.
 
-    `call` has the program, its figures (memory_mb, lanes, load_ms, work_ms), repeat, token and input.
+    `call` has the program, its figures (memory_mb, lanes, load_ms, work_ms), repeat, token and input. `time_left` (ms)
+    counts from `received_at` (monotonic ms). `closed` once it has its answer, or the client has left.
     """
 
     __slots__ = (
         "client",
         "ident",
-        "method",
+        "request_class",
         "call",
-        "left",
-        "timing",
-        "rpc",
-        "sent",
-        "done",
-        "orders",
-        "told",
-        "begun",
+        "time_left",
+        "route_policy",
+        "request",
+        "attempts_sent",
+        "closed",
+        "commands",
+        "router_id",
+        "received_at",
     )
 
     def __init__(
-        self, client: Any, ident: Any, method: RequestClass, call: Any, left: float, timing: RoutePolicy | None = None
+        self,
+        client: Any,
+        ident: Any,
+        request_class: RequestClass,
+        call: Any,
+        time_left: float,
+        route_policy: RoutePolicy | None = None,
     ) -> None:
-        self.client, self.ident, self.method, self.call, self.left = client, ident, method, call, left
-        self.timing = timing  # as the routes are now; a file read later is for those that come later
-        self.rpc, self.sent, self.done, self.orders, self.told = None, 0, False, {}, None
-        self.begun: float | None = None  # when it was read, in monotonic ms; `left` counts from there
-
-    def wanted(self) -> bool:
-        """Whether its client still waits for an answer, as far as can be told now."""
+        self.client, self.ident, self.call = client, ident, call
+        self.request_class, self.time_left = request_class, time_left
+        self.route_policy = route_policy  # as the routes are now; a file read later is for requests that come later
+        self.request: Request | None = None  # the router's record, once it was forwarded
+        self.router_id: int | None = None  # under which the router knows it
+        self.attempts_sent = 0
+        self.commands: dict[Attempt, Command] = {}  # of its attempts in flight
+        self.closed = False
+        self.received_at: float | None = None
+
+    def still_wanted(self) -> bool:
+        """Whether its client still waits for an answer, as far as can be known now."""
         return True
 
-    def ok(self, output: bytes, call_outs: int) -> None:
-        """Its final answer, with what the worker gave."""
+    def succeed(self, output: bytes, attempts: int) -> None:
+        """Sends its final answer, with what the worker gave."""
         raise NotImplementedError
 
-    def denied(self, why: str, wait: float | None = None) -> None:
-        """Its final answer: nothing was done; worth asking again after `wait` ms."""
+    def reject(self, why: str, retry_after: float | None = None) -> None:
+        """Sends its final answer: nothing was done; worth asking again after `retry_after` ms."""
         raise NotImplementedError
 
-    def aborted(self, why: str) -> None:
-        """Its final answer: nothing is promised."""
+    def fail(self, why: str) -> None:
+        """Sends its final answer: nothing is promised."""
         raise NotImplementedError
 
 
+class CommandKind(StrEnum):
+    """What a worker is asked for."""
+
+    ATTEMPT = "attempt"
+    PREWARM = "prewarm"
+    HEALTH_CHECK = "health_check"
+
+
 class Command:
-    """One message that is owed an answer: a call-out (run), a hold or a probe. `key` is the desk's."""
+    """One message to a worker that is owed an answer. `key` is the coordinator's."""
 
-    __slots__ = ("kind", "key", "link")
+    __slots__ = ("kind", "key", "worker_client")
 
-    def __init__(self, kind: str, key: Any) -> None:
+    def __init__(self, kind: CommandKind, key: Any) -> None:
         self.kind, self.key = kind, key
-        self.link: WorkerClient | None = None
+        self.worker_client: WorkerClient | None = None
 
 
 @dataclass(slots=True, frozen=True)
 class CommandResult:
-    """How an order ended, and what came with it; `inside` is how many calls were in a copy that ended."""
+    """How a command ended, and what came with it.
+
+    `concurrent`: requests of the function in flight at the worker as the attempt came; `requests_in_replica`: how many
+    were in a replica that ended.
+    """
 
     outcome: str
     output: bytes = b""
-    standing: str | None = None
-    company: int = 0
+    load_note: str | None = None
+    concurrent: int = 0
     report: tuple[float, ...] | None = None
-    copies: int = 0
-    inside: int = 0
+    replicas: int = 0
+    requests_in_replica: int = 0
 
 
 class WorkerClient(Protocol):
-    """One worker. It tells `("back", link, order, outcome, result, data)` of each order once."""
+    """The way to one worker. It posts one `CommandFinished` for each command."""
 
     name: str
 
-    def send(self, order: Command) -> None:
+    def send(self, command: Command) -> None:
         """Sends it, or has it sent once connected."""
 
-    def cancel(self, order: Command, done: Any) -> str | None:
-        """Withdraws a call-out; see wickdyke/gateway/link.py for what it returns."""
+    def cancel(self, command: Command, done: Any) -> str | None:
+        """Withdraws an attempt; see wickdyke/gateway/worker_client.py for what it returns."""
 
-    def unsend(self, order: Command) -> bool:
+    def withdraw_unsent(self, command: Command) -> bool:
         """Takes back what has not begun to go out; True where it was so, and it has ended."""
 
-    def recall(self) -> None:
+    def withdraw_all_unsent(self) -> None:
         """Nothing new goes there: what has not begun to go out ends as unsent."""
 
-    def forget(self, order: Command) -> bool:
+    def abandon(self, command: Command) -> bool:
         """No answer is waited for any more; False where it has ended already."""
 
-    def cut(self) -> None:
-        """Ends the connection."""
+    def disconnect(self) -> None:
+        """Ends its connections."""
 
-    def retire(self) -> None:
-        """No more is to be sent; it ends with the last of what is out."""
+    def drain(self) -> None:
+        """No more is to be sent; it ends with the last of what is in flight."""
 
     def close(self) -> None:
         """Ends it at once."""
 
 
 class WorkerProtocol(Protocol):
-    """How workers are spoken to; `eager` where a link is to be made as soon as its worker is listed."""
+    """How workers are spoken to; `connects_at_once` where a client is made as soon as its worker is listed."""
 
-    eager: bool
+    connects_at_once: bool
 
-    def link(self, name: str, address: str, tell: Any) -> WorkerClient:
-        """The way to one worker."""
+    def client_for(self, name: str, address: str, notify: Any) -> WorkerClient:
+        """The client of one worker."""
 
-    def run(self, attempt: Attempt, ask: PendingRequest, left: float) -> Command:
-        """A call-out, to be waited for so many ms."""
+    def attempt_command(self, attempt: Attempt, pending: PendingRequest, time_left: float) -> Command:
+        """An attempt, to be waited for so many ms."""
 
-    def hold(self, key: tuple, program: Function, copies: int) -> Command:
-        """An order to have so many copies standing."""
+    def prewarm_command(self, key: tuple, function: Function, replicas: int) -> Command:
+        """A prewarm of so many replicas."""
 
-    def probe(self, key: str) -> Command:
-        """A question for a report."""
+    def health_check_command(self, key: str) -> Command:
+        """A question for a load report."""
 
-    def ending(self, order: Command, outcome: str, result: object, data: object) -> CommandResult:
-        """What a link told of an order's end."""
+    def result_of(self, command: Command, outcome: str, answer: object, data: object) -> CommandResult:
+        """What a worker client told of a command's end."""
 
 
 @dataclass(slots=True, frozen=True)
 class EndpointListChange:
-    """What an input changed of the list: listings, and where workers are (None: listed no more)."""
+    """What an input changed: entries of the list, and where workers are (None: listed no more)."""
 
-    listings: list[Endpoint]
+    endpoints: list[Endpoint]
     addresses: dict[str, str | None]
 
 
 class EndpointList(Protocol):
-    """The view of the list."""
+    """The merged view of who is there."""
 
-    def rows(self, rows: list, now: float) -> EndpointListChange:
-        """What came from the list, and what it changed."""
+    def apply(self, entries: list, now: float) -> EndpointListChange:
+        """Takes entries, and returns what they changed."""
 
     def address(self, name: str) -> str | None:
         """Where a listed worker is."""
--- a/wickdyke/gateway/service.py
+++ b/wickdyke/gateway/service.py
@@ -8,12 +8,15 @@
 from collections.abc import Callable
 
 from wickdyke.gateway import client_server as doors
-from wickdyke.gateway.coordinator import Coordinator, clock
+from wickdyke.gateway.coordinator import Coordinator
 from wickdyke.gateway.client_server import ClientServer
 from wickdyke.gateway.endpoint_list import EndpointList
 from wickdyke.gateway.worker_protocol import JsonRpcWorkerProtocol
 from wickdyke.gateway.recording import DecisionRecorder
 from wickdyke.gateway.circuit_breaker import CircuitBreaker
+from wickdyke.gateway.context import clock
+from wickdyke.gateway.events import EndpointsReceived
+from wickdyke.gateway.isolation import BreakerIsolation
 from wickdyke.routing.periods import TICK
 from wickdyke.settings import roll, routes
 from wickdyke.settings.sexp import NotYet, Unusable
@@ -94,17 +97,17 @@
         sys.setswitchinterval(0.001)
         self.station, self.log = station, log
         seed = station.seed if station.seed is not None else random.SystemRandom().getrandbits(48)
-        self.tape = DecisionRecorder(station.tape, log) if station.tape else None
-        self.desk = Coordinator(
+        self.recorder = DecisionRecorder(station.tape, log) if station.tape else None
+        self.coordinator = Coordinator(
             station,
             seed,
             log,
             JsonRpcWorkerProtocol(station),
             EndpointList(station.zones, station.kinds),
-            self.tape,
-            CircuitBreaker(station.isolation, station.instance.count, log),
+            self.recorder,
+            BreakerIsolation(CircuitBreaker(station.isolation, station.instance.count, log), clock),
         )
-        self.door = ClientServer(station, self.desk.take, self.desk.busy, log.warning)
+        self.client_server = ClientServer(station, self.coordinator.post, self.coordinator.busy, log.warning)
         self.watchers = [
             Watcher(
                 "list",
@@ -120,19 +123,19 @@
             self.watchers.append(
                 Watcher("routes", station.routes, station.routes_reread, self._read_routes, self._routed, log)
             )
-            self.door.routes = self._read_routes(station.routes)  # none to fall back on
+            self.client_server.routes = self._read_routes(station.routes)  # none to fall back on
 
     def _listed(self, rows: list[roll.Row]) -> dict:
-        self.desk.take(("rows", rows))
+        self.coordinator.post(EndpointsReceived(rows))
         return {"workers": len(rows), "ready": sum(row.state == "ready" for row in rows)}
 
     def _read_routes(self, path: str) -> routes.Routes:
-        found = routes.read(path, self.station.methods, ground(self.station))
+        found = routes.read(path, self.station.request_classes, ground(self.station))
         routes.may_follow(found, path, self.succession, clock())
         return found
 
     def _routed(self, found: routes.Routes) -> dict:
-        self.door.routes = found
+        self.client_server.routes = found
         self.succession.follow(found.payers(), clock())
         return {"routes": len(found.routes)}
 
@@ -141,35 +144,37 @@
         # What is loaded by now stays: the collector of garbage need not walk over it while RPCs wait (docs/bench.md).
         gc.collect()
         gc.freeze()
-        self.desk.open()
+        self.coordinator.open()
         for watcher in self.watchers:
             watcher.open()
-        self.door.open()
+        self.client_server.open()
         self.log.info(
-            "serving", socket=self.station.listen, seat=f"{self.station.instance.index}/{self.station.instance.count}"
+            "serving",
+            socket=self.station.listen,
+            instance=f"{self.station.instance.index}/{self.station.instance.count}",
         )
 
     def stop(self) -> None:
         """Takes no more RPCs, answers all it holds within their deadlines, then ends."""
         began = clock()
-        self.desk.stopping = True
-        self.door.shut()
-        self.log.info("stopping", held=len(self.desk.asks))
-        most = max(method.deadline for method in self.station.methods)
+        self.coordinator.stop_admitting()
+        self.client_server.shut()
+        self.log.info("stopping", open=len(self.coordinator.requests.by_id))
+        most = max(method.deadline for method in self.station.request_classes)
         pause = threading.Event()
-        while clock() - began < most + 1000 and not (self.desk.idle() and self.door.flushed()):
+        while clock() - began < most + 1000 and not (self.coordinator.idle() and self.client_server.flushed()):
             pause.wait(0.01)
         self.close()
-        self.log.info("stopped", took_ms=round(clock() - began), **dict(self.desk.counts))
+        self.log.info("stopped", took_ms=round(clock() - began), **dict(self.coordinator.counts))
 
     def close(self) -> None:
         """Ends all threads at once."""
         for watcher in self.watchers:
             watcher.close()
-        self.desk.end()
-        self.door.hang_up()
-        if self.tape is not None:
-            self.tape.close()
+        self.coordinator.end()
+        self.client_server.hang_up()
+        if self.recorder is not None:
+            self.recorder.close()
 
 
 def until_signal(gateway: Gateway, ready: Callable[[], None]) -> int:
--- a/wickdyke/gateway/worker_protocol.py
+++ b/wickdyke/gateway/worker_protocol.py
@@ -1,86 +1,89 @@
-"""How the gateway speaks to workers in JSON-RPC: call-outs, holds and probes as messages, and their ends read."""
+"""How the gateway speaks to workers in JSON-RPC: commands as messages, and their results read."""
 
 import msgspec
 
 from wickdyke.gateway.worker_client import WorkerClient, Command, clock
-from wickdyke.gateway.interfaces import PendingRequest, CommandResult
-from wickdyke.routing.model import Attempt, Function
+from wickdyke.gateway.interfaces import CommandKind, CommandResult, PendingRequest
+from wickdyke.routing.model import Attempt, Function, Outcome
 from wickdyke.protocol import back, jsonrpc
 from wickdyke.settings.station import Station
 
 
 class JsonRpcWorkerProtocol:
-    """The speech of one gateway."""
+    """The protocol of one gateway."""
 
-    eager = True  # a worker's hello tells since when it is up
+    connects_at_once = True  # a worker's hello tells since when it is up
 
     def __init__(self, station: Station) -> None:
-        self.station, self.names = station, station.instance.report_fields
+        self.station, self.report_fields = station, station.instance.report_fields
 
-    def link(self, name: str, address: str, tell) -> WorkerClient:
-        """The way to one worker."""
+    def client_for(self, name: str, address: str, notify) -> WorkerClient:
+        """The client of one worker."""
         bounds = self.station.bounds
         return WorkerClient(
             name,
             address,
             self.station.name,
-            tell,
+            notify,
             self.station.attempt_limits.connect_timeout,
             bounds.line,
             bounds.unread,
         )
 
-    def run(self, attempt: Attempt, ask: PendingRequest, left: float) -> Command:
-        """A call-out, to be waited for so many ms."""
-        # Danger: it waits for its connection and for room at the kernel: see Speech.run in wickdyke/platform/back.py.
-        ends = clock() + left
-        program, call = attempt.request.function, ask.call
+    def attempt_command(self, attempt: Attempt, pending: PendingRequest, time_left: float) -> Command:
+        """An attempt, to be waited for so many ms."""
+        # It waits for its connection and for room at the kernel: its time left is written as its first byte goes.
+        deadline = clock() + time_left
+        function, call = attempt.request.function, pending.call
         run = back.Run(
             attempt.request.request_class.name,
-            program.name,
+            function.name,
             call.input,
-            program.memory,
-            program.concurrency,
-            left,
+            function.memory,
+            function.concurrency,
+            time_left,
             call.load_ms,
             call.token,
         )
 
-        def params(time_left: float) -> bytes:
-            run.time_left_ms = time_left
+        def params(left: float) -> bytes:
+            run.time_left_ms = left
             return jsonrpc.encode(run)
 
-        return Command("run", attempt, "run", params, ends)
+        return Command(CommandKind.ATTEMPT, attempt, "run", params, deadline)
 
-    def hold(self, key: tuple, program: Function, copies: int) -> Command:
-        """An order to have so many copies standing."""
-        hold = back.Hold(program.name, program.memory, program.concurrency, copies, program.load_hint or None)
-        return Command("hold", key, "hold", jsonrpc.encode(hold))
+    def prewarm_command(self, key: tuple, function: Function, replicas: int) -> Command:
+        """A prewarm of so many replicas."""
+        hold = back.Hold(function.name, function.memory, function.concurrency, replicas, function.load_hint or None)
+        return Command(CommandKind.PREWARM, key, "hold", jsonrpc.encode(hold))
 
-    def probe(self, key: str) -> Command:
+    def health_check_command(self, key: str) -> Command:
         """A question for a report."""
-        return Command("probe", key, "probe", b"{}")
+        return Command(CommandKind.HEALTH_CHECK, key, "probe", b"{}")
 
-    def ending(self, order: Command, outcome: str, result: bytes | None, data: bytes | None) -> CommandResult:
-        """What a link told of an order's end."""
-        if order.kind == "hold":
-            held = _read(back.Held, result if result is not None else data)
-            return CommandResult(outcome, copies=held.copies if held else 0)
-        if order.kind == "probe":
-            probed = _read(back.Probed, result)
-            return CommandResult(outcome, report=back.report(probed.report, self.names) if probed else None)
-        if outcome == "ok":
-            ran = _read(back.Ran, result)
+    def result_of(self, command: Command, outcome: str, answer: bytes | None, data: bytes | None) -> CommandResult:
+        """What a worker client told of a command's end."""
+        if command.kind == CommandKind.PREWARM:
+            held = _read(back.Held, answer if answer is not None else data)
+            return CommandResult(outcome, replicas=held.copies if held else 0)
+        if command.kind == CommandKind.HEALTH_CHECK:
+            probed = _read(back.Probed, answer)
+            return CommandResult(outcome, report=back.report(probed.report, self.report_fields) if probed else None)
+        if outcome == Outcome.OK:
+            ran = _read(back.Ran, answer)
             if ran is None:  # it ran, and what it said can't be read
-                return CommandResult("error")
+                return CommandResult(Outcome.ERROR)
             return CommandResult(
-                "ok", bytes(ran.output), ran.standing, ran.company, back.report(ran.report, self.names)
+                "ok", bytes(ran.output), ran.standing, ran.company, back.report(ran.report, self.report_fields)
             )
         told = _read(back.Told, data)
         if told is None:
             return CommandResult(outcome)
         return CommandResult(
-            outcome, company=told.company, report=back.report(told.report, self.names), inside=told.inside
+            outcome,
+            concurrent=told.company,
+            report=back.report(told.report, self.report_fields),
+            requests_in_replica=told.inside,
         )
 
 
--- /dev/null
+++ b/wickdyke/gateway/worker_registry.py
@@ -0,0 +1,70 @@
+"""The listed workers and the clients that speak to them."""
+
+from collections import Counter
+from collections.abc import Callable
+
+from wickdyke.gateway.events import Event
+from wickdyke.gateway.interfaces import EndpointList, WorkerClient, WorkerProtocol
+from wickdyke.routing.model import Endpoint, EndpointState
+
+LOGGED_ONE_BY_ONE = 32  # changes of the list; more are counted in one line
+
+
+class WorkerRegistry:
+    """Keeps the endpoint list and one client for each worker; `changed` is told of entries that changed."""
+
+    def __init__(
+        self,
+        protocol: WorkerProtocol,
+        endpoints: EndpointList,
+        notify: Callable[[Event], None],
+        changed: Callable[[list[Endpoint]], None],
+        log,
+    ) -> None:
+        self.protocol, self.endpoints, self.notify, self.changed, self.log = protocol, endpoints, notify, changed, log
+        self.clients: dict[str, WorkerClient] = {}
+
+    def client(self, name: str) -> WorkerClient | None:
+        """The client of a listed worker, made when it is first needed: most workers of a large fleet never are."""
+        if name not in self.clients and (address := self.endpoints.address(name)) is not None:
+            self.clients[name] = self.protocol.client_for(name, address, self.notify)
+        return self.clients.get(name)
+
+    def is_current(self, worker_client: WorkerClient) -> bool:
+        """Whether that client is the one its worker is spoken to by."""
+        return self.clients.get(worker_client.name) is worker_client
+
+    def apply(self, entries: list, now: float) -> None:
+        """Entries of the endpoint list came."""
+        change = self.endpoints.apply(entries, now)
+        for name, address in change.addresses.items():
+            if name in self.clients:
+                self.clients.pop(name).drain()
+            if address is not None and self.protocol.connects_at_once:
+                self.client(name)
+        self.report(change.endpoints, now)
+
+    def report(self, endpoints: list[Endpoint], now: float) -> None:
+        """Passes on what changed of the list."""
+        if not endpoints:
+            return
+        for endpoint in endpoints:
+            # What waits for a connection, or for a worker to read, would go out after the time for a drain. It never
+            # ran, and goes elsewhere.
+            if endpoint.state != EndpointState.READY and endpoint.ident in self.clients:
+                self.clients[endpoint.ident].withdraw_all_unsent()
+        self._log(endpoints, now)
+        self.changed(endpoints)
+
+    def _log(self, endpoints: list[Endpoint], now: float) -> None:
+        if len(endpoints) > LOGGED_ONE_BY_ONE:
+            self.log.info("endpoints changed", **Counter(str(endpoint.state) for endpoint in endpoints))
+            return
+        for endpoint in endpoints:
+            age = None if endpoint.started_at is None else round(now - endpoint.started_at)
+            self.log.info("endpoint changed", worker=endpoint.ident, state=str(endpoint.state), up_ms=age)
+
+    def close(self) -> None:
+        """Ends all clients."""
+        for client in list(self.clients.values()):
+            client.close()
--- a/wickdyke/platform/configuration.py
+++ b/wickdyke/platform/configuration.py
@@ -47,7 +47,7 @@
     zones: tuple[str, ...]
     kinds: tuple[str, ...]
     tenants: tuple[str, ...]
-    methods: list[RequestClass]
+    request_classes: list[RequestClass]
     instance: GatewayInstance
     attempt_limits: AttemptLimits
     function_cache: FunctionCache
@@ -114,7 +114,7 @@
         raise ConfigurationError(str(bad)) from None
     except Unusable as bad:
         raise ConfigurationError(f"{path}: known.batch has {bad}") from None
-    if not started["methods"]:
+    if not started["request_classes"]:
         raise ConfigurationError(f"{path}: settings has no classes, expected one at least")
     memory = _limit(given, path, "memory_mb", 1)
     return Configuration(
--- a/wickdyke/platform/endpoint_list.py
+++ b/wickdyke/platform/endpoint_list.py
@@ -80,7 +80,7 @@
         """Where a listed worker is."""
         return self.listed[name][1] if name in self.listed else None
 
-    def rows(self, events: Iterable[dict], now: float) -> EndpointListChange:
+    def apply(self, events: Iterable[dict], now: float) -> EndpointListChange:
         """Events came, in their order; those that came before change nothing."""
         before: dict[str, tuple[Endpoint, str] | None] = {}  # of those that an event names
         self.oldest_age = self._oldest_age(now)
--- /dev/null
+++ b/wickdyke/platform/requests.py
@@ -0,0 +1,85 @@
+"""Checks clients' requests. What is not checked here never reaches a worker."""
+
+import re
+from dataclasses import dataclass
+
+from wickdyke.platform import thrift
+from wickdyke.routing.model import RequestClass
+
+IDENT = re.compile(r"[0-9a-f]{16}", re.ASCII)
+FIGURE = re.compile(r"[0-9]{1,12}(\.[0-9]{1,12})?", re.ASCII)
+KEY = re.compile(r"[0-9A-Za-z_.:-]{1,64}", re.ASCII)
+REPEAT = re.compile(r"[0-9]{1,9}|true|false", re.ASCII)
+TAGS_MOST = {"memory_mb": 1e7, "lanes": 4096.0, "load_ms": 3.6e6}
+TIME_MOST = 3.6e6  # ms
+# c class, i id, d ms that the client waits, o function, tags further figures; where a deployment has them: t tenant,
+# h ms of work estimated, k the key under which a repeat is known, r whether this is a repeat.
+FIELDS = ("c", "i", "d", "o", "tags", "t", "h", "k", "r")
+
+
+class InvalidRequest(Exception):
+    """A request that can't be used, in words for its sender."""
+
+
+@dataclass(slots=True)
+class Call:
+    """What a request asks for."""
+
+    ident: bytes
+    program: str
+    input: bytes | None
+    memory_mb: float
+    lanes: int
+    load_ms: float | None
+    work_ms: float | None = None
+    repeat: bool = False
+    token: str = ""
+
+
+def _figure(text: str, name: str, most: float) -> float:
+    if not FIGURE.fullmatch(text) or not 0 < float(text) <= most:
+        raise InvalidRequest(f"{name} is {text[:20]!r}, expected a number of at most {most:g}")
+    return float(text)
+
+
+def check(
+    message: thrift.Message, request_classes: dict[str, RequestClass], tenants: tuple[str, ...] = ()
+) -> tuple[RequestClass, Call, float]:
+    """(class, call, ms that the client waits) of a request. Raises InvalidRequest."""
+    fields = message.fields
+    if unknown := fields.keys() - set(FIELDS):
+        raise InvalidRequest(f"field {min(unknown)[:20]!r}, expected {', '.join(FIELDS)}")
+    if (request_class := request_classes.get(fields.get("c", ""))) is None:
+        raise InvalidRequest(f"c is {fields.get('c', '')[:20]!r}, expected a class")
+    for name in "io":
+        if not IDENT.fullmatch(fields.get(name, "")):
+            raise InvalidRequest(f"{name} is {fields.get(name, '')[:20]!r}, expected 16 hex digits")
+    left = _figure(fields.get("d", ""), "d", TIME_MOST)
+    figures: dict[str, float] = {}
+    for pair in filter(None, fields.get("tags", "").split(";")):
+        name, _, value = pair.partition(":")
+        if name not in TAGS_MOST or name in figures:
+            raise InvalidRequest(f"tag {name[:20]!r}, expected {', '.join(TAGS_MOST)}, each once")
+        figures[name] = _figure(value, name, TAGS_MOST[name])
+    if "t" in fields and tenants and fields["t"] not in tenants:
+        raise InvalidRequest(f"t is {fields['t'][:20]!r}, expected a tenant")
+    if not KEY.fullmatch(fields.get("k", "" if request_class.effect == "tokened" else "-")):
+        raise InvalidRequest(f"k is {fields.get('k', '')[:20]!r}, expected a key of letters and digits")
+    if not REPEAT.fullmatch(fields.get("r", "0")):
+        raise InvalidRequest(f"r is {fields['r'][:20]!r}, expected a number, true or false")
+    work = _figure(fields["h"], "h", TIME_MOST) if "h" in fields else None
+    return (
+        request_class,
+        Call(
+            fields["i"].encode(),
+            fields["o"],
+            message.body,
+            figures.get("memory_mb", 0.0),
+            max(1, int(figures.get("lanes", 1.0))),
+            figures.get("load_ms"),
+            work,
+            fields.get("r", "0") not in ("0", "false"),
+            fields.get("k", ""),
+        ),
+        left,
+    )
