--- a/wickdyke/platform/service.py
+++ b/wickdyke/platform/service.py
@@ -1,4 +1,4 @@
-"""Assembles a front end of the platform: one thread, one loop, the desk turned by it; signals and the end."""
+"""Assembles a front end of the platform: one thread, one event loop that turns the coordinator; signals, shutdown."""
 
 import gc
 import os
@@ -8,28 +8,32 @@
 import traceback
 
 from wickdyke.gateway import log as logs
-from wickdyke.gateway.coordinator import Coordinator, clock
-from wickdyke.platform import configuration as stations
-from wickdyke.platform.worker_client import PlatformWorkerProtocol
+from wickdyke.gateway.context import clock
+from wickdyke.gateway.coordinator import Coordinator
+from wickdyke.gateway.events import EndpointsReceived
+from wickdyke.platform import configuration as configurations
+from wickdyke.platform.worker_protocol import PlatformWorkerProtocol
 from wickdyke.platform.discovery import DiscoveryClient
 from wickdyke.platform.client_server import ClientServer
 from wickdyke.platform.endpoint_list import EndpointList
 from wickdyke.platform.configuration import ConfigurationError, Configuration
 from wickdyke.transport.event_loop import EventLoop
 
-GRACE = 750.0  # ms after SIGTERM in which requests are taken as before, if there is as much time
+GRACE_PERIOD = 750.0  # ms after SIGTERM in which requests are taken as before, if there is as much time
 # SIGKILL may come this much later than the longest deadline (counted as so much at most) after SIGTERM, in ms.
-KILL_AFTER, KILL_DEADLINE = 700.0, 3000.0
+KILL_AFTER = 700.0
+KILL_DEADLINE_MOST = 3000.0
 KILL_MARGIN = 100.0  # ms before that by which all is answered
-COUNTS = 5000.0  # ms between lines of counts
-SWEEP = 1000.0  # ms between looks for idle connections to workers
-REREAD = 100.0  # ms until a configuration that could not be read is read again
-LONGEST = 100.0  # ms that one turn waits at most, so that a signal's flag is seen
-BACK, FOLLOW = 0.4, 400.0  # part of the time for a drain in which a lost list is asked for again; ms at most
-KEPT = 12  # descriptors that are nobody's: the list's old and new connection, one being taken, a file being read
+LOG_COUNTS_EVERY = 5000.0  # ms between lines of counts
+SWEEP_EVERY = 1000.0  # ms between looks for idle connections to workers
+REREAD_AFTER = 100.0  # ms until a configuration that could not be read is read again
+WAIT_MOST = 100.0  # ms that one turn waits at most, so that a signal's flag is seen
+DISCOVERY_RETRY_PART = 0.4  # of the grace for a drain, within which lost discovery is asked again
+DISCOVERY_RETRY_MOST = 400.0  # ms
+DESCRIPTORS_RESERVED = 12  # discovery's old and new connection, one being accepted, a file being read, and more
 
 
-def descriptors(limit: int) -> int:
+def open_descriptors(limit: int) -> int:
     """How many descriptors this process has open."""
     count = 0
     for number in range(limit):
@@ -44,33 +48,40 @@
 class Service:
     """One front end. `run` serves until it was asked to end and nothing is owed."""
 
-    def __init__(self, station: Configuration, path: str, log) -> None:
-        self.station, self.path, self.log = station, path, log
+    def __init__(self, configuration: Configuration, path: str, log) -> None:
+        self.configuration, self.path, self.log = configuration, path, log
         self.loop = EventLoop(self._fault)
         # The wall clock is read first: a pause between the two readings makes workers younger, to the safe side.
-        self.roster = EndpointList(
-            station.zones, station.kinds, lambda: time.time() * 1000 - clock(), lambda: self.bus.since
+        self.endpoints = EndpointList(
+            configuration.zones, configuration.kinds, lambda: time.time() * 1000 - clock(), lambda: self.discovery.since
         )
-        # Danger: clients that idle take all descriptors, and neither the list nor a worker can be reached. So what the
-        # process may hold is dealt out whole, to clients a half at most, and the rest is kept back.
-        free = station.sockets - descriptors(station.sockets) - KEPT
-        self.speech = PlatformWorkerProtocol(self.loop, station, log, free - free // 2)
-        self.desk = Coordinator(station, station.seed, log, self.speech, self.roster)
-        self.front = ClientServer(
-            self.loop, station.listen, station.methods, free // 2, self.desk.take, self.desk.busy, log, station.tenants
+        # Clients that idle would take all descriptors, and neither discovery nor a worker could be reached. So what the
+        # process may hold is divided: a half at most for clients, some in reserve, the rest for workers.
+        free = configuration.sockets - open_descriptors(configuration.sockets) - DESCRIPTORS_RESERVED
+        self.protocol = PlatformWorkerProtocol(self.loop, configuration, log, free - free // 2)
+        self.coordinator = Coordinator(configuration, configuration.seed, log, self.protocol, self.endpoints)
+        self.client_server = ClientServer(
+            self.loop,
+            configuration.listen,
+            configuration.request_classes,
+            free // 2,
+            self.coordinator.post,
+            self.coordinator.busy,
+            log,
+            configuration.tenants,
         )
-        self.bus = DiscoveryClient(
+        self.discovery = DiscoveryClient(
             self.loop,
-            station.bus,
-            lambda: self.roster.offset,
+            configuration.bus,
+            lambda: self.endpoints.offset,
             self._events,
             log,
-            min(FOLLOW, BACK * station.discovery.drain_grace),
-            station.seed,
+            min(DISCOVERY_RETRY_MOST, DISCOVERY_RETRY_PART * configuration.discovery.drain_grace),
+            configuration.seed,
         )
-        self.asked_to_end: float | None = None  # when
-        self.asked_to_read = self.rereading = self.stopping = False
-        longest = min(KILL_DEADLINE, max(method.deadline for method in station.methods))
+        self.shutdown_asked_at: float | None = None  # when
+        self.reload_asked = self.reload_pending = self.stopping = False
+        longest = min(KILL_DEADLINE_MOST, max(method.deadline for method in configuration.request_classes))
         self.answer_within = longest + KILL_AFTER - KILL_MARGIN  # ms after SIGTERM
 
     def _fault(self, bad: Exception) -> None:
@@ -82,9 +93,9 @@
         )
 
     def _events(self, events: list[dict]) -> None:
-        self.desk.take(("rows", events))
+        self.coordinator.post(EndpointsReceived(events))
 
-    def signals(self) -> None:
+    def handle_signals(self) -> None:
         """Hears SIGTERM, SIGINT and SIGHUP from now on."""
         for number in (signal.SIGTERM, signal.SIGINT):
             signal.signal(number, self._end)
@@ -92,153 +103,157 @@
 
     def _end(self, number: int, frame: object) -> None:
         # The time counts from the signal. Nothing else is done here: it may come between any two lines.
-        if self.asked_to_end is None:
-            self.asked_to_end = clock()
+        if self.shutdown_asked_at is None:
+            self.shutdown_asked_at = clock()
 
     def _read(self, number: int, frame: object) -> None:
-        self.asked_to_read = True
+        self.reload_asked = True
 
     def open(self) -> None:
         """Begins to serve; raises OSError where it can't listen."""
-        self.desk.take(("rows", self.station.known))
-        self.desk.turn_once()
-        self.bus.open()
-        self.front.listen()
-        self.front.ready = True
+        self.coordinator.post(EndpointsReceived(self.configuration.known))
+        self.coordinator.turn_once()
+        self.discovery.open()
+        self.client_server.listen()
+        self.client_server.ready = True
         self.log.info(
             "serving",
-            listen=":".join(map(str, self.station.listen)),
-            workers=len(self.roster),
-            sockets=self.station.sockets,
+            listen=":".join(map(str, self.configuration.listen)),
+            workers=len(self.endpoints),
+            sockets=self.configuration.sockets,
         )
         self._count()
-        self.loop.every(SWEEP, self.speech.pool.sweep)
-        self.loop.every(COUNTS, self._count)
+        self.loop.every(SWEEP_EVERY, self.protocol.pool.sweep)
+        self.loop.every(LOG_COUNTS_EVERY, self._count)
         gc.collect()
         gc.freeze()
 
     def _count(self) -> None:
         self.log.info(
             "counts",
-            clients=len(self.front.clients),
-            open=len(self.desk.asks),
-            connections=self.speech.pool.used,
-            workers=len(self.roster),
-            **self.desk.counts,
-            **self.front.counts,
-            **self.speech.pool.counts,
-            **{f"bus_{name}": many for name, many in self.bus.counts.items()},
+            clients=len(self.client_server.clients),
+            open=len(self.coordinator.requests.by_id),
+            connections=self.protocol.pool.used,
+            workers=len(self.endpoints),
+            **self.coordinator.counts,
+            **self.client_server.counts,
+            **self.protocol.pool.counts,
+            **{f"bus_{name}": many for name, many in self.discovery.counts.items()},
         )
 
-    def _reread(self) -> None:
-        self.asked_to_read = False
+    def _reload(self) -> None:
+        self.reload_asked = False
         try:
-            given = stations.load(self.path)
-            address = stations.bus(given, self.path)
-        except stations.Unreadable as bad:
+            given = configurations.load(self.path)
+            address = configurations.bus(given, self.path)
+        except configurations.Unreadable as bad:
             # The signal comes once, and what it tells of is owed: a descriptor or memory may be short for a moment.
-            if not self.rereading:
+            if not self.reload_pending:
                 self.log.warning("configuration not read yet", why=str(bad), kept="the last good one")
-            self.rereading = True
-            self.loop.at(clock() + REREAD, self._reread_later)
+            self.reload_pending = True
+            self.loop.at(clock() + REREAD_AFTER, self._reload_later)
             return
         except ConfigurationError as bad:
-            self.rereading = False
+            self.reload_pending = False
             self.log.warning("configuration unusable", why=str(bad), kept="the last good one")
             return
-        self.rereading = False
+        self.reload_pending = False
         self.log.info("configuration read", bus=":".join(map(str, address)))
-        self.bus.follow(address)
+        self.discovery.follow(address)
 
-    def _reread_later(self) -> None:
-        if self.rereading:
-            self._reread()
+    def _reload_later(self) -> None:
+        if self.reload_pending:
+            self._reload()
 
     def turn(self) -> bool:
         """One turn; False when it is over."""
-        desk = self.desk
+        coordinator = self.coordinator
         self._drain()
-        wait = 0.0 if not desk.events.empty() else min(desk.next_at(), self.loop.next_at(), self._next_step()) - clock()
-        self.loop.turn(min(wait, LONGEST), desk.turn_once)
-        desk.turn_once()
-        if self.asked_to_read:
-            self._reread()
-        if self.asked_to_end is None:
+        wait = (
+            0.0
+            if not coordinator.events.empty()
+            else min(coordinator.next_at(), self.loop.next_at(), self._next_step()) - clock()
+        )
+        self.loop.turn(min(wait, WAIT_MOST), coordinator.turn_once)
+        coordinator.turn_once()
+        if self.reload_asked:
+            self._reload()
+        if self.shutdown_asked_at is None:
             return True
         self._drain()
-        passed = clock() - self.asked_to_end
-        if passed < min(GRACE, self.answer_within):
+        passed = clock() - self.shutdown_asked_at
+        if passed < min(GRACE_PERIOD, self.answer_within):
             return True
         late = passed >= self.answer_within
-        self.front.shut()
+        self.client_server.shut()
         if late:
             self._answer_all()
-        if not self.front.shut_down or not self._settled(late):
+        if not self.client_server.shut_down or not self._settled(late):
             return True
-        # What came since the kernel last told is read before the end: an RPC there has been taken, and a socket that
+        # What came since the kernel last told is read before the end: a request there has been taken, and a socket that
         # is closed with something unread resets the answer under way.
-        return self.front.heard_more() or not self.front.hang_up(late)
+        return self.client_server.heard_more() or not self.client_server.hang_up(late)
 
     def _drain(self) -> None:
         """Begins the graceful shutdown once it was asked for."""
-        if self.asked_to_end is None:
+        if self.shutdown_asked_at is None:
             return
-        self.front.answer_by = self.asked_to_end + self.answer_within
+        self.client_server.answer_by = self.shutdown_asked_at + self.answer_within
         if not self.stopping:
-            self.stopping, self.front.ready = True, False
-            self.log.info("stopping", held=len(self.desk.asks))
+            self.stopping, self.client_server.ready = True, False
+            self.log.info("stopping", open=len(self.coordinator.requests.by_id))
 
     def _next_step(self) -> float:
         """When the shutdown has its next step."""
-        if self.asked_to_end is None:
+        if self.shutdown_asked_at is None:
             return float("inf")
-        steps = (self.asked_to_end + span for span in (min(GRACE, self.answer_within), self.answer_within))
+        steps = (self.shutdown_asked_at + span for span in (min(GRACE_PERIOD, self.answer_within), self.answer_within))
         now = clock()
         return min((step for step in steps if step > now), default=float("inf"))
 
     def _answer_all(self) -> None:
         """SIGKILL is near: what is open gets its final answer now, what comes is rejected, no connection is taken."""
-        self.desk.stopping = True
-        if not self.front.shut_down:
-            self.front.shut(True)
-        self.desk.answer_all("stopping")
+        self.coordinator.stop_admitting()
+        if not self.client_server.shut_down:
+            self.client_server.shut(True)
+        self.coordinator.answer_all("stopping")
 
     def _settled(self, late: bool) -> bool:
-        """Whether nothing is owed to clients. Until it is late, call-outs that are still out are waited for as well."""
+        """Whether nothing is owed to clients. Until it is late, attempts that are still out are waited for as well."""
         if late:
-            return self.desk.events.empty() and self.front.flushed()
-        return self.desk.idle() and self.front.flushed()
+            return self.coordinator.events.empty() and self.client_server.flushed()
+        return self.coordinator.idle() and self.client_server.flushed()
 
     def run(self) -> None:
         """Serves until the end."""
         while self.turn():
             pass
-        self.log.info("stopped", took_ms=round(clock() - self.asked_to_end), **dict(self.desk.counts))
+        self.log.info("stopped", took_ms=round(clock() - self.shutdown_asked_at), **dict(self.coordinator.counts))
 
 
 def main() -> int:
     """Serves; 2 and one line on standard error where the configuration can't be used."""
     try:
-        path = stations.config_path()
-        station = stations.read(path, os.environ.get("GW_LISTEN"), os.environ.get("GW_NAME"))
+        path = configurations.config_path()
+        configuration = configurations.read(path, os.environ.get("GW_LISTEN"), os.environ.get("GW_NAME"))
     except ConfigurationError as bad:
         print(f"wickdyke.platform: {bad}", file=sys.stderr)
         return 2
-    log, scribe = logs.logger(sys.stderr, False)
-    serving = Service(station, path, log.bind(gateway=station.name))
-    serving.signals()
-    # Danger: the collector walks over all that is kept while RPCs wait. Nearly all goes by its count; the few
-    # circles wait longer.
+    log, log_writer = logs.logger(sys.stderr, False)
+    service = Service(configuration, path, log.bind(gateway=configuration.name))
+    service.handle_signals()
+    # The garbage collector would walk over all that is kept while requests wait. Nearly all is freed by its reference
+    # count; the few cycles wait longer.
     gc.set_threshold(20000, 20, 50)
     try:
-        serving.open()
+        service.open()
     except OSError as bad:
-        host, port = station.listen
+        host, port = configuration.listen
         print(
             f"wickdyke.platform: {path}: listen is {host}:{port}: {bad.strerror}, expected an address that is free",
             file=sys.stderr,
         )
         return 2
-    serving.run()
-    scribe.close()
+    service.run()
+    log_writer.close()
     return 0
--- a/wickdyke/settings/station.py
+++ b/wickdyke/settings/station.py
@@ -63,7 +63,7 @@
     seed: int | None
     zones: tuple[str, ...]
     kinds: tuple[str, ...]
-    methods: list[RequestClass]
+    request_classes: list[RequestClass]
     programs: list[Stated]
     instance: GatewayInstance
     attempt_limits: AttemptLimits
@@ -339,7 +339,7 @@
         seed=got["seed"],
         zones=zones,
         kinds=tuple(kind for kind, _, _ in got["kind"]),
-        methods=[method for method, _ in got["method"]],
+        request_classes=[method for method, _ in got["method"]],
         programs=got["program"],
         instance=GatewayInstance(
             number_,
--- a/wickdyke/settings/terms.py
+++ b/wickdyke/settings/terms.py
@@ -190,7 +190,7 @@
     """What a front end is given at its start."""
     get = terms.get
     return {
-        "methods": [method(terms, place) for place in range(get("lanes.count", count))],
+        "request_classes": [method(terms, place) for place in range(get("lanes.count", count))],
         "instance": GatewayInstance(
             index=get("self-index", count),
             count=get("instances", count),
--- a/wickdyke/simulator/host.py
+++ b/wickdyke/simulator/host.py
@@ -86,7 +86,7 @@
             ident, seed = codec.parts(name, values[:2], (("instance", codec.count), ("seed", codec.count)))
             terms = start(paired(values[2:]))
             touched[ident] = None
-            self.instances[ident] = Instance(Router(self.now, seed, terms.pop("methods"), **terms))
+            self.instances[ident] = Instance(Router(self.now, seed, **terms))
             return
         if name not in codec.EVENTS:
             raise BadInput(f"{name[:40]!r}, expected an event or END")
