--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -207,8 +207,8 @@
 
     def elsewhere(self, link):
         """From now on nobody lets that link in; where it went before."""
-        here, (host, _, port) = link.at, Full(self).address.rpartition(":")
-        link.at = host, int(port)
+        here, (host, _, port) = link.target, Full(self).address.rpartition(":")
+        link.target = host, int(port)
         return here
 
     def order(self, left, ident=ASCII_A, body=b"x"):
@@ -247,7 +247,7 @@
                 link, held = self.held()
                 here = self.elsewhere(link)
                 link.send(self.order(1500.0))
-                link.at = here
+                link.target = here
                 self.clock.now += gone
                 link.connections[0]._timed_out()
                 if told is None:
--- a/tests/test_desk.py
+++ b/tests/test_desk.py
@@ -186,7 +186,7 @@
             client.ask(1, input="x" * (8 << 20))
             self.assertTrue(until(lambda: any(ask.commands for ask in running.coordinator.requests.by_id.values())))
             client.close()
-            self.assertTrue(until(lambda: "link cut" in running.said.getvalue()))
+            self.assertTrue(until(lambda: "worker disconnected" in running.said.getvalue()))
             self.assertTrue(until(lambda: not running.coordinator.requests.by_id))
 
 
@@ -267,7 +267,7 @@
 
 def _ended(running):
     """Call-outs whose time was up, or that the module took back before."""
-    return running.coordinator.counts["call_outs_timeout"] + running.coordinator.counts["call_outs_cancelled"]
+    return running.coordinator.counts["attempts_timeout"] + running.coordinator.counts["attempts_cancelled"]
 
 
 class Routed(unittest.TestCase):
@@ -292,7 +292,7 @@
             client = running.client()
             client.ask(1, program="pa")
             self.assertTrue(until(lambda: running.coordinator.requests.by_id))
-            before = next(iter(running.coordinator.requests.by_id.values())).timing
+            before = next(iter(running.coordinator.requests.by_id.values())).route_policy
             for bad in (self.ROUTE % (200, 1), "(route", self.ROUTE % (9000, 9)):
                 said = running.said.getvalue().count("routes unusable")
                 running.route(bad)
@@ -536,7 +536,7 @@
             sink = io.StringIO()
             log, scribe = logs.logger(sink, json, debug, gateway="g")
             log.info("one", worker="w")
-            log.debug("two", rpc=1, call_out=0)
+            log.debug("two", request=1, attempt=0)
             scribe.close()
             self.assertEqual("two" in sink.getvalue(), debug)
             self.assertIn(words, sink.getvalue().replace("gateway=g ", ""))
@@ -544,8 +544,8 @@
     def test_keys(self):
         for note, event, keys in (
             (
-                "worker w1 shunned for 1500 ms: cut, 3 of 4 bad",
-                "worker shunned for 1500 ms: cut, 3 of 4 bad",
+                "worker w1 ejected for 1500 ms: cut, 3 of 4 bad",
+                "worker ejected for 1500 ms: cut, 3 of 4 bad",
                 {"worker": "w1"},
             ),
             ("something else", "something else", {}),
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -570,7 +570,7 @@
                     else:
                         if how != "close":
                             client.send(struct.pack(">i", -1))
-                            self.until(lambda s=serving: any(c.ending for c in s.front.clients.values()))
+                            self.until(lambda s=serving: any(c.ending for c in s.client_server.clients.values()))
                             client.sock.shutdown(socket.SHUT_WR)  # an end, with no reset for what it has not read
                         else:
                             client.close()
@@ -642,12 +642,12 @@
     def test_nothing_more_of_an_rpc_that_was_answered(self):
         """A call-out that has not begun as another one answers never goes out."""
         order = Mock()
-        order.link.withdraw_unsent.return_value = True
+        order.worker_client.withdraw_unsent.return_value = True
         self.front_end(self.worker().address)
         ask = Mock(commands={"one": order}, router_id=None)
         ask.succeed.__name__ = "succeed"
         self.serving.coordinator.requests.answer(ask, ask.succeed, b"", 1)
-        order.link.withdraw_unsent.assert_called_once_with(order)
+        order.worker_client.withdraw_unsent.assert_called_once_with(order)
 
 
 class Dialled(Turned):
@@ -686,8 +686,8 @@
 
     def elsewhere(self, link):
         """From now on nobody lets that link in; where it went before."""
-        here, (host, _, port) = link.at, Full(self).address.rpartition(":")
-        link.at = host, int(port)
+        here, (host, _, port) = link.target, Full(self).address.rpartition(":")
+        link.target = host, int(port)
         return here
 
     def test_one_late_connection_is_not_a_worker_that_is_away(self):
@@ -784,7 +784,7 @@
                 for _ in range(misses):
                     self.assertEqual(self.told, [])
                     if misses == 1:
-                        link.at = here
+                        link.target = here
                     link.probe_connection._timed_out()
                 self.until(lambda: self.told)
                 self.assertEqual(self.told, [(ASCII_A, outcome)])
@@ -825,7 +825,7 @@
                 self.until(lambda link=link: link.connections[0].answers.begun)
                 if how == "forget":
                     self.assertTrue(link.abandon(order))
-                self.assertFalse(any(conn.takes(ASCII_B) for conn in link.connections))
+                self.assertFalse(any(conn.accepts(ASCII_B) for conn in link.connections))
                 link.send(self.order(ASCII_B))
                 self.until(lambda held=held: len(held) == 2)
                 self.assertIsNot(held[0][0], held[1][0])
--- a/tests/test_link.py
+++ b/tests/test_link.py
@@ -201,11 +201,11 @@
 
         link, told, _ = self.link(play)
         told.next("connected")
-        self.assertTrue(until(lambda: link.outbox is not None))
+        self.assertTrue(until(lambda: link.write_buffer is not None))
         orders = [Command(CommandKind.ATTEMPT, at, "run", BIG) for at in range(3)]
         for order in orders:
             link.send(order)  # must not wait
-        self.assertTrue(until(lambda: orders[0].parcel.begun))
+        self.assertTrue(until(lambda: orders[0].message.begun))
         self.assertEqual(link.cancel(orders[2], lambda: None), "unsent")
         self.assertIsNone(link.cancel(orders[0], lambda: None))
         link.disconnect()
@@ -221,7 +221,7 @@
             threading.Event().wait(60)
 
         link, told, _ = self.link(play, dial=1000.0)
-        self.assertTrue(until(lambda: link.outbox is not None))
+        self.assertTrue(until(lambda: link.write_buffer is not None))
         for at in range(6):
             link.send(Command(CommandKind.ATTEMPT, at, "run", BIG))
         got = sorted(told.next("finished")[3] for _ in range(6))
@@ -244,7 +244,7 @@
 
         link, told, _ = self.link(play)
         told.next("connected")
-        self.assertTrue(until(lambda: link.outbox is not None))
+        self.assertTrue(until(lambda: link.write_buffer is not None))
         order = Command(CommandKind.ATTEMPT, None, "run", b"{}")
         link.send(order)
         self.assertEqual(link.cancel(order, lambda: None), "cancelled")
@@ -265,7 +265,7 @@
 
         link, told, _ = self.link(play)
         link.send(Command(CommandKind.ATTEMPT, 1, "run", b"{}"))
-        self.assertTrue(until(lambda: link.out))
+        self.assertTrue(until(lambda: link.in_flight))
         link.drain()
         answer.set()
         self.assertEqual(told.next("finished")[3], "ok")
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -349,7 +349,7 @@
         link = self.link()
         self.worker.close()
         time.sleep(0.05)
-        link.at = ("127.0.0.1", int(rig.free_address().rpartition(":")[2]))
+        link.target = ("127.0.0.1", int(rig.free_address().rpartition(":")[2]))
         link.send(self.order())
         self.assertEqual(self.ended(), [(b"9b1f03aa5c7e2d41", "unreached")])
         self.assertEqual(self.pool.used, 0)
@@ -392,14 +392,14 @@
     def test_the_pool_is_shared_and_what_idles_makes_room(self):
         first, other = self.link(most=2), self.link(most=2)
         other.pool = first.pool
-        first.pool.links.add(other)
+        first.pool.worker_clients.add(other)
         for at in range(2):
             first.send(self.order(b"%016d" % at))
         self.ended(2)
         other.send(self.order())  # both places idle at the first worker
         self.assertEqual(self.ended(3)[2], (b"9b1f03aa5c7e2d41", "ok"))
         self.assertEqual((first.pool.used, len(first.connections), len(other.connections)), (2, 1, 1))
-        first.idle = other.idle = 0.0
+        first.idle_after = other.idle_after = 0.0
         ends = clock() + 5
         self.until(lambda: clock() > ends)
         first.pool.sweep()
@@ -420,7 +420,7 @@
                         self.assertEqual(link.cancel(order, lambda: None), "cancelled")
                     else:
                         self.assertTrue(link.abandon(order))
-                self.assertEqual((self.pool.used, self.pool.links, link.closed), (0, set(), True))
+                self.assertEqual((self.pool.used, self.pool.worker_clients, link.closed), (0, set(), True))
 
     def test_a_retired_worker_ends_with_what_is_out(self):
         held = []
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -14,6 +14,7 @@
 from tests import platform_rig as rig
 from wickdyke.gateway import context
 from wickdyke.platform import (
+    client_connection,
     configuration,
     discovery,
     worker_client,
@@ -49,6 +50,7 @@
         for module in (
             event_loop,
             context,
+            client_connection,
             fronts,
             worker_client,
             worker_command,
--- a/tests/test_worker_connection_faults.py
+++ b/tests/test_worker_connection_faults.py
@@ -196,7 +196,7 @@
         for each in (link, other):
             each.close()
         self.assertEqual((self.pool.used, self.faults.open_sockets(), self.loop.handlers), (0, set(), {}))
-        self.assertEqual(self.pool.links, set())
+        self.assertEqual(self.pool.worker_clients, set())
         for _ in range(3):
             self.loop.turn(0, lambda: None)
         self.assertEqual(len(self.told), 7)
--- a/wickdyke/cli/prove.py
+++ b/wickdyke/cli/prove.py
@@ -8,6 +8,7 @@
 
 import click
 
+from wickdyke.gateway import recording as recordings
 from wickdyke.proving import report, trace
 from wickdyke.proving import script as scripts
 from wickdyke.proving.director import Director, Failed
@@ -117,7 +118,7 @@
     """
     try:
         with open(recording, "rb") as source:
-            alike, differs = recording.replay(source)
+            alike, differs = recordings.replay(source)
     except (OSError, ValueError, KeyError, TypeError) as bad:
         print(f"{recording}: found {bad}, expected a recording", file=sys.stderr)
         raise SystemExit(BAD) from None
--- a/wickdyke/platform/client_server.py
+++ b/wickdyke/platform/client_server.py
@@ -72,7 +72,7 @@
             self.loop.at(clock() + RETRY, self._watch_listener)
             self.guarded(self)
 
-    def unfit(self, why: str) -> None:
+    def count_invalid(self, why: str) -> None:
         """Counts a request that can't be used; says why of the first, the tenth, the hundredth."""
         self.counts["invalid"] += 1
         if str(self.counts["invalid"]).strip("0") == "1":
