--- a/tests/test_listener_faults.py
+++ b/tests/test_listener_faults.py
@@ -45,6 +45,14 @@
     return len(os.listdir("/proc/self/fd"))
 
 
+def started_since(threads):
+    """The threads alive now that are not among those, which were alive before the case.
+
+    Not their number: a thread that another test module left may end meanwhile.
+    """
+    return set(threading.enumerate()) - threads
+
+
 def failure(code):
     return OSError(code, os.strerror(code))
 
@@ -151,7 +159,7 @@
 
     def assert_none_left(self, before, threads):
         self.assertTrue(until(lambda: open_descriptors() == before), f"{open_descriptors()} open, {before} before")
-        self.assertTrue(until(lambda: threading.active_count() == threads), threading.enumerate())
+        self.assertTrue(until(lambda: not started_since(threads)), started_since(threads))
 
 
 class AcceptFails(Case):
@@ -161,7 +169,7 @@
             for code in ACCEPT_ERRORS:
                 for nth in range(1, CONNECTIONS + 1):
                     with self.subTest(kind=kind.__name__, code=errno.errorcode[code], nth=nth):
-                        before, threads = open_descriptors(), threading.active_count()
+                        before, threads = open_descriptors(), set(threading.enumerate())
                         faulty = faulty_socket(code=code, nth=nth, times=2)
                         with patch.object(line_server, "socket", replaced(socket, socket=faulty)):
                             listener = kind(self.folder)
@@ -179,7 +187,7 @@
             for code in (errno.ECONNABORTED, errno.EPROTO, errno.ENETDOWN, errno.EPERM):
                 for nth in range(1, CONNECTIONS + 1):
                     with self.subTest(kind=kind.__name__, code=errno.errorcode[code], nth=nth):
-                        before, threads = open_descriptors(), threading.active_count()
+                        before, threads = open_descriptors(), set(threading.enumerate())
                         faulty = faulty_socket(code=code, nth=nth, consumes=True)
                         with patch.object(line_server, "socket", replaced(socket, socket=faulty)):
                             listener = kind(self.folder)
@@ -197,7 +205,7 @@
         for kind in LISTENERS:
             for nth in range(1, CONNECTIONS + 1):
                 with self.subTest(kind=kind.__name__, nth=nth):
-                    before, threads = open_descriptors(), threading.active_count()
+                    before, threads = open_descriptors(), set(threading.enumerate())
                     faulty = faulty_thread(kind.threads_before + nth)
                     with patch.object(kind.module, "threading", replaced(threading, Thread=faulty)):
                         listener = kind(self.folder)
@@ -221,7 +229,7 @@
 
 class ServingRaises(Case):
     def test_what_nobody_foresaw_closes_the_connection(self):
-        before, threads = open_descriptors(), threading.active_count()
+        before, threads = open_descriptors(), set(threading.enumerate())
         seen = []
 
         def breaks(sock):
@@ -238,7 +246,7 @@
         self.assertEqual(seen, [RuntimeError])
 
     def test_the_owner_of_a_server_is_told_that_its_peer_has_gone(self):
-        before, threads = open_descriptors(), threading.active_count()
+        before, threads = open_descriptors(), set(threading.enumerate())
         gone = []
 
         def heard(wire, request):
