--- a/tests/test_event_loop_faults.py
+++ b/tests/test_event_loop_faults.py
@@ -154,7 +154,7 @@
         self.loop.want(mine, True)
         self.turn(event_loop.MODIFY_RETRY)
         self.turn()
-        self.assertEqual((handler.told, self.loop.timers), (["writable"], []))
+        self.assertEqual((handler.told, self.loop.timers.heap), (["writable"], []))
 
     def test_another_socket_with_its_number_is_not_changed(self):
         old, fresh = Handler(), Handler()
@@ -180,7 +180,7 @@
         mine, _ = self.pair()
         with self.assertRaises(FileNotFoundError):
             self.loop.want(mine, True)
-        self.assertEqual((self.loop.unmodified, self.loop.timers), ({}, []))
+        self.assertEqual((self.loop.unmodified, self.loop.timers.heap), ({}, []))
 
 
 class Remove(Case):
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -547,7 +547,7 @@
         client.close()
         self.until(lambda: not serving.client_server.clients)
         link.connections[0].end("idle")
-        serving.loop.timers.clear()  # when a connection would have been late
+        serving.loop.timers.heap.clear()  # when a connection would have been late
         self.assertEqual([each() for each in kept], [None, None])
 
     def test_who_leaves_while_its_call_out_waits_for_a_connection(self):
--- a/wickdyke/transport/timers.py
+++ b/wickdyke/transport/timers.py
@@ -15,7 +15,7 @@
         self.order = itertools.count()  # among calls of one time
 
     def at(self, when: float, act: Callable, *args: object) -> None:
-        """Has that called at that time (ms)."""
+        """Adds a call that is due at that time (ms)."""
         heapq.heappush(self.heap, (when, next(self.order), act, args))
 
     def next_at(self) -> float:
