--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -89,7 +89,9 @@
         self.assertFalse(first.begun)
         self.text = b"three"
         box.pump()
-        self.assertEqual((self.sock.data, first.begun, box.held, self.waits), (b"three", True, 0, [True, False]))
+        self.assertEqual(
+            (self.sock.data, first.begun, box.bytes_waiting, self.waits), (b"three", True, 0, [True, False])
+        )
 
     def test_what_has_begun_stays_as_rendered(self):
         box = self.box(1, 1, 99)
@@ -97,7 +99,7 @@
         for text in (b"two", None):  # its deadline passes between two of its bytes
             self.text = text
             box.pump()
-        self.assertEqual((self.sock.data, first.begun, box.held, self.expired), (b"one", True, 0, []))
+        self.assertEqual((self.sock.data, first.begun, box.bytes_waiting, self.expired), (b"one", True, 0, []))
 
     def test_what_is_over_does_not_go(self):
         """At once or after it waited; what comes behind it goes."""
@@ -108,7 +110,9 @@
         with self.assertRaises(Expired):
             box.put(self.parcel("second"))
         box.pump()
-        self.assertEqual((self.sock.data, first.begun, self.expired, box.held), (b"behind", False, ["first"], 0))
+        self.assertEqual(
+            (self.sock.data, first.begun, self.expired, box.bytes_waiting), (b"behind", False, ["first"], 0)
+        )
 
     def test_the_bound_counts_what_was_rendered_last(self):
         """Also where a message is shorter or longer as it goes, is begun, taken back, or over."""
@@ -116,16 +120,16 @@
         box.put(self.parcel())
         self.text = b"1234567"
         box.put(second := self.parcel())
-        self.assertEqual(box.held, 10)
+        self.assertEqual(box.bytes_waiting, 10)
         with self.assertRaises(PeerTooSlow):
             box.put(self.parcel())
         self.text = b"12345"
         box.pump()
-        self.assertEqual((box.held, self.sock.data), (3 + 7, b"12"))
+        self.assertEqual((box.bytes_waiting, self.sock.data), (3 + 7, b"12"))
         self.assertTrue(box.withdraw(second))
-        self.assertEqual(box.held, 3)
+        self.assertEqual(box.bytes_waiting, 3)
         box.pump()
-        self.assertEqual((box.held, self.sock.data), (0, b"12345"))
+        self.assertEqual((box.bytes_waiting, self.sock.data), (0, b"12345"))
 
     def test_no_memory_at_the_kernel_is_for_a_moment(self):
         """ENOBUFS and ENOMEM of send: nothing went, and it is offered again."""
@@ -136,7 +140,7 @@
                 box.pump()
                 self.assertFalse(first.begun)
                 box.pump()
-                self.assertEqual((self.sock.data, box.held), (b"one", 0))
+                self.assertEqual((self.sock.data, box.bytes_waiting), (b"one", 0))
 
     def test_a_thread_renders_what_goes_when_there_is_room(self):
         """The other side reads nothing until the text has changed: what did not fit before goes as changed."""
@@ -162,7 +166,7 @@
             got += there.recv(1 << 20)
         self.assertEqual(got[len(big) :], b"two")
         self.assertTrue(over.wait(20))
-        self.assertEqual((waits.begun, gone.begun, box.held), (True, False, 0))
+        self.assertEqual((waits.begun, gone.begun, box.bytes_waiting), (True, False, 0))
 
     def test_a_thread_ends_while_it_waits_for_room(self):
         here, there = socket.socketpair()
@@ -277,7 +281,7 @@
                 else:
                     self.until(lambda held=held: len(held) == 2)
                     self.assertEqual(told_left(held[1][1]), told)
-                self.assertEqual((conn.write_buffer.held, conn.closed), (0, False))
+                self.assertEqual((conn.write_buffer.bytes_waiting, conn.closed), (0, False))
                 link.close()
 
     def test_what_has_ended_is_free_without_the_collector(self):
@@ -369,8 +373,8 @@
 
         def behind(parcel):  # as where others wait: it is the thread's to write
             with link.write_buffer.lock:
-                parcel.held = len(parcel.rendered())
-                link.write_buffer.held += parcel.held
+                parcel.bytes_waiting = len(parcel.rendered())
+                link.write_buffer.bytes_waiting += parcel.bytes_waiting
                 link.write_buffer.waiting.append(parcel)
                 return False
 
--- a/wickdyke/transport/__init__.py
+++ b/wickdyke/transport/__init__.py
@@ -1,1 +1,1 @@
-"""Sockets that several parts share: what waits to be written, and small servers of lines."""
+"""Sockets as all programs use them: event loop, timers, write buffer, listeners, termination by signal."""
--- a/wickdyke/transport/acceptor.py
+++ b/wickdyke/transport/acceptor.py
@@ -1,4 +1,4 @@
-"""Accepts connections from a listening socket until it is closed, whatever accept fails with meanwhile."""
+"""Accepts connections from a listening socket until it is closed, whichever errors accept gives meanwhile."""
 
 import contextlib
 import errno
@@ -13,10 +13,10 @@
 
 
 class Acceptor:
-    """The accept loop of one blocking listening socket; `run` is for a thread of its own.
+    """The accept loop of one blocking listening socket; `run` needs a thread of its own.
 
-    `take(sock)` is given each accepted connection and owns it; where it raises, that connection is closed.
-    `failed(error)` is told of each connection that was not taken. Neither ends the loop, only `close` does.
+    `take(sock)` is called with each accepted connection and owns it; where it raises, that connection is closed.
+    `failed(error)` is called for each failed accept or `take`. Neither ends the loop, only `close` does.
     """
 
     def __init__(
@@ -35,8 +35,8 @@
             try:
                 sock, _ = self.sock.accept()
             except OSError as error:
-                # Linux passes errors of the network that wait on the new connection through accept, and may drop the
-                # connection: none of accept(2)'s errors says that the listening socket is of no more use.
+                # Linux reports network errors pending on the new connection as errors of accept, and may drop the
+                # connection. No error of accept(2) means that the listening socket can't be used any more.
                 if self.closed.is_set() or self.sock.fileno() < 0:
                     return
                 failures += 1
--- a/wickdyke/transport/line_server.py
+++ b/wickdyke/transport/line_server.py
@@ -15,83 +15,80 @@
 from wickdyke.transport.acceptor import Acceptor
 from wickdyke.transport.write_buffer import WriteBuffer, OutgoingMessage, PeerTooSlow
 
-LINE = 64 << 20  # bytes of a line
-UNREAD = 64 << 20  # bytes that may wait for one peer
+LINE_SIZE_MOST = 64 << 20  # bytes
+UNREAD_MOST = 64 << 20  # bytes that may wait for one peer
+READ_SIZE = 1 << 18  # bytes read at a time
 BACKLOG = 512
 
 
 class AddressInUse(Exception):
-    """Somebody listens there already."""
+    """The address can't be had: a live process listens there, or the system refuses it."""
 
 
 def listener(address: str) -> tuple[socket.socket, TextIO | None]:
-    """(listening socket, what must be kept while it is used); raises InUse where a live process has it.
+    """(listening socket, lock file to be kept open while it is used); raises AddressInUse.
 
-    A lock beside the socket's file tells a live owner from a file that a killed one left behind.
+    The lock beside a Unix socket's file tells a live owner from a file that a killed process left behind.
     """
-    family, where = addresses.parse(address)
-    # What is open already is closed where a later step fails.
+    family, target = addresses.parse(address)
+    # Closes what is open already where a later step fails.
     with contextlib.ExitStack() as opened:
-        held = None
+        lock_file = None
         if family == socket.AF_UNIX:
             os.makedirs(os.path.dirname(address) or ".", exist_ok=True)
-            held = opened.enter_context(open(address + ".lock", "w"))
-            _claim(address, held)
+            lock_file = opened.enter_context(open(address + ".lock", "w"))
+            _claim(address, lock_file)
         try:
             sock = opened.enter_context(socket.socket(family, socket.SOCK_STREAM))
             if family != socket.AF_UNIX:
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-            sock.bind(where)
+            sock.bind(target)
             sock.listen(BACKLOG)
-        except OSError as bad:
-            raise AddressInUse(f"{address}: {bad.strerror}, expected a free one") from None
+        except OSError as error:
+            raise AddressInUse(f"{address}: {error.strerror}, expected a free one") from None
         opened.pop_all()
-    return sock, held
+    return sock, lock_file
 
 
-def _claim(address: str, held: TextIO) -> None:
-    """Takes the lock and removes the socket file that a killed process left behind; raises InUse."""
+def _claim(address: str, lock_file: TextIO) -> None:
+    """Takes the lock and removes the socket file that a killed process left behind; raises AddressInUse."""
     try:
-        fcntl.flock(held, fcntl.LOCK_EX | fcntl.LOCK_NB)
+        fcntl.flock(lock_file, fcntl.LOCK_EX | fcntl.LOCK_NB)
     except OSError:
         raise AddressInUse(f"{address}: somebody live listens there, expected a free one") from None
     try:
         if not stat.S_ISSOCK(os.lstat(address).st_mode):
             raise AddressInUse(f"{address}: a file that is no socket stands there, expected none")
-        os.unlink(address)  # nobody holds the lock: it is left over
+        os.unlink(address)  # nobody holds the lock: a killed process left it
     except FileNotFoundError:
         pass
 
 
 class LineConnection:
-    """One connection; `say` may be called from any thread and never waits: who lets too much wait is hung up on."""
+    """One connection. `say` may be called from any thread and never waits: a peer that reads too little is closed."""
 
-    def __init__(self, sock: socket.socket, unread: int = UNREAD) -> None:
+    def __init__(self, sock: socket.socket, unread: int = UNREAD_MOST) -> None:
         self.sock, self.box, self.open = sock, WriteBuffer(sock, unread, "wire"), True
         self.who = ""
 
     def say(self, body: bytes) -> None:
-        """Sends one line; nobody may be there any more."""
+        """Sends one line, or closes the connection where that fails."""
         try:
             self.box.put(OutgoingMessage(body + b"\n"))
-        except (
-            OSError,
-            PeerTooSlow,
-            RuntimeError,
-        ):  # RuntimeError: the thread that writes the rest could not be started
+        except (OSError, PeerTooSlow, RuntimeError):  # RuntimeError: no thread could be started
             self.open = False
             self.box.close()
 
 
 class Listener:
-    """Takes connections on an address; `serve(sock)` in a thread for each, which need not close it.
+    """Accepts connections on an address and calls `serve(sock)` in a thread for each, which need not close it.
 
-    What accept or the start of a thread fails with costs one connection at most; only `close` ends the listener.
+    A failure of accept or of the start of a thread costs one connection at most; only `close` ends the listener.
     """
 
     def __init__(self, address: str, serve: Callable[[socket.socket], None]) -> None:
         self.serve = serve
-        self.sock, self.held = listener(address)
+        self.sock, self.lock_file = listener(address)
         self.socks: set[socket.socket] = set()
         self.lock = threading.Lock()
         self.acceptor = Acceptor(self.sock, self._take)
@@ -102,15 +99,15 @@
             raise
 
     def close(self) -> None:
-        """Takes no more connections and ends those there are."""
+        """Accepts no more connections and ends those there are."""
         self.acceptor.close()
         with self.lock:
             socks = list(self.socks)
         for sock in socks:
             with contextlib.suppress(OSError):
                 sock.shutdown(socket.SHUT_RDWR)
-        if self.held is not None:
-            self.held.close()
+        if self.lock_file is not None:
+            self.lock_file.close()
 
     def _take(self, sock: socket.socket) -> None:
         with self.lock:
@@ -119,12 +116,12 @@
                 return
             self.socks.add(sock)
         try:
-            threading.Thread(target=self._one, args=(sock,), name="connection", daemon=True).start()
+            threading.Thread(target=self._serve_one, args=(sock,), name="connection", daemon=True).start()
         except RuntimeError:
             self._forget(sock)
             raise
 
-    def _one(self, sock: socket.socket) -> None:
+    def _serve_one(self, sock: socket.socket) -> None:
         try:
             self.serve(sock)
         except OSError:
@@ -140,36 +137,39 @@
 
 
 class LineServer(Listener):
-    """Lines of JSON-RPC: `heard(wire, request)` for each request, `gone(wire)` when one hangs up."""
+    """Calls `on_request(connection, request)` for each JSON-RPC request, `on_close(connection)` at each end."""
 
     def __init__(
         self,
         address: str,
-        heard: Callable[[LineConnection, jsonrpc.Request], None],
-        gone: Callable[[LineConnection], None],
-        line: int = LINE,
+        on_request: Callable[[LineConnection, jsonrpc.Request], None],
+        on_close: Callable[[LineConnection], None],
+        line_size: int = LINE_SIZE_MOST,
     ) -> None:
-        self.heard, self.gone, self.line = heard, gone, line
+        self.on_request, self.on_close, self.line_size = on_request, on_close, line_size
         self.wires: set[LineConnection] = set()
         super().__init__(address, self._read)
 
     def _read(self, sock: socket.socket) -> None:
-        wire, lines = LineConnection(sock), Lines(self.line)
+        wire, lines = LineConnection(sock), Lines(self.line_size)
         self.wires.add(wire)
         try:
-            while data := sock.recv(1 << 18):
+            while data := sock.recv(READ_SIZE):
                 for line in lines.feed(data):
-                    for request in jsonrpc.requests(line):
-                        if isinstance(request, jsonrpc.Fault):
-                            wire.say(jsonrpc.refusal(request))
-                        else:
-                            self.heard(wire, request)
+                    self._handle(wire, line)
         except (OSError, TooLong):
             pass
         finally:
             wire.open = False
             self.wires.discard(wire)
             try:
-                self.gone(wire)
+                self.on_close(wire)
             finally:
                 wire.box.close()
+
+    def _handle(self, wire: LineConnection, line: bytes) -> None:
+        for request in jsonrpc.requests(line):
+            if isinstance(request, jsonrpc.Fault):
+                wire.say(jsonrpc.refusal(request))
+            else:
+                self.on_request(wire, request)
--- a/wickdyke/transport/termination.py
+++ b/wickdyke/transport/termination.py
@@ -1,25 +1,30 @@
-"""How a service of ours is asked to end."""
+"""Termination of a service by SIGTERM or SIGINT."""
 
 import os
 import signal
 import threading
 
+WAIT_PIECE = 3600.0  # s
+
 
 def asked() -> threading.Event:
-    """Set once SIGTERM or SIGINT comes; a second signal ends the process at once with code 1. For the main thread."""
-    ended = threading.Event()
+    """An event that is set by SIGTERM or SIGINT; a second signal ends the process at once with code 1.
+
+    To be called in the main thread.
+    """
+    terminated = threading.Event()
 
-    def heard(number: int, frame: object) -> None:
-        if ended.is_set():
+    def handle(number: int, frame: object) -> None:
+        if terminated.is_set():
             os._exit(1)
-        ended.set()
+        terminated.set()
 
     for number in (signal.SIGTERM, signal.SIGINT):
-        signal.signal(number, heard)
-    return ended
+        signal.signal(number, handle)
+    return terminated
 
 
-def wait(ended: threading.Event) -> None:
-    """Until it is set. In pieces: a wait without an end would not let the signal's handler run."""
-    while not ended.wait(3600):
+def wait(terminated: threading.Event) -> None:
+    """Waits until that is set. In pieces: a wait without a timeout would not let the signal handler run."""
+    while not terminated.wait(WAIT_PIECE):
         pass
--- a/wickdyke/transport/write_buffer.py
+++ b/wickdyke/transport/write_buffer.py
@@ -1,4 +1,4 @@
-"""What is to be written to one socket, so that whoever puts it there never waits."""
+"""A write buffer for one socket: whoever sends a message never waits for the peer to read."""
 
 import errno
 import select
@@ -7,28 +7,29 @@
 from collections import deque
 from collections.abc import Callable
 
-SHORT_OF_MEMORY = (errno.ENOBUFS, errno.ENOMEM)  # send(2): for a moment; the connection stands and took nothing
-MEMORY_RETRY = 0.01  # s until a thread offers the kernel again what it had no memory for
-LOOK_AGAIN = 1000  # ms that a thread waits at most for room at the kernel before it looks whether it is to end
+SHORT_OF_MEMORY = (errno.ENOBUFS, errno.ENOMEM)  # of send(2): nothing was sent, and the connection is still good
+MEMORY_RETRY = 0.01  # s until the thread retries a send that failed for want of memory
+POLL_TIMEOUT = 1000  # ms after which the thread checks whether it is to end, if the socket takes no data
 
 
 class PeerTooSlow(Exception):
-    """The other side reads too little: more is waiting for it than is allowed."""
+    """The peer reads too little: more bytes wait for it than the buffer may hold."""
 
 
 class Expired(Exception):
-    """The deadline of a message passed before a byte of it went: it is not sent."""
+    """The deadline of a message passed before a byte of it was sent: it is dropped."""
 
 
 class OutgoingMessage:
-    """One message on its way out. `begun` once a byte of it may have been handed to the kernel.
+    """One message to be sent. `begun` once a byte of it may have been handed to the kernel.
 
-    `data` is its bytes, or a function that renders them: called each time that its first byte is offered to the
-    kernel, so that a deadline in it is that of this moment, and never again once a byte went. It returns None where
-    the deadline has passed; `expired` is then told, unless `put` raises Expired.
+    `data` is its bytes, or a function that renders them. That is called each time before its first byte is offered to
+    the kernel, so that a deadline in the message is right at that moment, and never again once a byte was sent. It
+    returns None where the deadline has passed; `expired` is then called, unless `put` raises Expired. `written` is
+    called once all of it was sent, unless `put` returned True.
     """
 
-    __slots__ = ("data", "begun", "held", "written", "expired")
+    __slots__ = ("data", "begun", "bytes_waiting", "written", "expired")
 
     def __init__(
         self,
@@ -37,146 +38,159 @@
         expired: Callable[[], None] | None = None,
     ) -> None:
         self.data, self.begun, self.written, self.expired = data, False, written, expired
-        self.held = 0  # bytes that it counts for among what waits
+        self.bytes_waiting = 0  # its part of those of the buffer
 
     def rendered(self) -> bytes | memoryview | None:
-        """The bytes to be offered now; None where its deadline has passed."""
+        """The bytes to be sent now; None where its deadline has passed."""
         return self.data() if callable(self.data) else self.data
 
     def release(self) -> None:
-        """It is not offered again: nothing is kept of it."""
-        # Danger: both functions hang on the order that holds this, a circle that only the collector would find.
+        """Drops its data and callbacks once it is not sent any more."""
+        # They refer to the command that holds this message: a cycle that only the garbage collector would free.
         self.data, self.expired = b"", None
 
 
 class WriteBuffer:
-    """Sends at once what the kernel takes at once; a thread of its own writes the rest, or a loop by `pump`.
+    """Sends at once what the kernel takes; a thread of its own sends the rest, or an event loop by `pump`.
 
-    `most` is the greatest number of bytes that may wait. The thread is begun only when something has to wait, so
-    that a peer that reads costs none. With `waits` there is no thread: it is told when something begins to wait
-    (True) and when nothing does any more.
+    `capacity` is how many bytes may wait at most. The thread starts when a message has to wait first, so that a peer
+    that reads in time costs none. With `waits` there is no thread: it is called with True when a message begins to
+    wait and with False when none waits any more.
     """
 
-    def __init__(self, sock: socket.socket, most: int, name: str, waits: Callable[[bool], None] | None = None) -> None:
-        self.sock, self.most, self.name, self.waits = sock, most, name, waits
+    def __init__(
+        self, sock: socket.socket, capacity: int, name: str, waits: Callable[[bool], None] | None = None
+    ) -> None:
+        self.sock, self.capacity, self.name, self.waits = sock, capacity, name, waits
         self.lock = threading.Lock()
         self.more = threading.Condition(self.lock)
         self.waiting: deque[OutgoingMessage] = deque()
-        self.held = 0
+        self.bytes_waiting = 0
         self.thread: threading.Thread | None = None
         self.closed = False
-        self.no_memory = False  # whether the kernel had none for the last that it was offered
+        self.no_memory = False  # whether the last send failed for want of memory
+
+    def put(self, message: OutgoingMessage) -> bool:
+        """Sends a message or has it wait; True where the kernel has taken all of it already.
 
-    def put(self, parcel: OutgoingMessage) -> bool:
-        """True where all of it is with the kernel already; raises Unread past the bound, Expired where its deadline
-        has passed, OSError when closed."""
+        Raises PeerTooSlow past the capacity, Expired where its deadline has passed, OSError when closed.
+        """
         with self.lock:
             if self.closed:
                 raise OSError("closed")
-            data = parcel.rendered()
+            data = message.rendered()
             if data is None:
-                parcel.release()
+                message.release()
                 raise Expired
-            sent = 0
-            if not self.waiting:
-                try:
-                    sent = self._offer(parcel, data)
-                except OSError:
-                    parcel.begun = True  # nobody can tell how much of it went
-                    parcel.release()
-                    raise
-                if sent == len(data):
-                    return True
-            parcel.held = len(data) - sent
-            if self.held + parcel.held > self.most:
-                parcel.release()
-                raise PeerTooSlow(f"{self.held} bytes wait to be read")
-            self.held += parcel.held
-            self.waiting.append(parcel)
+            sent = 0 if self.waiting else self._send_at_once(message, data)
+            if sent == len(data) and not self.waiting:
+                return True
+            self._append(message, len(data) - sent)
             if self.waits is not None:
                 if len(self.waiting) == 1:
                     self.waits(True)
                 return False
             if self.thread is None:
-                self.thread = self._started()
+                self.thread = self._start_thread()
             self.more.notify()
             return False
 
-    def _started(self) -> threading.Thread:
-        """The thread that writes what waits. Raises OSError where none can be had: the connection is to be ended."""
+    def _send_at_once(self, message: OutgoingMessage, data: bytes | memoryview) -> int:
+        try:
+            return self._send(message, data)
+        except OSError:
+            message.begun = True  # nobody can tell how much of it was sent
+            message.release()
+            raise
+
+    def _append(self, message: OutgoingMessage, size: int) -> None:
+        """Has the message wait, with `size` bytes to be sent."""
+        message.bytes_waiting = size
+        if self.bytes_waiting + size > self.capacity:
+            message.release()
+            raise PeerTooSlow(f"{self.bytes_waiting} bytes wait to be read")
+        self.bytes_waiting += size
+        self.waiting.append(message)
+
+    def _start_thread(self) -> threading.Thread:
+        """Starts the thread that sends what waits; raises OSError where that fails: the connection is to be closed."""
         thread = threading.Thread(target=self._write, name=self.name, daemon=True)
         try:
             thread.start()
-        except RuntimeError as bad:
-            raise OSError(errno.EAGAIN, str(bad)) from None
+        except RuntimeError as error:
+            raise OSError(errno.EAGAIN, str(error)) from None
         return thread
 
-    def _offer(self, parcel: OutgoingMessage, data: bytes | memoryview) -> int:
-        """Offers the kernel `data`, the bytes of the parcel that have not gone, and returns how many it took. From the
-        first that it takes, the parcel stays as rendered."""
+    def _send(self, message: OutgoingMessage, data: bytes | memoryview) -> int:
+        """Sends what the kernel takes of `data`, the rest of the message; returns how many bytes that were.
+
+        From the first byte that was sent, the message stays as rendered.
+        """
         self.no_memory = False
         try:
             sent = self.sock.send(data, socket.MSG_DONTWAIT)
         except (BlockingIOError, InterruptedError):
             return 0
-        except OSError as bad:
-            self.no_memory = bad.errno in SHORT_OF_MEMORY
+        except OSError as error:
+            self.no_memory = error.errno in SHORT_OF_MEMORY
             if self.no_memory:
                 return 0
             raise
         if sent:
-            parcel.begun, parcel.expired = True, None
-            parcel.data = memoryview(data)[sent:] if sent < len(data) else b""
+            message.begun, message.expired = True, None
+            message.data = memoryview(data)[sent:] if sent < len(data) else b""
         return sent
 
-    def _offer_first(self) -> tuple[bool, Callable[[], None] | None]:
-        """Offers the kernel the first that waits: whether it is done with (all of it went, or its deadline passed), and
-        who is to be told so."""
-        parcel = self.waiting[0]
-        data = parcel.rendered()
-        sent = 0 if data is None else self._offer(parcel, data)
+    def _send_first(self) -> tuple[bool, Callable[[], None] | None]:
+        """Sends of the first message that waits what the kernel takes.
+
+        Returns whether it is done with (all was sent, or its deadline has passed), and the callback for that.
+        """
+        message = self.waiting[0]
+        data = message.rendered()
+        sent = 0 if data is None else self._send(message, data)
         if data is not None and sent < len(data):
             if sent:
-                self.held += len(data) - sent - parcel.held
-                parcel.held = len(data) - sent
+                self.bytes_waiting += len(data) - sent - message.bytes_waiting
+                message.bytes_waiting = len(data) - sent
             return False, None
         self.waiting.popleft()
-        self.held -= parcel.held
-        tell = parcel.expired if data is None else parcel.written
-        parcel.release()
-        return True, tell
+        self.bytes_waiting -= message.bytes_waiting
+        callback = message.expired if data is None else message.written
+        message.release()
+        return True, callback
 
-    def withdraw(self, parcel: OutgoingMessage) -> bool:
-        """Takes back what was not begun; False where a byte of it may be with the kernel."""
+    def withdraw(self, message: OutgoingMessage) -> bool:
+        """Takes a message back; False where a byte of it may have been sent."""
         with self.lock:
-            if parcel.begun or parcel not in self.waiting:
+            if message.begun or message not in self.waiting:
                 return False
-            self.waiting.remove(parcel)
-            self.held -= parcel.held
-            parcel.release()
+            self.waiting.remove(message)
+            self.bytes_waiting -= message.bytes_waiting
+            message.release()
             return True
 
     def pump(self) -> None:
-        """For the loop: sends what the kernel takes now; raises OSError where the connection has ended."""
+        """For an event loop: sends what the kernel takes now; raises OSError where the connection has ended."""
         while self.waiting:
-            done, tell = self._offer_first()
+            done, callback = self._send_first()
             if not done:
                 return
-            if tell is not None:
-                tell()
+            if callback is not None:
+                callback()
         if self.waits is not None:
             self.waits(False)
 
     def drop(self) -> None:
-        """For the loop: its connection has ended; what waits is dropped, and nothing more is taken."""
-        # Danger: who is told hangs on the connection that holds this: a circle, which only the collector would find,
-        # minutes later. Also what waited. Hurts nowhere.
+        """For an event loop, when the connection has ended: drops what waits and takes no more."""
+        # The callback and the messages refer to the connection that holds this: a cycle, which only the garbage
+        # collector would free, minutes later.
         self.closed, self.waits = True, None
         self._drop_waiting()
 
     def _drop_waiting(self) -> None:
-        for parcel in self.waiting:
-            parcel.release()
+        for message in self.waiting:
+            message.release()
         self.waiting.clear()
 
     def empty(self) -> bool:
@@ -185,7 +199,7 @@
             return not self.waiting
 
     def close(self) -> None:
-        """Ends the thread; what waits is dropped. The socket is shut down so that a blocked send ends."""
+        """Ends the thread and drops what waits. The socket is shut down so that a wait for it ends."""
         with self.lock:
             self.closed = True
             self._drop_waiting()
@@ -196,8 +210,8 @@
             pass
 
     def _write(self) -> None:
-        # Danger: a send that blocks holds a message as it was rendered when it began to wait, with a deadline that is
-        # too long by that wait. So the thread waits until the kernel takes something, and renders then.
+        # A blocking send would keep a message as rendered when it began to block, with a deadline that is too long by
+        # that wait. So the thread polls until the kernel takes data, and the message is rendered then.
         writable = select.poll()
         try:
             writable.register(self.sock, select.POLLOUT)
@@ -210,14 +224,14 @@
                         self.more.wait()
                     if self.closed:
                         return
-                    done, tell = self._offer_first()
+                    done, callback = self._send_first()
                     if self.no_memory:
                         self.more.wait(MEMORY_RETRY)
                         continue
                 if not done:
-                    writable.poll(LOOK_AGAIN)
+                    writable.poll(POLL_TIMEOUT)
             except OSError:
                 self.close()
                 return
-            if tell is not None:
-                tell()
+            if callback is not None:
+                callback()
