--- a/wickdyke/platform/discovery.py
+++ b/wickdyke/platform/discovery.py
@@ -1,4 +1,4 @@
-"""The list's events over HTTP: read as they come, asked for again when they stop."""
+"""The discovery client: follows the endpoint list's events over HTTP and reconnects when they stop."""
 
 import errno
 import os
@@ -14,97 +14,116 @@
 from wickdyke.transport.event_loop import EventLoop, clock, close, dial, received
 
 PATH = "/bus/read"
-CHUNK = 1 << 16
-PULSE = 1500.0  # ms without a sign of life after which the other side has stopped: it gives one each second
-PATIENCE_MOST = 12000.0  # ms without a sign of life that are waited for while an event is coming, at most
-DIAL, DIAL_LEAST, ANSWER = 400.0, 200.0, 1500.0  # ms for a connection, at most, at least; for the head of its answer
-PAUSE, GROWTH = 50.0, 1.5  # ms after the first failure, before it is drawn; what each further one makes of that
+READ_SIZE = 1 << 16  # bytes read at a time
+SILENCE_TIMEOUT = 1500.0  # ms without data after which the connection counts as dead: a heartbeat comes each second
+SILENCE_TIMEOUT_MOST = 12000.0  # ms, while an event is coming
+CONNECT_TIMEOUT_MOST = 400.0  # ms
+CONNECT_TIMEOUT_LEAST = 200.0  # ms
+RESPONSE_TIMEOUT = 1500.0  # ms from the connect to the head of the response
+BACKOFF_FIRST = 50.0  # ms after the first failure, before jitter
+BACKOFF_GROWTH = 1.5  # factor for each further failure
+BACKOFF_EXPONENT_MOST = 20  # keeps the power finite
+
+
+class InvalidResponse(Exception):
+    """A response that is no stream of events."""
 
 
 class DiscoveryClient:
-    """Follows the events from one address. `tell` takes those that came, `asked` when they are asked for again."""
+    """Follows the events from one address and passes them to `notify`.
 
-    first = True
+    `last_offset` gives the number of the last event known, after which the events are asked for. `backoff_most` (ms)
+    bounds the time between two tries.
+    """
+
+    first = True  # its events are served before those of clients
 
     def __init__(
         self,
         loop: EventLoop,
         address: tuple[str, int],
-        last: Callable[[], int],
-        tell: Callable[[list[dict]], None],
+        last_offset: Callable[[], int],
+        notify: Callable[[list[dict]], None],
         log,
-        most: float,
+        backoff_most: float,
         seed: int,
     ) -> None:
-        self.loop, self.address, self.last, self.tell, self.log = loop, address, last, tell, log
-        # ms that one try may take to connect, and to the next at most: also where drains leave next to no time, a bus
-        # that is slow to take a connection has to be reached.
-        self.dial, self.most = min(DIAL, max(DIAL_LEAST, most)), max(PAUSE, most)
-        self.chance = random.Random(seed)
+        self.loop, self.address, self.log = loop, address, log
+        self.last_offset, self.notify = last_offset, notify
+        # Where the grace for drains leaves next to no time, a server that is slow to accept has to be reached still.
+        self.connect_timeout = min(CONNECT_TIMEOUT_MOST, max(CONNECT_TIMEOUT_LEAST, backoff_most))
+        self.backoff_most = max(BACKOFF_FIRST, backoff_most)
+        self.random = random.Random(seed)
         self.counts: Counter[str] = Counter()
         self.sock: socket.socket | None = None
-        self.number, self.failed = 0, 0  # of the try under way; tries since the last answer
-        self.retry = 0  # the number of the one retry that is due; one set before it does nothing
+        self.attempt_number = 0  # of the connection under way
+        self.failures = 0  # since the last response
+        self.retry_number = 0  # of the one retry that is due; one set before it does nothing
         self.unsent = b""  # of the request, once connected
-        self.patience = PULSE  # ms without a sign of life that are waited for
+        self.silence_timeout = SILENCE_TIMEOUT  # ms; longer where an event did not arrive whole in time
         self.connected = self.up = self.closed = False
-        self.said, self.heard, self.since = "", 0.0, 0.0
+        self.logged_failure = ""  # the reason logged last, until the events come again
+        self.last_sign = 0.0  # when data came last, or the last step of connecting was done
+        self.up_since = 0.0  # when the last response began
 
     def open(self) -> None:
-        """Begins to follow."""
-        self._ask()
+        """Starts to follow."""
+        self._connect()
 
     def follow(self, address: tuple[str, int]) -> None:
         """Follows another address from now on."""
-        self.address, self.failed = address, 0
+        self.address, self.failures = address, 0
         self._end()
-        # Danger: each retry that is due sets the next. One left from the address before would go on beside that of the
-        # new one, and with each new configuration the list would be asked for once more in the same time.
-        self.retry += 1
-        self._ask()
+        # Each retry that is due sets the next. One left from the address before would go on beside that of the new
+        # one, and each new configuration would add to the number of tries in the same time.
+        self.retry_number += 1
+        self._connect()
 
     def close(self) -> None:
         """Ends it."""
         self.closed = True
         self._end()
 
-    def _ask(self) -> None:
+    def _connect(self) -> None:
         if self.closed or self.sock is not None:
             return
         self.counts["asked"] += 1
-        self.number += 1
-        self.connected, self.up, self.unsent, self.heard = False, False, b"", clock()
+        self.attempt_number += 1
+        self.connected, self.up, self.unsent, self.last_sign = False, False, b"", clock()
         self.http, self.events = h11.Connection(h11.CLIENT), sse.Events()
         self.sock, code = dial(self.address)
         if self.sock is None:
-            self._again(f"connect: {errno.errorcode.get(code, code)}")
+            self._retry_later(f"connect: {errno.errorcode.get(code, code)}")
             return
         try:
             self.loop.add(self.sock, self, write=True)
-        except OSError as bad:
-            self._fail("watch", bad)
+        except OSError as error:
+            self._fail("watch", error)
             return
-        self.loop.at(self.heard + self.dial, self._watch, self.number)
-
-    def _again(self, why: str) -> None:
-        # Danger: hundreds of front ends that lost the list at one moment would ask for it in step, for as long as
-        # it is away. Also one bus that answers only with errors. Could hurt where the list is back with a drain
-        # just after a try: so `most` stays within the time in which a drain has to be heeded.
-        self.failed = 1 if self.up and clock() - self.since > PULSE else self.failed + 1
-        wait = min(self.most, PAUSE * GROWTH ** min(self.failed - 1, 20))
-        self.retry += 1
-        self.loop.at(clock() + wait * (0.5 + 0.5 * self.chance.random()), self._retry, self.retry)
-        if why != self.said:
-            self.said = why
+        self.loop.at(self.last_sign + self.connect_timeout, self._check_timeout, self.attempt_number)
+
+    def _retry_later(self, why: str) -> None:
+        # Backoff with jitter: hundreds of front ends that lost discovery at one moment would else ask for it in step,
+        # for as long as it is away or answers only with errors. It may come back with a drain just after a try: so
+        # `backoff_most` stays within the time in which a drain has to be heeded.
+        was_stable = self.up and clock() - self.up_since > SILENCE_TIMEOUT
+        self.failures = 1 if was_stable else self.failures + 1
+        exponent = min(self.failures - 1, BACKOFF_EXPONENT_MOST)
+        backoff = min(self.backoff_most, BACKOFF_FIRST * BACKOFF_GROWTH**exponent)
+        jitter = 0.5 + 0.5 * self.random.random()
+        self.retry_number += 1
+        self.loop.at(clock() + backoff * jitter, self._retry, self.retry_number)
+        if why != self.logged_failure:
+            self.logged_failure = why
             self.log.warning("list not followed", why=why, bus=":".join(map(str, self.address)))
 
     def _retry(self, number: int) -> None:
-        if number != self.retry:
+        if number != self.retry_number:
             return
         try:
-            self._ask()
+            self._connect()
         except Exception:
-            self.broken()  # a timer that fails is not set again by the loop
+            self.broken()  # sets a new retry: the loop does not repeat a timer that raises
             raise
 
     def _end(self) -> None:
@@ -114,39 +133,45 @@
             self.sock = None
             self.counts["ended"] += 1
 
-    def _fail(self, step: str, bad: OSError) -> None:
-        """A system call of the connection failed in that step: it is ended, and made again after a backoff."""
+    def _fail(self, step: str, error: OSError) -> None:
+        """A system call failed in that step: closes the connection, and makes a new one after a backoff."""
         self._end()
-        self._again(f"{step}: {errno.errorcode.get(bad.errno, bad)}")
+        self._retry_later(f"{step}: {errno.errorcode.get(error.errno, error)}")
 
-    def _watch(self, number: int) -> None:
-        """Whether the connection of that number has said enough by now; asks again where it has not."""
-        if self.sock is None or number != self.number:
+    def _timeout(self) -> float:
+        """How long the next sign of life is waited for (ms)."""
+        if self.up:
+            return self.silence_timeout
+        return RESPONSE_TIMEOUT if self.connected else self.connect_timeout
+
+    def _check_timeout(self, number: int) -> None:
+        """Reconnects where the connection of that number has been silent for too long."""
+        if self.sock is None or number != self.attempt_number:
             return
-        due = self.heard + (self.patience if self.up else ANSWER if self.connected else self.dial)
+        due = self.last_sign + self._timeout()
         if clock() < due:
-            self.loop.at(due, self._watch, number)
+            self.loop.at(due, self._check_timeout, number)
             return
         self.counts["silent"] += 1
-        # An event that takes longer than a pulse would be begun anew for ever: a half one gets twice the time on the
-        # next connection, until one has come whole.
+        # An event that takes longer than the timeout would be begun anew for ever. So the next connection gets twice
+        # the time, until an event has arrived whole.
         if self.up and self.events.begun:
-            self.patience = min(2 * self.patience, PATIENCE_MOST)
+            self.silence_timeout = min(2 * self.silence_timeout, SILENCE_TIMEOUT_MOST)
         self._end()
-        self._again("no answer" if not self.up else "silent")
+        self._retry_later("silent" if self.up else "no answer")
 
     def writable(self) -> None:
-        """Connected, or not; or more of the request can be sent."""
+        """The connect has succeeded or failed, or more of the request can be sent."""
         if not self.connected:
             try:
                 code = self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
-            except OSError as bad:
-                self._fail("connect", bad)
+            except OSError as error:
+                self._fail("connect", error)
                 return
             if code:
                 self._fail("connect", OSError(code, os.strerror(code)))
                 return
-            self.connected, self.heard = True, clock()
+            self.connected, self.last_sign = True, clock()
             self.unsent = self._request()
         self._send()
 
@@ -156,7 +181,7 @@
             h11.Request(
                 method="GET",
                 target=PATH,
-                headers=[("Host", host), ("Accept", "text/event-stream"), ("Last-Event-ID", str(self.last()))],
+                headers=[("Host", host), ("Accept", "text/event-stream"), ("Last-Event-ID", str(self.last_offset()))],
             )
         )
         return head + (self.http.send(h11.EndOfMessage()) or b"")
@@ -166,56 +191,63 @@
             try:
                 sent = self.sock.send(self.unsent)
             except (BlockingIOError, InterruptedError):
-                return  # the loop tells when it can go on
-            except OSError as bad:
-                self._fail("send", bad)
+                return  # called again when the socket takes more
+            except OSError as error:
+                self._fail("send", error)
                 return
             self.unsent = self.unsent[sent:]
         if not self.unsent:
             self.loop.want(self.sock, False)
 
     def broken(self) -> None:
-        """It is asked for again."""
+        """Serving it raised: makes a new connection after a backoff."""
         self._end()
-        self._again("fault")
+        self._retry_later("fault")
 
     def readable(self) -> None:
-        """Something came."""
-        if (data := received(self.sock, CHUNK)) is None:
+        """Data of the response, or its end."""
+        if (data := received(self.sock, READ_SIZE)) is None:
             return
-        over = not data
         try:
-            self.http.receive_data(data)
-            while (event := self.http.next_event()) not in (h11.NEED_DATA, h11.PAUSED):
-                if isinstance(event, h11.Response):
-                    if event.status_code != 200:
-                        raise sse.EventTooLarge(f"status {event.status_code}")
-                    self.up, self.heard, self.since = True, clock(), clock()
-                    if self.said:
-                        self.said = ""
-                        self.log.info("list followed again")
-                elif isinstance(event, h11.Data):
-                    self._take(bytes(event.data))
-                else:
-                    over = True
-                    break
-        except (h11.ProtocolError, sse.EventTooLarge) as bad:
-            over, self.up = True, self.up and data == b""
+            over = self._take_http(data)
+        except (h11.ProtocolError, InvalidResponse, sse.EventTooLarge) as error:
             if data:
+                self.up = False  # whatever came before, it counts as one more failure in a row
                 self.counts["spoilt"] += 1
                 self._end()
-                self._again(str(bad))
+                self._retry_later(str(error))
                 return
-        # Danger: a stream that stopped within an event and drips bytes would count as alive for good, and the list
-        # would stand still. Also a half event before a break. Could hurt where one event takes longer than a pulse.
+            over = True  # the connection ended within the response
+        # A stream that stops within an event and sends a few bytes now and then would count as alive for ever, with the
+        # list out of date. So only data after which no event is incomplete counts as a sign of life.
         if data and not self.events.begun:
-            self.heard = clock()
-        if over:
-            up = self.up
+            self.last_sign = clock()
+        if over or not data:
+            was_up = self.up
             self._end()
-            self._again("ended" if up else "ended before its answer")
+            self._retry_later("ended" if was_up else "ended before its answer")
+
+    def _take_http(self, data: bytes) -> bool:
+        """Parses data of the response; returns whether it has ended."""
+        self.http.receive_data(data)
+        while (event := self.http.next_event()) not in (h11.NEED_DATA, h11.PAUSED):
+            if isinstance(event, h11.Response):
+                self._response_begun(event)
+            elif isinstance(event, h11.Data):
+                self._take_events(bytes(event.data))
+            else:
+                return True
+        return False
+
+    def _response_begun(self, response: h11.Response) -> None:
+        if response.status_code != 200:
+            raise InvalidResponse(f"status {response.status_code}")
+        self.up, self.last_sign, self.up_since = True, clock(), clock()
+        if self.logged_failure:
+            self.logged_failure = ""
+            self.log.info("list followed again")
 
-    def _take(self, data: bytes) -> None:
+    def _take_events(self, data: bytes) -> None:
         found = []
         for event in self.events.feed(data):
             try:
@@ -223,5 +255,5 @@
             except Unusable:
                 self.counts["unusable"] += 1
         if found:
-            self.patience = PULSE
-            self.tell(found)
+            self.silence_timeout = SILENCE_TIMEOUT
+            self.notify(found)
--- a/wickdyke/platform/service.py
+++ b/wickdyke/platform/service.py
@@ -53,7 +53,10 @@
         self.loop = EventLoop(self._fault)
         # The wall clock is read first: a pause between the two readings makes workers younger, to the safe side.
         self.endpoints = EndpointList(
-            configuration.zones, configuration.kinds, lambda: time.time() * 1000 - clock(), lambda: self.discovery.since
+            configuration.zones,
+            configuration.kinds,
+            lambda: time.time() * 1000 - clock(),
+            lambda: self.discovery.up_since,
         )
         # Clients that idle would take all descriptors, and neither discovery nor a worker could be reached. So what the
         # process may hold is divided: a half at most for clients, some in reserve, the rest for workers.
