--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -202,9 +202,9 @@
             row = late(f"n{at}", clocks.stamp())
             view.tell(row)
             view.tell({**row, "lifecycle": "DELETED"})
-        self.assertEqual(len(view.roster.gone_births), endpoint_list.GONE_KEPT)
-        self.assertIn(f"n{endpoint_list.GONE_KEPT + 49}", view.roster.gone_births)
-        self.assertEqual((len(view.roster), view.roster.births), (1, {}))
+        self.assertEqual(len(view.roster.gone_start_times), endpoint_list.GONE_KEPT)
+        self.assertIn(f"n{endpoint_list.GONE_KEPT + 49}", view.roster.gone_start_times)
+        self.assertEqual((len(view.roster), view.roster.start_times), (1, {}))
 
     def test_stamps_that_are_no_time(self):
         """The entry can't be used, those beside it can."""
--- a/wickdyke/platform/__init__.py
+++ b/wickdyke/platform/__init__.py
@@ -1,4 +1,4 @@
-"""The platform's protocol as one more way in and out: Thrift from clients, RESP to workers, events of the list.
+"""The front end of the operators' platform: Thrift from clients, RESP to workers, discovery over HTTP.
 
-The decisions, the desk and the logs are the product's own; docs/architecture.md tells of the loop.
+The coordinator, the router and the logs are those of `wickdyke.gateway`; docs/architecture.md describes the event loop.
 """
--- a/wickdyke/platform/__main__.py
+++ b/wickdyke/platform/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m wickdyke.platform`: one front end of the platform, told what it is by its environment."""
+"""`python -m wickdyke.platform`: one front end of the platform, configured by its environment."""
 
 import sys
 
--- a/wickdyke/platform/configuration.py
+++ b/wickdyke/platform/configuration.py
@@ -19,23 +19,28 @@
 from wickdyke.platform.endpoint_list import Unusable, change
 from wickdyke.settings import terms
 
-RPCS, LEAST, EACH_MB = 4096, 256, 16.0  # open at once at most, at least; of each MB that there is
-EVENTS = 20000  # events that wait for the desk at most
+OPEN_REQUESTS_MOST = 4096  # at once, however much memory there is
+OPEN_REQUESTS_LEAST = 256  # allowed at once, however little memory there is
+OPEN_REQUESTS_PER_MB = 16.0  # of memory
+EVENTS_MOST = 20000  # waiting for the coordinator
 ANSWER_WAY = 10.0  # ms that an answer may take to its client
-PROBE_WAIT = 250.0  # ms that an answer to a probe is waited for
+PROBE_WAIT = 250.0  # ms until a health check times out
+MEMORY_LEAST = 1  # MB
+SOCKETS_LEAST = 64
+PORT_MOST = 65535
 
 
 class ConfigurationError(Exception):
-    """The configuration can't be used: place, found, expected in one line."""
+    """The configuration can't be used; the message names the place, what was found and what was expected."""
 
 
 class Unreadable(ConfigurationError):
-    """The file can't be read now; it may be later."""
+    """The file can't be read now; a later try may succeed."""
 
 
 @dataclass(slots=True)
 class Configuration:
-    """All that a front end of the platform is told."""
+    """The settings of one front end of the platform."""
 
     name: str
     listen: tuple[str, int]
@@ -62,22 +67,22 @@
 
 
 def address(text: object, place: str) -> tuple[str, int]:
-    """(host, port)."""
+    """(host, port) of HOST:PORT; `place` is named in the error."""
     host, _, port = str(text).rpartition(":")
-    if not host or not port.isascii() or not port.isdigit() or not 0 < int(port) < 65536:
+    if not host or not port.isascii() or not port.isdigit() or not 0 < int(port) <= PORT_MOST:
         raise ConfigurationError(f"{place} is {text!r}, expected HOST:PORT")
     return host, int(port)
 
 
 def load(path: str) -> dict:
-    """The object in that file."""
+    """The JSON object in that file."""
     try:
         with open(path, encoding="utf-8") as source:
             found = json.load(source)
-    except OSError as bad:
-        raise Unreadable(f"{path}: {bad.strerror}, expected a file that can be read") from None
-    except (ValueError, RecursionError) as bad:
-        raise ConfigurationError(f"{path}: {bad}, expected JSON") from None
+    except OSError as error:
+        raise Unreadable(f"{path}: {error.strerror}, expected a file that can be read") from None
+    except (ValueError, RecursionError) as error:
+        raise ConfigurationError(f"{path}: {error}, expected JSON") from None
     if not isinstance(found, dict):
         raise ConfigurationError(f"{path}: a {type(found).__name__}, expected an object")
     return found
@@ -91,55 +96,69 @@
     return value
 
 
-def read(path: str, listen: str | None = None, name: str | None = None) -> Configuration:
-    """Reads and checks a configuration; what the environment says of address and name goes first."""
-    given = load(path)
+def _seed(given: dict, path: str) -> int:
     seed = given.get("seed")
     try:
-        number = int(seed, 16) if isinstance(seed, str) else int(seed)
+        return int(seed, 16) if isinstance(seed, str) else int(seed)
     except (TypeError, ValueError):
         raise ConfigurationError(f"{path}: seed is {seed!r}, expected hex digits") from None
-    settings = given.get("settings")
-    if not isinstance(settings, dict):
-        raise ConfigurationError(f"{path}: settings is {type(settings).__name__}, expected an object")
+
+
+def _known_batch(given: dict, path: str) -> list:
     known = given.get("known")
     batch = known.get("batch") if isinstance(known, dict) else None
     if not isinstance(batch, list):
         raise ConfigurationError(f"{path}: known.batch is {batch!r}, expected a list of events")
+    return batch
+
+
+def _open_requests(memory_mb: float) -> int:
+    return int(max(OPEN_REQUESTS_LEAST, min(OPEN_REQUESTS_MOST, memory_mb * OPEN_REQUESTS_PER_MB)))
+
+
+def read(path: str, listen: str | None = None, name: str | None = None) -> Configuration:
+    """Reads and checks a configuration; `listen` and `name` (of the environment) take precedence over the file."""
+    given = load(path)
+    seed = _seed(given, path)
+    settings = given.get("settings")
+    if not isinstance(settings, dict):
+        raise ConfigurationError(f"{path}: settings is {type(settings).__name__}, expected an object")
+    batch = _known_batch(given, path)
     pairs = terms.nested(settings, f"{path}: settings")
     try:
         started = terms.start(pairs)
-        events = [change(json.dumps(each)) for each in batch]
-    except terms.BadInput as bad:
-        raise ConfigurationError(str(bad)) from None
-    except Unusable as bad:
-        raise ConfigurationError(f"{path}: known.batch has {bad}") from None
+        events = [change(json.dumps(event)) for event in batch]
+    except terms.BadInput as error:
+        raise ConfigurationError(str(error)) from None
+    except Unusable as error:
+        raise ConfigurationError(f"{path}: known.batch has {error}") from None
     if not started["request_classes"]:
         raise ConfigurationError(f"{path}: settings has no classes, expected one at least")
-    memory = _limit(given, path, "memory_mb", 1)
+    memory = _limit(given, path, "memory_mb", MEMORY_LEAST)
+    tenants = range(pairs.get("tenants.count", terms.count, 0))
     return Configuration(
         name=name or str(given.get("name") or "gateway"),
         listen=address(listen or given.get("listen"), f"{path}: listen"),
         bus=bus(given, path),
         known=events,
-        seed=number,
+        seed=seed,
         memory_mb=memory,
-        sockets=int(_limit(given, path, "sockets", 64)),
+        sockets=int(_limit(given, path, "sockets", SOCKETS_LEAST)),
         zones=pairs.names("zones"),
         kinds=pairs.names("flavors"),
-        tenants=tuple(pairs.get(f"tenants.{at}.name", str) for at in range(pairs.get("tenants.count", terms.count, 0))),
-        bounds=SimpleNamespace(open_rpcs=int(max(LEAST, min(RPCS, memory * EACH_MB))), events=EVENTS),
+        tenants=tuple(pairs.get(f"tenants.{index}.name", str) for index in tenants),
+        bounds=SimpleNamespace(open_rpcs=_open_requests(memory), events=EVENTS_MOST),
         **started,
     )
 
 
 def bus(given: dict, path: str) -> tuple[str, int]:
-    """Where the list's events come from."""
+    """The address of discovery."""
     return address(given.get("bus"), f"{path}: bus")
 
 
 def config_path() -> str:
-    """Where the configuration is."""
+    """The path of the configuration, from the environment."""
     path = os.environ.get("GW_CONFIG")
     if not path:
         raise ConfigurationError("the environment has no GW_CONFIG, expected the path of the configuration")
--- a/wickdyke/platform/endpoint_list.py
+++ b/wickdyke/platform/endpoint_list.py
@@ -1,20 +1,20 @@
-"""Who is there, from the numbered events of the list. Pure: no I/O, no clock.
+"""The endpoint list as discovery's numbered events give it. Pure: no I/O, no clock.
 
-An event counts once, by its number. Start times come as Unix ms and are turned into the desk's monotonic ms.
+An event counts once, by its number. Start times come as Unix ms and are turned into the coordinator's monotonic ms.
 
-A wall clock may be stepped at any time, here or on the machine that writes the start times, and the monotonic clock is
-the only one that runs on. So a start time is a claim, and it is believed only as far as the monotonic clock allows:
+A wall clock may be stepped at any time, here or on the machine that writes the start times; only the monotonic clock
+runs on. So a start time is believed only as far as the monotonic clock allows:
 
-- A start is turned into the desk's time once, when it is told first. Told again with the same number (a whole list, a
-  new connection, an entry that was deleted for a while) it keeps the time it was given.
-- A worker that a live event tells of first can't be older than the event is late. On a connection that has been up for
+- A start time is converted once, when it is reported first. Reported again with the same number (a whole list, a new
+  connection, an entry that was deleted for a while) it keeps the converted time.
+- A worker that a live event reports first can't be older than the event is late. On a connection that has been up for
   a while that is PROMPT at most. On a new one it is longer by what we may have missed: the time since the last events,
-  OUTAGE at most. A claim beyond that, or of the future, counts as a start at this moment: the worker can't be younger
-  than that, so its slow start is at worst longer than it need be, never shorter.
-- Of workers told of before any other event (`known` of the configuration) only the wall clocks can tell. A start in the
-  future counts as a start now. What can't be known: whether a clock was stepped forward here, or back there, before
+  OUTAGE at most. A start time before that, or in the future, counts as a start now: the worker can't be younger than
+  that, so its slow start is at worst longer than it need be, never shorter.
+- For workers reported before any other event (`known` of the configuration) only the wall clocks can tell. A start in
+  the future counts as a start now. What can't be known: whether a clock was stepped forward here, or back there, before
   this process began; then a worker looks older than it is, and nothing here contradicts it. To count all of them as
-  just started would be safe too, but every restart of a front end would then make a whole healthy fleet cold.
+  just started would be safe too, but every restart of a front end would then have a whole healthy fleet warm up.
 - If the wall clock here was stepped since the start, both differences between the clocks are possible, as start times
   may be written by a clock that was stepped with ours or by another one. The younger age counts.
 """
@@ -23,14 +23,16 @@
 import math
 from collections.abc import Callable, Iterable
 from dataclasses import replace
+from typing import NamedTuple
 
 from wickdyke.gateway.interfaces import EndpointListChange
 from wickdyke.routing.model import Endpoint
 
-PROMPT = 2000.0  # ms by which an event may tell late of a start while the list is followed: a lost one ends after 1.5 s
-OUTAGE = 10000.0  # ms without events that are believed to be the list's fault, at most, on a new connection
+PROMPT = 2000.0  # ms by which an event may report a start late on a live connection: a dead one is noticed in 1.5 s
+OUTAGE = 10000.0  # ms without events, at most, for which a new connection may make up
 STEPPED = 100.0  # ms by which the wall clock has moved against the monotonic one if it was stepped, not adjusted
-GONE_KEPT = 1024  # starts of deleted workers that are kept, in case they are listed again
+GONE_KEPT = 1024  # start times of deleted workers that are kept, in case they are listed again
+PORT_MOST = 65535
 STATES = {"SERVING": "ready", "DRAINING": "draining", "DELETED": "gone"}
 
 
@@ -38,8 +40,30 @@
     """An event that can't be used."""
 
 
+class StartTime(NamedTuple):
+    """When a worker started."""
+
+    reported: float  # Unix ms, as in the event
+    converted: float  # the coordinator's ms
+
+
+class ListedWorker(NamedTuple):
+    """A worker of the list, and its address as HOST:PORT."""
+
+    endpoint: Endpoint
+    address: str
+
+
+class Instance(NamedTuple):
+    """One instance of an event, as read. `start_time` is that of a late start."""
+
+    endpoint: Endpoint
+    address: str
+    start_time: StartTime | None
+
+
 def change(text: str) -> dict:
-    """The event in that text, as far as it can be told without the books; raises Unusable."""
+    """The event in that text, checked as far as that needs no list; raises Unusable."""
     try:
         found = json.loads(text)
     except (ValueError, RecursionError):
@@ -50,10 +74,10 @@
 
 
 class EndpointList:
-    """The merged view; `rows` returns what changed, at a cost that follows the events and not the list.
+    """The list as of the last event; `apply` returns what changed, at a cost that follows the events, not the list.
 
-    `wall_ahead()` reads by how many ms the Unix clock is ahead of the desk's now; `connected_at()` when the connection
-    that brings the events was accepted, in the desk's ms (by default so long ago that it misses nothing).
+    `wall_ahead()` gives by how many ms the Unix clock is ahead of the coordinator's now; `connected_at()` when the
+    response that brings the events began, in the coordinator's ms (by default so long ago that it misses nothing).
     """
 
     def __init__(
@@ -66,112 +90,126 @@
         self.zones, self.kinds = zones, kinds
         self.wall_ahead, self.connected_at = wall_ahead, connected_at
         self.ahead_at_start = wall_ahead()
-        self.oldest_age = math.inf  # ms; of a start told first in the events under way
+        self.oldest_age = math.inf  # ms; the greatest of a worker first reported in the events being applied
         self.last_events = 0.0  # when events came last
-        self.births: dict[str, tuple[float, float]] = {}  # of listed late starts: as told (Unix ms), as the desk's ms
-        self.gone_births: dict[str, tuple[float, float]] = {}  # of deleted ones, the latest GONE_KEPT
-        self.offset, self.unusable = 0, 0
-        self.listed: dict[str, tuple[Endpoint, str]] = {}  # with where it is
+        self.start_times: dict[str, StartTime] = {}  # of listed workers
+        self.gone_start_times: dict[str, StartTime] = {}  # of deleted ones, the latest GONE_KEPT
+        self.offset = 0  # of the last event applied
+        self.unusable = 0  # events and instances so far
+        self.listed: dict[str, ListedWorker] = {}
 
     def __len__(self) -> int:
         return len(self.listed)
 
     def address(self, name: str) -> str | None:
-        """Where a listed worker is."""
-        return self.listed[name][1] if name in self.listed else None
+        """The address of a listed worker."""
+        return self.listed[name].address if name in self.listed else None
 
     def apply(self, events: Iterable[dict], now: float) -> EndpointListChange:
-        """Events came, in their order; those that came before change nothing."""
-        before: dict[str, tuple[Endpoint, str] | None] = {}  # of those that an event names
+        """Applies events in their order; those applied before change nothing."""
+        before: dict[str, ListedWorker | None] = {}  # of the workers that an event names
         self.oldest_age = self._oldest_age(now)
         for event in events:
             if event["offset"] > self.offset:
                 self.offset = event["offset"]
-                self._take(event.get("topology"), before, now)
+                self._apply_topology(event.get("topology"), before, now)
         self.last_events = now
+        return self._change_since(before)
+
+    def _change_since(self, before: dict[str, ListedWorker | None]) -> EndpointListChange:
         gone, changed, addresses = [], [], {}
-        for name, was in before.items():
-            listing, address = self.listed.get(name) or (None, None)
-            if listing is None and was is not None:
-                gone.append(replace(was[0], state="gone"))
-            elif listing is not None and (was is None or was[0] != listing):
-                changed.append(listing)
-            if address != (was and was[1]):
+        for name, old in before.items():
+            new = self.listed.get(name)
+            if new is None and old is not None:
+                gone.append(replace(old.endpoint, state="gone"))
+            elif new is not None and (old is None or old.endpoint != new.endpoint):
+                changed.append(new.endpoint)
+            address = new and new.address
+            if address != (old and old.address):
                 addresses[name] = address
         return EndpointListChange(gone + changed, addresses)
 
     def _oldest_age(self, now: float) -> float:
-        """How old a worker can be, in ms, that the events which came now tell of first."""
+        """How old (ms) a worker can be at most that is first reported now."""
         if not self.offset:
             return math.inf
         if now - self.connected_at() > PROMPT:
             return PROMPT
         return PROMPT + min(OUTAGE, now - self.last_events)
 
-    def _take(self, topology: object, before: dict[str, tuple[Endpoint, str] | None], now: float) -> None:
-        instances = topology.get("instances") if isinstance(topology, dict) else None
-        if not isinstance(instances, list):
+    def _apply_topology(self, topology: object, before: dict[str, ListedWorker | None], now: float) -> None:
+        entries = topology.get("instances") if isinstance(topology, dict) else None
+        if not isinstance(entries, list):
             self.unusable += topology is not None
             return
-        read = []
-        for each in instances:
+        instances = self._instances(entries, now)
+        if topology.get("reset"):
+            self._clear(before)
+        for instance in instances:
+            name = instance.endpoint.ident
+            before.setdefault(name, self.listed.get(name))
+            self._forget_start_time(name)
+            if instance.endpoint.state == "gone":
+                self.listed.pop(name, None)
+                continue
+            self.listed[name] = ListedWorker(instance.endpoint, instance.address)
+            if instance.start_time is not None:
+                self.start_times[name] = instance.start_time
+                self.gone_start_times.pop(name, None)
+
+    def _instances(self, entries: list, now: float) -> list[Instance]:
+        """The entries that can be used."""
+        found = []
+        for entry in entries:
             try:
-                read.append(self._row(each, now))
+                found.append(self._instance(entry, now))
             except (KeyError, TypeError, ValueError, AttributeError, OverflowError):
                 self.unusable += 1
-        if topology.get("reset"):
-            for name, was in self.listed.items():
-                before.setdefault(name, was)
-            self.listed.clear()
-            for name in list(self.births):
-                self._forget_birth(name)
-        for listing, address, birth in read:
-            before.setdefault(listing.ident, self.listed.get(listing.ident))
-            self._forget_birth(listing.ident)
-            if listing.state == "gone":
-                self.listed.pop(listing.ident, None)
-                continue
-            self.listed[listing.ident] = listing, address
-            if birth is not None:
-                self.births[listing.ident] = birth
-                self.gone_births.pop(listing.ident, None)
-
-    def _forget_birth(self, ident: str) -> None:
-        """The worker is listed no more, or about to be listed again."""
-        if (birth := self.births.pop(ident, None)) is None:
+        return found
+
+    def _clear(self, before: dict[str, ListedWorker | None]) -> None:
+        for name, old in self.listed.items():
+            before.setdefault(name, old)
+        self.listed.clear()
+        for name in list(self.start_times):
+            self._forget_start_time(name)
+
+    def _forget_start_time(self, name: str) -> None:
+        """The worker is not listed any more, or about to be listed again."""
+        if (start_time := self.start_times.pop(name, None)) is None:
             return
-        self.gone_births.pop(ident, None)  # to the end of the order
-        self.gone_births[ident] = birth
-        if len(self.gone_births) > GONE_KEPT:
-            del self.gone_births[next(iter(self.gone_births))]
-
-    def _birth(self, ident: str, started: float, now: float) -> tuple[float, float]:
-        """A late start as told and in the desk's ms; see the module's text. Raises ValueError where it is no time."""
-        if not math.isfinite(started):
-            raise ValueError(started)
-        for birth in (self.births.get(ident), self.gone_births.get(ident)):
-            if birth is not None and birth[0] == started:
-                return birth
-        born, ahead = started - self.ahead_at_start, self.wall_ahead()
+        self.gone_start_times.pop(name, None)  # to the end of the order
+        self.gone_start_times[name] = start_time
+        if len(self.gone_start_times) > GONE_KEPT:
+            del self.gone_start_times[next(iter(self.gone_start_times))]
+
+    def _start_time(self, name: str, reported: float, now: float) -> StartTime:
+        """Converts a late start as the module's text says. Raises ValueError where it is no time."""
+        if not math.isfinite(reported):
+            raise ValueError(reported)
+        for known in (self.start_times.get(name), self.gone_start_times.get(name)):
+            if known is not None and known.reported == reported:
+                return known
+        converted, ahead = reported - self.ahead_at_start, self.wall_ahead()
         if abs(ahead - self.ahead_at_start) > STEPPED:
-            born = max(born, started - ahead)
-        possible = now - self.oldest_age <= born <= now
-        return started, born if possible else now
+            converted = max(converted, reported - ahead)
+        possible = now - self.oldest_age <= converted <= now
+        return StartTime(reported, converted if possible else now)
 
-    def _row(self, each: dict, now: float) -> tuple[Endpoint, str, tuple[float, float] | None]:
-        ident, address, started = each["instanceId"], each["hostPort"], each.get("startedAtMs") or 0
+    def _instance(self, entry: dict, now: float) -> Instance:
+        name, address, reported = entry["instanceId"], entry["hostPort"], entry.get("startedAtMs") or 0
         host, sign, port = address.rpartition(":")
-        if not (isinstance(ident, str) and ident and host and sign and 0 < int(port) < 65536):
+        if not (isinstance(name, str) and name and host and sign and 0 < int(port) <= PORT_MOST):
             raise ValueError(address)
-        zone, kind = each.get("zone"), each.get("machineType")
-        birth = self._birth(ident, float(started), now) if started else None
-        listing = Endpoint(
-            ident,
+        zone, kind = entry.get("zone"), entry.get("machineType")
+        start_time = self._start_time(name, float(reported), now) if reported else None
+        endpoint = Endpoint(
+            name,
             self.zones.index(zone) if zone in self.zones else 0,
             self.kinds.index(kind) if kind in self.kinds else 0,
-            int(each.get("cell", -1)),
-            STATES[each["lifecycle"]],
-            float(each.get("weight") or 1.0),
-            birth and birth[1],
+            int(entry.get("cell", -1)),
+            STATES[entry["lifecycle"]],
+            float(entry.get("weight") or 1.0),
+            start_time and start_time.converted,
         )
-        return listing, address, birth
+        return Instance(endpoint, address, start_time)
--- a/wickdyke/platform/service.py
+++ b/wickdyke/platform/service.py
@@ -77,29 +77,29 @@
             self.loop,
             configuration.bus,
             lambda: self.endpoints.offset,
-            self._events,
+            self._post_events,
             log,
             min(DISCOVERY_RETRY_MOST, DISCOVERY_RETRY_PART * configuration.discovery.drain_grace),
             configuration.seed,
         )
-        self.shutdown_asked_at: float | None = None  # when
+        self.shutdown_asked_at: float | None = None  # ms
         self.reload_asked = self.reload_pending = self.stopping = False
         longest = min(KILL_DEADLINE_MOST, max(method.deadline for method in configuration.request_classes))
         self.answer_within = longest + KILL_AFTER - KILL_MARGIN  # ms after SIGTERM
 
-    def _fault(self, bad: Exception) -> None:
-        last = traceback.extract_tb(bad.__traceback__)[-1]
+    def _fault(self, error: Exception) -> None:
+        last = traceback.extract_tb(error.__traceback__)[-1]
         self.log.error(
             "fault in the loop",
-            why=f"{type(bad).__name__}: {bad}"[:200],
+            why=f"{type(error).__name__}: {error}"[:200],
             where=f"{os.path.basename(last.filename)}:{last.lineno}",
         )
 
-    def _events(self, events: list[dict]) -> None:
+    def _post_events(self, events: list[dict]) -> None:
         self.coordinator.post(EndpointsReceived(events))
 
     def handle_signals(self) -> None:
-        """Hears SIGTERM, SIGINT and SIGHUP from now on."""
+        """Installs the handlers of SIGTERM, SIGINT and SIGHUP."""
         for number in (signal.SIGTERM, signal.SIGINT):
             signal.signal(number, self._end)
         signal.signal(signal.SIGHUP, self._read)
@@ -113,7 +113,7 @@
         self.reload_asked = True
 
     def open(self) -> None:
-        """Begins to serve; raises OSError where it can't listen."""
+        """Starts to serve; raises OSError where it can't listen."""
         self.coordinator.post(EndpointsReceived(self.configuration.known))
         self.coordinator.turn_once()
         self.discovery.open()
@@ -125,13 +125,13 @@
             workers=len(self.endpoints),
             sockets=self.configuration.sockets,
         )
-        self._count()
+        self._log_counts()
         self.loop.every(SWEEP_EVERY, self.protocol.pool.sweep)
-        self.loop.every(LOG_COUNTS_EVERY, self._count)
+        self.loop.every(LOG_COUNTS_EVERY, self._log_counts)
         gc.collect()
         gc.freeze()
 
-    def _count(self) -> None:
+    def _log_counts(self) -> None:
         self.log.info(
             "counts",
             clients=len(self.client_server.clients),
@@ -141,7 +141,7 @@
             **self.coordinator.counts,
             **self.client_server.counts,
             **self.protocol.pool.counts,
-            **{f"bus_{name}": many for name, many in self.discovery.counts.items()},
+            **{f"bus_{name}": count for name, count in self.discovery.counts.items()},
         )
 
     def _reload(self) -> None:
@@ -149,16 +149,16 @@
         try:
             given = configurations.load(self.path)
             address = configurations.bus(given, self.path)
-        except configurations.Unreadable as bad:
-            # The signal comes once, and what it tells of is owed: a descriptor or memory may be short for a moment.
+        except configurations.Unreadable as error:
+            # The signal comes once and must not be lost, though descriptors or memory may be short for a moment.
             if not self.reload_pending:
-                self.log.warning("configuration not read yet", why=str(bad), kept="the last good one")
+                self.log.warning("configuration not read yet", why=str(error), kept="the last good one")
             self.reload_pending = True
             self.loop.at(clock() + REREAD_AFTER, self._reload_later)
             return
-        except ConfigurationError as bad:
+        except ConfigurationError as error:
             self.reload_pending = False
-            self.log.warning("configuration unusable", why=str(bad), kept="the last good one")
+            self.log.warning("configuration unusable", why=str(error), kept="the last good one")
             return
         self.reload_pending = False
         self.log.info("configuration read", bus=":".join(map(str, address)))
@@ -239,8 +239,8 @@
     try:
         path = configurations.config_path()
         configuration = configurations.read(path, os.environ.get("GW_LISTEN"), os.environ.get("GW_NAME"))
-    except ConfigurationError as bad:
-        print(f"wickdyke.platform: {bad}", file=sys.stderr)
+    except ConfigurationError as error:
+        print(f"wickdyke.platform: {error}", file=sys.stderr)
         return 2
     log, log_writer = logs.logger(sys.stderr, False)
     service = Service(configuration, path, log.bind(gateway=configuration.name))
@@ -250,10 +250,10 @@
     gc.set_threshold(20000, 20, 50)
     try:
         service.open()
-    except OSError as bad:
+    except OSError as error:
         host, port = configuration.listen
         print(
-            f"wickdyke.platform: {path}: listen is {host}:{port}: {bad.strerror}, expected an address that is free",
+            f"wickdyke.platform: {path}: listen is {host}:{port}: {error.strerror}, expected an address that is free",
             file=sys.stderr,
         )
         return 2
