--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -133,7 +133,7 @@
             got = [e for at in range(0, len(stream), size) for e in events.feed(stream[at : at + size])]
             self.assertEqual([(e.ident, e.data) for e in got], [("3", '{"a":\n1}'), ("4", "b")])
         with self.assertRaises(sse.EventTooLarge):
-            sse.Events().feed(b"data: " + b"x" * (sse.EVENT + 1))
+            sse.Events().feed(b"data: " + b"x" * (sse.EVENT_SIZE_MOST + 1))
 
     def test_the_view(self):
         """(events) -> changes as (name, state), then where all are."""
@@ -672,7 +672,7 @@
             for at in range(0, len(data), size):
                 for answer in answers.feed(data[at : at + size]):
                     worker_results.read_result(answer, ("busy",))
-                self.assertLessEqual(len(answers.buffer), resp.PART + 2 + size)
+                self.assertLessEqual(len(answers.buffer), resp.PART_SIZE_MOST + 2 + size)
 
         def sse_reads(data, size):
             events = sse.Events()
--- a/wickdyke/platform/requests.py
+++ b/wickdyke/platform/requests.py
@@ -1,4 +1,4 @@
-"""Checks clients' requests. What is not checked here never reaches a worker."""
+"""Checks clients' requests. Nothing reaches a worker that is not checked here."""
 
 import re
 from dataclasses import dataclass
@@ -12,18 +12,19 @@
 REPEAT = re.compile(r"[0-9]{1,9}|true|false", re.ASCII)
 TAGS_MOST = {"memory_mb": 1e7, "lanes": 4096.0, "load_ms": 3.6e6}
 TIME_MOST = 3.6e6  # ms
+QUOTED_MOST = 20  # characters of a wrong value that an error quotes
 # c class, i id, d ms that the client waits, o function, tags further figures; where a deployment has them: t tenant,
-# h ms of work estimated, k the key under which a repeat is known, r whether this is a repeat.
+# h ms of work estimated, k the idempotency key, r whether this is a repeat.
 FIELDS = ("c", "i", "d", "o", "tags", "t", "h", "k", "r")
 
 
 class InvalidRequest(Exception):
-    """A request that can't be used, in words for its sender."""
+    """A request can't be used; the message is for its sender."""
 
 
 @dataclass(slots=True)
 class Call:
-    """What a request asks for."""
+    """What a request asks for: the function, its input and its figures."""
 
     ident: bytes
     program: str
@@ -38,48 +39,61 @@
 
 def _figure(text: str, name: str, most: float) -> float:
     if not FIGURE.fullmatch(text) or not 0 < float(text) <= most:
-        raise InvalidRequest(f"{name} is {text[:20]!r}, expected a number of at most {most:g}")
+        raise InvalidRequest(f"{name} is {text[:QUOTED_MOST]!r}, expected a number of at most {most:g}")
     return float(text)
 
 
-def check(
-    message: thrift.Message, request_classes: dict[str, RequestClass], tenants: tuple[str, ...] = ()
-) -> tuple[RequestClass, Call, float]:
-    """(class, call, ms that the client waits) of a request. Raises InvalidRequest."""
-    fields = message.fields
-    if unknown := fields.keys() - set(FIELDS):
-        raise InvalidRequest(f"field {min(unknown)[:20]!r}, expected {', '.join(FIELDS)}")
-    if (request_class := request_classes.get(fields.get("c", ""))) is None:
-        raise InvalidRequest(f"c is {fields.get('c', '')[:20]!r}, expected a class")
-    for name in "io":
-        if not IDENT.fullmatch(fields.get(name, "")):
-            raise InvalidRequest(f"{name} is {fields.get(name, '')[:20]!r}, expected 16 hex digits")
-    left = _figure(fields.get("d", ""), "d", TIME_MOST)
+def _tags(text: str) -> dict[str, float]:
+    """The figures in NAME:VALUE;NAME:VALUE."""
     figures: dict[str, float] = {}
-    for pair in filter(None, fields.get("tags", "").split(";")):
+    for pair in filter(None, text.split(";")):
         name, _, value = pair.partition(":")
         if name not in TAGS_MOST or name in figures:
-            raise InvalidRequest(f"tag {name[:20]!r}, expected {', '.join(TAGS_MOST)}, each once")
+            raise InvalidRequest(f"tag {name[:QUOTED_MOST]!r}, expected {', '.join(TAGS_MOST)}, each once")
         figures[name] = _figure(value, name, TAGS_MOST[name])
+    return figures
+
+
+def _check_names(fields: dict[str, str], request_classes: dict[str, RequestClass]) -> RequestClass:
+    """Checks the fields' names, class and ids; returns the class."""
+    if unknown := fields.keys() - set(FIELDS):
+        raise InvalidRequest(f"field {min(unknown)[:QUOTED_MOST]!r}, expected {', '.join(FIELDS)}")
+    if (request_class := request_classes.get(fields.get("c", ""))) is None:
+        raise InvalidRequest(f"c is {fields.get('c', '')[:QUOTED_MOST]!r}, expected a class")
+    for name in "io":
+        if not IDENT.fullmatch(fields.get(name, "")):
+            raise InvalidRequest(f"{name} is {fields.get(name, '')[:QUOTED_MOST]!r}, expected 16 hex digits")
+    return request_class
+
+
+def _check_optional(fields: dict[str, str], request_class: RequestClass, tenants: tuple[str, ...]) -> None:
+    """Checks tenant, idempotency key and repeat."""
     if "t" in fields and tenants and fields["t"] not in tenants:
-        raise InvalidRequest(f"t is {fields['t'][:20]!r}, expected a tenant")
+        raise InvalidRequest(f"t is {fields['t'][:QUOTED_MOST]!r}, expected a tenant")
     if not KEY.fullmatch(fields.get("k", "" if request_class.effect == "tokened" else "-")):
-        raise InvalidRequest(f"k is {fields.get('k', '')[:20]!r}, expected a key of letters and digits")
+        raise InvalidRequest(f"k is {fields.get('k', '')[:QUOTED_MOST]!r}, expected a key of letters and digits")
     if not REPEAT.fullmatch(fields.get("r", "0")):
-        raise InvalidRequest(f"r is {fields['r'][:20]!r}, expected a number, true or false")
-    work = _figure(fields["h"], "h", TIME_MOST) if "h" in fields else None
-    return (
-        request_class,
-        Call(
-            fields["i"].encode(),
-            fields["o"],
-            message.body,
-            figures.get("memory_mb", 0.0),
-            max(1, int(figures.get("lanes", 1.0))),
-            figures.get("load_ms"),
-            work,
-            fields.get("r", "0") not in ("0", "false"),
-            fields.get("k", ""),
-        ),
-        left,
+        raise InvalidRequest(f"r is {fields['r'][:QUOTED_MOST]!r}, expected a number, true or false")
+
+
+def check(
+    message: thrift.Message, request_classes: dict[str, RequestClass], tenants: tuple[str, ...] = ()
+) -> tuple[RequestClass, Call, float]:
+    """(class, call, ms that the client waits) of a request. Raises InvalidRequest."""
+    fields = message.fields
+    request_class = _check_names(fields, request_classes)
+    time_left = _figure(fields.get("d", ""), "d", TIME_MOST)
+    figures = _tags(fields.get("tags", ""))
+    _check_optional(fields, request_class, tenants)
+    call = Call(
+        ident=fields["i"].encode(),
+        program=fields["o"],
+        input=message.body,
+        memory_mb=figures.get("memory_mb", 0.0),
+        lanes=max(1, int(figures.get("lanes", 1.0))),
+        load_ms=figures.get("load_ms"),
+        work_ms=_figure(fields["h"], "h", TIME_MOST) if "h" in fields else None,
+        repeat=fields.get("r", "0") not in ("0", "false"),
+        token=fields.get("k", ""),
     )
+    return request_class, call, time_left
--- a/wickdyke/platform/resp.py
+++ b/wickdyke/platform/resp.py
@@ -1,24 +1,27 @@
-"""RESP arrays of bulk strings, out and in, as workers speak it. No I/O.
+"""RESP arrays of bulk strings, rendered and parsed, as workers speak it. No I/O.
 
-Whatever a length says, no more is kept than the bounds allow: a line, a part and an answer each have one.
+Whatever a length says, no more is kept than the bounds allow: a length's line, a part and an answer each have one.
 """
 
 from collections import deque
 
-PARTS, PART, LINE = 8, 256 * 1024, 24  # parts of an answer at most; bytes of one at most; of a line of a length
+PARTS_MOST = 8  # of an answer
+PART_SIZE_MOST = 256 * 1024  # bytes
+LENGTH_LINE_MOST = 24  # bytes of the line that gives a length
+ARRAY, BULK_STRING = b"*"[0], b"$"[0]  # first bytes of a length's line
 
 
 class InvalidAnswer(Exception):
-    """What came is no answer: nothing after it on this connection can be trusted."""
+    """The data is no valid answer: nothing after it on this connection can be trusted."""
 
 
 def command(*parts: bytes) -> bytes:
-    """One command."""
+    """Renders one command."""
     return b"*%d\r\n%b" % (len(parts), b"".join([b"$%d\r\n%b\r\n" % (len(part), part) for part in parts]))
 
 
 def fields(text: bytes) -> dict[str, str]:
-    """A list name=value,name=value, or - for none."""
+    """Parses name=value,name=value, or - for none."""
     if text == b"-":
         return {}
     try:
@@ -31,17 +34,17 @@
 
 
 class Answers:
-    """Cuts a stream into answers, each a list of its parts."""
+    """Splits a stream into answers, each a list of its parts."""
 
-    def __init__(self, part: int = PART) -> None:
-        self.buffer, self.part = bytearray(), part
+    def __init__(self, part_size_most: int = PART_SIZE_MOST) -> None:
+        self.buffer, self.part_size_most = bytearray(), part_size_most
         self.whole: deque[list[bytes]] = deque()
         self.parts: list[bytes] = []
-        self.missing = 0  # parts of the answer under way that have not come
-        self.length = -1  # bytes of the part under way, -1 where that is not known yet
+        self.missing = 0  # parts of the incomplete answer that have not come
+        self.length: int | None = None  # bytes of the next part, where that is known
 
     def feed(self, data: bytes) -> list[list[bytes]]:
-        """Takes bytes and gives the answers that are whole. Raises Spoilt, with the answers before it in `whole`."""
+        """Takes bytes and returns the complete answers. Raises InvalidAnswer, with the answers before it in `whole`."""
         self.buffer += data
         while self._step():
             pass
@@ -51,36 +54,42 @@
 
     @property
     def begun(self) -> bool:
-        """Whether an answer has begun that is not whole."""
+        """Whether an answer is incomplete."""
         return bool(self.buffer or self.missing)
 
     def _step(self) -> bool:
+        """Parses one part or one length; False where more data is needed."""
+        return self._read_length() if self.length is None else self._read_part()
+
+    def _read_part(self) -> bool:
+        buffer, length = self.buffer, self.length
+        if len(buffer) < length + 2:
+            return False
+        if buffer[length : length + 2] != b"\r\n":
+            raise InvalidAnswer("a part that is longer than it says")
+        self.parts.append(bytes(buffer[:length]))
+        del buffer[: length + 2]
+        self.length, self.missing = None, self.missing - 1
+        if not self.missing:
+            self.whole.append(self.parts)
+            self.parts = []
+        return True
+
+    def _read_length(self) -> bool:
         buffer = self.buffer
-        if self.length >= 0:
-            if len(buffer) < self.length + 2:
-                return False
-            if buffer[self.length : self.length + 2] != b"\r\n":
-                raise InvalidAnswer("a part that is longer than it says")
-            self.parts.append(bytes(buffer[: self.length]))
-            del buffer[: self.length + 2]
-            self.length, self.missing = -1, self.missing - 1
-            if not self.missing:
-                self.whole.append(self.parts)
-                self.parts = []
-            return True
         if not buffer:
             return False
-        if buffer[0] != (36 if self.missing else 42):  # $ and *
+        if buffer[0] != (BULK_STRING if self.missing else ARRAY):
             raise InvalidAnswer(f"{bytes(buffer[:8])!r} where a length was due")
-        end = buffer.find(b"\r\n", 0, LINE)
+        end = buffer.find(b"\r\n", 0, LENGTH_LINE_MOST)
         if end < 0:
-            if len(buffer) >= LINE:
+            if len(buffer) >= LENGTH_LINE_MOST:
                 raise InvalidAnswer("a length that does not end")
             return False
         digits = bytes(buffer[1:end])
         if not digits.isdigit():
             raise InvalidAnswer(f"a length of {digits!r}")
-        length, most = int(digits), self.part if self.missing else PARTS
+        length, most = int(digits), self.part_size_most if self.missing else PARTS_MOST
         if length > most or not (length or self.missing):
             raise InvalidAnswer(f"a length of {length} where {most} is the most")
         del buffer[: end + 2]
