--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -65,7 +65,7 @@
             frames = thrift.Frames()
             got = [f for at in range(0, len(stream), size) for f in frames.feed(stream[at : at + size])]
             self.assertEqual((got, frames.begun), ([b"abc", b"de"], False))
-        for length in (-1, 0, thrift.FRAME + 1, 60 << 20):
+        for length in (-1, 0, thrift.FRAME_SIZE_MOST + 1, 60 << 20):
             with self.subTest(length), self.assertRaises(thrift.Unreadable):
                 thrift.Frames().feed(struct.pack(">i", length))
         after = thrift.Frames()  # what was whole before it counts
@@ -665,7 +665,7 @@
             for at in range(0, len(data), size):
                 for frame in frames.feed(data[at : at + size]):
                     thrift.read(frame)
-                self.assertLessEqual(len(frames.buffer), thrift.FRAME + 4 + size)
+                self.assertLessEqual(len(frames.buffer), thrift.FRAME_SIZE_MOST + 4 + size)
 
         def resp_reads(data, size):
             answers = resp.Answers()
--- a/wickdyke/platform/thrift.py
+++ b/wickdyke/platform/thrift.py
@@ -6,20 +6,23 @@
 import struct
 from dataclasses import dataclass
 
-FRAME = 24 * 1024  # bytes of a request's frame at most: a body of 16 KiB and the fields
-BODY = 16 * 1024  # bytes of a body at most
-FIELDS, DEPTH = 32, 8  # entries of a map of fields at most; structs within structs that are skipped
-VERSION, CALL, REPLY, EXCEPTION, ONEWAY = 0x80010000, 1, 2, 3, 4
+FRAME_SIZE_MOST = 24 * 1024  # bytes: a body and the fields
+BODY_SIZE_MOST = 16 * 1024  # bytes
+FIELDS_MOST = 32  # entries of a map of fields
+DEPTH_MOST = 8  # of nested values that are skipped
+VERSION = 0x80010000
+CALL, REPLY, EXCEPTION, ONEWAY = 1, 2, 3, 4  # types of messages
 STOP, BOOL, BYTE, DOUBLE, I16, I32, I64, STRING, STRUCT, MAP, SET, LIST = 0, 2, 3, 4, 6, 8, 10, 11, 12, 13, 14, 15
-FIXED = {BOOL: 1, BYTE: 1, DOUBLE: 8, I16: 2, I32: 4, I64: 8}
-UNKNOWN_METHOD, PROTOCOL = 1, 7  # codes of application exceptions
+FIELDS_ARGUMENT, BODY_ARGUMENT = 1, 2  # ids of the arguments of dispatch
+SIZES = {BOOL: 1, BYTE: 1, DOUBLE: 8, I16: 2, I32: 4, I64: 8}
+UNKNOWN_METHOD, PROTOCOL_ERROR = 1, 7  # codes of application exceptions
 
 _I16, _I32 = struct.Struct(">h"), struct.Struct(">i")
 _HEAD, _FIELD = struct.Struct(">Ii"), struct.Struct(">bh")
 
 
 class Unreadable(Exception):
-    """What came is not what the protocol allows; `number` is the request's where it is known."""
+    """The data breaks the protocol; `number` is the request's where it is known."""
 
     def __init__(self, why: str, number: int | None = None) -> None:
         super().__init__(why)
@@ -28,7 +31,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Message:
-    """One message of a client. `fields` and `body` are a request's, `about` the number that a cancel names."""
+    """One message of a client. `fields` and `body` are of a request; `about` is the number that a cancel names."""
 
     verb: str
     number: int
@@ -38,19 +41,19 @@
 
 
 class Frames:
-    """Cuts a stream into frames."""
+    """Splits a stream into frames."""
 
-    def __init__(self, most: int = FRAME) -> None:
+    def __init__(self, most: int = FRAME_SIZE_MOST) -> None:
         self.buffer, self.most = bytearray(), most
 
     def feed(self, data: bytes) -> list[bytes]:
-        """Takes bytes and gives the frames that are whole; raises Unreadable at a length that no frame may have."""
+        """Takes bytes and returns the complete frames; raises Unreadable at a length that no frame may have."""
         buffer, found, at = self.buffer, [], 0
         buffer += data
         while len(buffer) - at >= 4:
             (length,) = _I32.unpack_from(buffer, at)
             if not 0 < length <= self.most:
-                # What was whole before it still counts; the length itself is met again with nothing before it.
+                # The frames before it count still; the next call finds the length with nothing before it.
                 if found:
                     break
                 raise Unreadable(f"a frame of {length} bytes")
@@ -63,12 +66,12 @@
 
     @property
     def spoilt(self) -> bool:
-        """Whether what is next can't be a frame."""
+        """Whether the next data can't be a frame."""
         return len(self.buffer) >= 4 and not 0 < _I32.unpack_from(self.buffer)[0] <= self.most
 
     @property
     def begun(self) -> bool:
-        """Whether a frame has begun that is not whole."""
+        """Whether a frame is incomplete."""
         return bool(self.buffer)
 
 
@@ -96,23 +99,23 @@
         return (STOP, 0) if kind == STOP else (kind, _I16.unpack(self.take(2))[0])
 
     def fields(self) -> dict[str, str]:
-        kinds, many = self.take(2), self.i32()
-        if not 0 <= many <= FIELDS or many and kinds != bytes((STRING, STRING)):
-            raise Unreadable(f"a map of {many} entries, expected {FIELDS} of strings at most")
+        kinds, count = self.take(2), self.i32()
+        if not 0 <= count <= FIELDS_MOST or count and kinds != bytes((STRING, STRING)):
+            raise Unreadable(f"a map of {count} entries, expected {FIELDS_MOST} of strings at most")
         found: dict[str, str] = {}
-        for _ in range(many):
+        for _ in range(count):
             name, value = self.string(), self.string()
             try:
                 found[name.decode()] = value.decode()
             except UnicodeDecodeError:
                 raise Unreadable("a field that is no UTF-8") from None
-        if len(found) != many:
+        if len(found) != count:
             raise Unreadable("a field twice")
         return found
 
-    def skip(self, kind: int, depth: int = DEPTH) -> None:
-        if kind in FIXED:
-            self.take(FIXED[kind])
+    def skip(self, kind: int, depth: int = DEPTH_MOST) -> None:
+        if kind in SIZES:
+            self.take(SIZES[kind])
         elif kind == STRING:
             self.string()
         elif depth and kind == STRUCT:
@@ -120,12 +123,12 @@
                 self.skip(inner[0], depth - 1)
         elif depth and kind in (MAP, SET, LIST):
             kinds = self.take(2 if kind == MAP else 1)
-            many = self.i32()
-            if not 0 <= many <= len(self.data):
-                raise Unreadable(f"{many} entries")
-            for _ in range(many):
-                for each in kinds:
-                    self.skip(each, depth - 1)
+            count = self.i32()
+            if not 0 <= count <= len(self.data):
+                raise Unreadable(f"{count} entries")
+            for _ in range(count):
+                for inner_kind in kinds:
+                    self.skip(inner_kind, depth - 1)
         else:
             raise Unreadable(f"a value of type {kind}")
 
@@ -139,31 +142,34 @@
     name = reader.string()
     number = reader.i32()
     try:
-        fields, body, about, given = {}, b"", 0, set()
-        while (field := reader.field())[0] != STOP:
-            kind, ident = field
-            if name == b"dispatch" and ident in (1, 2):
-                if ident in given or kind != (MAP if ident == 1 else STRING):
-                    raise Unreadable(f"argument {ident} of type {kind} or twice")
-                given.add(ident)
-                if ident == 1:
-                    fields = reader.fields()
-                else:
-                    body = reader.string()
-            elif name == b"cancelRequest" and (ident, kind) == (1, I32):
-                about = reader.i32()
-            else:
-                reader.skip(kind)
-        if reader.at != len(frame):
-            raise Unreadable(f"{len(frame) - reader.at} bytes too many")
-        if len(body) > BODY:
-            raise Unreadable(f"a body of {len(body)} bytes")
-        verb = name.decode("ascii")
+        return _read_arguments(reader, name, number)
     except UnicodeDecodeError:
         raise Unreadable("a name that is no ASCII", number) from None
-    except Unreadable as bad:
-        raise Unreadable(str(bad), number) from None
-    return Message(verb, number, fields, body, about)
+    except Unreadable as error:
+        raise Unreadable(str(error), number) from None
+
+
+def _read_arguments(reader: _Reader, name: bytes, number: int) -> Message:
+    fields, body, about, given = {}, b"", 0, set()
+    while (field := reader.field())[0] != STOP:
+        kind, ident = field
+        if name == b"dispatch" and ident in (FIELDS_ARGUMENT, BODY_ARGUMENT):
+            if ident in given or kind != (MAP if ident == FIELDS_ARGUMENT else STRING):
+                raise Unreadable(f"argument {ident} of type {kind} or twice")
+            given.add(ident)
+            if ident == FIELDS_ARGUMENT:
+                fields = reader.fields()
+            else:
+                body = reader.string()
+        elif name == b"cancelRequest" and (ident, kind) == (1, I32):
+            about = reader.i32()
+        else:
+            reader.skip(kind)
+    if reader.at != len(reader.data):
+        raise Unreadable(f"{len(reader.data) - reader.at} bytes too many")
+    if len(body) > BODY_SIZE_MOST:
+        raise Unreadable(f"a body of {len(body)} bytes")
+    return Message(name.decode("ascii"), number, fields, body, about)
 
 
 def _string(value: bytes) -> bytes:
@@ -175,7 +181,7 @@
         [
             bytes((STRING, STRING)),
             _I32.pack(len(fields)),
-            *[_string(each.encode()) for pair in fields.items() for each in pair],
+            *[_string(text.encode()) for pair in fields.items() for text in pair],
         ]
     )
 
@@ -193,7 +199,7 @@
     )
 
 
-def answer(verb: str, number: int, body: bytes, good: bool = True) -> bytes:
+def answer(verb: str, number: int, body: bytes, success: bool = True) -> bytes:
     """The frame of an Answer."""
     return _frame(
         REPLY,
@@ -207,29 +213,29 @@
                 _FIELD.pack(MAP, 2),
                 _map({}),
                 _FIELD.pack(BOOL, 3),
-                bytes((good, STOP, STOP)),
+                bytes((success, STOP, STOP)),
             )
         ),
     )
 
 
-def _thrown(place: int, verb: str, number: int, fields: dict[str, str]) -> bytes:
+def _declared_exception(field_id: int, verb: str, number: int, fields: dict[str, str]) -> bytes:
     return _frame(
-        REPLY, verb, number, _FIELD.pack(STRUCT, place) + _FIELD.pack(MAP, 1) + _map(fields) + bytes((STOP, STOP))
+        REPLY, verb, number, _FIELD.pack(STRUCT, field_id) + _FIELD.pack(MAP, 1) + _map(fields) + bytes((STOP, STOP))
     )
 
 
 def shed(verb: str, number: int, fields: dict[str, str]) -> bytes:
     """The frame of a Shed."""
-    return _thrown(1, verb, number, fields)
+    return _declared_exception(1, verb, number, fields)
 
 
 def fault(verb: str, number: int, fields: dict[str, str]) -> bytes:
     """The frame of a Fault."""
-    return _thrown(2, verb, number, fields)
+    return _declared_exception(2, verb, number, fields)
 
 
-def problem(verb: str, number: int, why: str, code: int = PROTOCOL) -> bytes:
+def problem(verb: str, number: int, why: str, code: int = PROTOCOL_ERROR) -> bytes:
     """The frame of an application exception."""
     return _frame(
         EXCEPTION,
