--- a/tests/test_client_connection_faults.py
+++ b/tests/test_client_connection_faults.py
@@ -323,7 +323,7 @@
         ask = self.asked(client, rig.dispatch(1, rig.fields(A)))
         client.send(rig.dispatch(2, rig.fields(B))[:20])
         self.until(lambda: next(iter(self.front.clients.values())).frames.begun)
-        self.now += fronts.SILENT + 2 * fronts.SWEEP
+        self.now += fronts.SILENCE_TIMEOUT + 2 * fronts.SWEEP_INTERVAL
         self.loop.turn(0.0, lambda: None)
         ask.succeed(b"done", 1)
         self.until(client.waits)
@@ -337,7 +337,7 @@
         client.send(rig.dispatch(1, rig.fields(B)))  # a number twice: the connection ends after what is open
         self.until(lambda: next(iter(self.front.clients.values())).ending)
         for _ in range(15):
-            self.now += fronts.SWEEP
+            self.now += fronts.SWEEP_INTERVAL
             self.loop.turn(0.0, lambda: None)
         ask.succeed(b"done", 1)
         self.until(client.waits)
@@ -370,7 +370,7 @@
         self.until(lambda: self.front.clients)
         client.send(rig.dispatch(1, rig.fields(A)))
         self.there(next(iter(self.front.clients.values())))
-        self.now += fronts.SILENT + 2 * fronts.SWEEP
+        self.now += fronts.SILENCE_TIMEOUT + 2 * fronts.SWEEP_INTERVAL
         self.front._sweep()
         self.assertEqual([type(event) for event in self.told], [RequestReceived])
         self.assertTrue(self.front.clients)
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -547,7 +547,7 @@
         self.assertEqual((self.front.open, self.front.clients), ({}, {}))
 
     def test_silence_and_half_a_frame_end_in_time_and_who_asked_once_stays(self):
-        with patch.object(client_server, "SILENT", 100.0):
+        with patch.object(client_server, "SILENCE_TIMEOUT", 100.0):
             silent, half, asked = self.client(), self.client(), self.client()
             half.send(rig.dispatch(1, rig.fields())[:30])
             asked.send(rig.alive(1))
@@ -579,7 +579,7 @@
         silent = [self.client() for _ in range(18)]
         self.until(lambda: len(self.front.clients) == 20)
         for client in self.front.clients.values():
-            client.since -= client_server.NEW
+            client.since -= client_server.NEW_CONNECTION_TIME
         more = self.client()
         more.send(rig.alive(1))
         self.assertEqual(self.answer(more)[1], "bad")
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -267,7 +267,7 @@
         client = self.client()
         self.now += service.GRACE_PERIOD
         self.until(lambda: serving.client_server.shut_down, "the close")
-        self.now += fronts.NEW
+        self.now += fronts.NEW_CONNECTION_TIME
         self.until(lambda: self.over, "the end")
         self.assertEqual(client.answer()[1], "closed")
 
--- a/wickdyke/platform/client_connection.py
+++ b/wickdyke/platform/client_connection.py
@@ -1,6 +1,6 @@
 """One connection of a client: frames in, checked requests to the coordinator, one answer for each.
 
-Whoever sends what can't be used gets an application exception or a close; nothing of it reaches a worker.
+A client that breaks the protocol gets an application exception or a close; nothing of that reaches a worker.
 """
 
 import socket
@@ -20,8 +20,9 @@
 READ_SIZE = 1 << 15  # bytes read at a time
 OPEN_MOST = 32  # requests open on one connection
 UNREAD_MOST = 1 << 18  # bytes of answers that may wait for a client
-NEW = 500.0  # ms in which a connection counts as one that has only just come
-RETRY = 20.0  # ms after which a system call that failed for a moment is tried again
+NEW_CONNECTION_TIME = 500.0  # ms in which a connection counts as new
+RETRY_AFTER = 20.0  # ms until a system call is retried that failed for want of memory
+UNKNOWN_METHOD_QUOTED_MOST = 64  # characters of its name in the error
 READ_AGAIN_AFTER = 50.0  # ms after which a client is read again before an attempt begins on its behalf
 
 
@@ -31,28 +32,27 @@
     __slots__ = ()
 
     def succeed(self, output: bytes, attempts: int) -> None:
-        """Its final answer, with what the worker gave."""
-        self._say(thrift.answer("dispatch", self.ident, output))
+        """Sends its final answer, with the worker's output."""
+        self._answer(thrift.answer("dispatch", self.ident, output))
 
     def reject(self, why: str, retry_after: float | None = None) -> None:
-        """Its final answer: nothing was done."""
+        """Sends its final answer: it was rejected, and nothing was done."""
         fields = {} if retry_after is None else {"w": str(max(1, round(retry_after)))}
-        self._say(thrift.shed("dispatch", self.ident, fields))
+        self._answer(thrift.shed("dispatch", self.ident, fields))
 
     def fail(self, why: str) -> None:
-        """Its final answer: nothing is promised."""
-        self._say(thrift.fault("dispatch", self.ident, {}))
+        """Sends its final answer: it failed, and may have been carried out or not."""
+        self._answer(thrift.fault("dispatch", self.ident, {}))
 
     def still_wanted(self) -> bool:
-        """Whether its client still waits: what it sent meanwhile (a cancel, the end) is read first."""
-        # On a busy machine a cancel or a close waits in the kernel while a retry is decided. Also a hedge.
-        # What is read is handled as ever.
+        """Whether its client still waits for an answer; a cancel or a close that has come meanwhile is read first."""
+        # On a busy machine a cancel or a close waits in the kernel while a retry or a hedge is decided.
         client = self.client
-        if clock() - client.looked > READ_AGAIN_AFTER:
+        if clock() - client.last_read_at > READ_AGAIN_AFTER:
             client.server.read_all(client)
         return client.open.get(self.ident) is self
 
-    def _say(self, frame: bytes) -> None:
+    def _answer(self, frame: bytes) -> None:
         if self.client.release(self):
             self.client.write(frame)
 
@@ -67,11 +67,14 @@
         self.write_buffer = WriteBuffer(sock, UNREAD_MOST, "client", self._waits)
         self.frames = thrift.Frames()
         self.open: dict[int, PendingRequest] = {}
-        self.last = 0
-        # When what is begun began; when it was last of use; when it was last read.
-        self.since = self.used = self.looked = clock()
-        self.answered = self.ending = self.closed = False
-        self.watched = self.pump_due = False  # whether the loop serves it; whether a timer is to write what waits
+        self.last = 0  # number of the last request
+        self.since = clock()  # when the incomplete frame, or the wait for the first one, began
+        self.used = clock()  # when it last got an answer
+        self.last_read_at = clock()
+        self.answered = False  # whether anything was written to it
+        self.ending = self.closed = False
+        self.watched = False  # whether the loop serves it
+        self.pump_due = False  # whether a timer is to write what waits
 
     def _waits(self, waits: bool) -> None:
         if self.closed:
@@ -79,12 +82,12 @@
         try:
             self.server.loop.want(self.sock, waits)
         except OSError:
-            # ENOMEM of a moment, passed on, would close the connection and lose the answer that waits. Where
-            # nothing waits any more, the kernel tells of it in each turn, and this is tried again then.
+            # A passing ENOMEM must not close the connection and lose the answer that waits. Where nothing waits any
+            # more, the kernel reports the socket as writable in each turn, and this is tried again then.
             self.server.counts["unwatched"] += 1
             if waits and not self.pump_due:
                 self.pump_due = True
-                self.server.loop.at(clock() + RETRY, self._pump_later)
+                self.server.loop.at(clock() + RETRY_AFTER, self._pump_later)
 
     def _pump_later(self) -> None:
         self.pump_due = False
@@ -95,23 +98,23 @@
 
     def expected(self) -> bool:
         """Whether a request is probably on its way: part of it has come, or the connection is new."""
-        return (self.frames.begun or not self.answered) and clock() - self.since < NEW
+        return (self.frames.begun or not self.answered) and clock() - self.since < NEW_CONNECTION_TIME
 
     def idle(self) -> bool:
         """Whether nothing is owed to it."""
         return not self.open and self.write_buffer.empty()
 
     def readable(self) -> None:
-        """Frames, or its end."""
+        """Reads frames, or the end of the connection."""
         if self.closed or self.sock.gettimeout() != 0:  # could not be made non-blocking yet: a read would wait
             return
-        self.looked = clock()
+        self.last_read_at = clock()
         data = received(self.sock, READ_SIZE)
         if not data:
             if data is not None:
                 self.close()
             return
-        if self.ending:  # whoever closes has gone, and what it has open goes no further; so it is with what it cancels
+        if self.ending:  # a close or a cancel of the client still ends what it has open
             self._read_cancels(data)
             return
         self.server.reads += 1
@@ -128,8 +131,8 @@
             self._refuse(error.number, str(error))
 
     def _read_cancels(self, data: bytes) -> None:
-        """After an error only cancels count: what is open is answered still, unless the client takes it back."""
-        if self.frames.spoilt:  # where the next frame begins is not known any more
+        """After an error only cancels are read: open requests are answered still, unless the client cancels them."""
+        if self.frames.spoilt:  # it is unknown where the next frame begins
             return
         with suppress(thrift.Unreadable):
             for frame in self.frames.feed(data):
@@ -146,14 +149,14 @@
     def _cancel(self, number: int) -> None:
         if (pending := self.open.get(number)) is not None:
             self.release(pending)
-            if pending.router_id is None:  # still waits for the desk: hundreds taken back at once are no load
+            if pending.router_id is None:  # the coordinator has not seen it, and drops it without work
                 pending.closed = True
             self.server.post(RequestCancelled(pending))
         if self.ending and self.idle():
             self.close()
 
     def _refuse(self, number: int | None, why: str) -> None:
-        """An error under the number where it can be told, then the end: nothing after it can be trusted."""
+        """Sends an error, under the number where it is known, then ends: nothing after it can be trusted."""
         self.server.counts["unreadable"] += 1
         if number is None or number not in self.open:
             self.write(thrift.problem("dispatch", number or 0, why))
@@ -177,7 +180,11 @@
             self._cancel(message.about)
         elif message.verb != "dispatch":
             self.server.count_invalid(f"method {message.verb[:20]!r}")
-            self.write(thrift.problem(message.verb[:64], message.number, "no such method", thrift.UNKNOWN_METHOD))
+            self.write(
+                thrift.problem(
+                    message.verb[:UNKNOWN_METHOD_QUOTED_MOST], message.number, "no such method", thrift.UNKNOWN_METHOD
+                )
+            )
         elif message.number <= self.last:
             raise thrift.Unreadable(f"number {message.number} after {self.last}", message.number)
         else:
@@ -206,7 +213,7 @@
             server.post(RequestReceived(pending))
 
     def release(self, pending: PendingRequest) -> bool:
-        """It is owed nothing more; False where it was not already."""
+        """Closes a request of this connection; False where it was closed already."""
         if self.open.get(pending.ident) is not pending:
             return False
         del self.open[pending.ident]
@@ -215,7 +222,7 @@
         return True
 
     def write(self, frame: bytes) -> None:
-        """Writes without waiting; whoever does not read is hung up on."""
+        """Writes without waiting; closes the connection of a client that reads too little."""
         if self.closed:
             return
         self.answered = True
@@ -227,7 +234,7 @@
             self.close()
 
     def writable(self) -> None:
-        """What waits may go on."""
+        """Writes what waits."""
         try:
             self.write_buffer.pump()
         except OSError:
@@ -237,14 +244,14 @@
             self.close()
 
     def broken(self) -> None:
-        """It ends, after the answers to what is open; at once where it breaks again."""
+        """Serving it raised: ends it after the answers to open requests; at once the second time."""
         if self.ending:
             self.close()
         else:
             self.end()
 
     def end(self) -> None:
-        """Takes no more; closes when what is open is answered, or when the client does."""
+        """Takes no more requests; closes once those open are answered, or when the client does."""
         if self.closed or self.ending:
             return
         self.ending, self.since = True, clock()
@@ -252,7 +259,7 @@
             self.close()
 
     def close(self) -> None:
-        """Ends it; what it had open is left."""
+        """Closes it at once; its open requests get no answer."""
         if self.closed:
             return
         self.closed = True
--- a/wickdyke/platform/client_server.py
+++ b/wickdyke/platform/client_server.py
@@ -7,20 +7,20 @@
 from contextlib import suppress
 
 from wickdyke.gateway.events import Event
-from wickdyke.platform.client_connection import NEW, RETRY, ClientConnection, PendingRequest
+from wickdyke.platform.client_connection import NEW_CONNECTION_TIME, RETRY_AFTER, ClientConnection, PendingRequest
 from wickdyke.routing.model import RequestClass
 from wickdyke.transport.event_loop import EventLoop, clock
 
-ACCEPTS_A_TURN = 64  # connections taken in one turn
+ACCEPTS_PER_TURN = 64  # connections accepted in one turn at most
 BACKLOG = 512
-SILENT = 2000.0  # ms in which a connection brings its first request, and any frame that has begun
-SWEEP = 200.0  # ms between looks for those that did not
-READS_MOST = 8  # of one connection at a time, where all that has come is wanted
+SILENCE_TIMEOUT = 2000.0  # ms for a first request, and for the rest of an incomplete frame
+SWEEP_INTERVAL = 200.0  # ms between closes of connections past that
+READS_MOST = 8  # of one connection at a time, where all data that has come is wanted
 TIME_LEFT_LEAST = 50.0  # ms that a worker needs; with less before the end of the process a request is rejected
 
 
 class ClientServer:
-    """The listener and its clients."""
+    """The listener and the connections of its clients."""
 
     first = False  # its events are served after those of workers
 
@@ -46,10 +46,10 @@
         self.sock: socket.socket | None = None
 
     def listen(self) -> None:
-        """Begins to take connections; raises OSError where the address can't be had."""
+        """Starts to accept connections; raises OSError where the address can't be bound."""
         self.sock = sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         try:
-            with suppress(OSError):  # without it the address may be in use for a while, which bind tells
+            with suppress(OSError):  # without it bind may fail for a while
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
             sock.setblocking(False)
             sock.bind(self.address)
@@ -59,7 +59,7 @@
             sock.close()
             raise
         self._watch_listener()
-        self.loop.every(SWEEP, self._sweep)
+        self.loop.every(SWEEP_INTERVAL, self._sweep)
 
     def _watch_listener(self) -> None:
         if self.shut_down:
@@ -69,7 +69,7 @@
             self.watched = True
         except OSError:  # ENOMEM, ENOSPC: polled until the kernel watches it
             self.counts["unwatched"] += 1
-            self.loop.at(clock() + RETRY, self._watch_listener)
+            self.loop.at(clock() + RETRY_AFTER, self._watch_listener)
             self.guarded(self)
 
     def count_invalid(self, why: str) -> None:
@@ -79,7 +79,7 @@
             self.log.warning("request unusable", why=why, so_far=self.counts["invalid"])
 
     def alive(self) -> bool:
-        """Whether requests are welcome."""
+        """Whether requests are taken."""
         return self.ready
 
     def time_for(self, time_left: float) -> float:
@@ -92,7 +92,7 @@
         return most if most >= TIME_LEFT_LEAST else 0.0
 
     def guarded(self, handler: "ClientServer | ClientConnection") -> None:
-        """Lets it read now, whether or not the kernel told of it; one that breaks ends alone."""
+        """Has the handler read now, whether or not the kernel reported data; one that raises ends alone."""
         try:
             handler.readable()
         except Exception as error:
@@ -110,12 +110,12 @@
                 return
 
     def readable(self) -> None:
-        """Connections."""
+        """Accepts connections."""
         self.drained = self._accept_waiting()
 
     def _accept_waiting(self) -> bool:
-        """Takes connections, a bounded number; whether the kernel had no more of them."""
-        for _ in range(ACCEPTS_A_TURN):
+        """Accepts a bounded number of connections; whether the kernel had no more of them."""
+        for _ in range(ACCEPTS_PER_TURN):
             try:
                 sock, _ = self.sock.accept()
             except BlockingIOError:
@@ -125,12 +125,12 @@
                     self.counts["no_descriptor"] += 1
                     if self._make_room():
                         continue
-                    self._pause(SWEEP)
+                    self._pause(SWEEP_INTERVAL)
                     return False
                 if error.errno in (errno.ENFILE, errno.ENOBUFS, errno.ENOMEM):
-                    # The machine's trouble, for a moment: what a client of ours holds would not mend it.
+                    # A shortage of the whole machine, which closing a client of ours would not end.
                     self.counts["no_descriptor"] += 1
-                    self._pause(RETRY)
+                    self._pause(RETRY_AFTER)
                     return False
                 continue
             self.counts["accepted"] += 1
@@ -152,8 +152,8 @@
 
     def _watch(self, client: ClientConnection) -> None:
         """Has the loop serve a connection. While that fails it is polled, and closed by the sweep if it is silent."""
-        # Closed for ENOMEM or ENOSPC of a moment, its first request would be lost unread. Also ENOBUFS. Could
-        # hurt where it lasts: a timer for each connection.
+        # A close for a passing ENOMEM, ENOSPC or ENOBUFS would lose its first request unread. The price, where the
+        # shortage lasts, is a timer for each connection.
         if client.closed:
             return
         try:
@@ -162,7 +162,7 @@
             client.watched = True
         except OSError:
             self.counts["unwatched"] += 1
-            self.loop.at(clock() + RETRY, self._watch, client)
+            self.loop.at(clock() + RETRY_AFTER, self._watch, client)
             self.guarded(client)
 
     def forget(self, client: ClientConnection) -> None:
@@ -174,8 +174,8 @@
             client.sock.close()
 
     def _pause(self, span: float) -> None:
-        """Takes no connections for so many ms: the kernel would tell again and again of what can't be taken."""
-        # That costs where a descriptor is freed meanwhile: those that wait are taken that much later.
+        """Accepts nothing for `span` ms: the kernel would report again and again what can't be accepted."""
+        # The price: where a descriptor is freed meanwhile, the connections that wait are accepted that much later.
         if self.paused or self.shut_down:
             return
         self.paused = True
@@ -191,21 +191,24 @@
             self.paused = False
         except OSError:  # ENOMEM, ENOSPC: polled until the kernel watches it again
             self.counts["unwatched"] += 1
-            self.loop.at(clock() + RETRY, self._resume)
+            self.loop.at(clock() + RETRY_AFTER, self._resume)
             self.guarded(self)
 
     def writable(self) -> None:
         """Never waited for."""
 
     def broken(self) -> None:
-        """It goes on."""
+        """Serving it raised: the listener goes on."""
 
     def _make_room(self) -> bool:
-        """Ends the connection without open requests that is longest of no use: of those that have said nothing for a
-        while, else of those that were answered, last of those that have only just come or are sending."""
-        # The request of a new connection is under way as it is closed for the next, which fares no better.
-        # Also clients that connect for each request. That costs who keeps a connection idle: it connects again.
-        old = clock() - NEW
+        """Closes the connection without open requests that was idle longest; whether there was one.
+
+        Those that have sent nothing for a while go first, then those that were answered, last those that are new or
+        are sending.
+        """
+        # The request of a new connection is probably on its way: closed for the next one, which fares no better, no
+        # client would get through, nor one that connects for each request. The price: an idle client connects again.
+        old = clock() - NEW_CONNECTION_TIME
 
         def use(client: ClientConnection) -> int:
             if client.since >= old and (client.frames.begun or not client.answered):
@@ -214,7 +217,7 @@
 
         while spare := [client for client in self.clients.values() if self._spare(client)]:
             least = min(spare, key=lambda client: (use(client), client.used))
-            # Its request has come and was not read yet, and would be lost with the connection.
+            # A request that has come and was not read yet would be lost with the connection.
             self.read_all(least)
             if least.closed or self._spare(least):
                 least.close()
@@ -224,12 +227,12 @@
 
     def _spare(self, client: ClientConnection) -> bool:
         """Whether it has nothing open, and no answer on its way that it may still read."""
-        return not client.open and (client.write_buffer.empty() or clock() - client.used > SILENT)
+        return not client.open and (client.write_buffer.empty() or clock() - client.used > SILENCE_TIMEOUT)
 
     def _sweep(self) -> None:
         now = clock()
         for client in list(self.clients.values()):
-            # What it sent in time was not read yet, for the process stood still or was busy.
+            # Data that came in time may not have been read yet, where this process was stopped or busy.
             if self._overdue(client, now):
                 self.read_all(client)
             if not client.closed and self._overdue(client, now):
@@ -240,22 +243,24 @@
                     client.close()
 
     def _overdue(self, client: ClientConnection, now: float) -> bool:
-        # Hundreds that connect and say nothing, or half a frame, take the descriptors. Also those that
-        # never read. That costs who connects long before it asks: it is told by the close.
+        # Hundreds that connect and send nothing, or half a frame, or never read, would take all descriptors. The price:
+        # a client that connects long before its first request has its connection closed.
         if client.ending:  # its requests end by their own times; then it has as long to read the last answer
-            return not client.open and now - max(client.since, client.used) > SILENT
+            return not client.open and now - max(client.since, client.used) > SILENCE_TIMEOUT
         waits = client.frames.begun or not client.answered and not client.open
-        return waits and now - client.since > SILENT
+        return waits and now - client.since > SILENCE_TIMEOUT
 
     def shut(self, at_once: bool = False) -> None:
-        """Takes the connections that the kernel has taken already, then no more. While some of them can't be taken
-        it is left for the next call, unless it has to be at once."""
+        """Accepts the connections of the backlog, then closes the listener.
+
+        While some of them can't be accepted that is left for the next call, unless it has to be `at_once`.
+        """
         if self.shut_down or self.sock is None:
             return
-        # Connections that wait to be taken are reset with the listener, and requests on them lost. Between the
-        # last look and the close nothing else is done: the kernel has no way to stop one without the other.
+        # The close resets the connections of the backlog, and requests on them are lost. So nothing else is done
+        # between the last accept and the close: the kernel can't stop a backlog and keep what is in it.
         self.drained = False
-        for _ in range(BACKLOG // ACCEPTS_A_TURN + 1):
+        for _ in range(BACKLOG // ACCEPTS_PER_TURN + 1):
             self.guarded(self)
             if self.drained:
                 break
@@ -268,15 +273,17 @@
         self.sock.close()
 
     def heard_more(self) -> bool:
-        """Reads what has come since the kernel last told; whether there was anything."""
+        """Reads what has come since the last poll; whether there was anything."""
         before = self.reads
         for client in list(self.clients.values()):
             self.guarded(client)
         return self.reads > before
 
     def hang_up(self, at_once: bool = False) -> bool:
-        """Closes each connection that owes and is owed nothing, right after a last read that found nothing; whether
-        none is left. With `at_once` no request is waited for that may be on its way."""
+        """Closes each idle connection, right after a last read that found nothing; whether none is left.
+
+        With `at_once` no request is waited for that may be on its way.
+        """
         # A connection left open until the process has ended acknowledges requests that nobody reads. Between
         # the read and the close one may still cross, within microseconds: the client sends it again (PROTOCOL).
         # A shutdown for reading before that read would not prevent it: Linux acknowledges what comes after it as well.
@@ -288,5 +295,5 @@
         return not self.clients
 
     def flushed(self) -> bool:
-        """Whether nothing is owed and nothing waits to be written."""
+        """Whether no request is open and nothing waits to be written."""
         return not self.open and all(client.write_buffer.empty() for client in self.clients.values())
