--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -65,7 +65,7 @@
             frames = thrift.Frames()
             got = [f for at in range(0, len(stream), size) for f in frames.feed(stream[at : at + size])]
             self.assertEqual((got, frames.begun), ([b"abc", b"de"], False))
-        for length in (-1, 0, thrift.FRAME + 1, 60 << 20):
+        for length in (-1, 0, thrift.FRAME_SIZE_MOST + 1, 60 << 20):
             with self.subTest(length), self.assertRaises(thrift.Unreadable):
                 thrift.Frames().feed(struct.pack(">i", length))
         after = thrift.Frames()  # what was whole before it counts
@@ -133,7 +133,7 @@
             got = [e for at in range(0, len(stream), size) for e in events.feed(stream[at : at + size])]
             self.assertEqual([(e.ident, e.data) for e in got], [("3", '{"a":\n1}'), ("4", "b")])
         with self.assertRaises(sse.EventTooLarge):
-            sse.Events().feed(b"data: " + b"x" * (sse.EVENT + 1))
+            sse.Events().feed(b"data: " + b"x" * (sse.EVENT_SIZE_MOST + 1))
 
     def test_the_view(self):
         """(events) -> changes as (name, state), then where all are."""
@@ -547,7 +547,7 @@
         self.assertEqual((self.front.open, self.front.clients), ({}, {}))
 
     def test_silence_and_half_a_frame_end_in_time_and_who_asked_once_stays(self):
-        with patch.object(client_server, "SILENT", 100.0):
+        with patch.object(client_server, "SILENCE_TIMEOUT", 100.0):
             silent, half, asked = self.client(), self.client(), self.client()
             half.send(rig.dispatch(1, rig.fields())[:30])
             asked.send(rig.alive(1))
@@ -579,7 +579,7 @@
         silent = [self.client() for _ in range(18)]
         self.until(lambda: len(self.front.clients) == 20)
         for client in self.front.clients.values():
-            client.since -= client_server.NEW
+            client.since -= client_server.NEW_CONNECTION_TIME
         more = self.client()
         more.send(rig.alive(1))
         self.assertEqual(self.answer(more)[1], "bad")
@@ -665,14 +665,14 @@
             for at in range(0, len(data), size):
                 for frame in frames.feed(data[at : at + size]):
                     thrift.read(frame)
-                self.assertLessEqual(len(frames.buffer), thrift.FRAME + 4 + size)
+                self.assertLessEqual(len(frames.buffer), thrift.FRAME_SIZE_MOST + 4 + size)
 
         def resp_reads(data, size):
             answers = resp.Answers()
             for at in range(0, len(data), size):
                 for answer in answers.feed(data[at : at + size]):
                     worker_results.read_result(answer, ("busy",))
-                self.assertLessEqual(len(answers.buffer), resp.PART + 2 + size)
+                self.assertLessEqual(len(answers.buffer), resp.PART_SIZE_MOST + 2 + size)
 
         def sse_reads(data, size):
             events = sse.Events()
