--- a/tests/test_desk.py
+++ b/tests/test_desk.py
@@ -447,10 +447,12 @@
                     for ident in range(3):
                         client.ask(ident, "side", input={"n": "bad"})
                         self.assertEqual(client.answer()["error"]["data"]["answer"], "aborted")
-                        self.assertTrue(until(lambda running=running: not running.coordinator.isolation.breaker.cuts))
-                        if "p" in running.coordinator.isolation.breaker.calls.barred:
+                        self.assertTrue(
+                            until(lambda running=running: not running.coordinator.isolation.breaker.unsettled)
+                        )
+                        if "p" in running.coordinator.isolation.breaker.requests.open_by_function:
                             break
-                    self.assertEqual("p" in running.coordinator.isolation.breaker.calls.barred, barred)
+                    self.assertEqual("p" in running.coordinator.isolation.breaker.requests.open_by_function, barred)
                     client.close()
 
 
--- a/wickdyke/gateway/attempts.py
+++ b/wickdyke/gateway/attempts.py
@@ -54,7 +54,7 @@
             self._withdraw(pending, attempt, Outcome.TIMEOUT)
         elif command.worker_client is not None and command.worker_client.withdraw_unsent(command):
             self._ended(pending, attempt, CommandResult(Outcome.UNSENT))
-        else:  # for the router it has ended; the check of routes has seen to the rest
+        else:  # for the router it has ended; the checks of routes allow a timeout only where that is safe
             self._ended(pending, attempt, CommandResult(Outcome.TIMEOUT))
 
     def cancel(self, decision: Cancel) -> None:
@@ -66,19 +66,19 @@
 
     def _withdraw(self, pending: PendingRequest, attempt: Attempt, outcome: Outcome) -> None:
         # The next attempt beside one whose cancel still waits in our buffer would be a second at once. So the outcome
-        # is told only when the cancel is with the kernel, or the connection is ended for it.
+        # is reported only when the cancel is with the kernel, or the connection is ended for it.
         command = pending.commands[attempt]
         client = command.worker_client
 
         def done() -> None:
             self.context.post(AttemptWithdrawn(pending, attempt, outcome))
 
-        said = client.cancel(command, done) if client is not None else "ended"
-        if said == Outcome.UNSENT:
+        state = client.cancel(command, done) if client is not None else "ended"
+        if state == Outcome.UNSENT:
             self.context.post(AttemptWithdrawn(pending, attempt, Outcome.UNSENT))
-        elif said == Outcome.CANCELLED:
+        elif state == Outcome.CANCELLED:
             done()
-        elif said is None:
+        elif state is None:
             wait = self.context.station.attempt_limits.connect_timeout
             self.context.timers.at(self.context.now() + wait, self._disconnect, pending, attempt, client)
 
@@ -132,7 +132,9 @@
             return
         if result.outcome != Outcome.OK:
             self._ended(pending, attempt, result)
-            self.isolation.harmed(self, pending, attempt, result)
+            retry_after = self.isolation.attempt_failed(pending, attempt, result)
+            if retry_after is not None:
+                self.requests.answer_undecided(pending, pending.reject, "poison", retry_after)
             return
         answered = pending.closed
         self.isolation.served(attempt, None if answered else pending.call.input)
--- a/wickdyke/gateway/circuit_breaker.py
+++ b/wickdyke/gateway/circuit_breaker.py
@@ -1,89 +1,103 @@
-"""What the desk keeps from being tried: the books of wickdyke/quarantine, fed from what workers say."""
+"""The circuit breaker of one gateway: which functions and requests are not tried for now, by what workers answered."""
 
 import hashlib
 from dataclasses import dataclass
 
-from wickdyke.quarantine.bars import Calls, Isolation, Pauses, Programs
+from wickdyke.quarantine.bars import Backoff, FunctionBreakers, Isolation, RequestBreakers
 
 
 @dataclass(slots=True)
-class Cut:
-    """A call-out whose connection ended: of which call, at which start of the worker."""
+class LostAttempt:
+    """An attempt whose connection ended: of which request, at which start of the worker."""
 
-    program: str
+    function: str
     digest: bytes
     start: int
 
 
 def digest(content: bytes | memoryview) -> bytes:
-    """By which inputs are told apart."""
+    """The digest by which inputs of requests are distinguished."""
     return hashlib.blake2b(content, digest_size=16).digest()
 
 
 class CircuitBreaker:
-    """Programs that do not load and calls that end copies, for one gateway."""
+    """Functions that do not load and requests that end replicas, for one gateway."""
 
     digest = staticmethod(digest)
 
-    def __init__(self, isolation: Isolation, front_ends: int, log) -> None:
+    def __init__(self, isolation: Isolation, gateways: int, log) -> None:
         self.log = log
-        self.programs = Programs(
-            isolation.workers, isolation.loads_window, Pauses(isolation.loads_first, isolation.loads_most, front_ends)
+        self.functions = FunctionBreakers(
+            isolation.workers,
+            isolation.loads_window,
+            Backoff(isolation.loads_first, isolation.loads_most, gateways),
         )
-        self.calls = Calls(
-            isolation.copies, isolation.calls_window, Pauses(isolation.calls_first, isolation.calls_most, front_ends)
+        self.requests = RequestBreakers(
+            isolation.copies,
+            isolation.calls_window,
+            Backoff(isolation.calls_first, isolation.calls_most, gateways),
         )
-        self.cuts: dict[str, list[Cut]] = {}
+        self.unsettled: dict[str, list[LostAttempt]] = {}  # by worker, until it is known whether that went down
 
-    def turned_away(self, program: str, content, now: float) -> tuple[str, float] | None:
-        """(why, ms until it is worth coming back) of an RPC that is not to be tried now."""
-        if (wait := self.programs.wait(program, now)) is not None:
+    def turned_away(self, function: str, content, now: float) -> tuple[str, float] | None:
+        """(why, ms until it is worth coming back) of a request that is not to be tried now."""
+        if (wait := self.functions.wait(function, now)) is not None:
             return "load-failed", wait
-        if program in self.calls.barred and (wait := self.calls.wait(program, digest(content), now)) is not None:
+        if function not in self.requests.open_by_function:
+            return None  # the digest of a large input takes time: only where it may be needed
+        if (wait := self.requests.wait(function, digest(content), now)) is not None:
             return "poison", wait
         return None
 
-    def stood(self, program: str) -> None:
-        """It stands somewhere."""
-        if self.programs.stood(program):
-            self.log.info("program back", program=program)
+    def loaded(self, function: str) -> None:
+        """It is loaded somewhere."""
+        if self.functions.loaded(function):
+            self.log.info("program back", program=function)
 
-    def load_failed(self, program: str, worker: str, now: float) -> None:
+    def load_failed(self, function: str, worker: str, now: float) -> None:
         """A load of it failed there."""
-        if (pause := self.programs.failed(program, worker, now)) is not None:
+        pause = self.functions.failed(function, worker, now)
+        if pause is not None:
             self.log.warning(
                 "program barred",
-                program=program,
+                program=function,
                 pause_ms=round(pause),
-                why="it loads nowhere: " + ", ".join(self.programs.known[program].failed),
+                why="it loads nowhere: " + ", ".join(self.functions.known[function].failed),
             )
 
-    def ran(self, program: str, content) -> None:
-        """A call of it ended without harm."""
-        if program in self.calls.barred and self.calls.done(program, digest(content)):
-            self.log.info("call back", program=program)
+    def succeeded(self, function: str, content) -> None:
+        """A request for it ended without harm."""
+        if function in self.requests.open_by_function and self.requests.succeeded(function, digest(content)):
+            self.log.info("call back", program=function)
 
-    def copy_ended(self, program: str, mark: bytes, inside: int, now: float) -> None:
-        """The copy that a call was in ended with it and others inside."""
-        if (pause := self.calls.ended(program, mark, inside, now)) is not None:
+    def replica_ended(self, function: str, request_digest: bytes, requests_in_replica: int, now: float) -> None:
+        """The replica that a request was in ended, with so many requests in it."""
+        pause = self.requests.replica_ended(function, request_digest, requests_in_replica, now)
+        if pause is not None:
             self.log.warning(
-                "call barred", program=program, digest=mark.hex(), pause_ms=round(pause), why="copies end under it"
+                "call barred",
+                program=function,
+                digest=request_digest.hex(),
+                pause_ms=round(pause),
+                why="copies end under it",
             )
 
-    def cut(self, worker: str, start: int, program: str, mark: bytes) -> bool:
-        """A connection ended with the call out. True for the first of that worker: `settle` is due a while later."""
-        cuts = self.cuts.setdefault(worker, [])
-        cuts.append(Cut(program, mark, start))
-        return len(cuts) == 1
+    def connection_lost(self, worker: str, start: int, function: str, request_digest: bytes) -> bool:
+        """A connection ended with the request in flight. True for the first of that worker: `settle` is due later."""
+        lost = self.unsettled.setdefault(worker, [])
+        lost.append(LostAttempt(function, request_digest, start))
+        return len(lost) == 1
 
     def settle(self, worker: str, start: int | None, now: float) -> None:
-        """Whether the worker behind the cuts went down is known by now: `start` is that of its connection, None where
-        there is none. A connection lost with the worker living is nobody's blame."""
-        cuts = self.cuts.pop(worker, [])
-        down = [cut for cut in cuts if cut.start != start]
-        for cut in down:
-            self.copy_ended(cut.program, cut.digest, len(down), now)
-
-    def is_barred(self, program: str, mark: bytes) -> bool:
-        """Whether such a call is not to go on, also where it was taken before."""
-        return self.calls.is_barred(program, mark)
+        """Whether the worker behind lost connections went down is known by now.
+
+        `start` is that of its connection, None where there is none. For a connection lost while the worker lives no
+        request is blamed.
+        """
+        down = [lost for lost in self.unsettled.pop(worker, []) if lost.start != start]
+        for lost in down:
+            self.replica_ended(lost.function, lost.digest, len(down), now)
+
+    def is_open(self, function: str, request_digest: bytes) -> bool:
+        """Whether such a request is not to go on, also where it was admitted before."""
+        return self.requests.is_open(function, request_digest)
--- a/wickdyke/gateway/coordinator.py
+++ b/wickdyke/gateway/coordinator.py
@@ -32,7 +32,7 @@
 
 
 class Coordinator:
-    """Carries out what the router decides; docs/architecture.md shows where it stands."""
+    """Carries out what the router decides; docs/architecture.md shows its place."""
 
     def __init__(
         self,
@@ -52,6 +52,7 @@
         self.context = Context(station, log, self.driver, self.post)
         self.requests = PendingRequests(self.context, self.isolation)
         self.workers = WorkerRegistry(protocol, endpoints, self.post, self._endpoints_changed, log)
+        self.isolation.attach(self.context, self.workers)
         self.attempts = Attempts(self.context, protocol, self.requests, self.workers, self.isolation)
         self.thread = threading.Thread(target=self._run, name="coordinator", daemon=True)
         self.actions = {
--- a/wickdyke/gateway/endpoint_list.py
+++ b/wickdyke/gateway/endpoint_list.py
@@ -68,6 +68,10 @@
         """Where a listed worker is."""
         return self.seen[name].row.address if name in self.seen else None
 
+    def start_of(self, name: str) -> int | None:
+        """The number of a listed worker's present start."""
+        return self.seen[name].start if name in self.seen else None
+
     def hello(self, name: str, standing: Standing, now: float) -> list[Endpoint]:
         """A worker was connected to and said who it is."""
         seen = self.seen.get(name)
--- a/wickdyke/gateway/service.py
+++ b/wickdyke/gateway/service.py
@@ -105,7 +105,7 @@
             JsonRpcWorkerProtocol(station),
             EndpointList(station.zones, station.kinds),
             self.recorder,
-            BreakerIsolation(CircuitBreaker(station.isolation, station.instance.count, log), clock),
+            BreakerIsolation(CircuitBreaker(station.isolation, station.instance.count, log)),
         )
         self.client_server = ClientServer(station, self.coordinator.post, self.coordinator.busy, log.warning)
         self.watchers = [
--- a/wickdyke/gateway/worker_registry.py
+++ b/wickdyke/gateway/worker_registry.py
@@ -7,7 +7,7 @@
 from wickdyke.gateway.interfaces import EndpointList, WorkerClient, WorkerProtocol
 from wickdyke.routing.model import Endpoint, EndpointState
 
-LOGGED_ONE_BY_ONE = 32  # changes of the list; more are counted in one line
+LOGGED_ONE_BY_ONE = 32  # changes of the endpoint list; more are counted in one line
 
 
 class WorkerRegistry:
--- a/wickdyke/quarantine/__init__.py
+++ b/wickdyke/quarantine/__init__.py
@@ -1,1 +1,1 @@
-"""What is not tried for a while: programs that do not load, calls that end copies. Events in, answers out."""
+"""The state of the circuit breaker: functions that do not load, requests that end replicas. Pure, no clock."""
--- a/wickdyke/quarantine/bars.py
+++ b/wickdyke/quarantine/bars.py
@@ -1,15 +1,17 @@
-"""Bars against programs that load nowhere and calls that end each copy they run in.
+"""Circuit breakers for functions that load nowhere and for requests that end each replica they run in.
 
-The mechanism places programs and retries RPCs in good faith: each front end would try a broken program on every
-worker, and carry a poison call from copy to copy. Both bars are exceptions to it, the smallest that stop that: what is
-barred is denied at once, saying when to come back, until a pause is over; then one RPC goes through as a trial, and the
-pause doubles if it fails. All else goes on as before. Times are float ms of the host: same events, same answers.
+The router places functions and retries requests in good faith: each gateway would try a broken function on every
+worker, and carry a poison request from replica to replica. While a breaker is open, what it is for is rejected at once,
+saying when to come back; after a pause one request passes as a trial, and the pause doubles if that fails. All else
+goes on as before. Times are float ms of the host: the same events give the same answers.
 """
 
 from collections import OrderedDict
 from dataclasses import dataclass, field
 
-KEPT = 10_000  # programs or calls remembered; the longest unheard go first
+KEPT = 10_000  # functions or requests remembered; the least recently heard of go first
+DOUBLINGS_MOST = 40  # of a pause: a float holds it
+ROUNDING = 1e-9  # of a sum of shares
 
 
 @dataclass(slots=True, frozen=True)
@@ -27,137 +29,153 @@
 
 
 @dataclass(slots=True)
-class Bar:
-    """Why something is barred and until when; `step` doubles the pause. While `trial` is set, one is being tried."""
+class Breaker:
+    """Whether something is rejected and until when; `step` doubles the pause. `trial` is when one was let through."""
 
     until: float = 0.0
     step: int = 0
-    up: bool = False
+    is_open: bool = False
     trial: float | None = None
 
 
-class Pauses:
-    """Pauses of `first` ms, doubled up to `most`; with many front ends up to `first` for each, so that all of them
-    together try about once in `first` at the longest."""
+class Backoff:
+    """Pauses of `first` ms, doubled up to `most`.
 
-    def __init__(self, first: float, most: float, front_ends: int = 1) -> None:
-        self.first, self.most = first, max(most, first * front_ends)
+    With many gateways up to `first` for each: all of them together try about once in `first` at the longest.
+    """
+
+    def __init__(self, first: float, most: float, gateways: int = 1) -> None:
+        self.first, self.most = first, max(most, first * gateways)
 
-    def put_up(self, bar: Bar, now: float) -> float:
-        """Bars for the next pause; gives its length."""
-        pause = min(self.most, self.first * 2.0 ** min(bar.step, 40))
-        bar.until, bar.step, bar.up, bar.trial = now + pause, bar.step + 1, True, None
+    def trip(self, breaker: Breaker, now: float) -> float:
+        """Opens it for the next pause; returns its length."""
+        pause = min(self.most, self.first * 2.0 ** min(breaker.step, DOUBLINGS_MOST))
+        breaker.until, breaker.step = now + pause, breaker.step + 1
+        breaker.is_open, breaker.trial = True, None
         return pause
 
-    def wait(self, bar: Bar, now: float) -> float | None:
-        """None where an RPC may go (as the trial, once the pause is over), else ms until it is worth coming back."""
-        if not bar.up:
+    def wait(self, breaker: Breaker, now: float) -> float | None:
+        """None where a request may go (as the trial, once the pause is over), else ms until it is worth coming back."""
+        if not breaker.is_open:
             return None
-        if now < bar.until:
-            return bar.until - now
-        if bar.trial is None or now >= bar.trial + self.first:  # a trial that came to nothing is not waited for
-            bar.trial = now
+        if now < breaker.until:
+            return breaker.until - now
+        if breaker.trial is None or now >= breaker.trial + self.first:  # a trial without a result is not waited for
+            breaker.trial = now
             return None
-        return bar.trial + self.first - now
+        return breaker.trial + self.first - now
 
 
 @dataclass(slots=True)
-class Loads:
-    """How loads of a program went of late: workers where it failed since it last stood somewhere."""
+class LoadFailures:
+    """Workers where loads of a function failed since it was last loaded somewhere, with the time."""
 
-    bar: Bar = field(default_factory=Bar)
+    breaker: Breaker = field(default_factory=Breaker)
     failed: dict[str, float] = field(default_factory=dict)
 
 
-class Programs:
-    """Programs that fail to load at `workers` different workers, none in between where it stood.
+class FunctionBreakers:
+    """Functions that fail to load at `workers` different workers, and were loaded nowhere in between.
 
-    A failure at fewer is the worker's own matter: the module goes elsewhere. A failure counts for `window` ms.
+    Failures at fewer concern the worker alone: the router goes elsewhere. A failure counts for `window` ms.
     """
 
-    def __init__(self, workers: int, window: float, pauses: Pauses) -> None:
-        self.workers, self.window, self.pauses = workers, window, pauses
-        self.known: OrderedDict[str, Loads] = OrderedDict()
+    def __init__(self, workers: int, window: float, backoff: Backoff) -> None:
+        self.workers, self.window, self.backoff = workers, window, backoff
+        self.known: OrderedDict[str, LoadFailures] = OrderedDict()
 
-    def failed(self, program: str, worker: str, now: float) -> float | None:
-        """A load failed there; the pause in ms where that puts up a bar."""
-        loads = self.known.setdefault(program, Loads())
-        self.known.move_to_end(program)
+    def failed(self, function: str, worker: str, now: float) -> float | None:
+        """A load failed there; the pause in ms where that opens the breaker."""
+        loads = self.known.setdefault(function, LoadFailures())
+        self.known.move_to_end(function)
         if len(self.known) > KEPT:
             self.known.popitem(last=False)
         loads.failed = {name: at for name, at in loads.failed.items() if at > now - self.window}
         loads.failed[worker] = now
-        bar = loads.bar
-        if bar.up and bar.trial is None:
-            return None  # sent before it was barred
-        if bar.up or len(loads.failed) >= self.workers:
-            return self.pauses.put_up(bar, now)
+        breaker = loads.breaker
+        if breaker.is_open and breaker.trial is None:
+            return None  # sent before the breaker opened
+        if breaker.is_open or len(loads.failed) >= self.workers:
+            return self.backoff.trip(breaker, now)
         return None
 
-    def stood(self, program: str) -> bool:
-        """It stands or ran somewhere: all is forgotten. True where that takes a bar down."""
-        loads = self.known.pop(program, None)
-        return loads is not None and loads.bar.up
+    def loaded(self, function: str) -> bool:
+        """It is loaded or ran somewhere: all is forgotten. True where that closes the breaker."""
+        loads = self.known.pop(function, None)
+        return loads is not None and loads.breaker.is_open
 
-    def wait(self, program: str, now: float) -> float | None:
-        """None where an RPC of it may go, else ms until it is worth coming back."""
-        loads = self.known.get(program)
-        return None if loads is None else self.pauses.wait(loads.bar, now)
+    def wait(self, function: str, now: float) -> float | None:
+        """None where a request for it may go, else ms until it is worth coming back."""
+        loads = self.known.get(function)
+        return None if loads is None else self.backoff.wait(loads.breaker, now)
 
 
 @dataclass(slots=True)
 class Blame:
-    """What a call is blamed for: parts of copies that ended with it inside, with their times."""
+    """What a request is blamed for: shares of replicas that ended with it inside, with their times."""
 
-    bar: Bar = field(default_factory=Bar)
-    parts: list[tuple[float, float]] = field(default_factory=list)
+    breaker: Breaker = field(default_factory=Breaker)
+    shares: list[tuple[float, float]] = field(default_factory=list)
 
 
-class Calls:
-    """Calls that take down copies. Each copy that ends shares one blame among the calls that were in it; a call that
-    gathers `copies` of them within `window` ms is barred. Calls are alike by program and input (the host's digest)."""
+class RequestBreakers:
+    """Requests that end replicas; requests are the same by function and input (the host's digest).
 
-    def __init__(self, copies: float, window: float, pauses: Pauses) -> None:
-        self.copies, self.window, self.pauses = copies, window, pauses
-        self.known: OrderedDict[tuple[str, bytes], Blame] = OrderedDict()
-        self.barred: dict[str, int] = {}
+    Each replica that ends divides one blame among the requests that were in it; the breaker of a request that gathers
+    `replicas` of them within `window` ms opens.
+    """
 
-    def ended(self, program: str, digest: bytes, inside: int, now: float) -> float | None:
-        """A copy or worker ended with this call and `inside` - 1 others in it; the pause where that bars it."""
-        key = program, digest
+    def __init__(self, replicas: float, window: float, backoff: Backoff) -> None:
+        self.replicas, self.window, self.backoff = replicas, window, backoff
+        self.known: OrderedDict[tuple[str, bytes], Blame] = OrderedDict()
+        self.open_by_function: dict[str, int] = {}
+
+    def replica_ended(self, function: str, digest: bytes, requests_in_replica: int, now: float) -> float | None:
+        """A replica or worker ended with this request and others in it; the pause where that opens the breaker."""
+        blame = self._blame(function, digest)
+        recent = [(at, share) for at, share in blame.shares if at > now - self.window]
+        blame.shares = recent + [(now, 1 / max(1, requests_in_replica))]
+        breaker = blame.breaker
+        if breaker.is_open and breaker.trial is None:
+            return None
+        if not breaker.is_open:
+            if sum(share for _, share in blame.shares) < self.replicas - ROUNDING:
+                return None
+            self.open_by_function[function] = self.open_by_function.get(function, 0) + 1
+        return self.backoff.trip(breaker, now)
+
+    def _blame(self, function: str, digest: bytes) -> Blame:
+        key = function, digest
         blame = self.known.setdefault(key, Blame())
         self.known.move_to_end(key)
         if len(self.known) > KEPT:
-            old, gone = self.known.popitem(last=False)
-            self._down(old, gone)
-        blame.parts = [(at, part) for at, part in blame.parts if at > now - self.window] + [(now, 1 / max(1, inside))]
-        bar = blame.bar
-        if bar.up and bar.trial is None:
-            return None
-        if bar.up or sum(part for _, part in blame.parts) >= self.copies - 1e-9:
-            if not bar.up:
-                self.barred[program] = self.barred.get(program, 0) + 1
-            return self.pauses.put_up(bar, now)
-        return None
-
-    def done(self, program: str, digest: bytes) -> bool:
-        """It ran to an end that harmed nobody: forgotten. True where that takes a bar down."""
-        blame = self.known.pop((program, digest), None)
-        return blame is not None and self._down((program, digest), blame)
-
-    def _down(self, key: tuple[str, bytes], blame: Blame) -> bool:
-        if blame.bar.up:
-            self.barred[key[0]] -= 1
-            if not self.barred[key[0]]:
-                del self.barred[key[0]]
-        return blame.bar.up
-
-    def wait(self, program: str, digest: bytes, now: float) -> float | None:
-        """None where it may go, else ms until it is worth coming back. Asked only where `barred` has the program."""
-        blame = self.known.get((program, digest))
-        return None if blame is None else self.pauses.wait(blame.bar, now)
-
-    def is_barred(self, program: str, digest: bytes) -> bool:
-        """Whether a bar is up against it now, a trial or not."""
-        blame = self.known.get((program, digest))
-        return blame is not None and blame.bar.up
+            oldest, dropped = self.known.popitem(last=False)
+            self._close(oldest, dropped)
+        return blame
+
+    def succeeded(self, function: str, digest: bytes) -> bool:
+        """It ran to an end that harmed nobody: forgotten. True where that closes the breaker."""
+        blame = self.known.pop((function, digest), None)
+        return blame is not None and self._close((function, digest), blame)
+
+    def _close(self, key: tuple[str, bytes], blame: Blame) -> bool:
+        if not blame.breaker.is_open:
+            return False
+        function = key[0]
+        self.open_by_function[function] -= 1
+        if not self.open_by_function[function]:
+            del self.open_by_function[function]
+        return True
+
+    def wait(self, function: str, digest: bytes, now: float) -> float | None:
+        """None where it may go, else ms until it is worth coming back.
+
+        Asked only where `open_by_function` has the function.
+        """
+        blame = self.known.get((function, digest))
+        return None if blame is None else self.backoff.wait(blame.breaker, now)
+
+    def is_open(self, function: str, digest: bytes) -> bool:
+        """Whether its breaker is open now, a trial or not."""
+        blame = self.known.get((function, digest))
+        return blame is not None and blame.breaker.is_open
