--- a/wickdyke/gateway/worker_client.py
+++ b/wickdyke/gateway/worker_client.py
@@ -2,7 +2,7 @@
 
 The rules depend on the outcomes. UNSENT: no byte was handed to the kernel. UNREACHED: no connection could be made, or
 the worker said no hello. CONNECTION_LOST: the connection ended after the first byte; it may have run. CANCELLED,
-TIMEOUT: it may have run. FULL, MISS: the worker's word that it did not. ERROR: it may have run.
+TIMEOUT: it may have run. FULL, MISS: the worker said that it did not. ERROR: it may have run.
 """
 
 import errno
@@ -26,15 +26,15 @@
     WorkerUnreachable,
 )
 from wickdyke.gateway.interfaces import CommandKind
-from wickdyke.transport.write_buffer import SHORT_OF_MEMORY, Expired, WriteBuffer, OutgoingMessage, PeerTooSlow
+from wickdyke.gateway.worker_handshake import READ_SIZE, Handshake, shake_hands
 from wickdyke.protocol import back, jsonrpc
-from wickdyke.protocol.lines import Lines, TooLong
+from wickdyke.protocol.lines import TooLong
 from wickdyke.routing.model import Outcome
 from wickdyke.settings import address as addresses
+from wickdyke.transport.write_buffer import SHORT_OF_MEMORY, Expired, OutgoingMessage, PeerTooSlow, WriteBuffer
 
 RECONNECT_PAUSE = 100.0  # ms between attempts to connect while nothing is asked: at first
 RECONNECT_PAUSE_MOST = 1000.0  # ms
-READ_SIZE = 1 << 18  # bytes read at a time
 MEMORY_RETRY = 0.01  # s until a read is tried again for which the kernel had no memory
 # Errors of socket(2) and connect(2) that are of this machine, for a moment: workers are on it, so no way to them (and
 # a listening socket whose queue is full, EAGAIN) tells nothing of one.
@@ -126,7 +126,7 @@
         return self.write_buffer is not None
 
     def send(self, command: Command) -> None:
-        """Sends it, or has it sent once connected; its end comes by `notify` in each case."""
+        """Sends it, or has it sent once connected; `notify` is told of its end in each case."""
         failed = None
         with self.lock:
             if self.closed:
@@ -168,8 +168,11 @@
             self.close()
 
     def cancel(self, command: Command, done: Callable[[], None]) -> str | None:
-        """Withdraws an attempt. UNSENT where no byte of it went; CANCELLED where the worker's end of the
-        connection has the word, which `done` tells later where None is returned; "ended" where it has ended."""
+        """Withdraws an attempt.
+
+        Returns UNSENT where no byte of it went, CANCELLED where the cancel is with the kernel, "ended" where the
+        attempt has ended, and None where the cancel waits to be written: `done` is called once it is with the kernel.
+        """
         with self.lock:
             if self._withdraw(command):
                 return Outcome.UNSENT
@@ -259,29 +262,24 @@
         pause = RECONNECT_PAUSE
         while not self.closed:
             try:
-                sock, standing, lines, rest = self._connect()
-            except (OSError, jsonrpc.Fault, msgspec.MsgspecError, TooLong) as bad:
-                if isinstance(bad, OSError) and bad.errno in LOCAL_ERRORS:
-                    # Danger: told as unreached, a worker that stands is taken for one that starts anew and is empty.
-                    self.counts[f"connect_{errno.errorcode[bad.errno]}"] += 1
-                    self._end_pending(Outcome.UNSENT)
-                else:
-                    self._unreached(f"{type(bad).__name__}: {bad}")
-                with self.lock:
-                    if not self.closed and not self.pending:
-                        self.command_queued.wait(pause / 1000)
+                handshake = self._connect()
+            except (OSError, jsonrpc.Fault, msgspec.MsgspecError, TooLong) as error:
+                self._connect_failed(error)
+                self._wait_for_command(pause)
                 pause = min(RECONNECT_PAUSE_MOST, pause * 2)
                 continue
             pause = RECONNECT_PAUSE
-            why = self._read(sock, standing, lines, rest)
-            self._lost(why)
-            with self.lock:
-                if not self.closed and not self.pending:
-                    self.command_queued.wait(pause / 1000)
+            self._lost(self._serve_connection(handshake))
+            self._wait_for_command(pause)
         self._lost("closed")
         self._unreached("closed")
 
-    def _connect(self) -> tuple[socket.socket, back.Standing, Lines, list[bytes]]:
+    def _wait_for_command(self, pause: float) -> None:
+        with self.lock:
+            if not self.closed and not self.pending:
+                self.command_queued.wait(pause / 1000)
+
+    def _connect(self) -> Handshake:
         ends = time.monotonic() + self.connect_timeout / 1000
         sock = addresses.connect(self.address, self.connect_timeout)
         try:
@@ -289,70 +287,65 @@
                 self.sock = sock
                 if self.closed:
                     raise OSError("closed")
-            sock.settimeout(max(0.001, ends - time.monotonic()))
-            sock.sendall(jsonrpc.request_line("hello", jsonrpc.encode(back.Hello(back.VERSION, self.gateway)), 0))
-            lines, got = Lines(self.max_line), []
-            while not got:
-                left = ends - time.monotonic()
-                if left <= 0:
-                    raise TimeoutError("no hello in time")
-                sock.settimeout(left)
-                data = sock.recv(READ_SIZE)
-                if not data:
-                    raise ConnectionResetError("ended before its hello")
-                got = lines.feed(data)
-            _, result, problem = jsonrpc.answer(got[0])
-            if result is None:
-                raise jsonrpc.Fault(problem.code, f"no hello but {problem.message}")
-            standing = msgspec.json.decode(result, type=back.Standing)
-            if standing.version != back.VERSION:
-                raise jsonrpc.Fault(jsonrpc.INVALID, f"version {standing.version}, expected {back.VERSION}")
-            sock.settimeout(None)
-            return sock, standing, lines, got[1:]
+            return shake_hands(sock, self.gateway, self.max_line, ends)
         except BaseException:
             sock.close()
             raise
 
-    def _read(self, sock: socket.socket, standing: back.Standing, lines: Lines, rest: list[bytes]) -> str:
-        self.notify(WorkerConnected(self, standing))
-        failed: list[Command] = []
-        with self.lock:
-            if self.closed:
-                sock.close()
-                return "closed"
-            # Danger: what waited was meant for the worker as it was; this one may be cold and empty.
-            fresh, self.start = self.start not in (None, standing.start), standing.start
-            self.write_buffer = WriteBuffer(sock, self.max_unread, f"worker-{self.name}-out")
-            waiting, self.pending = self.pending, []
-            for command in waiting:
-                if fresh or self._hand_over(command):
-                    failed.append(command)
-        for command in failed:
-            self.notify(CommandFinished(self, command, Outcome.UNSENT))
+    def _connect_failed(self, error: Exception) -> None:
+        if isinstance(error, OSError) and error.errno in LOCAL_ERRORS:
+            # Reported as unreached, a worker that is up would be taken for one that starts anew and is empty.
+            self.counts[f"connect_{errno.errorcode[error.errno]}"] += 1
+            self._end_pending(Outcome.UNSENT)
+        else:
+            self._unreached(f"{type(error).__name__}: {error}")
+
+    def _serve_connection(self, handshake: Handshake) -> str:
+        """Sends what waits and reads answers; why the connection ended."""
+        self.notify(WorkerConnected(self, handshake.standing))
+        if not self._send_pending(handshake):
+            return "closed"
         try:
-            for line in rest:
+            for line in handshake.unread_lines:
                 self._answer(line)
-            while True:
-                data = _received(sock)
-                if not data:
-                    return "ended by the worker"
-                for line in lines.feed(data):
+            while data := _received(handshake.sock):
+                for line in handshake.lines.feed(data):
                     self._answer(line)
-        except (OSError, TooLong, jsonrpc.Fault) as bad:
-            return f"{type(bad).__name__}: {bad}"
+        except (OSError, TooLong, jsonrpc.Fault) as error:
+            return f"{type(error).__name__}: {error}"
+        return "ended by the worker"
+
+    def _send_pending(self, handshake: Handshake) -> bool:
+        """Hands over the commands that wait for a connection; False where the client was closed meanwhile."""
+        unsent: list[Command] = []
+        with self.lock:
+            if self.closed:
+                handshake.sock.close()
+                return False
+            # What waited was meant for the worker as it was; one that has started anew may be cold and empty.
+            start = handshake.standing.start
+            restarted, self.start = self.start not in (None, start), start
+            self.write_buffer = WriteBuffer(handshake.sock, self.max_unread, f"worker-{self.name}-out")
+            pending, self.pending = self.pending, []
+            for command in pending:
+                if restarted or self._hand_over(command):
+                    unsent.append(command)
+        for command in unsent:
+            self.notify(CommandFinished(self, command, Outcome.UNSENT))
+        return True
 
     def _answer(self, line: bytes) -> None:
         ident, result, problem = jsonrpc.answer(line)
         with self.lock:
             command = self.in_flight.pop(ident, None) if isinstance(ident, int) else None
-            if command is None:  # after its time, a second time, or for what was never asked: nobody waits for it
+            if command is None:  # too late, a second time, or never asked for: nobody waits for it
                 self.counts["late" if isinstance(ident, int) and 0 < ident <= self.number else "stray"] += 1
                 return
             idle = self.draining and not self.in_flight
         if problem is None:
-            outcome, data = "ok", None
+            outcome, data = Outcome.OK, None
         else:
-            outcome, data = back.OUTCOMES.get(problem.code, "error"), bytes(problem.data)
+            outcome, data = back.OUTCOMES.get(problem.code, Outcome.ERROR), bytes(problem.data)
             if problem.code == back.DRAINING:
                 self.notify(WorkerDraining(self))
         self.notify(CommandFinished(self, command, outcome, result, data))
@@ -369,10 +362,9 @@
         write_buffer.close()
         sock.close()
         for command in in_flight.values():
-            # What still waited in the write_buffer never began: no byte of it can have reached the worker.
-            self.notify(
-                CommandFinished(self, command, Outcome.CONNECTION_LOST if command.message.begun else Outcome.UNSENT)
-            )
+            # What still waited in the write buffer never began: no byte of it can have reached the worker.
+            outcome = Outcome.CONNECTION_LOST if command.message.begun else Outcome.UNSENT
+            self.notify(CommandFinished(self, command, outcome))
         self.notify(WorkerConnectionLost(self, why))
 
     def _unreached(self, why: str) -> None:
@@ -394,7 +386,7 @@
             return sock.recv(READ_SIZE)
         except InterruptedError:
             continue
-        except OSError as bad:
-            if bad.errno not in SHORT_OF_MEMORY:
+        except OSError as error:
+            if error.errno not in SHORT_OF_MEMORY:
                 raise
         time.sleep(MEMORY_RETRY)
--- a/wickdyke/gateway/worker_protocol.py
+++ b/wickdyke/gateway/worker_protocol.py
@@ -2,15 +2,15 @@
 
 import msgspec
 
-from wickdyke.gateway.worker_client import WorkerClient, Command, clock
 from wickdyke.gateway.interfaces import CommandKind, CommandResult, PendingRequest
-from wickdyke.routing.model import Attempt, Function, Outcome
+from wickdyke.gateway.worker_client import Command, WorkerClient, clock
 from wickdyke.protocol import back, jsonrpc
+from wickdyke.routing.model import Attempt, Function, Outcome
 from wickdyke.settings.station import Station
 
 
 class JsonRpcWorkerProtocol:
-    """The protocol of one gateway."""
+    """The worker protocol of one gateway."""
 
     connects_at_once = True  # a worker's hello tells since when it is up
 
@@ -58,34 +58,47 @@
         return Command(CommandKind.PREWARM, key, "hold", jsonrpc.encode(hold))
 
     def health_check_command(self, key: str) -> Command:
-        """A question for a report."""
+        """A question for a load report."""
         return Command(CommandKind.HEALTH_CHECK, key, "probe", b"{}")
 
     def result_of(self, command: Command, outcome: str, answer: bytes | None, data: bytes | None) -> CommandResult:
-        """What a worker client told of a command's end."""
+        """The result of a command: `answer` is what the worker returned, `data` what came with its error."""
         if command.kind == CommandKind.PREWARM:
             held = _read(back.Held, answer if answer is not None else data)
             return CommandResult(outcome, replicas=held.copies if held else 0)
         if command.kind == CommandKind.HEALTH_CHECK:
             probed = _read(back.Probed, answer)
-            return CommandResult(outcome, report=back.report(probed.report, self.report_fields) if probed else None)
+            return CommandResult(outcome, report=self._report(probed.report) if probed else None)
         if outcome == Outcome.OK:
-            ran = _read(back.Ran, answer)
-            if ran is None:  # it ran, and what it said can't be read
-                return CommandResult(Outcome.ERROR)
-            return CommandResult(
-                "ok", bytes(ran.output), ran.standing, ran.company, back.report(ran.report, self.report_fields)
-            )
+            return self._succeeded(answer)
+        return self._failed(outcome, data)
+
+    def _succeeded(self, answer: bytes | None) -> CommandResult:
+        ran = _read(back.Ran, answer)
+        if ran is None:  # it ran, and what it said can't be read
+            return CommandResult(Outcome.ERROR)
+        return CommandResult(
+            Outcome.OK,
+            output=bytes(ran.output),
+            load_note=ran.standing,
+            concurrent=ran.company,
+            report=self._report(ran.report),
+        )
+
+    def _failed(self, outcome: str, data: bytes | None) -> CommandResult:
         told = _read(back.Told, data)
         if told is None:
             return CommandResult(outcome)
         return CommandResult(
             outcome,
             concurrent=told.company,
-            report=back.report(told.report, self.report_fields),
+            report=self._report(told.report),
             requests_in_replica=told.inside,
         )
 
+    def _report(self, report: dict[str, float] | None) -> tuple[float, ...] | None:
+        return back.report(report, self.report_fields)
+
 
 def _read(kind: type, raw: bytes | None):
     """A value of that kind, or None where it can't be read."""
