--- a/tests/test_listener_faults.py
+++ b/tests/test_listener_faults.py
@@ -121,7 +121,7 @@
 
     def close(self):
         self.door.shut()
-        self.door.hang_up()
+        self.door.disconnect_all()
 
 
 LISTENERS = (Echo, FrontDoor)
--- a/tests/wrong.py
+++ b/tests/wrong.py
@@ -5,7 +5,7 @@
 
 from wickdyke.cli import main
 from wickdyke.gateway.attempts import Attempts
-from wickdyke.gateway.client_server import PendingRequest
+from wickdyke.gateway.client_connection import PendingRequest
 from wickdyke.gateway.events import AttemptWithdrawn
 from wickdyke.gateway.endpoint_list import EndpointList
 from wickdyke.routing.model import Request
--- a/wickdyke/gateway/__init__.py
+++ b/wickdyke/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""The service: doors take RPCs, the desk lets the module decide, links call the workers."""
+"""The gateway: client connections take requests, the coordinator asks the router, worker clients send attempts."""
