--- a/tests/test_desk.py
+++ b/tests/test_desk.py
@@ -490,7 +490,10 @@
 
     def test_slow_disk(self):
         """A recording that can't be written as fast stops and says so; nobody waits for it."""
-        with tempfile.TemporaryDirectory(prefix="wd-") as folder, unittest.mock.patch.object(recording, "WAITING", 50):
+        with (
+            tempfile.TemporaryDirectory(prefix="wd-") as folder,
+            unittest.mock.patch.object(recording, "QUEUED_MOST", 50),
+        ):
             path = os.path.join(folder, "fifo")
             os.mkfifo(path)
             reader = os.open(path, os.O_RDONLY | os.O_NONBLOCK)
@@ -518,7 +521,7 @@
         out, into = os.pipe()
         sink = os.fdopen(into, "w")
         with Running(sink=sink) as running:
-            for at in range(logs.WAITING + 5000):
+            for at in range(logs.QUEUED_MOST + 5000):
                 running.log.info("filler", at=at, more="x" * 100)
             self.assertTrue(until(lambda: running.scribe.lost > 0))
             client = running.client()
--- a/tests/test_log_faults.py
+++ b/tests/test_log_faults.py
@@ -142,7 +142,7 @@
         """It takes its time in all, not once for each of its steps."""
         out, into = os.pipe()
         real, steps = threading.Thread.join, []
-        with mock.patch.object(logs, "WAITING", 10):
+        with mock.patch.object(logs, "QUEUED_MOST", 10):
             scribe = logs.LogWriter(os.fdopen(into, "w"))
         scribe.msg("x" * (1 << 20))
         self.assertTrue(until(scribe.lines.empty))
@@ -247,7 +247,7 @@
         """A queue that is full ends it too."""
         log = Log()
         go_on = threading.Event()
-        with mock.patch.object(recording, "WAITING", 5):
+        with mock.patch.object(recording, "QUEUED_MOST", 5):
             made = self.made(0, 1 << 30, log)
             with mock.patch.object(made.sink, "write", lambda data: go_on.wait(LONG)):
                 for number in range(20):
--- a/wickdyke/gateway/endpoint_list.py
+++ b/wickdyke/gateway/endpoint_list.py
@@ -1,123 +1,129 @@
-"""Who is there: the list's rows and what the workers' own hellos tell, made into one view. Pure: no I/O, no clock.
+"""The endpoint list: the rows of its file and what the workers' own hellos tell, merged. Pure: no I/O, no clock.
 
-A worker is passed on once its hello is in, so that its age is known before anything is sent to it; one that can't
-be reached is passed on as just started, to the safe side of rule 4, and the module finds out the rest.
+A worker is reported once its hello is in, so that its age is known before anything is sent to it. One that can't be
+reached is reported as just started: the router then spares it as one that warms up, and finds out the rest.
 """
 
-from dataclasses import dataclass, field
+from dataclasses import dataclass, field, replace
 
 from wickdyke.gateway.interfaces import EndpointListChange
-from wickdyke.routing.model import Endpoint
 from wickdyke.protocol.back import Standing
+from wickdyke.routing.model import Endpoint, EndpointState
 from wickdyke.settings.roll import Row
 
 
 @dataclass(slots=True)
-class Seen:
-    """One worker: its row, the number of its present start and when that was; `past` are numbers before it."""
+class ListedWorker:
+    """One worker: its row, the number of its present start and when that was; `past_starts` are the numbers before."""
 
     row: Row
     start: int = 0
-    born: float | None = None
+    started_at: float | None = None
     known: bool = False
     draining: bool = False
-    past: set[int] = field(default_factory=set)
+    past_starts: set[int] = field(default_factory=set)
 
 
 class EndpointList:
-    """The merged view. Each input returns the listings that changed, for the module's `listed(rows, False)`."""
+    """The merged view. Each input returns the endpoints that changed, for the router's `endpoints_changed`."""
 
     def __init__(self, zones: tuple[str, ...], kinds: tuple[str, ...]) -> None:
         self.zones, self.kinds = zones, kinds
-        self.seen: dict[str, Seen] = {}
-        self.passed: dict[str, Endpoint] = {}
+        self.workers: dict[str, ListedWorker] = {}
+        self.reported: dict[str, Endpoint] = {}
 
     def __len__(self) -> int:
-        return len(self.seen)
+        return len(self.workers)
 
     def apply(self, entries: list[Row], now: float) -> EndpointListChange:
         """A whole list came. Who is not on it is gone."""
-        before = {name: seen.row.address for name, seen in self.seen.items()}
-        endpoints = self._rows(entries, now)
-        addresses = {name: self.address(name) for name in {**before, **self.seen}}
-        return EndpointListChange(endpoints, {name: at for name, at in addresses.items() if before.get(name) != at})
-
-    def _rows(self, rows: list[Row], now: float) -> list[Endpoint]:
+        before = {name: worker.row.address for name, worker in self.workers.items()}
+        endpoints = self._remove_unlisted(entries)
+        for row in entries:
+            if row.state != EndpointState.GONE:
+                endpoints += self._apply_row(row, now)
+        after = {name: self.address(name) for name in {**before, **self.workers}}
+        moved = {name: address for name, address in after.items() if before.get(name) != address}
+        return EndpointListChange(endpoints, moved)
+
+    def _remove_unlisted(self, rows: list[Row]) -> list[Endpoint]:
         changes = []
-        named = {row.name: row for row in rows}
-        for name, seen in list(self.seen.items()):
-            row = named.get(name)
-            if row is None or row.state == "gone" or row.address != seen.row.address:
-                del self.seen[name]
-                if (listing := self.passed.pop(name, None)) is not None:
-                    changes.append(_with(listing, "gone"))
-        for row in rows:
-            if row.state == "gone":
+        row_of = {row.name: row for row in rows}
+        for name, worker in list(self.workers.items()):
+            row = row_of.get(name)
+            if row is not None and row.state != EndpointState.GONE and row.address == worker.row.address:
                 continue
-            seen = self.seen.setdefault(row.name, Seen(row))
-            seen.row = row
-            if row.start and row.start != seen.start and row.start not in seen.past:
-                if seen.start:  # told of a new start; a number from before the present one is a list that lags
-                    seen.past.add(seen.start)
-                    seen.born, seen.draining = now, False
-                seen.start = row.start
-            changes += self._changed(row.name)
+            del self.workers[name]
+            endpoint = self.reported.pop(name, None)
+            if endpoint is not None:
+                changes.append(replace(endpoint, state=EndpointState.GONE))
         return changes
 
+    def _apply_row(self, row: Row, now: float) -> list[Endpoint]:
+        worker = self.workers.setdefault(row.name, ListedWorker(row))
+        worker.row = row
+        # A number from before the present start means that the list lags.
+        if row.start and row.start != worker.start and row.start not in worker.past_starts:
+            if worker.start:
+                worker.past_starts.add(worker.start)
+                worker.started_at, worker.draining = now, False
+            worker.start = row.start
+        return self._changed(row.name)
+
     def address(self, name: str) -> str | None:
         """Where a listed worker is."""
-        return self.seen[name].row.address if name in self.seen else None
+        return self.workers[name].row.address if name in self.workers else None
 
     def start_of(self, name: str) -> int | None:
         """The number of a listed worker's present start."""
-        return self.seen[name].start if name in self.seen else None
+        return self.workers[name].start if name in self.workers else None
 
     def hello(self, name: str, standing: Standing, now: float) -> list[Endpoint]:
         """A worker was connected to and said who it is."""
-        seen = self.seen.get(name)
-        if seen is None:
+        worker = self.workers.get(name)
+        if worker is None:
             return []
-        if standing.start != seen.start or not seen.known:
-            if seen.start not in (0, standing.start):
-                seen.past.add(seen.start)
-            seen.start, seen.born = standing.start, now - max(0.0, standing.up_ms)
-        seen.known, seen.draining = True, standing.draining
+        if standing.start != worker.start or not worker.known:
+            if worker.start not in (0, standing.start):
+                worker.past_starts.add(worker.start)
+            worker.start, worker.started_at = standing.start, now - max(0.0, standing.up_ms)
+        worker.known, worker.draining = True, standing.draining
         return self._changed(name)
 
     def unreachable(self, name: str, now: float) -> list[Endpoint]:
-        """No connection could be made. One never heard counts as just started."""
-        seen = self.seen.get(name)
-        if seen is None or seen.known:
+        """No connection could be made. One never heard from counts as just started."""
+        worker = self.workers.get(name)
+        if worker is None or worker.known:
             return []
-        seen.known, seen.born = True, now
+        worker.known, worker.started_at = True, now
         return self._changed(name)
 
     def draining(self, name: str) -> list[Endpoint]:
         """A worker said itself that it drains: believed at once, whatever the list says."""
-        if (seen := self.seen.get(name)) is None:
+        worker = self.workers.get(name)
+        if worker is None:
             return []
-        seen.draining = True
+        worker.draining = True
         return self._changed(name)
 
     def _changed(self, name: str) -> list[Endpoint]:
-        seen = self.seen[name]
-        if not seen.known:
+        worker = self.workers[name]
+        if not worker.known:
             return []
-        row = seen.row
-        listing = Endpoint(
+        endpoint = self._endpoint(name, worker)
+        if self.reported.get(name) == endpoint:
+            return []
+        self.reported[name] = endpoint
+        return [endpoint]
+
+    def _endpoint(self, name: str, worker: ListedWorker) -> Endpoint:
+        row = worker.row
+        return Endpoint(
             name,
             self.zones.index(row.zone) if row.zone in self.zones else 0,
             self.kinds.index(row.kind) if row.kind in self.kinds else 0,
             row.cell,
-            "draining" if seen.draining else row.state,
+            EndpointState.DRAINING if worker.draining else row.state,
             row.cores,
-            seen.born,
+            worker.started_at,
         )
-        if self.passed.get(name) == listing:
-            return []
-        self.passed[name] = listing
-        return [listing]
-
-
-def _with(listing: Endpoint, state: str) -> Endpoint:
-    return Endpoint(listing.ident, listing.zone, listing.kind, listing.cell, state, listing.size, listing.started_at)
--- a/wickdyke/gateway/log.py
+++ b/wickdyke/gateway/log.py
@@ -15,14 +15,16 @@
 
 import structlog
 
-WAITING = 10000  # lines; past it they are counted instead, and the count is written when there is room again
+QUEUED_MOST = 10000  # lines; more are counted instead, and the count is written when there is room again
 TEMPORARY = (errno.ENOSPC, errno.EDQUOT, errno.EIO)  # of a file that may be opened later
-AT_ONCE = 200  # lines in one write
+LINES_AT_ONCE = 200  # in one write
 
 
 class DeferredFile(io.TextIOBase):
-    """The end of a file that could not be opened at first. Each use of it tries again, and raises OSError until then.
-    It is for a Scribe, which writes to the descriptor."""
+    """The end of a file that could not be opened at first; for a LogWriter, which writes to its descriptor.
+
+    Each use of it tries again, and raises OSError until the file is open.
+    """
 
     def __init__(self, path: str) -> None:
         self.path, self.file = path, None
@@ -41,16 +43,16 @@
 
 
 class LogWriter:
-    """Takes finished lines; a thread writes them. A full pipe or disk, or a closed pipe, costs lines, never time.
+    """Takes finished lines; a thread writes them. A full pipe or disk, or a closed pipe, loses lines and delays nobody.
 
-    Lines that did not get out whole are counted in `lost`; the count is written as soon as something can be.
+    Lines that were not written whole are counted in `lost`; the count is written as soon as something can be.
     """
 
     def __init__(self, sink: TextIO | None) -> None:
         """A sink of None (a process without standard error) loses all lines."""
-        self.sink, self.lines, self.lost = sink, queue.Queue(WAITING), 0
+        self.sink, self.lines, self.lost = sink, queue.Queue(QUEUED_MOST), 0
         self.lock = threading.Lock()  # guards `lost`
-        self.torn = False  # whether the last line got out in part
+        self.torn = False  # whether the last line was written in part
         self.thread = threading.Thread(target=self._write, name="log", daemon=True)
         self.thread.start()
 
@@ -77,25 +79,25 @@
             self.lost += lines
 
     def _write(self) -> None:
-        going = True
-        while going:
-            lines, going = self._waiting()
+        more = True
+        while more:
+            lines, more = self._queued()
             with self.lock:
                 lost, self.lost = self.lost, 0
             if lost:
                 lines.insert(0, f'event="log lines lost" lines={lost}')
-            # The note of what was lost is no line of its own: where it fails, what it counts is lost still.
-            worth = [lost or 1, *[1] * (len(lines) - 1)]
+            # The line that tells of lost ones counts as those: where it is not written, they are counted again.
+            weights = [lost or 1, *[1] * (len(lines) - 1)]
             written = self._put(lines)
-            self._lose(sum(worth[written:]))
+            self._lose(sum(weights[written:]))
 
-    def _waiting(self) -> tuple[list[str], bool]:
-        """(the lines that wait, some at a time; whether more may follow). Waits for the first."""
+    def _queued(self) -> tuple[list[str], bool]:
+        """Returns the lines that wait, LINES_AT_ONCE at most, and whether more may follow. Waits for the first."""
         lines: list[str] = []
         line = self.lines.get()
         while line is not None:
             lines.append(line)
-            if len(lines) == AT_ONCE:
+            if len(lines) == LINES_AT_ONCE:
                 return lines, True
             try:
                 line = self.lines.get_nowait()
@@ -104,25 +106,28 @@
         return lines, False
 
     def _put(self, lines: list[str]) -> int:
-        """Writes lines; how many got out whole. Never raises: the thread is to go on whatever the sink does."""
+        """Writes lines; returns how many were written whole. Never raises: the thread is to go on in any case."""
         pieces = [(line + "\n").encode("utf-8", "backslashreplace") for line in lines]
         if self.torn and pieces:
             pieces[0] = b"\n" + pieces[0]
         data, done = memoryview(b"".join(pieces)), 0
         try:
             while done < len(data):
-                done += self._out(data[done:])
+                done += self._write_some(data[done:])
         except Exception:
-            pass  # the lines are counted, and there is nowhere to tell more
+            pass  # the lines are counted, and there is nowhere to report more
         ends = list(itertools.accumulate(map(len, pieces)))
         written = bisect.bisect_right(ends, done)
         if done:
             self.torn = done not in ends
         return written
 
-    def _out(self, data: memoryview) -> int:
-        """Writes some of it; the bytes written. Files are written past their buffers, which after an error would hold
-        lines that are counted as lost. Raises OSError, ValueError, or AttributeError where there is no sink."""
+    def _write_some(self, data: memoryview) -> int:
+        """Writes some of it; returns how many bytes.
+
+        Files are written past their buffers, which after an error would hold lines that are counted as lost. Raises
+        OSError, ValueError, or AttributeError where there is no sink.
+        """
         try:
             descriptor = self.sink.fileno()
         except io.UnsupportedOperation:
@@ -133,40 +138,48 @@
 
 
 def logger(sink: TextIO | None, json: bool, debug: bool = False, **bound: object):
-    """(logger, scribe): logfmt or JSON lines with time, level and the bound keys; `debug` for each call-out too."""
-    scribe = LogWriter(sink)
-    drawn = (
+    """Returns a logger and its writer: logfmt or JSON lines with time, level and the bound keys.
+
+    With `debug` each attempt is logged too.
+    """
+    writer = LogWriter(sink)
+    renderer = (
         structlog.processors.JSONRenderer()
         if json
         else structlog.processors.LogfmtRenderer(key_order=["timestamp", "level", "event"], drop_missing=True)
     )
     log = structlog.wrap_logger(
-        scribe,
-        processors=[structlog.processors.add_log_level, structlog.processors.TimeStamper(fmt="iso", utc=True), drawn],
+        writer,
+        processors=[
+            structlog.processors.add_log_level,
+            structlog.processors.TimeStamper(fmt="iso", utc=True),
+            renderer,
+        ],
         wrapper_class=structlog.make_filtering_bound_logger(logging.DEBUG if debug else logging.INFO),
     )
-    return log.bind(**bound), scribe
+    return log.bind(**bound), writer
 
 
 _NOTE = re.compile(r"worker (\S+) (.*)", re.DOTALL)
 
 
 def keys(note: str) -> tuple[str, dict[str, str]]:
-    """A note of the module as (event, keys): the worker it names becomes a key."""
+    """A log note of the router as (event, keys): the worker it names becomes a key."""
     found = _NOTE.fullmatch(note)
     return (f"worker {found[2]}", {"worker": found[1]}) if found else (note, {})
 
 
 def opened(path: str | None) -> TextIO | None:
-    """Where logs go: the end of a file, or standard error; never standard output. Raises OSError.
+    """Opens what logs go to: the end of a file, or standard error; never standard output. Raises OSError.
 
-    A file that can't be opened for now is opened by a later line: a full disk does not keep a process from serving.
+    A file that can't be opened for now is opened by a later line, so that a full disk does not keep a process from
+    serving.
     """
     if not path:
         return sys.stderr
     try:
         return open(path, "a", encoding="utf-8")
-    except OSError as bad:
-        if bad.errno not in TEMPORARY:
+    except OSError as error:
+        if error.errno not in TEMPORARY:
             raise
         return DeferredFile(path)
--- a/wickdyke/gateway/recording.py
+++ b/wickdyke/gateway/recording.py
@@ -1,4 +1,4 @@
-"""A recording of what the module was told and what it decided; played again without sockets or clock.
+"""A recording of what the router was told and what it decided; replayed without sockets or clock.
 
 The same events give the same decisions: `replay` proves it for a recording, and finds the first that differs.
 """
@@ -10,20 +10,10 @@
 import time
 from collections.abc import Iterable, Iterator
 from dataclasses import asdict
+from typing import NamedTuple
 
 import msgspec
 
-from wickdyke.routing.model import Endpoint, RequestClass, RoutePolicy
-from wickdyke.routing.settings import (
-    AttemptLimits,
-    CostWeights,
-    Discovery,
-    FunctionCache,
-    GatewayInstance,
-    PrewarmQuota,
-    TenantQuotas,
-)
-from wickdyke.routing.settings import SlowStart
 from wickdyke.gateway.recording_words import modern
 from wickdyke.routing.decisions import (
     Cancel,
@@ -36,12 +26,23 @@
     Prewarm,
     Reject,
 )
+from wickdyke.routing.model import Endpoint, RequestClass, RoutePolicy
 from wickdyke.routing.router import Router
+from wickdyke.routing.settings import (
+    AttemptLimits,
+    CostWeights,
+    Discovery,
+    FunctionCache,
+    GatewayInstance,
+    PrewarmQuota,
+    SlowStart,
+    TenantQuotas,
+)
 
-WAITING = 200000  # entries; a recording that can't be written as fast stops, and says so at its end
+QUEUED_MOST = 200000  # entries; a recording that can't be written as fast stops, and says so at its end
 TEMPORARY = (errno.ENOSPC, errno.EDQUOT, errno.EIO)  # of a folder that may work again later
-CLOSING = 5.0  # s that the end of a recording may take
-PARTS = {
+CLOSE_TIMEOUT = 5.0  # s that the end of a recording may take
+SETTINGS = {
     "instance": GatewayInstance,
     "attempt_limits": AttemptLimits,
     "function_cache": FunctionCache,
@@ -53,7 +54,7 @@
 }
 
 
-def decided(decision: Decision) -> list:
+def as_entry(decision: Decision) -> list:
     """A decision by the identifiers of what it is about."""
     match decision:
         case Forward(request, worker, timeout):
@@ -87,46 +88,49 @@
 class DecisionRecorder:
     """Writes the recording, by a thread of its own.
 
-    One that can't be written, or not as fast as entries come, is ended: `broken` is set, the log is told once, and
+    One that can't be written, or not as fast as entries come, is ended: `broken` is set, an error is logged once, and
     what is on disk can be replayed up to there. Whoever records is never held up and gets no error.
     """
 
     def __init__(self, path: str, log=None) -> None:
         """Raises OSError where the file can never be opened; where that only fails for now, nothing is recorded."""
         self.path, self.log = path, log
-        self.entries: queue.Queue = queue.Queue(WAITING)
+        self.entries: queue.Queue = queue.Queue(QUEUED_MOST)
         self.broken = False
         self.lock = threading.Lock()
-        self.thread = threading.Thread(target=self._write, name="tape", daemon=True)
+        self.thread = threading.Thread(target=self._write, name="recording", daemon=True)
         try:
             self.sink = open(path, "wb")  # noqa: SIM115 - closed by the thread
-        except OSError as bad:
-            if bad.errno not in TEMPORARY:
+        except OSError as error:
+            if error.errno not in TEMPORARY:
                 raise
-            self._end(bad.strerror)
+            self._end(error.strerror)
         else:
             self.thread.start()
 
-    def start(self, now: float, seed: int, methods: list[RequestClass], parts: dict) -> None:
-        """What the front end was made with."""
-        named = [{k: v for k, v in asdict(method).items() if k != "durations"} for method in methods]
-        self._put(("start", now, seed, named, {name: asdict(part) for name, part in parts.items()}))
+    def start(self, now: float, seed: int, request_classes: list[RequestClass], settings: dict) -> None:
+        """Records what the router is made with."""
+        classes = [asdict(each) for each in request_classes]
+        for fields in classes:
+            fields.pop("durations", None)  # the router's own
+        records = {name: asdict(record) for name, record in settings.items()}
+        self._put(("start", now, seed, classes, records))
 
     def heard(self, now: float, name: str, args: tuple) -> None:
-        """One input."""
+        """Records one input."""
         self._put(("heard", now, name, _plain(args)))
 
-    def decided(self, decision: tuple) -> None:
-        """One decision."""
-        self._put(("decided", decided(decision)))
+    def decided(self, decision: Decision) -> None:
+        """Records one decision."""
+        self._put(("decided", as_entry(decision)))
 
     def close(self) -> None:
-        """Writes what waits and ends, within CLOSING s."""
+        """Writes what waits and ends, within CLOSE_TIMEOUT s."""
         if not self.thread.is_alive():
             return
-        ends = time.monotonic() + CLOSING
+        ends = time.monotonic() + CLOSE_TIMEOUT
         with contextlib.suppress(queue.Full):  # the file takes nothing: its thread is left to the process's end
-            self.entries.put(None, timeout=CLOSING)
+            self.entries.put(None, timeout=CLOSE_TIMEOUT)
         self.thread.join(max(0.0, ends - time.monotonic()))
 
     def _put(self, entry: tuple) -> None:
@@ -135,10 +139,10 @@
         try:
             self.entries.put_nowait(entry)
         except queue.Full:
-            self._end(f"{WAITING} entries wait to be written")
+            self._end(f"{QUEUED_MOST} entries wait to be written")
 
     def _end(self, why: str) -> None:
-        """Nothing more is recorded; the log is told the first time."""
+        """Ends the recording; the reason is logged the first time."""
         with self.lock:
             first, self.broken = not self.broken, True
         if first and self.log is not None:
@@ -152,8 +156,8 @@
                     sink.write(encoder.encode(entry) + b"\n")
                 if self.broken:
                     sink.write(encoder.encode(("broken off",)) + b"\n")
-        except Exception as bad:  # also a value that can't be encoded: the recording is over, the gateway is not
-            self._end(getattr(bad, "strerror", None) or f"{type(bad).__name__}: {bad}")
+        except Exception as error:  # also a value that can't be encoded: the recording is over, the gateway is not
+            self._end(getattr(error, "strerror", None) or f"{type(error).__name__}: {error}")
             with contextlib.suppress(queue.Empty):
                 while True:  # entries that will never be written need not be held
                     self.entries.get_nowait()
@@ -170,52 +174,71 @@
         yield entry
 
 
-def replay(lines: Iterable[bytes]) -> tuple[int, str | None]:
-    """(decisions that came out alike, the first difference or None)."""
+class ReplayResult(NamedTuple):
+    """How many decisions came out as recorded, and the first difference, if there is one."""
+
+    same: int
+    difference: str | None
+
+
+def replay(lines: Iterable[bytes]) -> ReplayResult:
+    """Gives a recording's inputs to a new router, and compares what that decides with what was recorded."""
     source = entries(lines)
-    first = next(source, None)
-    if not first or first[0] != "start":
-        return 0, "found no start, expected it as the first entry"
-    _, now, seed, methods, parts = modern(first)
-    known = [msgspec.convert(method, RequestClass, strict=False) for method in methods]
-    named = {method.name: method for method in known}
-    router = Router(
-        now, seed, known, **{name: msgspec.convert(parts[name], kind) for name, kind in PARTS.items() if name in parts}
-    )
-    alike, said = 0, []
-
-    def check(want: list) -> str | None:
-        nonlocal said
-        got, said = list(said), []
-        return (
-            None
-            if msgspec.json.encode(got) == msgspec.json.encode(want)
-            else (f"at {now} ms: decided {got}, recorded {want}")
-        )
-
-    want: list | None = None
+    start = next(source, None)
+    if not start or start[0] != "start":
+        return ReplayResult(0, "found no start, expected it as the first entry")
+    player = _Player(*modern(start)[1:])
     for entry in map(modern, source):
         if entry[0] == "decided":
-            want.append(entry[1])
+            player.expected.append(entry[1])
             continue
-        if want is not None:
-            if (differs := check(want)) is not None:
-                return alike, differs
-            alike += len(want)
-            want = None
-        _, now, name, args = entry
-        router.advance(now)
+        difference = player.compare()
+        if difference is not None:
+            return ReplayResult(player.same, difference)
+        player.hear(*entry[1:])
+    # Decisions after the last input may have been cut off with the recording.
+    return ReplayResult(player.same + len(player.expected or ()), None)
+
+
+class _Player:
+    """A router made as the recorded one was. `expected` is what was recorded of the last `decide`, if not compared."""
+
+    def __init__(self, now: float, seed: int, request_classes: list[dict], settings: dict[str, dict]) -> None:
+        known = [msgspec.convert(each, RequestClass, strict=False) for each in request_classes]
+        self.request_classes = {each.name: each for each in known}
+        records = {name: msgspec.convert(settings[name], kind) for name, kind in SETTINGS.items() if name in settings}
+        self.router = Router(now, seed, known, **records)
+        self.now, self.same = now, 0
+        self.decided: list[list] = []
+        self.expected: list[list] | None = None
+
+    def hear(self, now: float, name: str, args: list) -> None:
+        """Gives the router one input, or takes its decisions."""
+        self.now = now
+        self.router.advance(now)
         if name == "decide":
-            said, want = [decided(decision) for decision in iter(router.decide, None)], []
-            continue
+            self.decided, self.expected = [as_entry(decision) for decision in iter(self.router.decide, None)], []
+        else:
+            getattr(self.router, name)(*self._arguments(name, args))
+
+    def _arguments(self, name: str, args: list) -> list:
         if name == "endpoints_changed":
-            args = [[Endpoint(**row) for row in args[0]], args[1]]
-        elif name == "request_received":
-            args[2] = named[args[2]]
-            if args[-1] is not None:
-                args[-1] = msgspec.convert(args[-1], RoutePolicy)
-        elif name in ("attempt_finished", "health_checked") and args[-1] is not None:
-            args[-1] = tuple(args[-1])
-        getattr(router, name)(*args)
-    # decisions after the last input may have been cut off with the recording
-    return alike + len(want or ()), None
+            return [[Endpoint(**fields) for fields in args[0]], args[1]]
+        if name == "request_received":
+            ident, time_left, request_class, *rest, route_policy = args
+            if route_policy is not None:
+                route_policy = msgspec.convert(route_policy, RoutePolicy)
+            return [ident, time_left, self.request_classes[request_class], *rest, route_policy]
+        if name in ("attempt_finished", "health_checked") and args[-1] is not None:
+            return [*args[:-1], tuple(args[-1])]
+        return args
+
+    def compare(self) -> str | None:
+        """The difference between what was decided last and what was recorded of it, if there is one."""
+        expected, self.expected = self.expected, None
+        if expected is None:
+            return None
+        if msgspec.json.encode(self.decided) != msgspec.json.encode(expected):
+            return f"at {self.now} ms: decided {self.decided}, recorded {expected}"
+        self.same += len(expected)
+        return None
--- a/wickdyke/gateway/recording_words.py
+++ b/wickdyke/gateway/recording_words.py
@@ -19,7 +19,7 @@
     "probe": "health_check",
     "follow_list": "follow_endpoints",
 }
-PARTS = {
+SETTINGS = {
     "seat": "instance",
     "allowance": "attempt_limits",
     "stock": "function_cache",
@@ -68,7 +68,7 @@
 }
 ENDPOINT = {"born": "started_at"}
 REPORT_FIELDS = {"held": "in_flight", "busy": "utilization", "queue": "queued"}
-NOTES = (
+NOTES = (  # (old words, new words)
     (re.compile(r" shunned for "), " ejected for "),
     (re.compile(r"silent with (\d+) out$"), r"silent with \1 in flight"),
 )
@@ -77,14 +77,14 @@
 def modern(entry: list) -> list:
     """An entry of a recording in today's names; one that has them already is left as it is."""
     match entry:
-        case ["start", now, seed, classes, parts]:
-            return ["start", now, seed, [_renamed(each, REQUEST_CLASS) for each in classes], _parts(parts)]
+        case ["start", now, seed, classes, settings]:
+            return ["start", now, seed, [_renamed(each, REQUEST_CLASS) for each in classes], _settings(settings)]
         case ["heard", now, name, args]:
             return ["heard", now, INPUTS.get(name, name), _arguments(INPUTS.get(name, name), args)]
         case ["decided", ["note", text]]:
             return ["decided", ["note", _note(text)]]
-        case ["decided", [verb, *about]]:
-            return ["decided", [DECISIONS.get(verb, verb), *about]]
+        case ["decided", [kind, *fields]]:
+            return ["decided", [DECISIONS.get(kind, kind), *fields]]
     return entry
 
 
@@ -92,9 +92,9 @@
     return {names.get(name, name): value for name, value in record.items()}
 
 
-def _parts(parts: dict) -> dict:
-    named = _renamed(parts, PARTS)
-    renamed = {name: _renamed(part, FIELDS.get(name, {})) for name, part in named.items()}
+def _settings(settings: dict) -> dict:
+    named = _renamed(settings, SETTINGS)
+    renamed = {name: _renamed(record, FIELDS.get(name, {})) for name, record in named.items()}
     if "instance" in renamed:
         fields = renamed["instance"]["report_fields"]
         renamed["instance"]["report_fields"] = [REPORT_FIELDS.get(field, field) for field in fields]
