--- a/wickdyke/simulator/__init__.py
+++ b/wickdyke/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""The drill: plays the decisions on the simulator's wire. It translates and decides nothing."""
+"""The simulator adapter: hosts routers on the simulator's wire. It translates and decides nothing."""
--- a/wickdyke/simulator/__main__.py
+++ b/wickdyke/simulator/__main__.py
@@ -7,12 +7,14 @@
 from wickdyke.simulator.host import Host
 from wickdyke.settings.terms import BadInput
 
+# Hundreds of gateways keep so many objects that walking them takes a good part of the time. Nearly all are freed by
+# their reference counts; the few cycles can wait longer.
+GC_THRESHOLDS = (100000, 50, 100)
+
 
 def main() -> int:
-    """Play until the input ends; 2 and one plain line on standard error where it is malformed."""
-    # Danger: hundreds of front ends keep so many objects that walking them takes a good part of the time.
-    # Nearly all go by their count; the few circles wait longer.
-    gc.set_threshold(100000, 50, 100)
+    """Answers batches until the input ends; returns 2, after one line on standard error, where it is malformed."""
+    gc.set_threshold(*GC_THRESHOLDS)
     # Universal newlines and replacement characters would both hide a malformed line.
     source = open(sys.stdin.fileno(), encoding="utf-8", newline="\n", errors="strict", closefd=False)
     sink = open(sys.stdout.fileno(), "w", encoding="utf-8", newline="\n", closefd=False)
@@ -20,11 +22,11 @@
         for reply in Host().replies(source):
             sink.write(reply)
             sink.flush()
-    except BadInput as bad:
-        print(f"wickdyke.simulator: {bad}", file=sys.stderr)
+    except BadInput as error:
+        print(f"wickdyke.simulator: {error}", file=sys.stderr)
         return 2
     except BrokenPipeError:
-        # Nobody reads the replies any more: there is nothing left to do, nor to say.
+        # Nobody reads the replies any more: nothing is left to do or to report.
         os.dup2(os.open(os.devnull, os.O_WRONLY), sink.fileno())
         return 1
     return 0
--- a/wickdyke/simulator/codec.py
+++ b/wickdyke/simulator/codec.py
@@ -1,19 +1,21 @@
-"""The words and numbers of the wire, turned into the project's own and back.
+"""Codec of the simulator's wire: messages are read into the router's types, decisions are written as lines."""
 
-Nothing here decides: a message becomes the arguments of a call, a decision becomes a line.
-"""
-
-from collections.abc import Callable, Iterator
+from collections.abc import Callable, Iterable, Iterator
 from dataclasses import dataclass
 
 from wickdyke.routing import decisions
 from wickdyke.routing.decisions import Decision
-from wickdyke.routing.model import Endpoint
+from wickdyke.routing.model import Endpoint, EndpointState, LoadNote, Outcome
 from wickdyke.settings.terms import BadInput, count, flag, maybe, number, one_of, span, whole, word
 
+TEXT_SHOWN = 40  # characters of a value that an error message repeats
+MICROS = 1000  # in a ms
+WORK_IS_KNOWN, IS_REPEAT = 1, 2  # bits of a NEW_REQUEST
+Fields = tuple[tuple[str, Callable], ...]  # (label, reader) for each value of a message
+
 
 def raw(text: str) -> bytes:
-    """Hex digits."""
+    """Reads hex digits."""
     try:
         return bytes.fromhex(text)
     except ValueError:
@@ -21,25 +23,26 @@
 
 
 def report(text: str) -> tuple[float, ...]:
-    """A load report."""
+    """Reads a load report."""
     return tuple(number(part) for part in text.split(","))
 
 
 OUTCOMES = {
-    "pass": "ok",
-    "fault": "error",
-    "no_room": "full",
-    "too_slow": "timeout",
-    "no_route": "unreached",
-    "cut": "cut",
-    "undone": "cancelled",
-    "stale_send": "unsent",
-    "none_here": "miss",
+    "pass": Outcome.OK,
+    "fault": Outcome.ERROR,
+    "no_room": Outcome.FULL,
+    "too_slow": Outcome.TIMEOUT,
+    "no_route": Outcome.UNREACHED,
+    "cut": Outcome.CONNECTION_LOST,
+    "undone": Outcome.CANCELLED,
+    "stale_send": Outcome.UNSENT,
+    "none_here": Outcome.MISS,
 }
-NOTES = {1: "stood", 2: "began", 3: "awaited", 4: "load failed"}
-STATES = {"3": "ready", "0": "draining", "2": "gone"}
+LOAD_NOTES = {1: LoadNote.STOOD, 2: LoadNote.BEGAN, 3: LoadNote.AWAITED, 4: LoadNote.FAILED}
+NOTE_CODES = 8  # a note is the concurrency times this, plus the code of what the load did
+STATES = {"3": EndpointState.READY, "0": EndpointState.DRAINING, "2": EndpointState.GONE}
 outcome = one_of(OUTCOMES)
-EVENTS: dict[str, tuple[tuple[str, Callable], ...]] = {
+EVENTS: dict[str, Fields] = {
     "HALT": (("instance", count),),
     "FLEET": (
         ("instance", count),
@@ -108,22 +111,22 @@
 )
 
 
-def parts(name: str, values: list[str], fields: tuple) -> list:
-    """The values of one message, read."""
+def read_values(name: str, values: list[str], fields: Fields) -> list:
+    """Reads the values of one message."""
     if len(values) != len(fields):
         raise BadInput(f"{name}: expected {len(fields)} values, got {len(values)}")
     read = []
     for (label, reader), text in zip(fields, values, strict=True):
         try:
             read.append(reader(text))
-        except ValueError as bad:
-            raise BadInput(f"{name}: {label} is {text[:40]!r}, expected {bad}") from None
+        except ValueError as error:
+            raise BadInput(f"{name}: {label} is {text[:TEXT_SHOWN]!r}, expected {error}") from None
     return read
 
 
-def listing(values: list[str]) -> Endpoint:
-    """One entry of the worker list."""
-    ident, zone, kind, cell, state, size, born = parts("ROW", values, ROW)
+def read_endpoint(values: list[str]) -> Endpoint:
+    """Reads one entry of the endpoint list."""
+    ident, zone, kind, cell, state, size, started_at = read_values("ROW", values, ROW)
     return Endpoint(
         ident,
         zone,
@@ -131,19 +134,19 @@
         -1 if cell is None else cell,
         state,
         1.0 if size is None else size,
-        born / 1000 if born else None,
+        started_at / MICROS if started_at else None,
     )
 
 
-def note(value: int | None) -> tuple[str | None, int]:
-    """What an outcome tells of the copy, and how many RPCs of the program the worker held."""
-    company, code = divmod(value or 0, 8)
-    return NOTES.get(code), company
+def read_note(value: int | None) -> tuple[LoadNote | None, int]:
+    """What an outcome tells of the replica, and how many requests of the function the worker had."""
+    concurrent, code = divmod(value or 0, NOTE_CODES)
+    return LOAD_NOTES.get(code), concurrent
 
 
 def micros(ms: float | None) -> str:
-    """A time for the wire."""
-    return "-" if ms is None else str(round(ms * 1000))
+    """A time as the wire has it."""
+    return "-" if ms is None else str(round(ms * MICROS))
 
 
 @dataclass(slots=True, frozen=True)
@@ -180,7 +183,7 @@
     return "PRELOAD", decision.worker.endpoint.ident, decision.function.name, str(decision.replicas)
 
 
-LINES: dict[type, Callable[..., tuple]] = {
+WRITERS: dict[type, Callable[..., tuple]] = {
     decisions.Forward: _forward,
     decisions.Cancel: _cancel,
     decisions.Reject: lambda reject: ("SAY_NO", str(reject.request.ident), micros(reject.retry_after)),
@@ -194,19 +197,19 @@
 }
 
 
-def line(instance: int, decision: Reply) -> str:
-    """One line of a reply."""
-    name, *values = LINES[type(decision)](decision)
+def write_line(instance: int, reply: Reply) -> str:
+    """Writes one line of a reply."""
+    name, *values = WRITERS[type(reply)](reply)
     return "\t".join((name, str(instance), *values)) + "\n"
 
 
-def frames(source) -> Iterator[tuple[int, list[str]]]:
-    """The lines that come in, numbered and split into their parts."""
-    at = 0
+def read_lines(source: Iterable[str]) -> Iterator[tuple[int, list[str]]]:
+    """The lines of the input, numbered and split into their values."""
+    number_read = 0
     try:
-        for at, text in enumerate(source, 1):
+        for number_read, text in enumerate(source, 1):
             if not text.endswith("\n"):
-                raise BadInput(f"line {at}: {text[:40]!r}: expected the line to end")
-            yield at, text[:-1].split("\t")
+                raise BadInput(f"line {number_read}: {text[:TEXT_SHOWN]!r}: expected the line to end")
+            yield number_read, text[:-1].split("\t")
     except UnicodeDecodeError:
-        raise BadInput(f"line {at + 1}: expected UTF-8 text") from None
+        raise BadInput(f"line {number_read + 1}: expected UTF-8 text") from None
--- a/wickdyke/simulator/host.py
+++ b/wickdyke/simulator/host.py
@@ -1,15 +1,19 @@
-"""Hosts many front ends that share nothing and hands each batch's events to them."""
+"""Hosts many gateway instances that share nothing, and hands each batch's events to them."""
 
 import math
 from collections.abc import Iterable, Iterator
+from dataclasses import dataclass, field
 
-from wickdyke.simulator import codec
 from wickdyke.routing.router import Router
 from wickdyke.settings.terms import BadInput, paired, start
+from wickdyke.simulator import codec
+
+Lines = Iterator[tuple[int, list[str]]]
+DELAY_LEAST = 0.001  # ms of a timer: one of 0 would never let the clock go on
 
 
 class Instance:
-    """One front end and the timers the wire holds for it."""
+    """One gateway instance and the timer that the wire holds for it."""
 
     def __init__(self, router: Router) -> None:
         self.router = router
@@ -17,128 +21,145 @@
         self.cookie = 0
 
 
+@dataclass(slots=True)
+class Batch:
+    """The instances that a batch has events for, in their order, and those that failed, with the reason."""
+
+    touched: dict[int, None] = field(default_factory=dict)
+    faults: dict[int, str] = field(default_factory=dict)
+
+    def fail(self, ident: int, error: Exception) -> None:
+        """Whatever goes wrong inside one instance is that instance's fault, and no other's."""
+        self.faults[ident] = f"{type(error).__name__}: {error}"
+
+
 class Host:
     """The instances of this process."""
 
     def __init__(self) -> None:
         self.instances: dict[int, Instance] = {}
         self.now = -math.inf
+        self.line_number = 0
 
     def replies(self, source: Iterable[str]) -> Iterator[str]:
-        """One reply for each batch."""
-        lines = codec.frames(source)
-        for at, (name, *values) in lines:
+        """One reply for each batch. Raises BadInput with the number of the line."""
+        lines = codec.read_lines(source)
+        for number, (name, *values) in lines:
+            self.line_number = number
             try:
-                self.at = at
                 yield self._batch(lines, name, values)
-            except BadInput as bad:
-                text = str(bad)
-                raise BadInput(text if text.startswith("line ") else f"line {self.at}: {text}") from None
+            except BadInput as error:
+                text = str(error)
+                raise BadInput(text if text.startswith("line ") else f"line {self.line_number}: {text}") from None
 
-    def _batch(self, lines: Iterator, name: str, values: list[str]) -> str:
-        if name != "MARK":
-            raise BadInput(f"{name[:40]!r}, expected MARK")
-        (now,) = codec.parts("MARK", values, (("clock", codec.span),))
-        if now < self.now:
-            raise BadInput(f"MARK: the clock is {now}, expected at least {self.now}")
-        self.now = now
-        touched: dict[int, None] = {}
-        faults: dict[int, str] = {}
+    # ---- one batch ----
+
+    def _batch(self, lines: Lines, name: str, values: list[str]) -> str:
+        self._set_clock(name, values)
+        batch = Batch()
         while True:
-            name, values = self._line(lines)
+            name, values = self._next_line(lines)
             if name == "END":
-                if values:
-                    raise BadInput("END: expected no values")
                 break
-            self._event(lines, name, values, touched, faults)
-        reply = []
-        for ident in touched:
-            instance = self.instances.get(ident)
-            if instance is not None and ident not in faults:
-                try:
-                    reply += [codec.line(ident, decision) for decision in self._decisions(instance)]
-                except Exception as error:  # whatever goes wrong inside one instance is that instance's fault
-                    faults[ident] = f"{type(error).__name__}: {error}"
-            if ident in faults:
-                reply.append(codec.line(ident, codec.Fault(faults[ident])))
+            self._event(lines, name, values, batch)
+        if values:
+            raise BadInput("END: expected no values")
+        reply: list[str] = []
+        for ident in batch.touched:
+            reply += self._reply_lines(ident, batch)
         return "".join(reply) + "ACK\n"
 
-    def _line(self, lines: Iterator) -> tuple[str, list[str]]:
-        for self.at, (name, *values) in lines:
+    def _set_clock(self, name: str, values: list[str]) -> None:
+        if name != "MARK":
+            raise BadInput(f"{name[: codec.TEXT_SHOWN]!r}, expected MARK")
+        (now,) = codec.read_values("MARK", values, (("clock", codec.span),))
+        if now < self.now:
+            raise BadInput(f"MARK: the clock is {now}, expected at least {self.now}")
+        self.now = now
+
+    def _next_line(self, lines: Lines) -> tuple[str, list[str]]:
+        for number, (name, *values) in lines:
+            self.line_number = number
             return name, values
-        raise BadInput(f"line {self.at + 1}: the input stops inside a batch, expected END")
+        raise BadInput(f"line {self.line_number + 1}: the input stops inside a batch, expected END")
+
+    def _reply_lines(self, ident: int, batch: Batch) -> list[str]:
+        reply: list[str] = []
+        instance = self.instances.get(ident)
+        if instance is not None and ident not in batch.faults:
+            try:
+                reply += [codec.write_line(ident, each) for each in self._decisions(instance)]
+            except Exception as error:
+                batch.fail(ident, error)
+        if ident in batch.faults:
+            reply.append(codec.write_line(ident, codec.Fault(batch.faults[ident])))
+        return reply
 
     def _decisions(self, instance: Instance) -> Iterator[codec.Reply]:
         router = instance.router
         while (decision := router.decide()) is not None:
             yield decision
-        wake = router.wake_at
-        if wake is not None and (instance.timer is None or wake < instance.timer):
-            instance.timer = wake
+        wake_at = router.wake_at
+        if wake_at is not None and (instance.timer is None or wake_at < instance.timer):
+            instance.timer = wake_at
             instance.cookie += 1
-            yield codec.Wake(max(0.001, wake - self.now), instance.cookie)
+            yield codec.Wake(max(DELAY_LEAST, wake_at - self.now), instance.cookie)
+
+    # ---- events ----
 
-    def _event(self, lines: Iterator, name: str, values: list[str], touched: dict, faults: dict) -> None:
-        at = self.at
+    def _event(self, lines: Lines, name: str, values: list[str], batch: Batch) -> None:
         if name == "POWER_ON":
-            if len(values) < 2:
-                raise BadInput("POWER_ON: expected an instance, a seed and the settings")
-            ident, seed = codec.parts(name, values[:2], (("instance", codec.count), ("seed", codec.count)))
-            terms = start(paired(values[2:]))
-            touched[ident] = None
-            self.instances[ident] = Instance(Router(self.now, seed, **terms))
+            self._start(values, batch)
             return
         if name not in codec.EVENTS:
-            raise BadInput(f"{name[:40]!r}, expected an event or END")
-        fields = codec.parts(name, values, codec.EVENTS[name])
-        ident = fields[0]
+            raise BadInput(f"{name[: codec.TEXT_SHOWN]!r}, expected an event or END")
+        event_line = self.line_number
+        ident, *fields = codec.read_values(name, values, codec.EVENTS[name])
         instance = self.instances.get(ident)
         if instance is None:
             raise BadInput(f"{name}: the instance {ident} is not known, expected one that was started")
         if name == "HALT":
             del self.instances[ident]
-            touched.pop(ident, None)
+            batch.touched.pop(ident, None)
             return
         if name == "FLEET":
-            fields[3:] = [self._rows(lines, fields[3] or 0)]
-        touched[ident] = None
+            mode, revision, entries = fields
+            fields = [mode, revision, self._endpoints(lines, entries or 0)]
+        batch.touched[ident] = None
         try:
-            self._pass_on(instance, name, fields[1:])
-        except BadInput as bad:
-            raise BadInput(f"line {at}: {bad}") from None
-        except Exception as error:  # as above
-            faults[ident] = f"{type(error).__name__}: {error}"
-
-    def _rows(self, lines: Iterator, entries: int) -> list:
-        rows = []
+            self._inform(instance, name, fields)
+        except BadInput as error:
+            raise BadInput(f"line {event_line}: {error}") from None
+        except Exception as error:
+            batch.fail(ident, error)
+
+    def _start(self, values: list[str], batch: Batch) -> None:
+        if len(values) < 2:
+            raise BadInput("POWER_ON: expected an instance, a seed and the settings")
+        ident, seed = codec.read_values("POWER_ON", values[:2], (("instance", codec.count), ("seed", codec.count)))
+        settings = start(paired(values[2:]))
+        batch.touched[ident] = None
+        self.instances[ident] = Instance(Router(self.now, seed, **settings))
+
+    def _endpoints(self, lines: Lines, entries: int) -> list[codec.Endpoint]:
+        endpoints = []
         for _ in range(entries):
-            name, values = self._line(lines)
+            name, values = self._next_line(lines)
             if name != "ROW":
-                raise BadInput(f"{name[:40]!r}, expected a ROW ({entries} were announced)")
-            rows.append(codec.listing(values))
-        return rows
+                raise BadInput(f"{name[: codec.TEXT_SHOWN]!r}, expected a ROW ({entries} were announced)")
+            endpoints.append(codec.read_endpoint(values))
+        return endpoints
 
-    def _pass_on(self, instance: Instance, name: str, values: list) -> None:
+    def _inform(self, instance: Instance, name: str, fields: list) -> None:
+        """Tells the router of one event."""
         router = instance.router
         router.advance(self.now)
-        match name, values:
-            case "NEW_REQUEST", [ident, bits, left, method, program, work, _, memory, load, lanes]:
-                if method >= len(router.request_classes):
-                    raise BadInput(f"NEW_REQUEST: class is {method}, expected one of the settings")
-                router.request_received(
-                    ident,
-                    left,
-                    router.request_classes[method],
-                    program,
-                    memory,
-                    max(1, int(lanes)),
-                    load,
-                    work if bits & 1 else None,
-                    bool(bits & 2),
-                )
-            case "REPORT_BACK", [ident, number, _, outcome, _, complete, note, report]:
-                standing, company = codec.note(note)
-                router.attempt_finished(ident, number, outcome, complete, standing, company, report)
+        match name, fields:
+            case "NEW_REQUEST", _:
+                _request_received(router, fields)
+            case "REPORT_BACK", [ident, number, _, outcome, _, last, note, report]:
+                load_note, concurrent = codec.read_note(note)
+                router.attempt_finished(ident, number, outcome, last, load_note, concurrent, report)
             case "FIRST_BYTE", [ident, number, _, _]:
                 router.answer_begun(ident, number)
             case "ABORTED", [ident]:
@@ -148,9 +169,26 @@
                     instance.timer = None
             case "PING_RESULT", [worker, outcome, _, report]:
                 router.health_checked(worker, outcome, report)
-            case "BROUGHT_UP", [outcome, worker, copies, latency, program]:
-                router.prewarm_finished(worker, program, outcome, copies, latency)
-            case "FLEET", [mode, _, rows]:
-                router.endpoints_changed(rows, {"0": False, "3": None}.get(mode, True))
+            case "BROUGHT_UP", [outcome, worker, replicas, latency, function]:
+                router.prewarm_finished(worker, function, outcome, replicas, latency)
+            case "FLEET", [mode, _, endpoints]:
+                router.endpoints_changed(endpoints, {"0": False, "3": None}.get(mode, True))
             case "MEMO", _:
-                pass  # front ends have nothing to tell each other
+                pass  # instances have nothing to tell each other
+
+
+def _request_received(router: Router, fields: list) -> None:
+    ident, bits, left, request_class, function, work, _, memory, load, concurrency = fields
+    if request_class >= len(router.request_classes):
+        raise BadInput(f"NEW_REQUEST: class is {request_class}, expected one of the settings")
+    router.request_received(
+        ident,
+        left,
+        router.request_classes[request_class],
+        function,
+        memory,
+        max(1, int(concurrency)),
+        load,
+        work if bits & codec.WORK_IS_KNOWN else None,
+        bool(bits & codec.IS_REPEAT),
+    )
