--- a/wickdyke/gateway/attempts.py
+++ b/wickdyke/gateway/attempts.py
@@ -98,7 +98,7 @@
     def time_up(self, router_id: int) -> None:
         """The time of a request is up: nothing is waited for any more.
 
-        The router reads the client's time as up at the same moment: it answers for good on what it is told here. Of a
+        For the router the client's time is up at the same moment, so what it decides on these outcomes is final. Of a
         request that is answered, only attempts are left that could not be cancelled and may never end.
         """
         pending = self.requests.by_id.get(router_id)
@@ -106,7 +106,7 @@
             return
         context = self.context
         context.timers.at(context.now() + context.station.answer_way / 2, self.requests.left_open, router_id)
-        context.driver.told = True
+        context.driver.has_input = True
         for attempt, command in list(pending.commands.items()):
             context.guarded(self._stop_waiting, pending, command)
             context.guarded(self._ended, pending, attempt, CommandResult(Outcome.TIMEOUT))
--- a/wickdyke/gateway/coordinator.py
+++ b/wickdyke/gateway/coordinator.py
@@ -8,6 +8,7 @@
 import queue
 import threading
 from collections import Counter
+from collections.abc import Callable
 from typing import TYPE_CHECKING
 
 from wickdyke.gateway import events
@@ -55,7 +56,11 @@
         self.isolation.attach(self.context, self.workers)
         self.attempts = Attempts(self.context, protocol, self.requests, self.workers, self.isolation)
         self.thread = threading.Thread(target=self._run, name="coordinator", daemon=True)
-        self.actions = {
+        self.actions = self._actions()
+        self.handlers = self._handlers()
+
+    def _actions(self) -> dict[type, Callable]:
+        return {
             decisions.Forward: self.attempts.forward,
             decisions.Cancel: self.attempts.cancel,
             decisions.Reject: self._reject,
@@ -65,7 +70,9 @@
             decisions.FollowEndpoints: self._follow_endpoints,
             decisions.LogNote: self._log_note,
         }
-        self.handlers = {
+
+    def _handlers(self) -> dict[type, Callable]:
+        return {
             events.RequestReceived: lambda event: self.requests.received(event.pending),
             events.RequestCancelled: lambda event: self.requests.client_gone(event.pending),
             events.ClientClosed: self._client_closed,
@@ -138,7 +145,7 @@
     def turn_once(self, wait: float = 0.0) -> bool:
         """Handles what has come (waiting so many ms for a first event), does what is due, carries out what is decided.
 
-        False once it was told to end.
+        Returns False once it is to end.
         """
         if not self._handle_events(wait):
             return False
@@ -153,7 +160,7 @@
 
     def _handle_events(self, wait: float) -> bool:
         # When much waits one look costs more than the time between two, and each event alone would wait for one. So
-        # what has come by now is told first, then the decisions are taken.
+        # the router is told of all that has come by now, and then decides.
         try:
             event = self.events.get(True, wait / 1000) if wait > 0 else self.events.get(False)
             for left in range(EVENTS_AT_ONCE, 0, -1):
--- a/wickdyke/gateway/interfaces.py
+++ b/wickdyke/gateway/interfaces.py
@@ -152,7 +152,7 @@
         """A question for a load report."""
 
     def result_of(self, command: Command, outcome: str, answer: object, data: object) -> CommandResult:
-        """What a worker client told of a command's end."""
+        """The result of a command, from what its worker client reported."""
 
 
 @dataclass(slots=True, frozen=True)
--- a/wickdyke/gateway/router_driver.py
+++ b/wickdyke/gateway/router_driver.py
@@ -23,7 +23,7 @@
 
 
 class RouterDriver:
-    """Owns the router. `told` is whether it was told something since its decisions were last taken."""
+    """Owns the router. `has_input` is whether it was told something since its decisions were last taken."""
 
     def __init__(
         self,
@@ -33,14 +33,14 @@
         settings: dict[str, object],
         recorder: "DecisionRecorder | None",
     ) -> None:
-        self.recorder, self.told = recorder, False
+        self.recorder, self.has_input = recorder, False
         if recorder is not None:
             recorder.start(now, seed, request_classes, settings)
         self.router = Router(now, seed, request_classes, **settings)
 
     def is_due(self, now: float) -> bool:
         """Whether decisions are to be taken now."""
-        return self.told or self.router.wake_at <= now
+        return self.has_input or self.router.wake_at <= now
 
     def inform(self, now: float, name: str, *args: object) -> None:
         """Tells the router one thing: the input of that name. That only updates its state."""
@@ -48,11 +48,11 @@
             self.recorder.heard(now, name, args)
         self.router.advance(now)
         getattr(self.router, name)(*args)
-        self.told = True
+        self.has_input = True
 
     def decisions(self, now: float) -> Iterator[Decision]:
         """Takes all decisions that there are now."""
-        self.told = False
+        self.has_input = False
         self.router.advance(now)
         if self.recorder is not None:
             self.recorder.heard(now, "decide", ())
--- a/wickdyke/gateway/worker_registry.py
+++ b/wickdyke/gateway/worker_registry.py
@@ -11,7 +11,7 @@
 
 
 class WorkerRegistry:
-    """Keeps the endpoint list and one client for each worker; `changed` is told of entries that changed."""
+    """Keeps the endpoint list and one client for each worker; `changed` is called with entries that changed."""
 
     def __init__(
         self,
