--- a/tests/test_desk.py
+++ b/tests/test_desk.py
@@ -297,10 +297,10 @@
                 said = running.said.getvalue().count("routes unusable")
                 running.route(bad)
                 self.assertTrue(until(lambda said=said: running.said.getvalue().count("routes unusable") == said + 1))
-            self.assertEqual(running.gateway.client_server.routes.find("idem", "p").terms.deadline, 9000)
+            self.assertEqual(running.gateway.client_server.checker.routes.find("idem", "p").terms.deadline, 9000)
             running.route(self.ROUTE % (7000, 2))
             self.assertTrue(
-                until(lambda: running.gateway.client_server.routes.find("idem", "p").terms.deadline == 7000)
+                until(lambda: running.gateway.client_server.checker.routes.find("idem", "p").terms.deadline == 7000)
             )
             client.ask(2, program="pb")
             answers = {each["id"]: each["error"]["data"]["why"] for each in (client.answer(), client.answer())}
@@ -322,7 +322,7 @@
         with Running((silent, silent), routes=bare % "", more="(call-outs (most 3) (dial 200 ms))") as running:
 
             def named():
-                return [route.name for route in running.gateway.client_server.routes.routes]
+                return [route.name for route in running.gateway.client_server.checker.routes.routes]
 
             def said():
                 return running.said.getvalue().count("routes unusable")
@@ -332,7 +332,7 @@
             self.assertIn('route \\"r\\" is gone', running.said.getvalue())
             running.route(bare % " (floor 1)")
             self.assertTrue(
-                until(lambda: running.gateway.client_server.routes.routes[0].stated["budget"][0].floor == 1)
+                until(lambda: running.gateway.client_server.checker.routes.routes[0].stated["budget"][0].floor == 1)
             )
             running.route(other)
             self.assertTrue(until(lambda: named() == ["s"]))
@@ -447,10 +447,12 @@
                     for ident in range(3):
                         client.ask(ident, "side", input={"n": "bad"})
                         self.assertEqual(client.answer()["error"]["data"]["answer"], "aborted")
-                        self.assertTrue(until(lambda running=running: not running.coordinator.isolation.breaker.cuts))
-                        if "p" in running.coordinator.isolation.breaker.calls.barred:
+                        self.assertTrue(
+                            until(lambda running=running: not running.coordinator.isolation.breaker.unsettled)
+                        )
+                        if "p" in running.coordinator.isolation.breaker.requests.open_by_function:
                             break
-                    self.assertEqual("p" in running.coordinator.isolation.breaker.calls.barred, barred)
+                    self.assertEqual("p" in running.coordinator.isolation.breaker.requests.open_by_function, barred)
                     client.close()
 
 
@@ -488,7 +490,10 @@
 
     def test_slow_disk(self):
         """A recording that can't be written as fast stops and says so; nobody waits for it."""
-        with tempfile.TemporaryDirectory(prefix="wd-") as folder, unittest.mock.patch.object(recording, "WAITING", 50):
+        with (
+            tempfile.TemporaryDirectory(prefix="wd-") as folder,
+            unittest.mock.patch.object(recording, "QUEUED_MOST", 50),
+        ):
             path = os.path.join(folder, "fifo")
             os.mkfifo(path)
             reader = os.open(path, os.O_RDONLY | os.O_NONBLOCK)
@@ -516,7 +521,7 @@
         out, into = os.pipe()
         sink = os.fdopen(into, "w")
         with Running(sink=sink) as running:
-            for at in range(logs.WAITING + 5000):
+            for at in range(logs.QUEUED_MOST + 5000):
                 running.log.info("filler", at=at, more="x" * 100)
             self.assertTrue(until(lambda: running.scribe.lost > 0))
             client = running.client()
--- a/wickdyke/gateway/attempts.py
+++ b/wickdyke/gateway/attempts.py
@@ -54,7 +54,7 @@
             self._withdraw(pending, attempt, Outcome.TIMEOUT)
         elif command.worker_client is not None and command.worker_client.withdraw_unsent(command):
             self._ended(pending, attempt, CommandResult(Outcome.UNSENT))
-        else:  # for the router it has ended; the check of routes has seen to the rest
+        else:  # for the router it has ended; the checks of routes allow a timeout only where that is safe
             self._ended(pending, attempt, CommandResult(Outcome.TIMEOUT))
 
     def cancel(self, decision: Cancel) -> None:
@@ -66,19 +66,19 @@
 
     def _withdraw(self, pending: PendingRequest, attempt: Attempt, outcome: Outcome) -> None:
         # The next attempt beside one whose cancel still waits in our buffer would be a second at once. So the outcome
-        # is told only when the cancel is with the kernel, or the connection is ended for it.
+        # is reported only when the cancel is with the kernel, or the connection is ended for it.
         command = pending.commands[attempt]
         client = command.worker_client
 
         def done() -> None:
             self.context.post(AttemptWithdrawn(pending, attempt, outcome))
 
-        said = client.cancel(command, done) if client is not None else "ended"
-        if said == Outcome.UNSENT:
+        state = client.cancel(command, done) if client is not None else "ended"
+        if state == Outcome.UNSENT:
             self.context.post(AttemptWithdrawn(pending, attempt, Outcome.UNSENT))
-        elif said == Outcome.CANCELLED:
+        elif state == Outcome.CANCELLED:
             done()
-        elif said is None:
+        elif state is None:
             wait = self.context.station.attempt_limits.connect_timeout
             self.context.timers.at(self.context.now() + wait, self._disconnect, pending, attempt, client)
 
@@ -98,7 +98,7 @@
     def time_up(self, router_id: int) -> None:
         """The time of a request is up: nothing is waited for any more.
 
-        The router reads the client's time as up at the same moment: it answers for good on what it is told here. Of a
+        For the router the client's time is up at the same moment, so what it decides on these outcomes is final. Of a
         request that is answered, only attempts are left that could not be cancelled and may never end.
         """
         pending = self.requests.by_id.get(router_id)
@@ -106,7 +106,7 @@
             return
         context = self.context
         context.timers.at(context.now() + context.station.answer_way / 2, self.requests.left_open, router_id)
-        context.driver.told = True
+        context.driver.has_input = True
         for attempt, command in list(pending.commands.items()):
             context.guarded(self._stop_waiting, pending, command)
             context.guarded(self._ended, pending, attempt, CommandResult(Outcome.TIMEOUT))
@@ -132,7 +132,9 @@
             return
         if result.outcome != Outcome.OK:
             self._ended(pending, attempt, result)
-            self.isolation.harmed(self, pending, attempt, result)
+            retry_after = self.isolation.attempt_failed(pending, attempt, result)
+            if retry_after is not None:
+                self.requests.answer_undecided(pending, pending.reject, "poison", retry_after)
             return
         answered = pending.closed
         self.isolation.served(attempt, None if answered else pending.call.input)
