--- a/bench/worker.py
+++ b/bench/worker.py
@@ -122,7 +122,7 @@
     cold, cached, plain = [], [], []
     for at in range(rounds):
         worker = begin(folder, f"cache{at}")
-        gate = Gate(worker.shop.listen)
+        gate = Gate(worker.settings.listen)
         cold.append(gate.run("p"))
         gate.drop("p")
         cached.append(gate.run("p"))
@@ -143,7 +143,7 @@
 def calls(folder: str, rounds: int) -> list[list[str]]:
     """Calls of one copy: one at a time, and many out; the hop beside a function call with the same encoding."""
     worker = begin(folder, "cache0")
-    gate = Gate(worker.shop.listen)
+    gate = Gate(worker.settings.listen)
     gate.run("p")
     alone = [statistics.median(gate.run("p") for _ in range(200)) for _ in range(rounds)]
     rate = [2000 / gate.run("p", 2000 // 20) * 1000 / 20 for _ in range(rounds)]
@@ -158,16 +158,19 @@
     for mb in sizes:
         pack(folder, f"m{mb}", mb, mb + 24)
     worker = begin(folder, "cacheM")
-    gate = Gate(worker.shop.listen)
+    gate = Gate(worker.settings.listen)
     rows = []
     for mb in sizes:
         gate.run(f"m{mb}")
     time.sleep(0.2)
     worker.measure()
-    with worker.lock:
-        houses = {house.copy.program.name: (house.pid, house.copy.measured) for house in worker.houses.values()}
+    with worker.runner.lock:
+        measured = {
+            process.replica.function.name: (process.pid, process.replica.measured_memory)
+            for process in worker.replicas.processes.values()
+        }
     for mb in sizes:
-        pid, told = houses[f"m{mb}"]
+        pid, told = measured[f"m{mb}"]
         real = pss(pid)
         resident = psutil.Process(pid).memory_info().rss / (1 << 20)
         rows.append(
--- a/tests/test_schedule.py
+++ b/tests/test_schedule.py
@@ -1,37 +1,59 @@
 """What a worker decides: stated cases, and a state machine against what must hold whatever comes."""
 
 import unittest
+from dataclasses import fields
 
 from hypothesis import settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from wickdyke.worker.schedule import Ramp, Schedule
+from wickdyke.worker.actions import Kill, PrewarmDone, PrewarmFailed, Reject, Run, StartLoad, Stop, Unload
+from wickdyke.worker.model import ReplicaState, ScheduleLimits
+from wickdyke.worker.ramp import Ramp
+from wickdyke.worker.schedule import Schedule
+
+VERBS = {
+    StartLoad: "load",
+    Unload: "unload",
+    Kill: "end",
+    Run: "run",
+    Stop: "stop",
+    Reject: "refuse",
+    PrewarmDone: "held",
+    PrewarmFailed: "unheld",
+}
 
 
 def made(
     memory=100.0, at_once=4, loads_at_once=2, queue=20, idle_life=1000.0, run_time=500.0, stop_within=100.0, ramp=None
 ):
-    return Schedule(0.0, memory, at_once, loads_at_once, queue, idle_life, run_time, stop_within, ramp or Ramp())
+    limits = ScheduleLimits(memory, at_once, loads_at_once, queue, idle_life, run_time, stop_within, ramp or Ramp())
+    return Schedule(0.0, limits)
+
+
+def decisions(schedule):
+    """One at a time: a verb, and the fields of the action."""
+    for action in iter(schedule.next_action, None):
+        yield VERBS[type(action)], *(getattr(action, each.name) for each in fields(action))
 
 
 def pull(schedule):
-    return list(iter(schedule.decide, None))
+    return list(decisions(schedule))
 
 
 def said(acts):
     """Verbs with what they are about."""
     return [
-        (verb, getattr(it, "key", None) or it.program.name, *(each for each in more if isinstance(each, str)))
+        (verb, getattr(it, "key", None) or it.function.name, *(each for each in more if isinstance(each, str)))
         for verb, it, *more in acts
     ]
 
 
 def stand(schedule, name, memory=10.0, lanes=1):
     """A copy that stands."""
-    schedule.hold(f"h-{name}", name, memory, lanes, 1)
+    schedule.prewarm(f"h-{name}", name, memory, lanes, 1)
     copy = next(it for verb, it, *_ in pull(schedule) if verb == "load")
-    schedule.loaded(copy, None)
+    schedule.load_finished(copy, None)
     pull(schedule)
     return copy
 
@@ -54,11 +76,11 @@
             with self.subTest(before=before, calls=calls):
                 schedule = made()
                 for at, name in enumerate(before):
-                    schedule.woke(float(at))
+                    schedule.advance(float(at))
                     stand(schedule, name)
                 done = []
                 for key, name, memory in calls:
-                    schedule.call(key, name, memory, 1, 400.0)
+                    schedule.submit(key, name, memory, 1, 400.0)
                     done += pull(schedule) if len(calls) == 2 and memory != 10 else []
                 self.assertEqual(sorted(said(done + pull(schedule))), sorted(want))
 
@@ -74,35 +96,35 @@
             with self.subTest(what=what):
                 schedule = made()
                 copy = stand(schedule, "p")
-                schedule.call("a", "p", 10, 1, 400.0)
+                schedule.submit("a", "p", 10, 1, 400.0)
                 self.assertEqual(said(pull(schedule)), [("run", "a")])
                 match what:
                     case "answered":
-                        self.assertTrue(schedule.answered("a"))
+                        self.assertTrue(schedule.request_answered("a"))
                     case "ended":
-                        schedule.ended(copy)
+                        schedule.replica_ended(copy)
                     case "time":
-                        schedule.woke(400.0)
+                        schedule.advance(400.0)
                     case "cancel":
                         schedule.cancel("a")
                     case "measured":
-                        schedule.measured(copy, 11.0)
+                        schedule.memory_measured(copy, 11.0)
                 self.assertEqual(said(pull(schedule)), want)
-                self.assertFalse(schedule.answered("a"))  # nothing after
+                self.assertFalse(schedule.request_answered("a"))  # nothing after
 
     def test_a_call_that_does_not_end(self):
         """Its lane counts as taken; the copy is ended only once the others in it are done; what waits gets another."""
         schedule = made()
         copy = stand(schedule, "p", lanes=2)
-        schedule.call("bad", "p", 10, 2, 100.0)
-        schedule.call("good", "p", 10, 2, 400.0)
+        schedule.submit("bad", "p", 10, 2, 100.0)
+        schedule.submit("good", "p", 10, 2, 400.0)
         pull(schedule)
-        schedule.woke(100.0)
+        schedule.advance(100.0)
         self.assertEqual(said(pull(schedule)), [("stop", "bad"), ("refuse", "bad", "out-of-time")])
-        schedule.woke(250.0)
-        schedule.call("late", "p", 10, 2, 400.0)
+        schedule.advance(250.0)
+        schedule.submit("late", "p", 10, 2, 400.0)
         self.assertEqual(said(pull(schedule)), [("load", "p")])  # not into that copy, and not ended under the good one
-        self.assertTrue(schedule.answered("good"))
+        self.assertTrue(schedule.request_answered("good"))
         self.assertEqual([(verb, it) for verb, it, *_ in pull(schedule) if verb == "end"], [("end", copy)])
 
     def test_freed_in_time(self):
@@ -111,25 +133,25 @@
             with self.subTest(ms=ms):
                 schedule = made()
                 copy = stand(schedule, "p")
-                schedule.call("a", "p", 10, 1, 100.0)
+                schedule.submit("a", "p", 10, 1, 100.0)
                 pull(schedule)
-                schedule.woke(100.0)
+                schedule.advance(100.0)
                 pull(schedule)
-                schedule.woke(100.0 + ms)
+                schedule.advance(100.0 + ms)
                 if lives:
-                    schedule.freed(copy)
+                    schedule.lane_freed(copy)
                 pull(schedule)
-                self.assertEqual(copy.state, "standing" if lives else "gone")
+                self.assertEqual(copy.state, ReplicaState.READY if lives else ReplicaState.REMOVED)
 
     def test_failed_loads(self):
         """(how a load failed) -> what those that waited are told: nothing ran."""
         for how, word in (("miss", "miss"), ("failed", "miss"), ("full", "full")):
             with self.subTest(how=how):
                 schedule = made()
-                schedule.call("a", "p", 10, 1, 400.0)
-                schedule.hold("h", "p", 10, 1, 1)
+                schedule.submit("a", "p", 10, 1, 400.0)
+                schedule.prewarm("h", "p", 10, 1, 1)
                 copy = pull(schedule)[0][1]
-                schedule.loaded(copy, how)
+                schedule.load_finished(copy, how)
                 self.assertEqual(said(pull(schedule)), [("refuse", "a", word), ("unheld", "h", how)])
 
     def test_manifest_takes_more(self):
@@ -144,21 +166,21 @@
                 schedule = made()
                 if beside:
                     stand(schedule, "other", beside)
-                schedule.call("a", "p", ordered, 1, 400.0)
+                schedule.submit("a", "p", ordered, 1, 400.0)
                 copy = next(it for verb, it, *_ in pull(schedule) if verb == "load")
-                self.assertEqual(schedule.fits(copy, real, 3, None), fits)
+                self.assertEqual(schedule.apply_manifest(copy, real, 3, None), fits)
                 self.assertEqual(len([1 for verb, *_ in pull(schedule) if verb == "unload"]), gone)
 
     def test_nothing_waits_for_a_load(self):
         """A load not begun yet is forgotten when what waited for it is gone."""
         schedule = made(loads_at_once=1)
         for key in "ab":
-            schedule.call(key, f"p{key}", 10, 1, 400.0)
+            schedule.submit(key, f"p{key}", 10, 1, 400.0)
         first = pull(schedule)[0][1]
         schedule.cancel("b")
-        schedule.loaded(first, None)
+        schedule.load_finished(first, None)
         self.assertEqual(said(pull(schedule)), [("run", "a")])
-        self.assertEqual(sum(copy.charge for copy in schedule._copies()), 10)
+        self.assertEqual(sum(copy.charged_memory for copy in schedule.pool.replicas()), 10)
 
     def test_idle_life_and_renewal(self):
         """(orders at, now) -> whether the copy is let go; an order renews, asking does not."""
@@ -172,10 +194,10 @@
                 schedule = made()
                 stand(schedule, "p")
                 for at in orders:
-                    schedule.woke(at)
-                    schedule.hold(at, "p", 10, 1, copies)
+                    schedule.advance(at)
+                    schedule.prewarm(at, "p", 10, 1, copies)
                     pull(schedule)
-                schedule.woke(now)
+                schedule.advance(now)
                 self.assertEqual([verb for verb, *_ in pull(schedule)], ["unload"] * gone)
 
     def test_cold(self):
@@ -183,11 +205,11 @@
         for age, taken, cold in ((0.0, 2, 0.75), (500.0, 5, 0.375), (1000.0, 8, 0.0)):
             with self.subTest(age=age):
                 schedule = made(at_once=8, ramp=Ramp(0.25, 1000.0))
-                schedule.woke(age)
+                schedule.advance(age)
                 for key in range(8):
-                    schedule.call(key, "p", 10, 8, 400.0)
+                    schedule.submit(key, "p", 10, 8, 400.0)
                 refused = [act for act in pull(schedule) if act[0] == "refuse"]
-                self.assertEqual((8 - len(refused), schedule.figures()["cold"]), (taken, cold))
+                self.assertEqual((8 - len(refused), schedule.load_report()["cold"]), (taken, cold))
 
     def test_an_order_ends_none_of_the_copies_it_counts(self):
         """(memory taken by another program) -> what an order for three copies of 10 MB comes to, one standing."""
@@ -196,28 +218,28 @@
                 schedule = made()
                 stand(schedule, "other", other)
                 copy = stand(schedule, "p")
-                schedule.call("busy", "other", other, 1, 400.0)
+                schedule.submit("busy", "other", other, 1, 400.0)
                 pull(schedule)
-                schedule.hold("h", "p", 10, 1, 3)
+                schedule.prewarm("h", "p", 10, 1, 3)
                 acts = pull(schedule)
                 for load in [it for verb, it, *_ in acts if verb == "load"]:
-                    schedule.loaded(load, None)
+                    schedule.load_finished(load, None)
                 acts += pull(schedule)
                 self.assertEqual([act for act in said(acts) if act[0] in ("held", "unheld")], held)
                 self.assertNotIn("unload", [act[0] for act in acts])
-                self.assertEqual(copy.state, "standing")
+                self.assertEqual(copy.state, ReplicaState.READY)
 
     def test_drain(self):
         """Nothing new is begun, what is held goes on."""
         schedule = made()
         stand(schedule, "p")
-        schedule.call("a", "p", 10, 1, 400.0)
+        schedule.submit("a", "p", 10, 1, 400.0)
         pull(schedule)
         schedule.drain()
-        schedule.call("b", "p", 10, 1, 400.0)
-        schedule.hold("h", "q", 10, 1, 1)
+        schedule.submit("b", "p", 10, 1, 400.0)
+        schedule.prewarm("h", "q", 10, 1, 1)
         self.assertEqual(said(pull(schedule)), [("refuse", "b", "draining"), ("unheld", "h", "draining")])
-        self.assertTrue(schedule.answered("a"))
+        self.assertTrue(schedule.request_answered("a"))
 
 
 class Machine(RuleBasedStateMachine):
@@ -230,12 +252,12 @@
         self.came = []
 
     def pull(self):
-        for verb, it, *more in iter(self.schedule.decide, None):
+        for verb, it, *more in decisions(self.schedule):
             match verb:
                 case "load":
-                    assert it.program.waiting or any(h.program is it.program for h in self.schedule.holds.values()), (
-                        "a load that nothing waits for"
-                    )
+                    assert it.function.waiting or any(
+                        h.function is it.function for h in self.schedule.prewarms.values()
+                    ), "a load that nothing waits for"
                     self.loading.add(it)
                 case "run":
                     copy = more[0]
@@ -244,7 +266,7 @@
                     ahead = [
                         key
                         for key in self.came
-                        if key in self.open and key not in self.running and self.open[key] == it.program.name
+                        if key in self.open and key not in self.running and self.open[key] == it.function.name
                     ]
                     assert ahead[0] == it.key, "one that came later goes first"
                     self.running[it.key] = copy
@@ -266,7 +288,7 @@
 
     def tell(self):
         self.now += 1.0
-        self.schedule.woke(self.now)
+        self.schedule.advance(self.now)
 
     @rule(
         name=st.sampled_from("ppq"),
@@ -281,7 +303,7 @@
             self.turn += 1
             self.open[self.turn] = name
             self.came.append(self.turn)
-            self.schedule.call(self.turn, name, memory, lanes, left)
+            self.schedule.submit(self.turn, name, memory, lanes, left)
         self.pull()
 
     @rule()
@@ -290,14 +312,14 @@
         for copy in sorted(self.loading, key=lambda each: each.number):
             self.loading.discard(copy)
             self.live.add(copy)
-            self.schedule.loaded(copy, None)
+            self.schedule.load_finished(copy, None)
         self.pull()
 
     @rule(name=st.sampled_from("pqr"), memory=st.sampled_from([5.0, 15.0]), copies=st.sampled_from([0, 1, 1, 2, 3]))
     def hold(self, name, memory, copies):
         self.tell()
         self.turn += 1
-        self.schedule.hold(self.turn, name, memory, 1, copies)
+        self.schedule.prewarm(self.turn, name, memory, 1, copies)
         self.pull()
 
     @rule(at=st.integers(0, 20))
@@ -321,17 +343,19 @@
             return
         copy = sorted(self.loading, key=lambda each: each.number)[at % len(self.loading)]
         self.loading.discard(copy)
-        if real is not None and not self.schedule.fits(copy, real, 1, None):
+        if real is not None and not self.schedule.apply_manifest(copy, real, 1, None):
             outcome = "full"
         if outcome is None:
             self.live.add(copy)
-        self.schedule.loaded(copy, outcome)
+        self.schedule.load_finished(copy, outcome)
         self.pull()
 
     @rule(at=st.integers(0, 20))
     def answer_late(self, at):
         if self.stuck:
-            assert not self.schedule.answered(self.stuck[at % len(self.stuck)][0]), "an answer after the last word"
+            assert not self.schedule.request_answered(self.stuck[at % len(self.stuck)][0]), (
+                "an answer after the last word"
+            )
 
     @rule(at=st.integers(0, 20))
     def answer(self, at):
@@ -339,9 +363,9 @@
         keys = list(self.running)
         if keys:
             key = keys[at % len(keys)]
-            assert self.schedule.answered(key), "an answer that nobody waits for"
+            assert self.schedule.request_answered(key), "an answer that nobody waits for"
             del self.running[key], self.open[key]
-            assert not self.schedule.answered(key)
+            assert not self.schedule.request_answered(key)
             self.pull()
 
     @rule()
@@ -349,7 +373,7 @@
         self.tell()
         if self.stuck:
             _, copy = self.stuck.pop(0)
-            self.schedule.freed(copy)
+            self.schedule.lane_freed(copy)
             self.pull()
 
     @rule(at=st.integers(0, 20))
@@ -360,7 +384,7 @@
             self.live.discard(copy)
             self.running = {key: each for key, each in self.running.items() if each is not copy}
             self.stuck = [each for each in self.stuck if each[1] is not copy]
-            self.schedule.ended(copy)
+            self.schedule.replica_ended(copy)
             self.pull()
 
     @rule(at=st.integers(0, 20), part=st.sampled_from([0.5, 1.0, 1.5]))
@@ -368,29 +392,35 @@
         self.tell()
         if self.live:
             copy = sorted(self.live, key=lambda each: each.number)[at % len(self.live)]
-            self.schedule.measured(copy, copy.memory * part)
+            self.schedule.memory_measured(copy, copy.memory * part)
             self.pull()
 
     @rule(ms=st.sampled_from([1.0, 10.0, 30.0, 120.0, 1100.0]))
     def time(self, ms):
         self.now += ms
-        self.schedule.woke(self.now)
+        self.schedule.advance(self.now)
         self.pull()
 
     @invariant()
     def books(self):
         schedule = self.schedule
-        assert sum(copy.charge for copy in schedule._copies()) <= schedule.memory + 1e-9, "memory over budget"
-        assert set(self.open) == set(schedule.calls), "calls lost or kept"
-        assert schedule.running == len(self.running) + len(self.stuck) <= schedule.at_once
-        assert schedule.loading == len(self.loading) <= schedule.loads_at_once
+        assert sum(copy.charged_memory for copy in schedule.pool.replicas()) <= schedule.limits.memory + 1e-9, (
+            "memory over budget"
+        )
+        assert set(self.open) == set(schedule.requests), "calls lost or kept"
+        assert schedule.running == len(self.running) + len(self.stuck) <= schedule.limits.concurrency
+        assert schedule.pool.loading == len(self.loading) <= schedule.limits.load_concurrency
         for key in set(self.open) - set(self.running):  # no starvation: what waits has something that will serve it
-            program = schedule.programs[self.open[key]]
-            assert any(copy.state in ("queued", "loading", "standing") or copy.calls for copy in program.copies)
-        if schedule.running < schedule.at_once:
-            for program in schedule.programs.values():
+            program = schedule.pool.functions[self.open[key]]
+            assert any(
+                copy.state in (ReplicaState.QUEUED, ReplicaState.LOADING, ReplicaState.READY) or copy.requests
+                for copy in program.replicas
+            )
+        if schedule.running < schedule.limits.concurrency:
+            for program in schedule.pool.functions.values():
                 assert not program.waiting or not any(
-                    copy.state == "standing" and len(copy.calls) + copy.stuck < copy.lanes for copy in program.copies
+                    copy.state == ReplicaState.READY and len(copy.requests) + copy.stopping < copy.lanes
+                    for copy in program.replicas
                 )
 
 
--- a/tests/test_worker.py
+++ b/tests/test_worker.py
@@ -686,7 +686,9 @@
                     gate.run(name, fork=1)
                 self.assertTrue(until(lambda pid=pid, forks=forks: len(kids(pid)) == forks))
                 worker.measure()
-                told = next(house.copy.measured for house in worker.houses.values() if house.pid == pid)
+                told = next(
+                    each.replica.measured_memory for each in worker.replicas.processes.values() if each.pid == pid
+                )
                 real = sum(map(pss, [pid, *kids(pid)]))
                 self.assertLess(abs(told - real), 0.05 * real)
                 self.assertGreater(real, int(name[1:]))
--- a/wickdyke/settings/workshop.py
+++ b/wickdyke/settings/workshop.py
@@ -6,7 +6,7 @@
 from wickdyke.settings import address, check, sexp
 from wickdyke.settings.check import Field, Notes, count, number, record, size, span, text
 from wickdyke.settings.sexp import Spot
-from wickdyke.worker.schedule import Ramp
+from wickdyke.worker.ramp import Ramp
 
 
 @dataclass(slots=True)
--- /dev/null
+++ b/wickdyke/worker/parent_client.py
@@ -0,0 +1,74 @@
+"""The worker's side of the warm parent (parent.py): a process that forks replicas and reaps them."""
+
+import contextlib
+import socket
+import subprocess
+import sys
+from collections.abc import Iterator
+
+import msgspec
+
+from wickdyke.worker.copy import Order
+
+MESSAGE_BYTES = 1 << 16
+EXIT_TIMEOUT = 10.0  # s that it gets to end by itself
+
+
+class ParentEvent(msgspec.Struct):
+    """What the parent reports: the replica that `started`, with its process, or that `ended`, with its exit status."""
+
+    started: int | None = None
+    pid: int = 0
+    ended: int | None = None
+    status: int = 0
+
+
+class ParentClient:
+    """Starts the parent and sends it orders. An order is lost where the parent is gone; `events` then ends."""
+
+    def __init__(self) -> None:
+        self.control, remote = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
+        self.process = subprocess.Popen(
+            [sys.executable, "-m", "wickdyke.worker.parent", str(remote.fileno())],
+            pass_fds=(remote.fileno(),),
+            stdin=subprocess.DEVNULL,
+        )
+        remote.close()
+
+    @property
+    def pid(self) -> int:
+        """The parent's process."""
+        return self.process.pid
+
+    def start_replica(self, order: Order, sock: int, output: int) -> None:
+        """Forks a replica that is given both descriptors: its socket, and the pipe of its output."""
+        with contextlib.suppress(OSError):
+            socket.send_fds(self.control, [msgspec.json.encode(order)], [sock, output])
+
+    def end_replica(self, number: int) -> None:
+        """Kills a replica with all that it forked."""
+        with contextlib.suppress(OSError):
+            self.control.send(msgspec.json.encode({"end": number}))
+
+    def events(self) -> Iterator[ParentEvent]:
+        """What the parent reports, until it is gone."""
+        decoder = msgspec.json.Decoder(ParentEvent)
+        while data := self._receive():
+            yield decoder.decode(data)
+
+    def _receive(self) -> bytes:
+        try:
+            return self.control.recv(MESSAGE_BYTES)
+        except OSError:
+            return b""
+
+    def close(self) -> None:
+        """Ends the parent, and with it all replicas."""
+        with contextlib.suppress(OSError):
+            self.control.shutdown(socket.SHUT_RDWR)
+        try:
+            self.process.wait(EXIT_TIMEOUT)
+        except subprocess.TimeoutExpired:
+            self.process.kill()
+            self.process.wait()
+        self.control.close()
