--- a/wickdyke/worker/parent.py
+++ b/wickdyke/worker/parent.py
@@ -1,9 +1,6 @@
-"""The warm parent: a process without threads that has imported what copies need, forks them and reaps them.
+"""The warm parent: a process without threads that has imported what replicas need, forks them and reaps them.
 
-Orders come as messages on a socket pair with two descriptors each: the copy's socket and the pipe of its output.
-
-    worker to parent  Order, or {"end": NUMBER}       parent to worker  {"started": NUMBER, "pid": PID}
-                                                                        {"ended": NUMBER, "status": CODE}
+It takes StartReplica and EndReplica on a socket pair, and reports ReplicaStarted and ReplicaEnded there.
 """
 
 import ctypes
@@ -16,17 +13,13 @@
 
 import msgspec
 
-from wickdyke.worker import copy
-from wickdyke.worker.copy import Order
+from wickdyke.worker import replica_server
+from wickdyke.worker.replica_messages import EndReplica, ReplicaEnded, ReplicaStarted, StartReplica
 
 PR_SET_PDEATHSIG, PR_SET_CHILD_SUBREAPER = 1, 36  # linux/prctl.h
-MESSAGE = 1 << 20
-
-
-class End(msgspec.Struct):
-    """An order to end a copy, with all that it forked."""
-
-    end: int
+MESSAGE_BYTES = 1 << 20
+END_ROUNDS = 20  # looks for processes that are left, at the end
+END_INTERVAL = 0.01  # s between them
 
 
 def prctl(option: int, value: int) -> None:
@@ -39,8 +32,9 @@
 
     def __init__(self, control: socket.socket) -> None:
         self.control = control
-        self.pids: dict[int, int] = {}
-        self.numbers: dict[int, int] = {}
+        self.pids: dict[int, int] = {}  # by the replica's number
+        self.numbers: dict[int, int] = {}  # by the process
+        self.decoder = msgspec.json.Decoder(StartReplica | EndReplica)
 
     def serve(self) -> None:
         """Ends all there is when the worker's end of the socket is closed."""
@@ -57,40 +51,41 @@
                 if wake_in in ready:
                     os.read(wake_in, 4096)
                     self._reap()
-                if self.control in ready and not self._hear():
+                if self.control in ready and not self._receive():
                     return
         finally:
             self._end_all()
 
-    def _hear(self) -> bool:
+    def _receive(self) -> bool:
+        """Carries out one message; False where the worker is gone."""
         try:
-            data, descriptors, _, _ = socket.recv_fds(self.control, MESSAGE, 2)
+            data, descriptors, _, _ = socket.recv_fds(self.control, MESSAGE_BYTES, 2)
         except OSError:
             return False
         if not data:
             return False
-        if b'"end"' in data[:8]:
-            number = msgspec.json.decode(data, type=End).end
-            if number in self.pids:
-                self._kill(self.pids[number])
-            return True
-        order = msgspec.json.decode(data, type=Order)
-        sock, output = descriptors
+        message = self.decoder.decode(data)
+        if isinstance(message, StartReplica):
+            self._fork(message, *descriptors)
+        elif message.number in self.pids:
+            self._kill(self.pids[message.number])
+        return True
+
+    def _fork(self, order: StartReplica, sock: int, output: int) -> None:
         pid = os.fork()
         if pid == 0:
-            self._child(order, sock, output)
+            self._run_child(order, sock, output)
         os.close(sock)
         os.close(output)
         self.pids[order.number], self.numbers[pid] = pid, order.number
-        self._say({"started": order.number, "pid": pid})
-        return True
+        self._send(ReplicaStarted(order.number, pid))
 
-    def _child(self, order: Order, sock: int, output: int) -> None:
+    def _run_child(self, order: StartReplica, sock: int, output: int) -> None:
         code = 1
         try:
-            mother = os.getppid()
+            parent = os.getppid()
             prctl(PR_SET_PDEATHSIG, signal.SIGKILL)
-            if os.getppid() != mother:
+            if os.getppid() != parent:
                 os._exit(1)
             os.setsid()
             signal.set_wakeup_fd(-1)
@@ -101,20 +96,20 @@
             for old, new in ((null, 0), (output, 1), (output, 2)):
                 os.dup2(old, new)
             os.close(output)
-            copy.run(socket.socket(fileno=sock), order)
+            replica_server.run(socket.socket(fileno=sock), order)
             code = 0
-        except BaseException as bad:
+        except BaseException as error:
             try:
-                os.write(2, f"{type(bad).__name__}: {bad}\n".encode())
+                os.write(2, f"{type(error).__name__}: {error}\n".encode())
             except OSError:
                 pass
         finally:
             os._exit(code)
 
     def _kill(self, pid: int) -> None:
-        for kill, whom in ((os.killpg, pid), (os.kill, pid)):
+        for kill in (os.killpg, os.kill):
             try:
-                kill(whom, signal.SIGKILL)
+                kill(pid, signal.SIGKILL)
             except (ProcessLookupError, PermissionError):
                 pass
 
@@ -130,27 +125,26 @@
             if number is not None:
                 del self.pids[number]
                 self._kill(pid)  # what it forked and left behind in its session
-                self._say({"ended": number, "status": os.waitstatus_to_exitcode(status)})
+                self._send(ReplicaEnded(number, os.waitstatus_to_exitcode(status)))
             for stray in children(os.getpid()):
-                if stray not in self.numbers:  # forked by a copy into a session of its own, and left to us
+                if stray not in self.numbers:  # forked by a replica into a session of its own, and left to us
                     self._kill(stray)
 
     def _end_all(self) -> None:
         for pid in self.numbers:
             self._kill(pid)
-        me = os.getpid()
-        for _ in range(20):  # what copies forked into sessions of their own came to us when they ended
-            left = children(me)
-            for pid in left:
+        own_pid = os.getpid()
+        for _ in range(END_ROUNDS):  # what replicas forked into sessions of their own came to us when they ended
+            for pid in children(own_pid):
                 self._kill(pid)
             try:
                 while os.waitpid(-1, os.WNOHANG)[0]:
                     pass
             except ChildProcessError:
                 return
-            select.select([], [], [], 0.01)
+            select.select([], [], [], END_INTERVAL)
 
-    def _say(self, message: dict) -> None:
+    def _send(self, message: ReplicaStarted | ReplicaEnded) -> None:
         try:
             self.control.send(msgspec.json.encode(message))
         except OSError:
@@ -158,7 +152,7 @@
 
 
 def children(pid: int) -> list[int]:
-    """Its children, by the kernel's list of its only thread."""
+    """The children of a process, by the kernel's list of its only thread."""
     try:
         with open(f"/proc/{pid}/task/{pid}/children") as source:
             return [int(each) for each in source.read().split()]
--- a/wickdyke/worker/parent_client.py
+++ b/wickdyke/worker/parent_client.py
@@ -8,21 +8,12 @@
 
 import msgspec
 
-from wickdyke.worker.copy import Order
+from wickdyke.worker.replica_messages import EndReplica, ReplicaEnded, ReplicaStarted, StartReplica
 
 MESSAGE_BYTES = 1 << 16
 EXIT_TIMEOUT = 10.0  # s that it gets to end by itself
 
 
-class ParentEvent(msgspec.Struct):
-    """What the parent reports: the replica that `started`, with its process, or that `ended`, with its exit status."""
-
-    started: int | None = None
-    pid: int = 0
-    ended: int | None = None
-    status: int = 0
-
-
 class ParentClient:
     """Starts the parent and sends it orders. An order is lost where the parent is gone; `events` then ends."""
 
@@ -40,7 +31,7 @@
         """The parent's process."""
         return self.process.pid
 
-    def start_replica(self, order: Order, sock: int, output: int) -> None:
+    def start_replica(self, order: StartReplica, sock: int, output: int) -> None:
         """Forks a replica that is given both descriptors: its socket, and the pipe of its output."""
         with contextlib.suppress(OSError):
             socket.send_fds(self.control, [msgspec.json.encode(order)], [sock, output])
@@ -48,11 +39,11 @@
     def end_replica(self, number: int) -> None:
         """Kills a replica with all that it forked."""
         with contextlib.suppress(OSError):
-            self.control.send(msgspec.json.encode({"end": number}))
+            self.control.send(msgspec.json.encode(EndReplica(number)))
 
-    def events(self) -> Iterator[ParentEvent]:
+    def events(self) -> Iterator[ReplicaStarted | ReplicaEnded]:
         """What the parent reports, until it is gone."""
-        decoder = msgspec.json.Decoder(ParentEvent)
+        decoder = msgspec.json.Decoder(ReplicaStarted | ReplicaEnded)
         while data := self._receive():
             yield decoder.decode(data)
 
--- a/wickdyke/worker/replica_loader.py
+++ b/wickdyke/worker/replica_loader.py
@@ -8,10 +8,10 @@
 from wickdyke.worker import source
 from wickdyke.worker.actions import StartLoad
 from wickdyke.worker.cache import Cache, NoRoom
-from wickdyke.worker.copy import Order
 from wickdyke.worker.model import Rejection, Replica, ReplicaState
 from wickdyke.worker.open_requests import Recorder
 from wickdyke.worker.package import Manifest
+from wickdyke.worker.replica_messages import StartReplica
 from wickdyke.worker.replica_process import ReplicaProcess
 from wickdyke.worker.replica_supervisor import ReplicaSupervisor
 from wickdyke.worker.schedule_runner import ScheduleRunner, monotonic_ms
@@ -83,7 +83,7 @@
         output, output_writer = os.pipe()
         os.set_blocking(output, False)
         process = ReplicaProcess(replica, ours, output, digest)
-        order = Order(
+        order = StartReplica(
             replica.number, folder, manifest.entry, manifest.lanes, manifest.memory, dict(manifest.environment)
         )
         with self.runner.lock:
--- a/wickdyke/worker/replica_process.py
+++ b/wickdyke/worker/replica_process.py
@@ -9,8 +9,8 @@
 
 from wickdyke.protocol.lines import Lines, TooLong
 from wickdyke.transport.write_buffer import OutgoingMessage, PeerTooSlow, WriteBuffer
-from wickdyke.worker.copy import LINE
 from wickdyke.worker.model import Replica
+from wickdyke.worker.replica_messages import LINE_MOST, ReplicaMessage, WorkerMessage
 
 READ_BYTES = 1 << 18
 OUTPUT_BYTES = 1 << 16  # of what a replica prints that are read at once: a replica that prints more waits
@@ -18,17 +18,6 @@
 OUTPUT_LINE_BYTES = 300  # of a line that are logged
 
 
-class ReplicaMessage(msgspec.Struct):
-    """A line from a replica. `freed` is the number of a stopped request that has left its lane."""
-
-    ready: bool = False
-    failed: str | None = None
-    id: int | None = None
-    output: msgspec.Raw = msgspec.Raw(b"")
-    error: str | None = None
-    freed: int | None = None
-
-
 class ReplicaProcess:
     """One process. `digest` is that of its package, which it keeps in the cache while it lives.
 
@@ -37,7 +26,7 @@
 
     def __init__(self, replica: Replica, sock: socket.socket, output: int, digest: str) -> None:
         self.replica, self.sock, self.output, self.digest = replica, sock, output, digest
-        self.write_buffer = WriteBuffer(sock, 2 * LINE, f"replica {replica.number}")
+        self.write_buffer = WriteBuffer(sock, 2 * LINE_MOST, f"replica {replica.number}")
         self.pid = 0
         self.started = threading.Event()
         self.failure: str | None = None
@@ -45,13 +34,13 @@
 
     def run(self, number: int, content: msgspec.Raw) -> bool:
         """Hands it a request; False where it reads too little or is gone."""
-        return self._send({"id": number, "input": content})
+        return self._send(WorkerMessage(id=number, input=content))
 
     def stop(self, number: int) -> None:
         """Has it end a request."""
-        self._send({"stop": number})
+        self._send(WorkerMessage(stop=number))
 
-    def _send(self, message: dict) -> bool:
+    def _send(self, message: WorkerMessage) -> bool:
         try:
             self.write_buffer.put(OutgoingMessage(msgspec.json.encode(message) + b"\n"))
         except (OSError, PeerTooSlow):
@@ -60,7 +49,7 @@
 
     def messages(self) -> Iterator[ReplicaMessage]:
         """What it sends, until it is gone or sends what can't be used."""
-        lines, decoder = Lines(LINE), msgspec.json.Decoder(ReplicaMessage)
+        lines, decoder = Lines(LINE_MOST), msgspec.json.Decoder(ReplicaMessage)
         try:
             while data := self.sock.recv(READ_BYTES):
                 for line in lines.feed(data):
--- a/wickdyke/worker/replica_supervisor.py
+++ b/wickdyke/worker/replica_supervisor.py
@@ -4,8 +4,9 @@
 from wickdyke.worker.cache import Cache
 from wickdyke.worker.model import Replica, ReplicaState, Request
 from wickdyke.worker.open_requests import OpenRequests
-from wickdyke.worker.parent_client import ParentClient, ParentEvent
-from wickdyke.worker.replica_process import ReplicaMessage, ReplicaProcess
+from wickdyke.worker.parent_client import ParentClient
+from wickdyke.worker.replica_messages import ReplicaEnded, ReplicaMessage, ReplicaStarted
+from wickdyke.worker.replica_process import ReplicaProcess
 from wickdyke.worker.schedule import Schedule
 from wickdyke.worker.schedule_runner import ScheduleRunner
 
@@ -118,11 +119,11 @@
             with self.runner.lock:
                 self._parent_reported(event)
 
-    def _parent_reported(self, event: ParentEvent) -> None:
-        process = self.processes.get(event.started if event.started is not None else event.ended)
+    def _parent_reported(self, event: ReplicaStarted | ReplicaEnded) -> None:
+        process = self.processes.get(event.number)
         if process is None:
             return
-        if event.started is not None:
+        if isinstance(event, ReplicaStarted):
             process.pid = event.pid
             return
         replica = process.replica
