--- a/tests/test_storage_faults.py
+++ b/tests/test_storage_faults.py
@@ -17,7 +17,7 @@
 
 from tests import test_worker as rig
 from wickdyke.worker import cache as caches
-from wickdyke.worker import fetch, package, store
+from wickdyke.worker import package, store, store_client
 from wickdyke.worker.cache import PART, Cache, NoRoom
 from wickdyke.worker.source import Folder, Unknown
 
@@ -82,7 +82,7 @@
         for name in self.only:
             self.stack.enter_context(mock.patch.object(os, name, self.standing_in(name, getattr(os, name))))
         # zipfile reads what it is given by path through io.open: not a path that writes
-        for module in (caches, fetch, package, shutil):
+        for module in (caches, store_client, package, shutil):
             self.stack.enter_context(mock.patch.object(module, "open", self._opened(builtins.open), create=True))
         return self
 
@@ -430,7 +430,7 @@
         """The store service answers a failing folder with an error that is not `unknown`, on the same connection."""
         served = store.Store(self.path("st.sock"), self.path("s"), 1e9, 4, None)
         self.addCleanup(served.close)
-        service = fetch.Service(self.path("st.sock"))
+        service = store_client.StoreClient(self.path("st.sock"))
         real, wrong = os.listdir, [True]
 
         def listdir(path):
@@ -449,7 +449,7 @@
         """What comes can't be written: the fetch ends with that error, and the store is not asked again for it."""
         served = store.Store(self.path("st.sock"), self.path("s"), 1e9, 4, None)
         self.addCleanup(served.close)
-        service = fetch.Service(self.path("st.sock"))
+        service = store_client.StoreClient(self.path("st.sock"))
         found = service.find("p0")
         for error in ERRORS:
             with (
--- a/tests/test_worker.py
+++ b/tests/test_worker.py
@@ -31,10 +31,11 @@
 from wickdyke.settings.sexp import Unusable
 from wickdyke.worker import meter, package
 from wickdyke.worker.cache import PART, Cache, NoRoom
-from wickdyke.worker.fetch import Service
 from wickdyke.worker.runtime import Worker
+from wickdyke.worker.rate_limiter import RateLimiter
 from wickdyke.worker.source import Folder, Unknown
-from wickdyke.worker.store import Pace, Store
+from wickdyke.worker.store import Store
+from wickdyke.worker.store_client import StoreClient
 
 MANIFEST = (
     '(package "{name}" (version "{version}") (entry "main:run") (memory {memory} MB) (lanes {lanes})'
@@ -365,10 +366,10 @@
 
     def test_plain(self):
         self.store()
-        self.assertEqual(self.fetched(Service(self.path("s.sock"))), self.whole)
+        self.assertEqual(self.fetched(StoreClient(self.path("s.sock"))), self.whole)
         for program, words in (("q", "no package q"), ("p@2", "no package p@2"), ("../s/p", "names no package")):
             with self.subTest(program=program), self.assertRaisesRegex(Unknown, words):
-                Service(self.path("s.sock")).find(program)
+                StoreClient(self.path("s.sock")).find(program)
 
     def test_breaks(self):
         """(bytes let through on each connection) -> it reads on where it stopped, and what it has is right."""
@@ -386,7 +387,7 @@
 
                 with contextlib.suppress(FileNotFoundError):
                     os.unlink(self.path("m.sock"))
-                self.assertEqual(self.fetched(Service(self.between(play))), self.whole)
+                self.assertEqual(self.fetched(StoreClient(self.between(play))), self.whole)
                 self.assertGreaterEqual(len(seen), len(self.whole) // let)
 
     def test_nothing_comes(self):
@@ -405,8 +406,8 @@
 
                 with contextlib.suppress(FileNotFoundError):
                     os.unlink(self.path("m.sock"))
-                service = Service(self.between(play), quiet=100.0)
-                found = Service(self.path("s.sock")).find("p")
+                service = StoreClient(self.between(play), stall_timeout=100.0)
+                found = StoreClient(self.path("s.sock")).find("p")
                 with self.assertRaisesRegex(OSError, words):
                     service.fetch(found, self.path("got"))
                 self.assertEqual(len(tries), 4)
@@ -419,7 +420,7 @@
             while data := store.recv(65536):
                 client.sendall(data.replace(b"\x00\x00", b"\x00\x01"))
 
-        service = Service(self.between(play))
+        service = StoreClient(self.between(play))
         found = service.find("p")
         cache = Cache(self.path("c"), 10.0)
         with self.assertRaisesRegex(Unusable, "as the store said"):
@@ -429,7 +430,7 @@
     def test_replaced_while_read(self):
         """The archive is another one when it is read on: told so, not mixed. A store started anew goes on."""
         first = self.store()
-        service = Service(self.path("s.sock"))
+        service = StoreClient(self.path("s.sock"))
         found = service.find("p")
         first.close()
         self.store()
@@ -444,7 +445,7 @@
     def test_crowded(self):
         """More readers than stated are turned away, and come again."""
         self.store(pace=4 * len(self.whole), readers=1)
-        service, done = Service(self.path("s.sock")), []
+        service, done = StoreClient(self.path("s.sock")), []
         found = service.find("p")
         readers = [
             threading.Thread(target=lambda at=at: done.append(service.fetch(found, self.path(f"got{at}"))))
@@ -458,9 +459,9 @@
 
     def test_pace(self):
         """(sizes asked at once, then after a rest) -> when each may go."""
-        pace = Pace(1000.0)
-        self.assertEqual([pace.wait(0.0, size) for size in (100, 200, 50)], [0.0, 100.0, 300.0])
-        self.assertEqual([pace.wait(at, 100) for at in (340.0, 1000.0)], [10.0, 0.0])
+        pace = RateLimiter(1000.0)
+        self.assertEqual([pace.reserve(0.0, size) for size in (100, 200, 50)], [0.0, 100.0, 300.0])
+        self.assertEqual([pace.reserve(at, 100) for at in (340.0, 1000.0)], [10.0, 0.0])
 
     def test_worker(self):
         """A worker whose store is a service: loads through it; a store that is away is a miss, and then it is back."""
@@ -470,7 +471,7 @@
                 SHOP.format(memory=400, idle=60, cache=50, more="").replace('(folder "store")', '(service "s.sock")')
             )
         shop = workshop.read(self.path("w.sexp"))
-        worker = Worker(shop, Service(shop.service), logs.logger(io.StringIO(), False)[0])
+        worker = Worker(shop, StoreClient(shop.service), logs.logger(io.StringIO(), False)[0])
         worker.open()
         self.addCleanup(worker.close)
         gate = Gate(shop.listen)
--- a/wickdyke/cli/worker.py
+++ b/wickdyke/cli/worker.py
@@ -12,10 +12,10 @@
 from wickdyke.transport import termination
 from wickdyke.transport.line_server import AddressInUse
 from wickdyke.worker import package
-from wickdyke.worker.fetch import Service
 from wickdyke.worker.runtime import Worker
 from wickdyke.worker.source import Folder
 from wickdyke.worker.store import Store
+from wickdyke.worker.store_client import StoreClient
 
 BAD = 2
 
@@ -48,7 +48,7 @@
     trace = trace or shop.trace
     ended = termination.asked()
     try:
-        source = Folder(shop.folder) if shop.folder else Service(shop.service)
+        source = Folder(shop.folder) if shop.folder else StoreClient(shop.service)
         made = Worker(shop, source, log, Recorder(trace, shop.name) if trace else None, start)
         made.open()
     except AddressInUse as bad:
--- a/wickdyke/worker/source.py
+++ b/wickdyke/worker/source.py
@@ -1,4 +1,4 @@
-"""Where packages come from: a folder here; the store service in `fetch.py`. Both give the same face."""
+"""Where packages come from: a folder here; the store service in `store_client.py`. Both have the same interface."""
 
 import os
 import shutil
