--- a/tests/test_schedule.py
+++ b/tests/test_schedule.py
@@ -241,6 +241,24 @@
         self.assertEqual(said(pull(schedule)), [("refuse", "b", "draining"), ("unheld", "h", "draining")])
         self.assertTrue(schedule.request_answered("a"))
 
+    def test_no_load_is_begun_for_a_prewarm_that_fails_at_once(self):
+        """A replica ends and another function takes the room: what was queued for the first prewarm is not loaded."""
+        schedule = made(memory=40.0, at_once=3, loads_at_once=2)
+        schedule.prewarm("first", "p", 5.0, 1, 3)
+        loads = [it for verb, it, *_ in pull(schedule) if verb == "load"]
+        schedule.advance(1.0)
+        for replica in loads:
+            schedule.load_finished(replica, None)
+        pull(schedule)
+        schedule.advance(2.0)
+        schedule.replica_ended(loads[0])
+        pull(schedule)
+        schedule.advance(3.0)
+        schedule.prewarm("second", "q", 15.0, 1, 2)
+        acts = said(pull(schedule))
+        self.assertIn(("unheld", "first", "failed"), acts)
+        self.assertNotIn(("load", "p"), acts)
+
 
 class Machine(RuleBasedStateMachine):
     """Anything may come in any order; what must hold is checked at each decision and between events."""
--- a/wickdyke/worker/schedule.py
+++ b/wickdyke/worker/schedule.py
@@ -225,9 +225,9 @@
         for replica in self.pool.replicas():
             self._check_replica(replica)
         self._replace_draining()
-        self.pool.start_loads(self._is_wanted)
         self._run_waiting()
         self._answer_prewarms()
+        self.pool.start_loads(self._is_wanted)  # after the answers: a load for a prewarm that fails is not begun
         prewarmed = {prewarm.function for prewarm in self.prewarms.values()}
         for function in self.pool.forget_unused(prewarmed):
             self.run_timeouts.pop(function.name, None)
