--- a/bench/recording.py
+++ b/bench/recording.py
@@ -15,7 +15,7 @@
 from dataclasses import replace
 
 from bench.hollow import Draw, HollowFleet, Settings, listing
-from wickdyke.gateway.tape import Tape
+from wickdyke.gateway.recording import DecisionRecorder
 
 WORKERS, SPAN = 120, 24000.0
 
@@ -25,16 +25,16 @@
     settings = Settings(front_ends=20, zones=2, loads_on_call=bool(seed % 2), crossing=0.05 * (seed % 3), memory=4000.0)
     with tempfile.TemporaryDirectory() as folder:
         raw = os.path.join(folder, "tape")
-        tape = Tape(raw)
+        tape = DecisionRecorder(raw)
         fleet = HollowFleet(settings, [listing(number, 2, kind=0) for number in range(workers)], 1, seed, tape)
         fleet.clients(60.0, Draw(400, 0.9, seed), SPAN)
         chance, number = random.Random(seed), workers
         for at in range(2, int(SPAN / 1000), 2):
             fleet.run(at * 1000.0)
             leave = chance.sample(list(fleet.workers.values()), 6)
-            fleet.announce([replace(worker.listing, state="draining") for worker in leave[:3]])
-            fleet.announce([replace(worker.listing, state="gone") for worker in leave[3:]])
-            fleet.announce([listing(number + each, 2, born=fleet.now) for each in range(3)])
+            fleet.announce([replace(worker.endpoint, state="draining") for worker in leave[:3]])
+            fleet.announce([replace(worker.endpoint, state="gone") for worker in leave[3:]])
+            fleet.announce([listing(number + each, 2, started_at=fleet.now) for each in range(3)])
             for worker in chance.sample(list(fleet.workers.values()), 3):
                 worker.dead = not worker.dead
             number += 3
--- a/tests/acceptance_rig.py
+++ b/tests/acceptance_rig.py
@@ -6,10 +6,11 @@
 
 from tests import platform_rig as rig
 from tests import test_fleet
-from wickdyke.gateway import desk
-from wickdyke.interface import Timing
-from wickdyke.platform import serve
-from wickdyke.wire import loop
+from wickdyke.gateway import context
+from wickdyke.gateway.events import RequestReceived
+from wickdyke.routing.model import RoutePolicy
+from wickdyke.platform import service
+from wickdyke.transport import event_loop
 
 START = 1e9  # ms on the stand-in clock
 STEP = 5.0  # ms of it that pass between two turns
@@ -30,15 +31,15 @@
 CLASSES = ("look", "pay", "book")  # idempotent, side-effecting, with an idempotency key; `rent`'s is known in one zone
 KEY = "2d071f1f7aeaaed654f62e293c13f6a0"
 
-HEDGED = Timing(
-    soft=500.0,
-    attempt=None,
+HEDGED = RoutePolicy(
+    latency_objective=500.0,
+    attempt_timeout=None,
     attempts=4,
-    pause=(0.0, 1.0, 0.0, 0.0),
-    again=frozenset({"full", "unreached", "unsent", "error", "timeout", "cut"}),
-    second=(20.0, 2, 1.0),
-    budget=None,
-    queue=None,
+    backoff=(0.0, 1.0, 0.0, 0.0),
+    retryable=frozenset({"full", "unreached", "unsent", "error", "timeout", "cut"}),
+    hedge=(20.0, 2, 1.0),
+    budget_terms=None,
+    queue_timeout=None,
     priority=0,
 )
 
@@ -62,9 +63,9 @@
         self.now = START
         self.addCleanup(patch.stopall)
         stand_in = SimpleNamespace(**{**vars(time), "monotonic": lambda: self.now / 1000})
-        for module in (loop, desk):
+        for module in (event_loop, context):
             patch.object(module, "time", stand_in).start()
-        patch.object(serve, "LONGEST", 1.0).start()  # real ms of one wait: the clock does not move meanwhile
+        patch.object(service, "WAIT_MOST", 1.0).start()  # real ms of one wait: the clock does not move meanwhile
 
     def front_end(self, *workers, **more):
         self.listen = rig.free_address()  # its own: what failed before it may still hold the last
@@ -72,22 +73,24 @@
 
     def hedging(self):
         """From now on each request may be hedged 20 ms after its first attempt."""
-        take = self.serving.front.take
+        take = self.serving.client_server.post
 
         def timed(event):
-            if event[0] == "asked":
-                event[1].timing = HEDGED
+            if isinstance(event, RequestReceived):
+                event.pending.route_policy = HEDGED
             take(event)
 
-        self.serving.front.take = timed
+        self.serving.client_server.post = timed
 
     def attempts_out(self):
         """Orders that wait for a worker, of any kind."""
-        return sum(conn.load for link in self.serving.desk.links.values() for conn in link.all())
+        return sum(
+            conn.commands_in_flight for link in self.serving.coordinator.workers.clients.values() for conn in link.all()
+        )
 
     def settle(self):
         """Turns until workers have answered all that is out, and no time passes."""
-        self.until(lambda: not self.attempts_out() and self.serving.desk.events.empty(), "the workers' answers")
+        self.until(lambda: not self.attempts_out() and self.serving.coordinator.events.empty(), "the workers' answers")
 
     def later(self, span, step=STEP, settle=False):
         """Lets a time pass, a turn in each step; with `settle`, workers answer all within each."""
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -11,8 +11,8 @@
 
 from tests import platform_rig as rig, test_fleet
 from tests.helpers import Fleet, verbs
-from wickdyke.gateway.parts import ListChange
-from wickdyke.platform import roster, serve
+from wickdyke.gateway.interfaces import EndpointListChange
+from wickdyke.platform import endpoint_list, service
 
 HOUR, SECOND = 3_600_000.0, 1000.0
 UNIX = 1_700_000_000_000.0  # Unix ms at 0 of the monotonic clock, as long as no clock is stepped
@@ -40,15 +40,15 @@
     def __init__(self, clocks, known=(), connected=100.0):
         self.clocks, self.offset = clocks, 0
         self.connected_at = clocks.now + connected
-        self.roster = roster.Roster(("hall",), ("std",), clocks.ahead, lambda: self.connected_at)
+        self.roster = endpoint_list.EndpointList(("hall",), ("std",), clocks.ahead, lambda: self.connected_at)
         self.tell(rig.instance("old", "h:9"), *known, reset=True)
 
     def tell(self, *instances, reset=False):
         self.offset += 1
-        return self.roster.rows([rig.event(self.offset, *instances, reset=reset)], self.clocks.now)
+        return self.roster.apply([rig.event(self.offset, *instances, reset=reset)], self.clocks.now)
 
     def age(self, name):
-        return self.clocks.now - self.roster.listed[name][0].born
+        return self.clocks.now - self.roster.listed[name][0].started_at
 
 
 def late(name="a", started=0.0, **more):
@@ -66,7 +66,7 @@
             (True, 0.0, HOUR),
             (False, 60 * SECOND, 0.0),
             (False, 60 * SECOND, 700.0),
-            (False, 60 * SECOND, roster.PROMPT),
+            (False, 60 * SECOND, endpoint_list.PROMPT),
             (False, 1000.0, 1500.0),
         ):
             with self.subTest(known=known, after=after, age=age):
@@ -119,7 +119,7 @@
                 clocks.writers += step
                 view.tell(late(started=clocks.stamp(100.0)))
                 self.assertGreaterEqual(view.age("a"), 0.0)
-                self.assertLessEqual(view.age("a"), roster.PROMPT + roster.OUTAGE)
+                self.assertLessEqual(view.age("a"), endpoint_list.PROMPT + endpoint_list.OUTAGE)
 
     def test_a_start_in_the_future_is_now(self):
         """Told at the start or live: just started, and its age grows from here on."""
@@ -133,7 +133,7 @@
                     view.tell(late(started=stamp))
                 self.assertEqual(view.age("a"), 0.0)
                 clocks.now += 5 * SECOND
-                self.assertEqual(view.tell(late(started=stamp)), ListChange([], {}))
+                self.assertEqual(view.tell(late(started=stamp)), EndpointListChange([], {}))
                 self.assertEqual(view.age("a"), 5 * SECOND)
 
     def test_our_clock_is_stepped_between_its_two_readings_at_the_start(self):
@@ -142,10 +142,10 @@
             with self.subTest(step):
                 clocks = Clocks()
                 clocks.ours += step  # wrong at first, and right when the list is read
-                view = roster.Roster(("hall",), ("std",), clocks.ahead)
+                view = endpoint_list.EndpointList(("hall",), ("std",), clocks.ahead)
                 clocks.ours -= step
-                view.rows([rig.event(1, late(started=clocks.stamp(100.0)), reset=True)], clocks.now)
-                self.assertIn(clocks.now - view.listed["a"][0].born, (0.0, 100.0))
+                view.apply([rig.event(1, late(started=clocks.stamp(100.0)), reset=True)], clocks.now)
+                self.assertIn(clocks.now - view.listed["a"][0].started_at, (0.0, 100.0))
 
     def test_no_late_start_stays_none(self):
         """Whatever the clocks do, 0 is no late start."""
@@ -155,7 +155,7 @@
             clocks.now += 60 * SECOND
             clocks.ours += step
             view.tell(late("a", 0), late("b", None), rig.instance("c", "h:3"))
-            self.assertEqual([view.roster.listed[name][0].born for name in "abc"], [None] * 3)
+            self.assertEqual([view.roster.listed[name][0].started_at for name in "abc"], [None] * 3)
 
     def test_told_again_is_no_change(self):
         """(what comes between) -> the same start keeps its time: cold ones stay cold, long known ones warm."""
@@ -191,20 +191,20 @@
                 clocks.now += 60 * SECOND
                 clocks.writers += step
                 change = view.tell(late("a", clocks.stamp(100.0)))
-                self.assertEqual([row.ident for row in change.listings], ["a"])
-                self.assertTrue(0.0 <= view.age("a") <= roster.PROMPT)
+                self.assertEqual([row.ident for row in change.endpoints], ["a"])
+                self.assertTrue(0.0 <= view.age("a") <= endpoint_list.PROMPT)
 
     def test_deleted_starts_are_kept_within_a_bound(self):
         clocks = Clocks()
         view = View(clocks)
-        for at in range(roster.GONE_KEPT + 50):
+        for at in range(endpoint_list.GONE_KEPT + 50):
             clocks.now += 1
             row = late(f"n{at}", clocks.stamp())
             view.tell(row)
             view.tell({**row, "lifecycle": "DELETED"})
-        self.assertEqual(len(view.roster.gone_births), roster.GONE_KEPT)
-        self.assertIn(f"n{roster.GONE_KEPT + 49}", view.roster.gone_births)
-        self.assertEqual((len(view.roster), view.roster.births), (1, {}))
+        self.assertEqual(len(view.roster.gone_start_times), endpoint_list.GONE_KEPT)
+        self.assertIn(f"n{endpoint_list.GONE_KEPT + 49}", view.roster.gone_start_times)
+        self.assertEqual((len(view.roster), view.roster.start_times), (1, {}))
 
     def test_stamps_that_are_no_time(self):
         """The entry can't be used, those beside it can."""
@@ -238,7 +238,7 @@
         clocks.ours, clocks.writers = ours, writers
         view = View(clocks, [late("a", clocks.stamp(200.0))])
         told = {"a": clocks.stamp(200.0)}  # the stamps that each name was told with last
-        births = {"a": view.roster.listed["a"][0].born}  # and the time that this start was given
+        births = {"a": view.roster.listed["a"][0].started_at}  # and the time that this start was given
         for what, with_ in acts:
             last = view.roster.last_events
             if what in ("ours", "writers"):
@@ -258,18 +258,22 @@
                 view.tell(late(with_, told[with_], lifecycle="DELETED"))
             elif what == "whole":
                 view.tell(*(late(name, told[name]) for name in sorted(with_) if name in told), reset=True)
-            fresh = clocks.now - view.connected_at <= roster.PROMPT
-            most = roster.PROMPT + fresh * min(roster.OUTAGE, clocks.now - last)
+            fresh = clocks.now - view.connected_at <= endpoint_list.PROMPT
+            most = endpoint_list.PROMPT + fresh * min(endpoint_list.OUTAGE, clocks.now - last)
             for name, (listing, _) in view.roster.listed.items():
                 if name == "old":
                     continue
-                self.assertGreaterEqual(clocks.now - listing.born, 0.0)
+                self.assertGreaterEqual(clocks.now - listing.started_at, 0.0)
                 if name not in births:
-                    self.assertLessEqual(clocks.now - listing.born, most)
-                self.assertEqual(births.setdefault(name, listing.born), listing.born)
+                    self.assertLessEqual(clocks.now - listing.started_at, most)
+                self.assertEqual(births.setdefault(name, listing.started_at), listing.started_at)
 
     @settings(max_examples=200, deadline=None, derandomize=True)
-    @given(st.lists(st.tuples(st.integers(0, int(HOUR)), st.integers(0, int(roster.PROMPT))), min_size=1, max_size=20))
+    @given(
+        st.lists(
+            st.tuples(st.integers(0, int(HOUR)), st.integers(0, int(endpoint_list.PROMPT))), min_size=1, max_size=20
+        )
+    )
     def test_an_ordinary_day_is_exact(self, starts):
         """(ms until the next start is told, by how much late), no clock stepped: the very number of the clocks."""
         clocks = Clocks()
@@ -300,11 +304,11 @@
         listing = view.roster.listed["a"][0]
         fleet.list([listing])
         worker = fleet.fe.workers["a"]
-        self.assertTrue(fleet.fe.guards.cold(worker, fleet.clock))
-        self.assertFalse(fleet.fe.guards.cold(worker, fleet.clock + 18 * SECOND))
+        self.assertTrue(fleet.fe.slow_start.is_warming_up(worker, fleet.clock))
+        self.assertFalse(fleet.fe.slow_start.is_warming_up(worker, fleet.clock + 18 * SECOND))
         calls = 0
         for _ in range(60):
-            calls += verbs(fleet.take()).count("call")
+            calls += verbs(fleet.take()).count("forward")
         return calls
 
     def test_a_start_told_while_a_clock_is_stepped(self):
@@ -329,17 +333,17 @@
                 with self.subTest(when=when, step=step):
                     stepped = SimpleNamespace(ms=step if when == "before" else 0.0)
                     wall = SimpleNamespace(time=lambda stepped=stepped: time.time() + stepped.ms / 1000)
-                    with patch.object(serve, "time", wall):
+                    with patch.object(service, "time", wall):
                         source, one, two = self.made(rig.Bus()), self.worker(), self.worker()
                         serving = self.front_end(one.address, bus=source.address)
                         self.until(lambda source=source: source.asked)
                         stepped.ms = step
-                        started, began = int(time.time() * 1000), serve.clock()
+                        started, began = int(time.time() * 1000), service.clock()
                         source.event(rig.event(2, rig.instance("w1", two.address, startedAtMs=started)))
-                        self.until(lambda serving=serving: serving.roster.offset == 2)
-                        born = serving.desk.front_end.workers["w1"].cold_from
+                        self.until(lambda serving=serving: serving.endpoints.offset == 2)
+                        born = serving.coordinator.router.workers["w1"].warming_since
                         self.assertGreaterEqual(born, began - 1.0)  # the stamp is cut to whole ms
-                        self.assertLessEqual(born, serve.clock())
+                        self.assertLessEqual(born, service.clock())
                         self.end()
 
 
--- a/tests/test_desk.py
+++ b/tests/test_desk.py
@@ -16,8 +16,8 @@
 
 from tests.rig import LONG, Client, Running, hello, lines_of, ok, until, willing
 from wickdyke.gateway import log as logs
-from wickdyke.gateway import tape
-from wickdyke.wire.server import InUse, listener
+from wickdyke.gateway import recording
+from wickdyke.transport.line_server import AddressInUse, listener
 from wickdyke.protocol import back, jsonrpc
 from wickdyke.settings.roll import Row, written
 
@@ -117,14 +117,17 @@
                 client = running.client()
                 client.ask("x")
                 self.assertTrue(
-                    until(lambda running=running: running.desk.asks and next(iter(running.desk.asks.values())).orders)
+                    until(
+                        lambda running=running: running.coordinator.requests.by_id
+                        and next(iter(running.coordinator.requests.by_id.values())).commands
+                    )
                 )
                 if how == "cancel":
                     client.tell(jsonrpc.told_line("cancel", b'{"id":"x"}'))
                 else:
                     client.close()
                 self.assertTrue(cancelled.wait(LONG))
-                self.assertTrue(until(lambda running=running: not running.desk.asks))
+                self.assertTrue(until(lambda running=running: not running.coordinator.requests.by_id))
                 if how == "cancel":
                     client.ask("x")  # the id is free again
                 client.close()
@@ -134,11 +137,11 @@
         with Running((silent,)) as running:
             client = running.client()
             client.ask("x")
-            self.assertTrue(until(lambda: running.desk.asks))
-            first = next(iter(running.desk.asks.values()))
+            self.assertTrue(until(lambda: running.coordinator.requests.by_id))
+            first = next(iter(running.coordinator.requests.by_id.values()))
             client.tell(jsonrpc.told_line("cancel", b'{"id":"x"}'))
             client.ask("x")
-            self.assertTrue(until(lambda: any(ask is not first for ask in running.desk.asks.values())))
+            self.assertTrue(until(lambda: any(ask is not first for ask in running.coordinator.requests.by_id.values())))
             first.answer(b'{"wrong":1}')
             client.sock.settimeout(0.2)
             with self.assertRaises(TimeoutError):
@@ -150,9 +153,9 @@
         with Running((silent,), deadline="700 ms", soft="600 ms", more="(call-outs (cancel no))") as running:
             client = running.client()
             client.ask(1)
-            self.assertTrue(until(lambda: running.desk.asks))
+            self.assertTrue(until(lambda: running.coordinator.requests.by_id))
             client.close()
-            self.assertTrue(until(lambda: not running.desk.asks))
+            self.assertTrue(until(lambda: not running.coordinator.requests.by_id))
 
     def test_payload(self):
         """A payload of megabytes goes through as it is, to the worker and back."""
@@ -181,10 +184,10 @@
         with Running((deaf,), deadline="60 s", soft="50 s") as running:
             client = running.client()
             client.ask(1, input="x" * (8 << 20))
-            self.assertTrue(until(lambda: any(ask.orders for ask in running.desk.asks.values())))
+            self.assertTrue(until(lambda: any(ask.commands for ask in running.coordinator.requests.by_id.values())))
             client.close()
-            self.assertTrue(until(lambda: "link cut" in running.said.getvalue()))
-            self.assertTrue(until(lambda: not running.desk.asks))
+            self.assertTrue(until(lambda: "worker disconnected" in running.said.getvalue()))
+            self.assertTrue(until(lambda: not running.coordinator.requests.by_id))
 
 
 class Lists(unittest.TestCase):
@@ -202,7 +205,7 @@
             self.assertEqual(running.said.getvalue().count("list unusable"), 5)
             os.unlink(os.path.join(running.folder, "workers.sexp"))
             self.assertTrue(until(lambda: running.said.getvalue().count("list unusable") == 6))
-            self.assertEqual(len(list(running.desk.front_end.fleet.ready())), 1)
+            self.assertEqual(len(list(running.coordinator.router.fleet.ready())), 1)
 
     def test_changes(self):
         """(rows written) -> who is ready then."""
@@ -223,7 +226,9 @@
                 with self.subTest(rows=rows):
                     self.assertTrue(
                         until(
-                            lambda ready=ready: sorted(w.listing.ident for w in running.desk.front_end.fleet.ready())
+                            lambda ready=ready: sorted(
+                                w.endpoint.ident for w in running.coordinator.router.fleet.ready()
+                            )
                             == ready
                         )
                     )
@@ -235,9 +240,9 @@
             for at in range(40):
                 client.ask(at, program=f"p{at}")
                 self.assertIn("result", client.answer())
-                if not any(w.listing.ident == "w0" for w in running.desk.front_end.fleet.ready()):
+                if not any(w.endpoint.ident == "w0" for w in running.coordinator.router.fleet.ready()):
                     break
-            self.assertEqual([w.listing.ident for w in running.desk.front_end.fleet.ready()], ["w1"])
+            self.assertEqual([w.endpoint.ident for w in running.coordinator.router.fleet.ready()], ["w1"])
             client.close()
 
     def test_restart_is_known(self):
@@ -254,15 +259,15 @@
                 pass
 
         with Running((play,), more="") as running:
-            worker = running.desk.front_end.workers["w0"]
+            worker = running.coordinator.router.workers["w0"]
             again.set()
-            self.assertTrue(until(lambda: running.desk.front_end.workers["w0"] is not worker))
-            self.assertGreater(running.desk.front_end.workers["w0"].cold_from, time.monotonic() * 1000 - 20000)
+            self.assertTrue(until(lambda: running.coordinator.router.workers["w0"] is not worker))
+            self.assertGreater(running.coordinator.router.workers["w0"].warming_since, time.monotonic() * 1000 - 20000)
 
 
 def _ended(running):
     """Call-outs whose time was up, or that the module took back before."""
-    return running.desk.counts["call_outs_timeout"] + running.desk.counts["call_outs_cancelled"]
+    return running.coordinator.counts["attempts_timeout"] + running.coordinator.counts["attempts_cancelled"]
 
 
 class Routed(unittest.TestCase):
@@ -286,23 +291,25 @@
         with Running((silent, silent), routes=self.ROUTE % (9000, 1), tape=True) as running:
             client = running.client()
             client.ask(1, program="pa")
-            self.assertTrue(until(lambda: running.desk.asks))
-            before = next(iter(running.desk.asks.values())).timing
+            self.assertTrue(until(lambda: running.coordinator.requests.by_id))
+            before = next(iter(running.coordinator.requests.by_id.values())).route_policy
             for bad in (self.ROUTE % (200, 1), "(route", self.ROUTE % (9000, 9)):
                 said = running.said.getvalue().count("routes unusable")
                 running.route(bad)
                 self.assertTrue(until(lambda said=said: running.said.getvalue().count("routes unusable") == said + 1))
-            self.assertEqual(running.gateway.door.routes.find("idem", "p").terms.deadline, 9000)
+            self.assertEqual(running.gateway.client_server.checker.routes.find("idem", "p").terms.deadline, 9000)
             running.route(self.ROUTE % (7000, 2))
-            self.assertTrue(until(lambda: running.gateway.door.routes.find("idem", "p").terms.deadline == 7000))
+            self.assertTrue(
+                until(lambda: running.gateway.client_server.checker.routes.find("idem", "p").terms.deadline == 7000)
+            )
             client.ask(2, program="pb")
             answers = {each["id"]: each["error"]["data"]["why"] for each in (client.answer(), client.answer())}
             self.assertEqual(answers, {1: "timeout", 2: "timeout"})
             self.assertEqual((before.attempts, _ended(running)), (1, 3))
             client.close()
-            running.gateway.tape.close()
+            running.gateway.recorder.close()
             with open(running.station.tape, "rb") as source:
-                self.assertIsNone(tape.replay(source)[1])
+                self.assertIsNone(recording.replay(source)[1])
 
     def test_change_that_strands(self):
         """A budget that lives by its share is not taken from RPCs in flight: first a floor, then, once they are
@@ -315,7 +322,7 @@
         with Running((silent, silent), routes=bare % "", more="(call-outs (most 3) (dial 200 ms))") as running:
 
             def named():
-                return [route.name for route in running.gateway.door.routes.routes]
+                return [route.name for route in running.gateway.client_server.checker.routes.routes]
 
             def said():
                 return running.said.getvalue().count("routes unusable")
@@ -324,7 +331,9 @@
             self.assertTrue(until(lambda: said() == 1))
             self.assertIn('route \\"r\\" is gone', running.said.getvalue())
             running.route(bare % " (floor 1)")
-            self.assertTrue(until(lambda: running.gateway.door.routes.routes[0].stated["budget"][0].floor == 1))
+            self.assertTrue(
+                until(lambda: running.gateway.client_server.checker.routes.routes[0].stated["budget"][0].floor == 1)
+            )
             running.route(other)
             self.assertTrue(until(lambda: named() == ["s"]))
             self.assertLessEqual(said(), 2)
@@ -374,7 +383,7 @@
                 self.assertEqual(said["answer"], "denied")
                 if said["why"] == "load-failed":
                     self.assertLessEqual(0, said["retry_after_ms"])
-            self.assertGreater(running.desk.counts["turned_away_load-failed"], 20)
+            self.assertGreater(running.coordinator.counts["turned_away_load-failed"], 20)
             self.assertLess(sum(seen.values()), 20)
             client.ask("other", program="pgood")
             self.assertEqual(client.answer()["result"]["answer"], "ok")
@@ -438,10 +447,12 @@
                     for ident in range(3):
                         client.ask(ident, "side", input={"n": "bad"})
                         self.assertEqual(client.answer()["error"]["data"]["answer"], "aborted")
-                        self.assertTrue(until(lambda running=running: not running.desk.breaker.cuts))
-                        if "p" in running.desk.breaker.calls.barred:
+                        self.assertTrue(
+                            until(lambda running=running: not running.coordinator.isolation.breaker.unsettled)
+                        )
+                        if "p" in running.coordinator.isolation.breaker.requests.open_by_function:
                             break
-                    self.assertEqual("p" in running.desk.breaker.calls.barred, barred)
+                    self.assertEqual("p" in running.coordinator.isolation.breaker.requests.open_by_function, barred)
                     client.close()
 
 
@@ -461,29 +472,32 @@
             got = {client.answer()["id"] for _ in range(150)}
             self.assertEqual(got, set(range(150)))
             client.close()
-            running.gateway.door.shut()
-            running.desk.end()
-            running.gateway.tape.close()
+            running.gateway.client_server.shut()
+            running.coordinator.end()
+            running.gateway.recorder.close()
             with open(running.station.tape, "rb") as source:
                 lines = source.readlines()
-            running.desk.events.put(None)
-            alike, differs = tape.replay(lines)
+            running.coordinator.events.put(None)
+            alike, differs = recording.replay(lines)
             self.assertIsNone(differs)
             self.assertGreater(alike, 150)
-            at = next(n for n, line in enumerate(lines) if line.startswith(b'["decided",["call"'))
+            at = next(n for n, line in enumerate(lines) if line.startswith(b'["decided",["forward"'))
             changed = [*lines[:at], lines[at].replace(b'"w', b'"x'), *lines[at + 1 :]]
-            self.assertIn("decided", tape.replay(changed)[1])
+            self.assertIn("decided", recording.replay(changed)[1])
             cut_off = [*lines[:-1], lines[-1][:5]]
-            self.assertIsNone(tape.replay(cut_off)[1])
-            running.gateway.desk.end = lambda: None  # ended already
+            self.assertIsNone(recording.replay(cut_off)[1])
+            running.gateway.coordinator.end = lambda: None  # ended already
 
     def test_slow_disk(self):
         """A recording that can't be written as fast stops and says so; nobody waits for it."""
-        with tempfile.TemporaryDirectory(prefix="wd-") as folder, unittest.mock.patch.object(tape, "WAITING", 50):
+        with (
+            tempfile.TemporaryDirectory(prefix="wd-") as folder,
+            unittest.mock.patch.object(recording, "QUEUED_MOST", 50),
+        ):
             path = os.path.join(folder, "fifo")
             os.mkfifo(path)
             reader = os.open(path, os.O_RDONLY | os.O_NONBLOCK)
-            made = tape.Tape(path)
+            made = recording.DecisionRecorder(path)
             for at in range(100000):
                 made.heard(float(at), "left", ("x" * 100,))
                 if made.broken:
@@ -498,7 +512,7 @@
             os.close(reader)
             lines = b"".join(got).splitlines(keepends=True)
             self.assertEqual(lines[-1], b'["broken off"]\n')
-            self.assertEqual(len(list(tape.entries(lines))), len(lines) - 1)
+            self.assertEqual(len(list(recording.entries(lines))), len(lines) - 1)
 
 
 class Logs(unittest.TestCase):
@@ -507,7 +521,7 @@
         out, into = os.pipe()
         sink = os.fdopen(into, "w")
         with Running(sink=sink) as running:
-            for at in range(logs.WAITING + 5000):
+            for at in range(logs.QUEUED_MOST + 5000):
                 running.log.info("filler", at=at, more="x" * 100)
             self.assertTrue(until(lambda: running.scribe.lost > 0))
             client = running.client()
@@ -527,7 +541,7 @@
             sink = io.StringIO()
             log, scribe = logs.logger(sink, json, debug, gateway="g")
             log.info("one", worker="w")
-            log.debug("two", rpc=1, call_out=0)
+            log.debug("two", request=1, attempt=0)
             scribe.close()
             self.assertEqual("two" in sink.getvalue(), debug)
             self.assertIn(words, sink.getvalue().replace("gateway=g ", ""))
@@ -535,8 +549,8 @@
     def test_keys(self):
         for note, event, keys in (
             (
-                "worker w1 shunned for 1500 ms: cut, 3 of 4 bad",
-                "worker shunned for 1500 ms: cut, 3 of 4 bad",
+                "worker w1 ejected for 1500 ms: cut, 3 of 4 bad",
+                "worker ejected for 1500 ms: cut, 3 of 4 bad",
                 {"worker": "w1"},
             ),
             ("something else", "something else", {}),
@@ -614,7 +628,7 @@
         """A live owner is left alone; what a killed one left behind is replaced; a file is not touched."""
         with tempfile.TemporaryDirectory(prefix="wd-") as folder:
             process, path = self.serve(folder, silent)
-            with self.assertRaisesRegex(InUse, "somebody live"):
+            with self.assertRaisesRegex(AddressInUse, "somebody live"):
                 listener(path)
             process.kill()
             process.wait()
@@ -625,7 +639,7 @@
             plain = os.path.join(folder, "plain")
             with open(plain, "w") as out:
                 out.write("x")
-            with self.assertRaisesRegex(InUse, "no socket"):
+            with self.assertRaisesRegex(AddressInUse, "no socket"):
                 listener(plain)
             self.assertTrue(os.path.exists(plain))
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -22,9 +22,21 @@
 
 from tests import platform_rig as rig
 from tests.test_platform import Turned
-from wickdyke.interface import Method
-from wickdyke.platform import back, bus, front, resp, roster, serve, sse, station, thrift
-from wickdyke.wire import loop
+from wickdyke.platform import requests
+from wickdyke.gateway.interfaces import CommandKind
+from wickdyke.platform import worker_client, worker_command, connection_pool, worker_protocol, worker_connection
+from wickdyke.gateway.events import ClientClosed, EndpointsReceived
+from wickdyke.routing.model import RequestClass
+from wickdyke.platform import (
+    discovery,
+    resp,
+    endpoint_list,
+    service,
+    sse,
+    configuration,
+    thrift,
+)
+from wickdyke.transport import event_loop
 
 NOWHERE = "127.0.0.1:9"
 A, B, C = "a" * 16, "b" * 16, "c" * 16
@@ -45,7 +57,7 @@
     def none(*args, **more):
         raise OSError(errno.EMFILE, "Too many open files")
 
-    with patch.object(loop, "socket", SimpleNamespace(**{**vars(socket), "socket": none})):
+    with patch.object(event_loop, "socket", SimpleNamespace(**{**vars(socket), "socket": none})):
         yield
 
 
@@ -110,18 +122,18 @@
     def front_end(self, *workers, bus=NOWHERE, **more):
         self.write(bus, *workers, **more)
         self.log = Mock()
-        self.serving = serve.Serving(station.read(self.path), self.path, self.log)
+        self.serving = service.Service(configuration.read(self.path), self.path, self.log)
         self.addCleanup(self.end)
         self.serving.open()
         return self.serving
 
     def end(self):
-        for client in list(self.serving.front.clients.values()):
+        for client in list(self.serving.client_server.clients.values()):
             client.close()
-        for link in list(self.serving.desk.links.values()):
+        for link in list(self.serving.coordinator.workers.clients.values()):
             link.close()
-        self.serving.bus.close()
-        self.serving.front.shut()
+        self.serving.discovery.close()
+        self.serving.client_server.shut()
         self.serving.loop.close()
 
     def until(self, done, what="it"):
@@ -154,8 +166,8 @@
         whole = rig.dispatch(1, rig.fields(B), b"b")
         half.send(whole[:25])
         self.at_worker(1)
-        self.until(lambda: any(client.frames.begun for client in serving.front.clients.values()))
-        shut, waiting = serving.front.shut, []
+        self.until(lambda: any(client.frames.begun for client in serving.client_server.clients.values()))
+        shut, waiting = serving.client_server.shut, []
 
         def just_before():  # taken by the kernel, and not by the program, as the door is shut
             if not waiting:
@@ -163,11 +175,11 @@
                 waiting[0].send(rig.dispatch(1, rig.fields(C), b"c"))
             shut()
 
-        serving.front.shut = just_before
+        serving.client_server.shut = just_before
         serving._end(signal.SIGTERM, None)
-        serving.asked_to_end -= serve.GRACE  # it is long ago: the door is shut in the next turn
+        serving.shutdown_asked_at -= service.GRACE_PERIOD  # it is long ago: the door is shut in the next turn
         self.assertTrue(serving.turn())
-        self.assertTrue(serving.front.shut_down)
+        self.assertTrue(serving.client_server.shut_down)
         half.send(whole[25:])
         self.assertEqual(self.answer(waiting[0]), (1, "answer", b"did c"))
         self.assertEqual(self.answer(half), (1, "answer", b"did b"))
@@ -183,8 +195,8 @@
         client.send(rig.alive(1))
         self.answer(client)
         serving._end(signal.SIGTERM, None)
-        serving.asked_to_end -= serve.GRACE
-        flushed, sent = serving.front.flushed, []
+        serving.shutdown_asked_at -= service.GRACE_PERIOD
+        flushed, sent = serving.client_server.flushed, []
 
         def look():
             found = flushed()
@@ -193,7 +205,7 @@
                 sent.append(True)
             return found
 
-        serving.front.flushed = look
+        serving.client_server.flushed = look
         self.assertTrue(serving.turn())
         self.assertEqual(self.answer(client), (2, "answer", b"did a"))
         self.until(lambda: not serving.turn(), "the end")
@@ -201,13 +213,13 @@
     def test_the_time_counts_from_the_signal(self):
         """Also of one that comes in a signal's own turn, or before the front end serves: alive says no."""
         self.front_end()
-        before = loop.clock()
+        before = event_loop.clock()
         for handler in (signal.SIGTERM, signal.SIGINT):
             self.serving._end(handler, None)
-        self.assertTrue(before <= self.serving.asked_to_end <= loop.clock())
-        first = self.serving.asked_to_end
+        self.assertTrue(before <= self.serving.shutdown_asked_at <= event_loop.clock())
+        first = self.serving.shutdown_asked_at
         self.serving._end(signal.SIGTERM, None)
-        self.assertEqual(self.serving.asked_to_end, first)
+        self.assertEqual(self.serving.shutdown_asked_at, first)
         client = self.client()
         client.send(rig.alive(1))
         self.assertEqual(self.answer(client), (1, "bad", b""))
@@ -222,7 +234,7 @@
 
         with patch.object(socket, "socket", Noted):
             serving = self.front_end(self.worker().address)
-            serving.signals()
+            serving.handle_signals()
             for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
                 self.addCleanup(signal.signal, number, signal.SIG_DFL)
             os.kill(os.getpid(), signal.SIGTERM)
@@ -237,7 +249,7 @@
         return made
 
     def told(self, number):
-        self.until(lambda: self.serving.roster.offset >= number, f"event {number}")
+        self.until(lambda: self.serving.endpoints.offset >= number, f"event {number}")
 
     def test_a_new_configuration_while_a_worker_drains(self):
         """(where the drain is told) -> nothing goes there, and the numbers go on at the new address."""
@@ -265,7 +277,7 @@
     def test_a_whole_list_keeps_who_stays(self):
         """Links, cold time and state of a worker outlast a list sent whole, late or twice; another start does not."""
         # Real clocks: on a busy machine the steps below may take longer than an event may be late.
-        self.enterContext(patch.object(roster, "PROMPT", rig.LONG * 1000))
+        self.enterContext(patch.object(endpoint_list, "PROMPT", rig.LONG * 1000))
         source, one, two = self.lists(), self.worker(), self.worker()
         serving = self.front_end(one.address, two.address, bus=source.address)
         self.until(lambda: source.asked)
@@ -274,31 +286,33 @@
         source.event(rig.event(2, here))
         self.told(2)
         for name in ("w0", "w1"):
-            serving.desk._link(name)
-        books, links = dict(serving.desk.front_end.workers), dict(serving.desk.links)
+            serving.coordinator.workers.client(name)
+        books, links = dict(serving.coordinator.router.workers), dict(serving.coordinator.workers.clients)
         self.assertEqual(set(links), {"w0", "w1"})
-        cold = books["w1"].cold_from
+        cold = books["w1"].warming_since
         both = [rig.instance("w0", one.address), here]
         source.event(rig.event(3, *both, reset=True))
         source.event(rig.event(3, both[0], reset=True))  # the number came before: it changes nothing
         source.event(rig.event(4, {**both[0], "lifecycle": "DRAINING"}, both[1], reset=True))
         self.told(4)
-        workers = serving.desk.front_end.workers
-        self.assertEqual((workers, serving.desk.links, workers["w1"].cold_from), (books, links, cold))
-        self.assertEqual(workers["w0"].listing.state, "draining")
+        workers = serving.coordinator.router.workers
+        self.assertEqual(
+            (workers, serving.coordinator.workers.clients, workers["w1"].warming_since), (books, links, cold)
+        )
+        self.assertEqual(workers["w0"].endpoint.state, "draining")
         source.event(rig.event(5, both[0], {**here, "startedAtMs": start + 400}))  # drain over; another start
         self.told(5)
-        self.assertEqual((workers["w0"].listing.state, workers["w0"]), ("ready", books["w0"]))
+        self.assertEqual((workers["w0"].endpoint.state, workers["w0"]), ("ready", books["w0"]))
         self.assertIsNot(workers["w1"], books["w1"])
-        self.assertAlmostEqual(workers["w1"].cold_from, cold + 400, 3)
-        self.assertEqual(serving.desk.links, links)
+        self.assertAlmostEqual(workers["w1"].warming_since, cold + 400, 3)
+        self.assertEqual(serving.coordinator.workers.clients, links)
 
     def test_a_drain_and_its_end_at_once_is_no_change(self):
         source, one = self.lists(), self.worker()
         serving = self.front_end(one.address, bus=source.address)
         self.until(lambda: source.asked)
         row = rig.instance("w0", one.address)
-        before = dict(serving.desk.front_end.workers)
+        before = dict(serving.coordinator.router.workers)
         source.tell(
             "".join(
                 f"id: {told['offset']}\ndata: {json.dumps(told)}\n\n"
@@ -310,8 +324,8 @@
             ).encode()
         )
         self.told(4)
-        self.assertEqual(serving.desk.front_end.workers, before)
-        self.assertEqual(serving.desk.front_end.workers["w0"].listing.state, "ready")
+        self.assertEqual(serving.coordinator.router.workers, before)
+        self.assertEqual(serving.coordinator.router.workers["w0"].endpoint.state, "ready")
 
 
 class Asking(unittest.TestCase):
@@ -320,16 +334,16 @@
     def setUp(self):
         self.now, self.told = 0.0, []
         self.addCleanup(patch.stopall)
-        for module in (loop, bus):
+        for module in (event_loop, discovery):
             patch.object(module, "clock", lambda: self.now).start()
-        self.loop = loop.Loop()
+        self.loop = event_loop.EventLoop()
         self.addCleanup(self.loop.close)
         self.source = rig.Bus()
         self.addCleanup(self.source.close)
 
     def follow(self, address, most=200.0, seed=1):
         host, _, port = address.rpartition(":")
-        made = bus.Bus(self.loop, (host, int(port)), lambda: 7, self.told.extend, Mock(), most, seed)
+        made = discovery.DiscoveryClient(self.loop, (host, int(port)), lambda: 7, self.told.extend, Mock(), most, seed)
         self.addCleanup(made.close)
         made.open()
         return made
@@ -433,7 +447,7 @@
 class Timers(unittest.TestCase):
     def test_what_comes_again_comes_again_after_it_failed(self):
         faults, calls = [], []
-        made = loop.Loop(faults.append)
+        made = event_loop.EventLoop(faults.append)
         self.addCleanup(made.close)
 
         def fails():
@@ -448,7 +462,7 @@
 
     def test_a_number_that_is_used_again_within_a_turn(self):
         """One that is served ends another and makes a new socket, which gets its number: it is told nothing."""
-        made, told = loop.Loop(), []
+        made, told = event_loop.EventLoop(), []
         self.addCleanup(made.close)
         pairs = [socket.socketpair() for _ in range(2)]
         self.addCleanup(lambda: [end.close() for pair in pairs for end in pair])
@@ -497,13 +511,13 @@
     def test_a_request_that_came_to_one_that_is_to_make_room(self):
         """All places are taken, and the one of least use has just asked, unread: it is read, and another goes."""
         serving = self.front_end(self.worker().address)
-        serving.front.most = 3
+        serving.client_server.most = 3
         clients = [self.client() for _ in range(3)]
         for at, client in enumerate(clients):
             client.send(rig.alive(1))
             self.answer(client)
-            next(c for c in serving.front.clients.values() if c.number == at + 1).used = float(at)
-        read, asked = serving.front.readable, []
+            next(c for c in serving.client_server.clients.values() if c.number == at + 1).used = float(at)
+        read, asked = serving.client_server.readable, []
 
         def accept():  # between the kernel's word of the new connection and its being taken
             if not asked:
@@ -511,7 +525,7 @@
                 asked.append(True)
             read()
 
-        serving.front.readable = accept
+        serving.client_server.readable = accept
         more = self.client()
         more.send(rig.alive(1))
         self.assertEqual(self.answer(clients[0]), (2, "answer", b"did a"))
@@ -524,14 +538,16 @@
         client = self.client()
         client.send(rig.dispatch(1, rig.fields(A), b"a"))
         self.answer(client)
-        link = serving.desk.links["w0"]
-        kept = [weakref.ref(thing) for thing in (link.connections[0], next(iter(serving.front.clients.values())))]
+        link = serving.coordinator.workers.clients["w0"]
+        kept = [
+            weakref.ref(thing) for thing in (link.connections[0], next(iter(serving.client_server.clients.values())))
+        ]
         gc.disable()
         self.addCleanup(gc.enable)
         client.close()
-        self.until(lambda: not serving.front.clients)
+        self.until(lambda: not serving.client_server.clients)
         link.connections[0].end("idle")
-        serving.loop.timers.clear()  # when a connection would have been late
+        serving.loop.timers.heap.clear()  # when a connection would have been late
         self.assertEqual([each() for each in kept], [None, None])
 
     def test_who_leaves_while_its_call_out_waits_for_a_connection(self):
@@ -545,7 +561,7 @@
                     )
                     client = self.client()
                     client.send(rig.dispatch(1, rig.fields(A, "pay"), b"x"))
-                    link = serving.desk.links["w0"]
+                    link = serving.coordinator.workers.clients["w0"]
                     self.until(lambda link=link: any(conn.pending for conn in link.connections))
                     if how == "cancel":
                         client.send(rig.cancel(2, 1))
@@ -554,14 +570,14 @@
                     else:
                         if how != "close":
                             client.send(struct.pack(">i", -1))
-                            self.until(lambda s=serving: any(c.ending for c in s.front.clients.values()))
+                            self.until(lambda s=serving: any(c.ending for c in s.client_server.clients.values()))
                             client.sock.shutdown(socket.SHUT_WR)  # an end, with no reset for what it has not read
                         else:
                             client.close()
-                    self.until(lambda s=serving: s.desk.counts["left"], "its leaving")
+                    self.until(lambda s=serving: s.coordinator.counts["clients_gone"], "its leaving")
                     serving.turn()
-                    self.assertEqual(serving.desk.asks, {})
-                    self.assertFalse(any(conn.load for conn in link.connections))
+                    self.assertEqual(serving.coordinator.requests.by_id, {})
+                    self.assertFalse(any(conn.commands_in_flight for conn in link.connections))
                     self.assertEqual(self.faults(), [])
                     self.end()
 
@@ -573,20 +589,19 @@
                 serving = self.front_end(full.address, settings=self.settings(**{"dial-timeout": 60000000}))
                 client = self.client()
                 client.send(rig.dispatch(1, rig.fields(A, "pay"), b"x"))
-                link = serving.desk.links["w0"]
+                link = serving.coordinator.workers.clients["w0"]
                 self.until(lambda link=link: any(conn.pending for conn in link.connections))
-                serving.desk.take(
-                    (
-                        "rows",
+                serving.coordinator.post(
+                    EndpointsReceived(
                         [
                             rig.event(
                                 2, rig.instance("w0", full.address, lifecycle=state), rig.instance("w9", other.address)
                             )
-                        ],
+                        ]
                     )
                 )
                 self.assertEqual(self.answer(client), (1, "answer", b"did x"))
-                self.assertFalse(any(conn.load for conn in link.connections))
+                self.assertFalse(any(conn.commands_in_flight for conn in link.connections))
                 self.end()
 
     def test_between_two_call_outs(self):
@@ -597,9 +612,9 @@
         self.at_worker(1)
         client.close()
         gone = []
-        take = serving.front.take
-        serving.front.take = lambda event: (gone.append(event[0]), take(event))
-        self.until(lambda: "gone" in gone)
+        take = serving.client_server.post
+        serving.client_server.post = lambda event: (gone.append(type(event)), take(event))
+        self.until(lambda: ClientClosed in gone)
         sock, parts = self.held.pop()
         try:
             sock.sendall(rig.bulk(parts[1], b"AGAIN", b"-", b""))
@@ -607,7 +622,7 @@
             pass  # ended with the call-out
         for _ in range(4):
             serving.turn()
-        self.assertEqual((self.held, serving.desk.asks), ([], {}))
+        self.assertEqual((self.held, serving.coordinator.requests.by_id), ([], {}))
 
     def test_a_reset_under_an_answer(self):
         """The client's reset has come, unread, when the answer is written: its connection ends alone."""
@@ -621,17 +636,18 @@
         self.answer_held()
         self.answer_held(b"second")
         self.assertEqual(self.answer(good), (1, "answer", b"second"))
-        self.until(lambda: len(serving.front.clients) == 1)
-        self.assertEqual((serving.front.open, serving.desk.asks, self.faults()), ({}, {}, []))
+        self.until(lambda: len(serving.client_server.clients) == 1)
+        self.assertEqual((serving.client_server.open, serving.coordinator.requests.by_id, self.faults()), ({}, {}, []))
 
     def test_nothing_more_of_an_rpc_that_was_answered(self):
         """A call-out that has not begun as another one answers never goes out."""
         order = Mock()
-        order.link.unsend.return_value = True
+        order.worker_client.withdraw_unsent.return_value = True
         self.front_end(self.worker().address)
-        ask = Mock(orders={"one": order}, told=None)
-        self.serving.desk._final(ask, "ok", b"", 1)
-        order.link.unsend.assert_called_once_with(order)
+        ask = Mock(commands={"one": order}, router_id=None)
+        ask.succeed.__name__ = "succeed"
+        self.serving.coordinator.requests.answer(ask, ask.succeed, b"", 1)
+        order.worker_client.withdraw_unsent.assert_called_once_with(order)
 
 
 class Dialled(Turned):
@@ -639,13 +655,13 @@
 
     def setUp(self):
         super().setUp()
-        self.pool = back.Pool(20)
+        self.pool = connection_pool.ConnectionPool(20)
 
     def link(self, address, dial=40.0):
-        made = back.Link(
+        made = worker_client.WorkerClient(
             "w",
             address,
-            lambda *event: self.told.append((event[2].ident, event[3])),
+            lambda event: self.told.append((event.command.ident, event.outcome)),
             self.loop,
             self.pool,
             dial,
@@ -655,8 +671,10 @@
         self.addCleanup(made.close)
         return made
 
-    def order(self, ident=ASCII_A, kind="run"):
-        return back.Order(kind, None, ident, resp.command(b"invoke", ident, b"lane=look,name=x,ttl=9", b"b"))
+    def order(self, ident=ASCII_A, kind=CommandKind.ATTEMPT):
+        return worker_command.Command(
+            kind, None, ident, resp.command(b"invoke", ident, b"lane=look,name=x,ttl=9", b"b")
+        )
 
     def held(self):
         """A link to a worker that answers nothing by itself, and what came there: (socket, command)."""
@@ -668,16 +686,18 @@
 
     def elsewhere(self, link):
         """From now on nobody lets that link in; where it went before."""
-        here, (host, _, port) = link.at, Full(self).address.rpartition(":")
-        link.at = host, int(port)
+        here, (host, _, port) = link.target, Full(self).address.rpartition(":")
+        link.target = host, int(port)
         return here
 
     def test_one_late_connection_is_not_a_worker_that_is_away(self):
         """The first that does not come up is tried again; with the second in a row nobody is there."""
         link = self.link(Full(self).address)
         dials = []
-        init = back.Connection.__init__
-        with patch.object(back.Connection, "__init__", lambda *to: (dials.append(list(self.told)), init(*to))[1]):
+        init = worker_connection.WorkerConnection.__init__
+        with patch.object(
+            worker_connection.WorkerConnection, "__init__", lambda *to: (dials.append(list(self.told)), init(*to))[1]
+        ):
             link.send(self.order())
             self.until(lambda: self.told)
         self.assertEqual((dials, self.told), ([[], []], [(ASCII_A, "unreached")]))
@@ -687,19 +707,19 @@
         for at in range(5):
             link.send(self.order(b"%016d" % at))
         for conn in list(link.connections):
-            conn._late()
-        self.assertEqual((link.misses, self.told, len(link.connections)), (1, [], 5))
-        link.connections[0]._late()
+            conn._timed_out()
+        self.assertEqual((link.timeouts_in_row, self.told, len(link.connections)), (1, [], 5))
+        link.connections[0]._timed_out()
         self.assertEqual([outcome for _, outcome in self.told], ["unreached"])
 
     def test_one_that_came_up_takes_the_misses_back(self):
         worker = rig.Worker()
         self.addCleanup(worker.close)
         link = self.link(worker.address, dial=60000.0)
-        link.misses = 1
+        link.timeouts_in_row = 1
         link.send(self.order())
         self.until(lambda: self.told)
-        self.assertEqual((self.told, link.misses), ([(ASCII_A, "ok")], 0))
+        self.assertEqual((self.told, link.timeouts_in_row), ([(ASCII_A, "ok")], 0))
 
     def test_what_waits_for_a_connection_goes_on_one_that_idles(self):
         link, held = self.held()
@@ -707,7 +727,7 @@
         self.until(lambda: held)
         self.elsewhere(link)
         link.send(self.order(ASCII_B))
-        self.assertEqual([conn.load for conn in link.connections], [1, 1])
+        self.assertEqual([conn.commands_in_flight for conn in link.connections], [1, 1])
         for at in range(2):
             self.until(lambda at=at: len(held) > at)
             held[at][0].sendall(rig.bulk(held[at][1][1], b"ACK", b"-", b""))
@@ -717,15 +737,15 @@
 
     def test_a_drain_ends_what_has_not_gone(self):
         """(told how) -> what waits for a connection ends as never sent; nothing goes out later."""
-        for how in ("recall", "retire"):
+        for how in ("withdraw_all_unsent", "drain"):
             with self.subTest(how):
                 self.told.clear()
                 link = self.link(Full(self).address, dial=60000.0)
                 link.send(self.order())
-                link.send(self.order(b"t1", "hold"))
+                link.send(self.order(b"t1", CommandKind.PREWARM))
                 getattr(link, how)()
                 self.assertEqual(sorted(self.told), [(ASCII_A, "unsent"), (b"t1", "unsent")])
-                self.assertEqual([conn.load for conn in link.all()], [0] * len(link.all()))
+                self.assertEqual([conn.commands_in_flight for conn in link.all()], [0] * len(link.all()))
 
     def test_no_descriptor_is_no_word_of_the_worker(self):
         worker = rig.Worker()
@@ -733,7 +753,7 @@
         link = self.link(worker.address)
         with no_descriptor():
             link.send(self.order())
-            link.send(self.order(b"t1", "probe"))
+            link.send(self.order(b"t1", CommandKind.HEALTH_CHECK))
         self.assertEqual(self.told, [(ASCII_A, "unsent"), (b"t1", "unsent")])
         self.assertEqual((self.pool.used, link.all()), (0, []))
         link.send(self.order(ASCII_B))
@@ -749,7 +769,7 @@
         self.until(lambda: link.connections and link.connections[0].up)
         with no_descriptor():
             self.until(lambda: self.told)
-        self.assertEqual((self.told, link.doubt, link.check), ([(ASCII_A, "error")], [], None))
+        self.assertEqual((self.told, link.unresolved, link.probe_connection), ([(ASCII_A, "error")], [], None))
 
     def test_a_late_check_is_made_again_before_a_worker_is_gone(self):
         """(dials that come to nothing after the cut) -> error where a later one is met, cut where none is."""
@@ -760,12 +780,12 @@
                 self.until(lambda held=held: held)
                 here = self.elsewhere(link)
                 held[0][0].shutdown(socket.SHUT_RDWR)
-                self.until(lambda link=link: link.check is not None)
+                self.until(lambda link=link: link.probe_connection is not None)
                 for _ in range(misses):
                     self.assertEqual(self.told, [])
                     if misses == 1:
-                        link.at = here
-                    link.check._late()
+                        link.target = here
+                    link.probe_connection._timed_out()
                 self.until(lambda: self.told)
                 self.assertEqual(self.told, [(ASCII_A, outcome)])
 
@@ -778,20 +798,20 @@
                 self.until(lambda held=held: held)
                 self.elsewhere(link)
                 held[0][0].shutdown(socket.SHUT_RDWR)
-                self.until(lambda link=link: link.doubt)
+                self.until(lambda link=link: link.unresolved)
                 if how == "cancel":
                     self.assertEqual(link.cancel(order, lambda: None), "cancelled")
                 elif how == "forget":
-                    self.assertTrue(link.forget(order))
+                    self.assertTrue(link.abandon(order))
                 else:
-                    link.retire()
+                    link.drain()
                     self.assertFalse(link.closed)
-                self.assertFalse(link.unsend(order))
+                self.assertFalse(link.withdraw_unsent(order))
                 for _ in range(2):
-                    if link.check is not None:
-                        link.check._late()
+                    if link.probe_connection is not None:
+                        link.probe_connection._timed_out()
                 self.assertEqual(self.told, [(ASCII_A, "cut")] if how == "retire" else [])
-                self.assertEqual((link.doubt, link.closed), ([], how == "retire"))
+                self.assertEqual((link.unresolved, link.closed), ([], how == "retire"))
 
     def test_an_answer_that_stops_short(self):
         """The connection is of no further use, also where its call-out was only forgotten or ended by itself."""
@@ -804,8 +824,8 @@
                 held[0][0].sendall(whole[:-4] if how == "forget" else whole + whole[:-4])
                 self.until(lambda link=link: link.connections[0].answers.begun)
                 if how == "forget":
-                    self.assertTrue(link.forget(order))
-                self.assertFalse(any(conn.takes(ASCII_B) for conn in link.connections))
+                    self.assertTrue(link.abandon(order))
+                self.assertFalse(any(conn.accepts(ASCII_B) for conn in link.connections))
                 link.send(self.order(ASCII_B))
                 self.until(lambda held=held: len(held) == 2)
                 self.assertIsNot(held[0][0], held[1][0])
@@ -900,12 +920,14 @@
                 given["limits"]["sockets"] = limit
                 with open(path, "w") as out:
                     json.dump(given, out)
-                made = serve.Serving(station.read(path), path, Mock())
+                made = service.Service(configuration.read(path), path, Mock())
                 self.addCleanup(made.loop.close)
-                most, used = made.front.most + made.speech.pool.most, serve.descriptors(limit)
-                self.assertLessEqual(most + used + serve.KEPT - 1, limit)  # the loop's own was made in between
+                most, used = made.client_server.most + made.protocol.pool.most, service.open_descriptors(limit)
+                self.assertLessEqual(
+                    most + used + service.DESCRIPTORS_RESERVED - 1, limit
+                )  # the loop's own was made in between
                 self.assertGreater(most, limit / 2)
-                self.assertLessEqual(made.front.most, made.speech.pool.most)
+                self.assertLessEqual(made.client_server.most, made.protocol.pool.most)
 
 
 class CustomersOfOthers(unittest.TestCase):
@@ -915,14 +937,14 @@
         methods = {
             m.name: m
             for m in (
-                Method("look", "idempotent", "all", 0.0, 1.0, 0.0, 9.0, 1.0, 0.1),
-                Method("book", "tokened", "zone", 9.0, 1.0, 0.0, 9.0, 1.0, 0.1),
+                RequestClass("look", "idempotent", "all", 0.0, 1.0, 0.0, 9.0, 1.0, 0.1),
+                RequestClass("book", "tokened", "zone", 9.0, 1.0, 0.0, 9.0, 1.0, 0.1),
             )
         }
 
         def read(**more):
             given = {k: v for k, v in rig.fields(**more).items() if v is not None}
-            return front.checked(thrift.Message("dispatch", 1, given, b"", 0), methods, ("north", "south"))[1]
+            return requests.check(thrift.Message("dispatch", 1, given, b"", 0), methods, ("north", "south"))[1]
 
         call = read(
             t="north",
@@ -952,17 +974,23 @@
             {"c": "book"},
             {"zz": "1"},
         ):
-            with self.subTest(more), self.assertRaises(front.Unfit):
+            with self.subTest(more), self.assertRaises(requests.InvalidRequest):
                 read(**more)
 
     def test_the_key_goes_on_to_the_worker(self):
-        speech = back.Speech(Mock(), SimpleNamespace(seat=SimpleNamespace(report=())), Mock(), 9)
+        speech = worker_protocol.PlatformWorkerProtocol(
+            Mock(), SimpleNamespace(instance=SimpleNamespace(report_fields=())), Mock(), 9
+        )
         for token, told in (("", b"lane=book,name=f,ttl=5"), ("k1", b"lane=book,name=f,ttl=5,dedupe=k1")):
             call_out = Mock()
-            call_out.rpc.method.name, call_out.rpc.program.name = "book", "f"
+            call_out.request.request_class.name, call_out.request.function.name = "book", "f"
             ask = SimpleNamespace(call=SimpleNamespace(ident=ASCII_A, token=token, input=b"x"))
-            with patch.object(back, "clock", lambda: 1000.0):  # no time passes: the command has what is left by then
-                line = speech.run(call_out, ask, 5.0).line
+            # No time passes: the command has what is left by then.
+            with (
+                patch.object(worker_protocol, "clock", lambda: 1000.0),
+                patch.object(worker_command, "clock", lambda: 1000.0),
+            ):
+                line = speech.attempt_command(call_out, ask, 5.0).render()
             self.assertEqual(line, resp.command(b"invoke", ASCII_A, told, b"x"))
 
 
@@ -974,10 +1002,10 @@
         client = self.client()
         client.send(rig.dispatch(1, rig.fields(A, "pay", d="400"), b"slow"))
         self.assertEqual(self.answer(client)[1], "fault")
-        link = serving.desk.links["w0"]
-        self.assertEqual((len(self.held), [conn.load for conn in link.connections]), (1, [1]))
-        self.until(lambda: not any(conn.load for conn in link.connections), "its place")
-        self.assertEqual((worker.came(b"abort"), serving.desk.asks, link.connections), ([], {}, []))
+        link = serving.coordinator.workers.clients["w0"]
+        self.assertEqual((len(self.held), [conn.commands_in_flight for conn in link.connections]), (1, [1]))
+        self.until(lambda: not any(conn.commands_in_flight for conn in link.connections), "its place")
+        self.assertEqual((worker.came(b"abort"), serving.coordinator.requests.by_id, link.connections), ([], {}, []))
 
 
 if __name__ == "__main__":
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -15,11 +15,14 @@
 from unittest.mock import Mock, patch
 
 from tests import platform_rig as rig
-from wickdyke.gateway.parts import ListChange
-from wickdyke.interface import Method
-from wickdyke.platform import back, front, resp, roster, sse, station, thrift
-from wickdyke.platform.serve import Serving
-from wickdyke.wire.loop import Loop, clock
+from tests.rig import plain
+from wickdyke.platform import worker_command, connection_pool, worker_results
+from wickdyke.gateway.events import ClientClosed, RequestReceived
+from wickdyke.gateway.interfaces import CommandKind, EndpointListChange
+from wickdyke.routing.model import RequestClass
+from wickdyke.platform import worker_client, client_server, resp, endpoint_list, sse, configuration, thrift
+from wickdyke.platform.service import Service
+from wickdyke.transport.event_loop import EventLoop, clock
 
 GOOD = rig.message(
     "dispatch", 7, b"\x0d\x00\x01" + rig.table({"c": "look"}) + b"\x0b\x00\x02" + rig.text(b"hi") + b"\x00"
@@ -62,7 +65,7 @@
             frames = thrift.Frames()
             got = [f for at in range(0, len(stream), size) for f in frames.feed(stream[at : at + size])]
             self.assertEqual((got, frames.begun), ([b"abc", b"de"], False))
-        for length in (-1, 0, thrift.FRAME + 1, 60 << 20):
+        for length in (-1, 0, thrift.FRAME_SIZE_MOST + 1, 60 << 20):
             with self.subTest(length), self.assertRaises(thrift.Unreadable):
                 thrift.Frames().feed(struct.pack(">i", length))
         after = thrift.Frames()  # what was whole before it counts
@@ -93,13 +96,13 @@
         ):
             with self.subTest(name):
                 answers = resp.Answers()
-                with self.assertRaises(resp.Spoilt):
+                with self.assertRaises(resp.InvalidAnswer):
                     answers.feed(rig.bulk(b"a", b"ACK", b"-", b"") + raw)
                 self.assertEqual(len(answers.whole), 1)
 
     def test_endings(self):
         """(answer) -> outcome, standing, company, copies, report; or spoilt."""
-        names = ("busy", "held")
+        names = ("utilization", "in_flight")
         for answer, told in (
             ([b"i", b"ACK", b"why=w,ahead=3,rep=inflight:7;util:0.61", b"x"], ("ok", "stood", 3, 0, (0.61, 7.0))),
             ([b"i", b"ACK", b"rep=outstanding:7;utilization:0.61", b""], ("ok", None, 0, 0, (0.61, 7.0))),
@@ -116,10 +119,10 @@
         ):
             with self.subTest(answer):
                 if told is None:
-                    self.assertRaises(resp.Spoilt, back.ending, answer, names)
+                    self.assertRaises(resp.InvalidAnswer, worker_results.read_result, answer, names)
                 else:
-                    got = back.ending(answer, names)
-                    self.assertEqual((got.outcome, got.standing, got.company, got.copies, got.report), told)
+                    got = worker_results.read_result(answer, names)
+                    self.assertEqual((got.outcome, got.load_note, got.concurrent, got.replicas, got.report), told)
 
 
 class List(unittest.TestCase):
@@ -129,8 +132,8 @@
             events = sse.Events()
             got = [e for at in range(0, len(stream), size) for e in events.feed(stream[at : at + size])]
             self.assertEqual([(e.ident, e.data) for e in got], [("3", '{"a":\n1}'), ("4", "b")])
-        with self.assertRaises(sse.TooMuch):
-            sse.Events().feed(b"data: " + b"x" * (sse.EVENT + 1))
+        with self.assertRaises(sse.EventTooLarge):
+            sse.Events().feed(b"data: " + b"x" * (sse.EVENT_SIZE_MOST + 1))
 
     def test_the_view(self):
         """(events) -> changes as (name, state), then where all are."""
@@ -158,26 +161,26 @@
             ("no list at all", [{"offset": 2, "topology": 5}, {"offset": 3}], [], {"a": "h:1"}),
         ):
             with self.subTest(name):
-                view = roster.Roster(("hall",), ("std", "slow"), lambda: 1000.0)
-                view.rows([rig.event(1, a, reset=True)], 0.0)
-                change = view.rows(events, 0.0)
-                self.assertEqual(sorted((row.ident, row.state) for row in change.listings), changes)
+                view = endpoint_list.EndpointList(("hall",), ("std", "slow"), lambda: 1000.0)
+                view.apply([rig.event(1, a, reset=True)], 0.0)
+                change = view.apply(events, 0.0)
+                self.assertEqual(sorted((row.ident, row.state) for row in change.endpoints), changes)
                 self.assertEqual({at: view.address(at) for at in view.listed}, addresses)
                 moved = {at for at in {"a", *addresses} if {"a": "h:1"}.get(at) != addresses.get(at)}
                 self.assertEqual(change.addresses, {at: addresses.get(at) for at in moved})
 
     def test_a_start_time_read_twice_is_the_same_start(self):
-        view = roster.Roster(("hall",), ("std",), lambda: 1000.5)
+        view = endpoint_list.EndpointList(("hall",), ("std",), lambda: 1000.5)
         late = rig.instance("a", "h:1", startedAtMs=5000)
-        self.assertEqual(view.rows([rig.event(1, late)], 4000.0).listings[0].born, 3999.5)
-        self.assertEqual(view.rows([rig.event(2, late)], 4099.0), ListChange([], {}))
+        self.assertEqual(view.apply([rig.event(1, late)], 4000.0).endpoints[0].started_at, 3999.5)
+        self.assertEqual(view.apply([rig.event(2, late)], 4099.0), EndpointListChange([], {}))
 
 
 class Turned(unittest.TestCase):
     """What is turned by a loop in the test's own thread."""
 
     def setUp(self):
-        self.loop, self.told = Loop(), []
+        self.loop, self.told = EventLoop(), []
         self.addCleanup(self.loop.close)
 
     def until(self, done, what="it"):
@@ -230,27 +233,27 @@
     def link(self, play=None, dial=5000.0, most=20):
         self.worker = rig.Worker(play)
         self.addCleanup(self.worker.close)
-        self.pool = back.Pool(most)
-        link = back.Link(
+        self.pool = connection_pool.ConnectionPool(most)
+        link = worker_client.WorkerClient(
             "w",
             self.worker.address,
-            lambda *event: self.told.append(event),
+            lambda event: self.told.append(plain(event)),
             self.loop,
             self.pool,
             dial,
             10000.0,
-            ("busy", "held"),
+            ("utilization", "in_flight"),
         )
         self.addCleanup(link.close)
         return link
 
-    def order(self, ident=b"9b1f03aa5c7e2d41", kind="run"):
+    def order(self, ident=b"9b1f03aa5c7e2d41", kind=CommandKind.ATTEMPT):
         verb = {
-            "run": (b"invoke", ident, b"lane=look,name=x,ttl=9", b"b"),
-            "hold": (b"prewarm", ident, b"name=x,units=1"),
-            "probe": (b"gauges", ident),
+            CommandKind.ATTEMPT: (b"invoke", ident, b"lane=look,name=x,ttl=9", b"b"),
+            CommandKind.PREWARM: (b"prewarm", ident, b"name=x,units=1"),
+            CommandKind.HEALTH_CHECK: (b"gauges", ident),
         }[kind]
-        return back.Order(kind, None, ident, resp.command(*verb))
+        return worker_command.Command(kind, None, ident, resp.command(*verb))
 
     def ended(self, many=1):
         self.until(lambda: len(self.told) >= many, "an end")
@@ -303,7 +306,7 @@
                 self.told.clear()
                 link = self.link(play)
                 if beside:
-                    link.send(self.order(b"t1", "probe"))
+                    link.send(self.order(b"t1", CommandKind.HEALTH_CHECK))
                     self.ended()
                     self.told.clear()
                 link.send(self.order())
@@ -316,7 +319,7 @@
         link = self.link(lambda worker, sock, parts: parts[0] == b"prewarm" and (sock.sendall(b"??"), True)[1])
         link.send(self.order())
         self.ended()
-        link.send(self.order(b"t1", "hold"))
+        link.send(self.order(b"t1", CommandKind.PREWARM))
         self.assertEqual(self.ended(2)[1], (b"t1", "timeout"))
 
     def test_reset_as_it_comes_up(self):
@@ -346,7 +349,7 @@
         link = self.link()
         self.worker.close()
         time.sleep(0.05)
-        link.at = ("127.0.0.1", int(rig.free_address().rpartition(":")[2]))
+        link.target = ("127.0.0.1", int(rig.free_address().rpartition(":")[2]))
         link.send(self.order())
         self.assertEqual(self.ended(), [(b"9b1f03aa5c7e2d41", "unreached")])
         self.assertEqual(self.pool.used, 0)
@@ -389,14 +392,14 @@
     def test_the_pool_is_shared_and_what_idles_makes_room(self):
         first, other = self.link(most=2), self.link(most=2)
         other.pool = first.pool
-        first.pool.links.add(other)
+        first.pool.worker_clients.add(other)
         for at in range(2):
             first.send(self.order(b"%016d" % at))
         self.ended(2)
         other.send(self.order())  # both places idle at the first worker
         self.assertEqual(self.ended(3)[2], (b"9b1f03aa5c7e2d41", "ok"))
         self.assertEqual((first.pool.used, len(first.connections), len(other.connections)), (2, 1, 1))
-        first.idle = other.idle = 0.0
+        first.idle_after = other.idle_after = 0.0
         ends = clock() + 5
         self.until(lambda: clock() > ends)
         first.pool.sweep()
@@ -404,27 +407,27 @@
 
     def test_a_retired_worker_that_says_nothing_ends_with_the_last_given_up(self):
         """(how the last goes) -> all connections ended, nothing kept."""
-        for kind in ("run", "probe"):
+        for kind in (CommandKind.ATTEMPT, CommandKind.HEALTH_CHECK):
             with self.subTest(kind):
                 link = self.link(lambda worker, sock, parts: True)
-                orders = [self.order(b"a" * 16), self.order(b"t1", "probe")]
+                orders = [self.order(b"a" * 16), self.order(b"t1", CommandKind.HEALTH_CHECK)]
                 for order in orders:
                     link.send(order)
                 self.until(lambda: len(self.worker.came(b"invoke") + self.worker.came(b"gauges")) == 2)
-                link.retire()
-                for order in orders if kind == "probe" else orders[::-1]:
-                    if order.kind == "run":
+                link.drain()
+                for order in orders if kind == CommandKind.HEALTH_CHECK else orders[::-1]:
+                    if order.kind == CommandKind.ATTEMPT:
                         self.assertEqual(link.cancel(order, lambda: None), "cancelled")
                     else:
-                        self.assertTrue(link.forget(order))
-                self.assertEqual((self.pool.used, self.pool.links, link.closed), (0, set(), True))
+                        self.assertTrue(link.abandon(order))
+                self.assertEqual((self.pool.used, self.pool.worker_clients, link.closed), (0, set(), True))
 
     def test_a_retired_worker_ends_with_what_is_out(self):
         held = []
         link = self.link(lambda worker, sock, parts: parts[0] == b"invoke" and (held.append((sock, parts)), True)[1])
         link.send(self.order())
         self.until(lambda: held)
-        link.retire()
+        link.drain()
         self.assertEqual((self.told, self.pool.used), ([], 1))
         held[0][0].sendall(rig.bulk(held[0][1][1], b"ACK", b"-", b"x"))
         self.assertEqual(self.ended(), [(b"9b1f03aa5c7e2d41", "ok")])
@@ -436,10 +439,12 @@
 class Clients(Turned):
     def setUp(self):
         super().setUp()
-        methods = [Method("look", "idempotent", "all", 0.0, 500.0, 0.0, 4000.0, 1.0, 0.1)]
+        methods = [RequestClass("look", "idempotent", "all", 0.0, 500.0, 0.0, 4000.0, 1.0, 0.1)]
         self.address = rig.free_address()
         host, port = self.address.split(":")
-        self.front = front.Front(self.loop, (host, int(port)), methods, 20, self.told.append, lambda: "", Mock())
+        self.front = client_server.ClientServer(
+            self.loop, (host, int(port)), methods, 20, self.told.append, lambda: "", Mock()
+        )
         self.front.listen()
         self.addCleanup(self.front.shut)
         self.addCleanup(lambda: [client.close() for client in list(self.front.clients.values())])
@@ -457,20 +462,22 @@
         client = self.client()
         client.send(rig.dispatch(1, rig.fields(), b"\x00\xff"))
         self.until(lambda: self.told)
-        ((_, ask),) = self.told
+        (received,) = self.told
+        ask = received.pending
         call = ask.call
         self.assertEqual(
-            (call.ident, call.program, call.input, call.memory_mb, call.lanes, ask.left, ask.method.name),
+            (call.ident, call.program, call.input, call.memory_mb, call.lanes, ask.time_left, ask.request_class.name),
             (b"9b1f03aa5c7e2d41", "7f3a9c21e0b4d655", b"\x00\xff", 512.0, 2, 1500.0, "look"),
         )
-        ask.ok(b"done", 1)
-        ask.denied("late")  # one answer only
+        ask.succeed(b"done", 1)
+        ask.reject("late")  # one answer only
         self.assertEqual(self.answer(client), (1, "answer", b"done"))
         for word in ("shed", "fault"):
             self.told.clear()
             client.send(rig.dispatch(2 if word == "shed" else 3, rig.fields()))
             self.until(lambda: self.told)
-            self.told[0][1].denied("x") if word == "shed" else self.told[0][1].aborted("x")
+            ask = self.told[0].pending
+            ask.reject("x") if word == "shed" else ask.fail("x")
             self.assertEqual(self.answer(client)[1], word)
 
     def test_what_can_not_be_used_gets_an_error_or_a_close_and_goes_no_further(self):
@@ -507,7 +514,7 @@
                 client = self.client()
                 client.send(raw)
                 self.assertEqual(self.answer(client)[1], word)
-                self.assertEqual([event for event in self.told if event[0] == "asked"], [])
+                self.assertEqual([event for event in self.told if isinstance(event, RequestReceived)], [])
 
     def test_numbers_and_ids_that_are_open(self):
         """A second request under an open id is refused; under an open number the connection ends after it."""
@@ -517,7 +524,7 @@
         self.assertEqual(len(self.told), 1)
         client.send(rig.dispatch(2, rig.fields("a" * 16)))
         self.assertEqual(self.answer(client)[1], "exception")
-        self.told[0][1].denied("x")
+        self.told[0].pending.reject("x")
         self.assertEqual(self.answer(client)[1], "shed")
         self.assertEqual(self.answer(client)[1], "closed")
         self.assertEqual((len(self.told), self.front.open), (1, {}))
@@ -532,15 +539,15 @@
         client = self.client()
         client.send(b"".join(rig.dispatch(n, rig.fields(f"{n:016x}")) + rig.cancel(n, n) for n in range(1, 9)))
         self.until(lambda: len(self.told) == 16)
-        self.assertTrue(all(event[1].done for event in self.told))
+        self.assertTrue(all(event.pending.closed for event in self.told))
         client.send(rig.dispatch(9, rig.fields()))
         self.until(lambda: len(self.told) == 17)
         client.close()
-        self.until(lambda: self.told[-1][0] == "gone")
+        self.until(lambda: isinstance(self.told[-1], ClientClosed))
         self.assertEqual((self.front.open, self.front.clients), ({}, {}))
 
     def test_silence_and_half_a_frame_end_in_time_and_who_asked_once_stays(self):
-        with patch.object(front, "SILENT", 100.0):
+        with patch.object(client_server, "SILENCE_TIMEOUT", 100.0):
             silent, half, asked = self.client(), self.client(), self.client()
             half.send(rig.dispatch(1, rig.fields())[:30])
             asked.send(rig.alive(1))
@@ -572,14 +579,14 @@
         silent = [self.client() for _ in range(18)]
         self.until(lambda: len(self.front.clients) == 20)
         for client in self.front.clients.values():
-            client.since -= front.NEW
+            client.since -= client_server.NEW_CONNECTION_TIME
         more = self.client()
         more.send(rig.alive(1))
         self.assertEqual(self.answer(more)[1], "bad")
         self.assertEqual(self.answer(silent[0])[1], "closed")
         first.send(rig.alive(2))
         self.assertEqual(self.answer(first)[1], "bad")
-        self.told[0][1].ok(b"", 1)
+        self.told[0].pending.succeed(b"", 1)
         self.assertEqual(self.answer(busy)[1], "answer")
 
 
@@ -601,14 +608,14 @@
             path = os.path.join(folder, "config.json")
             with open(path, "w") as out:
                 json.dump(rig.config(rig.free_address(), bus.address, rig.instance("w0", worker.address)), out)
-            serving = Serving(station.read(path), path, Mock())
+            serving = Service(configuration.read(path), path, Mock())
         self.addCleanup(serving.loop.close)
-        self.addCleanup(lambda: [client.close() for client in list(serving.front.clients.values())])
-        self.addCleanup(serving.bus.close)
-        self.addCleanup(lambda: [link.close() for link in list(serving.desk.links.values())])
+        self.addCleanup(lambda: [client.close() for client in list(serving.client_server.clients.values())])
+        self.addCleanup(serving.discovery.close)
+        self.addCleanup(lambda: [link.close() for link in list(serving.coordinator.workers.clients.values())])
         serving.open()
-        self.addCleanup(serving.front.shut)
-        told = serving.desk.front_end.workers["w0"]
+        self.addCleanup(serving.client_server.shut)
+        told = serving.coordinator.router.workers["w0"]
 
         def until(done):
             ends = time.monotonic() + rig.LONG
@@ -616,34 +623,37 @@
                 self.assertLess(time.monotonic(), ends)
                 serving.turn()
 
-        client = rig.Client(":".join(map(str, serving.station.listen)))
+        client = rig.Client(":".join(map(str, serving.configuration.listen)))
         self.addCleanup(client.close)
         client.send(b"".join(rig.dispatch(n, rig.fields(f"{n:016x}", d="60000")) for n in (1, 2, 3)))
         until(lambda: len(held) == 3)
-        self.assertEqual(len(told.out), 3)
+        self.assertEqual(len(told.in_flight), 3)
         for answer, results in ((b"ACK", [True]), (b"EIO", [True, False])):
             sock, ident = held.pop(0)
             sock.sendall(rig.bulk(ident, answer, b"why=w,ahead=2", b""))
-            until(lambda results=results: [good for _, good in told.results] == results)
+            until(lambda results=results: [good for _, good in told.recent_results] == results)
         # an idempotent one that failed goes again: as many are out as the worker has
-        until(lambda: len(held) == len(told.out))
-        until(lambda: told.reports)
-        self.assertEqual(told.reports[-1][1], {"busy": 0.25, "held": 2.0})
+        until(lambda: len(held) == len(told.in_flight))
+        until(lambda: told.load_reports)
+        report = told.load_reports[-1]
+        self.assertEqual((report.utilization, report.in_flight), (0.25, 2.0))
         until(lambda: worker.came(b"prewarm"))
-        (place,) = serving.desk.front_end.programs["7f3a9c21e0b4d655"].places
-        until(lambda: place.ordered is None)
-        self.assertEqual(place.standing, 1)
+        (place,) = serving.coordinator.router.functions["7f3a9c21e0b4d655"].replicas
+        until(lambda: place.prewarm_sent_at is None)
+        self.assertEqual(place.loaded, 1)
         client.close()
-        until(lambda: not told.out and not serving.desk.asks)
-        self.assertEqual(serving.front.open, {})
-        self.assertEqual(sum(conn.load for conn in serving.desk.links["w0"].connections), 0)
+        until(lambda: not told.in_flight and not serving.coordinator.requests.by_id)
+        self.assertEqual(serving.client_server.open, {})
+        self.assertEqual(
+            sum(conn.commands_in_flight for conn in serving.coordinator.workers.clients["w0"].connections), 0
+        )
 
 
 class Random(unittest.TestCase):
     """Codecs before cut, changed and random bytes: what they give or their one error, and bounded memory."""
 
     def test_nothing_but_the_one_error(self):
-        draws = random.Random(11)
+        hash_fractions = random.Random(11)
         whole = {
             "thrift": rig.dispatch(1, rig.fields(), b"body") + rig.cancel(2, 1) + rig.alive(3),
             "resp": rig.bulk(b"a", b"ACK", b"why=w,ahead=1", b"x") * 3,
@@ -655,32 +665,38 @@
             for at in range(0, len(data), size):
                 for frame in frames.feed(data[at : at + size]):
                     thrift.read(frame)
-                self.assertLessEqual(len(frames.buffer), thrift.FRAME + 4 + size)
+                self.assertLessEqual(len(frames.buffer), thrift.FRAME_SIZE_MOST + 4 + size)
 
         def resp_reads(data, size):
             answers = resp.Answers()
             for at in range(0, len(data), size):
                 for answer in answers.feed(data[at : at + size]):
-                    back.ending(answer, ("busy",))
-                self.assertLessEqual(len(answers.buffer), resp.PART + 2 + size)
+                    worker_results.read_result(answer, ("busy",))
+                self.assertLessEqual(len(answers.buffer), resp.PART_SIZE_MOST + 2 + size)
 
         def sse_reads(data, size):
             events = sse.Events()
             for at in range(0, len(data), size):
                 for found in events.feed(data[at : at + size]):
-                    roster.Roster((), (), lambda: 0.0).rows([roster.change(found.data)], 0.0)
+                    endpoint_list.EndpointList((), (), lambda: 0.0).apply([endpoint_list.change(found.data)], 0.0)
 
         reads = {"thrift": thrift_reads, "resp": resp_reads, "sse": sse_reads}
-        errors = {"thrift": thrift.Unreadable, "resp": resp.Spoilt, "sse": (sse.TooMuch, roster.Unusable)}
+        errors = {
+            "thrift": thrift.Unreadable,
+            "resp": resp.InvalidAnswer,
+            "sse": (sse.EventTooLarge, endpoint_list.Unusable),
+        }
         for name, good in whole.items():
             raised = 0
             for _ in range(1500):
-                data = bytearray(good if draws.random() < 0.8 else draws.randbytes(draws.randrange(300)))
-                for _ in range(draws.randrange(4)):
-                    at = draws.randrange(len(data) + 1)
-                    data[at : at + draws.randrange(3)] = draws.randbytes(draws.randrange(3))
+                data = bytearray(
+                    good if hash_fractions.random() < 0.8 else hash_fractions.randbytes(hash_fractions.randrange(300))
+                )
+                for _ in range(hash_fractions.randrange(4)):
+                    at = hash_fractions.randrange(len(data) + 1)
+                    data[at : at + hash_fractions.randrange(3)] = hash_fractions.randbytes(hash_fractions.randrange(3))
                 try:
-                    reads[name](bytes(data[: draws.randrange(len(data) + 1)]), draws.randrange(1, 40))
+                    reads[name](bytes(data[: hash_fractions.randrange(len(data) + 1)]), hash_fractions.randrange(1, 40))
                 except errors[name]:
                     raised += 1
             self.assertGreater(raised, 50, name)
@@ -726,19 +742,25 @@
             path = os.path.join(folder, "config.json")
             with open(path, "w") as out:
                 json.dump(rig.config("127.0.0.1:1", "127.0.0.1:2"), out)
-            got = station.read(path)
+            got = configuration.read(path)
         self.assertEqual(
-            ([m.effect for m in got.methods], got.methods[0].soft, got.seat.of, got.seat.report, got.sockets),
-            (["idempotent", "side-effecting"], 500.0, 2, ("busy", "held"), 256),
+            (
+                [m.effect for m in got.request_classes],
+                got.request_classes[0].latency_objective,
+                got.instance.count,
+                got.instance.report_fields,
+                got.sockets,
+            ),
+            (["idempotent", "side-effecting"], 500.0, 2, ("utilization", "in_flight"), 256),
         )
         self.assertEqual(got.bounds.open_rpcs, 1024)  # of 64 MB
         self.assertEqual(
-            (got.allowance.cancel, got.allowance.overlap, got.ration.free, got.kinds),
+            (got.attempt_limits.cancel, got.attempt_limits.hedging, got.prewarm_quota.free, got.kinds),
             (True, False, 6.0, ("std", "slow")),
         )
 
 
-class Program(unittest.TestCase):
+class Function(unittest.TestCase):
     """The program as the platform starts it."""
 
     def setUp(self):
--- a/tests/test_worker_connection_faults.py
+++ b/tests/test_worker_connection_faults.py
@@ -12,11 +12,13 @@
 from tests import platform_rig as rig
 from tests.rig import Peer, Told, willing
 from tests.test_platform import Turned
-from wickdyke.gateway import link as rpc_link
-from wickdyke.interface import NEVER_RAN
-from wickdyke.platform import back, resp
+from wickdyke.platform import worker_command, connection_pool
+from wickdyke.gateway.interfaces import CommandKind
+from wickdyke.gateway import worker_client as rpc_link
+from wickdyke.routing.model import NEVER_RAN
+from wickdyke.platform import worker_client, resp
 from wickdyke.settings import address as addresses
-from wickdyke.wire import loop
+from wickdyke.transport import event_loop
 
 SHORT = 0  # instead of an errno: the call takes or gives one byte
 ENDED = (errno.ECONNRESET, errno.EPIPE, errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ENETUNREACH)
@@ -147,21 +149,28 @@
     def prepare(self, faults):
         self.loop.close()
         self.broken = []
-        self.loop, self.told, self.faults, self.pool = loop.Loop(self.broken.append), [], faults, back.Pool(20)
+        self.loop, self.told, self.faults, self.pool = (
+            event_loop.EventLoop(self.broken.append),
+            [],
+            faults,
+            connection_pool.ConnectionPool(20),
+        )
         self.loop.epoll = FaultyEpoll(self.loop.epoll, faults)
         stand_in = SimpleNamespace(**{**vars(socket), "socket": faults.socket})
-        return patch.object(loop, "socket", stand_in)
+        return patch.object(event_loop, "socket", stand_in)
 
     def link(self, worker):
-        def tell(*event):
-            self.told.append((event[2].ident, event[3]))
+        def notify(event):
+            self.told.append((event.command.ident, event.outcome))
 
-        return back.Link("w", worker.address, tell, self.loop, self.pool, 60000.0, 60000.0, ())
+        return worker_client.WorkerClient("w", worker.address, notify, self.loop, self.pool, 60000.0, 60000.0, ())
 
-    def order(self, at, kind="run"):
+    def order(self, at, kind=CommandKind.ATTEMPT):
         ident = IDENTS[at]
-        parts = (b"invoke", ident, b"lane=look,name=x,ttl=9", BODY) if kind == "run" else (b"gauges", ident)
-        return back.Order(kind, None, ident, resp.command(*parts))
+        parts = (
+            (b"invoke", ident, b"lane=look,name=x,ttl=9", BODY) if kind == CommandKind.ATTEMPT else (b"gauges", ident)
+        )
+        return worker_command.Command(kind, None, ident, resp.command(*parts))
 
     def end(self, many):
         self.until(lambda: len(self.told) >= many, f"an end of {many}, only {self.told},")
@@ -171,7 +180,7 @@
         link, other = self.link(worker), self.link(healthy)
         for at in (0, 1):
             link.send(self.order(at))
-        link.send(self.order(2, "probe"))
+        link.send(self.order(2, CommandKind.HEALTH_CHECK))
         self.end(3)
         for at in (3, 4):
             link.send(self.order(at))
@@ -187,7 +196,7 @@
         for each in (link, other):
             each.close()
         self.assertEqual((self.pool.used, self.faults.open_sockets(), self.loop.handlers), (0, set(), {}))
-        self.assertEqual(self.pool.links, set())
+        self.assertEqual(self.pool.worker_clients, set())
         for _ in range(3):
             self.loop.turn(0, lambda: None)
         self.assertEqual(len(self.told), 7)
@@ -207,8 +216,8 @@
         self.assertEqual(self.pool.used, len(connections))
         self.assertEqual({conn.sock.fileno() for conn in connections}, self.faults.open_sockets())
         self.assertEqual(set(self.loop.handlers), self.faults.open_sockets())
-        self.assertEqual((link.doubt, link.check), ([], None))
-        self.assertEqual([conn.load for conn in connections], [0] * len(connections))
+        self.assertEqual((link.unresolved, link.probe_connection), ([], None))
+        self.assertEqual([conn.commands_in_flight for conn in connections], [0] * len(connections))
         self.assertEqual(self.broken, [])
 
     def workers(self):
@@ -245,8 +254,8 @@
 
     def setUp(self):
         super().setUp()
-        self.now = loop.clock()  # the loop's own timers go on by the real one
-        started = patch.object(back, "clock", lambda: self.now)
+        self.now = event_loop.clock()  # the loop's own timers go on by the real one
+        started = patch.object(worker_client, "clock", lambda: self.now)
         started.start()
         self.addCleanup(started.stop)
 
@@ -287,9 +296,9 @@
         with self.prepare(Faults()):
             link = self.link(self.workers()[0])
             self.assertEqual(self.outcome(link, 0), "ok")
-            link.misses, link.missed_at = 1, self.now
+            link.timeouts_in_row, link.timed_out_at = 1, self.now
             self.assertEqual(self.outcome(link, 1), "ok")
-            self.assertEqual(link.misses, 1)
+            self.assertEqual(link.timeouts_in_row, 1)
             link.close()
 
     def test_each_doubt_has_its_own_checks(self):
@@ -298,13 +307,13 @@
         self.addCleanup(worker.close)
         with self.prepare(Faults()):
             link = self.link(worker)
-            link.checks = back.TRIES
+            link.probe_count = worker_client.SENDS_MOST
             link.send(order := self.order(0))
             self.until(lambda: self.faults.begun)
-            order.conn.end("ended by the worker")
-            self.assertEqual((self.told, link.doubt, link.checks), ([], [order], 1))
+            order.connection.end("ended by the worker")
+            self.assertEqual((self.told, link.unresolved, link.probe_count), ([], [order], 1))
             self.end(1)
-            self.assertEqual((self.told, link.doubt, link.checks), ([(IDENTS[0], "error")], [], 0))
+            self.assertEqual((self.told, link.unresolved, link.probe_count), ([(IDENTS[0], "error")], [], 0))
             link.close()
 
     def test_moments_far_apart_tell_nothing(self):
@@ -331,7 +340,7 @@
         with self.prepare(Faults()):
             link = self.link(self.workers()[0])
             link.send(self.order(0))
-            link.cut()
+            link.disconnect()
             self.end(1)
             self.assertEqual((self.told, self.pool.used), ([(IDENTS[0], "ok")], 1))
             link.close()
@@ -378,7 +387,7 @@
         self.made += 1
         peer, told = Peer(self.folder, f"w{self.made}", willing), Told()
         self.addCleanup(peer.close)
-        link = rpc_link.Link("w", peer.path, "g", told, 20000.0, 16 << 20, 32 << 20)
+        link = rpc_link.WorkerClient("w", peer.path, "g", told, 20000.0, 16 << 20, 32 << 20)
         self.addCleanup(link.close)
         return link, told
 
@@ -397,11 +406,11 @@
 
                 with patch.object(rpc_link.addresses, "connect", fails_first):
                     link, told = self.link()
-                    link.send(first := rpc_link.Order("run", 1, "run", b"{}"))
+                    link.send(first := rpc_link.Command(CommandKind.ATTEMPT, 1, "run", b"{}"))
                     go.set()
                     self.assertEqual(told.events.get(timeout=20)[2:4], (first, "unsent"))
-                    link.send(second := rpc_link.Order("run", 2, "run", b"{}"))
-                    self.assertEqual(told.events.get(timeout=20)[0], "hello")
+                    link.send(second := rpc_link.Command(CommandKind.ATTEMPT, 2, "run", b"{}"))
+                    self.assertEqual(told.events.get(timeout=20)[0], "connected")
                     self.assertEqual(told.events.get(timeout=20)[2:4], (second, "ok"))
                     link.close()
 
@@ -410,9 +419,9 @@
             with self.subTest(errno.errorcode[code]):
                 with patch.object(rpc_link.addresses, "connect", side_effect=OSError(code, os.strerror(code))):
                     link, told = self.link()
-                    told.next("unheard")
-                    link.send(rpc_link.Order("run", 1, "run", b"{}"))
-                    self.assertEqual(told.next("back")[3], "unreached")
+                    told.next("unreachable")
+                    link.send(rpc_link.Command(CommandKind.ATTEMPT, 1, "run", b"{}"))
+                    self.assertEqual(told.next("finished")[3], "unreached")
                     link.close()
 
     def test_a_read_that_finds_no_memory_or_is_short(self):
@@ -426,9 +435,9 @@
 
                 with patch.object(rpc_link.addresses, "connect", faulty):
                     link, told = self.link()
-                    told.next("hello")
-                    link.send(rpc_link.Order("run", 1, "run", b"{}"))
-                    self.assertEqual(told.next("back", "lost")[3:4], ("ok",))
+                    told.next("connected")
+                    link.send(rpc_link.Command(CommandKind.ATTEMPT, 1, "run", b"{}"))
+                    self.assertEqual(told.next("finished", "lost")[3:4], ("ok",))
                     link.close()
 
 
--- a/tests/wrong.py
+++ b/tests/wrong.py
@@ -3,17 +3,19 @@
 import itertools
 import sys
 
-from wickdyke import logic
 from wickdyke.cli import main
-from wickdyke.gateway.desk import Desk
-from wickdyke.gateway.door import Ask
-from wickdyke.gateway.roster import Roster
-from wickdyke.interface import RPC
+from wickdyke.gateway.attempts import Attempts
+from wickdyke.gateway.client_connection import PendingRequest
+from wickdyke.gateway.events import AttemptWithdrawn
+from wickdyke.gateway.endpoint_list import EndpointList
+from wickdyke.routing.model import Request
+from wickdyke.routing.prewarming import PrewarmLimiter
+from wickdyke.routing.slow_start import SlowStartGuard
 from wickdyke.settings import routes
 from wickdyke.settings.roll import Row
 
 _turn = itertools.count(1)
-_answer = Ask.answer
+_answer = PendingRequest.answer
 
 
 def _twice(ask, body):
@@ -27,11 +29,11 @@
         _answer(ask, body)
 
 
-def _unsaid(desk, ask, call_out, outcome):
-    desk.events.put(("withdrawn", ask, call_out, outcome))
+def _unsaid(attempts, pending, attempt, outcome):
+    attempts.context.post(AttemptWithdrawn(pending, attempt, outcome))
 
 
-_rows = Roster.rows
+_rows = EndpointList.apply
 
 
 def _deaf(roster, rows, now):
@@ -52,21 +54,21 @@
         case "none":
             pass
         case "answers twice":
-            Ask.answer = _twice
+            PendingRequest.answer = _twice
         case "never answers":
-            Ask.answer = _never
+            PendingRequest.answer = _never
         case "repeats all":
-            RPC.may_have_run = lambda rpc: []
+            Request.may_have_run = lambda request: []
         case "cancels in silence":
-            Desk._withdraw = _unsaid
+            Attempts._withdraw = _unsaid
         case "deaf to drains":
-            Roster.rows, Roster.draining = _deaf, _draining
+            EndpointList.apply, EndpointList.draining = _deaf, _draining
         case "blind to the cold":
-            logic.Guards.cold = lambda guards, worker, now: False
+            SlowStartGuard.is_warming_up = lambda guard, worker, now: False
         case "checks no routes":
             routes.sums.check = lambda terms, method, ground: []
         case "orders at will":
-            logic.Guards.may_hold = lambda guards, worker, renewal, now: worker.listing.state == "ready"
+            PrewarmLimiter.may_send = lambda limiter, worker, renewal, now: worker.endpoint.state == "ready"
         case _:
             raise SystemExit(f"no such mistake: {mistake}")
 
--- a/wickdyke/cli/check.py
+++ b/wickdyke/cli/check.py
@@ -5,7 +5,7 @@
 
 import click
 
-from wickdyke.gateway.serve import ground
+from wickdyke.gateway.service import ground
 from wickdyke.proving import script as scripts
 from wickdyke.settings import roll, routes, sexp, station, workshop
 from wickdyke.worker import package
@@ -14,7 +14,7 @@
 def _station(file: str) -> None:
     made = station.read(file)
     if made.routes is not None:
-        routes.read(made.routes, made.methods, ground(made))
+        routes.read(made.routes, made.request_classes, ground(made))
 
 
 KINDS = {
--- /dev/null
+++ b/wickdyke/gateway/endpoint_list.py
@@ -0,0 +1,129 @@
+"""The endpoint list: the rows of its file and what the workers' own hellos tell, merged. Pure: no I/O, no clock.
+
+A worker is reported once its hello is in, so that its age is known before anything is sent to it. One that can't be
+reached is reported as just started: the router then spares it as one that warms up, and finds out the rest.
+"""
+
+from dataclasses import dataclass, field, replace
+
+from wickdyke.gateway.interfaces import EndpointListChange
+from wickdyke.protocol.back import Standing
+from wickdyke.routing.model import Endpoint, EndpointState
+from wickdyke.settings.roll import Row
+
+
+@dataclass(slots=True)
+class ListedWorker:
+    """One worker: its row, the number of its present start and when that was; `past_starts` are the numbers before."""
+
+    row: Row
+    start: int = 0
+    started_at: float | None = None
+    known: bool = False
+    draining: bool = False
+    past_starts: set[int] = field(default_factory=set)
+
+
+class EndpointList:
+    """The merged view. Each input returns the endpoints that changed, for the router's `endpoints_changed`."""
+
+    def __init__(self, zones: tuple[str, ...], kinds: tuple[str, ...]) -> None:
+        self.zones, self.kinds = zones, kinds
+        self.workers: dict[str, ListedWorker] = {}
+        self.reported: dict[str, Endpoint] = {}
+
+    def __len__(self) -> int:
+        return len(self.workers)
+
+    def apply(self, entries: list[Row], now: float) -> EndpointListChange:
+        """A whole list came. Who is not on it is gone."""
+        before = {name: worker.row.address for name, worker in self.workers.items()}
+        endpoints = self._remove_unlisted(entries)
+        for row in entries:
+            if row.state != EndpointState.GONE:
+                endpoints += self._apply_row(row, now)
+        after = {name: self.address(name) for name in {**before, **self.workers}}
+        moved = {name: address for name, address in after.items() if before.get(name) != address}
+        return EndpointListChange(endpoints, moved)
+
+    def _remove_unlisted(self, rows: list[Row]) -> list[Endpoint]:
+        changes = []
+        row_of = {row.name: row for row in rows}
+        for name, worker in list(self.workers.items()):
+            row = row_of.get(name)
+            if row is not None and row.state != EndpointState.GONE and row.address == worker.row.address:
+                continue
+            del self.workers[name]
+            endpoint = self.reported.pop(name, None)
+            if endpoint is not None:
+                changes.append(replace(endpoint, state=EndpointState.GONE))
+        return changes
+
+    def _apply_row(self, row: Row, now: float) -> list[Endpoint]:
+        worker = self.workers.setdefault(row.name, ListedWorker(row))
+        worker.row = row
+        # A number from before the present start means that the list lags.
+        if row.start and row.start != worker.start and row.start not in worker.past_starts:
+            if worker.start:
+                worker.past_starts.add(worker.start)
+                worker.started_at, worker.draining = now, False
+            worker.start = row.start
+        return self._changed(row.name)
+
+    def address(self, name: str) -> str | None:
+        """Where a listed worker is."""
+        return self.workers[name].row.address if name in self.workers else None
+
+    def start_of(self, name: str) -> int | None:
+        """The number of a listed worker's present start."""
+        return self.workers[name].start if name in self.workers else None
+
+    def hello(self, name: str, standing: Standing, now: float) -> list[Endpoint]:
+        """A worker was connected to and said who it is."""
+        worker = self.workers.get(name)
+        if worker is None:
+            return []
+        if standing.start != worker.start or not worker.known:
+            if worker.start not in (0, standing.start):
+                worker.past_starts.add(worker.start)
+            worker.start, worker.started_at = standing.start, now - max(0.0, standing.up_ms)
+        worker.known, worker.draining = True, standing.draining
+        return self._changed(name)
+
+    def unreachable(self, name: str, now: float) -> list[Endpoint]:
+        """No connection could be made. One never heard from counts as just started."""
+        worker = self.workers.get(name)
+        if worker is None or worker.known:
+            return []
+        worker.known, worker.started_at = True, now
+        return self._changed(name)
+
+    def draining(self, name: str) -> list[Endpoint]:
+        """A worker said itself that it drains: believed at once, whatever the list says."""
+        worker = self.workers.get(name)
+        if worker is None:
+            return []
+        worker.draining = True
+        return self._changed(name)
+
+    def _changed(self, name: str) -> list[Endpoint]:
+        worker = self.workers[name]
+        if not worker.known:
+            return []
+        endpoint = self._endpoint(name, worker)
+        if self.reported.get(name) == endpoint:
+            return []
+        self.reported[name] = endpoint
+        return [endpoint]
+
+    def _endpoint(self, name: str, worker: ListedWorker) -> Endpoint:
+        row = worker.row
+        return Endpoint(
+            name,
+            self.zones.index(row.zone) if row.zone in self.zones else 0,
+            self.kinds.index(row.kind) if row.kind in self.kinds else 0,
+            row.cell,
+            EndpointState.DRAINING if worker.draining else row.state,
+            row.cores,
+            worker.started_at,
+        )
--- /dev/null
+++ b/wickdyke/gateway/service.py
@@ -0,0 +1,132 @@
+"""Assembles a gateway from its settings, and ends it in order."""
+
+import gc
+import random
+import sys
+import threading
+from collections.abc import Callable
+
+from wickdyke.gateway.circuit_breaker import CircuitBreaker
+from wickdyke.gateway.client_connection import STACK_SIZE
+from wickdyke.gateway.client_server import ClientServer
+from wickdyke.gateway.context import clock
+from wickdyke.gateway.coordinator import Coordinator
+from wickdyke.gateway.endpoint_list import EndpointList
+from wickdyke.gateway.events import EndpointsReceived
+from wickdyke.gateway.file_watcher import FileWatcher
+from wickdyke.gateway.isolation import BreakerIsolation
+from wickdyke.gateway.recording import DecisionRecorder
+from wickdyke.gateway.worker_protocol import JsonRpcWorkerProtocol
+from wickdyke.routing.periods import TICK
+from wickdyke.settings import roll, routes
+from wickdyke.settings.station import Station
+from wickdyke.timing.change import Succession
+from wickdyke.timing.terms import Ground
+from wickdyke.transport import termination
+
+# s that a thread may keep the interpreter. Hand-offs between threads are many and short: at the standard 5 ms an answer
+# would wait for a decoder.
+SWITCH_INTERVAL = 0.001
+SEED_BITS = 48  # of a seed that is drawn
+DRAIN_SPARE = 1000  # ms beyond the greatest deadline that a drain may take
+DRAIN_POLL = 0.01  # s between two looks at whether a drain is over
+
+
+def ground(station: Station) -> Ground:
+    """What routes are checked against: the deployment's figures, and how often the router is advanced."""
+    limits = station.attempt_limits
+    return Ground(limits.hedging, limits.cancel, limits.connect_timeout, station.answer_way, TICK, limits.attempts)
+
+
+class Gateway:
+    """All parts of one gateway. `open` begins; `stop` drains it: what is pending gets its answer."""
+
+    def __init__(self, station: Station, log) -> None:
+        threading.stack_size(STACK_SIZE)
+        sys.setswitchinterval(SWITCH_INTERVAL)
+        self.station, self.log = station, log
+        seed = station.seed if station.seed is not None else random.SystemRandom().getrandbits(SEED_BITS)
+        self.recorder = DecisionRecorder(station.tape, log) if station.tape else None
+        self.coordinator = Coordinator(
+            station,
+            seed,
+            log,
+            JsonRpcWorkerProtocol(station),
+            EndpointList(station.zones, station.kinds),
+            self.recorder,
+            BreakerIsolation(CircuitBreaker(station.isolation, station.instance.count, log)),
+        )
+        self.client_server = ClientServer(station, self.coordinator.post, self.coordinator.busy, log.warning)
+        self.succession = Succession()
+        self.watchers = [
+            FileWatcher("list", station.workers, station.reread, self._read_endpoints, self._use_endpoints, log)
+        ]
+        if station.routes is not None:
+            self.watchers.append(
+                FileWatcher("routes", station.routes, station.routes_reread, self._read_routes, self._use_routes, log)
+            )
+            self.client_server.checker.routes = self._read_routes(station.routes)  # there is no earlier one to keep
+
+    def _read_endpoints(self, path: str) -> list[roll.Row]:
+        return roll.read(path, self.station.zones, self.station.kinds)
+
+    def _use_endpoints(self, rows: list[roll.Row]) -> dict:
+        self.coordinator.post(EndpointsReceived(rows))
+        return {"workers": len(rows), "ready": sum(row.state == "ready" for row in rows)}
+
+    def _read_routes(self, path: str) -> routes.Routes:
+        found = routes.read(path, self.station.request_classes, ground(self.station))
+        routes.may_follow(found, path, self.succession, clock())
+        return found
+
+    def _use_routes(self, found: routes.Routes) -> dict:
+        self.client_server.checker.routes = found
+        self.succession.follow(found.payers(), clock())
+        return {"routes": len(found.routes)}
+
+    def open(self) -> None:
+        """Begins to serve."""
+        # What is loaded by now stays: the garbage collector need not walk over it while requests wait (docs/bench.md).
+        gc.collect()
+        gc.freeze()
+        self.coordinator.open()
+        for watcher in self.watchers:
+            watcher.open()
+        self.client_server.open()
+        self.log.info(
+            "serving",
+            socket=self.station.listen,
+            instance=f"{self.station.instance.index}/{self.station.instance.count}",
+        )
+
+    def stop(self) -> None:
+        """Takes no more requests, answers all that are pending within their deadlines, then ends."""
+        began = clock()
+        self.coordinator.stop_admitting()
+        self.client_server.shut()
+        self.log.info("stopping", open=len(self.coordinator.requests.by_id))
+        most = DRAIN_SPARE + max(each.deadline for each in self.station.request_classes)
+        pause = threading.Event()
+        while clock() - began < most and not (self.coordinator.idle() and self.client_server.flushed()):
+            pause.wait(DRAIN_POLL)
+        self.close()
+        self.log.info("stopped", took_ms=round(clock() - began), **dict(self.coordinator.counts))
+
+    def close(self) -> None:
+        """Ends all threads at once."""
+        for watcher in self.watchers:
+            watcher.close()
+        self.coordinator.end()
+        self.client_server.disconnect_all()
+        if self.recorder is not None:
+            self.recorder.close()
+
+
+def until_signal(gateway: Gateway, ready: Callable[[], None]) -> int:
+    """Serves until SIGTERM or SIGINT; a second signal ends it at once. `ready` is called once it serves."""
+    ended = termination.asked()
+    gateway.open()
+    ready()
+    termination.wait(ended)
+    gateway.stop()
+    return 0
--- /dev/null
+++ b/wickdyke/gateway/worker_protocol.py
@@ -0,0 +1,110 @@
+"""How the gateway speaks to workers in JSON-RPC: commands as messages, and their results read."""
+
+import msgspec
+
+from wickdyke.gateway.interfaces import CommandKind, CommandResult, PendingRequest
+from wickdyke.gateway.worker_client import Command, WorkerClient, clock
+from wickdyke.protocol import back, jsonrpc
+from wickdyke.routing.model import Attempt, Function, Outcome
+from wickdyke.settings.station import Station
+
+
+class JsonRpcWorkerProtocol:
+    """The worker protocol of one gateway."""
+
+    connects_at_once = True  # a worker's hello tells since when it is up
+
+    def __init__(self, station: Station) -> None:
+        self.station, self.report_fields = station, station.instance.report_fields
+
+    def client_for(self, name: str, address: str, notify) -> WorkerClient:
+        """The client of one worker."""
+        bounds = self.station.bounds
+        return WorkerClient(
+            name,
+            address,
+            self.station.name,
+            notify,
+            self.station.attempt_limits.connect_timeout,
+            bounds.line,
+            bounds.unread,
+        )
+
+    def attempt_command(self, attempt: Attempt, pending: PendingRequest, time_left: float) -> Command:
+        """An attempt, to be waited for so many ms."""
+        # It waits for its connection and for room at the kernel: its time left is written as its first byte goes.
+        deadline = clock() + time_left
+        function, call = attempt.request.function, pending.call
+        run = back.Run(
+            attempt.request.request_class.name,
+            function.name,
+            call.input,
+            function.memory,
+            function.concurrency,
+            time_left,
+            call.load_ms,
+            call.token,
+        )
+
+        def params(left: float) -> bytes:
+            run.time_left_ms = left
+            return jsonrpc.encode(run)
+
+        return Command(CommandKind.ATTEMPT, attempt, "run", params, deadline)
+
+    def prewarm_command(self, key: tuple, function: Function, replicas: int) -> Command:
+        """A prewarm of so many replicas."""
+        hold = back.Hold(function.name, function.memory, function.concurrency, replicas, function.load_hint or None)
+        return Command(CommandKind.PREWARM, key, "hold", jsonrpc.encode(hold))
+
+    def health_check_command(self, key: str) -> Command:
+        """A question for a load report."""
+        return Command(CommandKind.HEALTH_CHECK, key, "probe", b"{}")
+
+    def result_of(self, command: Command, outcome: str, answer: bytes | None, data: bytes | None) -> CommandResult:
+        """The result of a command: `answer` is what the worker returned, `data` what came with its error."""
+        if command.kind == CommandKind.PREWARM:
+            held = _read(back.Held, answer if answer is not None else data)
+            return CommandResult(outcome, replicas=held.copies if held else 0)
+        if command.kind == CommandKind.HEALTH_CHECK:
+            probed = _read(back.Probed, answer)
+            return CommandResult(outcome, report=self._report(probed.report) if probed else None)
+        if outcome == Outcome.OK:
+            return self._succeeded(answer)
+        return self._failed(outcome, data)
+
+    def _succeeded(self, answer: bytes | None) -> CommandResult:
+        ran = _read(back.Ran, answer)
+        if ran is None:  # it ran, and what it said can't be read
+            return CommandResult(Outcome.ERROR)
+        return CommandResult(
+            Outcome.OK,
+            output=bytes(ran.output),
+            load_note=ran.standing,
+            concurrent=ran.company,
+            report=self._report(ran.report),
+        )
+
+    def _failed(self, outcome: str, data: bytes | None) -> CommandResult:
+        told = _read(back.Told, data)
+        if told is None:
+            return CommandResult(outcome)
+        return CommandResult(
+            outcome,
+            concurrent=told.company,
+            report=self._report(told.report),
+            requests_in_replica=told.inside,
+        )
+
+    def _report(self, report: dict[str, float] | None) -> tuple[float, ...] | None:
+        return back.report(report, self.report_fields)
+
+
+def _read(kind: type, raw: bytes | None):
+    """A value of that kind, or None where it can't be read."""
+    if not raw:
+        return None
+    try:
+        return msgspec.json.decode(raw, type=kind)
+    except (msgspec.MsgspecError, ValueError, RecursionError):
+        return None
--- /dev/null
+++ b/wickdyke/platform/service.py
@@ -0,0 +1,262 @@
+"""Assembles a front end of the platform: one thread, one event loop that turns the coordinator; signals, shutdown."""
+
+import gc
+import os
+import signal
+import sys
+import time
+import traceback
+
+from wickdyke.gateway import log as logs
+from wickdyke.gateway.context import clock
+from wickdyke.gateway.coordinator import Coordinator
+from wickdyke.gateway.events import EndpointsReceived
+from wickdyke.platform import configuration as configurations
+from wickdyke.platform.worker_protocol import PlatformWorkerProtocol
+from wickdyke.platform.discovery import DiscoveryClient
+from wickdyke.platform.client_server import ClientServer
+from wickdyke.platform.endpoint_list import EndpointList
+from wickdyke.platform.configuration import ConfigurationError, Configuration
+from wickdyke.transport.event_loop import EventLoop
+
+GRACE_PERIOD = 750.0  # ms after SIGTERM in which requests are taken as before, if there is as much time
+# SIGKILL may come this much later than the longest deadline (counted as so much at most) after SIGTERM, in ms.
+KILL_AFTER = 700.0
+KILL_DEADLINE_MOST = 3000.0
+KILL_MARGIN = 100.0  # ms before that by which all is answered
+LOG_COUNTS_EVERY = 5000.0  # ms between lines of counts
+SWEEP_EVERY = 1000.0  # ms between looks for idle connections to workers
+REREAD_AFTER = 100.0  # ms until a configuration that could not be read is read again
+WAIT_MOST = 100.0  # ms that one turn waits at most, so that a signal's flag is seen
+DISCOVERY_RETRY_PART = 0.4  # of the grace for a drain, within which lost discovery is asked again
+DISCOVERY_RETRY_MOST = 400.0  # ms
+DESCRIPTORS_RESERVED = 12  # discovery's old and new connection, one being accepted, a file being read, and more
+
+
+def open_descriptors(limit: int) -> int:
+    """How many descriptors this process has open."""
+    count = 0
+    for number in range(limit):
+        try:
+            os.fstat(number)
+            count += 1
+        except OSError:
+            pass
+    return count
+
+
+class Service:
+    """One front end. `run` serves until it was asked to end and nothing is owed."""
+
+    def __init__(self, configuration: Configuration, path: str, log) -> None:
+        self.configuration, self.path, self.log = configuration, path, log
+        self.loop = EventLoop(self._fault)
+        # The wall clock is read first: a pause between the two readings makes workers younger, to the safe side.
+        self.endpoints = EndpointList(
+            configuration.zones,
+            configuration.kinds,
+            lambda: time.time() * 1000 - clock(),
+            lambda: self.discovery.up_since,
+        )
+        # Clients that idle would take all descriptors, and neither discovery nor a worker could be reached. So what the
+        # process may hold is divided: a half at most for clients, some in reserve, the rest for workers.
+        free = configuration.sockets - open_descriptors(configuration.sockets) - DESCRIPTORS_RESERVED
+        self.protocol = PlatformWorkerProtocol(self.loop, configuration, log, free - free // 2)
+        self.coordinator = Coordinator(configuration, configuration.seed, log, self.protocol, self.endpoints)
+        self.client_server = ClientServer(
+            self.loop,
+            configuration.listen,
+            configuration.request_classes,
+            free // 2,
+            self.coordinator.post,
+            self.coordinator.busy,
+            log,
+            configuration.tenants,
+        )
+        self.discovery = DiscoveryClient(
+            self.loop,
+            configuration.bus,
+            lambda: self.endpoints.offset,
+            self._post_events,
+            log,
+            min(DISCOVERY_RETRY_MOST, DISCOVERY_RETRY_PART * configuration.discovery.drain_grace),
+            configuration.seed,
+        )
+        self.shutdown_asked_at: float | None = None  # ms
+        self.reload_asked = self.reload_pending = self.stopping = False
+        longest = min(KILL_DEADLINE_MOST, max(method.deadline for method in configuration.request_classes))
+        self.answer_within = longest + KILL_AFTER - KILL_MARGIN  # ms after SIGTERM
+
+    def _fault(self, error: Exception) -> None:
+        last = traceback.extract_tb(error.__traceback__)[-1]
+        self.log.error(
+            "fault in the loop",
+            why=f"{type(error).__name__}: {error}"[:200],
+            where=f"{os.path.basename(last.filename)}:{last.lineno}",
+        )
+
+    def _post_events(self, events: list[dict]) -> None:
+        self.coordinator.post(EndpointsReceived(events))
+
+    def handle_signals(self) -> None:
+        """Installs the handlers of SIGTERM, SIGINT and SIGHUP."""
+        for number in (signal.SIGTERM, signal.SIGINT):
+            signal.signal(number, self._end)
+        signal.signal(signal.SIGHUP, self._read)
+
+    def _end(self, number: int, frame: object) -> None:
+        # The time counts from the signal. Nothing else is done here: it may come between any two lines.
+        if self.shutdown_asked_at is None:
+            self.shutdown_asked_at = clock()
+
+    def _read(self, number: int, frame: object) -> None:
+        self.reload_asked = True
+
+    def open(self) -> None:
+        """Starts to serve; raises OSError where it can't listen."""
+        self.coordinator.post(EndpointsReceived(self.configuration.known))
+        self.coordinator.turn_once()
+        self.discovery.open()
+        self.client_server.listen()
+        self.client_server.ready = True
+        self.log.info(
+            "serving",
+            listen=":".join(map(str, self.configuration.listen)),
+            workers=len(self.endpoints),
+            sockets=self.configuration.sockets,
+        )
+        self._log_counts()
+        self.loop.every(SWEEP_EVERY, self.protocol.pool.sweep)
+        self.loop.every(LOG_COUNTS_EVERY, self._log_counts)
+        gc.collect()
+        gc.freeze()
+
+    def _log_counts(self) -> None:
+        self.log.info(
+            "counts",
+            clients=len(self.client_server.clients),
+            open=len(self.coordinator.requests.by_id),
+            connections=self.protocol.pool.used,
+            workers=len(self.endpoints),
+            **self.coordinator.counts,
+            **self.client_server.counts,
+            **self.protocol.pool.counts,
+            **{f"bus_{name}": count for name, count in self.discovery.counts.items()},
+        )
+
+    def _reload(self) -> None:
+        self.reload_asked = False
+        try:
+            given = configurations.load(self.path)
+            address = configurations.bus(given, self.path)
+        except configurations.Unreadable as error:
+            # The signal comes once and must not be lost, though descriptors or memory may be short for a moment.
+            if not self.reload_pending:
+                self.log.warning("configuration not read yet", why=str(error), kept="the last good one")
+            self.reload_pending = True
+            self.loop.at(clock() + REREAD_AFTER, self._reload_later)
+            return
+        except ConfigurationError as error:
+            self.reload_pending = False
+            self.log.warning("configuration unusable", why=str(error), kept="the last good one")
+            return
+        self.reload_pending = False
+        self.log.info("configuration read", bus=":".join(map(str, address)))
+        self.discovery.follow(address)
+
+    def _reload_later(self) -> None:
+        if self.reload_pending:
+            self._reload()
+
+    def turn(self) -> bool:
+        """One turn; False when it is over."""
+        coordinator = self.coordinator
+        self._drain()
+        wait = (
+            0.0
+            if not coordinator.events.empty()
+            else min(coordinator.next_at(), self.loop.next_at(), self._next_step()) - clock()
+        )
+        self.loop.turn(min(wait, WAIT_MOST), coordinator.turn_once)
+        coordinator.turn_once()
+        if self.reload_asked:
+            self._reload()
+        if self.shutdown_asked_at is None:
+            return True
+        self._drain()
+        passed = clock() - self.shutdown_asked_at
+        if passed < min(GRACE_PERIOD, self.answer_within):
+            return True
+        late = passed >= self.answer_within
+        self.client_server.shut()
+        if late:
+            self._answer_all()
+        if not self.client_server.shut_down or not self._settled(late):
+            return True
+        # What came since the kernel last told is read before the end: a request there has been taken, and a socket that
+        # is closed with something unread resets the answer under way.
+        return self.client_server.heard_more() or not self.client_server.hang_up(late)
+
+    def _drain(self) -> None:
+        """Begins the graceful shutdown once it was asked for."""
+        if self.shutdown_asked_at is None:
+            return
+        self.client_server.answer_by = self.shutdown_asked_at + self.answer_within
+        if not self.stopping:
+            self.stopping, self.client_server.ready = True, False
+            self.log.info("stopping", open=len(self.coordinator.requests.by_id))
+
+    def _next_step(self) -> float:
+        """When the shutdown has its next step."""
+        if self.shutdown_asked_at is None:
+            return float("inf")
+        steps = (self.shutdown_asked_at + span for span in (min(GRACE_PERIOD, self.answer_within), self.answer_within))
+        now = clock()
+        return min((step for step in steps if step > now), default=float("inf"))
+
+    def _answer_all(self) -> None:
+        """SIGKILL is near: what is open gets its final answer now, what comes is rejected, no connection is taken."""
+        self.coordinator.stop_admitting()
+        if not self.client_server.shut_down:
+            self.client_server.shut(True)
+        self.coordinator.answer_all("stopping")
+
+    def _settled(self, late: bool) -> bool:
+        """Whether nothing is owed to clients. Until it is late, attempts that are still out are waited for as well."""
+        if late:
+            return self.coordinator.events.empty() and self.client_server.flushed()
+        return self.coordinator.idle() and self.client_server.flushed()
+
+    def run(self) -> None:
+        """Serves until the end."""
+        while self.turn():
+            pass
+        self.log.info("stopped", took_ms=round(clock() - self.shutdown_asked_at), **dict(self.coordinator.counts))
+
+
+def main() -> int:
+    """Serves; 2 and one line on standard error where the configuration can't be used."""
+    try:
+        path = configurations.config_path()
+        configuration = configurations.read(path, os.environ.get("GW_LISTEN"), os.environ.get("GW_NAME"))
+    except ConfigurationError as error:
+        print(f"wickdyke.platform: {error}", file=sys.stderr)
+        return 2
+    log, log_writer = logs.logger(sys.stderr, False)
+    service = Service(configuration, path, log.bind(gateway=configuration.name))
+    service.handle_signals()
+    # The garbage collector would walk over all that is kept while requests wait. Nearly all is freed by its reference
+    # count; the few cycles wait longer.
+    gc.set_threshold(20000, 20, 50)
+    try:
+        service.open()
+    except OSError as error:
+        host, port = configuration.listen
+        print(
+            f"wickdyke.platform: {path}: listen is {host}:{port}: {error.strerror}, expected an address that is free",
+            file=sys.stderr,
+        )
+        return 2
+    service.run()
+    log_writer.close()
+    return 0
--- /dev/null
+++ b/wickdyke/simulator/codec.py
@@ -0,0 +1,215 @@
+"""Codec of the simulator's wire: messages are read into the router's types, decisions are written as lines."""
+
+from collections.abc import Callable, Iterable, Iterator
+from dataclasses import dataclass
+
+from wickdyke.routing import decisions
+from wickdyke.routing.decisions import Decision
+from wickdyke.routing.model import Endpoint, EndpointState, LoadNote, Outcome
+from wickdyke.settings.terms import BadInput, count, flag, maybe, number, one_of, span, whole, word
+
+TEXT_SHOWN = 40  # characters of a value that an error message repeats
+MICROS = 1000  # in a ms
+WORK_IS_KNOWN, IS_REPEAT = 1, 2  # bits of a NEW_REQUEST
+Fields = tuple[tuple[str, Callable], ...]  # (label, reader) for each value of a message
+
+
+def raw(text: str) -> bytes:
+    """Reads hex digits."""
+    try:
+        return bytes.fromhex(text)
+    except ValueError:
+        raise ValueError("hex digits") from None
+
+
+def report(text: str) -> tuple[float, ...]:
+    """Reads a load report."""
+    return tuple(number(part) for part in text.split(","))
+
+
+OUTCOMES = {
+    "pass": Outcome.OK,
+    "fault": Outcome.ERROR,
+    "no_room": Outcome.FULL,
+    "too_slow": Outcome.TIMEOUT,
+    "no_route": Outcome.UNREACHED,
+    "cut": Outcome.CONNECTION_LOST,
+    "undone": Outcome.CANCELLED,
+    "stale_send": Outcome.UNSENT,
+    "none_here": Outcome.MISS,
+}
+LOAD_NOTES = {1: LoadNote.STOOD, 2: LoadNote.BEGAN, 3: LoadNote.AWAITED, 4: LoadNote.FAILED}
+NOTE_CODES = 8  # a note is the concurrency times this, plus the code of what the load did
+STATES = {"3": EndpointState.READY, "0": EndpointState.DRAINING, "2": EndpointState.GONE}
+outcome = one_of(OUTCOMES)
+EVENTS: dict[str, Fields] = {
+    "HALT": (("instance", count),),
+    "FLEET": (
+        ("instance", count),
+        ("mode", one_of({m: m for m in "0123"})),
+        ("revision", maybe(whole)),
+        ("entries", maybe(count)),
+    ),
+    "NEW_REQUEST": (
+        ("instance", count),
+        ("id", count),
+        ("bits", count),
+        ("left", span),
+        ("class", count),
+        ("routine", word),
+        ("effort", maybe(span)),
+        ("project", maybe(count)),
+        ("footprint-mb", number),
+        ("load-time-ms", maybe(number)),
+        ("parallel", number),
+    ),
+    "FIRST_BYTE": (
+        ("instance", count),
+        ("id", count),
+        ("round-no", count),
+        ("worker", word),
+        ("latency", span),
+    ),
+    "REPORT_BACK": (
+        ("instance", count),
+        ("id", count),
+        ("round-no", count),
+        ("worker", word),
+        ("reason", outcome),
+        ("latency", span),
+        ("complete", flag),
+        ("note", maybe(count)),
+        ("health-info", maybe(report)),
+    ),
+    "ABORTED": (("instance", count), ("id", count)),
+    "WAKEUP": (("instance", count), ("cookie", count)),
+    "PING_RESULT": (
+        ("instance", count),
+        ("worker", word),
+        ("reason", outcome),
+        ("latency", span),
+        ("health-info", maybe(report)),
+    ),
+    "MEMO": (("instance", count), ("src", count), ("raw", maybe(raw))),
+    "BROUGHT_UP": (
+        ("instance", count),
+        ("reason", outcome),
+        ("worker", word),
+        ("instances", count),
+        ("latency", span),
+        ("routine", word),
+    ),
+}
+ROW = (
+    ("worker", word),
+    ("rack-zone", count),
+    ("sku", count),
+    ("cluster", maybe(whole)),
+    ("lifecycle", one_of(STATES)),
+    ("capacity-hint", maybe(number)),
+    ("born", maybe(whole)),
+)
+
+
+def read_values(name: str, values: list[str], fields: Fields) -> list:
+    """Reads the values of one message."""
+    if len(values) != len(fields):
+        raise BadInput(f"{name}: expected {len(fields)} values, got {len(values)}")
+    read = []
+    for (label, reader), text in zip(fields, values, strict=True):
+        try:
+            read.append(reader(text))
+        except ValueError as error:
+            raise BadInput(f"{name}: {label} is {text[:TEXT_SHOWN]!r}, expected {error}") from None
+    return read
+
+
+def read_endpoint(values: list[str]) -> Endpoint:
+    """Reads one entry of the endpoint list."""
+    ident, zone, kind, cell, state, size, started_at = read_values("ROW", values, ROW)
+    return Endpoint(
+        ident,
+        zone,
+        kind,
+        -1 if cell is None else cell,
+        state,
+        1.0 if size is None else size,
+        started_at / MICROS if started_at else None,
+    )
+
+
+def read_note(value: int | None) -> tuple[LoadNote | None, int]:
+    """What an outcome tells of the replica, and how many requests of the function the worker had."""
+    concurrent, code = divmod(value or 0, NOTE_CODES)
+    return LOAD_NOTES.get(code), concurrent
+
+
+def micros(ms: float | None) -> str:
+    """A time as the wire has it."""
+    return "-" if ms is None else str(round(ms * MICROS))
+
+
+@dataclass(slots=True, frozen=True)
+class Wake:
+    """The instance is to be advanced after that many ms; the simulator gives the cookie back."""
+
+    delay: float
+    cookie: int
+
+
+@dataclass(slots=True, frozen=True)
+class Fault:
+    """The instance has failed."""
+
+    why: str
+
+
+Reply = Decision | Wake | Fault
+
+
+def _one_line(text: str) -> str:
+    return text.replace("\t", " ").replace("\n", " ")
+
+
+def _forward(decision: decisions.Forward) -> tuple:
+    return "ROUTE", str(decision.request.ident), decision.worker.endpoint.ident, micros(decision.timeout)
+
+
+def _cancel(decision: decisions.Cancel) -> tuple:
+    return "CALL_OFF", str(decision.attempt.request.ident), str(decision.attempt.number)
+
+
+def _prewarm(decision: decisions.Prewarm) -> tuple:
+    return "PRELOAD", decision.worker.endpoint.ident, decision.function.name, str(decision.replicas)
+
+
+WRITERS: dict[type, Callable[..., tuple]] = {
+    decisions.Forward: _forward,
+    decisions.Cancel: _cancel,
+    decisions.Reject: lambda reject: ("SAY_NO", str(reject.request.ident), micros(reject.retry_after)),
+    decisions.Fail: lambda fail: ("ERROR", str(fail.request.ident)),
+    decisions.Prewarm: _prewarm,
+    decisions.HealthCheck: lambda check: ("INSPECT", check.worker.endpoint.ident),
+    decisions.FollowEndpoints: lambda follow: ("TAIL", "1" if follow.enabled else "0"),
+    decisions.LogNote: lambda note: ("REMARK", _one_line(note.text)),
+    Wake: lambda wake: ("SET_TIMER", micros(wake.delay), str(wake.cookie)),
+    Fault: lambda fault: ("EXCEPTION", _one_line(fault.why)),
+}
+
+
+def write_line(instance: int, reply: Reply) -> str:
+    """Writes one line of a reply."""
+    name, *values = WRITERS[type(reply)](reply)
+    return "\t".join((name, str(instance), *values)) + "\n"
+
+
+def read_lines(source: Iterable[str]) -> Iterator[tuple[int, list[str]]]:
+    """The lines of the input, numbered and split into their values."""
+    number_read = 0
+    try:
+        for number_read, text in enumerate(source, 1):
+            if not text.endswith("\n"):
+                raise BadInput(f"line {number_read}: {text[:TEXT_SHOWN]!r}: expected the line to end")
+            yield number_read, text[:-1].split("\t")
+    except UnicodeDecodeError:
+        raise BadInput(f"line {number_read + 1}: expected UTF-8 text") from None
--- /dev/null
+++ b/wickdyke/transport/event_loop.py
@@ -0,0 +1,246 @@
+"""An event loop on epoll for all sockets and timers of a program that runs in one thread."""
+
+import contextlib
+import errno
+import itertools
+import select
+import socket
+import time
+from collections.abc import Callable
+from typing import NamedTuple, Protocol
+
+from wickdyke.transport.timers import Timers
+
+CONNECTING = (0, errno.EINPROGRESS, errno.EINTR)  # results of a non-blocking connect: done, or in progress
+EVENTS_PER_TURN = 256  # taken from the kernel at most
+ENDED = select.EPOLLRDHUP | select.EPOLLHUP | select.EPOLLERR  # the other side has closed or reset
+MODIFY_RETRY = 10.0  # ms until an epoll_ctl that failed for want of memory is tried again
+TIME_SLICE = 10.0  # ms of a turn for the handlers that do not come first; at least one of them is served
+
+
+def dial(address: tuple[str, int]) -> tuple[socket.socket | None, int]:
+    """Starts a non-blocking connect: the socket and 0, or None and the errno."""
+    # With all descriptors in use the socket itself can't be made. An exception here would end a timer or a turn of the
+    # coordinator, and what they do would never be tried again.
+    try:
+        sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+    except OSError as error:
+        return None, error.errno or errno.EIO
+    try:
+        sock.setblocking(False)
+        code = sock.connect_ex(address)
+    except OSError as error:
+        code = error.errno or errno.EIO
+    except (OverflowError, ValueError):  # a port or a host that can't be one
+        code = errno.EINVAL
+    except BaseException:  # raised by a signal handler
+        close(sock)
+        raise
+    # EINTR: the connection goes on being made, as with EINPROGRESS. EAGAIN on TCP: no local port is free.
+    if code in CONNECTING:
+        return sock, 0
+    close(sock)
+    return None, code
+
+
+def close(sock: socket.socket) -> None:
+    """Closes a socket. The descriptor is free also where close reports an error, so none is raised."""
+    with contextlib.suppress(OSError):
+        sock.close()
+
+
+def _events(write: bool, read: bool) -> int:
+    return (select.EPOLLIN | select.EPOLLRDHUP if read else 0) | (select.EPOLLOUT if write else 0)
+
+
+class Handler(Protocol):
+    """The owner of a socket. Those that come `first` are served before the others in each turn."""
+
+    first: bool
+
+    def readable(self) -> None:
+        """There is data to read, or the connection has ended."""
+
+    def writable(self) -> None:
+        """The socket takes data, or the connect has succeeded or failed."""
+
+    def broken(self) -> None:
+        """Serving it raised an unexpected exception: it is to close."""
+
+
+class ReadySocket(NamedTuple):
+    """A socket with events, and the handler it had when they were taken from the kernel."""
+
+    number: int  # its descriptor
+    handler: Handler | None
+    events: int
+
+
+def clock() -> float:
+    """Monotonic time in ms."""
+    return time.monotonic() * 1000
+
+
+def received(sock: socket.socket, size: int) -> bytes | None:
+    """Up to `size` bytes from a non-blocking socket: None for nothing yet, empty where the connection has ended."""
+    try:
+        return sock.recv(size)
+    except (BlockingIOError, InterruptedError):
+        return None
+    except OSError as error:
+        # Without memory the data stays in the kernel and can be read later. To end the connection would lose the
+        # requests on it. The price is a try in each turn for as long as there is no memory.
+        return None if error.errno in (errno.ENOMEM, errno.ENOBUFS) else b""
+
+
+class EventLoop:
+    """Serves sockets and timers. `fault` is given what a handler or a timer raises; without it that is raised on.
+
+    `add` raises OSError where the kernel has no memory (ENOMEM) or no watches left (ENOSPC), and then leaves nothing
+    behind: its caller still owns the socket, and closes it. `want` does not raise for these: it is tried again until
+    it succeeds. `remove` never raises.
+    """
+
+    def __init__(self, fault: Callable[[Exception], None] | None = None) -> None:
+        self.epoll, self.fault = select.epoll(), fault
+        self.handlers: dict[int, Handler] = {}  # by descriptor
+        self.timers = Timers()
+        self.unmodified: dict[int, int] = {}  # descriptor -> events that epoll_ctl had no memory for yet
+        self.last_served: dict[int, int] = {}  # descriptor -> serial number, of those that are not first
+        self.serial_numbers = itertools.count(1)
+
+    def add(self, sock: socket.socket, handler: Handler, write: bool = False) -> None:
+        """Serves that socket from now on. Raises OSError where it can't be watched, and then keeps nothing of it."""
+        # The kernel comes first. A handler kept for a socket that is not registered would be found when its descriptor
+        # is used again, and `remove` by the owner of the new socket would fail.
+        number = sock.fileno()
+        self.epoll.register(number, _events(write, True))
+        self.handlers[number] = handler
+
+    def want(self, sock: socket.socket, write: bool, read: bool = True) -> None:
+        """Sets which events of that socket are waited for.
+
+        Where the kernel has no memory for that now, it is retried soon, and the events set before stay in force: a
+        handler may be called for one that it no longer waits for.
+        """
+        number = sock.fileno()
+        self.unmodified.pop(number, None)
+        self._modify(number, _events(write, read))
+
+    def _modify(self, number: int, events: int) -> None:
+        try:
+            self.epoll.modify(number, events)
+        except OSError as error:
+            if error.errno not in (errno.ENOMEM, errno.ENOSPC, errno.EINTR):
+                raise  # the socket is not registered: a mistake of the caller
+            self.unmodified[number] = events
+            self.at(clock() + MODIFY_RETRY, self._modify_again, number)
+
+    def _modify_again(self, number: int) -> None:
+        # The socket may have been removed, or a later `want` have succeeded.
+        events = self.unmodified.pop(number, None)
+        if events is not None and number in self.handlers:
+            self._modify(number, events)
+
+    def remove(self, sock: socket.socket) -> None:
+        """Serves it no more; to be called before its close. Never raises: the close ends the registration too."""
+        number = sock.fileno()
+        self.unmodified.pop(number, None)
+        self.last_served.pop(number, None)
+        if self.handlers.pop(number, None) is not None:
+            with contextlib.suppress(OSError):
+                self.epoll.unregister(number)
+
+    def at(self, when: float, callback: Callable, *args: object) -> None:
+        """Calls `callback` at that time of `clock`."""
+        self.timers.at(when, callback, *args)
+
+    def every(self, interval: float, callback: Callable[[], None]) -> None:
+        """Calls `callback` each `interval` ms, first after one."""
+        self.at(clock() + interval, self._repeat, interval, callback)
+
+    def _repeat(self, interval: float, callback: Callable[[], None]) -> None:
+        # Set first: a callback that raises must not end the series.
+        self.every(interval, callback)
+        callback()
+
+    def next_at(self) -> float:
+        """When the next timer is due."""
+        return self.timers.next_at()
+
+    def turn(self, wait: float, between: Callable[[], object]) -> None:
+        """Waits `wait` ms at most, serves the first, runs the timers due, calls `between`, then serves the others.
+
+        So clients that flood us with requests or connects do not delay the answers of workers and the timers. Workers
+        could flood us too, but of each only a bounded piece is read at a time.
+        """
+        others = self._serve_first(self._poll(wait))
+        for callback, args in self.timers.due(clock()):
+            try:
+                callback(*args)
+            except Exception as error:
+                self._report(error)
+        between()
+        self._serve_others(others)
+
+    def _poll(self, wait: float) -> list[tuple[int, int]]:
+        """(descriptor, events) of the sockets that are ready."""
+        # Rounded up: a wait that ends too early would turn for nothing until its time has come.
+        timeout = max(0.0, wait + 0.5) / 1000 if wait > 0 else 0
+        try:
+            return self.epoll.poll(timeout, EVENTS_PER_TURN)
+        except InterruptedError:
+            return []  # the kernel reports the events again in the next turn; the timers run in this one
+
+    def _serve_first(self, found: list[tuple[int, int]]) -> list[ReadySocket]:
+        """Serves the handlers that come first, and those whose peer has closed; returns the others."""
+        # Serving one may close the connection of another, and a new one may get its descriptor: with the events of the
+        # other it would take itself for connected. So all handlers are looked up before any is served.
+        known = [ReadySocket(number, self.handlers.get(number), events) for number, events in found]
+        others = []
+        for ready in known:
+            if ready.handler is None:
+                continue
+            # A close is seen before anything is decided, however many other clients send at that moment.
+            if ready.handler.first or ready.events & ENDED:
+                self.serve(ready.number, ready.handler, ready.events)
+            else:
+                others.append(ready)
+        return others
+
+    def _serve_others(self, others: list[ReadySocket]) -> None:
+        """Serves those for the length of the time slice."""
+        # The kernel reports the same sockets first, turn after turn, while more can be read there. So those served
+        # longest ago go first: else clients that never stop sending would keep all others unread.
+        others.sort(key=lambda ready: self.last_served.get(ready.number, 0))
+        slice_end = clock() + TIME_SLICE
+        for ready in others:
+            if self.handlers.get(ready.number) is ready.handler:
+                self.last_served[ready.number] = next(self.serial_numbers)
+                self.serve(ready.number, ready.handler, ready.events)
+            if clock() > slice_end:
+                break
+
+    def serve(self, number: int, handler: Handler, events: int = select.EPOLLIN) -> None:
+        """Calls a handler for the events of its socket; one that raises is ended alone."""
+        try:
+            if events & select.EPOLLOUT and self.handlers.get(number) is handler:
+                handler.writable()
+            if events & ~select.EPOLLOUT and self.handlers.get(number) is handler:
+                handler.readable()
+        except Exception as error:
+            self._report(error)
+            try:
+                handler.broken()
+            except Exception as second_error:  # the loop is that of all others too
+                self._report(second_error)
+
+    def _report(self, error: Exception) -> None:
+        # One faulty connection must not end the thread that serves all. No known fault leads here.
+        if self.fault is None:
+            raise error
+        self.fault(error)
+
+    def close(self) -> None:
+        """Closes the epoll descriptor; the sockets stay their owners'."""
+        self.epoll.close()
--- /dev/null
+++ b/wickdyke/transport/line_server.py
@@ -0,0 +1,175 @@
+"""A small server of one JSON-RPC object a line: one thread a connection, blocking sockets."""
+
+import contextlib
+import fcntl
+import os
+import socket
+import stat
+import threading
+from collections.abc import Callable
+from typing import TextIO
+
+from wickdyke.protocol import jsonrpc
+from wickdyke.protocol.lines import Lines, TooLong
+from wickdyke.settings import address as addresses
+from wickdyke.transport.acceptor import Acceptor
+from wickdyke.transport.write_buffer import WriteBuffer, OutgoingMessage, PeerTooSlow
+
+LINE_SIZE_MOST = 64 << 20  # bytes
+UNREAD_MOST = 64 << 20  # bytes that may wait for one peer
+READ_SIZE = 1 << 18  # bytes read at a time
+BACKLOG = 512
+
+
+class AddressInUse(Exception):
+    """The address can't be had: a live process listens there, or the system refuses it."""
+
+
+def listener(address: str) -> tuple[socket.socket, TextIO | None]:
+    """(listening socket, lock file to be kept open while it is used); raises AddressInUse.
+
+    The lock beside a Unix socket's file tells a live owner from a file that a killed process left behind.
+    """
+    family, target = addresses.parse(address)
+    # Closes what is open already where a later step fails.
+    with contextlib.ExitStack() as opened:
+        lock_file = None
+        if family == socket.AF_UNIX:
+            os.makedirs(os.path.dirname(address) or ".", exist_ok=True)
+            lock_file = opened.enter_context(open(address + ".lock", "w"))
+            _claim(address, lock_file)
+        try:
+            sock = opened.enter_context(socket.socket(family, socket.SOCK_STREAM))
+            if family != socket.AF_UNIX:
+                sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+            sock.bind(target)
+            sock.listen(BACKLOG)
+        except OSError as error:
+            raise AddressInUse(f"{address}: {error.strerror}, expected a free one") from None
+        opened.pop_all()
+    return sock, lock_file
+
+
+def _claim(address: str, lock_file: TextIO) -> None:
+    """Takes the lock and removes the socket file that a killed process left behind; raises AddressInUse."""
+    try:
+        fcntl.flock(lock_file, fcntl.LOCK_EX | fcntl.LOCK_NB)
+    except OSError:
+        raise AddressInUse(f"{address}: somebody live listens there, expected a free one") from None
+    try:
+        if not stat.S_ISSOCK(os.lstat(address).st_mode):
+            raise AddressInUse(f"{address}: a file that is no socket stands there, expected none")
+        os.unlink(address)  # nobody holds the lock: a killed process left it
+    except FileNotFoundError:
+        pass
+
+
+class LineConnection:
+    """One connection. `say` may be called from any thread and never waits: a peer that reads too little is closed."""
+
+    def __init__(self, sock: socket.socket, unread: int = UNREAD_MOST) -> None:
+        self.sock, self.box, self.open = sock, WriteBuffer(sock, unread, "wire"), True
+        self.who = ""
+
+    def say(self, body: bytes) -> None:
+        """Sends one line, or closes the connection where that fails."""
+        try:
+            self.box.put(OutgoingMessage(body + b"\n"))
+        except (OSError, PeerTooSlow, RuntimeError):  # RuntimeError: no thread could be started
+            self.open = False
+            self.box.close()
+
+
+class Listener:
+    """Accepts connections on an address and calls `serve(sock)` in a thread for each, which need not close it.
+
+    A failure of accept or of the start of a thread costs one connection at most; only `close` ends the listener.
+    """
+
+    def __init__(self, address: str, serve: Callable[[socket.socket], None]) -> None:
+        self.serve = serve
+        self.sock, self.lock_file = listener(address)
+        self.socks: set[socket.socket] = set()
+        self.lock = threading.Lock()
+        self.acceptor = Acceptor(self.sock, self._take)
+        try:
+            threading.Thread(target=self.acceptor.run, name="accept", daemon=True).start()
+        except RuntimeError:
+            self.close()
+            raise
+
+    def close(self) -> None:
+        """Accepts no more connections and ends those there are."""
+        self.acceptor.close()
+        with self.lock:
+            socks = list(self.socks)
+        for sock in socks:
+            with contextlib.suppress(OSError):
+                sock.shutdown(socket.SHUT_RDWR)
+        if self.lock_file is not None:
+            self.lock_file.close()
+
+    def _take(self, sock: socket.socket) -> None:
+        with self.lock:
+            if self.acceptor.closed.is_set():  # accepted as `close` went by: nobody would end it
+                sock.close()
+                return
+            self.socks.add(sock)
+        try:
+            threading.Thread(target=self._serve_one, args=(sock,), name="connection", daemon=True).start()
+        except RuntimeError:
+            self._forget(sock)
+            raise
+
+    def _serve_one(self, sock: socket.socket) -> None:
+        try:
+            self.serve(sock)
+        except OSError:
+            pass
+        finally:
+            self._forget(sock)
+
+    def _forget(self, sock: socket.socket) -> None:
+        with self.lock:
+            self.socks.discard(sock)
+        with contextlib.suppress(OSError):
+            sock.close()
+
+
+class LineServer(Listener):
+    """Calls `on_request(connection, request)` for each JSON-RPC request, `on_close(connection)` at each end."""
+
+    def __init__(
+        self,
+        address: str,
+        on_request: Callable[[LineConnection, jsonrpc.Request], None],
+        on_close: Callable[[LineConnection], None],
+        line_size: int = LINE_SIZE_MOST,
+    ) -> None:
+        self.on_request, self.on_close, self.line_size = on_request, on_close, line_size
+        self.wires: set[LineConnection] = set()
+        super().__init__(address, self._read)
+
+    def _read(self, sock: socket.socket) -> None:
+        wire, lines = LineConnection(sock), Lines(self.line_size)
+        self.wires.add(wire)
+        try:
+            while data := sock.recv(READ_SIZE):
+                for line in lines.feed(data):
+                    self._handle(wire, line)
+        except (OSError, TooLong):
+            pass
+        finally:
+            wire.open = False
+            self.wires.discard(wire)
+            try:
+                self.on_close(wire)
+            finally:
+                wire.box.close()
+
+    def _handle(self, wire: LineConnection, line: bytes) -> None:
+        for request in jsonrpc.requests(line):
+            if isinstance(request, jsonrpc.Fault):
+                wire.say(jsonrpc.refusal(request))
+            else:
+                self.on_request(wire, request)
--- /dev/null
+++ b/wickdyke/transport/termination.py
@@ -0,0 +1,30 @@
+"""Termination of a service by SIGTERM or SIGINT."""
+
+import os
+import signal
+import threading
+
+WAIT_PIECE = 3600.0  # s
+
+
+def asked() -> threading.Event:
+    """An event that is set by SIGTERM or SIGINT; a second signal ends the process at once with code 1.
+
+    To be called in the main thread.
+    """
+    terminated = threading.Event()
+
+    def handle(number: int, frame: object) -> None:
+        if terminated.is_set():
+            os._exit(1)
+        terminated.set()
+
+    for number in (signal.SIGTERM, signal.SIGINT):
+        signal.signal(number, handle)
+    return terminated
+
+
+def wait(terminated: threading.Event) -> None:
+    """Waits until that is set. In pieces: a wait without a timeout would not let the signal handler run."""
+    while not terminated.wait(WAIT_PIECE):
+        pass
