--- a/bench/scale.py
+++ b/bench/scale.py
@@ -23,12 +23,9 @@
 import click
 
 from bench.hollow import FRAMES, Draw, HollowFleet, Meter, Settings, listing, product_bytes
-from wickdyke import logic
-
-try:
-    from wickdyke import fleet as index
-except ImportError:  # a text before the index, measured for comparison
-    index = None
+from wickdyke.routing.fleet import Fleet
+from wickdyke.routing.placement import Placement
+from wickdyke.routing.router import Router
 
 START = 2000.0  # ms after which what is measured begins
 TRACED_SECONDS = 4.0  # made time of a play in which bytes are counted, which takes ten times as long
@@ -91,11 +88,11 @@
     """Measures what is control: fills and looks, the list, ranking; the rest is the calls' own work."""
     measured = Meter()
     for owner, names in (
-        (logic.FrontEnd, ("tick", "listed")),
-        (logic.Fill, ("ring",)),
-        (getattr(index, "Fleet", None), ("home_of",)),
+        (Router, ("_tick", "endpoints_changed")),
+        (Placement, ("ranking",)),
+        (Fleet, ("home_of",)),
     ):
-        for name in names if owner else ():
+        for name in names:
             measured.wrap(owner, name)
     return measured
 
@@ -114,7 +111,7 @@
     fleet.announce(rows)
     fleet.run(1.0)
     front, start = fleet.fronts[0], resident()
-    gc.collect()  # as wickdyke/platform/serve.py has it
+    gc.collect()  # as wickdyke/platform/service.py has it
     gc.freeze()
     gc.set_threshold(20000, 20, 50)
     listed = product_bytes() if traced else 0
@@ -141,9 +138,9 @@
         "control_percent": 100 * control.seconds / (point.seconds + START / 1000),
         "longest_ms": 1000 * costs.longest,
         "answers": dict(costs.answers),
-        "messages": {verb: costs.decisions[verb] for verb in ("call", "hold", "probe", "cancel")},
+        "messages": {verb: costs.decisions[verb] for verb in ("forward", "prewarm", "health_check", "cancel")},
         "broken": fleet.broken[:3],
-        "cells": len(front.router.fleet.cells) if index else 1,
+        "cells": len(front.router.fleet.cells),
         "harness_seconds": time.process_time() - begun,
     }
     found["own_ms_a_call"] = 10 * (found["core_percent"] - found["control_percent"]) / point.rate
@@ -153,9 +150,9 @@
             "bytes_a_function": (held - listed) / max(1, known),
             "bytes_a_worker": (listed - bare) / point.workers,
         }
-        if index:  # what goes with the functions, while the records of their workers stay
-            front.router.fleet.drop(list(front.router.functions.values()))
-            counted["bytes_of_it_alone"] = (held - product_bytes()) / max(1, known - len(front.router.functions))
+        # What goes with the functions, while the records of their workers stay.
+        front.router.fleet.drop(list(front.router.functions.values()))
+        counted["bytes_of_it_alone"] = (held - product_bytes()) / max(1, known - len(front.router.functions))
         return counted
     found["rss_mb"] = {"empty": empty, "listed": start, "end": resident()}
     found["change_ms"] = _change_cost(fleet, point)
@@ -164,7 +161,7 @@
 
 def _change_cost(fleet: HollowFleet, point: Point) -> float:
     """Mean ms of processor time for one row: workers that come, drain, come back and go, by turns."""
-    router, spent = fleet.fronts[0].front_end, 0.0
+    router, spent = fleet.fronts[0].router, 0.0
     for step in range(CHANGES):
         row = listing(point.workers * 2 + step // 4)
         state = ("ready", "draining", "ready", "gone")[step % 4]
@@ -181,9 +178,8 @@
 
 
 def measure(point: Point, repeat: int) -> dict:
-    """All plays of a point, in processes of their own. A long one is played once, and its bytes are not counted; nor
-    are those of a text before the index, of which a snapshot takes minutes."""
-    long = point.seconds > LONG_SECONDS or index is None
+    """All plays of a point, in processes of their own. A long one is played once, and its bytes are not counted."""
+    long = point.seconds > LONG_SECONDS
 
     def run(traced: bool) -> dict:
         given = json.dumps(asdict(replace(point, seconds=min(point.seconds, TRACED_SECONDS)) if traced else point))
--- a/tests/test_discovery_faults.py
+++ b/tests/test_discovery_faults.py
@@ -11,6 +11,7 @@
 from unittest.mock import Mock, patch
 
 from tests import platform_rig as rig
+from tests.descriptors import open_descriptors, opened_since
 from tests.rig import until
 from wickdyke.platform import discovery
 from wickdyke.transport import event_loop
@@ -142,10 +143,6 @@
             pass
 
 
-def open_descriptors():
-    return len(os.listdir("/proc/self/fd"))
-
-
 class Case(unittest.TestCase):
     """Time is the test's: it goes on only while the list waits to be asked for again."""
 
@@ -201,7 +198,7 @@
         made.close()
         self.loop.close()
         self.assertEqual(self.loop.handlers, {})
-        self.assertTrue(until(lambda: open_descriptors() == self.before), f"{open_descriptors()}, {self.before} before")
+        self.assertTrue(until(lambda: not opened_since(self.before)), opened_since(self.before))
 
     def each(self, errors, check, times=1, piece=0):
         """Calls `check` with calls of which one fails, at each time the path takes it, with each of its errors; then
--- a/tests/test_event_loop_faults.py
+++ b/tests/test_event_loop_faults.py
@@ -8,6 +8,7 @@
 from types import SimpleNamespace
 from unittest.mock import Mock, patch
 
+from tests.descriptors import open_descriptors, opened_since
 from wickdyke.transport import event_loop
 
 NO_MEMORY = (errno.ENOMEM, errno.ENOSPC)
@@ -17,10 +18,6 @@
     return OSError(code, os.strerror(code))
 
 
-def open_descriptors():
-    return len(os.listdir("/proc/self/fd"))
-
-
 class FaultyEpoll:
     """An epoll whose calls raise what `errors` holds for their name, one after the other (None: it works)."""
 
@@ -276,7 +273,7 @@
             for code in codes:
                 with self.subTest(name=name, code=errno.errorcode[code]):
                     self.assertEqual(self.dial(**{name: Mock(side_effect=failure(code))}), (None, code))
-                    self.assertEqual(open_descriptors(), self.before)
+                    self.assertEqual(opened_since(self.before), set())
 
     def test_connect_gives_an_error(self):
         for code in (
@@ -286,7 +283,7 @@
         ):
             with self.subTest(errno.errorcode[code]):
                 self.assertEqual(self.dial(connect_ex=Mock(return_value=code)), (None, code))
-                self.assertEqual(open_descriptors(), self.before)
+                self.assertEqual(opened_since(self.before), set())
 
     def test_connect_is_interrupted(self):
         """The connection goes on being made, and comes up."""
@@ -307,12 +304,12 @@
             with self.subTest(address=address):
                 sock, code = event_loop.dial(address)
                 self.assertEqual((sock, code != 0), (None, True))
-                self.assertEqual(open_descriptors(), self.before)
+                self.assertEqual(opened_since(self.before), set())
 
     def test_what_a_signal_handler_raises_goes_on(self):
         with self.assertRaises(KeyboardInterrupt):
             self.dial(connect_ex=Mock(side_effect=KeyboardInterrupt))
-        self.assertEqual(open_descriptors(), self.before)
+        self.assertEqual(opened_since(self.before), set())
 
     def test_a_close_that_reports_an_error(self):
         def close(sock):
@@ -321,7 +318,7 @@
 
         refused = Mock(return_value=errno.ECONNREFUSED)
         self.assertEqual(self.dial(connect_ex=refused, close=close), (None, errno.ECONNREFUSED))
-        self.assertEqual(open_descriptors(), self.before)
+        self.assertEqual(opened_since(self.before), set())
 
 
 if __name__ == "__main__":
--- a/tests/test_listener_faults.py
+++ b/tests/test_listener_faults.py
@@ -9,6 +9,7 @@
 from types import SimpleNamespace
 from unittest.mock import Mock, patch
 
+from tests.descriptors import open_descriptors, opened_since
 from tests.rig import LONG, until
 from wickdyke.gateway import client_server
 from wickdyke.settings.station import Bounds
@@ -41,10 +42,6 @@
 CONNECTIONS = 3  # made one after the other: the path of the acceptor is the same for each
 
 
-def open_descriptors():
-    return len(os.listdir("/proc/self/fd"))
-
-
 def started_since(threads):
     """The threads alive now that are not among those, which were alive before the case.
 
@@ -158,7 +155,7 @@
                 return False
 
     def assert_none_left(self, before, threads):
-        self.assertTrue(until(lambda: open_descriptors() == before), f"{open_descriptors()} open, {before} before")
+        self.assertTrue(until(lambda: not opened_since(before)), opened_since(before))
         self.assertTrue(until(lambda: not started_since(threads)), started_since(threads))
 
 
@@ -224,7 +221,7 @@
         with patch.object(line_server, "threading", replaced(threading, Thread=faulty_thread(1))):
             with self.assertRaises(RuntimeError):
                 Echo(self.folder)
-        self.assertEqual(open_descriptors(), before)
+        self.assertEqual(opened_since(before), set())
 
 
 class ServingRaises(Case):
@@ -277,14 +274,14 @@
                     with patch.object(line_server, "socket", replaced(socket, socket=faulty)):
                         with self.assertRaises(line_server.AddressInUse):
                             line_server.listener(address)
-                    self.assertEqual(open_descriptors(), before)
+                    self.assertEqual(opened_since(before), set())
             with self.subTest(address=address[:9], name="socket"):
                 before = open_descriptors()
                 none = Mock(side_effect=failure(errno.EMFILE))
                 with patch.object(line_server, "socket", replaced(socket, socket=none)):
                     with self.assertRaises(line_server.AddressInUse):
                         line_server.listener(address)
-                self.assertEqual(open_descriptors(), before)
+                self.assertEqual(opened_since(before), set())
 
 
 class Pauses(unittest.TestCase):
