--- a/bench/compare.py
+++ b/bench/compare.py
@@ -13,8 +13,8 @@
 import click
 import msgspec
 
-from wickdyke.proving.report import table
-from wickdyke.settings.roll import Row, written
+from wickdyke.config.endpoint_file import EndpointRow, format_endpoints
+from wickdyke.fault_injection.report import table
 
 WORKERS = 4
 GATEWAY = """(gateway (listen (json-rpc "g.sock")) (workers (file "workers.sexp")) (report busy held) (seed 1)
@@ -67,11 +67,15 @@
     with tempfile.TemporaryDirectory(prefix="wd-") as folder:
         paths = [os.path.join(folder, f"w{at}.sock") for at in range(WORKERS)]
         with open(os.path.join(folder, "workers.sexp"), "w") as sink:
-            sink.write(written([Row(f"w{at}", path, None, None, 0, 8.0, "ready", 0) for at, path in enumerate(paths)]))
+            sink.write(
+                format_endpoints(
+                    [EndpointRow(f"w{at}", path, None, None, 0, 8.0, "ready", 0) for at, path in enumerate(paths)]
+                )
+            )
         with open(os.path.join(folder, "g.sexp"), "w") as sink:
             sink.write(GATEWAY)
         relay, gate = os.path.join(folder, "relay.sock"), os.path.join(folder, "g.sock")
-        children = [begin("bench.answerer", path) for path in paths]
+        children = [begin("bench.echo_worker", path) for path in paths]
         children.append(begin("bench.relay", relay, *paths))
         children.append(begin("wickdyke.cli", "serve", os.path.join(folder, "g.sexp")))
         try:
--- a/bench/ordinary.py
+++ b/bench/hot_path.py
@@ -1,7 +1,7 @@
 """What an RPC's ordinary path costs in the module alone, in us of CPU: taken, placed, answered ok, no sockets. Run in
 turn in two checkouts, or with and without a route, the rounds give pairs.
 
-    python -m bench.ordinary --rounds 9 --beside ../earlier
+    python -m bench.hot_path --rounds 9 --beside ../earlier
 """
 
 import os
@@ -19,6 +19,7 @@
     """us of CPU an RPC."""
     from wickdyke.routing.decisions import Forward, Prewarm
     from wickdyke.routing.model import Endpoint, RequestClass, RoutePolicy
+    from wickdyke.routing.router import Router
     from wickdyke.routing.settings import (
         AttemptLimits,
         CostWeights,
@@ -28,7 +29,6 @@
         PrewarmQuota,
         SlowStart,
     )
-    from wickdyke.routing.router import Router
 
     method = RequestClass("m", "idempotent", "all", 2000.0, 800.0, 0.0, 4000.0, 1.0, 0.2)
     router = Router(
--- a/bench/load.py
+++ b/bench/load.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from wickdyke.proving.report import histogram
+from wickdyke.fault_injection.report import histogram
 
 CALL = b'{"jsonrpc":"2.0","method":"call","params":{"method":"m","program":"p%d","input":{"photo":"%b"}},"id":%d}\n'
 POINTS = (50.0, 90.0, 99.0, 99.9)
--- a/bench/overload.py
+++ b/bench/overload.py
@@ -13,12 +13,11 @@
 
 import click
 
-from wickdyke.proving import report, trace
-from wickdyke.proving import script as scripts
-from wickdyke.proving.director import Director
-from wickdyke.proving.judge import Judge
-from wickdyke.settings import sexp
-from wickdyke.settings.sexp import Form
+from wickdyke.config import sexpr
+from wickdyke.config.sexpr import Expression
+from wickdyke.fault_injection import report, scenario, trace
+from wickdyke.fault_injection.rule_checker import RuleChecker
+from wickdyke.fault_injection.scenario_runner import ScenarioRunner
 
 HEALTHY = 0.9  # share in time from which a second counts as recovered
 STEP = 1000.0  # ms
@@ -26,18 +25,18 @@
 
 def variants(routes: str) -> dict[str, str]:
     """The script's own routes; the same without their budgets; with one attempt."""
-    forms = sexp.parse(routes, "routes")
+    forms = sexpr.parse(routes, "routes")
 
     def less(*names: str, more: str = "") -> str:
         kept = [
-            Form(
+            Expression(
                 form.name,
-                [item for item in form.items if not (isinstance(item, Form) and item.name in names)],
+                [item for item in form.items if not (isinstance(item, Expression) and item.name in names)],
                 form.spot,
             )
             for form in forms
         ]
-        return " ".join(sexp.written(form)[:-1] + more + ")" for form in kept)
+        return " ".join(sexpr.format_expression(form)[:-1] + more + ")" for form in kept)
 
     return {
         "one attempt": less("budget", "attempts", more=" (attempts 1)"),
@@ -46,7 +45,7 @@
     }
 
 
-def seconds(judge: Judge) -> tuple[Counter, Counter]:
+def seconds(judge: RuleChecker) -> tuple[Counter, Counter]:
     """By second of the run: RPCs asked, and of these answered ok within the soft deadline."""
     began = min(asked.entry["t"] for asked in judge.asked.values())
     asks, good = Counter(), Counter()
@@ -68,12 +67,12 @@
     return None
 
 
-def play(script: scripts.Script, routes: str, found: list) -> None:
+def play(script: scenario.Scenario, routes: str, found: list) -> None:
     """One run, judged."""
     mine = copy.copy(script)
     mine.routes = routes
     with tempfile.TemporaryDirectory(prefix="wd-") as folder:
-        found.append(Judge(trace.read(Director(mine, os.path.join(folder, "run")).run())))
+        found.append(RuleChecker(trace.read(ScenarioRunner(mine, os.path.join(folder, "run")).run())))
 
 
 @click.command()
@@ -82,7 +81,7 @@
 @click.option("--lines/--no-lines", default=False, help="Also each second of the first seed.")
 def main(file: str, seeds: int, lines: bool) -> None:
     """Measures the variants of FILE, in pairs by seed."""
-    script = scripts.read(file)
+    script = scenario.read(file)
     burst = next(trouble for trouble in script.troubles if trouble.kind == "burst")
     starts, ends = int(burst.at // STEP), int((burst.at + burst.values["for"]) // STEP)
     rows: dict[str, list[list]] = {name: [] for name in variants(script.routes)}
--- a/bench/recording.py
+++ b/bench/recording.py
@@ -1,4 +1,4 @@
-"""Records what a hollow front end was told and decided, for `wickdyke replay` and tests/test_scale.py.
+"""Records what a hollow front end was told and decided, for `wickdyke replay` and tests/test_simulated_fleet.py.
 
     python -m bench.recording OUT.gz [SEED [WORKERS]]
 
@@ -14,7 +14,7 @@
 import tempfile
 from dataclasses import replace
 
-from bench.hollow import Draw, HollowFleet, Settings, listing
+from bench.simulated_fleet import Draw, HollowFleet, Settings, listing
 from wickdyke.gateway.recording import DecisionRecorder
 
 WORKERS, SPAN = 120, 24000.0
--- a/bench/relay.py
+++ b/bench/relay.py
@@ -12,16 +12,16 @@
 
 import msgspec
 
-from wickdyke.transport.write_buffer import WriteBuffer, OutgoingMessage
-from wickdyke.protocol import back, front, jsonrpc
-from wickdyke.protocol.lines import Lines
+from wickdyke.protocol import client_messages, jsonrpc, worker_messages
+from wickdyke.protocol.framing import LineReader
+from wickdyke.transport.write_buffer import OutgoingMessage, WriteBuffer
 
 LINE, UNREAD = 16 << 20, 32 << 20
 
 
 def reader(sock: socket.socket, each) -> None:
     """Hands each line on until the end."""
-    lines = Lines(LINE)
+    lines = LineReader(LINE)
     while data := sock.recv(1 << 18):
         for line in lines.feed(data):
             each(line)
@@ -36,8 +36,8 @@
     boxes = []
 
     def answered(line: bytes) -> None:
-        ident, result, _ = jsonrpc.answer(line)
-        events.put(("back", ident, msgspec.json.decode(result, type=back.Ran)))
+        ident, result, _ = jsonrpc.parse_response(line)
+        events.put(("back", ident, msgspec.json.decode(result, type=worker_messages.RunResult)))
 
     for worker in workers:
         sock = socket.socket(socket.AF_UNIX)
@@ -52,11 +52,11 @@
                 case ("asked", box, ident, call):
                     n = next(number)
                     out[n] = box, ident
-                    run = back.Run(call.method, call.program, call.input, 100.0, 1, 1000.0)
+                    run = worker_messages.RunRequest(call.method, call.function, call.input, 100.0, 1, 1000.0)
                     next(turn).put(OutgoingMessage(jsonrpc.request_line("run", jsonrpc.encode(run), n)))
                 case ("back", n, ran):
                     box, ident = out.pop(n)
-                    box.put(OutgoingMessage(front.ok(ident, bytes(ran.output), 1) + b"\n"))
+                    box.put(OutgoingMessage(client_messages.success_response(ident, bytes(ran.output), 1) + b"\n"))
 
     threading.Thread(target=desk, daemon=True).start()
     listener = socket.socket(socket.AF_UNIX)
@@ -68,8 +68,15 @@
         box = WriteBuffer(sock, UNREAD, "client")
 
         def asked(line: bytes, box: WriteBuffer = box) -> None:
-            for request in jsonrpc.requests(line):
-                events.put(("asked", box, request.ident, jsonrpc.params(front.Call, request.params, request.ident)))
+            for request in jsonrpc.parse_requests(line):
+                events.put(
+                    (
+                        "asked",
+                        box,
+                        request.ident,
+                        jsonrpc.parse_params(client_messages.CallRequest, request.params, request.ident),
+                    )
+                )
 
         threading.Thread(target=reader, args=(sock, asked), daemon=True).start()
 
--- a/bench/scale.py
+++ b/bench/scale.py
@@ -4,7 +4,7 @@
     python -m bench.scale point '{"workers": 5000}'                     one point, printed
     python -m bench.scale show OUT.json                                 the tables of docs/CAPACITY.md
 
-All but the decision module is simulated by hollow parts (bench/hollow.py). Processor time, bytes and resident memory
+All but the decision module is simulated (bench/simulated_fleet.py). Processor time, bytes and resident memory
 are the machine's; times of requests are made. A point is played several times for processor time, of which the median
 stands, and once with `tracemalloc` for bytes.
 """
@@ -22,7 +22,7 @@
 
 import click
 
-from bench.hollow import FRAMES, Draw, HollowFleet, Meter, Settings, listing, product_bytes
+from bench.simulated_fleet import FRAMES, Draw, HollowFleet, Meter, Settings, listing, product_bytes
 from wickdyke.routing.fleet import Fleet
 from wickdyke.routing.placement import Placement
 from wickdyke.routing.router import Router
--- a/bench/hollow.py
+++ b/bench/simulated_fleet.py
@@ -29,6 +29,7 @@
     Reject,
 )
 from wickdyke.routing.model import Attempt, Endpoint, Request, RequestClass
+from wickdyke.routing.router import Router
 from wickdyke.routing.settings import (
     AttemptLimits,
     CostWeights,
@@ -39,7 +40,6 @@
     SlowStart,
     TenantQuotas,
 )
-from wickdyke.routing.router import Router
 
 if TYPE_CHECKING:
     from wickdyke.gateway.recording import DecisionRecorder
--- a/bench/worker.py
+++ b/bench/worker.py
@@ -21,12 +21,11 @@
 import psutil
 
 from bench.overload import recovery, seconds
+from wickdyke.config import worker_config
+from wickdyke.fault_injection import report, scenario, trace
+from wickdyke.fault_injection.rule_checker import RuleChecker
+from wickdyke.fault_injection.scenario_runner import ScenarioRunner
 from wickdyke.gateway import log as logs
-from wickdyke.proving import report, trace
-from wickdyke.proving import script as scripts
-from wickdyke.proving.director import Director
-from wickdyke.proving.judge import Judge
-from wickdyke.settings import workshop
 from wickdyke.worker import package
 from wickdyke.worker.runtime import Worker
 from wickdyke.worker.source import Folder
@@ -105,7 +104,7 @@
     """A worker in this process."""
     with open(os.path.join(folder, "w.sexp"), "w") as sink:
         sink.write(SHOP.format(cache=cache))
-    shop = workshop.read(os.path.join(folder, "w.sexp"))
+    shop = worker_config.read(os.path.join(folder, "w.sexp"))
     made = Worker(shop, Folder(shop.folder), logs.logger(io.StringIO(), False)[0])
     made.open()
     return made
@@ -184,22 +183,22 @@
     return rows
 
 
-def play(script: scripts.Script, holds: bool, found: dict) -> None:
+def play(script: scenario.Scenario, holds: bool, found: dict) -> None:
     """One run, judged."""
     mine = copy.copy(script)
     mine.holds = holds
     with tempfile.TemporaryDirectory(prefix="wd-") as folder:
-        found[holds] = Judge(trace.read(Director(mine, os.path.join(folder, "run")).run()))
+        found[holds] = RuleChecker(trace.read(ScenarioRunner(mine, os.path.join(folder, "run")).run()))
 
 
 def recover(file: str, seeds: int) -> list[list[str]]:
     """Seconds from the first mass restart until three in a row have nine tenths in time, with and without orders."""
-    script = scripts.read(file)
+    script = scenario.read(file)
     first = next(trouble for trouble in script.troubles if trouble.kind == "die")
     last = next(trouble.at for trouble in script.troubles if trouble.at > first.at)
     rows: dict[bool, list] = {True: [], False: []}
     for _ in range(seeds):
-        found: dict[bool, Judge] = {}
+        found: dict[bool, RuleChecker] = {}
         threads = [threading.Thread(target=play, args=(script, holds, found)) for holds in (True, False)]
         for thread in threads:
             thread.start()
@@ -232,7 +231,7 @@
         return 0.0
 
 
-def sample(director: Director, name: str, found: list[tuple[float, float]]) -> None:
+def sample(director: ScenarioRunner, name: str, found: list[tuple[float, float]]) -> None:
     """Asks a worker what its copies take, and reads the same from the kernel; only where no copy came or went
     meanwhile, since what is told is up to a quarter of a second old."""
     try:
@@ -255,14 +254,14 @@
     """What workers tell of their copies against the kernel, all through a script."""
     found: list[tuple[float, float]] = []
     with tempfile.TemporaryDirectory(prefix="wd-") as folder:
-        director = Director(scripts.read(file), os.path.join(folder, "run"))
+        director = ScenarioRunner(scenario.read(file), os.path.join(folder, "run"))
         ended = threading.Event()
 
         def watch(name: str) -> None:
             while not ended.wait(0.1):
                 sample(director, name, found)
 
-        watchers = [threading.Thread(target=watch, args=(name,)) for name in scripts.worker_names(director.script)]
+        watchers = [threading.Thread(target=watch, args=(name,)) for name in scenario.worker_names(director.script)]
         for watcher in watchers:
             watcher.start()
         try:
--- a/tests/acceptance_rig.py
+++ b/tests/acceptance_rig.py
@@ -8,8 +8,8 @@
 from tests import test_fleet
 from wickdyke.gateway import context
 from wickdyke.gateway.events import RequestReceived
-from wickdyke.routing.model import RoutePolicy
 from wickdyke.platform import service
+from wickdyke.routing.model import RoutePolicy
 from wickdyke.transport import event_loop
 
 START = 1e9  # ms on the stand-in clock
--- a/tests/wrong.py
+++ b/tests/faulty_gateways.py
@@ -1,18 +1,18 @@
-"""A gateway made wrong on purpose: `python -m tests.wrong MISTAKE serve FILE ...`. The judge must find each."""
+"""A gateway made wrong on purpose: `python -m tests.faulty_gateways MISTAKE serve FILE`. The checker must find each."""
 
 import itertools
 import sys
 
 from wickdyke.cli import main
+from wickdyke.config import route_config
+from wickdyke.config.endpoint_file import EndpointRow
 from wickdyke.gateway.attempts import Attempts
-from wickdyke.gateway.client_connection import PendingRequest
 from wickdyke.gateway.events import AttemptWithdrawn
-from wickdyke.gateway.endpoint_list import EndpointList
+from wickdyke.jsonrpc.client_connection import PendingRequest
+from wickdyke.jsonrpc.endpoint_list import EndpointList
 from wickdyke.routing.model import Request
 from wickdyke.routing.prewarming import PrewarmLimiter
 from wickdyke.routing.slow_start import SlowStartGuard
-from wickdyke.settings import routes
-from wickdyke.settings.roll import Row
 
 _turn = itertools.count(1)
 _answer = PendingRequest.answer
@@ -39,7 +39,10 @@
 def _deaf(roster, rows, now):
     return _rows(
         roster,
-        [Row(**{name: getattr(row, name) for name in row.__slots__ if name != "state"}, state="ready") for row in rows],
+        [
+            EndpointRow(**{name: getattr(row, name) for name in row.__slots__ if name != "state"}, state="ready")
+            for row in rows
+        ],
         now,
     )
 
@@ -66,7 +69,7 @@
         case "blind to the cold":
             SlowStartGuard.is_warming_up = lambda guard, worker, now: False
         case "checks no routes":
-            routes.sums.check = lambda terms, method, ground: []
+            route_config.sums.check = lambda terms, method, ground: []
         case "orders at will":
             PrewarmLimiter.may_send = lambda limiter, worker, renewal, now: worker.endpoint.state == "ready"
         case _:
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,8 +1,9 @@
 """A front end on a small made-up fleet, and ways to drive it."""
 
 from wickdyke.routing.decisions import Cancel, Fail, FollowEndpoints, Forward, HealthCheck, LogNote, Prewarm, Reject
-from wickdyke.routing.placement import PlacementPass
 from wickdyke.routing.model import Endpoint, RequestClass
+from wickdyke.routing.placement import PlacementPass
+from wickdyke.routing.router import Router
 from wickdyke.routing.settings import (
     AttemptLimits,
     CostWeights,
@@ -13,7 +14,6 @@
     SlowStart,
     TenantQuotas,
 )
-from wickdyke.routing.router import Router
 
 ROW = {"zone": 0, "kind": 0, "cell": 0, "state": "ready", "size": 4.0, "started_at": None}
 
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -8,12 +8,12 @@
 import threading
 import time
 
+from wickdyke.config import gateway_config
+from wickdyke.config.endpoint_file import EndpointRow, format_endpoints
 from wickdyke.gateway import events
 from wickdyke.gateway import log as logs
-from wickdyke.gateway.service import Gateway
-from wickdyke.protocol import back, jsonrpc
-from wickdyke.settings import station
-from wickdyke.settings.roll import Row, written
+from wickdyke.jsonrpc.service import Gateway
+from wickdyke.protocol import jsonrpc, worker_messages
 
 LONG = 20.0  # s that anything may take on a machine that is busy with other things
 
@@ -76,13 +76,16 @@
 def hello(sock, source, start=1, up=1e6, draining=False):
     """Answers the hello."""
     asked = next(source)
-    standing = back.Standing(back.VERSION, "w", start, up, draining)
-    sock.sendall(jsonrpc.result(asked["id"], jsonrpc.encode(standing)) + b"\n")
+    standing = worker_messages.WorkerHello(worker_messages.VERSION, "w", start, up, draining)
+    sock.sendall(jsonrpc.result_response(asked["id"], jsonrpc.encode(standing)) + b"\n")
 
 
 def ok(number, output=b'"done"', standing="stood"):
     """An ok answer to `run`."""
-    return jsonrpc.result(number, b'{"output":%b,"standing":"%b","company":0}' % (output, standing.encode())) + b"\n"
+    return (
+        jsonrpc.result_response(number, b'{"output":%b,"standing":"%b","company":0}' % (output, standing.encode()))
+        + b"\n"
+    )
 
 
 def willing(sock, number, output=lambda asked: b'"done"'):
@@ -93,9 +96,9 @@
         if asked["method"] == "run":
             sock.sendall(ok(asked["id"], output(asked["params"])))
         elif asked["method"] == "hold":
-            sock.sendall(jsonrpc.result(asked["id"], b'{"copies":%d}' % asked["params"]["copies"]) + b"\n")
+            sock.sendall(jsonrpc.result_response(asked["id"], b'{"copies":%d}' % asked["params"]["copies"]) + b"\n")
         elif asked["method"] == "probe":
-            sock.sendall(jsonrpc.result(asked["id"], b'{"report":{"busy":0.1,"held":0}}') + b"\n")
+            sock.sendall(jsonrpc.result_response(asked["id"], b'{"report":{"busy":0.1,"held":0}}') + b"\n")
 
 
 TERMS = """(gateway (name "g") (listen (json-rpc "g.sock")) (workers (file "workers.sexp") (reread 20 ms)) (seed 5)
@@ -128,8 +131,10 @@
         self.folder, self.peers = self.made.name, []
         for at, play in enumerate(workers):
             self.peers.append(Peer(self.folder, f"w{at}", play))
-        self.rows = [Row(f"w{at}", peer.path, None, None, 0, 4.0, "ready", 0) for at, peer in enumerate(self.peers)]
-        self.write(written(self.rows))
+        self.rows = [
+            EndpointRow(f"w{at}", peer.path, None, None, 0, 4.0, "ready", 0) for at, peer in enumerate(self.peers)
+        ]
+        self.write(format_endpoints(self.rows))
         if routes is not None:
             self.route(routes)
             more += ' (routes (file "routes.sexp") (reread 20 ms))'
@@ -144,7 +149,7 @@
                     call_outs="" if "(call-outs" in more else CALL_OUTS,
                 )
             )
-        self.station = station.read(os.path.join(self.folder, "g.sexp"))
+        self.station = gateway_config.read(os.path.join(self.folder, "g.sexp"))
         if tape:
             self.station.tape = os.path.join(self.folder, "tape")
         self.said = sink or io.StringIO()
--- a/tests/test_acceptance_days.py
+++ b/tests/test_acceptance_days.py
@@ -11,10 +11,9 @@
 from tests import platform_rig as rig
 from tests.acceptance_rig import CLASSES, Stepped, request, settings
 from tests.test_fleet import Full, reset, wait_for
-from wickdyke.platform import worker_connection
 from wickdyke.gateway.events import EndpointsReceived
-from wickdyke.platform import service
 from wickdyke.platform import configuration as stations
+from wickdyke.platform import service, worker_connection
 
 
 def end(sock, how):
--- a/tests/test_quarantine.py
+++ b/tests/test_circuit_breaker.py
@@ -5,7 +5,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from wickdyke.quarantine.bars import Backoff, FunctionBreakers, RequestBreakers
+from wickdyke.circuit_breaker.breakers import Backoff, FunctionBreakers, RequestBreakers
 
 
 class ProgramBars(unittest.TestCase):
--- a/tests/test_client_connection_faults.py
+++ b/tests/test_client_connection_faults.py
@@ -13,13 +13,13 @@
 from unittest.mock import Mock, patch
 
 from tests import platform_rig as rig
-from tests.test_shutdown import Timed
 from tests.rig import plain
-from wickdyke.platform import client_connection
+from tests.test_shutdown import Timed
 from wickdyke.gateway.events import RequestReceived
+from wickdyke.platform import client_connection
+from wickdyke.platform import client_server as fronts
 from wickdyke.routing.decisions import Forward
 from wickdyke.routing.model import RequestClass
-from wickdyke.platform import client_server as fronts
 from wickdyke.transport import event_loop, write_buffer
 
 A, B, C = (letter * 16 for letter in "abc")
--- a/tests/test_door.py
+++ b/tests/test_client_server.py
@@ -257,7 +257,7 @@
                 if asked["method"] == "run":
                     size = 1 << 20 if asked["params"]["program"] == "plarge" else 10
                     body = b'{"output":"%b","standing":"stood"}' % (b"x" * size)
-                    sock.sendall(jsonrpc.result(asked["id"], body) + b"\n")
+                    sock.sendall(jsonrpc.result_response(asked["id"], body) + b"\n")
 
         with Running((large,), more="(bounds (line 2 MB) (unread 4 MB))") as running:
             deaf, other = running.client(), running.client()
@@ -322,7 +322,7 @@
             port = free.getsockname()[1]
         with Running(more="") as made:
             made.station.listen = f"127.0.0.1:{port}"
-            from wickdyke.gateway.service import Gateway
+            from wickdyke.jsonrpc.service import Gateway
 
             gateway = Gateway(made.station, made.log)
             gateway.open()
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -9,7 +9,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from tests import platform_rig as rig, test_fleet
+from tests import platform_rig as rig
+from tests import test_fleet
 from tests.helpers import Fleet, verbs
 from wickdyke.gateway.interfaces import EndpointListChange
 from wickdyke.platform import endpoint_list, service
--- a/tests/test_configuration_faults.py
+++ b/tests/test_configuration_faults.py
@@ -7,7 +7,7 @@
 
 from tests import platform_rig as rig
 from tests.test_fleet import NOWHERE, Handed
-from wickdyke.platform import service, configuration
+from wickdyke.platform import configuration, service
 
 MOMENTARY = (errno.EMFILE, errno.ENFILE, errno.ENOMEM, errno.EIO, errno.ENOENT)
 
--- a/tests/test_desk.py
+++ b/tests/test_coordinator.py
@@ -15,11 +15,11 @@
 from collections import Counter
 
 from tests.rig import LONG, Client, Running, hello, lines_of, ok, until, willing
+from wickdyke.config.endpoint_file import EndpointRow, format_endpoints
 from wickdyke.gateway import log as logs
 from wickdyke.gateway import recording
+from wickdyke.protocol import jsonrpc, worker_messages
 from wickdyke.transport.line_server import AddressInUse, listener
-from wickdyke.protocol import back, jsonrpc
-from wickdyke.settings.roll import Row, written
 
 
 def silent(sock, number):
@@ -58,7 +58,7 @@
         hello(sock, source)
         for asked in source:
             if asked["method"] in ("run", "hold"):
-                sock.sendall(jsonrpc.problem(asked["id"], code, "no", b"{}") + b"\n")
+                sock.sendall(jsonrpc.error_response(asked["id"], code, "no", b"{}") + b"\n")
 
     return play
 
@@ -82,8 +82,8 @@
             ("just after its time", (answers_after(5),), "side", "aborted", "timeout"),
             ("a byte a time", (a_byte_a_time,), "side", "aborted", "timeout"),
             ("dies, side-effecting", (dies_on_run,), "side", "aborted", "cut"),
-            ("fails, side-effecting", (refuses(back.FAILED),), "side", "aborted", "error"),
-            ("full, side-effecting", (refuses(back.FULL),), "side", "denied", "full"),
+            ("fails, side-effecting", (refuses(worker_messages.FAILED),), "side", "aborted", "error"),
+            ("full, side-effecting", (refuses(worker_messages.FULL),), "side", "denied", "full"),
             ("no worker", (), "idem", "denied", "no-place"),
         ):
             with self.subTest(case=name), Running(workers, soft="400 ms", deadline="900 ms") as running:
@@ -123,7 +123,7 @@
                     )
                 )
                 if how == "cancel":
-                    client.tell(jsonrpc.told_line("cancel", b'{"id":"x"}'))
+                    client.tell(jsonrpc.notification_line("cancel", b'{"id":"x"}'))
                 else:
                     client.close()
                 self.assertTrue(cancelled.wait(LONG))
@@ -139,7 +139,7 @@
             client.ask("x")
             self.assertTrue(until(lambda: running.coordinator.requests.by_id))
             first = next(iter(running.coordinator.requests.by_id.values()))
-            client.tell(jsonrpc.told_line("cancel", b'{"id":"x"}'))
+            client.tell(jsonrpc.notification_line("cancel", b'{"id":"x"}'))
             client.ask("x")
             self.assertTrue(until(lambda: any(ask is not first for ask in running.coordinator.requests.by_id.values())))
             first.answer(b'{"wrong":1}')
@@ -178,7 +178,12 @@
             asked = b""
             while not asked.endswith(b"\n"):
                 asked += sock.recv(1)
-            sock.sendall(jsonrpc.result(0, jsonrpc.encode(back.Standing(back.VERSION, "w", 1, 1e6))) + b"\n")
+            sock.sendall(
+                jsonrpc.result_response(
+                    0, jsonrpc.encode(worker_messages.WorkerHello(worker_messages.VERSION, "w", 1, 1e6))
+                )
+                + b"\n"
+            )
             threading.Event().wait(60)
 
         with Running((deaf,), deadline="60 s", soft="50 s") as running:
@@ -211,18 +216,18 @@
         """(rows written) -> who is ready then."""
         with Running((willing, willing)) as running:
             one, two = running.rows
-            moved = Row("w0", two.address, None, None, 0, 4.0, "ready", 0)
+            moved = EndpointRow("w0", two.address, None, None, 0, 4.0, "ready", 0)
             for rows, ready in (
                 ([one], ["w0"]),
                 ([one, two], ["w0", "w1"]),
-                ([Row(**{**_fields(one), "state": "draining"}), two], ["w1"]),
+                ([EndpointRow(**{**_fields(one), "state": "draining"}), two], ["w1"]),
                 ([one, two], ["w0", "w1"]),
-                ([Row(**{**_fields(one), "state": "gone"}), two], ["w1"]),
+                ([EndpointRow(**{**_fields(one), "state": "gone"}), two], ["w1"]),
                 ([moved], ["w0"]),
                 ([], []),
                 ([one, two], ["w0", "w1"]),
             ):
-                running.write(written(rows))
+                running.write(format_endpoints(rows))
                 with self.subTest(rows=rows):
                     self.assertTrue(
                         until(
@@ -235,7 +240,7 @@
 
     def test_drains_by_its_own_word(self):
         """A worker that answers that it drains gets nothing more, whatever the list says."""
-        with Running((refuses(back.DRAINING), willing)) as running:
+        with Running((refuses(worker_messages.DRAINING), willing)) as running:
             client = running.client()
             for at in range(40):
                 client.ask(at, program=f"p{at}")
@@ -353,14 +358,17 @@
                 seen[run["program"], run["input"]["n"]] += 1
                 code = refuse(run)
                 sock.sendall(
-                    jsonrpc.problem(asked["id"], code, "no", b'{"inside":1}' if code == back.ENDED else b"{}") + b"\n"
+                    jsonrpc.error_response(
+                        asked["id"], code, "no", b'{"inside":1}' if code == worker_messages.REPLICA_ENDED else b"{}"
+                    )
+                    + b"\n"
                     if code
                     else ok(asked["id"])
                 )
             elif asked["method"] == "hold":
-                sock.sendall(jsonrpc.problem(asked["id"], back.FULL, "no") + b"\n")
+                sock.sendall(jsonrpc.error_response(asked["id"], worker_messages.FULL, "no") + b"\n")
             elif asked["method"] == "probe":
-                sock.sendall(jsonrpc.result(asked["id"], b"{}") + b"\n")
+                sock.sendall(jsonrpc.result_response(asked["id"], b"{}") + b"\n")
 
     def running(self, seen, refuse, more):
         peer = functools.partial(self.worker, seen=seen, refuse=refuse)
@@ -373,7 +381,7 @@
         broken.set()
 
         def refuse(run):
-            return back.MISS if run["program"] == "pbad" and broken.is_set() else None
+            return worker_messages.MISS if run["program"] == "pbad" and broken.is_set() else None
 
         with self.running(seen, refuse, "(isolation (loads (first 400 ms) (most 400 ms)))") as running:
             client = running.client()
@@ -405,7 +413,7 @@
                 self.subTest(method=method, copies=copies),
                 self.running(
                     seen,
-                    lambda run: back.ENDED if run["input"]["n"] == "bad" else None,
+                    lambda run: worker_messages.REPLICA_ENDED if run["input"]["n"] == "bad" else None,
                     f"(isolation (calls (copies {copies}) (first 1 min)))",
                 ) as running,
             ):
@@ -438,7 +446,7 @@
                         if asked["method"] == "run":
                             sock.sendall(ok(asked["id"]))
                         elif asked["method"] == "probe":
-                            sock.sendall(jsonrpc.result(asked["id"], b"{}") + b"\n")
+                            sock.sendall(jsonrpc.result_response(asked["id"], b"{}") + b"\n")
 
                 with Running(
                     (play, play), soft="500 ms", deadline="3 s", more="(isolation (calls (copies 2) (first 1 min)))"
@@ -464,7 +472,7 @@
     def test_replay(self):
         """The same events give the same decisions, without sockets; a decision changed by hand is found."""
         with Running(
-            (willing, refuses(back.FULL), dies_on_run, silent), soft="300 ms", deadline="800 ms", tape=True
+            (willing, refuses(worker_messages.FULL), dies_on_run, silent), soft="300 ms", deadline="800 ms", tape=True
         ) as running:
             client = running.client()
             for at in range(150):
@@ -566,7 +574,7 @@
         peer = Peer(folder, "w0", play)
         self.addCleanup(peer.close)
         with open(os.path.join(folder, "workers.sexp"), "w") as out:
-            out.write(written([Row("w0", peer.path, None, None, 0, 4.0, "ready", 0)]))
+            out.write(format_endpoints([EndpointRow("w0", peer.path, None, None, 0, 4.0, "ready", 0)]))
         with open(os.path.join(folder, "g.sexp"), "w") as out:
             out.write(
                 TERMS.format(soft="500 ms", deadline=deadline, way="100 ms", more="", call_outs=CALL_OUTS, stock="")
--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -11,17 +11,16 @@
 
 import msgspec
 
-from tests.rig import Peer, Told, hello, lines_of, ok
 from tests import platform_rig as rig
+from tests.rig import Peer, Told, hello, lines_of, ok
 from tests.test_fleet import ASCII_A, ASCII_B, Full
 from tests.test_platform import Turned
-from wickdyke.platform import connection_pool
-from wickdyke.gateway import worker_client as rpc_link
-from wickdyke.gateway import worker_protocol as rpc_speech
+from wickdyke.jsonrpc import worker_client as rpc_link
+from wickdyke.jsonrpc import worker_protocol as rpc_speech
+from wickdyke.platform import connection_pool, worker_client, worker_command, worker_connection, worker_protocol
 from wickdyke.routing.model import RequestClass
-from wickdyke.platform import worker_client, worker_command, worker_connection, worker_protocol
 from wickdyke.transport import event_loop
-from wickdyke.transport.write_buffer import Expired, WriteBuffer, OutgoingMessage, PeerTooSlow
+from wickdyke.transport.write_buffer import Expired, OutgoingMessage, PeerTooSlow, WriteBuffer
 
 
 class Clock:
--- a/tests/test_roster.py
+++ b/tests/test_endpoint_list.py
@@ -4,18 +4,18 @@
 import tempfile
 import unittest
 
-from wickdyke.gateway.endpoint_list import EndpointList
-from wickdyke.protocol.back import Standing
-from wickdyke.settings import roll
-from wickdyke.settings.roll import Row
+from wickdyke.config import endpoint_file
+from wickdyke.config.endpoint_file import EndpointRow
+from wickdyke.jsonrpc.endpoint_list import EndpointList
+from wickdyke.protocol.worker_messages import WorkerHello
 
 
 def row(state="ready", start=0, address="a", name="w"):
-    return Row(name, address, "z2", "k2", 1, 4.0, state, start)
+    return EndpointRow(name, address, "z2", "k2", 1, 4.0, state, start)
 
 
 def said(start, up=0.0, draining=False):
-    return Standing(1, "w", start, up, draining)
+    return WorkerHello(1, "w", start, up, draining)
 
 
 class Lists(unittest.TestCase):
@@ -31,7 +31,7 @@
                 with self.subTest(listed=listed):
                     with open(os.path.join(folder, "l.sexp"), "w") as sink:
                         sink.write(f'(workers (worker "w" (address "{listed}")))')
-                    self.assertEqual(roll.read(sink.name)[0].address, want)
+                    self.assertEqual(endpoint_file.read_endpoints(sink.name)[0].address, want)
 
 
 class Views(unittest.TestCase):
--- a/tests/test_prove.py
+++ b/tests/test_fault_injection.py
@@ -7,11 +7,10 @@
 import threading
 import unittest
 
-from wickdyke.proving import script as scripts
-from wickdyke.proving import trace
-from wickdyke.proving.director import Director, Failed
-from wickdyke.proving.judge import Judge
-from wickdyke.settings.sexp import Unusable
+from wickdyke.config.sexpr import InvalidConfigError
+from wickdyke.fault_injection import scenario, trace
+from wickdyke.fault_injection.rule_checker import RuleChecker
+from wickdyke.fault_injection.scenario_runner import RigError, ScenarioRunner
 
 DAY = """(script "day" (length 6 s) (gateways 2) (workers 6) (zones 2) (rate 130) (drain-grace 300 ms)
   (warmup (start-share 0.05) (ramp 8 s) (multiple 1.5) (window 2 s)) (ration (free 3) (share 0.02) (window 5 s))
@@ -43,18 +42,18 @@
                     path = os.path.join(folder, f"{name}.sexp")
                     with open(path, "w") as sink:
                         sink.write(FORCED % figures)
-                    director = Director(
-                        scripts.read(path),
+                    director = ScenarioRunner(
+                        scenario.read(path),
                         os.path.join(folder, name),
-                        (sys.executable, "-m", "tests.wrong", mistake, "serve"),
+                        (sys.executable, "-m", "tests.faulty_gateways", mistake, "serve"),
                     )
                     if rules is None:
-                        with self.assertRaises(Failed):
+                        with self.assertRaises(RigError):
                             director.run()
                         with open(os.path.join(folder, name, "g1.err")) as said:
                             self.assertIn("does not cancel", said.read())
                         continue
-                    judge = Judge(trace.read(director.run()))
+                    judge = RuleChecker(trace.read(director.run()))
                     self.assertEqual({finding.rule for finding in judge.findings}, rules)
 
 
@@ -83,13 +82,13 @@
 
             def play(mistake):
                 try:
-                    script = scripts.read(timed if mistake == "cancels in silence" else path)
-                    director = Director(
+                    script = scenario.read(timed if mistake == "cancels in silence" else path)
+                    director = ScenarioRunner(
                         script,
                         os.path.join(folder, mistake.replace(" ", "-")),
-                        (sys.executable, "-m", "tests.wrong", mistake, "serve"),
+                        (sys.executable, "-m", "tests.faulty_gateways", mistake, "serve"),
                     )
-                    found[mistake] = Judge(trace.read(director.run()))
+                    found[mistake] = RuleChecker(trace.read(director.run()))
                 except Exception as bad:
                     failed[mistake] = bad
 
@@ -130,8 +129,8 @@
                     " (soft-deadline 1 s) (deadline 2 s) (work 1 ms)))"
                 )
                 sink.flush()
-                with self.assertRaises(Unusable) as bad:
-                    scripts.read(sink.name)
+                with self.assertRaises(InvalidConfigError) as bad:
+                    scenario.read(sink.name)
                 self.assertEqual(len(bad.exception.troubles), 1, bad.exception)
                 for word in words:
                     self.assertIn(word, str(bad.exception))
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -22,20 +22,24 @@
 
 from tests import platform_rig as rig
 from tests.test_platform import Turned
-from wickdyke.platform import requests
-from wickdyke.gateway.interfaces import CommandKind
-from wickdyke.platform import worker_client, worker_command, connection_pool, worker_protocol, worker_connection
 from wickdyke.gateway.events import ClientClosed, EndpointsReceived
-from wickdyke.routing.model import RequestClass
+from wickdyke.gateway.interfaces import CommandKind
 from wickdyke.platform import (
+    configuration,
+    connection_pool,
     discovery,
-    resp,
     endpoint_list,
+    requests,
+    resp,
     service,
     sse,
-    configuration,
     thrift,
+    worker_client,
+    worker_command,
+    worker_connection,
+    worker_protocol,
 )
+from wickdyke.routing.model import RequestClass
 from wickdyke.transport import event_loop
 
 NOWHERE = "127.0.0.1:9"
@@ -955,7 +959,7 @@
             tags="memory_mb:1483;lanes:2;load_ms:1238",
         )
         self.assertEqual(
-            (call.work_ms, call.repeat, call.token, call.load_ms),
+            (call.work_ms, call.is_repeat, call.idempotency_key, call.load_ms),
             (396.5, True, "2d071f1f7aeaaed654f62e293c13f6a0", 1238.0),
         )
         self.assertEqual(
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -7,8 +7,8 @@
 import tempfile
 import unittest
 
-from wickdyke.proving import script as scripts
-from wickdyke.proving.director import Director
+from wickdyke.fault_injection import scenario
+from wickdyke.fault_injection.scenario_runner import ScenarioRunner
 
 SMALL = """(script "small" (length 1 s) (gateways 1) (workers 2)
   (method "m" (effect idempotent) (soft-deadline 2 s) (deadline 8 s) (work 5 ms) (load 20 ms)))"""
@@ -26,7 +26,7 @@
             path = os.path.join(folder, "s.sexp")
             with open(path, "w") as sink:
                 sink.write(SMALL)
-            director = Director(scripts.read(path), os.path.join(folder, "run"))
+            director = ScenarioRunner(scenario.read(path), os.path.join(folder, "run"))
             try:
                 director.start(traffic=False)
                 sock = os.path.join(folder, "run", "g1.sock")
--- a/tests/test_listener_faults.py
+++ b/tests/test_listener_faults.py
@@ -11,8 +11,8 @@
 
 from tests.descriptors import open_descriptors, opened_since
 from tests.rig import LONG, until
-from wickdyke.gateway import client_server
-from wickdyke.settings.station import Bounds
+from wickdyke.config.gateway_config import ServerLimits
+from wickdyke.jsonrpc import client_server
 from wickdyke.transport import acceptor, line_server
 
 # accept(2): its own errors, and those of the network that Linux passes on from the new connection.
@@ -38,7 +38,7 @@
     errno.ESOCKTNOSUPPORT,
     errno.ETIMEDOUT,
 )
-BOUNDS = Bounds(connections=16, open_rpcs=16, open_each=16, line=1000, unread=1000, events=16)
+BOUNDS = ServerLimits(connections=16, open_rpcs=16, open_each=16, line=1000, unread=1000, events=16)
 CONNECTIONS = 3  # made one after the other: the path of the acceptor is the same for each
 
 
--- a/tests/test_log_faults.py
+++ b/tests/test_log_faults.py
@@ -11,9 +11,9 @@
 import msgspec
 
 from tests.rig import Running, until
+from wickdyke.fault_injection import trace
 from wickdyke.gateway import log as logs
 from wickdyke.gateway import recording
-from wickdyke.proving import trace
 
 LONG = 30.0
 ERRORS = (errno.ENOSPC, errno.EIO, errno.EPIPE, errno.EAGAIN)
@@ -292,14 +292,14 @@
                         self.subTest(error=error, at=at, most=most),
                         mock.patch("os.write", Writes(path, error, (at,), most)),
                     ):
-                        record = trace.Recorder(path, "w")
-                        with self.assertRaises(trace.Broken):
+                        record = trace.TraceRecorder(path, "w")
+                        with self.assertRaises(trace.InvalidTraceError):
                             for _ in range(6):
                                 record("one")
-                        self.assertRaises(trace.Broken, record, "two")
-                        self.assertRaises(trace.Broken, trace.read, [path])
-                        trace.Recorder(path, "w")("started anew")
-                        self.assertRaises(trace.Broken, trace.read, [path])
+                        self.assertRaises(trace.InvalidTraceError, record, "two")
+                        self.assertRaises(trace.InvalidTraceError, trace.read, [path])
+                        trace.TraceRecorder(path, "w")("started anew")
+                        self.assertRaises(trace.InvalidTraceError, trace.read, [path])
                         os.close(record.file)
                         os.unlink(path)
                         os.unlink(path + trace.INCOMPLETE)
@@ -307,18 +307,18 @@
     def test_no_file_to_tell_it(self):
         """Where no mark can be made, the trace is not found under its name."""
         path = self.path("t")
-        record = trace.Recorder(path, "w")
+        record = trace.TraceRecorder(path, "w")
         record("one")
         broken = mock.Mock(side_effect=OSError(errno.ENOSPC, "no space"))
         with mock.patch.object(os, "write", Writes(path, errno.ENOSPC, (1,))), mock.patch.object(os, "open", broken):
-            self.assertRaises(trace.Broken, record, "two")
-        self.assertRaises(trace.Broken, trace.read, [path])
+            self.assertRaises(trace.InvalidTraceError, record, "two")
+        self.assertRaises(trace.InvalidTraceError, trace.read, [path])
 
     def test_short_writes(self):
         """They are gone on with."""
         path = self.path("t")
         with mock.patch.object(os, "write", Writes(path, 0, (), 5)):
-            record = trace.Recorder(path, "w")
+            record = trace.TraceRecorder(path, "w")
             for _ in range(3):
                 record("one", t=1.0)
         self.assertEqual([line["n"] for line in trace.read([path])], [1, 2, 3])
@@ -339,11 +339,11 @@
                 if whole:
                     self.assertEqual(len(trace.read([self.path("t")])), len(numbers))
                 else:
-                    self.assertRaises(trace.Broken, trace.read, [self.path("t")])
+                    self.assertRaises(trace.InvalidTraceError, trace.read, [self.path("t")])
 
     def test_threads(self):
         """Lines of several threads have their numbers in order."""
-        record = trace.Recorder(self.path("t"), "w")
+        record = trace.TraceRecorder(self.path("t"), "w")
         threads = [threading.Thread(target=lambda: [record("one") for _ in range(200)]) for _ in range(4)]
         for thread in threads:
             thread.start()
--- a/tests/test_move.py
+++ b/tests/test_migration.py
@@ -6,9 +6,9 @@
 
 from tests.rig import Running, hello, lines_of, ok
 from tests.test_gateway import run
+from wickdyke.config import gateway_config
+from wickdyke.protocol import jsonrpc, worker_messages
 from wickdyke.routing.settings import TenantQuotas
-from wickdyke.protocol import back, jsonrpc
-from wickdyke.settings import station
 
 OLD = """; what the operators wrote
 (gateway
@@ -48,7 +48,7 @@
     def test_what_comes_out(self):
         code, _, told = self.move()
         self.assertEqual(code, 0, told)
-        old, new = station.read(self.path("old")), station.read(self.path("new"))
+        old, new = gateway_config.read(self.path("old")), gateway_config.read(self.path("new"))
         self.assertEqual((new.kinds, new.tenants, new.tenant_quotas), (("new",), ("a",), TenantQuotas((50.0,))))
         self.assertEqual(
             [(m.name, m.latency_objective, m.deadline) for m in new.request_classes],
@@ -105,14 +105,14 @@
                 kind, ident = asked["method"], asked.get("id")
                 seen.append(kind)
                 if kind == "run" and not copies:
-                    sock.sendall(jsonrpc.problem(ident, back.MISS, "miss", b"{}") + b"\n")
+                    sock.sendall(jsonrpc.error_response(ident, worker_messages.MISS, "miss", b"{}") + b"\n")
                 elif kind == "run":
                     sock.sendall(ok(ident))
                 elif kind == "hold":
                     copies = max(copies, asked["params"]["copies"])
-                    sock.sendall(jsonrpc.result(ident, b'{"copies":%d}' % copies) + b"\n")
+                    sock.sendall(jsonrpc.result_response(ident, b'{"copies":%d}' % copies) + b"\n")
                 elif kind == "probe":
-                    sock.sendall(jsonrpc.result(ident, b'{"report":{"held":2,"loads":0}}') + b"\n")
+                    sock.sendall(jsonrpc.result_response(ident, b'{"report":{"held":2,"loads":0}}') + b"\n")
 
         with Running(
             (play,),
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -16,12 +16,22 @@
 
 from tests import platform_rig as rig
 from tests.rig import plain
-from wickdyke.platform import worker_command, connection_pool, worker_results
 from wickdyke.gateway.events import ClientClosed, RequestReceived
 from wickdyke.gateway.interfaces import CommandKind, EndpointListChange
-from wickdyke.routing.model import RequestClass
-from wickdyke.platform import worker_client, client_server, resp, endpoint_list, sse, configuration, thrift
+from wickdyke.platform import (
+    client_server,
+    configuration,
+    connection_pool,
+    endpoint_list,
+    resp,
+    sse,
+    thrift,
+    worker_client,
+    worker_command,
+    worker_results,
+)
 from wickdyke.platform.service import Service
+from wickdyke.routing.model import RequestClass
 from wickdyke.transport.event_loop import EventLoop, clock
 
 GOOD = rig.message(
@@ -466,7 +476,15 @@
         ask = received.pending
         call = ask.call
         self.assertEqual(
-            (call.ident, call.program, call.input, call.memory_mb, call.lanes, ask.time_left, ask.request_class.name),
+            (
+                call.ident,
+                call.function,
+                call.input,
+                call.memory_mb,
+                call.concurrency,
+                ask.time_left,
+                ask.request_class.name,
+            ),
             (b"9b1f03aa5c7e2d41", "7f3a9c21e0b4d655", b"\x00\xff", 512.0, 2, 1500.0, "look"),
         )
         ask.succeed(b"done", 1)
--- a/tests/test_timing.py
+++ b/tests/test_route_policy.py
@@ -8,20 +8,31 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from wickdyke.config import route_config, sexpr
+from wickdyke.config.sexpr import InvalidConfigError
+from wickdyke.route_policy import proof, validation
+from wickdyke.route_policy.matching import Pattern, RouteTable, find_ties
+from wickdyke.route_policy.policy import (
+    NEVER_RAN,
+    OUTCOMES,
+    BackoffPolicy,
+    Environment,
+    HedgePolicy,
+    Policy,
+    RetryBudgetPolicy,
+    TimeComponent,
+    total,
+    worst_case_schedule,
+)
+from wickdyke.route_policy.transition import PolicyTransition
 from wickdyke.routing.model import RequestClass
-from wickdyke.settings import routes, sexp
-from wickdyke.settings.sexp import Unusable
-from wickdyke.timing import check, proof
-from wickdyke.timing.change import Succession
-from wickdyke.timing.routes import Pattern, Table, ties
-from wickdyke.timing.terms import NEVER_RAN, OUTCOMES, Budget, Ground, Part, Pause, Second, Terms, total, worst
 
 METHODS = [
     RequestClass("idem", "idempotent", "all", 0, 750, 0, 4000, 1, 0.2),
     RequestClass("side", "side-effecting", "all", 0, 750, 0, 4000, 1, 0.2),
     RequestClass("tok", "tokened", "zone", 1000, 750, 0, 4000, 1, 0.2),
 ]
-STRICT = Ground(overlap=False, cancel=True, dial=100.0, answer_way=20.0, tick=50.0, call_outs=3)
+STRICT = Environment(overlap=False, cancel=True, dial=100.0, answer_way=20.0, tick=50.0, call_outs=3)
 OPEN = replace(STRICT, overlap=True)
 LOOSE = replace(STRICT, cancel=False)
 RETRIES = "(again full miss unreached unsent timeout)"
@@ -31,7 +42,7 @@
     """A file of one route for method idem, or of routes."""
     if not text.startswith("(route"):
         text = f'(route "r" (takes (method "idem")) {text})'
-    return routes.build(sexp.parse(f"(routes {text})", "f"), "f", METHODS, ground)
+    return route_config.build(sexpr.parse(f"(routes {text})", "f"), "f", METHODS, ground)
 
 
 class Changes(unittest.TestCase):
@@ -77,14 +88,14 @@
             (other, old, ()),
         ):
             with self.subTest(was=was, new=new):
-                held = Succession()
+                held = PolicyTransition()
                 held.follow(read(was).payers(), 0.0)
                 found = []
                 try:
-                    routes.may_follow(read(new), "f", held, 1.0)
-                except sexp.Unusable as bad:
+                    route_config.check_transition(read(new), "f", held, 1.0)
+                except sexpr.InvalidConfigError as bad:
                     found = [str(trouble) for trouble in bad.troubles]
-                    self.assertNotIsInstance(bad, sexp.NotYet)
+                    self.assertNotIsInstance(bad, sexpr.IncompleteInputError)
                 self.assertEqual(len(found), bool(words), found)
                 for word in words:
                     self.assertIn(word, found[0])
@@ -93,17 +104,17 @@
         """In two steps a budget may go; the second waits for those taken before the first, to the moment."""
         floor = self.OLD.replace("(share 0.1)", "(share 0.1) (floor 1)")
         other = '(route "s" (takes (method "idem")) (attempts 2) (attempt 1 s))'
-        held = Succession()
+        held = PolicyTransition()
         held.follow(read(self.OLD).payers(), 0.0)
-        routes.may_follow(read(floor), "f", held, 1000.0)
+        route_config.check_transition(read(floor), "f", held, 1000.0)
         held.follow(read(floor).payers(), 1000.0)
         for now, passes in ((1000.0, False), (4999.0, False), (5000.0, True)):
             with self.subTest(now=now):
                 if passes:
-                    routes.may_follow(read(other), "f", held, now)
+                    route_config.check_transition(read(other), "f", held, now)
                 else:
-                    with self.assertRaises(sexp.NotYet) as caught:
-                        routes.may_follow(read(other), "f", held, now)
+                    with self.assertRaises(sexpr.IncompleteInputError) as caught:
+                        route_config.check_transition(read(other), "f", held, now)
                     self.assertIn(f"pass in {5000 - now:.0f} ms", str(caught.exception))
 
 
@@ -210,7 +221,7 @@
             ('(takes (method "tok"))', STRICT, ("a second time",)),
         ):
             with self.subTest(text=text):
-                with self.assertRaises(Unusable) as bad:
+                with self.assertRaises(InvalidConfigError) as bad:
                     read(text, ground)
                 said = str(bad.exception)
                 if not text.startswith("(pause 30"):
@@ -285,31 +296,31 @@
         chance = random.Random(5)
         tried = 0
         for _ in range(3000):
-            terms = Terms(
+            terms = Policy(
                 10.0,
                 chance.uniform(300, 5000),
                 chance.uniform(50, 3000),
                 None,
                 chance.randint(1, 3),
-                Pause(chance.uniform(0, 300), chance.choice([1, 2, 3]), 400.0, chance.uniform(0, 1)),
+                BackoffPolicy(chance.uniform(0, 300), chance.choice([1, 2, 3]), 400.0, chance.uniform(0, 1)),
                 queue=chance.choice([None, 100.0]),
             )
-            (refusal, *_), many = check.check(terms, _method("idem"), STRICT) or [None], terms.attempts
+            (refusal, *_), many = validation.validate(terms, _method("idem"), STRICT) or [None], terms.attempts
             if refusal is None or "(attempt " not in refusal.nearest:
                 continue
             tried += 1
             near = float(refusal.nearest.split("(attempt ")[1].split(" ms")[0])
-            self.assertEqual(check.check(replace(terms, attempt=near), _method("idem"), STRICT), [])
-            self.assertTrue(check.check(replace(terms, attempt=near + 1), _method("idem"), STRICT))
+            self.assertEqual(validation.validate(replace(terms, attempt=near), _method("idem"), STRICT), [])
+            self.assertTrue(validation.validate(replace(terms, attempt=near + 1), _method("idem"), STRICT))
             if "(attempts " in refusal.nearest:
                 fits = int(refusal.nearest.split("(attempts ")[1].split(")")[0])
                 self.assertLess(fits, many)
-                self.assertEqual(check.check(replace(terms, attempts=fits), _method("idem"), STRICT), [])
+                self.assertEqual(validation.validate(replace(terms, attempts=fits), _method("idem"), STRICT), [])
         self.assertGreater(tried, 500)
 
 
 def _method(name):
-    return next(routes.arithmetic_method(method) for method in METHODS if method.name == name)
+    return next(route_config.validation_method(method) for method in METHODS if method.name == name)
 
 
 SPANS = st.floats(1, 5000).map(lambda ms: round(ms, 3))
@@ -320,10 +331,12 @@
     "deadline": SPANS,
     "soft-deadline": SPANS,
     "priority": st.integers(-9, 9),
-    "pause": st.builds(Pause, SPANS, st.integers(1, 4).map(float), st.just(float("inf")) | SPANS, st.floats(0, 2)),
+    "pause": st.builds(
+        BackoffPolicy, SPANS, st.integers(1, 4).map(float), st.just(float("inf")) | SPANS, st.floats(0, 2)
+    ),
     "again": st.frozensets(st.sampled_from(OUTCOMES)),
     "second": st.none() | st.tuples(SPANS, st.none(), st.integers(2, 4), st.just(0.05)),
-    "budget": st.builds(Budget, SPANS, st.floats(0, 1), st.floats(0, 5)),
+    "budget": st.builds(RetryBudgetPolicy, SPANS, st.floats(0, 1), st.floats(0, 5)),
 }
 
 
@@ -342,9 +355,9 @@
     )
     def test_round_trip(self, drawn):
         """Parsed, printed and parsed again it is the same."""
-        place = sexp.Spot("f", 1, 1)
+        place = sexpr.SourceLocation("f", 1, 1)
         made = [
-            routes.Route(
+            route_config.Route(
                 f"r{at}",
                 place,
                 Pattern(method, program),
@@ -353,15 +366,15 @@
             )
             for at, (method, program, fields) in enumerate(drawn)
         ]
-        text = routes.written(made)
-        notes = routes.Notes()
-        back = routes.ROUTES(sexp.parse(text, "f")[0], notes)
+        text = route_config.format_routes(made)
+        notes = route_config.Diagnostics()
+        back = route_config.ROUTES(sexpr.parse(text, "f")[0], notes)
         self.assertEqual(notes.troubles, [])
         self.assertEqual(
             [(r.name, r.takes, {n: v for n, (v, _) in r.stated.items()}) for r in back],
             [(r.name, r.takes, {n: v for n, (v, _) in r.stated.items()}) for r in made],
         )
-        self.assertEqual(routes.written(back), text)
+        self.assertEqual(route_config.format_routes(back), text)
 
     @settings(max_examples=400, deadline=None)
     @given(
@@ -372,9 +385,9 @@
                 "again": st.frozensets(st.sampled_from(OUTCOMES)),
                 "queue": st.none() | st.floats(0, 500),
                 "pause": st.builds(
-                    Pause, st.floats(0, 300), st.integers(1, 3).map(float), st.just(400.0), st.floats(0, 1)
+                    BackoffPolicy, st.floats(0, 300), st.integers(1, 3).map(float), st.just(400.0), st.floats(0, 1)
                 ),
-                "second": st.none() | st.builds(Second, st.floats(1, 1000)),
+                "second": st.none() | st.builds(HedgePolicy, st.floats(1, 1000)),
             }
         ),
         st.sampled_from([STRICT, OPEN, LOOSE]),
@@ -383,8 +396,8 @@
     )
     def test_accepted_keep_the_rules(self, fields, ground, name, chance):
         """Accepted terms, played under scripted worst cases, end in time, never two at once, never a second effect."""
-        terms, method = Terms(10.0, 4000.0, linger=None, **fields), _method(name)
-        if check.check(terms, method, ground):
+        terms, method = Policy(10.0, 4000.0, linger=None, **fields), _method(name)
+        if validation.validate(terms, method, ground):
             return
         at, ran, first_ran = (terms.queue or 0.0) + ground.tick * chance.random(), False, 0.0
         for nth in range(1, terms.attempts + 1):
@@ -426,15 +439,16 @@
         """(a sum made wrong) -> a course past the deadline that it would let through, or a refusal without need."""
 
         def without(name):
-            return lambda terms, ground: [part for part in worst(terms, ground) if part.name != name]
+            return lambda terms, ground: [part for part in worst_case_schedule(terms, ground) if part.name != name]
 
         def short_by_one(terms, ground):
-            return worst(terms, ground, terms.attempts - 1)
+            return worst_case_schedule(terms, ground, terms.attempts - 1)
 
         def no_spread(terms, ground):
             pauses = sum(terms.pause.least(nth) for nth in range(1, terms.attempts))
             return [
-                Part(part.name, pauses) if part.name.startswith("pauses") else part for part in worst(terms, ground)
+                TimeComponent(part.name, pauses) if part.name.startswith("pauses") else part
+                for part in worst_case_schedule(terms, ground)
             ]
 
         for name, wrong in (
@@ -447,19 +461,21 @@
         ):
             with self.subTest(left_out=name):
                 self.assertIn("deadline", proof.accepted_but_late(2, 1, wrong) or "")
-        one_more = proof.refused_but_in_time(2, 1, lambda terms, ground: worst(terms, ground, 3))
+        one_more = proof.refused_but_in_time(2, 1, lambda terms, ground: worst_case_schedule(terms, ground, 3))
         self.assertIn("deadline", one_more or "")
 
     def test_courses(self):
         """The course shown with a refusal takes the sum, to the ms."""
         for attempts in (1, 2, 3):
-            terms = Terms(10.0, 4000.0, 900.0, None, attempts, Pause(40.0, 2.0, 60.0, 0.5), queue=70.0)
-            self.assertAlmostEqual(check.course(terms, STRICT)[-1][0], total(worst(terms, STRICT)), 6)
+            terms = Policy(10.0, 4000.0, 900.0, None, attempts, BackoffPolicy(40.0, 2.0, 60.0, 0.5), queue=70.0)
+            self.assertAlmostEqual(
+                validation.worst_case_course(terms, STRICT)[-1][0], total(worst_case_schedule(terms, STRICT)), 6
+            )
 
 
 class Lookups(unittest.TestCase):
     def test_most_specific(self):
-        table = Table(
+        table = RouteTable(
             [
                 (pattern, pattern)
                 for pattern in (
@@ -487,7 +503,7 @@
         ):
             with self.subTest(rpc=rpc):
                 self.assertEqual(table.find(*rpc), want)
-        self.assertIsNone(Table([]).find("m", "p"))
+        self.assertIsNone(RouteTable([]).find("m", "p"))
 
     def test_ties(self):
         for patterns, count in (
@@ -502,14 +518,14 @@
             ([Pattern("m", "p*"), Pattern("m", tenant="t"), Pattern("m", "p*", "t")], 0),
         ):
             with self.subTest(patterns=patterns):
-                self.assertEqual(len(ties(patterns)), count)
+                self.assertEqual(len(find_ties(patterns)), count)
 
     def test_looks_do_not_grow(self):
         """The looks of a search hang on names, not on how many routes there are; found is what a plain search finds."""
         looks = []
         for many in (10, 1000, 10000):
             patterns = [Pattern("m", f"p{at}/*") for at in range(many - 1)] + [Pattern("m")]
-            table = Table([(pattern, pattern) for pattern in patterns])
+            table = RouteTable([(pattern, pattern) for pattern in patterns])
             self.assertEqual(table.find("m", "p7/x"), Pattern("m", "p7/*"))
             looks.append(table.looks)
         self.assertLessEqual(max(looks), looks[0] + 4, looks)  # one for each length of a name's number
@@ -523,7 +539,7 @@
         lines[777] = lines[777].replace("1 s", "2 s")
         lines[1500] = lines[1500].replace("p1500", "p1499")
         began = time.monotonic()
-        with self.assertRaises(Unusable) as bad:
+        with self.assertRaises(InvalidConfigError) as bad:
             read(" ".join(lines))
         self.assertEqual(len(bad.exception.troubles), 2)
         self.assertLess(time.monotonic() - began, 60)
--- a/tests/test_logic.py
+++ b/tests/test_router.py
@@ -10,12 +10,12 @@
 from unittest.mock import Mock
 
 from tests.helpers import Fleet, called, choose_workers, row, verbs
+from wickdyke.routing.cells import Cell
 from wickdyke.routing.decisions import Cancel, Forward, Prewarm, Reject
+from wickdyke.routing.model import Endpoint, Function, Worker, WorkSample, replica_of
+from wickdyke.routing.ranking import rendezvous_rank
 from wickdyke.routing.seeded_random import hash_fraction, name_hash
-from wickdyke.routing.model import Endpoint, Function, Worker, replica_of, WorkSample
 from wickdyke.routing.settings import GatewayInstance, PrewarmQuota, SlowStart
-from wickdyke.routing.cells import Cell
-from wickdyke.routing.ranking import rendezvous_rank
 from wickdyke.routing.slow_start import SlowStartGuard
 
 NEVER = ("full", "unreached", "miss")
--- a/tests/test_judge.py
+++ b/tests/test_rule_checker.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from wickdyke.proving.judge import Judge
+from wickdyke.fault_injection.rule_checker import RuleChecker
 
 TERMS = {
     "overlap": False,
@@ -92,7 +92,7 @@
     def check(self, cases):
         for name, events, rules in cases:
             with self.subTest(case=name):
-                judge = Judge(trace(*events))
+                judge = RuleChecker(trace(*events))
                 self.assertEqual(sorted({f.rule for f in judge.findings}), rules, judge.findings)
 
     def test_lost(self):
@@ -187,7 +187,7 @@
             )
         )
         both = trace(asked(10), ran(11), ran(12, "w2"), end(20), end(21, "w2"), answered(22), overlap=True)
-        self.assertEqual(Judge(both).findings, [])
+        self.assertEqual(RuleChecker(both).findings, [])
 
     def test_drains(self):
         rpc = [asked(10, left=9000.0), answered(2500)]
@@ -259,7 +259,7 @@
     def test_transit(self):
         """What lies between sending and noting is allowed for, and no more."""
         for gap, rules in ((50, []), (51, [2])):
-            judge = Judge(
+            judge = RuleChecker(
                 trace(asked(10), ran(11), ran(20, "w2"), end(20 + gap), end(90, "w2"), answered(92), transit=50.0)
             )
             self.assertEqual(sorted({f.rule for f in judge.findings}), rules)
@@ -278,11 +278,11 @@
             ("the second cancelled, not the first", [two, numbered(cancel(25), 2)], [2]),
         ):
             with self.subTest(case=name):
-                judge = Judge(trace(asked(10), one, *events, numbered(end(80), 2), answered(82), transit=50.0))
+                judge = RuleChecker(trace(asked(10), one, *events, numbered(end(80), 2), answered(82), transit=50.0))
                 self.assertEqual(sorted({f.rule for f in judge.findings}), rules)
 
     def test_outcomes(self):
-        judge = Judge(
+        judge = RuleChecker(
             trace(
                 asked(10, "a"),
                 answered(20, mark="a"),
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -7,11 +7,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from wickdyke.routing.settings import TenantQuotas
+from wickdyke.config import address, endpoint_file, gateway_config, sexpr
+from wickdyke.config.sexpr import InvalidConfigError
 from wickdyke.protocol import jsonrpc
-from wickdyke.protocol.lines import Lines, TooLong
-from wickdyke.settings import address, roll, sexp, station
-from wickdyke.settings.sexp import Unusable
+from wickdyke.protocol.framing import LineReader, LineTooLongError
+from wickdyke.routing.settings import TenantQuotas
 
 GOOD = """(gateway
   (listen (json-rpc "run/w.sock"))
@@ -27,7 +27,7 @@
 
 
 class Settings(unittest.TestCase):
-    def read(self, text, reader=station.read):
+    def read(self, text, reader=gateway_config.read):
         with tempfile.TemporaryDirectory() as folder:
             path = os.path.join(folder, "f.sexp")
             with open(path, "wb") as sink:
@@ -98,7 +98,7 @@
             with self.subTest(old=old, new=new):
                 text = GOOD.replace(old, new, 1)
                 self.assertNotEqual(text, GOOD)
-                with self.assertRaises(Unusable) as bad:
+                with self.assertRaises(InvalidConfigError) as bad:
                     self.read(text)
                 said = str(bad.exception)
                 if "answer-way" in new:  # it holds for each method
@@ -110,21 +110,21 @@
 
     def test_all_at_once(self):
         text = GOOD.replace("750 ms", "750").replace("idempotent", "idem").replace("8 s", "8").replace("14 s", "14")
-        with self.assertRaises(Unusable) as bad:
+        with self.assertRaises(InvalidConfigError) as bad:
             self.read(text)
         self.assertEqual([t.spot.line for t in bad.exception.troubles], [6, 6, 9, 10])
 
     def test_no_file(self):
         for text, words in ((b"\xff(", "UTF-8"), ("", "nothing"), ("(" * 5000, "closed")):
-            with self.subTest(text=text[:9]), self.assertRaisesRegex(Unusable, words):
+            with self.subTest(text=text[:9]), self.assertRaisesRegex(InvalidConfigError, words):
                 self.read(text)
-        with self.assertRaisesRegex(Unusable, "no readable file"):
-            station.read("/nowhere/at.all")
+        with self.assertRaisesRegex(InvalidConfigError, "no readable file"):
+            gateway_config.read("/nowhere/at.all")
 
     def test_rolls(self):
         """(list) -> words of the message; what is written reads back as it was."""
-        row = roll.Row('w "1"', "/run/w.sock", "a", "quad", 3, 2.5, "draining", 17)
-        self.assertEqual(self.read(roll.written([row]), roll.read), [row])
+        row = endpoint_file.EndpointRow('w "1"', "/run/w.sock", "a", "quad", 3, 2.5, "draining", 17)
+        self.assertEqual(self.read(endpoint_file.format_endpoints([row]), endpoint_file.read_endpoints), [row])
         for text, words in (
             ('(workers (worker "w" (address "10.1.1.1:5")))', "loopback"),
             ('(workers (worker "w"))', "without address"),
@@ -133,8 +133,8 @@
             ('(workers (worker "w" (address "a/b") (zone "x")))', "one of a, b"),
             ("(workers) (workers)", "a second"),
         ):
-            with self.subTest(text=text), self.assertRaisesRegex(Unusable, words):
-                roll.rows(sexp.parse(text, "f"), "f", ("a", "b"))
+            with self.subTest(text=text), self.assertRaisesRegex(InvalidConfigError, words):
+                endpoint_file.parse_endpoints(sexpr.parse(text, "f"), "f", ("a", "b"))
 
     def test_addresses(self):
         for text, good in (
@@ -170,18 +170,18 @@
             ([b"abcdef", b"\n"], [b"abcdef"]),
         ):
             with self.subTest(pieces=pieces):
-                framing = Lines(6)
+                framing = LineReader(6)
                 self.assertEqual([line for piece in pieces for line in framing.feed(piece)], lines)
         for pieces in ([b"abcdefg"], [b"abcd", b"efg"], [b"a\nabcdefg\n"], [b"abcdefg\n"]):
-            with self.subTest(pieces=pieces), self.assertRaises(TooLong):
-                framing = Lines(6)
+            with self.subTest(pieces=pieces), self.assertRaises(LineTooLongError):
+                framing = LineReader(6)
                 for piece in pieces:
                     framing.feed(piece)
 
     def test_answers(self):
         """Lines that are no answers of JSON-RPC are told apart from those that are."""
-        self.assertEqual(jsonrpc.answer(jsonrpc.result(7, b"[1]")), (7, b"[1]", None))
-        ident, result, problem = jsonrpc.answer(jsonrpc.problem("x", -1, "no", b'{"a":1}'))
+        self.assertEqual(jsonrpc.parse_response(jsonrpc.result_response(7, b"[1]")), (7, b"[1]", None))
+        ident, result, problem = jsonrpc.parse_response(jsonrpc.error_response("x", -1, "no", b'{"a":1}'))
         self.assertEqual((ident, result, problem.code, bytes(problem.data)), ("x", None, -1, b'{"a":1}'))
         for line in (
             b"",
@@ -194,8 +194,8 @@
             b'{"id":1,"result":"\xff"}',
             b"[" * 100000,
         ):
-            with self.subTest(line=line[:40]), self.assertRaises(jsonrpc.Fault):
-                jsonrpc.answer(line)
+            with self.subTest(line=line[:40]), self.assertRaises(jsonrpc.MalformedRequestError):
+                jsonrpc.parse_response(line)
 
     @settings(max_examples=300, deadline=None)
     @given(
@@ -204,9 +204,9 @@
     def test_any_bytes(self, data):
         """Whatever comes, a decoder gives a value or its own error."""
         for read, error in (
-            (jsonrpc.answer, jsonrpc.Fault),
-            (lambda d: list(jsonrpc.requests(d)), ()),
-            (lambda d: sexp.parse(d.decode("latin-1"), "f"), Unusable),
+            (jsonrpc.parse_response, jsonrpc.MalformedRequestError),
+            (lambda d: list(jsonrpc.parse_requests(d)), ()),
+            (lambda d: sexpr.parse(d.decode("latin-1"), "f"), InvalidConfigError),
         ):
             try:
                 read(data)
--- a/tests/test_scale.py
+++ b/tests/test_simulated_fleet.py
@@ -12,13 +12,13 @@
 from unittest.mock import patch
 
 from bench import scale
-from bench.hollow import Draw, HollowFleet, Settings, listing
+from bench.simulated_fleet import Draw, HollowFleet, Settings, listing
+from wickdyke.gateway import recording
 from wickdyke.routing import periods, ranking, router
-from wickdyke.routing.placement import Placement
-from wickdyke.routing.seeded_random import hash_fraction, hash_fractions, name_hash
 from wickdyke.routing.fleet import Fleet
-from wickdyke.gateway import recording
 from wickdyke.routing.model import Function, Worker
+from wickdyke.routing.placement import Placement
+from wickdyke.routing.seeded_random import hash_fraction, hash_fractions, name_hash
 
 WHOLE, CAPACITY, POINTS = router.SINGLE_CELL_LIMIT, router.CELL_CAPACITY, router.POINTS_PER_FUNCTION
 SIZES = (200, 1000, 5000, 10000)
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -13,10 +13,10 @@
 from math import sqrt
 from unittest.mock import Mock
 
-from bench.hollow import HollowFleet, HollowFrontEnd, HollowWorker, Settings, listing
+from bench.simulated_fleet import HollowFleet, HollowFrontEnd, HollowWorker, Settings, listing
 from tests.helpers import Fleet, called, row
-from wickdyke.routing.decisions import Forward
 from wickdyke.routing.cells import Cell
+from wickdyke.routing.decisions import Forward
 from wickdyke.routing.model import Endpoint, Worker, WorkSample
 from wickdyke.routing.settings import GatewayInstance, SlowStart
 from wickdyke.routing.slow_start import SlowStartGuard
--- a/tests/test_storage_faults.py
+++ b/tests/test_storage_faults.py
@@ -14,7 +14,6 @@
 import unittest
 from unittest import mock
 
-
 from tests import test_worker as rig
 from wickdyke.worker import cache as caches
 from wickdyke.worker import package, store, store_client
--- a/tests/test_worker.py
+++ b/tests/test_worker.py
@@ -22,17 +22,16 @@
 import psutil
 
 from tests.rig import until
+from wickdyke.config import worker_config
+from wickdyke.config.sexpr import InvalidConfigError
+from wickdyke.fault_injection import scenario, trace
+from wickdyke.fault_injection.rule_checker import RuleChecker
+from wickdyke.fault_injection.scenario_runner import ScenarioRunner
 from wickdyke.gateway import log as logs
-from wickdyke.proving import script as scripts
-from wickdyke.proving import trace
-from wickdyke.proving.director import Director
-from wickdyke.proving.judge import Judge
-from wickdyke.settings import workshop
-from wickdyke.settings.sexp import Unusable
 from wickdyke.worker import meter, package
 from wickdyke.worker.cache import PART, Cache, NoRoom
-from wickdyke.worker.runtime import Worker
 from wickdyke.worker.rate_limiter import RateLimiter
+from wickdyke.worker.runtime import Worker
 from wickdyke.worker.source import Folder, Unknown
 from wickdyke.worker.store import Store
 from wickdyke.worker.store_client import StoreClient
@@ -119,7 +118,7 @@
                 write(self.path("f"))
                 with open(self.path("f", "package.sexp"), "w", errors="surrogateescape") as sink:
                     sink.write(text)
-                with self.assertRaises(Unusable) as caught:
+                with self.assertRaises(InvalidConfigError) as caught:
                     package.pack(self.path("f"), self.path("store"))
                 self.assertEqual(len(caught.exception.troubles), 1, caught.exception)
                 for word in words:
@@ -130,7 +129,7 @@
         """A link in a folder would take along what lies elsewhere."""
         write(self.path("f"))
         os.symlink("/etc/hostname", self.path("f", "more.py"))
-        with self.assertRaises(Unusable) as caught:
+        with self.assertRaises(InvalidConfigError) as caught:
             package.pack(self.path("f"), self.path("store"))
         self.assertIn("plain files only", str(caught.exception))
 
@@ -181,7 +180,7 @@
                 with warnings.catch_warnings():
                     warnings.simplefilter("ignore")
                     path = self.archive(*entries, cut=cut)
-                with self.assertRaises(Unusable) as caught:
+                with self.assertRaises(InvalidConfigError) as caught:
                     package.from_zip(path)
                 self.assertEqual(len(caught.exception.troubles), 1)
                 for word in words:
@@ -201,7 +200,7 @@
                 sink.write(whole[:at] + bytes([whole[at] ^ 0x41]) + whole[at + 1 :])
             try:
                 self.assertEqual(package.from_zip(self.path("b.zip"))[1], right[1], at)
-            except Unusable:
+            except InvalidConfigError:
                 pass
 
     def test_versions(self):
@@ -264,7 +263,11 @@
             short(to)
             raise ConnectionResetError
 
-        for fetch, error in ((lambda to: shutil.copy(other, to), Unusable), (short, Unusable), (broken, OSError)):
+        for fetch, error in (
+            (lambda to: shutil.copy(other, to), InvalidConfigError),
+            (short, InvalidConfigError),
+            (broken, OSError),
+        ):
             self.assertRaises(error, cache.take, digest, fetch)
             self.assertEqual(os.listdir(self.path("c")), [])
         made, folder = cache.take(digest, lambda to: shutil.copy(path, to))
@@ -423,7 +426,7 @@
         service = StoreClient(self.between(play))
         found = service.find("p")
         cache = Cache(self.path("c"), 10.0)
-        with self.assertRaisesRegex(Unusable, "as the store said"):
+        with self.assertRaisesRegex(InvalidConfigError, "as the store said"):
             cache.take(found.digest, lambda to: service.fetch(found, to))
         self.assertEqual(os.listdir(self.path("c")), [])
 
@@ -470,7 +473,7 @@
             sink.write(
                 SHOP.format(memory=400, idle=60, cache=50, more="").replace('(folder "store")', '(service "s.sock")')
             )
-        shop = workshop.read(self.path("w.sexp"))
+        shop = worker_config.read(self.path("w.sexp"))
         worker = Worker(shop, StoreClient(shop.service), logs.logger(io.StringIO(), False)[0])
         worker.open()
         self.addCleanup(worker.close)
@@ -547,8 +550,8 @@
             with self.subTest(text=text):
                 with open(self.path("w.sexp"), "w") as sink:
                     sink.write(text)
-                with self.assertRaises(Unusable) as caught:
-                    workshop.read(self.path("w.sexp"))
+                with self.assertRaises(InvalidConfigError) as caught:
+                    worker_config.read(self.path("w.sexp"))
                 self.assertEqual(len(caught.exception.troubles), 1, caught.exception)
                 for word in words:
                     self.assertIn(word, str(caught.exception))
@@ -593,7 +596,7 @@
         package.pack(self.path("f"), self.path("store"))
         with open(self.path("w.sexp"), "w") as sink:
             sink.write(SHOP.format(memory=memory, idle=idle, cache=cache, more=more))
-        shop = workshop.read(self.path("w.sexp"))
+        shop = worker_config.read(self.path("w.sexp"))
         self.said = io.StringIO()
         log, _ = logs.logger(self.said, False)
         made = Worker(shop, Folder(shop.folder), log)
@@ -900,7 +903,7 @@
         with tempfile.TemporaryDirectory(prefix="wd-") as folder:
             with open(os.path.join(folder, "s.sexp"), "w") as sink:
                 sink.write(text)
-            judge = Judge(trace.read(Director(scripts.read(sink.name), os.path.join(folder, "run")).run()))
+            judge = RuleChecker(trace.read(ScenarioRunner(scenario.read(sink.name), os.path.join(folder, "run")).run()))
         self.assertEqual([str(finding) for finding in judge.findings], [])
         totals = sum(judge.outcomes().values(), Counter())
         self.assertEqual(totals["lost"], 0)
@@ -917,8 +920,8 @@
                 with open(os.path.join(folder, "s.sexp"), "w") as sink:
                     sink.write(f"""(script "s" (length 1 s) (runtime {runtime}) (method "m" (effect idempotent)
                         (soft-deadline 1 s) (deadline 2 s) (work 1 ms)) {trouble})""")
-                with self.assertRaisesRegex(Unusable, words):
-                    scripts.read(sink.name)
+                with self.assertRaisesRegex(InvalidConfigError, words):
+                    scenario.read(sink.name)
 
 
 class Memory(Folders):
--- a/tests/test_link.py
+++ b/tests/test_worker_client.py
@@ -9,9 +9,9 @@
 
 from tests.rig import Peer, Told, hello, lines_of, ok, until
 from wickdyke.gateway.interfaces import CommandKind
-from wickdyke.gateway.worker_client import WorkerClient, Command
-from wickdyke.transport.write_buffer import WriteBuffer, OutgoingMessage, PeerTooSlow
-from wickdyke.protocol import back, jsonrpc
+from wickdyke.jsonrpc.worker_client import Command, WorkerClient
+from wickdyke.protocol import jsonrpc, worker_messages
+from wickdyke.transport.write_buffer import OutgoingMessage, PeerTooSlow, WriteBuffer
 
 BIG = b'"' + b"x" * (8 << 20) + b'"'
 
@@ -82,7 +82,7 @@
 
 
 def error(code, data=b"null"):
-    return lambda n: jsonrpc.problem(n, code, "x", data) + b"\n"
+    return lambda n: jsonrpc.error_response(n, code, "x", data) + b"\n"
 
 
 class Links(unittest.TestCase):
@@ -111,11 +111,11 @@
         for name, play, params, outcome in (
             ("answered", answering(ok), b"{}", "ok"),
             ("answered with 8 MB", answering(lambda n: ok(n, BIG)), b"{}", "ok"),
-            ("full", answering(error(back.FULL)), b"{}", "full"),
-            ("miss", answering(error(back.MISS)), b"{}", "miss"),
-            ("failed", answering(error(back.FAILED)), b"{}", "error"),
-            ("draining", answering(error(back.DRAINING)), b"{}", "full"),
-            ("out of time there", answering(error(back.OUT_OF_TIME)), b"{}", "timeout"),
+            ("full", answering(error(worker_messages.FULL)), b"{}", "full"),
+            ("miss", answering(error(worker_messages.MISS)), b"{}", "miss"),
+            ("failed", answering(error(worker_messages.FAILED)), b"{}", "error"),
+            ("draining", answering(error(worker_messages.DRAINING)), b"{}", "full"),
+            ("out of time there", answering(error(worker_messages.DEADLINE_EXCEEDED)), b"{}", "timeout"),
             ("an error nobody knows", answering(error(-5)), b"{}", "error"),
             ("an answer with neither result nor error", answering(b'{"jsonrpc":"2.0","id":1}\n'), b"{}", "cut"),
             ("an answer that is no JSON", answering(b"hello\n"), b"{}", "cut"),
@@ -147,10 +147,12 @@
             ("a byte at a time", a_byte_a_time),
             (
                 "the wrong version",
-                lambda sock, n: sock.sendall(jsonrpc.result(0, b'{"version":99,"worker":"w","start":1}') + b"\n"),
+                lambda sock, n: sock.sendall(
+                    jsonrpc.result_response(0, b'{"version":99,"worker":"w","start":1}') + b"\n"
+                ),
             ),
             ("garbage", lambda sock, n: sock.sendall(b"SSH-2.0\n")),
-            ("an error", lambda sock, n: sock.sendall(jsonrpc.problem(0, -1, "no") + b"\n")),
+            ("an error", lambda sock, n: sock.sendall(jsonrpc.error_response(0, -1, "no") + b"\n")),
         ):
             with self.subTest(case=name):
                 self.assertEqual(self.run_once(play, dial=150.0)[1], "unreached")
--- a/tests/test_worker_connection_faults.py
+++ b/tests/test_worker_connection_faults.py
@@ -12,12 +12,11 @@
 from tests import platform_rig as rig
 from tests.rig import Peer, Told, willing
 from tests.test_platform import Turned
-from wickdyke.platform import worker_command, connection_pool
+from wickdyke.config import address as addresses
 from wickdyke.gateway.interfaces import CommandKind
-from wickdyke.gateway import worker_client as rpc_link
+from wickdyke.jsonrpc import worker_client as rpc_link
+from wickdyke.platform import connection_pool, resp, worker_client, worker_command
 from wickdyke.routing.model import NEVER_RAN
-from wickdyke.platform import worker_client, resp
-from wickdyke.settings import address as addresses
 from wickdyke.transport import event_loop
 
 SHORT = 0  # instead of an errno: the call takes or gives one byte
--- a/tests/test_write_buffer.py
+++ b/tests/test_write_buffer.py
@@ -5,7 +5,7 @@
 import unittest
 from unittest.mock import patch
 
-from wickdyke.transport.write_buffer import WriteBuffer, OutgoingMessage
+from wickdyke.transport.write_buffer import OutgoingMessage, WriteBuffer
 
 LARGE = bytes(8 << 20)  # more than the kernel takes at once
 
--- a/wickdyke/quarantine/bars.py
+++ b/wickdyke/circuit_breaker/breakers.py
@@ -9,13 +9,13 @@
 from collections import OrderedDict
 from dataclasses import dataclass, field
 
-KEPT = 10_000  # functions or requests remembered; the least recently heard of go first
-DOUBLINGS_MOST = 40  # of a pause: a float holds it
+MAX_TRACKED = 10_000  # functions or requests remembered; the least recently heard of go first
+MAX_DOUBLINGS = 40  # of a pause: a float holds it
 ROUNDING = 1e-9  # of a sum of shares
 
 
 @dataclass(slots=True, frozen=True)
-class Isolation:
+class BreakerSettings:
     """When something is kept from being tried. Times are ms."""
 
     workers: int = 2
@@ -49,7 +49,7 @@
 
     def trip(self, breaker: Breaker, now: float) -> float:
         """Opens it for the next pause; returns its length."""
-        pause = min(self.most, self.first * 2.0 ** min(breaker.step, DOUBLINGS_MOST))
+        pause = min(self.most, self.first * 2.0 ** min(breaker.step, MAX_DOUBLINGS))
         breaker.until, breaker.step = now + pause, breaker.step + 1
         breaker.is_open, breaker.trial = True, None
         return pause
@@ -88,7 +88,7 @@
         """A load failed there; the pause in ms where that opens the breaker."""
         loads = self.known.setdefault(function, LoadFailures())
         self.known.move_to_end(function)
-        if len(self.known) > KEPT:
+        if len(self.known) > MAX_TRACKED:
             self.known.popitem(last=False)
         loads.failed = {name: at for name, at in loads.failed.items() if at > now - self.window}
         loads.failed[worker] = now
@@ -111,7 +111,7 @@
 
 
 @dataclass(slots=True)
-class Blame:
+class FailureAttribution:
     """What a request is blamed for: shares of replicas that ended with it inside, with their times."""
 
     breaker: Breaker = field(default_factory=Breaker)
@@ -127,7 +127,7 @@
 
     def __init__(self, replicas: float, window: float, backoff: Backoff) -> None:
         self.replicas, self.window, self.backoff = replicas, window, backoff
-        self.known: OrderedDict[tuple[str, bytes], Blame] = OrderedDict()
+        self.known: OrderedDict[tuple[str, bytes], FailureAttribution] = OrderedDict()
         self.open_by_function: dict[str, int] = {}
 
     def replica_ended(self, function: str, digest: bytes, requests_in_replica: int, now: float) -> float | None:
@@ -144,11 +144,11 @@
             self.open_by_function[function] = self.open_by_function.get(function, 0) + 1
         return self.backoff.trip(breaker, now)
 
-    def _blame(self, function: str, digest: bytes) -> Blame:
+    def _blame(self, function: str, digest: bytes) -> FailureAttribution:
         key = function, digest
-        blame = self.known.setdefault(key, Blame())
+        blame = self.known.setdefault(key, FailureAttribution())
         self.known.move_to_end(key)
-        if len(self.known) > KEPT:
+        if len(self.known) > MAX_TRACKED:
             oldest, dropped = self.known.popitem(last=False)
             self._close(oldest, dropped)
         return blame
@@ -158,7 +158,7 @@
         blame = self.known.pop((function, digest), None)
         return blame is not None and self._close((function, digest), blame)
 
-    def _close(self, key: tuple[str, bytes], blame: Blame) -> bool:
+    def _close(self, key: tuple[str, bytes], blame: FailureAttribution) -> bool:
         if not blame.breaker.is_open:
             return False
         function = key[0]
--- a/wickdyke/cli/call.py
+++ b/wickdyke/cli/call.py
@@ -5,8 +5,8 @@
 import click
 import msgspec
 
-from wickdyke.protocol import front, jsonrpc
-from wickdyke.settings import address as addresses
+from wickdyke.config import address
+from wickdyke.protocol import client_messages, jsonrpc
 
 CODES = {"ok": 0, "denied": 3, "aborted": 4}
 
@@ -51,16 +51,16 @@
         if value is not None
     }
     try:
-        sock = addresses.connect(socket, 1000)
+        sock = address.connect(socket, 1000)
         sock.sendall(jsonrpc.request_line("call", jsonrpc.encode(said), 1))
         line = sock.makefile("rb").readline()
         if not line:
             raise ConnectionResetError(0, "hung up without an answer")
-        _, result, problem = jsonrpc.answer(line)
-    except (OSError, ValueError, jsonrpc.Fault) as bad:
+        _, result, problem = jsonrpc.parse_response(line)
+    except (OSError, ValueError, jsonrpc.MalformedRequestError) as bad:
         print(f"{socket}: {getattr(bad, 'strerror', None) or bad}, expected a gateway's answer", file=sys.stderr)
         raise SystemExit(5) from None
-    final = front.final(result, problem)
+    final = client_messages.read_final_answer(result, problem)
     if final is None:
         said = bytes(problem.data).decode() if problem else "no answer of a gateway"
         print(f"{problem.message if problem else 'malformed'}: {said}", file=sys.stderr)
--- a/wickdyke/cli/check.py
+++ b/wickdyke/cli/check.py
@@ -5,23 +5,23 @@
 
 import click
 
-from wickdyke.gateway.service import ground
-from wickdyke.proving import script as scripts
-from wickdyke.settings import roll, routes, sexp, station, workshop
+from wickdyke.config import endpoint_file, gateway_config, route_config, sexpr, worker_config
+from wickdyke.fault_injection import scenario
+from wickdyke.jsonrpc.service import ground
 from wickdyke.worker import package
 
 
 def _station(file: str) -> None:
-    made = station.read(file)
+    made = gateway_config.read(file)
     if made.routes is not None:
-        routes.read(made.routes, made.request_classes, ground(made))
+        route_config.read(made.routes, made.request_classes, ground(made))
 
 
 KINDS = {
-    "workers": roll.read,
-    "script": scripts.read,
-    "worker": workshop.read,
-    "store": workshop.read_depot,
+    "workers": endpoint_file.read_endpoints,
+    "script": scenario.read,
+    "worker": worker_config.read,
+    "store": worker_config.read_store_config,
     "package": lambda file: package.from_folder(os.path.dirname(os.path.abspath(file))),
 }
 
@@ -39,11 +39,11 @@
     bad = False
     for file in files:
         try:
-            forms = sexp.read(file)
+            forms = sexpr.read(file)
             kind = forms[0].name if forms else ""
             KINDS.get(kind, _station)(file)
             print(f"{file}: good")
-        except sexp.Unusable as unusable:
+        except sexpr.InvalidConfigError as unusable:
             bad = True
             print(unusable, file=sys.stderr)
     raise SystemExit(2 if bad else 0)
--- a/wickdyke/cli/move.py
+++ b/wickdyke/cli/move.py
@@ -5,9 +5,9 @@
 
 import click
 
-from wickdyke.gateway.service import ground
-from wickdyke.settings import check, move, roll, routes, sexp, station
-from wickdyke.settings.sexp import Unusable
+from wickdyke.config import endpoint_file, gateway_config, migration, route_config, schema, sexpr
+from wickdyke.config.sexpr import InvalidConfigError
+from wickdyke.jsonrpc.service import ground
 
 
 @click.command("move")
@@ -26,7 +26,7 @@
     """
     try:
         text, told = _moved(old, shape, new)
-    except Unusable as bad:
+    except InvalidConfigError as bad:
         print(bad, file=sys.stderr)
         raise SystemExit(2) from None
     if dry_run:
@@ -45,31 +45,34 @@
 
 def _moved(old: str, shape: str, new: str) -> tuple[str, list[str]]:
     """The text of the new file, checked, and what there is to tell."""
-    station.read(old)
-    notes = check.Notes()
-    forms = [check.only_form(sexp.read(file), name, file, notes) for file, name in ((old, "gateway"), (shape, "shape"))]
+    gateway_config.read(old)
+    notes = schema.Diagnostics()
+    forms = [
+        schema.single_expression(sexpr.read(file), name, file, notes)
+        for file, name in ((old, "gateway"), (shape, "shape"))
+    ]
     notes.done()
-    made, told = move.moved(*forms, notes)
+    made, told = migration.migrate(*forms, notes)
     notes.done()
-    text, folder = move.text(made), os.path.dirname(os.path.abspath(new))
+    text, folder = migration.format_config(made), os.path.dirname(os.path.abspath(new))
     with open(old) as source:
-        lost = move.comments(source.read())
+        lost = migration.count_comments(source.read())
     told += [f"{old}: {lost} lines with comments: the comments are not carried over"] * (lost > 0)
     if os.path.dirname(os.path.abspath(old)) != folder:
         told.append(f"{old}: paths hang on the folder of the file that names them, and {new} stands in another")
-    return text, told + _beside(station.made(sexp.parse(text, new), new))
+    return text, told + _beside(gateway_config.build(sexpr.parse(text, new), new))
 
 
-def _beside(made: station.Station) -> list[str]:
+def _beside(made: gateway_config.GatewayConfig) -> list[str]:
     """What no longer fits in the files that the new one names and that stay as they are."""
     told = []
     for name, read in (
-        (made.workers, lambda file: roll.read(file, made.zones, made.kinds)),
-        (made.routes, lambda file: routes.read(file, made.request_classes, ground(made))),
+        (made.workers, lambda file: endpoint_file.read_endpoints(file, made.zones, made.kinds)),
+        (made.routes, lambda file: route_config.read(file, made.request_classes, ground(made))),
     ):
         try:
             if name is not None:
                 read(name)
-        except Unusable as bad:
+        except InvalidConfigError as bad:
             told += [f"no longer fits: {trouble}" for trouble in bad.troubles]
     return told
--- a/wickdyke/cli/prove.py
+++ b/wickdyke/cli/prove.py
@@ -8,12 +8,11 @@
 
 import click
 
+from wickdyke.config.sexpr import InvalidConfigError
+from wickdyke.fault_injection import report, scenario, trace
+from wickdyke.fault_injection.rule_checker import RuleChecker
+from wickdyke.fault_injection.scenario_runner import RigError, ScenarioRunner
 from wickdyke.gateway import recording as recordings
-from wickdyke.proving import report, trace
-from wickdyke.proving import script as scripts
-from wickdyke.proving.director import Director, Failed
-from wickdyke.proving.judge import Judge
-from wickdyke.settings.sexp import Unusable
 
 BROKEN, BAD, RIG = 1, 2, 3
 
@@ -33,8 +32,8 @@
         wickdyke prove scripts/bad-day.sexp
     """
     try:
-        played = [scripts.read(file) for file in files]
-    except Unusable as bad:
+        played = [scenario.read(file) for file in files]
+    except InvalidConfigError as bad:
         print(bad, file=sys.stderr)
         raise SystemExit(BAD) from None
     broken = False
@@ -47,17 +46,17 @@
     raise SystemExit(BROKEN if broken else 0)
 
 
-def _play(script: scripts.Script, folder: str | None, brief: bool) -> bool:
+def _play(script: scenario.Scenario, folder: str | None, brief: bool) -> bool:
     made = folder or tempfile.mkdtemp(prefix="wd-")
     say: Callable[[str], None] = (lambda text: None) if brief else print
     say(
         f"{script.name}, seed {script.seed}: {script.gateways} gateways, {script.workers} workers, "
         f"{script.length / 1000:g} s"
     )
-    director = Director(script, made, say=say)
+    director = ScenarioRunner(script, made, say=say)
     try:
-        judge = Judge(trace.read(director.run()))
-    except (Failed, trace.Broken) as bad:
+        judge = RuleChecker(trace.read(director.run()))
+    except (RigError, trace.InvalidTraceError) as bad:
         print(f"{script.name}, seed {script.seed}: {bad}", file=sys.stderr)
         raise SystemExit(RIG) from None
     if brief:
@@ -97,8 +96,8 @@
     ]
     paths += [each for each in traces if not os.path.isdir(each)]
     try:
-        judged = Judge(trace.read(paths))
-    except (trace.Broken, ValueError) as bad:
+        judged = RuleChecker(trace.read(paths))
+    except (trace.InvalidTraceError, ValueError) as bad:
         print(bad, file=sys.stderr)
         raise SystemExit(BAD) from None
     print(report.verdict(judged, shown=20))
--- a/wickdyke/cli/routes.py
+++ b/wickdyke/cli/routes.py
@@ -4,12 +4,11 @@
 
 import click
 
-from wickdyke.gateway.service import ground
-from wickdyke.proving.report import table
-from wickdyke.settings import routes as files
-from wickdyke.settings import station
-from wickdyke.settings.sexp import Unusable
-from wickdyke.timing.terms import shown, worst
+from wickdyke.config import gateway_config, route_config
+from wickdyke.config.sexpr import InvalidConfigError
+from wickdyke.fault_injection.report import table
+from wickdyke.jsonrpc.service import ground
+from wickdyke.route_policy.policy import format_schedule, worst_case_schedule
 
 
 @click.group()
@@ -30,9 +29,9 @@
         wickdyke routes show deploy/gateway.sexp suggest-tags tags/agency-7
     """
     try:
-        made = station.read(file)
-        found = files.read(made.routes, made.request_classes, ground(made)) if made.routes else None
-    except Unusable as bad:
+        made = gateway_config.read(file)
+        found = route_config.read(made.routes, made.request_classes, ground(made)) if made.routes else None
+    except InvalidConfigError as bad:
         print(bad, file=sys.stderr)
         raise SystemExit(2) from None
     known = next((each for each in made.request_classes if each.name == method), None)
@@ -55,15 +54,16 @@
         spot = held.origins.get(name)
         rows.append([name, value, str(spot) if spot else f'method "{method}"' if "deadline" in name else "not stated"])
     print(table(("field", "holds", "from"), rows))
-    print(f"longest course: {shown(worst(held.terms, ground(made)))} of {held.terms.deadline:g} ms")
+    schedule = format_schedule(worst_case_schedule(held.terms, ground(made)))
+    print(f"longest course: {schedule} of {held.terms.deadline:g} ms")
 
 
-def _values(held: files.Held) -> dict[str, str]:
+def _values(held: route_config.EffectivePolicy) -> dict[str, str]:
     values = {}
-    for name in files.READERS:
+    for name in route_config.READERS:
         stated = held.route.holds(name)
         if stated is not None:
-            text = files.field_text(name, stated[0])
+            text = route_config.field_text(name, stated[0])
             values[name] = text[len(name) + 2 : -1]
         else:
             own = {
--- a/wickdyke/cli/serve.py
+++ b/wickdyke/cli/serve.py
@@ -7,12 +7,12 @@
 
 import click
 
+from wickdyke.config import gateway_config
+from wickdyke.config.sexpr import InvalidConfigError
+from wickdyke.fault_injection import scenario
+from wickdyke.fault_injection.scenario_runner import RigError, ScenarioRunner
 from wickdyke.gateway import log as logs
-from wickdyke.gateway.service import Gateway, until_signal
-from wickdyke.proving import script as scripts
-from wickdyke.proving.director import Director, Failed
-from wickdyke.settings import station
-from wickdyke.settings.sexp import Unusable
+from wickdyke.jsonrpc.service import Gateway, until_signal
 from wickdyke.transport.line_server import AddressInUse
 
 BAD = 2  # exit code of input that can't be used
@@ -35,8 +35,8 @@
         wickdyke serve deploy/gateway.sexp --log run/gateway.log
     """
     try:
-        made = station.read(file)
-    except Unusable as bad:
+        made = gateway_config.read(file)
+    except InvalidConfigError as bad:
         _fail(str(bad))
     if tape:
         made.tape = tape
@@ -47,7 +47,7 @@
     log, scribe = logs.logger(sink, as_json, debug, gateway=made.name)
     try:
         gateway = Gateway(made, log)
-    except (AddressInUse, Unusable) as bad:
+    except (AddressInUse, InvalidConfigError) as bad:
         _fail(str(bad))
     except OSError as bad:
         _fail(f"{bad.filename or made.listen}: {bad.strerror}")
@@ -74,11 +74,11 @@
         wickdyke up scripts/small.sexp
     """
     try:
-        script = scripts.read(file)
-    except Unusable as bad:
+        script = scenario.read(file)
+    except InvalidConfigError as bad:
         _fail(str(bad))
     with tempfile.TemporaryDirectory(prefix="wickdyke-") as made:
-        director = Director(script, folder or os.path.join(made, "up"))
+        director = ScenarioRunner(script, folder or os.path.join(made, "up"))
         ended: list[int] = []
         for number in (signal.SIGTERM, signal.SIGINT):
             signal.signal(number, lambda n, frame: ended.append(n))
@@ -91,7 +91,7 @@
                 child.process.send_signal(signal.SIGTERM)
             for child in director.gateways.values():
                 child.end()
-        except Failed as bad:
+        except RigError as bad:
             _fail(str(bad), 3)
         finally:
             director.close()
--- a/wickdyke/cli/worker.py
+++ b/wickdyke/cli/worker.py
@@ -5,10 +5,10 @@
 
 import click
 
+from wickdyke.config import worker_config
+from wickdyke.config.sexpr import InvalidConfigError
+from wickdyke.fault_injection.trace import TraceRecorder
 from wickdyke.gateway import log as logs
-from wickdyke.proving.trace import Recorder
-from wickdyke.settings import workshop
-from wickdyke.settings.sexp import Unusable
 from wickdyke.transport import termination
 from wickdyke.transport.line_server import AddressInUse
 from wickdyke.worker import package
@@ -37,8 +37,8 @@
         wickdyke worker deploy/worker.sexp
     """
     try:
-        shop = workshop.read(file)
-    except Unusable as bad:
+        shop = worker_config.read(file)
+    except InvalidConfigError as bad:
         _fail(str(bad))
     try:
         sink = logs.opened(log_file or shop.log)
@@ -49,7 +49,7 @@
     ended = termination.asked()
     try:
         source = Folder(shop.folder) if shop.folder else StoreClient(shop.service)
-        made = Worker(shop, source, log, Recorder(trace, shop.name) if trace else None, start)
+        made = Worker(shop, source, log, TraceRecorder(trace, shop.name) if trace else None, start)
         made.open()
     except AddressInUse as bad:
         _fail(str(bad))
@@ -75,7 +75,7 @@
     """
     try:
         made, path = package.pack(folder, into)
-    except Unusable as bad:
+    except InvalidConfigError as bad:
         _fail(str(bad))
     except OSError as bad:
         _fail(f"{bad.filename or into}: {bad.strerror}")
@@ -95,8 +95,8 @@
         wickdyke store deploy/store.sexp
     """
     try:
-        depot = workshop.read_depot(file)
-    except Unusable as bad:
+        depot = worker_config.read_store_config(file)
+    except InvalidConfigError as bad:
         _fail(str(bad))
     try:
         sink = logs.opened(log_file)
--- a/wickdyke/settings/address.py
+++ b/wickdyke/config/address.py
@@ -4,9 +4,9 @@
 import os
 import socket
 
-from wickdyke.settings.check import Notes
-from wickdyke.settings.check import text as read_text
-from wickdyke.settings.sexp import Form
+from wickdyke.config.schema import Diagnostics
+from wickdyke.config.schema import text as read_text
+from wickdyke.config.sexpr import Expression
 
 PATH_MOST = 107  # bytes of a Unix socket's path that Linux takes (sockaddr_un)
 
@@ -36,7 +36,7 @@
     return address if ":" in address and "/" not in address else os.path.join(folder, address)
 
 
-def read(form: Form, notes: Notes) -> str | None:
+def read(form: Expression, notes: Diagnostics) -> str | None:
     """Reads one address of a settings file."""
     address = read_text(form, notes)
     if address is None:
--- a/wickdyke/settings/terms.py
+++ b/wickdyke/config/deployment_settings.py
@@ -19,11 +19,11 @@
 )
 
 
-class BadInput(Exception):
+class InvalidInputError(Exception):
     """What came in is not the wire's."""
 
 
-def whole(text: str) -> int:
+def integer(text: str) -> int:
     """A whole number."""
     if not text.removeprefix("-").isascii() or not text.removeprefix("-").isdigit():
         raise ValueError("a whole number")
@@ -32,7 +32,7 @@
 
 def count(text: str) -> int:
     """A whole number that is not negative."""
-    if whole(text) < 0:
+    if integer(text) < 0:
         raise ValueError("a whole number of at least 0")
     return int(text)
 
@@ -50,7 +50,7 @@
 
 def span(text: str) -> float:
     """A time, in ms."""
-    return whole(text) / 1000
+    return integer(text) / 1000
 
 
 def flag(text: str) -> bool:
@@ -78,16 +78,16 @@
     return read
 
 
-def maybe(read: Callable) -> Callable:
+def optional(read: Callable) -> Callable:
     """What may be absent."""
 
-    def optional(text: str):
+    def read_optional(text: str):
         return None if text == "-" else read(text)
 
-    return optional
+    return read_optional
 
 
-EFFECTS = {"pure": "idempotent", "token": "tokened", "side_effect": "side-effecting"}
+EFFECT_WORDS = {"pure": "idempotent", "token": "tokened", "side_effect": "side-effecting"}
 REPORTS = {
     "outstanding": "in_flight",
     "backlog": "queued",
@@ -100,7 +100,7 @@
 }
 
 
-class Terms:
+class DeploymentSettings:
     """The start-up pairs of one instance, read one by one so that a missing one can be named."""
 
     def __init__(self, values: dict[str, str], place: str = "POWER_ON") -> None:
@@ -111,12 +111,12 @@
         text = self.values.get(name)
         if text is None:
             if absent is None:
-                raise BadInput(f"{self.place}: the setting {name} is missing")
+                raise InvalidInputError(f"{self.place}: the setting {name} is missing")
             return absent
         try:
             return read(text)
         except ValueError as bad:
-            raise BadInput(f"{self.place}: {name} is {text[:40]!r}, expected {bad}") from None
+            raise InvalidInputError(f"{self.place}: {name} is {text[:40]!r}, expected {bad}") from None
 
     def names(self, name: str) -> tuple[str, ...]:
         """A list of plain values."""
@@ -128,14 +128,14 @@
         try:
             return tuple(number(part) for part in self.names(name))
         except ValueError as bad:
-            raise BadInput(f"{self.place}: {name}, expected {bad} in each place") from None
+            raise InvalidInputError(f"{self.place}: {name}, expected {bad} in each place") from None
 
 
 truth = one_of({"true": True, "false": False})
 scope = one_of({"all": "all", "zone": "zone", "cell": "cell"})
 
 
-def method(terms: Terms, place: int) -> RequestClass:
+def request_class(terms: DeploymentSettings, place: int) -> RequestClass:
     """One of the methods."""
 
     def at(name: str, read: Callable, absent: object = None):
@@ -143,7 +143,7 @@
 
     return RequestClass(
         name=at("name", str),
-        effect=at("repeat", one_of(EFFECTS)),
+        effect=at("repeat", one_of(EFFECT_WORDS)),
         scope=at("key-scope", scope, "all"),
         dedupe_window=at("window", span, 0.0),
         latency_objective=at("aim", span),
@@ -154,22 +154,22 @@
     )
 
 
-def paired(pairs: list[str]) -> Terms:
+def from_pairs(pairs: list[str]) -> DeploymentSettings:
     """The terms in pairs of path=value."""
     values: dict[str, str] = {}
     for pair in pairs:
         name, sign, value = pair.partition("=")
         if not sign:
-            raise BadInput(f"POWER_ON: {pair[:40]!r}, expected path=value")
+            raise InvalidInputError(f"POWER_ON: {pair[:40]!r}, expected path=value")
         values[name] = value
-    return Terms(values)
+    return DeploymentSettings(values)
 
 
-def nested(given: object, place: str) -> Terms:
+def from_nested(given: object, place: str) -> DeploymentSettings:
     """The terms in nested objects: lists of plain values are one value, of objects a count and a path for each."""
     values: dict[str, str] = {}
     _flatten(given, "", values)
-    return Terms(values, place)
+    return DeploymentSettings(values, place)
 
 
 def _flatten(given: object, path: str, values: dict[str, str]) -> None:
@@ -186,11 +186,11 @@
         values[path] = str(given).lower() if isinstance(given, bool) else str(given)
 
 
-def start(terms: Terms) -> dict[str, object]:
+def router_settings(terms: DeploymentSettings) -> dict[str, object]:
     """What a front end is given at its start."""
     get = terms.get
     return {
-        "request_classes": [method(terms, place) for place in range(get("lanes.count", count))],
+        "request_classes": [request_class(terms, place) for place in range(get("lanes.count", count))],
         "instance": GatewayInstance(
             index=get("self-index", count),
             count=get("instances", count),
--- a/wickdyke/settings/roll.py
+++ b/wickdyke/config/endpoint_file.py
@@ -3,13 +3,13 @@
 import os
 from dataclasses import dataclass, replace
 
-from wickdyke.settings import address, check, sexp
-from wickdyke.settings.check import Field, Notes, choice, count, number, record, text
-from wickdyke.settings.sexp import Spot
+from wickdyke.config import address, schema, sexpr
+from wickdyke.config.schema import Diagnostics, Field, choice, count, number, record, text
+from wickdyke.config.sexpr import SourceLocation
 
 
 @dataclass(slots=True, frozen=True)
-class Row:
+class EndpointRow:
     """One worker as the list tells of it; `start` changes when it was started anew under the same name."""
 
     name: str
@@ -22,8 +22,8 @@
     start: int
 
 
-def _row(spot: Spot, **values) -> tuple[Row, Spot]:
-    return Row(**values), spot
+def _row(spot: SourceLocation, **values) -> tuple[EndpointRow, SourceLocation]:
+    return EndpointRow(**values), spot
 
 
 WORKER = record(
@@ -40,30 +40,33 @@
 WORKERS = record(lambda spot, worker: worker, worker=Field(WORKER, None, many=True))
 
 
-def rows(forms: list, path: str, zones: tuple[str, ...] = (), kinds: tuple[str, ...] = ()) -> list[Row]:
+def parse_endpoints(
+    forms: list, path: str, zones: tuple[str, ...] = (), kinds: tuple[str, ...] = ()
+) -> list[EndpointRow]:
     """The rows of a list, checked also against the zones and kinds that the gateway knows, where it names any."""
-    notes = Notes()
-    form = check.only_form(forms, "workers", path, notes)
+    notes = Diagnostics()
+    form = schema.single_expression(forms, "workers", path, notes)
     found = WORKERS(form, notes) if form is not None else None
     for row, spot in found or ():
         for what, value, known in (("zone", row.zone, zones), ("kind", row.kind, kinds)):
             if known and value not in known:
                 said = f'{what} "{value}"' if value else f"no {what}"
                 notes.add(spot, said, f"one of {', '.join(known)}, as the gateway's file names them")
-    check.unique([row.name for row, _ in found or ()], [spot for _, spot in found or ()], "worker", notes)
+    schema.check_unique([row.name for row, _ in found or ()], [spot for _, spot in found or ()], "worker", notes)
     notes.done()
     return [row for row, _ in found]
 
 
-def read(path: str, zones: tuple[str, ...] = (), kinds: tuple[str, ...] = ()) -> list[Row]:
+def read_endpoints(path: str, zones: tuple[str, ...] = (), kinds: tuple[str, ...] = ()) -> list[EndpointRow]:
     """The rows of a file; raises Unusable with all that is wrong. Paths of sockets hang on its folder."""
     folder = os.path.dirname(path)
     return [
-        replace(row, address=address.beside(row.address, folder)) for row in rows(sexp.read(path), path, zones, kinds)
+        replace(row, address=address.beside(row.address, folder))
+        for row in parse_endpoints(sexpr.read(path), path, zones, kinds)
     ]
 
 
-def written(rows_: list[Row]) -> str:
+def format_endpoints(rows_: list[EndpointRow]) -> str:
     """The text of a list, as `read` takes it."""
 
     def quoted(value: str) -> str:
--- a/wickdyke/settings/station.py
+++ b/wickdyke/config/gateway_config.py
@@ -3,6 +3,11 @@
 import os
 from dataclasses import dataclass
 
+from wickdyke.circuit_breaker.breakers import BreakerSettings
+from wickdyke.config import address, schema, sexpr
+from wickdyke.config.schema import Diagnostics, Field, choice, count, flag, number, record, size, span, text, word_list
+from wickdyke.config.sexpr import SourceLocation
+from wickdyke.protocol.worker_messages import REPORT_FIELDS
 from wickdyke.routing.model import RequestClass
 from wickdyke.routing.settings import (
     AttemptLimits,
@@ -14,15 +19,10 @@
     SlowStart,
     TenantQuotas,
 )
-from wickdyke.protocol.back import REPORT_FIELDS
-from wickdyke.quarantine.bars import Isolation
-from wickdyke.settings import address, check, sexp
-from wickdyke.settings.check import Field, Notes, choice, count, flag, number, record, size, span, text, words
-from wickdyke.settings.sexp import Spot
 
 
 @dataclass(slots=True, frozen=True)
-class Bounds:
+class ServerLimits:
     """What a gateway bounds: whoever goes past is turned away or hung up on (docs/protocol.md)."""
 
     connections: int
@@ -34,14 +34,14 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Stated:
+class FunctionSettings:
     """What a file states of programs whose name is `name`, or begins with it where it ends with a star."""
 
     name: str
     memory: float
     lanes: int
     load: float | None
-    spot: Spot
+    spot: SourceLocation
 
     def fits(self, program: str) -> bool:
         """Whether it speaks of that program."""
@@ -49,7 +49,7 @@
 
 
 @dataclass(slots=True)
-class Station:
+class GatewayConfig:
     """All that a gateway's file states, each part for the part of the program that takes it."""
 
     name: str
@@ -64,7 +64,7 @@
     zones: tuple[str, ...]
     kinds: tuple[str, ...]
     request_classes: list[RequestClass]
-    programs: list[Stated]
+    programs: list[FunctionSettings]
     instance: GatewayInstance
     attempt_limits: AttemptLimits
     function_cache: FunctionCache
@@ -72,26 +72,26 @@
     prewarm_quota: PrewarmQuota
     discovery: Discovery
     cost_weights: CostWeights
-    bounds: Bounds
+    bounds: ServerLimits
     answer_way: float
     probe_wait: float
-    isolation: Isolation = Isolation()
+    isolation: BreakerSettings = BreakerSettings()
     tenants: tuple[str, ...] = ()
     tenant_quotas: TenantQuotas = TenantQuotas()
 
-    def stated(self, program: str) -> Stated | None:
+    def stated(self, program: str) -> FunctionSettings | None:
         """What is stated of a program: the exact name before the longest beginning."""
         fits = [each for each in self.programs if each.fits(program)]
         return max(fits, key=lambda each: (not each.name.endswith("*"), len(each.name)), default=None)
 
 
-def _part(build):
+def _part(record_type):
     """Builds without the spot, which most parts have no use for."""
-    return lambda spot, **values: build(**values)
+    return lambda spot, **values: record_type(**values)
 
 
 def _method(
-    spot: Spot,
+    spot: SourceLocation,
     name: str,
     effect: str,
     scope: str,
@@ -101,18 +101,20 @@
     soft_stretch: float,
     gain: float,
     late_gain: float,
-) -> tuple[RequestClass, Spot]:
+) -> tuple[RequestClass, SourceLocation]:
     return RequestClass(name, effect, scope, window, soft_deadline, soft_stretch, deadline, gain, late_gain), spot
 
 
-def _attempt_limits(spot: Spot, most: int, overlap: bool, probe: bool, dial: float, idle_close: float, **rest):
+def _attempt_limits(
+    spot: SourceLocation, most: int, overlap: bool, probe: bool, dial: float, idle_close: float, **rest
+):
     return AttemptLimits(
         attempts=most, hedging=overlap, health_checks=probe, connect_timeout=dial, idle_timeout=idle_close, **rest
     )
 
 
 def _function_cache(
-    spot: Spot,
+    spot: SourceLocation,
     idle_life: float,
     may_hold: bool,
     loads_on_call: bool,
@@ -130,7 +132,7 @@
     }
 
 
-def _cost_weights(spot: Spot, probe: float, crossing: float, **rest: float) -> CostWeights:
+def _cost_weights(spot: SourceLocation, probe: float, crossing: float, **rest: float) -> CostWeights:
     return CostWeights(health_check=probe, cross_zone=crossing, **rest)
 
 
@@ -147,7 +149,7 @@
     late_gain=Field(number(0, 1), 0.0),
 )
 PROGRAM = record(
-    lambda spot, name, memory, lanes, load: Stated(name, memory, lanes, load, spot),
+    lambda spot, name, memory, lanes, load: FunctionSettings(name, memory, lanes, load, spot),
     named=True,
     memory=Field(size(0)),
     lanes=Field(count(1, 4096), 1),
@@ -190,7 +192,7 @@
     **{name: Field(number(0, 100), 0.0) for name in ("waste", "late", "fetch", "probe", "crossing", "idle_memory")},
 )
 BOUNDS = record(
-    _part(Bounds),
+    _part(ServerLimits),
     connections=Field(count(1, 60000), 1024),
     open_rpcs=Field(count(1, 10**7), 32768),
     open_each=Field(count(1, 10**6), 4096),
@@ -214,8 +216,8 @@
 )
 
 
-def _isolation(spot: Spot, loads: dict, calls: dict) -> Isolation:
-    return Isolation(
+def _isolation(spot: SourceLocation, loads: dict, calls: dict) -> BreakerSettings:
+    return BreakerSettings(
         loads["workers"],
         loads["window"],
         loads["first"],
@@ -247,7 +249,7 @@
     method=Field(METHOD, many=True),
     program=Field(PROGRAM, None, many=True),
     seat=Field(SEAT, (0, 1, None)),
-    report=Field(words, ("busy", "held")),
+    report=Field(word_list, ("busy", "held")),
     by_work=Field(flag, False),
     call_outs=Field(CALL_OUTS, AttemptLimits(3, False, True, True, 0.0, 250.0)),
     stock=Field(STOCK),
@@ -255,15 +257,15 @@
     ration=Field(RATION, PrewarmQuota(0.0, 0.0, 0.0)),
     drain_grace=Field(span()),
     tariff=Field(TARIFF, CostWeights(0, 0, 0, 0, 0, 0)),
-    bounds=Field(BOUNDS, Bounds(1024, 32768, 4096, 16.0, 32.0, 100000)),
+    bounds=Field(BOUNDS, ServerLimits(1024, 32768, 4096, 16.0, 32.0, 100000)),
     answer_way=Field(span(0.0, 60000.0), 20.0),
     probe_wait=Field(span(1.0, 60000.0), 250.0),
-    isolation=Field(ISOLATION, Isolation()),
+    isolation=Field(ISOLATION, BreakerSettings()),
     tenant=Field(TENANT, None, many=True),
 )
 
 
-def _contradictions(spot: Spot, got: dict, notes: Notes) -> None:
+def _contradictions(spot: SourceLocation, got: dict, notes: Diagnostics) -> None:
     way = got["answer_way"]
     for method, at in got["method"]:
         if method.latency_objective >= method.deadline:
@@ -285,7 +287,7 @@
         ("tenant", [t for t, _, _ in got["tenant"]], [at for _, _, at in got["tenant"]]),
         ("zone", [z for z, _ in got["zone"]], [at for _, at in got["zone"]]),
     ):
-        check.unique(names, spots, what, notes)
+        schema.check_unique(names, spots, what, notes)
     zones = [zone for zone, _ in got["zone"]]
     if got["at"] is not None and got["at"] not in zones:
         notes.add(spot, f'(at "{got["at"]}")', "one of the zones" + "".join(f' "{z}"' for z in zones))
@@ -304,15 +306,15 @@
         )
 
 
-def read(path: str) -> Station:
+def read(path: str) -> GatewayConfig:
     """Reads and checks a gateway's file; raises Unusable with all that is wrong. Paths in it hang on its folder."""
-    return made(sexp.read(path), path)
+    return build(sexpr.read(path), path)
 
 
-def made(forms: list[sexp.Form], path: str) -> Station:
+def build(forms: list[sexpr.Expression], path: str) -> GatewayConfig:
     """The same of forms that stand, or are to stand, in the file of that path."""
-    notes = Notes()
-    form = check.only_form(forms, "gateway", path, notes)
+    notes = Diagnostics()
+    form = schema.single_expression(forms, "gateway", path, notes)
     read_form = GATEWAY(form, notes) if form is not None else None
     if read_form is not None:
         _contradictions(*read_form, notes)
@@ -327,7 +329,7 @@
     zones = tuple(zone for zone, _ in got["zone"])
     number_, of, _ = got["seat"]
     bounds = got["bounds"]
-    return Station(
+    return GatewayConfig(
         name=got["name"],
         listen=listen,
         workers=beside(got["workers"][0]),
@@ -354,7 +356,7 @@
         prewarm_quota=got["ration"],
         discovery=Discovery(True, 0.0, got["drain_grace"]),
         cost_weights=got["tariff"],
-        bounds=Bounds(
+        bounds=ServerLimits(
             bounds.connections,
             bounds.open_rpcs,
             bounds.open_each,
--- a/wickdyke/settings/routes.py
+++ b/wickdyke/config/route_config.py
@@ -3,15 +3,22 @@
 from dataclasses import dataclass, field
 from typing import Any
 
+from wickdyke.config import schema, sexpr
+from wickdyke.config.schema import Diagnostics, Field, choice, count, number, record, span, text
+from wickdyke.config.sexpr import Atom, Expression, SourceLocation
+from wickdyke.route_policy import policy, validation
+from wickdyke.route_policy.matching import ANY, Pattern, RouteTable, covers, find_ties
+from wickdyke.route_policy.policy import (
+    NEVER_RAN,
+    OUTCOMES,
+    BackoffPolicy,
+    Environment,
+    HedgePolicy,
+    Policy,
+    RetryBudgetPolicy,
+)
+from wickdyke.route_policy.transition import PolicyTransition, RetryBudgetUser
 from wickdyke.routing.model import RequestClass, RoutePolicy
-from wickdyke.settings import check, sexp
-from wickdyke.settings.check import Field, Notes, choice, count, number, record, span, text
-from wickdyke.settings.sexp import Atom, Form, Spot
-from wickdyke.timing import check as sums
-from wickdyke.timing import terms as arithmetic
-from wickdyke.timing.change import Payer, Succession
-from wickdyke.timing.routes import ANY, Pattern, Table, covers, ties
-from wickdyke.timing.terms import NEVER_RAN, OUTCOMES, Budget, Ground, Pause, Second, Terms
 
 
 @dataclass(slots=True)
@@ -19,26 +26,26 @@
     """One route as written: each field stated in it with its place, and the route it is like."""
 
     name: str
-    spot: Spot
+    spot: SourceLocation
     takes: Pattern
     like: str | None
-    stated: dict[str, tuple[Any, Spot]]
+    stated: dict[str, tuple[Any, SourceLocation]]
     # the route itself first, then those it is like
     line: list["Route"] = field(default_factory=list)
 
-    def holds(self, name: str) -> tuple[Any, Spot] | None:
+    def holds(self, name: str) -> tuple[Any, SourceLocation] | None:
         """What holds for a field and where it is stated."""
         return next((each.stated[name] for each in self.line if name in each.stated), None)
 
 
 @dataclass(slots=True, frozen=True)
-class Held:
+class EffectivePolicy:
     """What holds for the RPCs of one route and method: the terms, and the place of each stated field."""
 
     route: Route
-    terms: Terms
-    origins: dict[str, Spot]
-    timing: RoutePolicy
+    terms: Policy
+    origins: dict[str, SourceLocation]
+    router_policy: RoutePolicy
 
 
 @dataclass(slots=True)
@@ -46,39 +53,39 @@
     """A checked file: `find` gives what holds for an RPC, or None where no route takes it."""
 
     routes: list[Route]
-    table: Table
-    held: dict[tuple[str, str], Held]
+    table: RouteTable
+    held: dict[tuple[str, str], EffectivePolicy]
 
-    def payers(self) -> list[Payer]:
+    def payers(self) -> list[RetryBudgetUser]:
         """The routes as far as their budgets go."""
-        found: dict[str, Payer] = {}
+        found: dict[str, RetryBudgetUser] = {}
         for (name, _), held in self.held.items():
             lives = max(held.terms.deadline, found[name].lives if name in found else 0.0)
-            found[name] = Payer(name, held.route.takes, held.terms.budget, held.terms.attempts, lives)
+            found[name] = RetryBudgetUser(name, held.route.takes, held.terms.budget, held.terms.attempts, lives)
         return list(found.values())
 
-    def find(self, method: str, program: str, tenant: str = "") -> Held | None:
+    def find(self, method: str, program: str, tenant: str = "") -> EffectivePolicy | None:
         """The terms of the most specific route that takes the RPC."""
         route = self.table.find(method, program, tenant)
         return None if route is None else self.held[route.name, method]
 
 
-def _attempt(form: Form, notes: Notes) -> tuple[float | None, float | None] | None:
+def _attempt(form: Expression, notes: Diagnostics) -> tuple[float | None, float | None] | None:
     """(attempt 500 ms (linger 300 ms))"""
     plain = [item for item in form.items if isinstance(item, Atom)]
-    more = [item for item in form.items if isinstance(item, Form)]
-    took, linger = span(1.0)(Form("attempt", plain, form.spot), notes), None
+    more = [item for item in form.items if isinstance(item, Expression)]
+    took, linger = span(1.0)(Expression("attempt", plain, form.spot), notes), None
     for item in more:
         if item.name == "linger" and linger is None:
             linger = span()(item, notes)
         else:
-            notes.add(item.spot, check.shown(item), "(attempt TIME) or (attempt TIME (linger TIME))")
+            notes.add(item.spot, schema.describe(item), "(attempt TIME) or (attempt TIME (linger TIME))")
     return took, linger
 
 
-def _again(form: Form, notes: Notes) -> frozenset[str] | None:
+def _again(form: Expression, notes: Diagnostics) -> frozenset[str] | None:
     """(again full miss cut), or (again nothing)"""
-    named = check.words(form, notes) or ()
+    named = schema.word_list(form, notes) or ()
     if not named:
         notes.add(form.spot, "(again)", "outcomes, or (again nothing)")
     for word in named if named != ("nothing",) else ():
@@ -87,14 +94,14 @@
     return frozenset(named) - {"nothing"}
 
 
-def _second(form: Form, notes: Notes) -> Any:
+def _second(form: Expression, notes: Diagnostics) -> Any:
     """(second never), (second (after 300 ms) ...), (second (after-share 0.4) ...)"""
     if len(form.items) == 1 and isinstance(form.items[0], Atom):
         return choice(never=None)(form, notes)
     return SECOND(form, notes)
 
 
-def _seconds(spot: Spot, after: float | None, after_share: float | None, at_once: int, part: float) -> Any:
+def _seconds(spot: SourceLocation, after: float | None, after_share: float | None, at_once: int, part: float) -> Any:
     return after, after_share, at_once, part
 
 
@@ -106,14 +113,14 @@
     part=Field(number(0.0001, 1), 0.05),
 )
 PAUSE = record(
-    lambda spot, **values: Pause(**values),
+    lambda spot, **values: BackoffPolicy(**values),
     first=Field(span()),
     growth=Field(number(1, 100), 1.0),
     most=Field(span(), float("inf")),
     spread=Field(number(0, 10), 0.0),
 )
 BUDGET = record(
-    lambda spot, **values: Budget(**values),
+    lambda spot, **values: RetryBudgetPolicy(**values),
     window=Field(span()),
     share=Field(number(0, 100), 0.0),
     floor=Field(number(0, 1e6), 0.0),
@@ -121,7 +128,7 @@
 TAKES = record(
     lambda spot, **parts: Pattern(**parts), method=Field(text, ANY), program=Field(text, ANY), tenant=Field(text, ANY)
 )
-READERS: dict[str, check.Reader] = {
+READERS: dict[str, schema.Reader] = {
     "soft-deadline": span(1.0),
     "deadline": span(1.0),
     "attempt": _attempt,
@@ -135,11 +142,11 @@
 }
 
 
-def _placed(reader: check.Reader) -> check.Reader:
+def _placed(reader: schema.Reader) -> schema.Reader:
     return lambda form, notes: (reader(form, notes), form.spot)
 
 
-def _route(spot: Spot, name: str, takes: Pattern, like: str | None, **stated) -> Route:
+def _route(spot: SourceLocation, name: str, takes: Pattern, like: str | None, **stated) -> Route:
     return Route(
         name, spot, takes, like, {key.replace("_", "-"): value for key, value in stated.items() if value is not None}
     )
@@ -155,7 +162,7 @@
 ROUTES = record(lambda spot, route: route, route=Field(ROUTE, None, many=True))
 
 
-def _lines(routes: list[Route], notes: Notes) -> None:
+def _lines(routes: list[Route], notes: Diagnostics) -> None:
     """Finds whom each route is like, and refuses circles."""
     named = {route.name: route for route in routes}
     for route in routes:
@@ -177,7 +184,7 @@
         route.line = line
 
 
-def _terms(route: Route, method: RequestClass, notes: Notes) -> Held:
+def _terms(route: Route, method: RequestClass, notes: Diagnostics) -> EffectivePolicy:
     origins, values = {}, {}
     for name in READERS:
         if (held := route.holds(name)) is not None:
@@ -193,36 +200,36 @@
                 "(second ...) with " + ("neither" if after is None else "both"),
                 "either (after TIME) or (after-share SHARE)",
             )
-        second = Second(after if after is not None else soft * (share or 0.0), at_once, part)
-    terms = Terms(
+        second = HedgePolicy(after if after is not None else soft * (share or 0.0), at_once, part)
+    terms = Policy(
         soft,
         deadline,
         attempt,
         linger,
         values.get("attempts", 1),
-        values.get("pause", Pause()),
+        values.get("pause", BackoffPolicy()),
         values.get("again", NEVER_RAN),
         second,
         values.get("budget"),
         values.get("queue"),
         values.get("priority", 0),
     )
-    return Held(route, terms, origins, timing(terms, route.name))
+    return EffectivePolicy(route, terms, origins, router_policy(terms, route.name))
 
 
-def build(forms: list[Form], path: str, methods: list[RequestClass], ground: Ground) -> Routes:
+def build(forms: list[Expression], path: str, methods: list[RequestClass], ground: Environment) -> Routes:
     """Checks the forms of a file; raises Unusable with all that is wrong."""
-    notes = Notes()
-    form = check.only_form(forms, "routes", path, notes)
+    notes = Diagnostics()
+    form = schema.single_expression(forms, "routes", path, notes)
     routes = ROUTES(form, notes) if form is not None else None
     if notes.troubles or routes is None:
         notes.done()
-    check.unique([route.name for route in routes], [route.spot for route in routes], "route", notes)
+    schema.check_unique([route.name for route in routes], [route.spot for route in routes], "route", notes)
     _lines(routes, notes)
-    for one, other, both in ties([route.takes for route in routes]):
+    for one, other, both in find_ties([route.takes for route in routes]):
         _tie(routes[one], routes[other], both, notes)
-    held: dict[tuple[str, str], Held] = {}
-    said: set[tuple[Spot, sums.Refusal]] = set()
+    held: dict[tuple[str, str], EffectivePolicy] = {}
+    said: set[tuple[SourceLocation, validation.Violation]] = set()
     for route in routes:
         mine = [method for method in methods if covers(route.takes.method, method.name)]
         if not mine:
@@ -233,23 +240,23 @@
             )
         for method in mine:
             one = held[route.name, method.name] = _terms(route, method, notes)
-            known = arithmetic_method(method)
-            for refusal in sums.check(one.terms, known, ground):
+            known = validation_method(method)
+            for refusal in validation.validate(one.terms, known, ground):
                 at = one.origins.get(refusal.field, route.spot)
                 if (at, refusal) not in said:  # a line that many routes inherit is wrong once
                     said.add((at, refusal))
-                    notes.add(at, f'in route "{route.name}" {refusal.found}', refusal.expected, fix(refusal))
+                    notes.add(at, f'in route "{route.name}" {refusal.found}', refusal.expected, suggested_fix(refusal))
     notes.troubles = list(dict.fromkeys(notes.troubles))
     notes.done()
-    return Routes(routes, Table([(route.takes, route) for route in routes]), held)
+    return Routes(routes, RouteTable([(route.takes, route) for route in routes]), held)
 
 
-def arithmetic_method(method: RequestClass) -> arithmetic.Method:
+def validation_method(method: RequestClass) -> policy.MethodTerms:
     """What the check needs of a method."""
-    return arithmetic.Method(method.name, method.effect, method.scope, method.dedupe_window)
+    return policy.MethodTerms(method.name, method.effect, method.scope, method.dedupe_window)
 
 
-def fix(refusal: sums.Refusal) -> str:
+def suggested_fix(refusal: validation.Violation) -> str:
     """The nearest that passes, and the course that shows the harm."""
     parts = [f"nearest: {refusal.nearest}"] if refusal.nearest else []
     if refusal.schedule:
@@ -257,18 +264,18 @@
     return "; ".join(parts)
 
 
-def _tie(one: Route, other: Route, both: Pattern, notes: Notes) -> None:
+def _tie(one: Route, other: Route, both: Pattern, notes: Diagnostics) -> None:
     what = " ".join(f'({name} "{getattr(both, name)}")' for name in ("method", "program", "tenant"))
     expected = "different ones" if one.takes == other.takes else f"one that is the more specific, or a third for {what}"
     notes.add(other.spot, f'route "{other.name}" and "{one.name}" of line {one.spot.line} both for {what}', expected)
 
 
-def read(path: str, methods: list[RequestClass], ground: Ground) -> Routes:
+def read(path: str, methods: list[RequestClass], ground: Environment) -> Routes:
     """Reads and checks a file."""
-    return build(sexp.read(path), path, methods, ground)
+    return build(sexpr.read(path), path, methods, ground)
 
 
-def timing(terms: Terms, account: str) -> RoutePolicy:
+def router_policy(terms: Policy, account: str) -> RoutePolicy:
     """The terms as the module takes them. What a route's RPCs may still spend goes by its name, so that it goes on in
     a file read anew, also for those taken under the earlier one."""
     pause, second, budget = terms.pause, terms.second, terms.budget
@@ -287,9 +294,9 @@
     )
 
 
-def may_follow(new: Routes, path: str, succession: Succession, now: float) -> None:
+def check_transition(new: Routes, path: str, succession: PolicyTransition, now: float) -> None:
     """Raises Unusable where the file would strand RPCs of an earlier one, with when it would not any more."""
-    notes = Notes()
+    notes = Diagnostics()
     named = {route.name: route.spot for route in new.routes}
     stranded = succession.strands(new.payers(), now)
     for each in stranded:
@@ -301,14 +308,14 @@
             else f"this will pass in {each.until - now:.0f} ms"
         )
         notes.add(
-            named.get(payer.name, Spot(path, 1, 1)),
+            named.get(payer.name, SourceLocation(path, 1, 1)),
             f'route "{payer.name}" {each.why}, and its RPCs in flight '
             f"pay for further attempts from its share alone (floor {budget.floor:g})",
             "a change that leaves them a budget",
             fix,
         )
     if stranded and all(each.until is not None for each in stranded):
-        raise sexp.NotYet(notes.troubles)
+        raise sexpr.IncompleteInputError(notes.troubles)
     notes.done()
 
 
@@ -324,7 +331,7 @@
     match name, value:
         case "attempt", (took, linger):
             return f"(attempt {_time(took)}" + (f" (linger {_time(linger)}))" if linger is not None else ")")
-        case "pause", Pause():
+        case "pause", BackoffPolicy():
             most = f" (most {_time(value.most)})" if value.most != float("inf") else ""
             return f"(pause (first {_time(value.first)}) (growth {value.growth!r}){most} (spread {value.spread!r}))"
         case "again", _:
@@ -334,7 +341,7 @@
         case "second", (after, share, at_once, part):
             begins = f"(after {_time(after)})" if after is not None else f"(after-share {share!r})"
             return f"(second {begins} (at-once {at_once}) (part {part!r}))"
-        case "budget", Budget():
+        case "budget", RetryBudgetPolicy():
             return f"(budget (window {_time(value.window)}) (share {value.share!r}) (floor {value.floor!r}))"
         case (("soft-deadline" | "deadline" | "queue"), _):
             return f"({name} {_time(value)})"
@@ -345,7 +352,7 @@
     return '"' + value.replace("\\", "\\\\").replace('"', '\\"').replace("\n", "\\n") + '"'
 
 
-def written(routes: list[Route]) -> str:
+def format_routes(routes: list[Route]) -> str:
     """The text of a file, as `read` takes it."""
     lines = ["(routes"]
     for route in routes:
--- a/wickdyke/settings/check.py
+++ b/wickdyke/config/schema.py
@@ -8,41 +8,41 @@
 from difflib import get_close_matches
 from typing import Any
 
-from wickdyke.settings.sexp import Atom, Form, Spot, Trouble, Unusable
+from wickdyke.config.sexpr import Atom, Diagnostic, Expression, InvalidConfigError, SourceLocation
 
 SPANS = {"us": 0.001, "ms": 1.0, "s": 1000.0, "min": 60000.0}
 SIZES = {"MB": 1.0, "GB": 1024.0, "KB": 1 / 1024}
-NEEDED = object()
+REQUIRED = object()
 
 
 @dataclass(slots=True)
-class Notes:
+class Diagnostics:
     """The troubles noted so far."""
 
-    troubles: list[Trouble] = field(default_factory=list)
+    troubles: list[Diagnostic] = field(default_factory=list)
 
-    def add(self, spot: Spot, found: str, expected: str, fix: str = "") -> None:
+    def add(self, spot: SourceLocation, found: str, expected: str, fix: str = "") -> None:
         """Notes one."""
-        self.troubles.append(Trouble(spot, found, expected, fix))
+        self.troubles.append(Diagnostic(spot, found, expected, fix))
 
     def done(self) -> None:
         """Raises Unusable if there was any."""
         if self.troubles:
-            raise Unusable(self.troubles)
+            raise InvalidConfigError(self.troubles)
 
 
-Reader = Callable[[Form, Notes], Any]
+Reader = Callable[[Expression, Diagnostics], Any]
 
 
-def shown(item: Atom | Form) -> str:
+def describe(item: Atom | Expression) -> str:
     """An item as a message names it."""
-    return f"({item.name} ...)" if isinstance(item, Form) else item.text
+    return f"({item.name} ...)" if isinstance(item, Expression) else item.text
 
 
-def _only(form: Form, notes: Notes, kind: str, expected: str) -> Atom | None:
+def _only(form: Expression, notes: Diagnostics, kind: str, expected: str) -> Atom | None:
     if len(form.items) == 1 and isinstance(form.items[0], Atom) and form.items[0].kind == kind:
         return form.items[0]
-    found = " ".join(map(shown, form.items)) or "nothing"
+    found = " ".join(map(describe, form.items)) or "nothing"
     fix = (
         f'write "{form.items[0].text}"'
         if kind == "string"
@@ -58,11 +58,11 @@
 def _quantity(units: dict[str, float], what: str, least: float, most: float) -> Reader:
     listed = ", ".join(units)
 
-    def reader(form: Form, notes: Notes) -> float | None:
+    def reader(form: Expression, notes: Diagnostics) -> float | None:
         items = form.items
         value = items[0] if items and isinstance(items[0], Atom) and items[0].kind == "number" else None
         if value is None:
-            notes.add(form.spot, f"({form.name} {' '.join(map(shown, items))})".replace(" )", ")"), what)
+            notes.add(form.spot, f"({form.name} {' '.join(map(describe, items))})".replace(" )", ")"), what)
             return None
         unit = items[1] if len(items) == 2 and isinstance(items[1], Atom) else None
         if len(items) == 1:
@@ -77,7 +77,7 @@
             close = {u.lower(): u for u in units}.get(str(getattr(unit, "text", "")).lower())
             notes.add(
                 (unit or value).spot,
-                f"the unit {' '.join(map(shown, items[1:]))}",
+                f"the unit {' '.join(map(describe, items[1:]))}",
                 f"one of {listed}",
                 f"write {close}" if close else "",
             )
@@ -108,7 +108,7 @@
 def number(least: float, most: float) -> Reader:
     """A plain number."""
 
-    def reader(form: Form, notes: Notes) -> float | None:
+    def reader(form: Expression, notes: Diagnostics) -> float | None:
         atom = _only(form, notes, "number", f"one number of {least:g} to {most:g}")
         if atom is not None and not least <= atom.value <= most:
             notes.add(atom.spot, atom.text, f"a number of {least:g} to {most:g}")
@@ -122,7 +122,7 @@
     """A whole number."""
     plain = number(least, most)
 
-    def reader(form: Form, notes: Notes) -> int | None:
+    def reader(form: Expression, notes: Diagnostics) -> int | None:
         value = plain(form, notes)
         if value is not None and value != int(value):
             notes.add(form.items[0].spot, form.items[0].text, "a whole number", f"write {round(value)}")
@@ -132,7 +132,7 @@
     return reader
 
 
-def text(form: Form, notes: Notes) -> str | None:
+def text(form: Expression, notes: Diagnostics) -> str | None:
     """A string in double quotes that is not empty."""
     atom = _only(form, notes, "string", "one string in double quotes")
     if atom is not None and not atom.value:
@@ -141,11 +141,11 @@
     return None if atom is None else str(atom.value)
 
 
-def choice(**words: Any) -> Reader:
+def choice(**choices: Any) -> Reader:
     """One word of a few (an underscore stands for a hyphen)."""
-    table = {word.replace("_", "-"): value for word, value in words.items()}
+    table = {word.replace("_", "-"): value for word, value in choices.items()}
 
-    def reader(form: Form, notes: Notes) -> Any:
+    def reader(form: Expression, notes: Diagnostics) -> Any:
         atom = _only(form, notes, "word", "one of " + ", ".join(table))
         if atom is None:
             return None
@@ -161,12 +161,12 @@
 flag = choice(yes=True, no=False)
 
 
-def words(form: Form, notes: Notes) -> tuple[str, ...] | None:
+def word_list(form: Expression, notes: Diagnostics) -> tuple[str, ...] | None:
     """Plain words, each once."""
     found: list[str] = []
     for item in form.items:
         if not isinstance(item, Atom) or item.kind != "word":
-            notes.add(item.spot, shown(item), "a word")
+            notes.add(item.spot, describe(item), "a word")
         elif item.text in found:
             notes.add(item.spot, f"{item.text} a second time", "each word once")
         else:
@@ -179,7 +179,7 @@
     """A field of a form: how it is read, what holds where it is absent, whether it may stand several times."""
 
     reader: Reader
-    absent: Any = NEEDED
+    absent: Any = REQUIRED
     many: bool = False
 
 
@@ -190,7 +190,7 @@
     """
     table = {name.replace("_", "-"): f for name, f in fields.items()}
 
-    def reader(form: Form, notes: Notes) -> Any:
+    def reader(form: Expression, notes: Diagnostics) -> Any:
         before, items, values = len(notes.troubles), list(form.items), {}
         if named:
             first = items.pop(0) if items and isinstance(items[0], Atom) else None
@@ -198,12 +198,12 @@
                 notes.add(form.spot, f"({form.name} without a name", f'({form.name} "NAME" ...)')
             else:
                 values["name"] = str(first.value)
-        seen: dict[str, Spot] = {}
+        seen: dict[str, SourceLocation] = {}
         excused: set[str] = set()
         for item in items:
             if isinstance(item, Atom) or not item.name:
-                notes.add(item.spot, shown(item), f"a field of {form.name} in brackets")
-                excused.add(shown(item))  # else it would be said to be missing as well
+                notes.add(item.spot, describe(item), f"a field of {form.name} in brackets")
+                excused.add(describe(item))  # else it would be said to be missing as well
                 continue
             if item.name not in table:
                 near = get_close_matches(item.name, table, 1, 0.5)
@@ -232,9 +232,9 @@
                 values[item.name] = value
         for name, known in table.items():
             if name not in seen:
-                if known.absent is NEEDED and name not in excused:
+                if known.absent is REQUIRED and name not in excused:
                     notes.add(form.spot, f"({form.name} ...) without {name}", f"({name} ...) in it")
-                values[name] = [] if known.many and known.absent in (NEEDED, None) else known.absent
+                values[name] = [] if known.many and known.absent in (REQUIRED, None) else known.absent
         if len(notes.troubles) > before:
             return None
         return build(spot=form.spot, **{name.replace("-", "_"): value for name, value in values.items()})
@@ -242,22 +242,22 @@
     return reader
 
 
-def only_form(forms: list[Form], name: str, file: str, notes: Notes) -> Form | None:
+def single_expression(forms: list[Expression], name: str, file: str, notes: Diagnostics) -> Expression | None:
     """The one form of that name that a file is to hold."""
     right = [form for form in forms if form.name == name]
     for form in forms:
         if form.name != name:
-            notes.add(form.spot, shown(form), f"({name} ...)")
+            notes.add(form.spot, describe(form), f"({name} ...)")
     for form in right[1:]:
         notes.add(form.spot, f"a second ({name} ...)", "one")
     if not right and not notes.troubles:
-        notes.add(Spot(file, 1, 1), "nothing", f"({name} ...)")
+        notes.add(SourceLocation(file, 1, 1), "nothing", f"({name} ...)")
     return right[0] if right else None
 
 
-def unique(items: list, spots: list[Spot], what: str, notes: Notes) -> None:
+def check_unique(items: list, spots: list[SourceLocation], what: str, notes: Diagnostics) -> None:
     """Notes each name that stands twice."""
-    first: dict[object, Spot] = {}
+    first: dict[object, SourceLocation] = {}
     for name, spot in zip(items, spots, strict=True):
         if name in first:
             notes.add(spot, f"{what} {name} a second time", "each once", f"the first stands in line {first[name].line}")
--- a/wickdyke/settings/sexp.py
+++ b/wickdyke/config/sexpr.py
@@ -8,7 +8,7 @@
 
 
 @dataclass(slots=True, frozen=True, order=True)
-class Spot:
+class SourceLocation:
     """A place in a file; lines and columns count from 1."""
 
     file: str
@@ -20,10 +20,10 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Trouble:
+class Diagnostic:
     """One thing that is wrong: where, what was found, what was expected, and the likely fix."""
 
-    spot: Spot
+    spot: SourceLocation
     found: str
     expected: str
     fix: str = ""
@@ -32,15 +32,15 @@
         return f"{self.spot}: found {self.found}, expected {self.expected}" + (f"; {self.fix}" if self.fix else "")
 
 
-class Unusable(Exception):
+class InvalidConfigError(Exception):
     """A file that can't be used, with all that is wrong with it in the order of its lines."""
 
-    def __init__(self, troubles: list[Trouble]) -> None:
+    def __init__(self, troubles: list[Diagnostic]) -> None:
         self.troubles = sorted(troubles, key=lambda t: t.spot)
         super().__init__("\n".join(map(str, self.troubles)))
 
 
-class NotYet(Unusable):
+class IncompleteInputError(InvalidConfigError):
     """A file that can't be used now and can be in a while, as it stands."""
 
 
@@ -51,20 +51,20 @@
     kind: str
     value: str | float
     text: str
-    spot: Spot
+    spot: SourceLocation
 
 
 @dataclass(slots=True, frozen=True)
-class Form:
+class Expression:
     """`(name item ...)`; `name` is empty where the first item is no word."""
 
     name: str
-    items: list["Atom | Form"] = field(default_factory=list)
-    spot: Spot = Spot("", 1, 1)
+    items: list["Atom | Expression"] = field(default_factory=list)
+    spot: SourceLocation = SourceLocation("", 1, 1)
 
 
 _grammar = Lark(
-    resources.files(__package__).joinpath("sexp.lark").read_text(),
+    resources.files(__package__).joinpath("sexpr.lark").read_text(),
     parser="lalr",
     propagate_positions=True,
     maybe_placeholders=False,
@@ -82,7 +82,7 @@
 
 
 def _atom(token: Token, file: str) -> Atom:
-    spot = Spot(file, token.line, token.column)
+    spot = SourceLocation(file, token.line, token.column)
     if token.type == "NUMBER":
         return Atom("number", float(token), str(token), spot)
     if token.type == "STRING":
@@ -90,18 +90,18 @@
     return Atom("word", str(token), str(token), spot)
 
 
-def _form(tree, file: str) -> Form:
+def _form(tree, file: str) -> Expression:
     opening, *children = tree.children
     items = [_atom(c, file) if isinstance(c, Token) else _form(c, file) for c in children]
-    spot = Spot(file, opening.line, opening.column)
+    spot = SourceLocation(file, opening.line, opening.column)
     if items and isinstance(items[0], Atom) and items[0].kind == "word":
-        return Form(items[0].text, items[1:], spot)
-    return Form("", items, spot)
+        return Expression(items[0].text, items[1:], spot)
+    return Expression("", items, spot)
 
 
-def written(form: Form) -> str:
+def format_expression(form: Expression) -> str:
     """A form as text that parses to the same."""
-    items = [written(item) if isinstance(item, Form) else item.text for item in form.items]
+    items = [format_expression(item) if isinstance(item, Expression) else item.text for item in form.items]
     return "(" + " ".join([form.name, *items] if form.name else items) + ")"
 
 
@@ -126,19 +126,19 @@
     return open_at[-1] if open_at else (1, 1)
 
 
-def parse(text: str, file: str) -> list[Form]:
+def parse(text: str, file: str) -> list[Expression]:
     """The forms of a text; raises Unusable with the one place where it stops being S-expressions."""
     try:
         return [_form(tree, file) for tree in _grammar.parse(text).children]
     except (UnexpectedEOF, UnexpectedToken) as bad:
         if isinstance(bad, UnexpectedEOF) or bad.token.type == "$END":
             line, column = _unclosed(text)
-            raise Unusable(
-                [Trouble(Spot(file, line, column), "a bracket that is never closed", "a ) for each (")]
+            raise InvalidConfigError(
+                [Diagnostic(SourceLocation(file, line, column), "a bracket that is never closed", "a ) for each (")]
             ) from None
         found = f"{str(bad.token)!r}"
         expected = "( to open a form" if bad.token.type != "RPAR" else "no ) here: none is open"
-        raise Unusable([Trouble(Spot(file, bad.line, bad.column), found, expected)]) from None
+        raise InvalidConfigError([Diagnostic(SourceLocation(file, bad.line, bad.column), found, expected)]) from None
     except UnexpectedCharacters as bad:
         found = repr(text[bad.pos_in_stream : bad.pos_in_stream + 1])
         what = (
@@ -146,21 +146,27 @@
             if found == "'\"'"
             else "( ) a number, a word or a string in double quotes"
         )
-        raise Unusable([Trouble(Spot(file, bad.line, bad.column), found, what)]) from None
+        raise InvalidConfigError([Diagnostic(SourceLocation(file, bad.line, bad.column), found, what)]) from None
     except UnexpectedInput as bad:
-        raise Unusable([Trouble(Spot(file, bad.line, bad.column), "something else", "S-expressions")]) from None
+        raise InvalidConfigError(
+            [Diagnostic(SourceLocation(file, bad.line, bad.column), "something else", "S-expressions")]
+        ) from None
     except RecursionError:
-        raise Unusable([Trouble(Spot(file, 1, 1), "forms nested too deep", "fewer than 100 levels")]) from None
+        raise InvalidConfigError(
+            [Diagnostic(SourceLocation(file, 1, 1), "forms nested too deep", "fewer than 100 levels")]
+        ) from None
 
 
-def read(path: str) -> list[Form]:
+def read(path: str) -> list[Expression]:
     """The forms of a file; raises Unusable also where it can't be read."""
     try:
         with open(path, encoding="utf-8") as source:
             return parse(source.read(), path)
     except UnicodeDecodeError:
-        raise Unusable([Trouble(Spot(path, 1, 1), "bytes that are not text", "UTF-8 text")]) from None
+        raise InvalidConfigError(
+            [Diagnostic(SourceLocation(path, 1, 1), "bytes that are not text", "UTF-8 text")]
+        ) from None
     except OSError as bad:
-        raise Unusable(
-            [Trouble(Spot(path, 1, 1), f"no readable file ({bad.strerror})", "a file of S-expressions")]
+        raise InvalidConfigError(
+            [Diagnostic(SourceLocation(path, 1, 1), f"no readable file ({bad.strerror})", "a file of S-expressions")]
         ) from None
--- a/wickdyke/settings/workshop.py
+++ b/wickdyke/config/worker_config.py
@@ -3,14 +3,14 @@
 import os
 from dataclasses import dataclass
 
-from wickdyke.settings import address, check, sexp
-from wickdyke.settings.check import Field, Notes, count, number, record, size, span, text
-from wickdyke.settings.sexp import Spot
+from wickdyke.config import address, schema, sexpr
+from wickdyke.config.schema import Diagnostics, Field, count, number, record, size, span, text
+from wickdyke.config.sexpr import SourceLocation
 from wickdyke.worker.ramp import Ramp
 
 
 @dataclass(slots=True)
-class Workshop:
+class WorkerConfig:
     """All that a worker's file states. Memory is MB, times are ms."""
 
     name: str
@@ -30,7 +30,7 @@
     ramp: Ramp
     log: str | None
     trace: str | None
-    spot: Spot
+    spot: SourceLocation
 
 
 RAMP = record(lambda spot, **values: Ramp(**values), start_share=Field(number(0.001, 1), 0.25), ramp=Field(span(), 0.0))
@@ -38,8 +38,8 @@
 CACHE = record(lambda spot, **values: values, folder=Field(text), most=Field(size(1), 1024.0))
 
 
-def _workshop(store: tuple, cache: dict, **values) -> Workshop:
-    return Workshop(
+def _workshop(store: tuple, cache: dict, **values) -> WorkerConfig:
+    return WorkerConfig(
         folder=store[1]["folder"],
         service=store[1]["service"],
         cache=cache["folder"],
@@ -69,7 +69,7 @@
 
 
 @dataclass(slots=True)
-class Depot:
+class StoreConfig:
     """All that a store's file states. `pace` is MB a second for all readers together."""
 
     listen: str
@@ -79,7 +79,7 @@
 
 
 DEPOT = record(
-    lambda spot, **values: Depot(**values),
+    lambda spot, **values: StoreConfig(**values),
     listen=Field(address.read),
     folder=Field(text),
     pace=Field(size(0.001), 100.0),
@@ -87,10 +87,10 @@
 )
 
 
-def read_depot(path: str) -> Depot:
+def read_store_config(path: str) -> StoreConfig:
     """Reads and checks a store's file, `(store ...)`; its paths are relative to where it stands."""
-    notes = Notes()
-    form = check.only_form(sexp.read(path), "store", path, notes)
+    notes = Diagnostics()
+    form = schema.single_expression(sexpr.read(path), "store", path, notes)
     made = DEPOT(form, notes) if form is not None else None
     notes.done()
     base = os.path.dirname(os.path.abspath(path))
@@ -98,10 +98,10 @@
     return made
 
 
-def read(path: str) -> Workshop:
+def read(path: str) -> WorkerConfig:
     """Reads and checks a file; its paths are relative to where it stands. Raises Unusable with all that is wrong."""
-    notes = Notes()
-    form = check.only_form(sexp.read(path), "worker", path, notes)
+    notes = Diagnostics()
+    form = schema.single_expression(sexpr.read(path), "worker", path, notes)
     made = WORKSHOP(form, notes) if form is not None else None
     if made is not None and (made.folder is None) == (made.service is None):
         notes.add(
--- a/wickdyke/proving/store.py
+++ b/wickdyke/fault_injection/fake_store.py
@@ -8,12 +8,12 @@
 
 import msgspec
 
+from wickdyke.fault_injection.trace import TraceRecorder, clock
 from wickdyke.protocol import jsonrpc
-from wickdyke.transport.line_server import LineServer, LineConnection
-from wickdyke.proving.trace import Recorder, clock
+from wickdyke.transport.line_server import LineConnection, LineServer
 
 
-class Build(msgspec.Struct):
+class FakeStoreConfig(msgspec.Struct):
     """`pace` fetches run at full speed at once, `most` at all; more are refused."""
 
     socket: str
@@ -22,11 +22,11 @@
     most: int = 60
 
 
-class Store:
+class FakeStore:
     """Each fetch takes its time, longer when crowded."""
 
-    def __init__(self, build: Build) -> None:
-        self.build, self.record = build, Recorder(build.trace, "store")
+    def __init__(self, build: FakeStoreConfig) -> None:
+        self.build, self.record = build, TraceRecorder(build.trace, "store")
         self.lock = threading.RLock()
         self.due = threading.Condition(self.lock)
         self.fetches: list[tuple[float, int, LineConnection, jsonrpc.Ident]] = []
@@ -40,7 +40,7 @@
         with self.lock:
             if len(self.fetches) >= self.build.most:
                 self.record("refused")
-                wire.say(jsonrpc.problem(request.ident, -32010, "crowded"))
+                wire.say(jsonrpc.error_response(request.ident, -32010, "crowded"))
                 return
             crowd = max(1.0, (len(self.fetches) + 1) / self.build.pace)
             when = max(clock(), self.stalled) + took * crowd
@@ -61,12 +61,12 @@
                 while not self.fetches or self.fetches[0][0] > clock():
                     self.due.wait((self.fetches[0][0] - clock()) / 1000 if self.fetches else None)
                 _, _, wire, ident = heapq.heappop(self.fetches)
-            wire.say(jsonrpc.result(ident, b"{}"))
+            wire.say(jsonrpc.result_response(ident, b"{}"))
 
 
 def main() -> None:
     """Runs a store, built as the JSON in the first argument states, until its input ends."""
-    store = Store(msgspec.json.decode(sys.argv[1], type=Build))
+    store = FakeStore(msgspec.json.decode(sys.argv[1], type=FakeStoreConfig))
     print("ready", flush=True)
     for line in sys.stdin:
         told = msgspec.json.decode(line)
--- a/wickdyke/proving/standin.py
+++ b/wickdyke/fault_injection/fake_worker.py
@@ -15,12 +15,12 @@
 
 import msgspec
 
-from wickdyke.protocol import back, jsonrpc
-from wickdyke.transport.line_server import LineServer, LineConnection
-from wickdyke.proving.trace import Recorder, clock
+from wickdyke.fault_injection.trace import TraceRecorder, clock
+from wickdyke.protocol import jsonrpc, worker_messages
+from wickdyke.transport.line_server import LineConnection, LineServer
 
 
-class Build(msgspec.Struct):
+class FakeWorkerConfig(msgspec.Struct):
     """What a stand-in is made of. Times are ms, memory is MB; capacity is ms of work a ms."""
 
     name: str
@@ -53,7 +53,7 @@
     load_ms: float = 500.0
 
 
-class Copy:
+class FakeReplica:
     """A copy of a program: standing once `ready`."""
 
     def __init__(self, program: str, memory: float, lanes: int, load: float, now: float) -> None:
@@ -61,34 +61,34 @@
         self.busy, self.ready = 0, False
 
 
-class Job:
+class RunningAttempt:
     """A call-out that is held here."""
 
     def __init__(
-        self, wire: LineConnection, ident: int, run: back.Run, asked: Input, company: int, number: int
+        self, wire: LineConnection, ident: int, run: worker_messages.RunRequest, asked: Input, company: int, number: int
     ) -> None:
         self.wire, self.ident, self.run, self.asked, self.company = wire, ident, run, asked, company
         self.number = number
         self.standing, self.copy, self.core, self.ended = "stood", None, False, False
 
 
-class StandIn:
+class FakeWorker:
     """One worker. One lock guards all of it; one thread acts when something is due."""
 
-    def __init__(self, build: Build) -> None:
+    def __init__(self, build: FakeWorkerConfig) -> None:
         self.build, self.born = build, clock() if build.cold else clock() - 10 * build.ramp
-        self.record, self.chance = Recorder(build.trace, build.name), random.Random(build.seed)
+        self.record, self.chance = TraceRecorder(build.trace, build.name), random.Random(build.seed)
         self.lock = threading.RLock()
         self.due = threading.Condition(self.lock)
         self.timers: list = []
         self.turn = itertools.count()
-        self.copies: dict[str, list[Copy]] = {}
-        self.waiting: dict[str, deque[Job]] = {}
-        self.cores: deque[Job] = deque()
+        self.copies: dict[str, list[FakeReplica]] = {}
+        self.waiting: dict[str, deque[RunningAttempt]] = {}
+        self.cores: deque[RunningAttempt] = deque()
         self.running = 0
-        self.jobs: dict[tuple[LineConnection, int], Job] = {}
+        self.jobs: dict[tuple[LineConnection, int], RunningAttempt] = {}
         self.holds: list[tuple[LineConnection, int, str, int]] = []
-        self.loads: deque[Copy] = deque()
+        self.loads: deque[FakeReplica] = deque()
         self.loading = 0
         self.received: deque[tuple[float, float]] = deque()
         self.faults: dict[str, float] = {}
@@ -158,21 +158,23 @@
                 "probe": self._probe,
             }.get(request.method)
             if act is None:
-                wire.say(jsonrpc.problem(request.ident, jsonrpc.NO_METHOD, "Method not found"))
+                wire.say(jsonrpc.error_response(request.ident, jsonrpc.METHOD_NOT_FOUND, "Method not found"))
                 return
             act(wire, request)
 
     def _hello(self, wire: LineConnection, request: jsonrpc.Request) -> None:
-        hello = msgspec.json.decode(request.params, type=back.Hello)
+        hello = msgspec.json.decode(request.params, type=worker_messages.GatewayHello)
         wire.who = hello.gateway
         self.record("hello", gateway=wire.who, start=self.build.start)
         if self._hangs():
             return
         wire.say(
-            jsonrpc.result(
+            jsonrpc.result_response(
                 request.ident,
                 jsonrpc.encode(
-                    back.Standing(back.VERSION, self.build.name, self.build.start, clock() - self.born, self.draining)
+                    worker_messages.WorkerHello(
+                        worker_messages.VERSION, self.build.name, self.build.start, clock() - self.born, self.draining
+                    )
                 ),
             )
         )
@@ -182,10 +184,10 @@
 
     def _probe(self, wire: LineConnection, request: jsonrpc.Request) -> None:
         if not self._hangs():
-            wire.say(jsonrpc.result(request.ident, jsonrpc.encode(back.Probed(self.report))))
+            wire.say(jsonrpc.result_response(request.ident, jsonrpc.encode(worker_messages.HealthReport(self.report))))
 
     def _run(self, wire: LineConnection, request: jsonrpc.Request) -> None:
-        run = msgspec.json.decode(request.params, type=back.Run)
+        run = msgspec.json.decode(request.params, type=worker_messages.RunRequest)
         asked = msgspec.json.decode(run.input, type=Input)
         now = clock()
         self.record(
@@ -193,27 +195,29 @@
             now,
             mark=asked.mark,
             gateway=wire.who,
-            program=run.program,
+            program=run.function,
             work=asked.work_ms,
-            token=run.token,
+            token=run.idempotency_key,
             start=self.build.start,
             job=self.seen["call-out"] + 1,
         )
         self.seen["call-out"] += 1
         self._trigger("call-out")
-        company = sum(job.run.program == run.program and not job.ended for job in self.jobs.values())
-        job = self.jobs[wire, request.ident] = Job(wire, request.ident, run, asked, company, self.seen["call-out"])
+        company = sum(job.run.function == run.function and not job.ended for job in self.jobs.values())
+        job = self.jobs[wire, request.ident] = RunningAttempt(
+            wire, request.ident, run, asked, company, self.seen["call-out"]
+        )
         if self._falls(now, asked.work_ms) or self._hangs():
             return
         if (late := self.faults.pop("late", None)) is not None:
             self._at(run.time_left_ms + late, self._answer, job)
             return
         if self.draining:
-            self._refuse(job, back.DRAINING, "draining")
+            self._refuse(job, worker_messages.DRAINING, "draining")
         elif self.chance.random() < self.faults.get("fail", 0.0):
-            self._refuse(job, back.FAILED, "failed")
+            self._refuse(job, worker_messages.FAILED, "failed")
         elif sum(not each.ended for each in self.jobs.values()) > self.build.queue_most:
-            self._refuse(job, back.FULL, "queue full")
+            self._refuse(job, worker_messages.FULL, "queue full")
         else:
             self._place(job, run, asked, now)
 
@@ -229,23 +233,23 @@
             os._exit(3)
         return False
 
-    def _place(self, job: Job, run: back.Run, asked: Input, now: float) -> None:
-        copies = self.copies.setdefault(run.program, [])
+    def _place(self, job: RunningAttempt, run: worker_messages.RunRequest, asked: Input, now: float) -> None:
+        copies = self.copies.setdefault(run.function, [])
         if not copies:
             if not self.build.loads_on_call:
-                self._refuse(job, back.MISS, "not loaded")
+                self._refuse(job, worker_messages.MISS, "not loaded")
                 return
-            if not self._load(run.program, run.memory_mb, run.lanes, asked.load_ms):
-                self._refuse(job, back.FULL, "no memory")
+            if not self._load(run.function, run.memory_mb, run.concurrency, asked.load_ms):
+                self._refuse(job, worker_messages.FULL, "no memory")
                 return
             job.standing = "began"
         elif not any(copy.ready for copy in copies):
             job.standing = "awaited"
-        self.waiting.setdefault(run.program, deque()).append(job)
-        self._lanes(run.program)
+        self.waiting.setdefault(run.function, deque()).append(job)
+        self._lanes(run.function)
 
     def _cancel(self, wire: LineConnection, request: jsonrpc.Request) -> None:
-        job = self.jobs.get((wire, msgspec.json.decode(request.params, type=back.Cancel).id))
+        job = self.jobs.get((wire, msgspec.json.decode(request.params, type=worker_messages.CancelRequest).id))
         if job is not None:
             self.record("cancel", mark=job.asked.mark, gateway=wire.who, job=job.number)
             if job.ended:
@@ -279,7 +283,7 @@
             held -= out.memory
         if held + memory > self.build.memory_mb:
             return False
-        copy = Copy(program, memory, lanes, load, clock())
+        copy = FakeReplica(program, memory, lanes, load, clock())
         self.copies.setdefault(program, []).append(copy)
         self.loads.append(copy)
         self.seen["load"] += 1
@@ -293,7 +297,7 @@
             self.loading += 1
             threading.Thread(target=self._fetch, args=(copy,), daemon=True).start()
 
-    def _fetch(self, copy: Copy) -> None:
+    def _fetch(self, copy: FakeReplica) -> None:
         """Fetches from the store in a thread of its own, then starts the copy."""
         good = False
         try:
@@ -301,16 +305,16 @@
                 sock.connect(self.build.store)
                 asked = {"program": copy.program, "took_ms": copy.load * self.build.fetch_part}
                 sock.sendall(jsonrpc.request_line("fetch", jsonrpc.encode(asked), 1))
-                _, result, _ = jsonrpc.answer(sock.makefile("rb").readline())
+                _, result, _ = jsonrpc.parse_response(sock.makefile("rb").readline())
                 good = result is not None
-        except (OSError, jsonrpc.Fault):
+        except (OSError, jsonrpc.MalformedRequestError):
             pass
         if good:
             self._at(copy.load * (1 - self.build.fetch_part), self._loaded, copy, True)
         else:
             self._at(0.0, self._loaded, copy, False)
 
-    def _loaded(self, copy: Copy, good: bool) -> None:
+    def _loaded(self, copy: FakeReplica, good: bool) -> None:
         self.loading -= 1
         program = copy.program
         copies = self.copies.get(program, [])
@@ -320,28 +324,28 @@
             if not good:
                 copies.remove(copy)
                 for job in list(self.waiting.get(program, ())) if not copies else ():
-                    self._refuse(job, back.MISS, "the load failed")
+                    self._refuse(job, worker_messages.MISS, "the load failed")
         self._lanes(program)
         self._holds()
         self._fetches()
 
     def _hold(self, wire: LineConnection, request: jsonrpc.Request) -> None:
-        hold = msgspec.json.decode(request.params, type=back.Hold)
-        self.record("hold", gateway=wire.who, program=hold.program, copies=hold.copies, start=self.build.start)
+        hold = msgspec.json.decode(request.params, type=worker_messages.PrewarmRequest)
+        self.record("hold", gateway=wire.who, program=hold.function, copies=hold.replicas, start=self.build.start)
         if self._hangs():
             return
-        if self.draining and hold.copies:
-            wire.say(jsonrpc.problem(request.ident, back.DRAINING, "draining"))
+        if self.draining and hold.replicas:
+            wire.say(jsonrpc.error_response(request.ident, worker_messages.DRAINING, "draining"))
             return
-        copies = self.copies.setdefault(hold.program, [])
-        for copy in copies[: hold.copies]:
+        copies = self.copies.setdefault(hold.function, [])
+        for copy in copies[: hold.replicas]:
             copy.used = clock()
-        while len(copies) < hold.copies:
-            if not self._load(hold.program, hold.memory_mb, hold.lanes, hold.load_ms or 500.0):
-                standing = jsonrpc.encode(back.Held(sum(c.ready for c in copies)))
-                wire.say(jsonrpc.problem(request.ident, back.FULL, "no memory", standing))
+        while len(copies) < hold.replicas:
+            if not self._load(hold.function, hold.memory_mb, hold.concurrency, hold.load_ms or 500.0):
+                standing = jsonrpc.encode(worker_messages.PrewarmResult(sum(c.ready for c in copies)))
+                wire.say(jsonrpc.error_response(request.ident, worker_messages.FULL, "no memory", standing))
                 return
-        self.holds.append((wire, request.ident, hold.program, hold.copies))
+        self.holds.append((wire, request.ident, hold.function, hold.replicas))
         self._holds()
 
     def _holds(self) -> None:
@@ -349,17 +353,17 @@
             wire, ident, program, wanted = held
             copies = self.copies.get(program, [])
             standing = sum(copy.ready for copy in copies)
-            body = jsonrpc.encode(back.Held(standing))
+            body = jsonrpc.encode(worker_messages.PrewarmResult(standing))
             if standing >= wanted:
-                wire.say(jsonrpc.result(ident, body))
+                wire.say(jsonrpc.result_response(ident, body))
             elif len(copies) < wanted:
-                wire.say(jsonrpc.problem(ident, back.FAILED, "a load failed", body))
+                wire.say(jsonrpc.error_response(ident, worker_messages.FAILED, "a load failed", body))
             else:
                 continue
             self.holds.remove(held)
 
     def _drop(self, wire: LineConnection, request: jsonrpc.Request) -> None:
-        program = msgspec.json.decode(request.params, type=back.Drop).program
+        program = msgspec.json.decode(request.params, type=worker_messages.UnloadRequest).program
         copies = self.copies.get(program, [])
         copies[:] = [copy for copy in copies if copy.busy or not copy.ready]
 
@@ -384,7 +388,7 @@
             job.core = True
             self._at(job.asked.work_ms * self._pace(), self._answer, job)
 
-    def _answer(self, job: Job) -> None:
+    def _answer(self, job: RunningAttempt) -> None:
         if job.ended:
             return
         if self._hangs() or self.chance.random() < self.faults.get("lose", 0.0):
@@ -392,21 +396,21 @@
             return
         self._end(job, "ok")
         output = b'{"mark":%b}' % jsonrpc.encode(job.asked.mark)
-        ran = back.Ran(msgspec.Raw(output), job.standing, min(30, job.company), self.report)
-        job.wire.say(jsonrpc.result(job.ident, jsonrpc.encode(ran)))
+        ran = worker_messages.RunResult(msgspec.Raw(output), job.standing, min(30, job.company), self.report)
+        job.wire.say(jsonrpc.result_response(job.ident, jsonrpc.encode(ran)))
 
-    def _refuse(self, job: Job, code: int, why: str) -> None:
-        self._end(job, back.OUTCOMES[code])
-        told = jsonrpc.encode(back.Told(min(30, job.company), self.report, self.draining))
-        job.wire.say(jsonrpc.problem(job.ident, code, why, told))
+    def _refuse(self, job: RunningAttempt, code: int, why: str) -> None:
+        self._end(job, worker_messages.OUTCOMES[code])
+        told = jsonrpc.encode(worker_messages.RunErrorData(min(30, job.company), self.report, self.draining))
+        job.wire.say(jsonrpc.error_response(job.ident, code, why, told))
 
-    def _end(self, job: Job, how: str, keep: bool = False) -> None:
+    def _end(self, job: RunningAttempt, how: str, keep: bool = False) -> None:
         """The job gives back its lane and core; `keep` leaves it held, as far as the gateway can tell."""
         self.record("end", mark=job.asked.mark, gateway=job.wire.who, how=how, job=job.number)
         job.ended = True
         if not keep:
             self.jobs.pop((job.wire, job.ident), None)
-        program = job.run.program
+        program = job.run.function
         if job in self.waiting.get(program, ()):
             self.waiting[program].remove(job)
         if job in self.cores:
@@ -454,7 +458,7 @@
 
 def main() -> None:
     """Runs one stand-in, built as the JSON in the first argument states, until its input ends."""
-    standin = StandIn(msgspec.json.decode(sys.argv[1], type=Build))
+    standin = FakeWorker(msgspec.json.decode(sys.argv[1], type=FakeWorkerConfig))
     print("ready", flush=True)
     for line in sys.stdin:
         told = msgspec.json.decode(line)
--- a/wickdyke/proving/caller.py
+++ b/wickdyke/fault_injection/load_client.py
@@ -9,12 +9,12 @@
 
 import msgspec
 
-from wickdyke.protocol import front, jsonrpc
-from wickdyke.protocol.lines import Lines
-from wickdyke.proving.trace import Recorder, clock
+from wickdyke.fault_injection.trace import TraceRecorder, clock
+from wickdyke.protocol import client_messages, jsonrpc
+from wickdyke.protocol.framing import LineReader
 
 
-class Kind(msgspec.Struct):
+class RequestKind(msgspec.Struct):
     """One method's traffic: `part` of all RPCs, over `programs` of which few are wanted often."""
 
     method: str
@@ -28,13 +28,13 @@
     tokened: bool = False
 
 
-class Plan(msgspec.Struct):
+class LoadPlan(msgspec.Struct):
     """Whom to call, how often and for how long (ms)."""
 
     name: str
     trace: str
     gateways: dict[str, str]
-    kinds: list[Kind]
+    kinds: list[RequestKind]
     rate: float
     length: float
     seed: int
@@ -42,10 +42,10 @@
     most: int = 0
 
 
-class Line:
+class ClientConnection:
     """One connection to a gateway, made anew when lost."""
 
-    def __init__(self, caller: "Caller", gateway: str, path: str) -> None:
+    def __init__(self, caller: "LoadClient", gateway: str, path: str) -> None:
         self.caller, self.gateway, self.path = caller, gateway, path
         self.sock: socket.socket | None = None
         self.out: dict[int, str] = {}
@@ -76,7 +76,7 @@
                 continue
             with self.lock:
                 self.sock = sock
-            lines = Lines(64 << 20)
+            lines = LineReader(64 << 20)
             try:
                 while data := sock.recv(1 << 16):
                     now = clock()
@@ -91,9 +91,9 @@
             sock.close()
 
     def _answer(self, line: bytes, now: float) -> None:
-        ident, result, problem = jsonrpc.answer(line)
+        ident, result, problem = jsonrpc.parse_response(line)
         mark = f"{self.caller.plan.name}-{ident}"
-        final = front.final(result, problem)
+        final = client_messages.read_final_answer(result, problem)
         with self.lock:
             self.out.pop(ident, None)
             self.caller.record(
@@ -102,18 +102,20 @@
                 mark=mark,
                 gateway=self.gateway,
                 answer=final.answer if final else "malformed",
-                why=final.why if final else str(problem),
-                call_outs=final.call_outs if final else 0,
+                why=final.reason if final else str(problem),
+                call_outs=final.attempts if final else 0,
             )
 
 
-class Caller:
+class LoadClient:
     """Draws RPCs and sends them when their time has come, whatever became of those before."""
 
-    def __init__(self, plan: Plan) -> None:
-        self.plan, self.record = plan, Recorder(plan.trace, plan.name)
+    def __init__(self, plan: LoadPlan) -> None:
+        self.plan, self.record = plan, TraceRecorder(plan.trace, plan.name)
         self.chance = random.Random(plan.seed)
-        self.lines = [Line(self, name, path) for name, path in plan.gateways.items() for _ in range(plan.connections)]
+        self.lines = [
+            ClientConnection(self, name, path) for name, path in plan.gateways.items() for _ in range(plan.connections)
+        ]
         self.rate, self.hot, self.once, self.short = plan.rate, (0, 0.0), 0.0, 0.0
         self.asked = 0
 
@@ -176,7 +178,7 @@
 
 def main() -> None:
     """Plays the plan in the first argument; changes come as lines on standard input."""
-    caller = Caller(msgspec.json.decode(sys.argv[1], type=Plan))
+    caller = LoadClient(msgspec.json.decode(sys.argv[1], type=LoadPlan))
 
     def listen() -> None:
         for line in sys.stdin:
--- a/wickdyke/proving/report.py
+++ b/wickdyke/fault_injection/report.py
@@ -2,7 +2,7 @@
 
 from hdrh.histogram import HdrHistogram
 
-from wickdyke.proving.judge import RULES, Judge
+from wickdyke.fault_injection.rule_checker import RULES, RuleChecker
 
 COLUMNS = ("asked", "ok in time", "ok late", "denied", "aborted", "lost")
 POINTS = (50.0, 90.0, 99.0, 99.9, 100.0)
@@ -34,7 +34,7 @@
     )
 
 
-def verdict(judge: Judge, shown: int = 5) -> str:
+def verdict(judge: RuleChecker, shown: int = 5) -> str:
     """Rules, outcomes by method, latencies."""
     parts = []
     for rule, name in RULES.items():
--- a/wickdyke/proving/judge.py
+++ b/wickdyke/fault_injection/rule_checker.py
@@ -44,7 +44,7 @@
 
 
 @dataclass(slots=True)
-class Asked:
+class ObservedRequest:
     """An RPC as its client saw it."""
 
     entry: dict
@@ -56,7 +56,7 @@
     return Finding(rule, entry["t"], entry["by"], entry["n"], text)
 
 
-class Judge:
+class RuleChecker:
     """Reads a trace once; `findings` are the rules broken, in the order of time."""
 
     def __init__(self, trace: list[dict]) -> None:
@@ -65,7 +65,7 @@
         if terms is None:
             raise ValueError("found no terms in the trace, expected the line that states them")
         self.terms, self.transit = terms, terms.get("transit", 0.0)
-        self.asked: dict[str, Asked] = {}
+        self.asked: dict[str, ObservedRequest] = {}
         self.runs: dict[str, list[Run]] = defaultdict(list)
         self.down: dict[str, list[float]] = defaultdict(list)  # when a gateway was killed
         self.dead: dict[str, list[float]] = defaultdict(list)  # when a worker was
@@ -86,7 +86,7 @@
         for entry in trace:
             match entry["what"]:
                 case "asked":
-                    self.asked[entry["mark"]] = Asked(entry)
+                    self.asked[entry["mark"]] = ObservedRequest(entry)
                 case "answered":
                     if entry["mark"] in self.asked:
                         self.asked[entry["mark"]].answers.append(entry)
@@ -111,7 +111,7 @@
 
     # ---- rule 1 ----
 
-    def _one_answer(self, mark: str, asked: Asked) -> None:
+    def _one_answer(self, mark: str, asked: ObservedRequest) -> None:
         entry, ends = asked.entry, asked.entry["t"] + asked.entry["left"]
         if not asked.answers:
             lost = asked.lost
--- a/wickdyke/proving/script.py
+++ b/wickdyke/fault_injection/scenario.py
@@ -2,13 +2,13 @@
 
 from dataclasses import dataclass, field
 
-from wickdyke.settings import check, sexp
-from wickdyke.settings.check import Field, Notes, choice, count, flag, number, record, size, span
-from wickdyke.settings.sexp import Atom, Form, Spot
+from wickdyke.config import schema, sexpr
+from wickdyke.config.schema import Diagnostics, Field, choice, count, flag, number, record, size, span
+from wickdyke.config.sexpr import Atom, Expression, SourceLocation
 
 
 @dataclass(slots=True, frozen=True)
-class MethodTraffic:
+class RequestClassTraffic:
     """A method and the traffic in it."""
 
     name: str
@@ -28,13 +28,13 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Trouble:
+class Fault:
     """One thing that goes wrong: at a time, or when a worker has its `nth` call-out or load."""
 
     kind: str
     who: tuple[str, ...]
     values: dict[str, float]
-    spot: Spot
+    spot: SourceLocation
     at: float | None = None
     event: str | None = None
     event_worker: str | None = None
@@ -43,7 +43,7 @@
 
 
 @dataclass(slots=True)
-class Script:
+class Scenario:
     """A day as scripted. Times in ms, memory in MB."""
 
     name: str
@@ -69,16 +69,16 @@
     store_pace: int
     warmup: dict[str, float]
     ration: dict[str, float]
-    methods: list[MethodTraffic]
+    methods: list[RequestClassTraffic]
     cancel: bool = True
     runtime: bool = False
     holds: bool = True
     routes: str = ""
-    troubles: list[Trouble] = field(default_factory=list)
+    troubles: list[Fault] = field(default_factory=list)
 
 
 # kind -> (whom it names: workers, gateway, none; the figures it takes, with the one that holds where left out)
-KINDS: dict[str, tuple[str, dict[str, tuple]]] = {
+FAULT_KINDS: dict[str, tuple[str, dict[str, tuple]]] = {
     "die": ("workers", {"back": (span(), 4000.0)}),
     "drain": ("workers", {"for": (span(), 3000.0)}),
     "deploy": ("workers", {"each": (span(), 2500.0)}),
@@ -107,14 +107,16 @@
 ON_EVENT = ("die", "hang", "slow", "fail", "lose", "neighbour", "late")
 
 
-def _trouble(form: Form, notes: Notes, **when) -> Trouble | None:
-    if form.name not in KINDS:
-        notes.add(form.spot, f"({form.name} ...)", "a trouble: " + ", ".join(KINDS))
+def _trouble(form: Expression, notes: Diagnostics, **when) -> Fault | None:
+    if form.name not in FAULT_KINDS:
+        notes.add(form.spot, f"({form.name} ...)", "a trouble: " + ", ".join(FAULT_KINDS))
         return None
-    whom, figures = KINDS[form.name]
+    whom, figures = FAULT_KINDS[form.name]
     if whom == "routes":  # its forms are the new file, whatever they hold: bad ones are a trouble as well
-        text = " ".join(sexp.written(item) if isinstance(item, Form) else item.text for item in form.items)
-        return Trouble(form.name, (), {}, form.spot, text=text, **when)
+        text = " ".join(
+            sexpr.format_expression(item) if isinstance(item, Expression) else item.text for item in form.items
+        )
+        return Fault(form.name, (), {}, form.spot, text=text, **when)
     names = tuple(str(item.value) for item in form.items if isinstance(item, Atom) and item.kind == "string")
     if (whom == "none") != (not names):
         notes.add(
@@ -124,39 +126,39 @@
         )
     values: dict[str, float] = {name: absent for name, (_, absent) in figures.items()}
     for item in form.items:
-        if isinstance(item, Form) and item.name in figures:
+        if isinstance(item, Expression) and item.name in figures:
             values[item.name] = figures[item.name][0](item, notes)
-        elif isinstance(item, Form) or item.kind != "string":
+        elif isinstance(item, Expression) or item.kind != "string":
             notes.add(
                 item.spot,
-                check.shown(item),
+                schema.describe(item),
                 "names, and " + (", ".join(f"({f} ...)" for f in figures) or "nothing else"),
             )
-    return Trouble(form.name, names, values, form.spot, **when)
+    return Fault(form.name, names, values, form.spot, **when)
 
 
-def _at(form: Form, notes: Notes) -> Trouble | None:
+def _at(form: Expression, notes: Diagnostics) -> Fault | None:
     """(at 5 s (die "w3"))"""
     *time, last = form.items or [None]
-    if not isinstance(last, Form):
+    if not isinstance(last, Expression):
         notes.add(form.spot, "(at ...) without a trouble", "(at TIME (TROUBLE ...))")
         return None
-    at = span()(Form("at", time, form.spot), notes)
+    at = span()(Expression("at", time, form.spot), notes)
     return _trouble(last, notes, at=at)
 
 
-def _on(form: Form, notes: Notes) -> Trouble | None:
+def _on(form: Expression, notes: Diagnostics) -> Fault | None:
     """(on (call-out "w2" 20) (die "w2"))"""
-    if len(form.items) != 2 or not all(isinstance(item, Form) for item in form.items):
+    if len(form.items) != 2 or not all(isinstance(item, Expression) for item in form.items):
         notes.add(form.spot, "(on ...) with other items", '(on (call-out|load "WORKER" NTH) (TROUBLE ...))')
         return None
     event, trouble = form.items
     kinds = [item.kind for item in event.items if isinstance(item, Atom)]
     if event.name not in ("call-out", "load") or kinds != ["string", "number"]:
-        notes.add(event.spot, check.shown(event), '(call-out "WORKER" NTH) or (load "WORKER" NTH)')
+        notes.add(event.spot, schema.describe(event), '(call-out "WORKER" NTH) or (load "WORKER" NTH)')
         return None
     if trouble.name not in ON_EVENT:
-        notes.add(trouble.spot, check.shown(trouble), "on an event one of " + ", ".join(ON_EVENT))
+        notes.add(trouble.spot, schema.describe(trouble), "on an event one of " + ", ".join(ON_EVENT))
         return None
     worker, nth = event.items
     found = _trouble(trouble, notes, event=event.name, event_worker=str(worker.value), nth=int(nth.value))
@@ -166,7 +168,7 @@
 
 
 METHOD = record(
-    lambda spot, soft_deadline, **values: MethodTraffic(soft=soft_deadline, **values),
+    lambda spot, soft_deadline, **values: RequestClassTraffic(soft=soft_deadline, **values),
     named=True,
     effect=Field(choice(idempotent="idempotent", tokened="tokened", side_effecting="side-effecting")),
     scope=Field(choice(all="all", zone="zone", cell="cell"), "all"),
@@ -197,14 +199,14 @@
 )
 
 
-def _script(spot: Spot, at: list, on: list, method: list, route: list, **values) -> Script:
-    return Script(methods=method, troubles=[*at, *on], routes=" ".join(route), **values)
+def _script(spot: SourceLocation, at: list, on: list, method: list, route: list, **values) -> Scenario:
+    return Scenario(methods=method, troubles=[*at, *on], routes=" ".join(route), **values)
 
 
 SCRIPT = record(
     _script,
     named=True,
-    route=Field(lambda form, notes: sexp.written(form), None, many=True),
+    route=Field(lambda form, notes: sexpr.format_expression(form), None, many=True),
     cancel=Field(flag, True),
     runtime=Field(flag, False),
     holds=Field(flag, True),
@@ -236,20 +238,20 @@
 )
 
 
-def worker_names(script: Script) -> list[str]:
+def worker_names(script: Scenario) -> list[str]:
     """w1, w2 ..."""
     return [f"w{number}" for number in range(1, script.workers + 1)]
 
 
-def zone_of(script: Script, worker: str) -> str:
+def zone_of(script: Scenario, worker: str) -> str:
     """The zone a worker stands in: they are dealt out in turn."""
     return f"z{(int(worker[1:]) - 1) % script.zones + 1}"
 
 
-def read(path: str) -> Script:
+def read(path: str) -> Scenario:
     """Reads and checks a script; raises Unusable with all that is wrong."""
-    notes = Notes()
-    form = check.only_form(sexp.read(path), "script", path, notes)
+    notes = Diagnostics()
+    form = schema.single_expression(sexpr.read(path), "script", path, notes)
     script = SCRIPT(form, notes) if form is not None else None
     if script is not None:
         known = {
@@ -260,14 +262,14 @@
         }
         for trouble in script.troubles:
             for name in trouble.who:
-                if name not in known[KINDS[trouble.kind][0]]:
-                    notes.add(trouble.spot, f'"{name}"', "one of " + ", ".join(known[KINDS[trouble.kind][0]]))
+                if name not in known[FAULT_KINDS[trouble.kind][0]]:
+                    notes.add(trouble.spot, f'"{name}"', "one of " + ", ".join(known[FAULT_KINDS[trouble.kind][0]]))
             if script.runtime and (trouble.event or trouble.kind in OF_STANDINS):
                 notes.add(
                     trouble.spot,
                     f"({trouble.kind} ...)",
                     "a trouble that workers of our own can have: "
-                    + ", ".join(kind for kind in KINDS if kind not in OF_STANDINS),
+                    + ", ".join(kind for kind in FAULT_KINDS if kind not in OF_STANDINS),
                 )
             elif not script.runtime and trouble.kind in OF_RUNTIME:
                 notes.add(trouble.spot, f"({trouble.kind} ...)", "it with (runtime yes): stand-ins have no such thing")
