--- a/wickdyke/proving/director.py
+++ b/wickdyke/fault_injection/scenario_runner.py
@@ -15,23 +15,22 @@
 import msgspec
 import psutil
 
-from wickdyke.proving import caller, standin, store
-from wickdyke.proving import script as scripts
-from wickdyke.proving.script import Script, Trouble
-from wickdyke.proving.trace import Recorder, clock
-from wickdyke.settings import roll
-from wickdyke.settings.roll import Row
+from wickdyke.config import endpoint_file
+from wickdyke.config.endpoint_file import EndpointRow
+from wickdyke.fault_injection import fake_store, fake_worker, load_client, scenario
+from wickdyke.fault_injection.scenario import Fault, Scenario
+from wickdyke.fault_injection.trace import TraceRecorder, clock
 from wickdyke.worker import package
 
 GATEWAY = (sys.executable, "-m", "wickdyke.cli", "serve")
 START_WITHIN = 30.0  # s until a process must be ready; generous, machines are busy
 
 
-class Failed(Exception):
+class RigError(Exception):
     """Something of the rig itself did not come up or did not end."""
 
 
-class Child:
+class ChildProcess:
     """A process of ours, told what to do by lines on its standard input."""
 
     def __init__(self, argv: Sequence[str], log: str, ready: bool = True) -> None:
@@ -49,7 +48,7 @@
         reader.join(START_WITHIN)
         if not line or not line[0]:
             self.kill()
-            raise Failed(f"{' '.join(argv[:4])}: did not become ready; see {self.errors.name}")
+            raise RigError(f"{' '.join(argv[:4])}: did not become ready; see {self.errors.name}")
         self.first = line[0].decode().strip()
 
     def tell(self, **order: object) -> None:
@@ -81,7 +80,7 @@
                     pass
 
 
-def gateway_text(script: Script, number: int) -> str:
+def gateway_text(script: Scenario, number: int) -> str:
     """The settings of one gateway of a script."""
     warmup, ration = script.warmup, script.ration
     lines = [
@@ -115,7 +114,7 @@
     return "\n".join(lines) + ")\n"
 
 
-def worker_text(script: Script, name: str) -> str:
+def worker_text(script: Scenario, name: str) -> str:
     """The settings of one worker of our own in a script."""
     return (
         f'(worker (name "{name}") (listen "{name}.sock") (store (service "store.sock"))\n'
@@ -133,7 +132,7 @@
 """
 
 
-def write_packages(script: Script, store: str) -> None:
+def write_packages(script: Scenario, store_folder: str) -> None:
     """The packages that a script's methods call: work is time slept, as is the load."""
     with tempfile.TemporaryDirectory(prefix="wd-") as folder:
         for method in script.methods:
@@ -145,15 +144,15 @@
                         f'(package "{method.name}/{at}" (version "1") (entry "main:run")'
                         f" (memory {method.memory:g} MB) (lanes {method.lanes}))"
                     )
-                package.pack(folder, store)
+                package.pack(folder, store_folder)
 
 
-class Director:
+class ScenarioRunner:
     """One run of a script in a folder of its own."""
 
     def __init__(
         self,
-        script: Script,
+        script: Scenario,
         folder: str,
         gateway: Sequence[str] = GATEWAY,
         say: Callable[[str], None] = lambda text: None,
@@ -162,17 +161,17 @@
         shutil.rmtree(folder, ignore_errors=True)
         os.makedirs(folder)
         self.trace_files = [self._path("director.trace")]
-        self.record = Recorder(self.trace_files[0], "director")
+        self.record = TraceRecorder(self.trace_files[0], "director")
         self.lock = threading.Lock()
         self.timers: list = []
         self.list_due, self.told = 0.0, {}
         self.turn = itertools.count()
         self.starts = itertools.count(script.seed * 100000 + 1)
-        self.workers: dict[str, Child] = {}
-        self.rows: dict[str, Row] = {}
-        self.gateways: dict[str, Child] = {}
-        self.store: Child | None = None
-        self.callers: list[Child] = []
+        self.workers: dict[str, ChildProcess] = {}
+        self.rows: dict[str, EndpointRow] = {}
+        self.gateways: dict[str, ChildProcess] = {}
+        self.store: ChildProcess | None = None
+        self.callers: list[ChildProcess] = []
         self.lag = script.list_lag
         self.codes: list[str] = []
         self.down: set[str] = set()
@@ -193,10 +192,10 @@
         self._at(
             self.list_due - clock(),
             self._write,
-            Row(row.name, row.address, row.zone, row.kind, row.cell, row.cores, state, row.start),
+            EndpointRow(row.name, row.address, row.zone, row.kind, row.cell, row.cores, state, row.start),
         )
 
-    def _write(self, row: Row) -> None:
+    def _write(self, row: EndpointRow) -> None:
         self.told[row.name] = row
         # Danger: a gateway may read the new list before this process gets to write it down. Ready counts from before
         # it is put there, the rest from after; else what was sent rightly looks like a drain that was not kept.
@@ -211,7 +210,7 @@
 
     def _replace(self) -> None:
         with open(self._path("workers.new"), "w", encoding="utf-8") as sink:
-            sink.write(roll.written([row for row in self.told.values() if row.state != "gone"]))
+            sink.write(endpoint_file.format_endpoints([row for row in self.told.values() if row.state != "gone"]))
         os.replace(self._path("workers.new"), self._path("workers.sexp"))
 
     # ---- processes ----
@@ -221,7 +220,7 @@
         trace = self._path(f"{name}.trace")
         if trace not in self.trace_files:
             self.trace_files.append(trace)
-        build = standin.Build(
+        build = fake_worker.FakeWorkerConfig(
             name,
             self._path(f"{name}.sock"),
             trace,
@@ -236,10 +235,10 @@
             cold=cold,
             **script.warmup,
         )
-        self.rows[name] = Row(
+        self.rows[name] = EndpointRow(
             name,
             build.socket,
-            scripts.zone_of(script, name),
+            scenario.zone_of(script, name),
             "k",
             int(name[1:]) % 3,
             float(script.cores) * script.speed,
@@ -251,7 +250,7 @@
         if script.runtime:
             with open(self._path(f"{name}.sexp"), "w", encoding="utf-8") as sink:
                 sink.write(worker_text(script, name))
-            self.workers[name] = Child(
+            self.workers[name] = ChildProcess(
                 (
                     sys.executable,
                     "-m",
@@ -269,15 +268,15 @@
                 ready=False,
             )
             return
-        self.workers[name] = Child(
-            (sys.executable, "-m", "wickdyke.proving.standin", msgspec.json.encode(build).decode()),
+        self.workers[name] = ChildProcess(
+            (sys.executable, "-m", "wickdyke.fault_injection.fake_worker", msgspec.json.encode(build).decode()),
             self._path(f"{name}.err"),
             ready=False,
         )
 
     def _start_gateway(self, name: str) -> None:
         self.record("gateway-started", gateway=name)
-        self.gateways[name] = Child(
+        self.gateways[name] = ChildProcess(
             (*self.gateway, self._path(f"{name}.sexp"), "--log", self._path(f"{name}.log")),
             self._path(f"{name}.err"),
             ready=False,
@@ -290,18 +289,18 @@
                 write_packages(script, self._path("store"))
             with open(self._path("store.sexp"), "w", encoding="utf-8") as sink:
                 sink.write('(store (listen "store.sock") (folder "store"))')
-            self.store = Child(
+            self.store = ChildProcess(
                 (sys.executable, "-m", "wickdyke.cli", "store", self._path("store.sexp")), self._path("store.err")
             )
             return
         self.trace_files.append(self._path("store.trace"))
-        self.store = Child(
+        self.store = ChildProcess(
             (
                 sys.executable,
                 "-m",
-                "wickdyke.proving.store",
+                "wickdyke.fault_injection.fake_store",
                 msgspec.json.encode(
-                    store.Build(self._path("store.sock"), self._path("store.trace"), script.store_pace)
+                    fake_store.FakeStoreConfig(self._path("store.sock"), self._path("store.trace"), script.store_pace)
                 ).decode(),
             ),
             self._path("store.err"),
@@ -323,15 +322,15 @@
             },
             workers={
                 name: {
-                    "zone": scripts.zone_of(script, name),
+                    "zone": scenario.zone_of(script, name),
                     "cell": int(name[1:]) % 3,
                     "capacity": script.cores * script.speed,
                 }
-                for name in scripts.worker_names(script)
+                for name in scenario.worker_names(script)
             },
         )
         self._start_store()
-        for name in scripts.worker_names(script):
+        for name in scenario.worker_names(script):
             self._start_worker(name, cold=False)
         for name, child in self.workers.items():
             child.wait_ready((name,))
@@ -350,12 +349,12 @@
         if not traffic:
             return
         kinds = [
-            caller.Kind(
+            load_client.RequestKind(
                 m.name, m.part, m.deadline, m.work, m.programs, m.memory, m.lanes, m.load, m.effect == "tokened"
             )
             for m in script.methods
         ]
-        plan = caller.Plan(
+        plan = load_client.LoadPlan(
             "c1",
             self._path("c1.trace"),
             {f"g{n}": self._path(f"g{n}.sock") for n in range(1, script.gateways + 1)},
@@ -368,15 +367,15 @@
         )
         self.trace_files.append(plan.trace)
         self.callers.append(
-            Child(
-                (sys.executable, "-m", "wickdyke.proving.caller", msgspec.json.encode(plan).decode()),
+            ChildProcess(
+                (sys.executable, "-m", "wickdyke.fault_injection.load_client", msgspec.json.encode(plan).decode()),
                 self._path("c1.err"),
             )
         )
 
     # ---- troubles ----
 
-    def _do(self, trouble: Trouble) -> None:
+    def _do(self, trouble: Fault) -> None:
         values = trouble.values
         shown = " ".join([trouble.kind, *trouble.who, *[f"{k}={v:g}" for k, v in values.items()]])
         self.record("trouble", text=shown)
@@ -450,7 +449,7 @@
         self._start_worker(name, cold=True)
         threading.Thread(target=self._listed_back, args=(name, self.workers[name]), daemon=True).start()
 
-    def _listed_back(self, name: str, child: Child) -> None:
+    def _listed_back(self, name: str, child: ChildProcess) -> None:
         child.wait_ready((name,))
         self.down.discard(name)
         self._at(0.0, self._list, name, "ready")
@@ -478,7 +477,7 @@
             self._at(50.0, self._ended, name)
             return
         if code:
-            raise Failed(f"worker {name} ended with code {code}, expected 0; see {self._path(name)}.err")
+            raise RigError(f"worker {name} ended with code {code}, expected 0; see {self._path(name)}.err")
         self.record("worker-killed", worker=name)
         self._list(name, "gone")
         self._at(0.0, self._worker_back, name)
@@ -521,12 +520,12 @@
             while any(child.process.poll() is None for child in self.callers):
                 self.step()
                 if clock() > over:
-                    raise Failed("the clients did not end")
+                    raise RigError("the clients did not end")
             for name, child in self.gateways.items():
                 if child.process.poll() is None:
                     child.process.send_signal(signal.SIGTERM)
                 if (code := child.end()) != 0:
-                    raise Failed(f"gateway {name} ended with code {code}, expected 0; see {self._path(name)}.err")
+                    raise RigError(f"gateway {name} ended with code {code}, expected 0; see {self._path(name)}.err")
         finally:
             self.close()
         return self.trace_files
@@ -549,7 +548,7 @@
                 child.end()
 
 
-def _fault(trouble: Trouble) -> dict:
+def _fault(trouble: Fault) -> dict:
     values = trouble.values
     order: dict[str, object] = {"fault": trouble.kind}
     if "for" in values:
--- a/wickdyke/proving/trace.py
+++ b/wickdyke/fault_injection/trace.py
@@ -20,7 +20,7 @@
     return time.monotonic() * 1000
 
 
-class Recorder:
+class TraceRecorder:
     """Writes lines at once, unbuffered, so that what a killed stand-in saw is kept.
 
     A line that can't be written makes the trace incomplete: a file named as the trace and INCOMPLETE tells so, and
@@ -38,7 +38,7 @@
         """Writes one line; `t` where it happened before now. Raises Broken."""
         with self.lock:
             if self.failed is not None:
-                raise Broken(self.failed)
+                raise InvalidTraceError(self.failed)
             self.n += 1
             line = {"t": clock() if t is None else t, "by": self.by, "n": self.n, "what": what, **more}
             left = memoryview(msgspec.json.encode(line) + b"\n")
@@ -47,7 +47,7 @@
                     left = left[os.write(self.file, left) :]
             except OSError as bad:
                 self._fail(bad)
-                raise Broken(self.failed) from None
+                raise InvalidTraceError(self.failed) from None
 
     def _fail(self, bad: OSError) -> None:
         self.failed = f"{self.path}: line {self.n} of {self.by} was not written ({bad.strerror})"
@@ -61,7 +61,7 @@
                 os.rename(self.path, mark)
 
 
-class Broken(Exception):
+class InvalidTraceError(Exception):
     """A trace that can't be read, or is not whole."""
 
 
@@ -70,12 +70,12 @@
     lines: list[dict] = []
     for path in paths:
         if os.path.exists(path + INCOMPLETE):
-            raise Broken(f"{path}: found {path + INCOMPLETE}, expected a trace whose lines were all written")
+            raise InvalidTraceError(f"{path}: found {path + INCOMPLETE}, expected a trace whose lines were all written")
         try:
             with open(path, "rb") as source:
                 content = source.read().split(b"\n")
         except OSError as bad:
-            raise Broken(f"{path}: {bad.strerror}, expected a trace") from None
+            raise InvalidTraceError(f"{path}: {bad.strerror}, expected a trace") from None
         numbers: dict[str, int] = {}
         for at, line in enumerate(content, 1):
             if not line:
@@ -86,10 +86,12 @@
             except (msgspec.MsgspecError, TypeError, KeyError, ValueError):
                 if at == len(content):
                     continue  # its writer was killed in the middle of its last line
-                raise Broken(f"{path}:{at}: found {line[:40]!r}, expected a line of a trace") from None
+                raise InvalidTraceError(f"{path}:{at}: found {line[:40]!r}, expected a line of a trace") from None
             last = numbers.get(entry["by"], 0)
             if entry["n"] not in (last + 1, 1):  # a writer that was started anew counts from 1 again
-                raise Broken(f"{path}:{at}: found line {entry['n']} of {entry['by']} after {last}, expected the next")
+                raise InvalidTraceError(
+                    f"{path}:{at}: found line {entry['n']} of {entry['by']} after {last}, expected the next"
+                )
             numbers[entry["by"]] = entry["n"]
             lines.append(entry)
     lines.sort(key=lambda e: (e["t"], e["by"], e["n"]))
--- a/wickdyke/gateway/circuit_breaker.py
+++ b/wickdyke/gateway/circuit_breaker.py
@@ -3,7 +3,7 @@
 import hashlib
 from dataclasses import dataclass
 
-from wickdyke.quarantine.bars import Backoff, FunctionBreakers, Isolation, RequestBreakers
+from wickdyke.circuit_breaker.breakers import Backoff, BreakerSettings, FunctionBreakers, RequestBreakers
 
 
 @dataclass(slots=True)
@@ -25,7 +25,7 @@
 
     digest = staticmethod(digest)
 
-    def __init__(self, isolation: Isolation, gateways: int, log) -> None:
+    def __init__(self, isolation: BreakerSettings, gateways: int, log) -> None:
         self.log = log
         self.functions = FunctionBreakers(
             isolation.workers,
--- a/wickdyke/gateway/file_watcher.py
+++ b/wickdyke/gateway/file_watcher.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from wickdyke.settings.sexp import NotYet, Unusable
+from wickdyke.config.sexpr import IncompleteInputError, InvalidConfigError
 
 
 class FileWatcher:
@@ -49,8 +49,10 @@
         self.mark = mark
         try:
             content = self.read(self.path)
-        except Unusable as error:
-            if isinstance(error, NotYet):  # it will be usable later, as it is: looked at again, logged once
+        except InvalidConfigError as error:
+            if isinstance(
+                error, IncompleteInputError
+            ):  # it will be usable later, as it is: looked at again, logged once
                 self.mark = ()
             if self.logged_mark != mark:
                 self.logged_mark = mark
@@ -66,7 +68,7 @@
             return None
         return found.st_mtime_ns, found.st_ino, found.st_size
 
-    def _log_unusable(self, error: Unusable) -> None:
+    def _log_unusable(self, error: InvalidConfigError) -> None:
         why, more = str(error.troubles[0]), len(error.troubles) - 1
         if more:
             why += f" (and {more} more)"
--- a/wickdyke/gateway/interfaces.py
+++ b/wickdyke/gateway/interfaces.py
@@ -113,7 +113,7 @@
         """Sends it, or has it sent once connected."""
 
     def cancel(self, command: Command, done: Any) -> str | None:
-        """Withdraws an attempt; see wickdyke/gateway/worker_client.py for what it returns."""
+        """Withdraws an attempt; see wickdyke/jsonrpc/worker_client.py for what it returns."""
 
     def withdraw_unsent(self, command: Command) -> bool:
         """Takes back what has not begun to go out; True where it was so, and it has ended."""
--- a/wickdyke/gateway/pending_requests.py
+++ b/wickdyke/gateway/pending_requests.py
@@ -51,7 +51,7 @@
         if time_left <= 0:
             pending.reject("no-time")
             return
-        refusal = self.isolation.turned_away(pending.call.program, pending.call.input, now)
+        refusal = self.isolation.turned_away(pending.call.function, pending.call.input, now)
         if refusal is not None:
             why, wait = refusal
             self.context.counts[f"turned_away_{why}"] += 1
@@ -70,12 +70,12 @@
             self.last_id,
             time_left,
             pending.request_class,
-            call.program,
+            call.function,
             call.memory_mb,
-            call.lanes,
+            call.concurrency,
             call.load_ms,
             call.work_ms,
-            call.repeat,
+            call.is_repeat,
             pending.route_policy,
         )
 
--- a/wickdyke/gateway/client_connection.py
+++ b/wickdyke/jsonrpc/client_connection.py
@@ -11,13 +11,13 @@
 
 from wickdyke.gateway import interfaces
 from wickdyke.gateway.events import RequestCancelled, RequestReceived
-from wickdyke.gateway.requests import CheckedRequest
-from wickdyke.protocol import front, jsonrpc
-from wickdyke.protocol.lines import Lines, TooLong
+from wickdyke.jsonrpc.requests import CheckedRequest
+from wickdyke.protocol import client_messages, jsonrpc
+from wickdyke.protocol.framing import LineReader, LineTooLongError
 from wickdyke.transport.write_buffer import OutgoingMessage, PeerTooSlow, WriteBuffer
 
 if TYPE_CHECKING:
-    from wickdyke.gateway.client_server import ClientServer
+    from wickdyke.jsonrpc.client_server import ClientServer
 
 READ_SIZE = 1 << 18  # bytes read at a time
 STACK_SIZE = 512 * 1024  # bytes of a thread's stack: the decoder's greatest nesting was tried in it
@@ -61,15 +61,15 @@
 
     def succeed(self, output: bytes, attempts: int) -> None:
         """Sends its final answer, with what the worker gave."""
-        self.answer(front.ok(self.ident, output, attempts))
+        self.answer(client_messages.success_response(self.ident, output, attempts))
 
     def reject(self, why: str, retry_after: float | None = None) -> None:
         """Sends its final answer: nothing was done; worth asking again after `retry_after` ms."""
-        self.answer(front.denied(self.ident, why, retry_after))
+        self.answer(client_messages.rejection_response(self.ident, why, retry_after))
 
     def fail(self, why: str) -> None:
         """Sends its final answer: nothing is promised."""
-        self.answer(front.aborted(self.ident, why))
+        self.answer(client_messages.failure_response(self.ident, why))
 
     def answer(self, body: bytes) -> None:
         """Sends the final answer, unless its client has cancelled it."""
@@ -134,21 +134,26 @@
         with self.lock:
             if ident in self.pending:
                 # Answered without the id: an error under it would pass for the final answer of the other request.
-                raise jsonrpc.Fault(jsonrpc.INVALID, f"id: {ident!r} is in use by a call that is not answered yet")
+                raise jsonrpc.MalformedRequestError(
+                    jsonrpc.INVALID_REQUEST, f"id: {ident!r} is in use by a call that is not answered yet"
+                )
             self.pending[ident] = pending
 
     # ---- reading, by a thread of its own ----
 
     def read(self) -> None:
         """Reads requests until the client closes the connection."""
-        lines = Lines(self.server.bounds.line)
+        lines = LineReader(self.server.bounds.line)
         try:
             while data := self.sock.recv(READ_SIZE):
                 for line in lines.feed(data):
                     self._line(line)
-        except TooLong as error:
+        except LineTooLongError as error:
             self.server.counts["malformed"] += 1
-            self.write(jsonrpc.refusal(jsonrpc.Fault(jsonrpc.INVALID, str(error))) + b"\n")
+            self.write(
+                jsonrpc.malformed_request_response(jsonrpc.MalformedRequestError(jsonrpc.INVALID_REQUEST, str(error)))
+                + b"\n"
+            )
             self._log_disconnected(str(error))
         except OSError:
             pass
@@ -159,7 +164,7 @@
             self.sock.close()
 
     def _line(self, line: bytes) -> None:
-        requests = list(jsonrpc.requests(line))
+        requests = list(jsonrpc.parse_requests(line))
         if not jsonrpc.is_batch(line) or _is_unreadable(requests):
             for request in requests:
                 self._request(request, None, None)
@@ -170,9 +175,11 @@
         for request in requests:
             self._request(request, batch, least)
 
-    def _request(self, request: jsonrpc.Request | jsonrpc.Fault, batch: Batch | None, least: float | None) -> None:
+    def _request(
+        self, request: jsonrpc.Request | jsonrpc.MalformedRequestError, batch: Batch | None, least: float | None
+    ) -> None:
         try:
-            if isinstance(request, jsonrpc.Fault):
+            if isinstance(request, jsonrpc.MalformedRequestError):
                 raise request
             if request.method == "cancel":
                 self._cancel(self.server.checker.cancelled_id(request))
@@ -180,10 +187,10 @@
                 return
             pending = PendingRequest(self, self.server.checker.check(request, least), batch)
             self._register(pending)
-        except jsonrpc.Fault as fault:
+        except jsonrpc.MalformedRequestError as fault:
             self.server.counts["malformed"] += 1
             is_notification = isinstance(request, jsonrpc.Request) and request.told
-            self.answer(None if is_notification else jsonrpc.refusal(fault), batch)
+            self.answer(None if is_notification else jsonrpc.malformed_request_response(fault), batch)
             return
         self._submit(pending)
 
@@ -194,7 +201,7 @@
             return
         self.release(pending)
         self.server.counts["refused"] += 1
-        self.answer(front.denied(pending.ident, why), pending.batch)
+        self.answer(client_messages.rejection_response(pending.ident, why), pending.batch)
 
     def _cancel(self, ident: jsonrpc.Ident) -> None:
         with self.lock:
@@ -206,6 +213,6 @@
         self.server.post(RequestCancelled(pending))
 
 
-def _is_unreadable(requests: list[jsonrpc.Request | jsonrpc.Fault]) -> bool:
+def _is_unreadable(requests: list[jsonrpc.Request | jsonrpc.MalformedRequestError]) -> bool:
     """Whether a batch came to one fault without an id, which is answered by an object alone."""
-    return len(requests) == 1 and isinstance(requests[0], jsonrpc.Fault) and requests[0].ident is None
+    return len(requests) == 1 and isinstance(requests[0], jsonrpc.MalformedRequestError) and requests[0].ident is None
--- a/wickdyke/gateway/client_server.py
+++ b/wickdyke/jsonrpc/client_server.py
@@ -10,11 +10,11 @@
 from collections import Counter
 from collections.abc import Callable
 
-from wickdyke.gateway.client_connection import ClientConnection
+from wickdyke.config.gateway_config import GatewayConfig, ServerLimits
 from wickdyke.gateway.events import ClientClosed, Event
-from wickdyke.gateway.requests import RequestChecker
-from wickdyke.protocol import front
-from wickdyke.settings.station import Bounds, Station
+from wickdyke.jsonrpc.client_connection import ClientConnection
+from wickdyke.jsonrpc.requests import RequestChecker
+from wickdyke.protocol import client_messages
 from wickdyke.transport.acceptor import Acceptor
 from wickdyke.transport.line_server import listener
 
@@ -26,9 +26,9 @@
     """
 
     def __init__(
-        self, station: Station, post: Callable[[Event], None], busy: Callable[[], str], warn: Callable[..., None]
+        self, station: GatewayConfig, post: Callable[[Event], None], busy: Callable[[], str], warn: Callable[..., None]
     ) -> None:
-        self.bounds: Bounds = station.bounds
+        self.bounds: ServerLimits = station.bounds
         self.post, self.busy, self.warn = post, busy, warn
         self.checker = RequestChecker(station)
         self.counts: Counter[str] = Counter()
@@ -77,7 +77,7 @@
             self._turn_away(client)
 
     def _turn_away(self, client: ClientConnection) -> None:
-        client.write(front.denied(None, "too-many-connections") + b"\n")
+        client.write(client_messages.rejection_response(None, "too-many-connections") + b"\n")
         client.write_buffer.close()
         client.sock.close()
 
--- a/wickdyke/gateway/endpoint_list.py
+++ b/wickdyke/jsonrpc/endpoint_list.py
@@ -6,17 +6,17 @@
 
 from dataclasses import dataclass, field, replace
 
+from wickdyke.config.endpoint_file import EndpointRow
 from wickdyke.gateway.interfaces import EndpointListChange
-from wickdyke.protocol.back import Standing
+from wickdyke.protocol.worker_messages import WorkerHello
 from wickdyke.routing.model import Endpoint, EndpointState
-from wickdyke.settings.roll import Row
 
 
 @dataclass(slots=True)
 class ListedWorker:
     """One worker: its row, the number of its present start and when that was; `past_starts` are the numbers before."""
 
-    row: Row
+    row: EndpointRow
     start: int = 0
     started_at: float | None = None
     known: bool = False
@@ -35,7 +35,7 @@
     def __len__(self) -> int:
         return len(self.workers)
 
-    def apply(self, entries: list[Row], now: float) -> EndpointListChange:
+    def apply(self, entries: list[EndpointRow], now: float) -> EndpointListChange:
         """A whole list came. Who is not on it is gone."""
         before = {name: worker.row.address for name, worker in self.workers.items()}
         endpoints = self._remove_unlisted(entries)
@@ -46,7 +46,7 @@
         moved = {name: address for name, address in after.items() if before.get(name) != address}
         return EndpointListChange(endpoints, moved)
 
-    def _remove_unlisted(self, rows: list[Row]) -> list[Endpoint]:
+    def _remove_unlisted(self, rows: list[EndpointRow]) -> list[Endpoint]:
         changes = []
         row_of = {row.name: row for row in rows}
         for name, worker in list(self.workers.items()):
@@ -59,7 +59,7 @@
                 changes.append(replace(endpoint, state=EndpointState.GONE))
         return changes
 
-    def _apply_row(self, row: Row, now: float) -> list[Endpoint]:
+    def _apply_row(self, row: EndpointRow, now: float) -> list[Endpoint]:
         worker = self.workers.setdefault(row.name, ListedWorker(row))
         worker.row = row
         # A number from before the present start means that the list lags.
@@ -78,7 +78,7 @@
         """The number of a listed worker's present start."""
         return self.workers[name].start if name in self.workers else None
 
-    def hello(self, name: str, standing: Standing, now: float) -> list[Endpoint]:
+    def hello(self, name: str, standing: WorkerHello, now: float) -> list[Endpoint]:
         """A worker was connected to and said who it is."""
         worker = self.workers.get(name)
         if worker is None:
--- a/wickdyke/gateway/service.py
+++ b/wickdyke/jsonrpc/service.py
@@ -6,22 +6,22 @@
 import threading
 from collections.abc import Callable
 
+from wickdyke.config import endpoint_file, route_config
+from wickdyke.config.gateway_config import GatewayConfig
 from wickdyke.gateway.circuit_breaker import CircuitBreaker
-from wickdyke.gateway.client_connection import STACK_SIZE
-from wickdyke.gateway.client_server import ClientServer
 from wickdyke.gateway.context import clock
 from wickdyke.gateway.coordinator import Coordinator
-from wickdyke.gateway.endpoint_list import EndpointList
 from wickdyke.gateway.events import EndpointsReceived
 from wickdyke.gateway.file_watcher import FileWatcher
 from wickdyke.gateway.isolation import BreakerIsolation
 from wickdyke.gateway.recording import DecisionRecorder
-from wickdyke.gateway.worker_protocol import JsonRpcWorkerProtocol
+from wickdyke.jsonrpc.client_connection import STACK_SIZE
+from wickdyke.jsonrpc.client_server import ClientServer
+from wickdyke.jsonrpc.endpoint_list import EndpointList
+from wickdyke.jsonrpc.worker_protocol import JsonRpcWorkerProtocol
+from wickdyke.route_policy.policy import Environment
+from wickdyke.route_policy.transition import PolicyTransition
 from wickdyke.routing.periods import TICK
-from wickdyke.settings import roll, routes
-from wickdyke.settings.station import Station
-from wickdyke.timing.change import Succession
-from wickdyke.timing.terms import Ground
 from wickdyke.transport import termination
 
 # s that a thread may keep the interpreter. Hand-offs between threads are many and short: at the standard 5 ms an answer
@@ -32,16 +32,16 @@
 DRAIN_POLL = 0.01  # s between two looks at whether a drain is over
 
 
-def ground(station: Station) -> Ground:
+def ground(station: GatewayConfig) -> Environment:
     """What routes are checked against: the deployment's figures, and how often the router is advanced."""
     limits = station.attempt_limits
-    return Ground(limits.hedging, limits.cancel, limits.connect_timeout, station.answer_way, TICK, limits.attempts)
+    return Environment(limits.hedging, limits.cancel, limits.connect_timeout, station.answer_way, TICK, limits.attempts)
 
 
 class Gateway:
     """All parts of one gateway. `open` begins; `stop` drains it: what is pending gets its answer."""
 
-    def __init__(self, station: Station, log) -> None:
+    def __init__(self, station: GatewayConfig, log) -> None:
         threading.stack_size(STACK_SIZE)
         sys.setswitchinterval(SWITCH_INTERVAL)
         self.station, self.log = station, log
@@ -57,7 +57,7 @@
             BreakerIsolation(CircuitBreaker(station.isolation, station.instance.count, log)),
         )
         self.client_server = ClientServer(station, self.coordinator.post, self.coordinator.busy, log.warning)
-        self.succession = Succession()
+        self.succession = PolicyTransition()
         self.watchers = [
             FileWatcher("list", station.workers, station.reread, self._read_endpoints, self._use_endpoints, log)
         ]
@@ -67,19 +67,19 @@
             )
             self.client_server.checker.routes = self._read_routes(station.routes)  # there is no earlier one to keep
 
-    def _read_endpoints(self, path: str) -> list[roll.Row]:
-        return roll.read(path, self.station.zones, self.station.kinds)
+    def _read_endpoints(self, path: str) -> list[endpoint_file.EndpointRow]:
+        return endpoint_file.read_endpoints(path, self.station.zones, self.station.kinds)
 
-    def _use_endpoints(self, rows: list[roll.Row]) -> dict:
+    def _use_endpoints(self, rows: list[endpoint_file.EndpointRow]) -> dict:
         self.coordinator.post(EndpointsReceived(rows))
         return {"workers": len(rows), "ready": sum(row.state == "ready" for row in rows)}
 
-    def _read_routes(self, path: str) -> routes.Routes:
-        found = routes.read(path, self.station.request_classes, ground(self.station))
-        routes.may_follow(found, path, self.succession, clock())
+    def _read_routes(self, path: str) -> route_config.Routes:
+        found = route_config.read(path, self.station.request_classes, ground(self.station))
+        route_config.check_transition(found, path, self.succession, clock())
         return found
 
-    def _use_routes(self, found: routes.Routes) -> dict:
+    def _use_routes(self, found: route_config.Routes) -> dict:
         self.client_server.checker.routes = found
         self.succession.follow(found.payers(), clock())
         return {"routes": len(found.routes)}
--- a/wickdyke/gateway/worker_client.py
+++ b/wickdyke/jsonrpc/worker_client.py
@@ -16,6 +16,7 @@
 
 import msgspec
 
+from wickdyke.config import address as addresses
 from wickdyke.gateway import interfaces
 from wickdyke.gateway.events import (
     CommandFinished,
@@ -26,11 +27,10 @@
     WorkerUnreachable,
 )
 from wickdyke.gateway.interfaces import CommandKind
-from wickdyke.gateway.worker_handshake import READ_SIZE, Handshake, shake_hands
-from wickdyke.protocol import back, jsonrpc
-from wickdyke.protocol.lines import TooLong
+from wickdyke.jsonrpc.worker_handshake import READ_SIZE, Handshake, shake_hands
+from wickdyke.protocol import jsonrpc, worker_messages
+from wickdyke.protocol.framing import LineTooLongError
 from wickdyke.routing.model import Outcome
-from wickdyke.settings import address as addresses
 from wickdyke.transport.write_buffer import SHORT_OF_MEMORY, Expired, OutgoingMessage, PeerTooSlow, WriteBuffer
 
 RECONNECT_PAUSE = 100.0  # ms between attempts to connect while nothing is asked: at first
@@ -178,7 +178,7 @@
                 return Outcome.UNSENT
             if self.in_flight.get(command.number) is not command:
                 return "ended"
-            line = jsonrpc.told_line("cancel", jsonrpc.encode(back.Cancel(command.number)))
+            line = jsonrpc.notification_line("cancel", jsonrpc.encode(worker_messages.CancelRequest(command.number)))
             try:
                 if not self.write_buffer.put(OutgoingMessage(line, lambda: self._cancelled(command, done))):
                     return None
@@ -263,7 +263,7 @@
         while not self.closed:
             try:
                 handshake = self._connect()
-            except (OSError, jsonrpc.Fault, msgspec.MsgspecError, TooLong) as error:
+            except (OSError, jsonrpc.MalformedRequestError, msgspec.MsgspecError, LineTooLongError) as error:
                 self._connect_failed(error)
                 self._wait_for_command(pause)
                 pause = min(RECONNECT_PAUSE_MOST, pause * 2)
@@ -311,7 +311,7 @@
             while data := _received(handshake.sock):
                 for line in handshake.lines.feed(data):
                     self._answer(line)
-        except (OSError, TooLong, jsonrpc.Fault) as error:
+        except (OSError, LineTooLongError, jsonrpc.MalformedRequestError) as error:
             return f"{type(error).__name__}: {error}"
         return "ended by the worker"
 
@@ -335,7 +335,7 @@
         return True
 
     def _answer(self, line: bytes) -> None:
-        ident, result, problem = jsonrpc.answer(line)
+        ident, result, problem = jsonrpc.parse_response(line)
         with self.lock:
             command = self.in_flight.pop(ident, None) if isinstance(ident, int) else None
             if command is None:  # too late, a second time, or never asked for: nobody waits for it
@@ -345,8 +345,8 @@
         if problem is None:
             outcome, data = Outcome.OK, None
         else:
-            outcome, data = back.OUTCOMES.get(problem.code, Outcome.ERROR), bytes(problem.data)
-            if problem.code == back.DRAINING:
+            outcome, data = worker_messages.OUTCOMES.get(problem.code, Outcome.ERROR), bytes(problem.data)
+            if problem.code == worker_messages.DRAINING:
                 self.notify(WorkerDraining(self))
         self.notify(CommandFinished(self, command, outcome, result, data))
         if idle:
--- a/wickdyke/gateway/worker_handshake.py
+++ b/wickdyke/jsonrpc/worker_handshake.py
@@ -6,8 +6,8 @@
 
 import msgspec
 
-from wickdyke.protocol import back, jsonrpc
-from wickdyke.protocol.lines import Lines
+from wickdyke.protocol import jsonrpc, worker_messages
+from wickdyke.protocol.framing import LineReader
 
 READ_SIZE = 1 << 18  # bytes read at a time
 TIMEOUT_LEAST = 0.001  # s: a timeout of 0 would make the socket non-blocking
@@ -18,8 +18,8 @@
     """A connection whose worker said who it is. `unread_lines` came with its hello; `lines` has what follows them."""
 
     sock: socket.socket
-    standing: back.Standing
-    lines: Lines
+    standing: worker_messages.WorkerHello
+    lines: LineReader
     unread_lines: list[bytes]
 
 
@@ -29,16 +29,16 @@
     Raises OSError, TooLong, jsonrpc.Fault or MsgspecError where the worker gave none that can be used.
     """
     sock.settimeout(max(TIMEOUT_LEAST, ends - time.monotonic()))
-    hello = back.Hello(back.VERSION, gateway)
+    hello = worker_messages.GatewayHello(worker_messages.VERSION, gateway)
     sock.sendall(jsonrpc.request_line("hello", jsonrpc.encode(hello), 0))
-    lines = Lines(max_line)
+    lines = LineReader(max_line)
     received = _first_lines(sock, lines, ends)
     standing = _standing(received[0])
     sock.settimeout(None)
     return Handshake(sock, standing, lines, received[1:])
 
 
-def _first_lines(sock: socket.socket, lines: Lines, ends: float) -> list[bytes]:
+def _first_lines(sock: socket.socket, lines: LineReader, ends: float) -> list[bytes]:
     while True:
         left = ends - time.monotonic()
         if left <= 0:
@@ -51,11 +51,13 @@
             return received
 
 
-def _standing(line: bytes) -> back.Standing:
-    _, result, problem = jsonrpc.answer(line)
+def _standing(line: bytes) -> worker_messages.WorkerHello:
+    _, result, problem = jsonrpc.parse_response(line)
     if result is None:
-        raise jsonrpc.Fault(problem.code, f"no hello but {problem.message}")
-    standing = msgspec.json.decode(result, type=back.Standing)
-    if standing.version != back.VERSION:
-        raise jsonrpc.Fault(jsonrpc.INVALID, f"version {standing.version}, expected {back.VERSION}")
+        raise jsonrpc.MalformedRequestError(problem.code, f"no hello but {problem.message}")
+    standing = msgspec.json.decode(result, type=worker_messages.WorkerHello)
+    if standing.version != worker_messages.VERSION:
+        raise jsonrpc.MalformedRequestError(
+            jsonrpc.INVALID_REQUEST, f"version {standing.version}, expected {worker_messages.VERSION}"
+        )
     return standing
--- a/wickdyke/gateway/worker_protocol.py
+++ b/wickdyke/jsonrpc/worker_protocol.py
@@ -2,11 +2,11 @@
 
 import msgspec
 
+from wickdyke.config.gateway_config import GatewayConfig
 from wickdyke.gateway.interfaces import CommandKind, CommandResult, PendingRequest
-from wickdyke.gateway.worker_client import Command, WorkerClient, clock
-from wickdyke.protocol import back, jsonrpc
+from wickdyke.jsonrpc.worker_client import Command, WorkerClient, clock
+from wickdyke.protocol import jsonrpc, worker_messages
 from wickdyke.routing.model import Attempt, Function, Outcome
-from wickdyke.settings.station import Station
 
 
 class JsonRpcWorkerProtocol:
@@ -14,7 +14,7 @@
 
     connects_at_once = True  # a worker's hello tells since when it is up
 
-    def __init__(self, station: Station) -> None:
+    def __init__(self, station: GatewayConfig) -> None:
         self.station, self.report_fields = station, station.instance.report_fields
 
     def client_for(self, name: str, address: str, notify) -> WorkerClient:
@@ -35,7 +35,7 @@
         # It waits for its connection and for room at the kernel: its time left is written as its first byte goes.
         deadline = clock() + time_left
         function, call = attempt.request.function, pending.call
-        run = back.Run(
+        run = worker_messages.RunRequest(
             attempt.request.request_class.name,
             function.name,
             call.input,
@@ -43,7 +43,7 @@
             function.concurrency,
             time_left,
             call.load_ms,
-            call.token,
+            call.idempotency_key,
         )
 
         def params(left: float) -> bytes:
@@ -54,7 +54,9 @@
 
     def prewarm_command(self, key: tuple, function: Function, replicas: int) -> Command:
         """A prewarm of so many replicas."""
-        hold = back.Hold(function.name, function.memory, function.concurrency, replicas, function.load_hint or None)
+        hold = worker_messages.PrewarmRequest(
+            function.name, function.memory, function.concurrency, replicas, function.load_hint or None
+        )
         return Command(CommandKind.PREWARM, key, "hold", jsonrpc.encode(hold))
 
     def health_check_command(self, key: str) -> Command:
@@ -64,40 +66,40 @@
     def result_of(self, command: Command, outcome: str, answer: bytes | None, data: bytes | None) -> CommandResult:
         """The result of a command: `answer` is what the worker returned, `data` what came with its error."""
         if command.kind == CommandKind.PREWARM:
-            held = _read(back.Held, answer if answer is not None else data)
-            return CommandResult(outcome, replicas=held.copies if held else 0)
+            held = _read(worker_messages.PrewarmResult, answer if answer is not None else data)
+            return CommandResult(outcome, replicas=held.replicas if held else 0)
         if command.kind == CommandKind.HEALTH_CHECK:
-            probed = _read(back.Probed, answer)
+            probed = _read(worker_messages.HealthReport, answer)
             return CommandResult(outcome, report=self._report(probed.report) if probed else None)
         if outcome == Outcome.OK:
             return self._succeeded(answer)
         return self._failed(outcome, data)
 
     def _succeeded(self, answer: bytes | None) -> CommandResult:
-        ran = _read(back.Ran, answer)
+        ran = _read(worker_messages.RunResult, answer)
         if ran is None:  # it ran, and what it said can't be read
             return CommandResult(Outcome.ERROR)
         return CommandResult(
             Outcome.OK,
             output=bytes(ran.output),
-            load_note=ran.standing,
-            concurrent=ran.company,
+            load_note=ran.load_note,
+            concurrent=ran.concurrent,
             report=self._report(ran.report),
         )
 
     def _failed(self, outcome: str, data: bytes | None) -> CommandResult:
-        told = _read(back.Told, data)
+        told = _read(worker_messages.RunErrorData, data)
         if told is None:
             return CommandResult(outcome)
         return CommandResult(
             outcome,
-            concurrent=told.company,
+            concurrent=told.concurrent,
             report=self._report(told.report),
-            requests_in_replica=told.inside,
+            requests_in_replica=told.requests_in_replica,
         )
 
     def _report(self, report: dict[str, float] | None) -> tuple[float, ...] | None:
-        return back.report(report, self.report_fields)
+        return worker_messages.ordered_report(report, self.report_fields)
 
 
 def _read(kind: type, raw: bytes | None):
--- a/wickdyke/platform/configuration.py
+++ b/wickdyke/platform/configuration.py
@@ -5,6 +5,8 @@
 from dataclasses import dataclass
 from types import SimpleNamespace
 
+from wickdyke.config import deployment_settings
+from wickdyke.platform.endpoint_list import Unusable, change
 from wickdyke.routing.model import RequestClass
 from wickdyke.routing.settings import (
     AttemptLimits,
@@ -16,8 +18,6 @@
     SlowStart,
     TenantQuotas,
 )
-from wickdyke.platform.endpoint_list import Unusable, change
-from wickdyke.settings import terms
 
 OPEN_REQUESTS_MOST = 4096  # at once, however much memory there is
 OPEN_REQUESTS_LEAST = 256  # allowed at once, however little memory there is
@@ -124,18 +124,18 @@
     if not isinstance(settings, dict):
         raise ConfigurationError(f"{path}: settings is {type(settings).__name__}, expected an object")
     batch = _known_batch(given, path)
-    pairs = terms.nested(settings, f"{path}: settings")
+    pairs = deployment_settings.from_nested(settings, f"{path}: settings")
     try:
-        started = terms.start(pairs)
+        started = deployment_settings.router_settings(pairs)
         events = [change(json.dumps(event)) for event in batch]
-    except terms.BadInput as error:
+    except deployment_settings.InvalidInputError as error:
         raise ConfigurationError(str(error)) from None
     except Unusable as error:
         raise ConfigurationError(f"{path}: known.batch has {error}") from None
     if not started["request_classes"]:
         raise ConfigurationError(f"{path}: settings has no classes, expected one at least")
     memory = _limit(given, path, "memory_mb", MEMORY_LEAST)
-    tenants = range(pairs.get("tenants.count", terms.count, 0))
+    tenants = range(pairs.get("tenants.count", deployment_settings.count, 0))
     return Configuration(
         name=name or str(given.get("name") or "gateway"),
         listen=address(listen or given.get("listen"), f"{path}: listen"),
--- a/wickdyke/platform/requests.py
+++ b/wickdyke/platform/requests.py
@@ -27,14 +27,14 @@
     """What a request asks for: the function, its input and its figures."""
 
     ident: bytes
-    program: str
+    function: str
     input: bytes | None
     memory_mb: float
-    lanes: int
+    concurrency: int
     load_ms: float | None
     work_ms: float | None = None
-    repeat: bool = False
-    token: str = ""
+    is_repeat: bool = False
+    idempotency_key: str = ""
 
 
 def _figure(text: str, name: str, most: float) -> float:
@@ -87,13 +87,13 @@
     _check_optional(fields, request_class, tenants)
     call = Call(
         ident=fields["i"].encode(),
-        program=fields["o"],
+        function=fields["o"],
         input=message.body,
         memory_mb=figures.get("memory_mb", 0.0),
-        lanes=max(1, int(figures.get("lanes", 1.0))),
+        concurrency=max(1, int(figures.get("lanes", 1.0))),
         load_ms=figures.get("load_ms"),
         work_ms=_figure(fields["h"], "h", TIME_MOST) if "h" in fields else None,
-        repeat=fields.get("r", "0") not in ("0", "false"),
-        token=fields.get("k", ""),
+        is_repeat=fields.get("r", "0") not in ("0", "false"),
+        idempotency_key=fields.get("k", ""),
     )
     return request_class, call, time_left
--- a/wickdyke/platform/service.py
+++ b/wickdyke/platform/service.py
@@ -12,11 +12,11 @@
 from wickdyke.gateway.coordinator import Coordinator
 from wickdyke.gateway.events import EndpointsReceived
 from wickdyke.platform import configuration as configurations
-from wickdyke.platform.worker_protocol import PlatformWorkerProtocol
-from wickdyke.platform.discovery import DiscoveryClient
 from wickdyke.platform.client_server import ClientServer
+from wickdyke.platform.configuration import Configuration, ConfigurationError
+from wickdyke.platform.discovery import DiscoveryClient
 from wickdyke.platform.endpoint_list import EndpointList
-from wickdyke.platform.configuration import ConfigurationError, Configuration
+from wickdyke.platform.worker_protocol import PlatformWorkerProtocol
 from wickdyke.transport.event_loop import EventLoop
 
 GRACE_PERIOD = 750.0  # ms after SIGTERM in which requests are taken as before, if there is as much time
--- a/wickdyke/platform/worker_client.py
+++ b/wickdyke/platform/worker_client.py
@@ -243,7 +243,7 @@
             self.pool.worker_clients.discard(self)
 
     def cancel(self, command: Command, done: Callable[[], None]) -> str | None:
-        """Withdraws an attempt; returns what wickdyke/gateway/worker_client.py states."""
+        """Withdraws an attempt; returns what wickdyke/jsonrpc/worker_client.py states."""
         said = self._cancel(command, done)
         if self.draining:  # that may have been the last
             self._maybe_close()
--- a/wickdyke/platform/worker_protocol.py
+++ b/wickdyke/platform/worker_protocol.py
@@ -44,7 +44,7 @@
         # decided, a worker would work on past the deadline of the client. So it is written as its first byte goes.
         deadline, ident, body = clock() + time_left, pending.call.ident, pending.call.input
         before = f"lane={attempt.request.request_class.name},name={attempt.request.function.name},ttl="
-        after = f",dedupe={pending.call.token}" if pending.call.token else ""
+        after = f",dedupe={pending.call.idempotency_key}" if pending.call.idempotency_key else ""
         return Command(
             CommandKind.ATTEMPT,
             attempt,
--- a/wickdyke/platform/worker_results.py
+++ b/wickdyke/platform/worker_results.py
@@ -1,9 +1,9 @@
 """Reads workers' answers: how a command ended, and the load report that came with it."""
 
+from wickdyke.config.deployment_settings import REPORTS
 from wickdyke.gateway.interfaces import CommandResult
 from wickdyke.platform import resp
 from wickdyke.routing.model import LoadNote, Outcome
-from wickdyke.settings.terms import REPORTS
 
 OUTCOMES = {
     b"ACK": Outcome.OK,
--- a/wickdyke/protocol/lines.py
+++ b/wickdyke/protocol/framing.py
@@ -1,11 +1,11 @@
 """Newline-delimited framing: bytes in, whole lines out."""
 
 
-class TooLong(Exception):
+class LineTooLongError(Exception):
     """A line passed the stated greatest length; the stream can't be trusted to be in step any more."""
 
 
-class Lines:
+class LineReader:
     """Cuts a stream into lines. Holds at most one unfinished line of `most` bytes.
 
     >>> lines = Lines(100)
@@ -33,13 +33,13 @@
         done = [b"".join(self.parts) if len(self.parts) > 1 else self.parts[0] if self.parts else b"", *rest]
         self.parts, self.held = [], 0
         if any(len(line) > self.most for line in rest):
-            raise TooLong(f"a line of over {self.most} bytes")
+            raise LineTooLongError(f"a line of over {self.most} bytes")
         self._hold(last)
         return [line for line in done if line.strip()]
 
     def _hold(self, data: bytes) -> None:
         self.held += len(data)
         if self.held > self.most:
-            raise TooLong(f"a line of over {self.most} bytes")
+            raise LineTooLongError(f"a line of over {self.most} bytes")
         if data:
             self.parts.append(data)
--- a/wickdyke/protocol/jsonrpc.py
+++ b/wickdyke/protocol/jsonrpc.py
@@ -8,14 +8,19 @@
 
 import msgspec
 
-PARSE, INVALID, NO_METHOD, BAD_PARAMS = -32700, -32600, -32601, -32602
-WORDS = {PARSE: "Parse error", INVALID: "Invalid Request", NO_METHOD: "Method not found", BAD_PARAMS: "Invalid params"}
-DEEP = 64  # nesting that any message of ours stays far under; deeper input is refused before it is decoded
+PARSE_ERROR, INVALID_REQUEST, METHOD_NOT_FOUND, INVALID_PARAMS = -32700, -32600, -32601, -32602
+ERROR_MESSAGES = {
+    PARSE_ERROR: "Parse error",
+    INVALID_REQUEST: "Invalid Request",
+    METHOD_NOT_FOUND: "Method not found",
+    INVALID_PARAMS: "Invalid params",
+}
+MAX_NESTING = 64  # nesting that any message of ours stays far under; deeper input is refused before it is decoded
 
 Ident = str | int | float | None
 
 
-class Fault(Exception):
+class MalformedRequestError(Exception):
     """What is answered to a malformed request; `ident` is its id where that could be read."""
 
     def __init__(self, code: int, why: str, ident: Ident = None) -> None:
@@ -45,7 +50,7 @@
     error: msgspec.Raw = msgspec.Raw(b"")
 
 
-class Problem(msgspec.Struct):
+class ErrorObject(msgspec.Struct):
     """The error of an answer."""
 
     code: int
@@ -56,7 +61,7 @@
 _requests = msgspec.json.Decoder(_Request)
 _batches = msgspec.json.Decoder(list[msgspec.Raw])
 _answers = msgspec.json.Decoder(_Answer)
-_problems = msgspec.json.Decoder(Problem)
+_problems = msgspec.json.Decoder(ErrorObject)
 _words = msgspec.json.Decoder(str)
 _idents = msgspec.json.Decoder(str | int | float | None)
 encode = msgspec.json.encode
@@ -65,7 +70,7 @@
 def too_deep(data: bytes) -> bool:
     """Whether brackets nest deeper than DEEP. Those inside strings count too, to the safe side, but only where
     the message has so many at all; a payload is judged by what it opens and has not closed."""
-    if data.count(b"[") + data.count(b"{") <= DEEP:
+    if data.count(b"[") + data.count(b"{") <= MAX_NESTING:
         return False
     depth, quoted, skip = 0, False, False
     for byte in data:
@@ -80,7 +85,7 @@
             quoted = True
         elif byte in b"[{":
             depth += 1
-            if depth > DEEP:
+            if depth > MAX_NESTING:
                 return True
         elif byte in b"]}":
             depth -= 1
@@ -98,18 +103,18 @@
     return True
 
 
-def requests(line: bytes) -> Iterable[Request | Fault]:
+def parse_requests(line: bytes) -> Iterable[Request | MalformedRequestError]:
     """The requests of one line, which holds one or a batch; a malformed one comes as its Fault."""
     if not is_text(line):
-        return [Fault(PARSE, "not UTF-8")]
+        return [MalformedRequestError(PARSE_ERROR, "not UTF-8")]
     start = line.lstrip()[:1]
     if start == b"[":
         try:
             parts = _batches.decode(line)
         except (msgspec.MsgspecError, ValueError, RecursionError) as bad:
-            return [Fault(PARSE, f"not JSON: {bad}")]
+            return [MalformedRequestError(PARSE_ERROR, f"not JSON: {bad}")]
         if not parts:
-            return [Fault(INVALID, "an empty batch")]
+            return [MalformedRequestError(INVALID_REQUEST, "an empty batch")]
         return [_request(bytes(part)) for part in parts]
     return [_request(line)]
 
@@ -119,78 +124,78 @@
     return line.lstrip()[:1] == b"["
 
 
-def _request(line: bytes) -> Request | Fault:
+def _request(line: bytes) -> Request | MalformedRequestError:
     try:
         raw = _requests.decode(line)
     except msgspec.ValidationError:
-        return Fault(INVALID, "expected an object")
+        return MalformedRequestError(INVALID_REQUEST, "expected an object")
     except (msgspec.MsgspecError, ValueError, RecursionError) as bad:
-        return Fault(PARSE, f"not JSON: {bad}")
+        return MalformedRequestError(PARSE_ERROR, f"not JSON: {bad}")
     ident, told = None, not raw.id
     if raw.id:
         try:
             ident = _idents.decode(raw.id)
         except (msgspec.MsgspecError, ValueError):
-            return Fault(INVALID, "id: expected a string, a number or null")
+            return MalformedRequestError(INVALID_REQUEST, "id: expected a string, a number or null")
     if bytes(raw.jsonrpc) != b'"2.0"':
-        return Fault(INVALID, 'jsonrpc: expected "2.0"', ident)
+        return MalformedRequestError(INVALID_REQUEST, 'jsonrpc: expected "2.0"', ident)
     try:
         method = _words.decode(raw.method)
     except (msgspec.MsgspecError, ValueError):
-        return Fault(INVALID, "method: expected a string", ident)
+        return MalformedRequestError(INVALID_REQUEST, "method: expected a string", ident)
     params = bytes(raw.params)
     if params and params[:1] not in (b"{", b"["):
-        return Fault(INVALID, "params: expected an object or an array", ident)
+        return MalformedRequestError(INVALID_REQUEST, "params: expected an object or an array", ident)
     return Request(method, params, ident, told)
 
 
-def answer(line: bytes) -> tuple[Ident, bytes | None, Problem | None]:
+def parse_response(line: bytes) -> tuple[Ident, bytes | None, ErrorObject | None]:
     """(id, result, problem) of one answer; raises Fault where it is none."""
     if not is_text(line):
-        raise Fault(PARSE, "not UTF-8")
+        raise MalformedRequestError(PARSE_ERROR, "not UTF-8")
     try:
         raw = _answers.decode(line)
-        problem = _problems.decode(raw.error) if raw.error else None
+        error = _problems.decode(raw.error) if raw.error else None
     except (msgspec.MsgspecError, ValueError, RecursionError) as bad:
-        raise Fault(INVALID, f"not an answer: {bad}") from None
+        raise MalformedRequestError(INVALID_REQUEST, f"not an answer: {bad}") from None
     if bool(raw.result) == bool(raw.error):
-        raise Fault(INVALID, "expected either result or error", raw.id)
-    return raw.id, bytes(raw.result) if raw.result else None, problem
+        raise MalformedRequestError(INVALID_REQUEST, "expected either result or error", raw.id)
+    return raw.id, bytes(raw.result) if raw.result else None, error
 
 
-def request_line(method: str, params: bytes, ident: Ident) -> bytes:
+def request_line(method: str, encoded_params: bytes, ident: Ident) -> bytes:
     """One request, ready to be sent."""
-    return b'{"jsonrpc":"2.0","method":%b,"params":%b,"id":%b}\n' % (encode(method), params, encode(ident))
+    return b'{"jsonrpc":"2.0","method":%b,"params":%b,"id":%b}\n' % (encode(method), encoded_params, encode(ident))
 
 
-def told_line(method: str, params: bytes) -> bytes:
+def notification_line(method: str, encoded_params: bytes) -> bytes:
     """One notification, ready to be sent."""
-    return b'{"jsonrpc":"2.0","method":%b,"params":%b}\n' % (encode(method), params)
+    return b'{"jsonrpc":"2.0","method":%b,"params":%b}\n' % (encode(method), encoded_params)
 
 
-def result(ident: Ident, value: bytes) -> bytes:
+def result_response(ident: Ident, value: bytes) -> bytes:
     """The body of an answer that holds a result."""
     return b'{"jsonrpc":"2.0","result":%b,"id":%b}' % (value, encode(ident))
 
 
-def problem(ident: Ident, code: int, message: str, data: bytes | None = None) -> bytes:
+def error_response(ident: Ident, code: int, message: str, data: bytes | None = None) -> bytes:
     """The body of an answer that holds an error."""
     said = b'{"code":%d,"message":%b%b}' % (code, encode(message), b"" if data is None else b',"data":%b' % data)
     return b'{"jsonrpc":"2.0","error":%b,"id":%b}' % (said, encode(ident))
 
 
-def refusal(fault: Fault) -> bytes:
+def malformed_request_response(fault: MalformedRequestError) -> bytes:
     """The body of the answer to a malformed request; its data says what was expected."""
-    return problem(fault.ident, fault.code, WORDS[fault.code], encode(fault.why))
+    return error_response(fault.ident, fault.code, ERROR_MESSAGES[fault.code], encode(fault.why))
 
 
-def params(kind: type, raw: bytes, ident: Ident):
+def parse_params(kind: type, raw: bytes, ident: Ident):
     """The params of a request, by name; raises Fault with what was expected."""
     if not raw or raw[:1] != b"{":
-        raise Fault(BAD_PARAMS, "params: expected an object", ident)
+        raise MalformedRequestError(INVALID_PARAMS, "params: expected an object", ident)
     if too_deep(raw):
-        raise Fault(BAD_PARAMS, f"params: nested deeper than {DEEP}", ident)
+        raise MalformedRequestError(INVALID_PARAMS, f"params: nested deeper than {MAX_NESTING}", ident)
     try:
         return msgspec.json.decode(raw, type=kind)
     except (msgspec.MsgspecError, ValueError, RecursionError) as bad:
-        raise Fault(BAD_PARAMS, str(bad), ident) from None
+        raise MalformedRequestError(INVALID_PARAMS, str(bad), ident) from None
--- a/wickdyke/timing/routes.py
+++ b/wickdyke/route_policy/matching.py
@@ -46,7 +46,7 @@
         return Pattern(method, program, tenant)
 
 
-def ties(patterns: list[Pattern]) -> list[tuple[int, int, Pattern]]:
+def find_ties(patterns: list[Pattern]) -> list[tuple[int, int, Pattern]]:
     """Pairs of which neither is the more specific, though both take some RPC, and what both take; not those for which
     a third route takes just that. Looked for by program, so that thousands of programs do not meet each other."""
     known = set(patterns)
@@ -75,7 +75,7 @@
     return whole + [wide for end in range(len(stem), -1, -1) if (wide := stem[:end] + ANY) in known and wide != pattern]
 
 
-class Table:
+class RouteTable:
     """Routes by what they take. `looks` counts the looks of the last search."""
 
     def __init__(self, routes: list[tuple[Pattern, Any]]) -> None:
--- a/wickdyke/timing/terms.py
+++ b/wickdyke/route_policy/policy.py
@@ -7,7 +7,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Pause:
+class BackoffPolicy:
     """The wait before a further attempt: `first` ms, times `growth` for each one more, `most` at most; then up to
     `spread` of it is added by chance."""
 
@@ -26,7 +26,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Second:
+class HedgePolicy:
     """Second copies: one more call-out beside the first `after` so many ms without an answer (or after that share
     of the soft deadline by which the usual latency is past), `at_once` at most, for a `share` of the RPCs."""
 
@@ -36,7 +36,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Budget:
+class RetryBudgetPolicy:
     """Further attempts are paid from a budget: within `window` ms at most `floor` plus `share` of the RPCs."""
 
     window: float
@@ -45,7 +45,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Terms:
+class Policy:
     """All that holds for an RPC of a route. Times are ms. Without `attempt` one lasts as long as the RPC. `linger` is
     how long a worker may still be at it past that time where time-outs do not cancel; None where nobody knows."""
 
@@ -54,16 +54,16 @@
     attempt: float | None = None
     linger: float | None = None
     attempts: int = 1
-    pause: Pause = Pause()
+    pause: BackoffPolicy = BackoffPolicy()
     again: frozenset[str] = NEVER_RAN
-    second: Second | None = None
-    budget: Budget | None = None
+    second: HedgePolicy | None = None
+    budget: RetryBudgetPolicy | None = None
     queue: float | None = None
     priority: int = 0
 
 
 @dataclass(slots=True, frozen=True)
-class Ground:
+class Environment:
     """What the deployment gives: whether two call-outs may be out at once, whether a time-out cancels, the time to
     dial (in which a cancel that can't be written is made good by a cut), the answer's way and the desk's tick."""
 
@@ -76,7 +76,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Method:
+class MethodTerms:
     """What the check needs of a method."""
 
     name: str
@@ -86,7 +86,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Part:
+class TimeComponent:
     """One addend of a sum, named as the operator wrote it."""
 
     name: str
@@ -99,7 +99,7 @@
         return self.each * self.times
 
 
-def worst(terms: Terms, ground: Ground, attempts: int | None = None) -> list[Part]:
+def worst_case_schedule(terms: Policy, ground: Environment, attempts: int | None = None) -> list[TimeComponent]:
     """The longest that an RPC with so many attempts can take, from when it is taken to when its answer is there.
 
     It may wait its whole queueing time for a first place, and is looked at a tick later. Each attempt may take all of
@@ -107,21 +107,21 @@
     waits its pause with all its spread, and is looked at a tick after that.
     """
     many = terms.attempts if attempts is None else attempts
-    parts = [Part("queue", 0.0 if terms.queue is None else terms.queue), Part("tick", ground.tick)]
+    parts = [TimeComponent("queue", 0.0 if terms.queue is None else terms.queue), TimeComponent("tick", ground.tick)]
     if terms.attempt is not None:
-        parts += [Part("attempt", terms.attempt, many), Part("dial", ground.dial, many)]
+        parts += [TimeComponent("attempt", terms.attempt, many), TimeComponent("dial", ground.dial, many)]
     pauses = sum(terms.pause.greatest(nth) for nth in range(1, many))
     if many > 1:
-        parts += [Part("pauses with their spread", pauses), Part("tick", ground.tick, many - 1)]
-    return [*parts, Part("answer-way", ground.answer_way)]
+        parts += [TimeComponent("pauses with their spread", pauses), TimeComponent("tick", ground.tick, many - 1)]
+    return [*parts, TimeComponent("answer-way", ground.answer_way)]
 
 
-def total(parts: list[Part]) -> float:
+def total(parts: list[TimeComponent]) -> float:
     """The sum."""
     return sum(part.whole for part in parts)
 
 
-def shown(parts: list[Part]) -> str:
+def format_schedule(parts: list[TimeComponent]) -> str:
     """The sum as a person checks it."""
     addends = [
         f"{part.name} {part.times} x {part.each:g}" if part.times > 1 else f"{part.name} {part.each:g}"
@@ -131,12 +131,15 @@
     return " + ".join(addends) + f" = {total(parts):g} ms"
 
 
-def attempts_that_fit(terms: Terms, ground: Ground) -> int:
+def attempts_that_fit(terms: Policy, ground: Environment) -> int:
     """The most attempts whose longest course ends by the deadline; 0 if not even one does."""
-    return max((n for n in range(1, terms.attempts + 1) if total(worst(terms, ground, n)) <= terms.deadline), default=0)
+    return max(
+        (n for n in range(1, terms.attempts + 1) if total(worst_case_schedule(terms, ground, n)) <= terms.deadline),
+        default=0,
+    )
 
 
-def attempt_that_fits(terms: Terms, ground: Ground) -> float:
+def longest_attempt_that_fits(terms: Policy, ground: Environment) -> float:
     """The longest time for one attempt with which all attempts fit; below 0 if none does."""
-    rest = total(worst(replace(terms, attempt=0.0), ground))
+    rest = total(worst_case_schedule(replace(terms, attempt=0.0), ground))
     return (terms.deadline - rest) / terms.attempts
--- a/wickdyke/timing/proof.py
+++ b/wickdyke/route_policy/proof.py
@@ -9,13 +9,13 @@
 
 import z3
 
-from wickdyke.timing import check
-from wickdyke.timing.terms import Ground, Part, Pause, Terms, total, worst
+from wickdyke.route_policy import validation
+from wickdyke.route_policy.policy import BackoffPolicy, Environment, Policy, TimeComponent, total, worst_case_schedule
 
-Sum = Callable[[Terms, Ground], list[Part]]
+Sum = Callable[[Policy, Environment], list[TimeComponent]]
 
 
-class _Pause(Pause):
+class _Pause(BackoffPolicy):
     """A pause of unknown figures."""
 
     __slots__ = ()
@@ -26,17 +26,17 @@
         return z3.If(self.most < plain, self.most, plain)
 
 
-def _unknown(attempts: int, growth: int) -> tuple[Terms, Ground, list]:
+def _unknown(attempts: int, growth: int) -> tuple[Policy, Environment, list]:
     names = "queue attempt first most spread linger deadline dial way tick"
     queue, attempt, first, most, spread, linger, deadline, dial, way, tick = z3.Reals(names)
     pause = _Pause(first, growth, most, spread)
-    terms = Terms(0.0, deadline, attempt, linger, attempts, pause, queue=queue)
-    ground = Ground(False, True, dial, way, tick, attempts)
+    terms = Policy(0.0, deadline, attempt, linger, attempts, pause, queue=queue)
+    ground = Environment(False, True, dial, way, tick, attempts)
     sane = [value >= 0 for value in (queue, first, spread, linger, dial, way, tick)]
     return terms, ground, [*sane, attempt > 0, deadline > 0, most >= first]
 
 
-def _schedule(terms: Terms, ground: Ground) -> tuple[list, list, object]:
+def _schedule(terms: Policy, ground: Environment) -> tuple[list, list, object]:
     """Any course that the desk and the module can take: (constraints, [(sent, over)], when the answer is there)."""
     begun, asked, spans = z3.Real("begun"), [], []
     rules = [begun >= 0, begun <= terms.queue + ground.tick]
@@ -69,17 +69,17 @@
     return ", ".join(sorted(f"{name} = {model[name]}" for name in model.decls()))
 
 
-def accepted_but_late(attempts: int, growth: int, sum_of: Sum = worst) -> str | None:
+def accepted_but_late(attempts: int, growth: int, sum_of: Sum = worst_case_schedule) -> str | None:
     """A course that ends past the deadline though the sum says it can't; None where there is none."""
     terms, ground, sane = _unknown(attempts, growth)
     rules, _, ends = _schedule(terms, ground)
     return _found([*sane, *rules, total(sum_of(terms, ground)) <= terms.deadline, ends > terms.deadline])
 
 
-def refused_but_in_time(attempts: int, growth: int, sum_of: Sum = worst) -> str | None:
+def refused_but_in_time(attempts: int, growth: int, sum_of: Sum = worst_case_schedule) -> str | None:
     """Terms that the sum refuses though the course shown with the refusal ends in time; None where there are none."""
     terms, ground, sane = _unknown(attempts, growth)
-    ends = check.course(terms, ground)[-1][0]
+    ends = validation.worst_case_course(terms, ground)[-1][0]
     return _found([*sane, total(sum_of(terms, ground)) > terms.deadline, ends <= terms.deadline])
 
 
--- a/wickdyke/timing/change.py
+++ b/wickdyke/route_policy/transition.py
@@ -7,17 +7,17 @@
 
 from dataclasses import dataclass
 
-from wickdyke.timing.routes import Pattern
-from wickdyke.timing.terms import Budget
+from wickdyke.route_policy.matching import Pattern
+from wickdyke.route_policy.policy import RetryBudgetPolicy
 
 
 @dataclass(slots=True, frozen=True)
-class Payer:
+class RetryBudgetUser:
     """A route as far as its budget goes. `lives` is how long an RPC of it may take, in ms."""
 
     name: str
     takes: Pattern
-    budget: Budget | None
+    budget: RetryBudgetPolicy | None
     attempts: int
     lives: float
 
@@ -28,26 +28,26 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Stranded:
+class StrandedRequest:
     """Whose RPCs would be stranded and why; `until` is when the last of them is answered, None while more come."""
 
-    payer: Payer
+    payer: RetryBudgetUser
     why: str
     until: float | None
 
 
-class Succession:
+class PolicyTransition:
     """The routes in force, and those of earlier files whose RPCs may be in flight still."""
 
     def __init__(self) -> None:
-        self.now_held: list[Payer] = []
-        self.earlier: list[tuple[float, Payer]] = []
+        self.now_held: list[RetryBudgetUser] = []
+        self.earlier: list[tuple[float, RetryBudgetUser]] = []
 
-    def strands(self, new: list[Payer], now: float) -> list[Stranded]:
+    def strands(self, new: list[RetryBudgetUser], now: float) -> list[StrandedRequest]:
         """What would be stranded if `new` came into force now."""
         named = {payer.name: payer for payer in new}
         found = [
-            Stranded(payer, why, until)
+            StrandedRequest(payer, why, until)
             for payer, until in [
                 *((payer, None) for payer in self.now_held),
                 *((payer, until) for until, payer in self.earlier if until > now),
@@ -56,14 +56,14 @@
         ]
         return list({(each.payer, each.until): each for each in found}.values())
 
-    def follow(self, new: list[Payer], now: float) -> None:
+    def follow(self, new: list[RetryBudgetUser], now: float) -> None:
         """`new` is in force from now on."""
         self.earlier = [(until, payer) for until, payer in self.earlier if until > now]
         self.earlier += [(now + payer.lives, payer) for payer in self.now_held if payer.hangs and payer not in new]
         self.now_held = list(new)
 
 
-def _cut_off(old: Payer, heir: Payer | None, new: list[Payer]) -> str:
+def _cut_off(old: RetryBudgetUser, heir: RetryBudgetUser | None, new: list[RetryBudgetUser]) -> str:
     """Why nothing would be paid in for the old route's RPCs any more; empty where something still is."""
     if heir is None:
         return "is gone"
--- a/wickdyke/timing/check.py
+++ b/wickdyke/route_policy/validation.py
@@ -5,12 +5,21 @@
 
 from dataclasses import dataclass
 
-from wickdyke.timing.terms import NEVER_RAN, Ground, Method, Terms, attempt_that_fits, attempts_that_fit
-from wickdyke.timing.terms import shown, total, worst
+from wickdyke.route_policy.policy import (
+    NEVER_RAN,
+    Environment,
+    MethodTerms,
+    Policy,
+    attempts_that_fit,
+    format_schedule,
+    longest_attempt_that_fits,
+    total,
+    worst_case_schedule,
+)
 
 
 @dataclass(slots=True, frozen=True)
-class Refusal:
+class Violation:
     """Why terms are refused: the field at fault, what was found, what was expected, the nearest that passes, and a
     schedule that shows the harm (empty where the harm is no matter of time)."""
 
@@ -21,7 +30,7 @@
     schedule: tuple[tuple[float, str], ...] = ()
 
 
-def course(terms: Terms, ground: Ground) -> tuple[tuple[float, str], ...]:
+def worst_case_course(terms: Policy, ground: Environment) -> tuple[tuple[float, str], ...]:
     """The longest course an RPC can take under these terms."""
     at, events = 0.0, [(0.0, "taken")]
     at += (0.0 if terms.queue is None else terms.queue) + ground.tick
@@ -35,9 +44,9 @@
     return (*events, (at + ground.answer_way, "the answer is there"))
 
 
-def check(terms: Terms, method: Method, ground: Ground) -> list[Refusal]:
+def validate(terms: Policy, method: MethodTerms, ground: Environment) -> list[Violation]:
     """All that is wrong with the terms of one route for one method, each once."""
-    found: list[Refusal] = []
+    found: list[Violation] = []
     _deadlines(terms, ground, found)
     _counts(terms, ground, found)
     _at_once(terms, ground, found)
@@ -46,40 +55,40 @@
     return found
 
 
-def _deadlines(terms: Terms, ground: Ground, found: list[Refusal]) -> None:
+def _deadlines(terms: Policy, ground: Environment, found: list[Violation]) -> None:
     if terms.soft >= terms.deadline:
         found.append(
-            Refusal(
+            Violation(
                 "soft-deadline",
                 f"a soft deadline of {terms.soft:g} ms",
                 f"one before the deadline, {terms.deadline:g} ms",
             )
         )
         return
-    parts = worst(terms, ground)
+    parts = worst_case_schedule(terms, ground)
     if total(parts) <= terms.deadline:
         return
-    many, long = attempts_that_fit(terms, ground), attempt_that_fits(terms, ground)
+    many, long = attempts_that_fit(terms, ground), longest_attempt_that_fits(terms, ground)
     near = [f"(attempts {many})"] if many and many < terms.attempts else []
     near += [f"(attempt {int(long)} ms)"] if terms.attempt is not None and long >= 1 else []
     rest = terms.deadline - total(parts) + (terms.queue or 0.0)
     near += [f"(queue {int(rest)} ms)"] if terms.queue and rest >= 0 else []
     near = near or [f"(deadline {int(-(-total(parts) // 1))} ms)"]
     found.append(
-        Refusal(
+        Violation(
             "attempts" if terms.attempts > 1 else "deadline",
-            f"{terms.attempts} attempts that can take {shown(parts)}",
+            f"{terms.attempts} attempts that can take {format_schedule(parts)}",
             f"at most the deadline, {terms.deadline:g} ms",
             " or ".join(near),
-            course(terms, ground),
+            worst_case_course(terms, ground),
         )
     )
 
 
-def _counts(terms: Terms, ground: Ground, found: list[Refusal]) -> None:
+def _counts(terms: Policy, ground: Environment, found: list[Violation]) -> None:
     if terms.attempts > ground.call_outs:
         found.append(
-            Refusal(
+            Violation(
                 "attempts",
                 f"{terms.attempts} attempts",
                 f"at most the {ground.call_outs} call-outs of (call-outs (most ...))",
@@ -88,7 +97,7 @@
         )
     if terms.pause.most < terms.pause.first:
         found.append(
-            Refusal(
+            Violation(
                 "pause",
                 f"a first pause of {terms.pause.first:g} ms over the most of {terms.pause.most:g} ms",
                 "the first at most the most",
@@ -97,7 +106,7 @@
         )
     if "timeout" in terms.again and terms.attempt is None and terms.attempts > 1:
         found.append(
-            Refusal(
+            Violation(
                 "again",
                 "timeout tried again, and no time for one attempt",
                 "(attempt TIME): without it the time-out is the RPC's own end",
@@ -105,12 +114,12 @@
         )
 
 
-def _at_once(terms: Terms, ground: Ground, found: list[Refusal]) -> None:
+def _at_once(terms: Policy, ground: Environment, found: list[Violation]) -> None:
     second = terms.second
     if second is not None:
         if not ground.overlap:
             found.append(
-                Refusal(
+                Violation(
                     "second",
                     f"a second copy after {second.after:g} ms",
                     "none: this deployment forbids two call-outs at once",
@@ -120,7 +129,7 @@
             )
         elif terms.attempts < second.at_once:
             found.append(
-                Refusal(
+                Violation(
                     "second",
                     f"{second.at_once} at once of {terms.attempts} attempts in all",
                     "an attempt for each copy",
@@ -129,7 +138,7 @@
             )
         elif terms.attempt is not None and second.after >= terms.attempt:
             found.append(
-                Refusal(
+                Violation(
                     "second",
                     f"a second copy after {second.after:g} ms",
                     f"one before the attempt's time is up, {terms.attempt:g} ms",
@@ -138,7 +147,7 @@
             )
         elif second.after >= terms.deadline - ground.answer_way:
             found.append(
-                Refusal(
+                Violation(
                     "second",
                     f"a second copy after {second.after:g} ms",
                     f"one before the client gives up, {terms.deadline:g} ms",
@@ -152,7 +161,7 @@
         rest = "for as long as its worker likes" if terms.linger is None else f"for {terms.linger:g} ms more"
         sent = terms.attempt + least
         found.append(
-            Refusal(
+            Violation(
                 "pause",
                 f"a pause of {least:g} ms after a time-out that does not cancel, its call-out out {rest}",
                 "no two call-outs at once",
@@ -168,12 +177,12 @@
         )
 
 
-def _effects(terms: Terms, method: Method, ground: Ground, found: list[Refusal]) -> None:
+def _effects(terms: Policy, method: MethodTerms, ground: Environment, found: list[Violation]) -> None:
     may_have_run = sorted(terms.again - NEVER_RAN)
     if method.effect == "side-effecting":
         if terms.second is not None:
             found.append(
-                Refusal(
+                Violation(
                     "second",
                     f'a second copy of "{method.name}"',
                     "none: it is side-effecting",
@@ -182,7 +191,7 @@
             )
         if may_have_run and terms.attempts > 1:
             found.append(
-                Refusal(
+                Violation(
                     "again",
                     f'"{method.name}" tried again after {", ".join(may_have_run)}',
                     "only what never ran: it is side-effecting",
@@ -197,11 +206,11 @@
     elif method.effect == "tokened" and may_have_run and terms.attempts > 1:
         if terms.attempt is None:
             return  # the module sends none past the window; the course is as long as the RPC
-        parts = [part for part in worst(terms, ground) if part.name not in ("queue", "answer-way")][1:]
+        parts = [part for part in worst_case_schedule(terms, ground) if part.name not in ("queue", "answer-way")][1:]
         span = total(parts) - terms.attempt - ground.dial
         if span > method.window:
             found.append(
-                Refusal(
+                Violation(
                     "attempts",
                     f'"{method.name}" sent again up to {span:g} ms after its first attempt',
                     f"at most its window, {method.window:g} ms",
@@ -213,15 +222,15 @@
             )
 
 
-def _budget(terms: Terms, found: list[Refusal]) -> None:
+def _budget(terms: Policy, found: list[Violation]) -> None:
     budget = terms.budget
     if budget is None:
         return
     if not budget.window:
-        found.append(Refusal("budget", "a budget over a window of 0 ms", "a window", "(window 10 s)"))
+        found.append(Violation("budget", "a budget over a window of 0 ms", "a window", "(window 10 s)"))
     elif budget.floor < 1 and not budget.share:
         found.append(
-            Refusal(
+            Violation(
                 "budget",
                 f"a floor of {budget.floor:g} and no share",
                 "a budget that can pay one further attempt",
@@ -230,7 +239,7 @@
         )
     elif terms.attempts == 1 and terms.second is None:
         found.append(
-            Refusal(
+            Violation(
                 "budget",
                 "a budget and one attempt in all",
                 "further attempts that it could pay",
--- a/wickdyke/routing/dispatcher.py
+++ b/wickdyke/routing/dispatcher.py
@@ -5,8 +5,8 @@
 from dataclasses import dataclass, field
 from heapq import heappush
 
-from wickdyke.routing.fleet import Fleet
 from wickdyke.routing.decisions import Cancel, Decision, Fail, Forward, Reject
+from wickdyke.routing.fleet import Fleet
 from wickdyke.routing.latency import (
     OVERDUE_FACTOR,
     OVERDUE_LEAST,
--- a/wickdyke/routing/router.py
+++ b/wickdyke/routing/router.py
@@ -8,12 +8,12 @@
 from math import inf
 
 from wickdyke.routing.cells import Cell
-from wickdyke.routing.fleet import Fleet
 from wickdyke.routing.concurrency import LIMIT_START
 from wickdyke.routing.control_budget import ControlBudget
 from wickdyke.routing.decisions import Decision, FollowEndpoints, LogNote
 from wickdyke.routing.demand import CALLS_KEPT
 from wickdyke.routing.dispatcher import Dispatcher
+from wickdyke.routing.fleet import Fleet
 from wickdyke.routing.health_checks import CHECK_EVERY, CHECK_SOON, HealthChecker
 from wickdyke.routing.latency import DURATIONS_KEPT, OBJECTIVE_SHARES_KEPT, LatencyEstimator, is_overdue
 from wickdyke.routing.model import Endpoint, Function, Outcome, Request, RequestClass, RoutePolicy, Worker
--- a/wickdyke/routing/slow_start.py
+++ b/wickdyke/routing/slow_start.py
@@ -5,7 +5,7 @@
 
 from wickdyke.routing.cells import Cell
 from wickdyke.routing.latency import WORK_GUESS, WORKER_RECORDS
-from wickdyke.routing.model import EndpointState, Request, WorkSample, Worker
+from wickdyke.routing.model import EndpointState, Request, Worker, WorkSample
 from wickdyke.routing.samples import mean, pooled_mean, trim
 from wickdyke.routing.seeded_random import hash_fraction
 from wickdyke.routing.settings import GatewayInstance, SlowStart
--- a/wickdyke/simulator/__main__.py
+++ b/wickdyke/simulator/__main__.py
@@ -4,8 +4,8 @@
 import os
 import sys
 
+from wickdyke.config.deployment_settings import InvalidInputError
 from wickdyke.simulator.host import Host
-from wickdyke.settings.terms import BadInput
 
 # Hundreds of gateways keep so many objects that walking them takes a good part of the time. Nearly all are freed by
 # their reference counts; the few cycles can wait longer.
@@ -22,7 +22,7 @@
         for reply in Host().replies(source):
             sink.write(reply)
             sink.flush()
-    except BadInput as error:
+    except InvalidInputError as error:
         print(f"wickdyke.simulator: {error}", file=sys.stderr)
         return 2
     except BrokenPipeError:
--- a/wickdyke/simulator/codec.py
+++ b/wickdyke/simulator/codec.py
@@ -3,10 +3,20 @@
 from collections.abc import Callable, Iterable, Iterator
 from dataclasses import dataclass
 
+from wickdyke.config.deployment_settings import (
+    InvalidInputError,
+    count,
+    flag,
+    integer,
+    number,
+    one_of,
+    optional,
+    span,
+    word,
+)
 from wickdyke.routing import decisions
 from wickdyke.routing.decisions import Decision
 from wickdyke.routing.model import Endpoint, EndpointState, LoadNote, Outcome
-from wickdyke.settings.terms import BadInput, count, flag, maybe, number, one_of, span, whole, word
 
 TEXT_SHOWN = 40  # characters of a value that an error message repeats
 MICROS = 1000  # in a ms
@@ -47,8 +57,8 @@
     "FLEET": (
         ("instance", count),
         ("mode", one_of({m: m for m in "0123"})),
-        ("revision", maybe(whole)),
-        ("entries", maybe(count)),
+        ("revision", optional(integer)),
+        ("entries", optional(count)),
     ),
     "NEW_REQUEST": (
         ("instance", count),
@@ -57,10 +67,10 @@
         ("left", span),
         ("class", count),
         ("routine", word),
-        ("effort", maybe(span)),
-        ("project", maybe(count)),
+        ("effort", optional(span)),
+        ("project", optional(count)),
         ("footprint-mb", number),
-        ("load-time-ms", maybe(number)),
+        ("load-time-ms", optional(number)),
         ("parallel", number),
     ),
     "FIRST_BYTE": (
@@ -78,8 +88,8 @@
         ("reason", outcome),
         ("latency", span),
         ("complete", flag),
-        ("note", maybe(count)),
-        ("health-info", maybe(report)),
+        ("note", optional(count)),
+        ("health-info", optional(report)),
     ),
     "ABORTED": (("instance", count), ("id", count)),
     "WAKEUP": (("instance", count), ("cookie", count)),
@@ -88,9 +98,9 @@
         ("worker", word),
         ("reason", outcome),
         ("latency", span),
-        ("health-info", maybe(report)),
+        ("health-info", optional(report)),
     ),
-    "MEMO": (("instance", count), ("src", count), ("raw", maybe(raw))),
+    "MEMO": (("instance", count), ("src", count), ("raw", optional(raw))),
     "BROUGHT_UP": (
         ("instance", count),
         ("reason", outcome),
@@ -104,23 +114,23 @@
     ("worker", word),
     ("rack-zone", count),
     ("sku", count),
-    ("cluster", maybe(whole)),
+    ("cluster", optional(integer)),
     ("lifecycle", one_of(STATES)),
-    ("capacity-hint", maybe(number)),
-    ("born", maybe(whole)),
+    ("capacity-hint", optional(number)),
+    ("born", optional(integer)),
 )
 
 
 def read_values(name: str, values: list[str], fields: Fields) -> list:
     """Reads the values of one message."""
     if len(values) != len(fields):
-        raise BadInput(f"{name}: expected {len(fields)} values, got {len(values)}")
+        raise InvalidInputError(f"{name}: expected {len(fields)} values, got {len(values)}")
     read = []
     for (label, reader), text in zip(fields, values, strict=True):
         try:
             read.append(reader(text))
         except ValueError as error:
-            raise BadInput(f"{name}: {label} is {text[:TEXT_SHOWN]!r}, expected {error}") from None
+            raise InvalidInputError(f"{name}: {label} is {text[:TEXT_SHOWN]!r}, expected {error}") from None
     return read
 
 
@@ -209,7 +219,7 @@
     try:
         for number_read, text in enumerate(source, 1):
             if not text.endswith("\n"):
-                raise BadInput(f"line {number_read}: {text[:TEXT_SHOWN]!r}: expected the line to end")
+                raise InvalidInputError(f"line {number_read}: {text[:TEXT_SHOWN]!r}: expected the line to end")
             yield number_read, text[:-1].split("\t")
     except UnicodeDecodeError:
-        raise BadInput(f"line {number_read + 1}: expected UTF-8 text") from None
+        raise InvalidInputError(f"line {number_read + 1}: expected UTF-8 text") from None
--- a/wickdyke/simulator/host.py
+++ b/wickdyke/simulator/host.py
@@ -4,8 +4,8 @@
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass, field
 
+from wickdyke.config.deployment_settings import InvalidInputError, from_pairs, router_settings
 from wickdyke.routing.router import Router
-from wickdyke.settings.terms import BadInput, paired, start
 from wickdyke.simulator import codec
 
 Lines = Iterator[tuple[int, list[str]]]
@@ -48,9 +48,11 @@
             self.line_number = number
             try:
                 yield self._batch(lines, name, values)
-            except BadInput as error:
+            except InvalidInputError as error:
                 text = str(error)
-                raise BadInput(text if text.startswith("line ") else f"line {self.line_number}: {text}") from None
+                raise InvalidInputError(
+                    text if text.startswith("line ") else f"line {self.line_number}: {text}"
+                ) from None
 
     # ---- one batch ----
 
@@ -63,7 +65,7 @@
                 break
             self._event(lines, name, values, batch)
         if values:
-            raise BadInput("END: expected no values")
+            raise InvalidInputError("END: expected no values")
         reply: list[str] = []
         for ident in batch.touched:
             reply += self._reply_lines(ident, batch)
@@ -71,17 +73,17 @@
 
     def _set_clock(self, name: str, values: list[str]) -> None:
         if name != "MARK":
-            raise BadInput(f"{name[: codec.TEXT_SHOWN]!r}, expected MARK")
+            raise InvalidInputError(f"{name[: codec.TEXT_SHOWN]!r}, expected MARK")
         (now,) = codec.read_values("MARK", values, (("clock", codec.span),))
         if now < self.now:
-            raise BadInput(f"MARK: the clock is {now}, expected at least {self.now}")
+            raise InvalidInputError(f"MARK: the clock is {now}, expected at least {self.now}")
         self.now = now
 
     def _next_line(self, lines: Lines) -> tuple[str, list[str]]:
         for number, (name, *values) in lines:
             self.line_number = number
             return name, values
-        raise BadInput(f"line {self.line_number + 1}: the input stops inside a batch, expected END")
+        raise InvalidInputError(f"line {self.line_number + 1}: the input stops inside a batch, expected END")
 
     def _reply_lines(self, ident: int, batch: Batch) -> list[str]:
         reply: list[str] = []
@@ -112,12 +114,12 @@
             self._start(values, batch)
             return
         if name not in codec.EVENTS:
-            raise BadInput(f"{name[: codec.TEXT_SHOWN]!r}, expected an event or END")
+            raise InvalidInputError(f"{name[: codec.TEXT_SHOWN]!r}, expected an event or END")
         event_line = self.line_number
         ident, *fields = codec.read_values(name, values, codec.EVENTS[name])
         instance = self.instances.get(ident)
         if instance is None:
-            raise BadInput(f"{name}: the instance {ident} is not known, expected one that was started")
+            raise InvalidInputError(f"{name}: the instance {ident} is not known, expected one that was started")
         if name == "HALT":
             del self.instances[ident]
             batch.touched.pop(ident, None)
@@ -128,16 +130,16 @@
         batch.touched[ident] = None
         try:
             self._inform(instance, name, fields)
-        except BadInput as error:
-            raise BadInput(f"line {event_line}: {error}") from None
+        except InvalidInputError as error:
+            raise InvalidInputError(f"line {event_line}: {error}") from None
         except Exception as error:
             batch.fail(ident, error)
 
     def _start(self, values: list[str], batch: Batch) -> None:
         if len(values) < 2:
-            raise BadInput("POWER_ON: expected an instance, a seed and the settings")
+            raise InvalidInputError("POWER_ON: expected an instance, a seed and the settings")
         ident, seed = codec.read_values("POWER_ON", values[:2], (("instance", codec.count), ("seed", codec.count)))
-        settings = start(paired(values[2:]))
+        settings = router_settings(from_pairs(values[2:]))
         batch.touched[ident] = None
         self.instances[ident] = Instance(Router(self.now, seed, **settings))
 
@@ -146,7 +148,7 @@
         for _ in range(entries):
             name, values = self._next_line(lines)
             if name != "ROW":
-                raise BadInput(f"{name[: codec.TEXT_SHOWN]!r}, expected a ROW ({entries} were announced)")
+                raise InvalidInputError(f"{name[: codec.TEXT_SHOWN]!r}, expected a ROW ({entries} were announced)")
             endpoints.append(codec.read_endpoint(values))
         return endpoints
 
@@ -180,7 +182,7 @@
 def _request_received(router: Router, fields: list) -> None:
     ident, bits, left, request_class, function, work, _, memory, load, concurrency = fields
     if request_class >= len(router.request_classes):
-        raise BadInput(f"NEW_REQUEST: class is {request_class}, expected one of the settings")
+        raise InvalidInputError(f"NEW_REQUEST: class is {request_class}, expected one of the settings")
     router.request_received(
         ident,
         left,
--- a/wickdyke/transport/line_server.py
+++ b/wickdyke/transport/line_server.py
@@ -9,11 +9,11 @@
 from collections.abc import Callable
 from typing import TextIO
 
+from wickdyke.config import address as addresses
 from wickdyke.protocol import jsonrpc
-from wickdyke.protocol.lines import Lines, TooLong
-from wickdyke.settings import address as addresses
+from wickdyke.protocol.framing import LineReader, LineTooLongError
 from wickdyke.transport.acceptor import Acceptor
-from wickdyke.transport.write_buffer import WriteBuffer, OutgoingMessage, PeerTooSlow
+from wickdyke.transport.write_buffer import OutgoingMessage, PeerTooSlow, WriteBuffer
 
 LINE_SIZE_MOST = 64 << 20  # bytes
 UNREAD_MOST = 64 << 20  # bytes that may wait for one peer
@@ -151,13 +151,13 @@
         super().__init__(address, self._read)
 
     def _read(self, sock: socket.socket) -> None:
-        wire, lines = LineConnection(sock), Lines(self.line_size)
+        wire, lines = LineConnection(sock), LineReader(self.line_size)
         self.wires.add(wire)
         try:
             while data := sock.recv(READ_SIZE):
                 for line in lines.feed(data):
                     self._handle(wire, line)
-        except (OSError, TooLong):
+        except (OSError, LineTooLongError):
             pass
         finally:
             wire.open = False
@@ -168,8 +168,8 @@
                 wire.box.close()
 
     def _handle(self, wire: LineConnection, line: bytes) -> None:
-        for request in jsonrpc.requests(line):
-            if isinstance(request, jsonrpc.Fault):
-                wire.say(jsonrpc.refusal(request))
+        for request in jsonrpc.parse_requests(line):
+            if isinstance(request, jsonrpc.MalformedRequestError):
+                wire.say(jsonrpc.malformed_request_response(request))
             else:
                 self.on_request(wire, request)
--- a/wickdyke/worker/cache.py
+++ b/wickdyke/worker/cache.py
@@ -81,7 +81,7 @@
             self._stamp(name)
             try:
                 return self._read(name), whole
-            except (OSError, package.Unusable) as bad:
+            except (OSError, package.InvalidConfigError) as bad:
                 problem = bad
                 self.give(digest)
                 self._forget(name)
--- a/wickdyke/worker/gateway_server.py
+++ b/wickdyke/worker/gateway_server.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from wickdyke.protocol import back, jsonrpc
+from wickdyke.protocol import jsonrpc, worker_messages
 from wickdyke.transport.line_server import LineConnection, LineServer
 from wickdyke.worker.open_requests import OpenRequests, Recorder, RequestKey
 from wickdyke.worker.schedule_runner import ScheduleRunner, monotonic_ms
@@ -49,51 +49,51 @@
         method = self.methods.get(request.method)
         if method is None:
             if not request.told:
-                connection.say(jsonrpc.problem(request.ident, jsonrpc.NO_METHOD, "Method not found"))
+                connection.say(jsonrpc.error_response(request.ident, jsonrpc.METHOD_NOT_FOUND, "Method not found"))
             return
         try:
             method(connection, request)
         except msgspec.MsgspecError as error:
             if not request.told:
                 text = f"Invalid params: {error}"[:ERROR_TEXT_MOST]
-                connection.say(jsonrpc.problem(request.ident, jsonrpc.BAD_PARAMS, text))
+                connection.say(jsonrpc.error_response(request.ident, jsonrpc.INVALID_PARAMS, text))
 
     def _hello(self, connection: LineConnection, request: jsonrpc.Request) -> None:
-        connection.who = msgspec.json.decode(request.params, type=back.Hello).gateway
+        connection.who = msgspec.json.decode(request.params, type=worker_messages.GatewayHello).gateway
         self.record("hello", gateway=connection.who, start=self.start)
         up_ms, draining = monotonic_ms() - self.started_at, self.runner.schedule.draining
-        standing = back.Standing(back.VERSION, self.name, self.start, up_ms, draining)
-        connection.say(jsonrpc.result(request.ident, jsonrpc.encode(standing)))
+        standing = worker_messages.WorkerHello(worker_messages.VERSION, self.name, self.start, up_ms, draining)
+        connection.say(jsonrpc.result_response(request.ident, jsonrpc.encode(standing)))
 
     def _check_health(self, connection: LineConnection, request: jsonrpc.Request) -> None:
         with self.runner.lock:
-            body = jsonrpc.encode(back.Probed(self.open_requests.load_report()))
-        connection.say(jsonrpc.result(request.ident, body))
+            body = jsonrpc.encode(worker_messages.HealthReport(self.open_requests.load_report()))
+        connection.say(jsonrpc.result_response(request.ident, body))
 
     def _run(self, connection: LineConnection, request: jsonrpc.Request) -> None:
-        run = msgspec.json.decode(request.params, type=back.Run)
+        run = msgspec.json.decode(request.params, type=worker_messages.RunRequest)
         key = RequestKey(connection, request.ident)
         with self.runner.event() as schedule:
             if key in self.open_requests or request.ident is None:
-                connection.say(jsonrpc.problem(None, jsonrpc.INVALID, "an id that is in use, or none"))
+                connection.say(jsonrpc.error_response(None, jsonrpc.INVALID_REQUEST, "an id that is in use, or none"))
                 return
             self.open_requests.add(key, run)
-            schedule.submit(key, run.program, run.memory_mb, run.lanes, run.time_left_ms)
+            schedule.submit(key, run.function, run.memory_mb, run.concurrency, run.time_left_ms)
 
     def _prewarm(self, connection: LineConnection, request: jsonrpc.Request) -> None:
-        hold = msgspec.json.decode(request.params, type=back.Hold)
+        hold = msgspec.json.decode(request.params, type=worker_messages.PrewarmRequest)
         with self.runner.event() as schedule:
-            self.record("hold", gateway=connection.who, program=hold.program, copies=hold.copies, start=self.start)
+            self.record("hold", gateway=connection.who, program=hold.function, copies=hold.replicas, start=self.start)
             key = RequestKey(connection, request.ident)
-            schedule.prewarm(key, hold.program, hold.memory_mb, hold.lanes, hold.copies)
+            schedule.prewarm(key, hold.function, hold.memory_mb, hold.concurrency, hold.replicas)
 
     def _unload_idle(self, connection: LineConnection, request: jsonrpc.Request) -> None:
-        drop = msgspec.json.decode(request.params, type=back.Drop)
+        drop = msgspec.json.decode(request.params, type=worker_messages.UnloadRequest)
         with self.runner.event() as schedule:
-            schedule.unload_idle(drop.program)
+            schedule.unload_idle(drop.function)
 
     def _cancel(self, connection: LineConnection, request: jsonrpc.Request) -> None:
-        cancel = msgspec.json.decode(request.params, type=back.Cancel)
+        cancel = msgspec.json.decode(request.params, type=worker_messages.CancelRequest)
         with self.runner.event() as schedule:
             key = RequestKey(connection, cancel.id)
             self.open_requests.withdraw(key, "cancelled")
--- a/wickdyke/worker/open_requests.py
+++ b/wickdyke/worker/open_requests.py
@@ -6,20 +6,20 @@
 
 import msgspec
 
-from wickdyke.protocol import back, jsonrpc
+from wickdyke.protocol import jsonrpc, worker_messages
 from wickdyke.transport.line_server import LineConnection
 from wickdyke.worker.model import PrewarmRequest, Rejection, Request
 from wickdyke.worker.schedule import Schedule
 
 ERROR_CODES = {
-    Rejection.FULL: back.FULL,
-    Rejection.MISS: back.MISS,
-    Rejection.FAILED: back.FAILED,
-    Rejection.DRAINING: back.DRAINING,
-    Rejection.OUT_OF_TIME: back.OUT_OF_TIME,
-    Rejection.ENDED: back.ENDED,
+    Rejection.FULL: worker_messages.FULL,
+    Rejection.MISS: worker_messages.MISS,
+    Rejection.FAILED: worker_messages.FAILED,
+    Rejection.DRAINING: worker_messages.DRAINING,
+    Rejection.OUT_OF_TIME: worker_messages.DEADLINE_EXCEEDED,
+    Rejection.ENDED: worker_messages.REPLICA_ENDED,
 }
-PREWARM_ERROR_CODES = ERROR_CODES | {Rejection.MISS: back.FAILED}
+PREWARM_ERROR_CODES = ERROR_CODES | {Rejection.MISS: worker_messages.FAILED}
 ERROR_MESSAGES = {
     Rejection.FULL: "full",
     Rejection.MISS: "the load failed",
@@ -51,7 +51,7 @@
 class OpenRequest:
     """A request that is not answered yet. `job` is its number in the recording."""
 
-    run: back.Run
+    run: worker_messages.RunRequest
     mark: str
     job: int
 
@@ -71,7 +71,7 @@
     def __contains__(self, key: RequestKey) -> bool:
         return key in self.open
 
-    def add(self, key: RequestKey, run: back.Run) -> None:
+    def add(self, key: RequestKey, run: worker_messages.RunRequest) -> None:
         """A request came."""
         self.last_job += 1
         mark = _request_mark(run.input) if self.recording else RequestMark()
@@ -79,9 +79,9 @@
             "run",
             mark=mark.mark,
             gateway=key.connection.who,
-            program=run.program,
+            program=run.function,
             work=mark.work_ms,
-            token=run.token,
+            token=run.idempotency_key,
             start=self.start,
             job=self.last_job,
         )
@@ -108,8 +108,8 @@
         """The function's result."""
         held = self.open.pop(request.key)
         self._record_end(request.key, held, "ok")
-        ran = back.Ran(output, request.load_note, min(PEERS_MOST, request.peers), self.load_report())
-        request.key.connection.say(jsonrpc.result(request.key.ident, jsonrpc.encode(ran)))
+        ran = worker_messages.RunResult(output, request.load_note, min(PEERS_MOST, request.peers), self.load_report())
+        request.key.connection.say(jsonrpc.result_response(request.key.ident, jsonrpc.encode(ran)))
 
     def fail(self, request: Request, message: str) -> None:
         """The function's error. In the recording it ended well: the function did run."""
@@ -125,8 +125,8 @@
             return
         self._record_end(request.key, held, recorded)
         peers = min(PEERS_MOST, request.peers)
-        data = back.Told(peers, self.load_report(), self.schedule.draining, request.lost_together)
-        problem = jsonrpc.problem(request.key.ident, ERROR_CODES[rejection], message, jsonrpc.encode(data))
+        data = worker_messages.RunErrorData(peers, self.load_report(), self.schedule.draining, request.lost_together)
+        problem = jsonrpc.error_response(request.key.ident, ERROR_CODES[rejection], message, jsonrpc.encode(data))
         request.key.connection.say(problem)
 
     def _record_end(self, key: RequestKey, held: OpenRequest, how: str) -> None:
@@ -136,13 +136,15 @@
 def answer_prewarm(prewarm: PrewarmRequest, ready: int) -> None:
     """Answers that so many replicas are ready."""
     key = prewarm.key
-    key.connection.say(jsonrpc.result(key.ident, jsonrpc.encode(back.Held(ready))))
+    key.connection.say(jsonrpc.result_response(key.ident, jsonrpc.encode(worker_messages.PrewarmResult(ready))))
 
 
 def reject_prewarm(prewarm: PrewarmRequest, rejection: Rejection, ready: int) -> None:
     """Answers with an error; so many replicas are ready."""
     key, code, message = prewarm.key, PREWARM_ERROR_CODES[rejection], ERROR_MESSAGES[rejection]
-    key.connection.say(jsonrpc.problem(key.ident, code, message, jsonrpc.encode(back.Held(ready))))
+    key.connection.say(
+        jsonrpc.error_response(key.ident, code, message, jsonrpc.encode(worker_messages.PrewarmResult(ready)))
+    )
 
 
 def _record_nothing(what: str, **values: object) -> None:
--- a/wickdyke/worker/package.py
+++ b/wickdyke/worker/package.py
@@ -17,9 +17,9 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from wickdyke.settings import check, sexp
-from wickdyke.settings.check import Field, Notes, count, record, size, span, text
-from wickdyke.settings.sexp import Atom, Form, Spot, Trouble, Unusable
+from wickdyke.config import schema, sexpr
+from wickdyke.config.schema import Diagnostics, Field, count, record, size, span, text
+from wickdyke.config.sexpr import Atom, Diagnostic, Expression, InvalidConfigError, SourceLocation
 
 MANIFEST = "package.sexp"
 FILES, BYTES = 10_000, 2 << 30  # of one package; more is refused
@@ -42,11 +42,11 @@
     run_time: float
     environment: tuple[tuple[str, str], ...]
     digest: str | None
-    spot: Spot
+    spot: SourceLocation
 
 
-def _matching(pattern: re.Pattern, expected: str) -> check.Reader:
-    def reader(form: Form, notes: Notes) -> str | None:
+def _matching(pattern: re.Pattern, expected: str) -> schema.Reader:
+    def reader(form: Expression, notes: Diagnostics) -> str | None:
         value = text(form, notes)
         if value is not None and not pattern.fullmatch(value):
             notes.add(form.items[0].spot, form.items[0].text, expected)
@@ -56,13 +56,13 @@
     return reader
 
 
-def _environment(form: Form, notes: Notes) -> tuple[tuple[str, str], ...]:
+def _environment(form: Expression, notes: Diagnostics) -> tuple[tuple[str, str], ...]:
     """(environment (set "KEY" "value") ...)"""
     found: dict[str, str] = {}
     for item in form.items:
-        kinds = [each.kind for each in item.items if isinstance(each, Atom)] if isinstance(item, Form) else []
-        if not isinstance(item, Form) or item.name != "set" or kinds != ["string", "string"]:
-            notes.add(item.spot, check.shown(item), '(set "NAME" "VALUE")')
+        kinds = [each.kind for each in item.items if isinstance(each, Atom)] if isinstance(item, Expression) else []
+        if not isinstance(item, Expression) or item.name != "set" or kinds != ["string", "string"]:
+            notes.add(item.spot, schema.describe(item), '(set "NAME" "VALUE")')
             continue
         key, value = (str(each.value) for each in item.items)
         if not key or "=" in key or "\0" in key + value:
@@ -90,11 +90,13 @@
 def manifest(content: bytes, path: str) -> Manifest:
     """The manifest in these bytes; raises Unusable with all that is wrong."""
     try:
-        forms = sexp.parse(content.decode("utf-8"), path)
+        forms = sexpr.parse(content.decode("utf-8"), path)
     except UnicodeDecodeError as bad:
-        raise Unusable([Trouble(Spot(path, 1, 1), f"byte {bad.start} that is no UTF-8", "UTF-8")]) from None
-    notes = Notes()
-    form = check.only_form(forms, "package", path, notes)
+        raise InvalidConfigError(
+            [Diagnostic(SourceLocation(path, 1, 1), f"byte {bad.start} that is no UTF-8", "UTF-8")]
+        ) from None
+    notes = Diagnostics()
+    form = schema.single_expression(forms, "package", path, notes)
     made = PACKAGE(form, notes) if form is not None else None
     if made is not None and not named(made.name):
         notes.add(made.spot, f'the name "{made.name}"', "letters, digits, . _ - and / between parts, at most 200")
@@ -107,9 +109,9 @@
     return bool(NAME.fullmatch(name)) and len(name) <= 200 and ".." not in name.split("/")
 
 
-def refuse(path: str, found: str, expected: str, fix: str = "") -> Unusable:
+def refuse(path: str, found: str, expected: str, fix: str = "") -> InvalidConfigError:
     """What is raised of a package as a whole."""
-    return Unusable([Trouble(Spot(path, 1, 1), found, expected, fix)])
+    return InvalidConfigError([Diagnostic(SourceLocation(path, 1, 1), found, expected, fix)])
 
 
 def content_digest(files: Iterable[tuple[str, bytes]]) -> str:
@@ -236,7 +238,7 @@
     """
     try:
         made, files = from_folder(folder)
-    except Unusable as bad:
+    except InvalidConfigError as bad:
         if not any("as its manifest says" in trouble.expected for trouble in bad.troubles):
             raise
         raise refuse(
--- a/wickdyke/worker/replica_loader.py
+++ b/wickdyke/worker/replica_loader.py
@@ -4,7 +4,7 @@
 import socket
 import threading
 
-from wickdyke.settings.sexp import Unusable
+from wickdyke.config.sexpr import InvalidConfigError
 from wickdyke.worker import source
 from wickdyke.worker.actions import StartLoad
 from wickdyke.worker.cache import Cache, NoRoom
@@ -109,7 +109,7 @@
             return Rejection.FULL, str(error)
         case source.Unknown():
             return Rejection.MISS, str(error)
-        case Unusable():
+        case InvalidConfigError():
             return Rejection.MISS, str(error.troubles[0])
         case OSError():
             return Rejection.MISS, f"{error.filename or 'the store'}: {error.strerror or error}"
--- a/wickdyke/worker/replica_process.py
+++ b/wickdyke/worker/replica_process.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from wickdyke.protocol.lines import Lines, TooLong
+from wickdyke.protocol.framing import LineReader, LineTooLongError
 from wickdyke.transport.write_buffer import OutgoingMessage, PeerTooSlow, WriteBuffer
 from wickdyke.worker.model import Replica
 from wickdyke.worker.replica_messages import LINE_MOST, ReplicaMessage, WorkerMessage
@@ -49,12 +49,12 @@
 
     def messages(self) -> Iterator[ReplicaMessage]:
         """What it sends, until it is gone or sends what can't be used."""
-        lines, decoder = Lines(LINE_MOST), msgspec.json.Decoder(ReplicaMessage)
+        lines, decoder = LineReader(LINE_MOST), msgspec.json.Decoder(ReplicaMessage)
         try:
             while data := self.sock.recv(READ_BYTES):
                 for line in lines.feed(data):
                     yield decoder.decode(line)
-        except (OSError, TooLong, msgspec.MsgspecError):
+        except (OSError, LineTooLongError, msgspec.MsgspecError):
             return
 
     def read_output(self) -> list[str]:
--- a/wickdyke/worker/replica_server.py
+++ b/wickdyke/worker/replica_server.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from wickdyke.protocol.lines import Lines, TooLong
+from wickdyke.protocol.framing import LineReader, LineTooLongError
 from wickdyke.worker.replica_messages import LINE_MOST, MB, ReplicaMessage, StartReplica, WorkerMessage
 
 SPARE_BYTES = 96 * MB  # of private data beyond what a package states: for the interpreter and the lanes' stacks
@@ -63,12 +63,12 @@
         for _ in range(self.order.lanes):
             threading.Thread(target=self._run_lane, daemon=True).start()
         self._send(ReplicaMessage(ready=True))
-        lines, decoder = Lines(LINE_MOST), msgspec.json.Decoder(WorkerMessage)
+        lines, decoder = LineReader(LINE_MOST), msgspec.json.Decoder(WorkerMessage)
         try:
             while data := self.sock.recv(READ_BYTES):
                 for line in lines.feed(data):
                     self._receive(decoder.decode(line))
-        except (OSError, TooLong, msgspec.MsgspecError):
+        except (OSError, LineTooLongError, msgspec.MsgspecError):
             pass
 
     def _import_entry(self):
--- a/wickdyke/worker/runtime.py
+++ b/wickdyke/worker/runtime.py
@@ -5,7 +5,7 @@
 import threading
 import time
 
-from wickdyke.settings.workshop import Workshop
+from wickdyke.config.worker_config import WorkerConfig
 from wickdyke.worker.actions import Kill, PrewarmDone, PrewarmFailed, Reject, Run, StartLoad, Stop, Unload
 from wickdyke.worker.cache import Cache
 from wickdyke.worker.gateway_server import GatewayServer
@@ -27,7 +27,7 @@
     """`open` begins to serve, `drain` and `close` end it."""
 
     def __init__(
-        self, settings: Workshop, store, log, record: Recorder | None = None, start: int | None = None
+        self, settings: WorkerConfig, store, log, record: Recorder | None = None, start: int | None = None
     ) -> None:
         """`store` gives packages; `record` takes the lines of a recording; `start` is drawn unless it is given."""
         self.settings, self.store, self.log = settings, store, log
@@ -116,7 +116,7 @@
             self.replicas.log_output()
 
 
-def _limits(settings: Workshop) -> ScheduleLimits:
+def _limits(settings: WorkerConfig) -> ScheduleLimits:
     return ScheduleLimits(
         memory=settings.memory,
         concurrency=settings.calls_at_once,
--- a/wickdyke/worker/store.py
+++ b/wickdyke/worker/store.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from wickdyke.protocol import jsonrpc
-from wickdyke.protocol.lines import Lines, TooLong
+from wickdyke.protocol.framing import LineReader, LineTooLongError
 from wickdyke.transport.line_server import Listener
 from wickdyke.worker.rate_limiter import RateLimiter
 from wickdyke.worker.source import Folder, Found, Unknown
@@ -51,13 +51,13 @@
         self.listener.close()
 
     def _serve(self, sock: socket.socket) -> None:
-        lines = Lines(LINE_MOST)
-        with contextlib.suppress(TooLong):
+        lines = LineReader(LINE_MOST)
+        with contextlib.suppress(LineTooLongError):
             while data := sock.recv(CHUNK_BYTES):
                 for line in lines.feed(data):
-                    for request in jsonrpc.requests(line):
-                        if isinstance(request, jsonrpc.Fault):
-                            _send(sock, jsonrpc.refusal(request))
+                    for request in jsonrpc.parse_requests(line):
+                        if isinstance(request, jsonrpc.MalformedRequestError):
+                            _send(sock, jsonrpc.malformed_request_response(request))
                         else:
                             self._receive(sock, request)
 
@@ -68,11 +68,11 @@
             elif request.method == "read":
                 self._read(sock, request)
             else:
-                _send(sock, jsonrpc.problem(request.ident, jsonrpc.NO_METHOD, "expected find or read"))
+                _send(sock, jsonrpc.error_response(request.ident, jsonrpc.METHOD_NOT_FOUND, "expected find or read"))
         except msgspec.MsgspecError as error:
-            _send(sock, jsonrpc.problem(request.ident, jsonrpc.BAD_PARAMS, str(error)[:ERROR_TEXT_MOST]))
+            _send(sock, jsonrpc.error_response(request.ident, jsonrpc.INVALID_PARAMS, str(error)[:ERROR_TEXT_MOST]))
         except Unknown as error:
-            _send(sock, jsonrpc.problem(request.ident, UNKNOWN, str(error)))
+            _send(sock, jsonrpc.error_response(request.ident, UNKNOWN, str(error)))
 
     def _find(self, sock: socket.socket, request: jsonrpc.Request) -> None:
         name = msgspec.json.decode(request.params, type=Find).program
@@ -80,12 +80,12 @@
             found = self.folder.find(name)
         except OSError as error:  # of the folder, for now: the worker may ask again
             reason = f"{error.filename or self.folder.path}: {error.strerror or error}"
-            _send(sock, jsonrpc.problem(request.ident, UNREADABLE, reason))
+            _send(sock, jsonrpc.error_response(request.ident, UNREADABLE, reason))
             return
         with self.lock:
             self.found[found.digest] = found
         entry = Entry(found.name, found.version, found.digest, found.size)
-        _send(sock, jsonrpc.result(request.ident, jsonrpc.encode(entry)))
+        _send(sock, jsonrpc.result_response(request.ident, jsonrpc.encode(entry)))
 
     def _read(self, sock: socket.socket, request: jsonrpc.Request) -> None:
         read = msgspec.json.decode(request.params, type=Read)
@@ -94,14 +94,14 @@
             crowded = self.reading >= self.readers
             self.reading += not crowded
         if crowded:
-            _send(sock, jsonrpc.problem(request.ident, CROWDED, f"{self.readers} read already"))
+            _send(sock, jsonrpc.error_response(request.ident, CROWDED, f"{self.readers} read already"))
             return
         try:
             self._check(found, read)
             with open(found.path, "rb") as source:
                 source.seek(read.offset)
                 size = found.size - read.offset
-                _send(sock, jsonrpc.result(request.ident, jsonrpc.encode(Follows(size))))
+                _send(sock, jsonrpc.result_response(request.ident, jsonrpc.encode(Follows(size))))
                 self._send_file(sock, source, size)
         finally:
             with self.lock:
--- a/wickdyke/worker/store_client.py
+++ b/wickdyke/worker/store_client.py
@@ -8,8 +8,8 @@
 
 import msgspec
 
+from wickdyke.config import address as addresses
 from wickdyke.protocol import jsonrpc
-from wickdyke.settings import address as addresses
 from wickdyke.worker.source import Found, Unknown
 from wickdyke.worker.store_messages import CHUNK_BYTES, LINE_MOST, UNKNOWN, Entry, Find, Follows, Read
 
@@ -120,11 +120,11 @@
                 raise OSError("an answer without an end")
         line, _, rest = data.partition(b"\n")
         try:
-            _, result, problem = jsonrpc.answer(line)
+            _, result, problem = jsonrpc.parse_response(line)
             if problem is not None and problem.code == UNKNOWN:
                 raise Unknown(problem.message)
             if result is None:
                 raise OSError(os.strerror(11) if problem is None else problem.message)
             return msgspec.json.decode(result, type=kind), rest
-        except (jsonrpc.Fault, msgspec.MsgspecError) as error:
+        except (jsonrpc.MalformedRequestError, msgspec.MsgspecError) as error:
             raise OSError(f"an answer that can't be read ({error})") from None
