--- a/tests/rig.py
+++ b/tests/rig.py
@@ -149,12 +149,12 @@
                     call_outs="" if "(call-outs" in more else CALL_OUTS,
                 )
             )
-        self.station = gateway_config.read(os.path.join(self.folder, "g.sexp"))
+        self.config = gateway_config.read(os.path.join(self.folder, "g.sexp"))
         if tape:
-            self.station.tape = os.path.join(self.folder, "tape")
+            self.config.tape = os.path.join(self.folder, "tape")
         self.said = sink or io.StringIO()
         self.log, self.scribe = logs.logger(self.said, False)
-        self.gateway = Gateway(self.station, self.log)
+        self.gateway = Gateway(self.config, self.log)
         self.coordinator = self.gateway.coordinator
 
     def write(self, text):
@@ -186,7 +186,7 @@
 
     def client(self):
         """A connection of a client."""
-        return Client(self.station.listen)
+        return Client(self.config.listen)
 
 
 class Client:
--- a/tests/test_client_server.py
+++ b/tests/test_client_server.py
@@ -161,7 +161,7 @@
     )
     def test_anything(self, data):
         """Whatever comes, each line gets what JSON-RPC says or nothing, and the next call is answered."""
-        client = Client(self.running.station.listen)
+        client = Client(self.running.config.listen)
         try:
             client.tell(data.replace(b"\n", b" ") + b"\n")
             client.tell(CALL % 424242)
@@ -321,10 +321,10 @@
             free.bind(("127.0.0.1", 0))
             port = free.getsockname()[1]
         with Running(more="") as made:
-            made.station.listen = f"127.0.0.1:{port}"
+            made.config.listen = f"127.0.0.1:{port}"
             from wickdyke.jsonrpc.service import Gateway
 
-            gateway = Gateway(made.station, made.log)
+            gateway = Gateway(made.config, made.log)
             gateway.open()
             try:
                 self.assertTrue(until(lambda: any(gateway.coordinator.router.fleet.ready())))
--- a/tests/test_listener_faults.py
+++ b/tests/test_listener_faults.py
@@ -120,8 +120,8 @@
 
     def __init__(self, folder):
         self.address = os.path.join(folder, "door.sock")
-        station = SimpleNamespace(bounds=BOUNDS, request_classes=(), stated=(), tenants=(), listen=self.address)
-        self.door = client_server.ClientServer(station, Mock(), lambda: "", Mock())
+        config = SimpleNamespace(bounds=BOUNDS, request_classes=(), stated=(), tenants=(), listen=self.address)
+        self.door = client_server.ClientServer(config, Mock(), lambda: "", Mock())
         self.door.open()
 
     def close(self):
--- a/tests/test_storage_faults.py
+++ b/tests/test_storage_faults.py
@@ -177,7 +177,7 @@
             if raised is None:
                 cache.give(self.packs[2][1])
             else:
-                self.assertIsInstance(raised, (OSError, package.Unusable, NoRoom))
+                self.assertIsInstance(raised, (OSError, package.InvalidConfigError, NoRoom))
             unpacked = on_disk(self.cached) - on_disk_of_archives(self.cached)
             self.assertGreaterEqual(cache.bytes, unpacked)
             self.assertLessEqual(unpacked, MOST * caches.MB)
--- a/wickdyke/gateway/attempts.py
+++ b/wickdyke/gateway/attempts.py
@@ -50,7 +50,7 @@
         if attempt not in pending.commands:
             return
         command = pending.commands[attempt]
-        if self.context.station.attempt_limits.cancel:
+        if self.context.config.attempt_limits.cancel:
             self._withdraw(pending, attempt, Outcome.TIMEOUT)
         elif command.worker_client is not None and command.worker_client.withdraw_unsent(command):
             self._ended(pending, attempt, CommandResult(Outcome.UNSENT))
@@ -79,7 +79,7 @@
         elif state == Outcome.CANCELLED:
             done()
         elif state is None:
-            wait = self.context.station.attempt_limits.connect_timeout
+            wait = self.context.config.attempt_limits.connect_timeout
             self.context.timers.at(self.context.now() + wait, self._disconnect, pending, attempt, client)
 
     def _disconnect(self, pending: PendingRequest, attempt: Attempt, client: WorkerClient) -> None:
@@ -105,7 +105,7 @@
         if pending is None:
             return
         context = self.context
-        context.timers.at(context.now() + context.station.answer_way / 2, self.requests.left_open, router_id)
+        context.timers.at(context.now() + context.config.answer_way / 2, self.requests.left_open, router_id)
         context.driver.has_input = True
         for attempt, command in list(pending.commands.items()):
             context.guarded(self._stop_waiting, pending, command)
@@ -115,7 +115,7 @@
         client = command.worker_client
         if client is None:
             return
-        if self.context.station.attempt_limits.cancel:
+        if self.context.config.attempt_limits.cancel:
             client.cancel(command, lambda: None)
         elif not client.withdraw_unsent(command):
             # Where nothing may be cancelled, answers that never come would hold their places for good.
--- a/wickdyke/gateway/context.py
+++ b/wickdyke/gateway/context.py
@@ -22,7 +22,7 @@
 class Context:
     """The settings, the log, counts, timers, the router and the event queue of one coordinator."""
 
-    station: Any
+    config: Any
     log: Any
     driver: RouterDriver
     post: Callable[[Event], None]
--- a/wickdyke/gateway/coordinator.py
+++ b/wickdyke/gateway/coordinator.py
@@ -37,7 +37,7 @@
 
     def __init__(
         self,
-        station,
+        config,
         seed: int,
         log,
         protocol: WorkerProtocol,
@@ -45,12 +45,12 @@
         recorder: "DecisionRecorder | None" = None,
         isolation: Isolation | None = None,
     ) -> None:
-        self.station, self.log, self.protocol = station, log, protocol
+        self.config, self.log, self.protocol = config, log, protocol
         self.isolation = isolation or NoIsolation()
         self.events: queue.SimpleQueue[Event | None] = queue.SimpleQueue()
-        settings = {name: getattr(station, name) for name in ROUTER_SETTINGS}
-        self.driver = RouterDriver(clock(), seed, station.request_classes, settings, recorder)
-        self.context = Context(station, log, self.driver, self.post)
+        settings = {name: getattr(config, name) for name in ROUTER_SETTINGS}
+        self.driver = RouterDriver(clock(), seed, config.request_classes, settings, recorder)
+        self.context = Context(config, log, self.driver, self.post)
         self.requests = PendingRequests(self.context, self.isolation)
         self.workers = WorkerRegistry(protocol, endpoints, self.post, self._endpoints_changed, log)
         self.isolation.attach(self.context, self.workers)
@@ -116,7 +116,7 @@
             return "stopping"
         if self.requests.is_full():
             return "gateway-full"
-        return "overrun" if self.events.qsize() >= self.station.bounds.events else ""
+        return "overrun" if self.events.qsize() >= self.config.bounds.events else ""
 
     def idle(self) -> bool:
         """Whether nothing is owed."""
@@ -241,12 +241,12 @@
         name, function = decision.worker.endpoint.ident, decision.function
         command = self.protocol.prewarm_command((name, function.name, self.context.now()), function, decision.replicas)
         self.counts["prewarms"] += 1
-        self._send_to(name, command, self.station.function_cache.prewarm_timeout)
+        self._send_to(name, command, self.config.function_cache.prewarm_timeout)
 
     def _health_check(self, decision: decisions.HealthCheck) -> None:
         name = decision.worker.endpoint.ident
         self.counts["health_checks"] += 1
-        self._send_to(name, self.protocol.health_check_command(name), self.station.probe_wait)
+        self._send_to(name, self.protocol.health_check_command(name), self.config.probe_wait)
 
     def _send_to(self, name: str, command: Command, timeout: float) -> None:
         client = self.workers.client(name)
--- a/wickdyke/gateway/isolation.py
+++ b/wickdyke/gateway/isolation.py
@@ -88,7 +88,7 @@
     def attempt_failed(self, pending: PendingRequest, attempt: Attempt, result: CommandResult) -> float | None:
         """Notes what the failure tells of the function, or of the request."""
         function, worker = attempt.request.function.name, attempt.replica.worker.endpoint.ident
-        if result.outcome == Outcome.MISS and self.context.station.function_cache.loads_on_demand:
+        if result.outcome == Outcome.MISS and self.context.config.function_cache.loads_on_demand:
             self.breaker.load_failed(function, worker, self.context.now())
         lost = result.outcome == Outcome.CONNECTION_LOST
         if pending.closed or not (result.requests_in_replica or lost):
--- a/wickdyke/jsonrpc/client_server.py
+++ b/wickdyke/jsonrpc/client_server.py
@@ -26,17 +26,17 @@
     """
 
     def __init__(
-        self, station: GatewayConfig, post: Callable[[Event], None], busy: Callable[[], str], warn: Callable[..., None]
+        self, config: GatewayConfig, post: Callable[[Event], None], busy: Callable[[], str], warn: Callable[..., None]
     ) -> None:
-        self.bounds: ServerLimits = station.bounds
+        self.bounds: ServerLimits = config.bounds
         self.post, self.busy, self.warn = post, busy, warn
-        self.checker = RequestChecker(station)
+        self.checker = RequestChecker(config)
         self.counts: Counter[str] = Counter()
         self.clients: set[ClientConnection] = set()
         self.lock = threading.Lock()
         self.last_number = 0
-        self.address = station.listen
-        self.sock, self.held = listener(station.listen)
+        self.address = config.listen
+        self.sock, self.held = listener(config.listen)
         self.acceptor = Acceptor(self.sock, self._take, lambda error: self.warn("connection not taken", why=str(error)))
         self.thread = threading.Thread(target=self.acceptor.run, name="client-server", daemon=True)
 
--- a/wickdyke/jsonrpc/requests.py
+++ b/wickdyke/jsonrpc/requests.py
@@ -24,9 +24,9 @@
 class RequestChecker:
     """Checks requests against the settings, and against the routes in force. Faults are raised as jsonrpc.Fault."""
 
-    def __init__(self, station: GatewayConfig) -> None:
-        self.request_classes = {each.name: each for each in station.request_classes}
-        self.stated, self.tenants = station.stated, station.tenants
+    def __init__(self, config: GatewayConfig) -> None:
+        self.request_classes = {each.name: each for each in config.request_classes}
+        self.stated, self.tenants = config.stated, config.tenants
         self.routes: Routes | None = None
 
     def cancelled_id(self, request: jsonrpc.Request) -> jsonrpc.Ident:
--- a/wickdyke/jsonrpc/service.py
+++ b/wickdyke/jsonrpc/service.py
@@ -32,50 +32,50 @@
 DRAIN_POLL = 0.01  # s between two looks at whether a drain is over
 
 
-def ground(station: GatewayConfig) -> Environment:
+def ground(config: GatewayConfig) -> Environment:
     """What routes are checked against: the deployment's figures, and how often the router is advanced."""
-    limits = station.attempt_limits
-    return Environment(limits.hedging, limits.cancel, limits.connect_timeout, station.answer_way, TICK, limits.attempts)
+    limits = config.attempt_limits
+    return Environment(limits.hedging, limits.cancel, limits.connect_timeout, config.answer_way, TICK, limits.attempts)
 
 
 class Gateway:
     """All parts of one gateway. `open` begins; `stop` drains it: what is pending gets its answer."""
 
-    def __init__(self, station: GatewayConfig, log) -> None:
+    def __init__(self, config: GatewayConfig, log) -> None:
         threading.stack_size(STACK_SIZE)
         sys.setswitchinterval(SWITCH_INTERVAL)
-        self.station, self.log = station, log
-        seed = station.seed if station.seed is not None else random.SystemRandom().getrandbits(SEED_BITS)
-        self.recorder = DecisionRecorder(station.tape, log) if station.tape else None
+        self.config, self.log = config, log
+        seed = config.seed if config.seed is not None else random.SystemRandom().getrandbits(SEED_BITS)
+        self.recorder = DecisionRecorder(config.tape, log) if config.tape else None
         self.coordinator = Coordinator(
-            station,
+            config,
             seed,
             log,
-            JsonRpcWorkerProtocol(station),
-            EndpointList(station.zones, station.kinds),
+            JsonRpcWorkerProtocol(config),
+            EndpointList(config.zones, config.kinds),
             self.recorder,
-            BreakerIsolation(CircuitBreaker(station.isolation, station.instance.count, log)),
+            BreakerIsolation(CircuitBreaker(config.isolation, config.instance.count, log)),
         )
-        self.client_server = ClientServer(station, self.coordinator.post, self.coordinator.busy, log.warning)
+        self.client_server = ClientServer(config, self.coordinator.post, self.coordinator.busy, log.warning)
         self.succession = PolicyTransition()
         self.watchers = [
-            FileWatcher("list", station.workers, station.reread, self._read_endpoints, self._use_endpoints, log)
+            FileWatcher("list", config.workers, config.reread, self._read_endpoints, self._use_endpoints, log)
         ]
-        if station.routes is not None:
+        if config.routes is not None:
             self.watchers.append(
-                FileWatcher("routes", station.routes, station.routes_reread, self._read_routes, self._use_routes, log)
+                FileWatcher("routes", config.routes, config.routes_reread, self._read_routes, self._use_routes, log)
             )
-            self.client_server.checker.routes = self._read_routes(station.routes)  # there is no earlier one to keep
+            self.client_server.checker.routes = self._read_routes(config.routes)  # there is no earlier one to keep
 
     def _read_endpoints(self, path: str) -> list[endpoint_file.EndpointRow]:
-        return endpoint_file.read_endpoints(path, self.station.zones, self.station.kinds)
+        return endpoint_file.read_endpoints(path, self.config.zones, self.config.kinds)
 
     def _use_endpoints(self, rows: list[endpoint_file.EndpointRow]) -> dict:
         self.coordinator.post(EndpointsReceived(rows))
         return {"workers": len(rows), "ready": sum(row.state == "ready" for row in rows)}
 
     def _read_routes(self, path: str) -> route_config.Routes:
-        found = route_config.read(path, self.station.request_classes, ground(self.station))
+        found = route_config.read(path, self.config.request_classes, ground(self.config))
         route_config.check_transition(found, path, self.succession, clock())
         return found
 
@@ -95,8 +95,8 @@
         self.client_server.open()
         self.log.info(
             "serving",
-            socket=self.station.listen,
-            instance=f"{self.station.instance.index}/{self.station.instance.count}",
+            socket=self.config.listen,
+            instance=f"{self.config.instance.index}/{self.config.instance.count}",
         )
 
     def stop(self) -> None:
@@ -105,7 +105,7 @@
         self.coordinator.stop_admitting()
         self.client_server.shut()
         self.log.info("stopping", open=len(self.coordinator.requests.by_id))
-        most = DRAIN_SPARE + max(each.deadline for each in self.station.request_classes)
+        most = DRAIN_SPARE + max(each.deadline for each in self.config.request_classes)
         pause = threading.Event()
         while clock() - began < most and not (self.coordinator.idle() and self.client_server.flushed()):
             pause.wait(DRAIN_POLL)
--- a/wickdyke/jsonrpc/worker_protocol.py
+++ b/wickdyke/jsonrpc/worker_protocol.py
@@ -14,18 +14,18 @@
 
     connects_at_once = True  # a worker's hello tells since when it is up
 
-    def __init__(self, station: GatewayConfig) -> None:
-        self.station, self.report_fields = station, station.instance.report_fields
+    def __init__(self, config: GatewayConfig) -> None:
+        self.config, self.report_fields = config, config.instance.report_fields
 
     def client_for(self, name: str, address: str, notify) -> WorkerClient:
         """The client of one worker."""
-        bounds = self.station.bounds
+        bounds = self.config.bounds
         return WorkerClient(
             name,
             address,
-            self.station.name,
+            self.config.name,
             notify,
-            self.station.attempt_limits.connect_timeout,
+            self.config.attempt_limits.connect_timeout,
             bounds.line,
             bounds.unread,
         )
--- a/wickdyke/platform/worker_protocol.py
+++ b/wickdyke/platform/worker_protocol.py
@@ -16,9 +16,9 @@
 
     connects_at_once = False
 
-    def __init__(self, loop: EventLoop, station, log, most: int) -> None:
-        self.loop, self.station, self.log = loop, station, log
-        self.pool, self.report_fields = ConnectionPool(most), station.instance.report_fields
+    def __init__(self, loop: EventLoop, config, log, most: int) -> None:
+        self.loop, self.config, self.log = loop, config, log
+        self.pool, self.report_fields = ConnectionPool(most), config.instance.report_fields
         self.number = 0
 
     def _tag(self) -> bytes:
@@ -33,8 +33,8 @@
             notify,
             self.loop,
             self.pool,
-            self.station.attempt_limits.connect_timeout,
-            self.station.attempt_limits.idle_timeout * IDLE_PART,
+            self.config.attempt_limits.connect_timeout,
+            self.config.attempt_limits.idle_timeout * IDLE_PART,
             self.report_fields,
         )
 
