--- a/bench/hot_path.py
+++ b/bench/hot_path.py
@@ -1,5 +1,6 @@
-"""What an RPC's ordinary path costs in the module alone, in us of CPU: taken, placed, answered ok, no sockets. Run in
-turn in two checkouts, or with and without a route, the rounds give pairs.
+"""CPU time in us that the router spends on a request: received, forwarded and answered ok, without sockets.
+
+Rounds alternate between two checkouts, or between requests with and without a route, so that figures come in pairs.
 
     python -m bench.hot_path --rounds 9 --beside ../earlier
 """
@@ -12,13 +13,29 @@
 
 import click
 
-RPCS, PROGRAMS, WORKERS = 6000, 30, 20
+REQUESTS = 6000
+FUNCTIONS = 30
+WORKERS = 20
+MAX_IN_FLIGHT = 20
+REPORT_FIELDS = ("utilization", "in_flight")
+NAMES = ("hot_path.py", "ordinary.py")  # of this file: the second in earlier checkouts
 
 
 def spend(routed: bool) -> float:
-    """us of CPU an RPC."""
+    """us of CPU for each request; with a route policy where `routed`."""
     from wickdyke.routing.decisions import Forward, Prewarm
-    from wickdyke.routing.model import Endpoint, RequestClass, RoutePolicy
+    from wickdyke.routing.inputs import AttemptFinished, RequestReceived, WorkerLoad
+    from wickdyke.routing.model import (
+        Effect,
+        Endpoint,
+        EndpointState,
+        LoadNote,
+        Outcome,
+        Request,
+        RequestClass,
+        RoutePolicy,
+        Scope,
+    )
     from wickdyke.routing.router import Router
     from wickdyke.routing.settings import (
         AttemptLimits,
@@ -27,65 +44,81 @@
         FunctionCache,
         GatewayInstance,
         PrewarmQuota,
+        RouterSettings,
         SlowStart,
     )
 
-    method = RequestClass("m", "idempotent", "all", 2000.0, 800.0, 0.0, 4000.0, 1.0, 0.2)
+    method = RequestClass("m", Effect.IDEMPOTENT, Scope.ALL, 2000.0, 800.0, 0.0, 4000.0, 1.0, 0.2)
     router = Router(
         0.0,
         7,
         [method],
-        GatewayInstance(0, 2, 0, ("utilization", "in_flight"), False),
-        AttemptLimits(3, False, True, False, 0.0, 250.0),
-        FunctionCache((32000.0,), 10000.0, True, True, 10000.0, True, True),
-        SlowStart(0.2, 18000.0, 2.0, 2000.0),
-        PrewarmQuota(0.0, 0.0, 0.0),
-        Discovery(True, 10000.0, 1000.0),
-        CostWeights(0.1, 0.05, 0.05, 0.01, 0.0, 0.05),
+        RouterSettings(
+            GatewayInstance(0, 2, 0, REPORT_FIELDS, False),
+            AttemptLimits(3, False, True, False, 0.0, 250.0),
+            FunctionCache((32000.0,), 10000.0, True, True, 10000.0, True, True),
+            SlowStart(0.2, 18000.0, 2.0, 2000.0),
+            PrewarmQuota(0.0, 0.0, 0.0),
+            Discovery(True, 10000.0, 1000.0),
+            CostWeights(0.1, 0.05, 0.05, 0.01, 0.0, 0.05),
+        ),
     )
     router.advance(0.0)
-    router.endpoints_changed([Endpoint(f"w{at}", 0, 0, 0, "ready", 4.0, None) for at in range(WORKERS)], True)
-    timing = (
+    router.endpoints_changed(
+        [Endpoint(f"w{at}", 0, 0, 0, EndpointState.READY, 4.0, None) for at in range(WORKERS)], True
+    )
+    policy = (
         RoutePolicy(
-            800.0, 500.0, 3, (10.0, 2.0, 1e9, 0.5), frozenset({"full", "miss"}), None, (10000.0, 0.1, 5.0), 400.0, 0
+            800.0,
+            500.0,
+            3,
+            (10.0, 2.0, 1e9, 0.5),
+            frozenset({Outcome.FULL, Outcome.MISS}),
+            None,
+            (10000.0, 0.1, 5.0),
+            400.0,
+            0,
         )
         if routed
         else None
     )
-    extra = (timing,) if routed else ()
-    now, held = 1.0, []
+    now = 1.0
+    in_flight: list[Request] = []
 
-    def pull() -> None:
+    def carry_out() -> None:
         for decision in iter(router.decide, None):
             if isinstance(decision, Forward):
-                held.append(decision.request)
+                in_flight.append(decision.request)
             elif isinstance(decision, Prewarm):
                 worker, function = decision.worker.endpoint.ident, decision.function.name
-                router.prewarm_finished(worker, function, "ok", decision.replicas, 1.0)
+                router.prewarm_finished(worker, function, Outcome.OK, decision.replicas, 1.0)
 
-    began = 0.0
-    for ident in range(RPCS * 5 // 4):
-        if ident == RPCS // 4:  # the first quarter warms it
-            began = time.process_time()
+    started = 0.0
+    for ident in range(REQUESTS * 5 // 4):
+        if ident == REQUESTS // 4:  # the first quarter warms it
+            started = time.process_time()
         now += 2.0
         router.advance(now)
-        router.request_received(ident, 4000.0, method, f"p{ident % PROGRAMS}", 2000.0, 2, None, None, False, *extra)
-        pull()
-        if len(held) > 20:
-            rpc = held.pop(0)
-            router.attempt_finished(rpc.ident, len(rpc.attempts) - 1, "ok", True, "stood", 0, (0.4, 5.0))
-            pull()
-    return (time.process_time() - began) * 1e6 / RPCS
+        received = RequestReceived(ident, 4000.0, method, f"p{ident % FUNCTIONS}", 2000.0, 2, None, None, False, policy)
+        router.request_received(received)
+        carry_out()
+        if len(in_flight) > MAX_IN_FLIGHT:
+            request = in_flight.pop(0)
+            load = WorkerLoad.from_values(REPORT_FIELDS, (0.4, 5.0))  # made for each answer, as gateways do
+            number = len(request.attempts) - 1
+            router.attempt_finished(AttemptFinished(request.ident, number, Outcome.OK, True, LoadNote.STOOD, 0, load))
+            carry_out()
+    return (time.process_time() - started) * 1e6 / REQUESTS
 
 
 def once(tree: str, routed: bool) -> float:
-    """The same in a process of its own in that checkout, by the copy of this file there: names may differ."""
-    argv = [sys.executable, os.path.join(tree, "bench", "ordinary.py"), "--one", "routed" if routed else "plain"]
-    return float(
-        subprocess.run(
-            argv, cwd=tree, env={**os.environ, "PYTHONPATH": tree}, check=True, capture_output=True, text=True
-        ).stdout
-    )
+    """The same in a process of its own in that checkout, by its own version of this file: interfaces may differ."""
+    paths = [os.path.join(tree, "bench", name) for name in NAMES]
+    path = next(path for path in paths if os.path.exists(path))
+    argv = [sys.executable, path, "--one", "routed" if routed else "plain"]
+    environment = {**os.environ, "PYTHONPATH": tree}
+    run = subprocess.run(argv, cwd=tree, env=environment, check=True, capture_output=True, text=True)
+    return float(run.stdout)
 
 
 @click.command()
@@ -93,7 +126,7 @@
 @click.option("--beside", help="An earlier checkout to compare with.")
 @click.option("--one", type=click.Choice(["plain", "routed"]), help="One figure for one process.")
 def main(rounds: int, beside: str | None, one: str | None) -> None:
-    """Compares the ordinary path: an earlier checkout, this one without a route, this one with."""
+    """Compares the cost of a request: an earlier checkout, this one without a route, this one with."""
     if one:
         print(spend(one == "routed"))
         return
@@ -109,8 +142,8 @@
     for name, figures in rows.items():
         ratios = sorted(figure / first for figure, first in zip(figures, base, strict=True))
         print(
-            f"{name}: {statistics.median(figures):.1f} us an RPC; over {next(iter(rows))} "
-            f"{statistics.median(ratios):.2f} ({ratios[0]:.2f} to {ratios[-1]:.2f}), of the least of each "
+            f"{name}: {statistics.median(figures):.1f} us a request; over {next(iter(rows))} "
+            f"{statistics.median(ratios):.2f} ({ratios[0]:.2f} to {ratios[-1]:.2f}), of the minimum of each "
             f"{min(figures) / min(base):.2f}"
         )
 
--- a/bench/simulated_fleet.py
+++ b/bench/simulated_fleet.py
@@ -28,6 +28,7 @@
     Prewarm,
     Reject,
 )
+from wickdyke.routing.inputs import AttemptFinished, RequestReceived, WorkerLoad
 from wickdyke.routing.model import Attempt, Endpoint, Request, RequestClass
 from wickdyke.routing.router import Router
 from wickdyke.routing.settings import (
@@ -37,6 +38,7 @@
     FunctionCache,
     GatewayInstance,
     PrewarmQuota,
+    RouterSettings,
     SlowStart,
     TenantQuotas,
 )
@@ -44,6 +46,8 @@
 if TYPE_CHECKING:
     from wickdyke.gateway.recording import DecisionRecorder
 
+REPORT_FIELDS = ("utilization", "in_flight")
+
 RACK = 40  # workers that share a rack
 FRAMES = 4  # of a call stack that are kept of an allocation
 NEVER_RAN = frozenset({"full", "unreached", "unsent", "miss"})  # the judge's own reading of the protocol
@@ -82,29 +86,25 @@
             for number in range(self.methods)
         ]
 
-    def parts(self, number: int) -> dict[str, object]:
+    def router_settings(self, number: int) -> RouterSettings:
         """What the front end of that number is made with, in the zone of its turn."""
-        return {
-            "instance": GatewayInstance(
-                number, self.front_ends, number % self.zones, ("utilization", "in_flight"), False
-            ),
-            "attempt_limits": AttemptLimits(4, False, True, True, 300.0, 250.0),
-            "function_cache": FunctionCache(
-                (self.memory,), self.idle_timeout, True, self.loads_on_call, 10000.0, True, True
-            ),
-            "slow_start": self.warmup,
-            "prewarm_quota": self.ration,
-            "discovery": self.directory,
-            "cost_weights": CostWeights(0.1, 0.05, 0.05, 0.01, self.crossing, 0.05),
-            "tenant_quotas": TenantQuotas(),
-        }
+        return RouterSettings(
+            GatewayInstance(number, self.front_ends, number % self.zones, REPORT_FIELDS, False),
+            AttemptLimits(4, False, True, True, 300.0, 250.0),
+            FunctionCache((self.memory,), self.idle_timeout, True, self.loads_on_call, 10000.0, True, True),
+            self.warmup,
+            self.ration,
+            self.directory,
+            CostWeights(0.1, 0.05, 0.05, 0.01, self.crossing, 0.05),
+            TenantQuotas(),
+        )
 
     def router(self, now: float, number: int, tape: "DecisionRecorder | None" = None) -> Router:
         """A front end of that number among them."""
-        parts, methods = self.parts(number), self.kinds()
+        settings, methods = self.router_settings(number), self.kinds()
         if tape is not None:
-            tape.start(now, number + 1, methods, parts)
-        return Router(now, number + 1, methods, **parts)
+            tape.start(now, number + 1, methods, settings)
+        return Router(now, number + 1, methods, settings)
 
 
 def listing(number: int, zones: int = 11, **more: object) -> Endpoint:
@@ -179,9 +179,9 @@
         self.copies[name] = Copy(stands, stands)
         return "began", stands
 
-    def report(self) -> tuple[float, float]:
+    def report(self) -> WorkerLoad | None:
         """Busy share and requests held."""
-        return min(1.0, self.held / 16), float(self.held)
+        return WorkerLoad.from_values(REPORT_FIELDS, (min(1.0, self.held / 16), float(self.held)))
 
 
 @dataclass(slots=True)
@@ -290,7 +290,7 @@
         if self.tape is not None:
             for what, given in ((name, args), ("decide", ())):
                 if what:
-                    self.tape.heard(self.now, what, given)
+                    self.tape.record_input(self.now, what, given)
         began = time.process_time()
         front.router.advance(self.now)
         if name:
@@ -298,7 +298,7 @@
         decisions = list(iter(front.router.decide, None))
         took = time.process_time() - began
         for decision in decisions if self.tape is not None else ():
-            self.tape.decided(decision)
+            self.tape.record_decision(decision)
         costs = front.costs
         costs.processor += took
         costs.turns += 1
@@ -335,16 +335,7 @@
         self.tell(
             front,
             "request_received",
-            ident,
-            settings.deadline,
-            method,
-            name,
-            settings.copy,
-            settings.lanes,
-            None,
-            None,
-            repeat,
-            None,
+            RequestReceived(ident, settings.deadline, method, name, settings.copy, settings.lanes, None, None, repeat),
         )
         return ident
 
@@ -390,7 +381,8 @@
             if standing != "stood":
                 self.waits.append(self.now - request.received_at)
         final = request.ident in front.final
-        self.tell(front, "attempt_finished", request.ident, attempt.number, outcome, final, standing, company, report)
+        finished = AttemptFinished(request.ident, attempt.number, outcome, final, standing, company, report)
+        self.tell(front, "attempt_finished", finished)
 
     # ---- the workers' side ----
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,6 +1,7 @@
 """A front end on a small made-up fleet, and ways to drive it."""
 
 from wickdyke.routing.decisions import Cancel, Fail, FollowEndpoints, Forward, HealthCheck, LogNote, Prewarm, Reject
+from wickdyke.routing.inputs import AttemptFinished, RequestReceived, WorkerLoad
 from wickdyke.routing.model import Endpoint, RequestClass
 from wickdyke.routing.placement import PlacementPass
 from wickdyke.routing.router import Router
@@ -11,6 +12,7 @@
     FunctionCache,
     GatewayInstance,
     PrewarmQuota,
+    RouterSettings,
     SlowStart,
     TenantQuotas,
 )
@@ -51,17 +53,23 @@
             self.clock,
             seed,
             [self.method],
-            GatewayInstance(seat, front_ends, 0, report, False),
-            AttemptLimits(call_outs, overlap, True, probe, 0.0, 250.0),
-            FunctionCache((32000.0,), 10000.0, True, loads_on_call, 10000.0, True, tells),
-            SlowStart(0.2, 18000.0, 2.0, 2000.0),
-            ration or PrewarmQuota(0.0, 0.0, 0.0),
-            Discovery(True, 10000.0, 1000.0),
-            CostWeights(0.1, 0.05, 0.05, 0.01, crossing, 0.05),
-            TenantQuotas(quotas),
+            RouterSettings(
+                GatewayInstance(seat, front_ends, 0, report, False),
+                AttemptLimits(call_outs, overlap, True, probe, 0.0, 250.0),
+                FunctionCache((32000.0,), 10000.0, True, loads_on_call, 10000.0, True, tells),
+                SlowStart(0.2, 18000.0, 2.0, 2000.0),
+                ration or PrewarmQuota(0.0, 0.0, 0.0),
+                Discovery(True, 10000.0, 1000.0),
+                CostWeights(0.1, 0.05, 0.05, 0.01, crossing, 0.05),
+                TenantQuotas(quotas),
+            ),
         )
         self.list(rows if rows is not None else [row(name) for name in "abcdefghij"[:workers]])
 
+    def reported(self, *values):
+        """A worker's load report with these values, in the order of the settings' report fields."""
+        return WorkerLoad.from_values(self.fe.instance.report_fields, values)
+
     @property
     def cell(self):
         """The one cell that all its workers fit."""
@@ -91,7 +99,8 @@
     def take(self, function="p", left=4000.0, timing=None):
         self.ids += 1
         self.fe.advance(self.clock)
-        self.fe.request_received(self.ids, left, self.method, function, 4000.0, self.lanes, None, None, False, timing)
+        received = RequestReceived(self.ids, left, self.method, function, 4000.0, self.lanes, None, None, False, timing)
+        self.fe.request_received(received)
         return self.pull()
 
     def end(self, request, outcome="ok", number=None, standing="stood", final=None):
@@ -99,7 +108,7 @@
         number = len(request.attempts) - 1 if number is None else number
         standing = standing if outcome == "ok" else None
         self.fe.advance(self.clock)
-        self.fe.attempt_finished(request.ident, number, outcome, final, standing, 0, None)
+        self.fe.attempt_finished(AttemptFinished(request.ident, number, outcome, final, standing, 0, None))
         return self.pull()
 
     def pass_time(self, ms, step=50.0):
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -156,7 +156,7 @@
                 worker = fleet.fe.workers["a"]
                 before = worker.concurrency_limit, fleet.fe.all_workers.concurrency_limit
                 for _ in range(12):
-                    fleet.fe.health_checked("a", "ok", (busy, 4.0))
+                    fleet.fe.health_checked("a", "ok", fleet.reported(busy, 4.0))
                     called = [d.request for d in fleet.take(timing=terms) if isinstance(d, Forward)]
                     while called and not called[0].closed:
                         fleet.clock += 120.0
--- a/tests/test_coordinator.py
+++ b/tests/test_coordinator.py
@@ -500,14 +500,14 @@
         """A recording that can't be written as fast stops and says so; nobody waits for it."""
         with (
             tempfile.TemporaryDirectory(prefix="wd-") as folder,
-            unittest.mock.patch.object(recording, "QUEUED_MOST", 50),
+            unittest.mock.patch.object(recording, "MAX_QUEUED", 50),
         ):
             path = os.path.join(folder, "fifo")
             os.mkfifo(path)
             reader = os.open(path, os.O_RDONLY | os.O_NONBLOCK)
             made = recording.DecisionRecorder(path)
             for at in range(100000):
-                made.heard(float(at), "left", ("x" * 100,))
+                made.record_input(float(at), "left", ("x" * 100,))
                 if made.broken:
                     break
             self.assertTrue(made.broken)
--- a/tests/test_log_faults.py
+++ b/tests/test_log_faults.py
@@ -215,11 +215,11 @@
                     log = Log()
                     made = self.made(error, at, log)
                     for number in range(6):
-                        made.heard(float(number), "left", (number,))
+                        made.record_input(float(number), "left", (number,))
                     made.close()
                     self.assertFalse(made.thread.is_alive())
                     for number in range(6):
-                        made.heard(float(number), "left", (number,))
+                        made.record_input(float(number), "left", (number,))
                     self.assertEqual(made.broken, at <= 6)
                     told = [("recording ended", {"path": self.path("tape"), "why": os.strerror(error)})]
                     self.assertEqual(log.told, told if at <= 6 else [])
@@ -247,11 +247,11 @@
         """A queue that is full ends it too."""
         log = Log()
         go_on = threading.Event()
-        with mock.patch.object(recording, "QUEUED_MOST", 5):
+        with mock.patch.object(recording, "MAX_QUEUED", 5):
             made = self.made(0, 1 << 30, log)
             with mock.patch.object(made.sink, "write", lambda data: go_on.wait(LONG)):
                 for number in range(20):
-                    made.heard(float(number), "left", (number,))
+                    made.record_input(float(number), "left", (number,))
                 self.assertTrue(made.broken)
                 go_on.set()
                 made.close()
@@ -265,7 +265,7 @@
             log, broken = Log(), mock.Mock(side_effect=OSError(error, os.strerror(error)))
             with mock.patch.object(recording, "open", broken, create=True):
                 made = recording.DecisionRecorder(self.path("tape"), log)
-            made.heard(1.0, "left", ("a",))
+            made.record_input(1.0, "left", ("a",))
             made.close()
             self.assertEqual(log.told, [("recording ended", {"path": self.path("tape"), "why": os.strerror(error)})])
             self.assertTrue(made.entries.empty())
@@ -275,7 +275,7 @@
         """It ends the recording and raises nowhere."""
         log = Log()
         made = recording.DecisionRecorder(self.path("tape"), log)
-        made.heard(1.0, "left", (object(),))
+        made.record_input(1.0, "left", (object(),))
         made.close()
         self.assertTrue(made.broken)
         self.assertEqual(len(log.told), 1)
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -31,6 +31,7 @@
     worker_results,
 )
 from wickdyke.platform.service import Service
+from wickdyke.routing.inputs import WorkerLoad
 from wickdyke.routing.model import RequestClass
 from wickdyke.transport.event_loop import EventLoop, clock
 
@@ -132,7 +133,9 @@
                     self.assertRaises(resp.InvalidAnswer, worker_results.read_result, answer, names)
                 else:
                     got = worker_results.read_result(answer, names)
-                    self.assertEqual((got.outcome, got.load_note, got.concurrent, got.replicas, got.report), told)
+                    report = WorkerLoad.from_values(names, told[-1])
+                    self.assertEqual((got.outcome, got.load_note, got.concurrent, got.replicas), told[:-1])
+                    self.assertEqual(got.report, report)
 
 
 class List(unittest.TestCase):
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -12,6 +12,7 @@
 from tests.helpers import Fleet, called, choose_workers, row, verbs
 from wickdyke.routing.cells import Cell
 from wickdyke.routing.decisions import Cancel, Forward, Prewarm, Reject
+from wickdyke.routing.inputs import AttemptFinished, RequestReceived
 from wickdyke.routing.model import Endpoint, Function, Worker, WorkSample, replica_of
 from wickdyke.routing.ranking import rendezvous_rank
 from wickdyke.routing.seeded_random import hash_fraction, name_hash
@@ -121,7 +122,7 @@
                     for _ in range(12):
                         fleet.serve(calls=1)
                         for name in "abcd":
-                            fleet.fe.health_checked(name, "ok", (0.4, 2.0))
+                            fleet.fe.health_checked(name, "ok", fleet.reported(0.4, 2.0))
                         fleet.pass_time(gap - 100, step=gap - 100)
                     born = fleet.clock
                     fleet.list([row("z", started_at=born)])
@@ -225,7 +226,7 @@
                 fleet = Fleet(workers=8)
                 used = []
                 for name in "abcdefgh" * 8:
-                    fleet.fe.health_checked(name, "ok", (0.1, 0.3))
+                    fleet.fe.health_checked(name, "ok", fleet.reported(0.1, 0.3))
                 for at in range(300):
                     used += called(fleet.serve(f"p{at % 6}", calls=1, ms=gap))
                 self.assertLessEqual(len(set(used[-60:])), most)
@@ -296,7 +297,7 @@
         """Fills go on between the last call and the end of its idle life."""
         fleet = Fleet()
         fleet.take()
-        fleet.fe.health_checked("a", "ok", (0.5, 2.0))
+        fleet.fe.health_checked("a", "ok", fleet.reported(0.5, 2.0))
         fleet.pass_time(9900, step=300)
         self.assertTrue(fleet.fe.functions)
 
@@ -311,7 +312,7 @@
     def test_lot_is_the_same_for_all(self):
         one, two = Fleet(seed=1).fe, Fleet(seed=2).fe
         for fe in (one, two):
-            fe.request_received(1, 4000.0, fe.request_classes[0], "p", 1.0, 1, None, None, False)
+            fe.request_received(RequestReceived(1, 4000.0, fe.request_classes[0], "p", 1.0, 1, None, None, False))
         self.assertEqual(
             [rendezvous_rank(one.functions["p"], w) for w in one.workers.values()],
             [rendezvous_rank(two.functions["p"], w) for w in two.workers.values()],
@@ -398,7 +399,7 @@
     def test_homes_leave_a_closed_worker(self):
         fleet = Fleet(workers=6)
         for name in "abcdef" * 8:
-            fleet.fe.health_checked(name, "ok", (0.2, 0.6))
+            fleet.fe.health_checked(name, "ok", fleet.reported(0.2, 0.6))
         for at in range(400):
             fleet.serve(f"p{at % 5}", calls=1, ms=60.0)
         opened = set(fleet.placement.active)
@@ -489,7 +490,7 @@
                 fleet = Fleet(workers=2, report=fields)
                 worker, latency = fleet.fe.workers["a"], fleet.fe.latency
                 latency.cores_per_size = 4.0 / worker.endpoint.size
-                latency.record_report(worker, values, fleet.clock)
+                latency.record_report(worker, fleet.reported(*values), fleet.clock)
                 report = worker.load_reports[-1]
                 self.assertEqual((worker.utilization, report.utilization, report.in_flight), (busy, busy, held))
 
@@ -566,7 +567,7 @@
                 placement, ready = fleet.placement, fleet.ready
                 for worker in ready:
                     if (busy := far if worker.endpoint.zone else mine) is not None:
-                        fleet.fe.latency.record_report(worker, (busy, 4.0), fleet.clock)
+                        fleet.fe.latency.record_report(worker, fleet.reported(busy, 4.0), fleet.clock)
                 for _ in range(periods):
                     placement.scope.update(fleet.clock)
                 self.assertEqual((placement.scope.reach, placement.scope.workers == ready), (reach, reach > 0))
@@ -590,7 +591,7 @@
                 fleet = Fleet(workers=2)
                 for age, share in ((old, 1.0), (young, 0.5)):
                     for worker in fleet.ready:
-                        fleet.fe.latency.record_report(worker, (share, 4.0), fleet.clock - age)
+                        fleet.fe.latency.record_report(worker, fleet.reported(share, 4.0), fleet.clock - age)
                 fleet.fe.schedule.next_at = fleet.fe.wake_at = fleet.clock
                 fleet.pull()
                 self.assertEqual(fleet.fe.all_workers.load_reports[-1].utilization, busy)
@@ -598,7 +599,7 @@
     def test_hints_of_work_count_whatever_becomes_of_the_rpc(self):
         fleet = Fleet()
         for ident, work in enumerate((100.0, 300.0), 1):
-            fleet.fe.request_received(ident, 4000.0, fleet.method, "p", 4000.0, 2, None, work, False)
+            fleet.fe.request_received(RequestReceived(ident, 4000.0, fleet.method, "p", 4000.0, 2, None, work, False))
         self.assertEqual(fleet.fe.latency.usual_work(fleet.fe.functions["p"]), 200.0)
 
     def test_what_nobody_has_tells_nothing_of_workers_and_earns_no_orders(self):
@@ -671,10 +672,12 @@
                     for number in range(200):
                         fleet.fe.advance(fleet.clock)
                         fleet.fe.request_received(
-                            1000 + number, 4000.0, fleet.method, "p", 4000.0, 2, None, work, False
+                            RequestReceived(1000 + number, 4000.0, fleet.method, "p", 4000.0, 2, None, work, False)
                         )
                         for rpc in [d.request for d in fleet.pull() if isinstance(d, Forward)]:
-                            fleet.fe.attempt_finished(rpc.ident, 0, "ok", True, "stood", 3, (0.5, 2.0))
+                            fleet.fe.attempt_finished(
+                                AttemptFinished(rpc.ident, 0, "ok", True, "stood", 3, fleet.reported(0.5, 2.0))
+                            )
                         fleet.pull()
                         if number % 20 == 0:
                             fleet.pass_time(1000, step=500.0)
@@ -694,7 +697,7 @@
             with self.subTest(busy=busy, held=held, age=age, on_call=on_call):
                 fleet = Fleet(workers=1, loads_on_call=on_call)
                 fleet.serve(calls=20)
-                fleet.fe.latency.record_report(fleet.fe.workers["a"], (busy, held), fleet.clock - age)
+                fleet.fe.latency.record_report(fleet.fe.workers["a"], fleet.reported(busy, held), fleet.clock - age)
                 self.assertIn(verb, verbs(fleet.take()))
 
     def test_many_unreached_and_none_cut_are_no_restarts(self):
@@ -783,7 +786,7 @@
                 home = called(fleet.serve(calls=100))[-1]
                 rpc = fleet.take()[0].request
                 place = rpc.attempts[0].replica
-                fleet.fe.attempt_finished(rpc.ident, 0, "full", False, None, company, None)
+                fleet.fe.attempt_finished(AttemptFinished(rpc.ident, 0, "full", False, None, company, None))
                 self.assertEqual(place.loaded > 0, room)
                 self.assertEqual(home in called(fleet.take("new")) + called(fleet.take("newer")), room)
 
@@ -860,7 +863,9 @@
             with self.subTest(ms=ms, busy=busy):
                 fleet = Fleet(workers=6, front_ends=200)
                 for at in range(12):
-                    fleet.fe.health_checked("f", "ok", (busy, 6.0))  # elsewhere: at a busy home they would be denied
+                    fleet.fe.health_checked(
+                        "f", "ok", fleet.reported(busy, 6.0)
+                    )  # elsewhere: at a busy home they would be denied
                     fleet.serve(f"p{at}", calls=2, ms=ms)
                 self.assertEqual(fleet.fe.all_workers.concurrency_limit < 9.0, limited)
 
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -13,10 +13,11 @@
 from math import sqrt
 from unittest.mock import Mock
 
-from bench.simulated_fleet import HollowFleet, HollowFrontEnd, HollowWorker, Settings, listing
+from bench.simulated_fleet import REPORT_FIELDS, HollowFleet, HollowFrontEnd, HollowWorker, Settings, listing
 from tests.helpers import Fleet, called, row
 from wickdyke.routing.cells import Cell
 from wickdyke.routing.decisions import Forward
+from wickdyke.routing.inputs import WorkerLoad
 from wickdyke.routing.model import Endpoint, Worker, WorkSample
 from wickdyke.routing.settings import GatewayInstance, SlowStart
 from wickdyke.routing.slow_start import SlowStartGuard
@@ -46,13 +47,14 @@
         super().__init__(listed, fleet.settings)
         self.fleet, self.arrived = fleet, deque()
 
-    def report(self) -> tuple[float, float]:
+    def report(self) -> WorkerLoad | None:
         """Busy share and requests held."""
         now, born = self.fleet.now, self.endpoint.started_at
         while self.arrived and self.arrived[0] <= now - REPORTED:
             self.arrived.popleft()
         share = 1.0 if born is None else present_share(self.settings.warmup, now - born)
-        return min(1.0, len(self.arrived) * WORK / REPORTED / self.endpoint.size / share), float(self.held)
+        utilization = min(1.0, len(self.arrived) * WORK / REPORTED / self.endpoint.size / share)
+        return WorkerLoad.from_values(REPORT_FIELDS, (utilization, float(self.held)))
 
 
 class MeasuredFleet(HollowFleet):
@@ -214,7 +216,7 @@
         fleet = Fleet(workers=1, front_ends=1)
         for _ in range(8):
             fleet.serve(calls=5)
-            fleet.fe.health_checked("a", "ok", (0.5, 2.0))
+            fleet.fe.health_checked("a", "ok", fleet.reported(0.5, 2.0))
             fleet.pass_time(200)
         return fleet
 
--- a/wickdyke/gateway/attempts.py
+++ b/wickdyke/gateway/attempts.py
@@ -7,6 +7,7 @@
 from wickdyke.gateway.pending_requests import PendingRequests
 from wickdyke.gateway.worker_registry import WorkerRegistry
 from wickdyke.routing.decisions import Cancel, Forward
+from wickdyke.routing.inputs import AttemptFinished
 from wickdyke.routing.model import Attempt, Outcome
 
 
@@ -156,13 +157,15 @@
         try:
             self.context.inform(
                 "attempt_finished",
-                pending.router_id,
-                attempt.number,
-                result.outcome,
-                pending.closed,
-                result.load_note,
-                result.concurrent,
-                result.report,
+                AttemptFinished(
+                    pending.router_id,
+                    attempt.number,
+                    result.outcome,
+                    pending.closed,
+                    result.load_note,
+                    result.concurrent,
+                    result.report,
+                ),
             )
         finally:
             self.requests.forget(pending)
--- a/wickdyke/gateway/coordinator.py
+++ b/wickdyke/gateway/coordinator.py
@@ -19,7 +19,7 @@
 from wickdyke.gateway.interfaces import Command, CommandKind, EndpointList, WorkerClient, WorkerProtocol
 from wickdyke.gateway.isolation import Isolation, NoIsolation
 from wickdyke.gateway.pending_requests import PendingRequests
-from wickdyke.gateway.router_driver import ROUTER_SETTINGS, RouterDriver
+from wickdyke.gateway.router_driver import RouterDriver, settings_of
 from wickdyke.gateway.worker_registry import WorkerRegistry
 from wickdyke.routing import decisions
 from wickdyke.routing.model import Endpoint, Outcome, Request
@@ -48,8 +48,7 @@
         self.config, self.log, self.protocol = config, log, protocol
         self.isolation = isolation or NoIsolation()
         self.events: queue.SimpleQueue[Event | None] = queue.SimpleQueue()
-        settings = {name: getattr(config, name) for name in ROUTER_SETTINGS}
-        self.driver = RouterDriver(clock(), seed, config.request_classes, settings, recorder)
+        self.driver = RouterDriver(clock(), seed, config.request_classes, settings_of(config), recorder)
         self.context = Context(config, log, self.driver, self.post)
         self.requests = PendingRequests(self.context, self.isolation)
         self.workers = WorkerRegistry(protocol, endpoints, self.post, self._endpoints_changed, log)
--- a/wickdyke/gateway/interfaces.py
+++ b/wickdyke/gateway/interfaces.py
@@ -8,6 +8,7 @@
 from enum import StrEnum
 from typing import Any, Protocol
 
+from wickdyke.routing.inputs import WorkerLoad
 from wickdyke.routing.model import Attempt, Endpoint, Function, Request, RequestClass, RoutePolicy
 
 
@@ -99,7 +100,7 @@
     output: bytes = b""
     load_note: str | None = None
     concurrent: int = 0
-    report: tuple[float, ...] | None = None
+    report: WorkerLoad | None = None
     replicas: int = 0
     requests_in_replica: int = 0
 
--- a/wickdyke/gateway/pending_requests.py
+++ b/wickdyke/gateway/pending_requests.py
@@ -7,6 +7,7 @@
 from wickdyke.gateway.events import AttemptWithdrawn
 from wickdyke.gateway.interfaces import PendingRequest
 from wickdyke.gateway.isolation import Isolation
+from wickdyke.routing.inputs import RequestReceived
 from wickdyke.routing.model import Outcome
 
 
@@ -67,16 +68,18 @@
         heapq.heappush(self.deadlines, (self.context.now() + time_left, self.last_id))
         self.context.inform(
             "request_received",
-            self.last_id,
-            time_left,
-            pending.request_class,
-            call.function,
-            call.memory_mb,
-            call.concurrency,
-            call.load_ms,
-            call.work_ms,
-            call.is_repeat,
-            pending.route_policy,
+            RequestReceived(
+                self.last_id,
+                time_left,
+                pending.request_class,
+                call.function,
+                call.memory_mb,
+                call.concurrency,
+                call.load_ms,
+                call.work_ms,
+                call.is_repeat,
+                pending.route_policy,
+            ),
         )
 
     # ---- deadlines ----
--- a/wickdyke/gateway/recording.py
+++ b/wickdyke/gateway/recording.py
@@ -1,4 +1,4 @@
-"""A recording of what the router was told and what it decided; replayed without sockets or clock.
+"""A recording of the router's inputs and decisions; replayed without sockets or clock.
 
 The same events give the same decisions: `replay` proves it for a recording, and finds the first that differs.
 """
@@ -10,7 +10,7 @@
 import time
 from collections.abc import Iterable, Iterator
 from dataclasses import asdict
-from typing import NamedTuple
+from typing import Any, NamedTuple
 
 import msgspec
 
@@ -26,35 +26,17 @@
     Prewarm,
     Reject,
 )
-from wickdyke.routing.model import Endpoint, RequestClass, RoutePolicy
+from wickdyke.routing.inputs import AttemptFinished, RequestReceived, WorkerLoad
+from wickdyke.routing.model import Endpoint, LoadNote, Outcome, RequestClass, RoutePolicy
 from wickdyke.routing.router import Router
-from wickdyke.routing.settings import (
-    AttemptLimits,
-    CostWeights,
-    Discovery,
-    FunctionCache,
-    GatewayInstance,
-    PrewarmQuota,
-    SlowStart,
-    TenantQuotas,
-)
+from wickdyke.routing.settings import RouterSettings
 
-QUEUED_MOST = 200000  # entries; a recording that can't be written as fast stops, and says so at its end
+MAX_QUEUED = 200000  # entries; a recording that can't be written as fast stops, and says so at its end
 TEMPORARY = (errno.ENOSPC, errno.EDQUOT, errno.EIO)  # of a folder that may work again later
 CLOSE_TIMEOUT = 5.0  # s that the end of a recording may take
-SETTINGS = {
-    "instance": GatewayInstance,
-    "attempt_limits": AttemptLimits,
-    "function_cache": FunctionCache,
-    "slow_start": SlowStart,
-    "prewarm_quota": PrewarmQuota,
-    "discovery": Discovery,
-    "cost_weights": CostWeights,
-    "tenant_quotas": TenantQuotas,
-}
-
-
-def as_entry(decision: Decision) -> list:
+
+
+def as_entry(decision: Decision) -> list[Any]:
     """A decision by the identifiers of what it is about."""
     match decision:
         case Forward(request, worker, timeout):
@@ -75,13 +57,23 @@
             return ["note", text]
 
 
+def _input_arguments(args: tuple[object, ...]) -> object:
+    """The arguments of an input as they are stored: those of an input record are its fields."""
+    if len(args) == 1 and isinstance(args[0], RequestReceived | AttemptFinished):
+        args = args[0]
+    return _plain(args)
+
+
 def _plain(value: object) -> object:
-    if isinstance(value, RequestClass):
-        return value.name
-    if isinstance(value, Endpoint | RoutePolicy):
-        return asdict(value)
-    if isinstance(value, (list, tuple)):
-        return [_plain(each) for each in value]
+    match value:
+        case RequestClass():
+            return value.name
+        case Endpoint() | RoutePolicy():
+            return asdict(value)
+        case WorkerLoad():
+            return list(value.reported)
+        case list() | tuple():
+            return [_plain(item) for item in value]
     return value
 
 
@@ -92,10 +84,10 @@
     what is on disk can be replayed up to there. Whoever records is never held up and gets no error.
     """
 
-    def __init__(self, path: str, log=None) -> None:
+    def __init__(self, path: str, log: Any = None) -> None:
         """Raises OSError where the file can never be opened; where that only fails for now, nothing is recorded."""
         self.path, self.log = path, log
-        self.entries: queue.Queue = queue.Queue(QUEUED_MOST)
+        self.entries: queue.Queue[tuple[Any, ...] | None] = queue.Queue(MAX_QUEUED)
         self.broken = False
         self.lock = threading.Lock()
         self.thread = threading.Thread(target=self._write, name="recording", daemon=True)
@@ -104,23 +96,22 @@
         except OSError as error:
             if error.errno not in TEMPORARY:
                 raise
-            self._end(error.strerror)
+            self._end(error.strerror or str(error))
         else:
             self.thread.start()
 
-    def start(self, now: float, seed: int, request_classes: list[RequestClass], settings: dict) -> None:
+    def start(self, now: float, seed: int, request_classes: list[RequestClass], settings: RouterSettings) -> None:
         """Records what the router is made with."""
-        classes = [asdict(each) for each in request_classes]
+        classes = [asdict(request_class) for request_class in request_classes]
         for fields in classes:
             fields.pop("durations", None)  # the router's own
-        records = {name: asdict(record) for name, record in settings.items()}
-        self._put(("start", now, seed, classes, records))
+        self._put(("start", now, seed, classes, asdict(settings)))
 
-    def heard(self, now: float, name: str, args: tuple) -> None:
-        """Records one input."""
-        self._put(("heard", now, name, _plain(args)))
+    def record_input(self, now: float, name: str, args: tuple[object, ...]) -> None:
+        """Records one input: the router's method that takes it, and its arguments."""
+        self._put(("heard", now, name, _input_arguments(args)))
 
-    def decided(self, decision: Decision) -> None:
+    def record_decision(self, decision: Decision) -> None:
         """Records one decision."""
         self._put(("decided", as_entry(decision)))
 
@@ -133,13 +124,13 @@
             self.entries.put(None, timeout=CLOSE_TIMEOUT)
         self.thread.join(max(0.0, ends - time.monotonic()))
 
-    def _put(self, entry: tuple) -> None:
+    def _put(self, entry: tuple[Any, ...]) -> None:
         if self.broken:
             return
         try:
             self.entries.put_nowait(entry)
         except queue.Full:
-            self._end(f"{QUEUED_MOST} entries wait to be written")
+            self._end(f"{MAX_QUEUED} entries wait to be written")
 
     def _end(self, why: str) -> None:
         """Ends the recording; the reason is logged the first time."""
@@ -163,7 +154,7 @@
                     self.entries.get_nowait()
 
 
-def entries(lines: Iterable[bytes]) -> Iterator[list]:
+def entries(lines: Iterable[bytes]) -> Iterator[list[Any]]:
     """The entries of a recording, up to where it was broken off or a writer was killed in the middle of a line."""
     for line in lines:
         if not line.endswith(b"\n"):
@@ -190,12 +181,12 @@
     player = _Player(*modern(start)[1:])
     for entry in map(modern, source):
         if entry[0] == "decided":
-            player.expected.append(entry[1])
+            player.expect(entry[1])
             continue
         difference = player.compare()
         if difference is not None:
             return ReplayResult(player.same, difference)
-        player.hear(*entry[1:])
+        player.apply(*entry[1:])
     # Decisions after the last input may have been cut off with the recording.
     return ReplayResult(player.same + len(player.expected or ()), None)
 
@@ -203,36 +194,53 @@
 class _Player:
     """A router made as the recorded one was. `expected` is what was recorded of the last `decide`, if not compared."""
 
-    def __init__(self, now: float, seed: int, request_classes: list[dict], settings: dict[str, dict]) -> None:
-        known = [msgspec.convert(each, RequestClass, strict=False) for each in request_classes]
-        self.request_classes = {each.name: each for each in known}
-        records = {name: msgspec.convert(settings[name], kind) for name, kind in SETTINGS.items() if name in settings}
-        self.router = Router(now, seed, known, **records)
-        self.now, self.same = now, 0
-        self.decided: list[list] = []
-        self.expected: list[list] | None = None
+    def __init__(self, now: float, seed: int, request_classes: list[dict[str, Any]], settings: dict[str, Any]) -> None:
+        classes = [msgspec.convert(fields, RequestClass, strict=False) for fields in request_classes]
+        self.request_classes = {request_class.name: request_class for request_class in classes}
+        self.router = Router(now, seed, classes, msgspec.convert(settings, RouterSettings))
+        self.now = now
+        self.same = 0
+        self.decided: list[list[Any]] = []
+        self.expected: list[list[Any]] | None = None
 
-    def hear(self, now: float, name: str, args: list) -> None:
+    def apply(self, now: float, name: str, args: list[Any]) -> None:
         """Gives the router one input, or takes its decisions."""
         self.now = now
         self.router.advance(now)
         if name == "decide":
-            self.decided, self.expected = [as_entry(decision) for decision in iter(self.router.decide, None)], []
+            self.decided = list(self._decisions())
+            self.expected = []
         else:
             getattr(self.router, name)(*self._arguments(name, args))
 
-    def _arguments(self, name: str, args: list) -> list:
-        if name == "endpoints_changed":
-            return [[Endpoint(**fields) for fields in args[0]], args[1]]
-        if name == "request_received":
-            ident, time_left, request_class, *rest, route_policy = args
-            if route_policy is not None:
-                route_policy = msgspec.convert(route_policy, RoutePolicy)
-            return [ident, time_left, self.request_classes[request_class], *rest, route_policy]
-        if name in ("attempt_finished", "health_checked") and args[-1] is not None:
-            return [*args[:-1], tuple(args[-1])]
+    def _decisions(self) -> Iterator[list[Any]]:
+        while (decision := self.router.decide()) is not None:
+            yield as_entry(decision)
+
+    def _arguments(self, name: str, args: list[Any]) -> list[Any]:
+        match name, args:
+            case "endpoints_changed", [endpoints, whole]:
+                return [[Endpoint(**fields) for fields in endpoints], whole]
+            case "request_received", values:
+                received = RequestReceived(*values)
+                policy = received.policy and msgspec.convert(received.policy, RoutePolicy)
+                return [received._replace(request_class=self.request_classes[values[2]], policy=policy)]
+            case "attempt_finished", [ident, number, outcome, final, load_note, concurrent, report]:
+                note = None if load_note is None else LoadNote(load_note)
+                load = self._worker_load(report)
+                return [AttemptFinished(ident, number, Outcome(outcome), final, note, concurrent, load)]
+            case "health_checked", [ident, outcome, report]:
+                return [ident, Outcome(outcome), self._worker_load(report)]
         return args
 
+    def _worker_load(self, values: list[float] | None) -> WorkerLoad | None:
+        return WorkerLoad.from_values(self.router.instance.report_fields, values)
+
+    def expect(self, decision: list[Any]) -> None:
+        """Adds a decision that was recorded after the last `decide`."""
+        assert self.expected is not None, "recorded after an input other than decide"
+        self.expected.append(decision)
+
     def compare(self) -> str | None:
         """The difference between what was decided last and what was recorded of it, if there is one."""
         expected, self.expected = self.expected, None
--- a/wickdyke/gateway/recording_words.py
+++ b/wickdyke/gateway/recording_words.py
@@ -1,6 +1,7 @@
 """Reads recordings written under earlier names: one table for inputs, settings, decisions and log notes."""
 
 import re
+from typing import Any
 
 INPUTS = {
     "took": "request_received",
@@ -74,7 +75,7 @@
 )
 
 
-def modern(entry: list) -> list:
+def modern(entry: list[Any]) -> list[Any]:
     """An entry of a recording in today's names; one that has them already is left as it is."""
     match entry:
         case ["start", now, seed, classes, settings]:
@@ -88,11 +89,11 @@
     return entry
 
 
-def _renamed(record: dict, names: dict[str, str]) -> dict:
+def _renamed(record: dict[str, Any], names: dict[str, str]) -> dict[str, Any]:
     return {names.get(name, name): value for name, value in record.items()}
 
 
-def _settings(settings: dict) -> dict:
+def _settings(settings: dict[str, Any]) -> dict[str, Any]:
     named = _renamed(settings, SETTINGS)
     renamed = {name: _renamed(record, FIELDS.get(name, {})) for name, record in named.items()}
     if "instance" in renamed:
@@ -101,7 +102,7 @@
     return renamed
 
 
-def _arguments(name: str, args: list) -> list:
+def _arguments(name: str, args: list[Any]) -> list[Any]:
     if name == "endpoints_changed":
         return [[_renamed(endpoint, ENDPOINT) for endpoint in args[0]], *args[1:]]
     if name == "request_received" and isinstance(args[-1], dict):
--- a/wickdyke/gateway/router_driver.py
+++ b/wickdyke/gateway/router_driver.py
@@ -1,51 +1,49 @@
-"""Tells the router what happens, takes its decisions, and records both where a recording is wanted."""
+"""Passes inputs to the router, takes its decisions, and records both where a recording is wanted."""
 
 from collections.abc import Iterator
-from typing import TYPE_CHECKING
+from dataclasses import fields
+from typing import TYPE_CHECKING, Any
 
 from wickdyke.routing.decisions import Decision
 from wickdyke.routing.model import RequestClass
 from wickdyke.routing.router import Router
+from wickdyke.routing.settings import RouterSettings
 
 if TYPE_CHECKING:  # only one of the two gateways records
     from wickdyke.gateway.recording import DecisionRecorder
 
-ROUTER_SETTINGS = (
-    "instance",
-    "attempt_limits",
-    "function_cache",
-    "slow_start",
-    "prewarm_quota",
-    "discovery",
-    "cost_weights",
-    "tenant_quotas",
-)
+
+def settings_of(config: Any) -> RouterSettings:
+    """The router's part of a gateway's settings, of which each record is an attribute of the same name."""
+    return RouterSettings(**{field.name: getattr(config, field.name) for field in fields(RouterSettings)})
 
 
 class RouterDriver:
-    """Owns the router. `has_input` is whether it was told something since its decisions were last taken."""
+    """Owns the router. `has_input` is whether it was given an input since its decisions were last taken."""
 
     def __init__(
         self,
         now: float,
         seed: int,
         request_classes: list[RequestClass],
-        settings: dict[str, object],
+        settings: RouterSettings,
         recorder: "DecisionRecorder | None",
     ) -> None:
-        self.recorder, self.has_input = recorder, False
+        """Makes the router, and begins the recording if there is to be one."""
+        self.recorder = recorder
+        self.has_input = False
         if recorder is not None:
             recorder.start(now, seed, request_classes, settings)
-        self.router = Router(now, seed, request_classes, **settings)
+        self.router = Router(now, seed, request_classes, settings)
 
     def is_due(self, now: float) -> bool:
         """Whether decisions are to be taken now."""
         return self.has_input or self.router.wake_at <= now
 
     def inform(self, now: float, name: str, *args: object) -> None:
-        """Tells the router one thing: the input of that name. That only updates its state."""
+        """Passes one input to the router: `name` is the method that takes it. That only updates its state."""
         if self.recorder is not None:
-            self.recorder.heard(now, name, args)
+            self.recorder.record_input(now, name, args)
         self.router.advance(now)
         getattr(self.router, name)(*args)
         self.has_input = True
@@ -55,8 +53,8 @@
         self.has_input = False
         self.router.advance(now)
         if self.recorder is not None:
-            self.recorder.heard(now, "decide", ())
+            self.recorder.record_input(now, "decide", ())
         while (decision := self.router.decide()) is not None:
             if self.recorder is not None:
-                self.recorder.decided(decision)
+                self.recorder.record_decision(decision)
             yield decision
--- a/wickdyke/jsonrpc/worker_protocol.py
+++ b/wickdyke/jsonrpc/worker_protocol.py
@@ -6,6 +6,7 @@
 from wickdyke.gateway.interfaces import CommandKind, CommandResult, PendingRequest
 from wickdyke.jsonrpc.worker_client import Command, WorkerClient, clock
 from wickdyke.protocol import jsonrpc, worker_messages
+from wickdyke.routing.inputs import WorkerLoad
 from wickdyke.routing.model import Attempt, Function, Outcome
 
 
@@ -98,8 +99,9 @@
             requests_in_replica=told.requests_in_replica,
         )
 
-    def _report(self, report: dict[str, float] | None) -> tuple[float, ...] | None:
-        return worker_messages.ordered_report(report, self.report_fields)
+    def _report(self, report: dict[str, float] | None) -> WorkerLoad | None:
+        values = worker_messages.ordered_report(report, self.report_fields)
+        return WorkerLoad.from_values(self.report_fields, values)
 
 
 def _read(kind: type, raw: bytes | None):
--- a/wickdyke/platform/worker_results.py
+++ b/wickdyke/platform/worker_results.py
@@ -3,6 +3,7 @@
 from wickdyke.config.deployment_settings import REPORTS
 from wickdyke.gateway.interfaces import CommandResult
 from wickdyke.platform import resp
+from wickdyke.routing.inputs import WorkerLoad
 from wickdyke.routing.model import LoadNote, Outcome
 
 OUTCOMES = {
@@ -27,8 +28,8 @@
 }
 
 
-def read_report(text: str, fields: tuple[str, ...]) -> tuple[float, ...] | None:
-    """A report in the order of `fields`; None where it is not whole."""
+def read_report(text: str, fields: tuple[str, ...]) -> WorkerLoad | None:
+    """The load report, which has to name all `fields`; None where it does not."""
     values = {}
     try:
         for pair in text.split(";"):
@@ -38,7 +39,7 @@
         return None
     if any(not abs(values.get(field, float("inf"))) < VALUE_MOST for field in fields):
         return None
-    return tuple(values[field] for field in fields)
+    return WorkerLoad.from_values(fields, [values[field] for field in fields])
 
 
 def read_result(answer: list[bytes], report_fields: tuple[str, ...]) -> CommandResult:
--- a/wickdyke/routing/latency.py
+++ b/wickdyke/routing/latency.py
@@ -3,6 +3,7 @@
 from collections import deque
 
 from wickdyke.routing.cells import Cell
+from wickdyke.routing.inputs import WorkerLoad
 from wickdyke.routing.model import (
     Attempt,
     Function,
@@ -14,7 +15,7 @@
     Worker,
 )
 from wickdyke.routing.samples import mean, sum_by_key
-from wickdyke.routing.settings import FunctionCache, GatewayInstance, TenantQuotas
+from wickdyke.routing.settings import FunctionCache, TenantQuotas
 
 SAMPLE_AGE = 15000.0  # ms for which a latency sample counts
 LATENCY_SAMPLES_KEPT = 40  # of a worker
@@ -54,9 +55,8 @@
     A worker's pace is round trip plus run time as measured, over what its requests take on the average worker.
     """
 
-    def __init__(self, cache: FunctionCache, instance: GatewayInstance, quotas: TenantQuotas) -> None:
+    def __init__(self, cache: FunctionCache, quotas: TenantQuotas) -> None:
         self.idle_timeout = cache.idle_timeout
-        self.report_fields = instance.report_fields
         self.promised_rate = sum(quotas.quotas)
         self.average_pace = 1.0
         self.pace_by_kind: dict[int, float] = {}
@@ -129,15 +129,14 @@
             cores = (promised or CORES_GUESS) / size
         self.cores_per_size = cores
 
-    def record_report(self, worker: Worker, values: tuple[float, ...] | None, now: float) -> None:
-        """Enters a load report, its values in the order of the settings' fields.
+    def record_report(self, worker: Worker, load: WorkerLoad | None, now: float) -> None:
+        """Enters a load report.
 
         Of utilization and requests in flight each stands in for the other where only one is given.
         """
-        fields = dict(zip(self.report_fields, values or (), strict=False))
-        if not fields:
+        if load is None:
             return
-        utilization, in_flight = fields.get("utilization"), fields.get("in_flight")
+        utilization, in_flight, queued, pinned, _ = load
         if in_flight is not None:
             low, high = UTILIZATION_TELLING
             if utilization is not None and low < utilization < high:
@@ -145,9 +144,8 @@
             if utilization is None:
                 utilization = min(1.0, in_flight / self.cores(worker))
         elif utilization is not None:
-            in_flight = utilization * self.cores(worker) + fields.get("queued", 0.0)
+            in_flight = utilization * self.cores(worker) + queued
         worker.open_records(WORKER_RECORDS)
-        pinned = fields.get("pinned", 0.0)
         worker.load_reports.append(LoadReport(now, utilization, in_flight, pinned, len(worker.in_flight)))
         shares = [report.utilization for report in worker.load_reports if report.utilization is not None]
         worker.utilization = mean(shares, 0.0)
@@ -192,7 +190,7 @@
         crowding = 1 + (len(worker.in_flight) + others) / self.cores(worker)
         return self.expected_work(request) * self.pace(worker) * crowding + self._load_left(replica, now)
 
-    def record_attempt(self, attempt: Attempt, outcome: str, now: float) -> None:
+    def record_attempt(self, attempt: Attempt, outcome: Outcome, now: float) -> None:
         """Enters how long an attempt at a loaded replica took.
 
         One that was given up after its expected latency counts as having taken at least that long: a worker that grows
--- a/wickdyke/routing/model.py
+++ b/wickdyke/routing/model.py
@@ -40,6 +40,14 @@
     SIDE_EFFECTING = "side-effecting"
 
 
+class Scope(StrEnum):
+    """Among which workers an idempotency key is recognized."""
+
+    ALL = "all"
+    ZONE = "zone"
+    CELL = "cell"
+
+
 class EndpointState(StrEnum):
     """What the endpoint list says of a worker."""
 
@@ -106,13 +114,13 @@
 class RequestClass:
     """A class of requests, as the settings state it.
 
-    `scope` (all, zone or cell) is where an idempotency key is known for `dedupe_window`; `latency_objective` is the
+    `scope` is where an idempotency key is known for `dedupe_window`; `latency_objective` is the
     time within which an answer has its full weight, longer by `objective_per_work` for each ms of work.
     """
 
     name: str
-    effect: str
-    scope: str
+    effect: Effect
+    scope: Scope
     dedupe_window: float
     latency_objective: float
     objective_per_work: float
@@ -134,7 +142,7 @@
     attempt_timeout: float | None
     attempts: int
     backoff: tuple[float, float, float, float]
-    retryable: frozenset[str]
+    retryable: frozenset[Outcome]
     hedge: tuple[float, int, float] | None
     budget_terms: tuple[float, float, float] | None
     queue_timeout: float | None
@@ -159,7 +167,7 @@
     zone: int
     kind: int
     cell: int
-    state: str
+    state: EndpointState
     size: float
     started_at: float | None
 
@@ -312,7 +320,7 @@
     active_at_worker: int
     active_in_total: int
     overdue_at: float = 0.0
-    outcome: str | None = None
+    outcome: Outcome | None = None
     withdrawn: bool = False  # cancelled in favour of another worker
 
 
@@ -348,7 +356,7 @@
     attempt.replica.worker.in_flight.append(attempt)
 
 
-def finish_attempt(attempt: Attempt, outcome: str) -> None:
+def finish_attempt(attempt: Attempt, outcome: Outcome) -> None:
     """Enters how an attempt ended; it is in flight no more."""
     if attempt.outcome is None:
         attempt.replica.in_flight -= 1
--- a/wickdyke/routing/results.py
+++ b/wickdyke/routing/results.py
@@ -3,6 +3,7 @@
 from dataclasses import dataclass
 
 from wickdyke.routing.concurrency import adapt_limit
+from wickdyke.routing.inputs import AttemptFinished
 from wickdyke.routing.latency import LatencyEstimator
 from wickdyke.routing.model import (
     Attempt,
@@ -35,17 +36,11 @@
     outliers: OutlierDetector
     all_workers: Worker
 
-    def attempt_finished(
-        self,
-        attempt: Attempt,
-        outcome: str,
-        load_note: str | None,
-        concurrent: int,
-        report: tuple[float, ...] | None,
-        now: float,
-    ) -> None:
-        """Enters how an attempt ended. `concurrent`: requests of the function in flight there as it came."""
-        worker, function = attempt.replica.worker, attempt.request.function
+    def attempt_finished(self, attempt: Attempt, finished: AttemptFinished, now: float) -> None:
+        """Enters how an attempt ended at `now` (ms)."""
+        _, _, outcome, _, load_note, concurrent, load = finished
+        worker = attempt.replica.worker
+        function = attempt.request.function
         if load_note in (LoadNote.BEGAN, LoadNote.AWAITED):
             end_activity(attempt, (worker, self.all_workers), now)
             attempt.warm = False
@@ -66,9 +61,9 @@
         # misleads where a worker fails all functions that only it has had.
         blamed = function.verified or outcome != Outcome.ERROR
         self.outliers.record(worker, outcome if blamed else Outcome.MISS, now)
-        self.latency.record_report(worker, report, now)
+        self.latency.record_report(worker, load, now)
 
-    def _adapt_limits(self, attempt: Attempt, outcome: str, now: float) -> None:
+    def _adapt_limits(self, attempt: Attempt, outcome: Outcome, now: float) -> None:
         policy = attempt.request.route_policy
         timed_out = outcome == Outcome.TIMEOUT and policy is not None and policy.attempt_timeout is not None
         if not attempt.warm or not (outcome == Outcome.OK or timed_out):
@@ -80,7 +75,7 @@
             if attempt.sent_at >= gate.limit_lowered_at:
                 adapt_limit(gate, attempt, active, timed_out, now)
 
-    def _served(self, attempt: Attempt, load_note: str | None, concurrent: int, now: float) -> None:
+    def _served(self, attempt: Attempt, load_note: LoadNote | None, concurrent: int, now: float) -> None:
         request, replica, function = attempt.request, attempt.replica, attempt.request.function
         if self.cache.reports_concurrency:
             function.concurrency_samples.append((replica.worker, concurrent))
@@ -103,18 +98,18 @@
             worker.memory_short_until = now + MEMORY_SHORT_FOR
             replica.loaded, replica.last_used = 0, 0.0
 
-    def prewarm_finished(self, replica: Replica, outcome: str, copies: int, took: float, now: float) -> None:
-        """Enters how a prewarm ended after `took` ms, with so many copies loaded."""
+    def prewarm_finished(self, replica: Replica, outcome: Outcome, replicas: int, elapsed: float, now: float) -> None:
+        """Enters how a prewarm ended after `elapsed` ms, with so many replicas loaded."""
         worker, function = replica.worker, replica.function
         replica.prewarm_sent_at = replica.loading_since = None
         if outcome == Outcome.OK:
-            self.latency.record_load(function, 0.0 if replica.loaded else took)
-            worker.last_heard, replica.loaded, replica.last_used = now, copies, now
+            self.latency.record_load(function, 0.0 if replica.loaded else elapsed)
+            worker.last_heard, replica.loaded, replica.last_used = now, replicas, now
             self.prewarm_limiter.verify(function, now)
             most = self.cache.memory_on(worker.endpoint)
             worker.memory_budget = min(worker.memory_budget * BUDGET_GROWTH, most)
         elif outcome in (Outcome.FULL, Outcome.ERROR):
-            replica.loaded, replica.full_until = copies, now + self.cache.idle_timeout / 8
+            replica.loaded, replica.full_until = replicas, now + self.cache.idle_timeout / 8
             worker.memory_budget = max(worker.memory_budget * BUDGET_SHRINK, function.memory)
         else:
             self.outliers.record(worker, outcome, now)
--- a/wickdyke/routing/retries.py
+++ b/wickdyke/routing/retries.py
@@ -1,6 +1,6 @@
 """Whether and when a request may be attempted again, and what may be answered when it may not."""
 
-from wickdyke.routing.model import Effect, Outcome, Request, RetryBudget, RoutePolicy, Worker
+from wickdyke.routing.model import Effect, Outcome, Request, RetryBudget, RoutePolicy, Scope, Worker
 from wickdyke.routing.samples import trim_times
 from wickdyke.routing.seeded_random import SeededRandom
 from wickdyke.routing.settings import AttemptLimits
@@ -44,7 +44,7 @@
     if request_class.effect != Effect.KEYED or now >= may_have_run[0].sent_at + request_class.dedupe_window:
         return False
     scope = request_class.scope
-    return scope == "all" or all(
+    return scope == Scope.ALL or all(
         getattr(attempt.replica.worker.endpoint, scope) == getattr(worker.endpoint, scope) for attempt in may_have_run
     )
 
@@ -56,18 +56,18 @@
 
 def may_reject(request: Request) -> bool:
     """Whether asking again is harmless, so that it may be rejected; otherwise it has failed."""
-    everywhere = request.request_class.effect == Effect.KEYED and request.request_class.scope == "all"
+    everywhere = request.request_class.effect == Effect.KEYED and request.request_class.scope == Scope.ALL
     return may_wait(request) or everywhere
 
 
-def schedule_retry(request: Request, outcome: str, random: SeededRandom, now: float) -> None:
+def schedule_retry(request: Request, outcome: Outcome, random: SeededRandom, now: float) -> None:
     """Sets when the next attempt may go, by the backoff of its route."""
     first, growth, most, spread = request.route_policy.backoff
     wait = min(most, first * growth ** (len(request.attempts) - 1)) * (1 + spread * random.fraction())
     request.not_before = now + (0.0 if outcome == Outcome.CANCELLED else wait)  # withdrawn: it has waited enough
 
 
-def within_retry_budget(request: Request, outcome: str | None, now: float) -> bool:
+def within_retry_budget(request: Request, outcome: Outcome | None, now: float) -> bool:
     """Whether a further attempt is wanted after that outcome, and paid for.
 
     Retries multiply an overload, and failing workers. The budget hurts where it is far too small.
--- a/wickdyke/routing/router.py
+++ b/wickdyke/routing/router.py
@@ -15,8 +15,9 @@
 from wickdyke.routing.dispatcher import Dispatcher
 from wickdyke.routing.fleet import Fleet
 from wickdyke.routing.health_checks import CHECK_EVERY, CHECK_SOON, HealthChecker
+from wickdyke.routing.inputs import AttemptFinished, RequestReceived, WorkerLoad
 from wickdyke.routing.latency import DURATIONS_KEPT, OBJECTIVE_SHARES_KEPT, LatencyEstimator, is_overdue
-from wickdyke.routing.model import Endpoint, Function, Outcome, Request, RequestClass, RoutePolicy, Worker
+from wickdyke.routing.model import Endpoint, EndpointState, Function, Outcome, Request, RequestClass, Worker
 from wickdyke.routing.outliers import EXPECTED_LEAST, OutlierDetector
 from wickdyke.routing.periods import TICK
 from wickdyke.routing.placement import Placement
@@ -27,16 +28,7 @@
 from wickdyke.routing.samples import Recent
 from wickdyke.routing.seeded_random import SeededRandom, name_hash
 from wickdyke.routing.selection import ReplicaSelector
-from wickdyke.routing.settings import (
-    AttemptLimits,
-    CostWeights,
-    Discovery,
-    FunctionCache,
-    GatewayInstance,
-    PrewarmQuota,
-    SlowStart,
-    TenantQuotas,
-)
+from wickdyke.routing.settings import AttemptLimits, RouterSettings
 from wickdyke.routing.slow_start import SlowStartGuard
 
 SINGLE_CELL_LIMIT = 128  # workers of a fleet that is one cell
@@ -53,41 +45,41 @@
         now: float,
         seed: int,
         request_classes: list[RequestClass],
-        instance: GatewayInstance,
-        attempt_limits: AttemptLimits,
-        function_cache: FunctionCache,
-        slow_start: SlowStart,
-        prewarm_quota: PrewarmQuota,
-        discovery: Discovery,
-        cost_weights: CostWeights,
-        tenant_quotas: TenantQuotas = TenantQuotas(),  # noqa: B008 - it is frozen
+        settings: RouterSettings,
     ) -> None:
-        self.now, self.wake_at = now, now
-        self.request_classes, self.instance, self.cache = request_classes, instance, function_cache
+        """A router that begins at `now` (ms) with an empty endpoint list; `seed` fixes its random draws."""
+        instance = settings.instance
+        cache = settings.function_cache
+        self.now = now
+        self.wake_at = now
+        self.request_classes = request_classes
+        self.instance = instance
+        self.cache = cache
         for request_class in request_classes:
             request_class.durations = deque(maxlen=DURATIONS_KEPT)
         self.notes: deque[str] = deque()
         self.decisions: deque[Decision] = deque()
         self.planned: deque[PrewarmPlan] = deque()
         self.random = SeededRandom(seed)
-        self.discovery, self.following = discovery, discovery.pushed
-        self.latency = LatencyEstimator(function_cache, instance, tenant_quotas)
-        self.slow_start = SlowStartGuard(slow_start, instance)
-        self.prewarm_limiter = PrewarmLimiter(prewarm_quota)
+        self.discovery = settings.discovery
+        self.following = settings.discovery.pushed
+        self.latency = LatencyEstimator(cache, settings.tenant_quotas)
+        self.slow_start = SlowStartGuard(settings.slow_start, instance)
+        self.prewarm_limiter = PrewarmLimiter(settings.prewarm_quota)
         self.outliers = OutlierDetector(self.notes.append, self.latency, self.slow_start)
         self.control_budget = ControlBudget()
         self.retry_budgets = RetryBudgets()
         self.all_workers = _all_workers()
 
         def make_worker(endpoint: Endpoint) -> Worker:
-            memory = function_cache.memory_on(endpoint) / instance.count
+            memory = cache.memory_on(endpoint) / instance.count
             return Worker.from_endpoint(endpoint, memory, LIMIT_START)
 
         def make_placement(cell: Cell) -> Placement:
-            return Placement(cell, self.latency, function_cache, instance, cost_weights, now)
+            return Placement(cell, self.latency, cache, instance, settings.cost_weights, now)
 
         self.fleet = Fleet(SINGLE_CELL_LIMIT, CELL_CAPACITY, POINTS_PER_FUNCTION, make_worker, make_placement)
-        self._assemble(attempt_limits, now)
+        self._assemble(settings.attempt_limits, now)
 
     def _assemble(self, limits: AttemptLimits, now: float) -> None:
         """Makes the parts that decide, from those that know."""
@@ -147,24 +139,13 @@
             cell.placement.scope.invalidate()  # sizes may have changed
             cell.placement.scope.update(self.now)
 
-    def request_received(
-        self,
-        ident: int,
-        time_left: float,
-        request_class: RequestClass,
-        name: str,
-        memory: float,
-        concurrency: int,
-        load_hint: float | None,
-        work: float | None,
-        is_repeat: bool,
-        policy: RoutePolicy | None = None,
-    ) -> None:
-        """A request came for the function of that name, of `memory` MB, with hints of load time and work (ms)."""
+    def request_received(self, received: RequestReceived) -> None:
+        """Opens a request, and makes its function known if it is new."""
+        ident, time_left, request_class, name, _, _, _, work, is_repeat, policy = received
         now = self.now
         function = self.functions.get(name)
         if function is None:
-            function = self._new_function(name, request_class, memory, concurrency, load_hint or 0)
+            function = self._new_function(received)
         function.last_called = now
         function.recent_calls.append(now)
         self.control_budget.request_received()
@@ -181,23 +162,18 @@
         self.dispatcher.open(request)
         self.wake_at = min(self.wake_at, now + TICK)
 
-    def _new_function(
-        self, name: str, request_class: RequestClass, memory: float, concurrency: int, load_hint: float
-    ) -> Function:
-        calls, durations, load_times, samples = map(
-            Recent, (CALLS_KEPT, DURATIONS_KEPT, DURATIONS_KEPT, DURATIONS_KEPT)
-        )
+    def _new_function(self, received: RequestReceived) -> Function:
         function = Function(
-            name,
-            request_class,
-            memory,
-            concurrency,
-            load_hint,
-            calls,
-            durations,
-            load_times,
-            samples,
-            name_hash(name),
+            name=received.function_name,
+            request_class=received.request_class,
+            memory=received.memory,
+            concurrency=received.concurrency,
+            load_hint=received.load_hint or 0,
+            recent_calls=Recent(CALLS_KEPT),
+            durations=Recent(DURATIONS_KEPT),
+            load_times=Recent(DURATIONS_KEPT),
+            concurrency_samples=Recent(DURATIONS_KEPT),
+            name_hash=name_hash(received.function_name),
             last_called=self.now,
         )
         self.fleet.enter(function)
@@ -209,24 +185,16 @@
         if ident in self.requests:
             self.requests[ident].closed = True
 
-    def attempt_finished(
-        self,
-        ident: int,
-        number: int,
-        outcome: str,
-        final: bool,
-        load_note: str | None,
-        concurrent: int,
-        report: tuple[float, ...] | None,
-    ) -> None:
-        """An attempt ended; `final` where the client has its answer, `report` in the order of the settings' fields."""
-        now, request = self.now, self.requests.get(ident)
-        if request is None or number >= len(request.attempts):
+    def attempt_finished(self, finished: AttemptFinished) -> None:
+        """Enters how an attempt ended; ignored where the request is not open, or the attempt was never sent."""
+        now = self.now
+        request = self.requests.get(finished.ident)
+        if request is None or finished.number >= len(request.attempts):
             return
-        self.results.attempt_finished(request.attempts[number], outcome, load_note, concurrent, report, now)
-        request.closed = request.closed or final
-        if request.route_policy and outcome != Outcome.OK:
-            schedule_retry(request, outcome, self.random, now)
+        self.results.attempt_finished(request.attempts[finished.number], finished, now)
+        request.closed = request.closed or finished.final
+        if request.route_policy and finished.outcome != Outcome.OK:
+            schedule_retry(request, finished.outcome, self.random, now)
         if request.closed:
             self.dispatcher.close(request)
         else:
@@ -237,17 +205,17 @@
         if request := self.requests.get(ident):
             self.dispatcher.close(request)
 
-    def prewarm_finished(self, worker_ident: str, name: str, outcome: str, copies: int, took: float) -> None:
-        """A prewarm ended after `took` ms, with so many copies loaded."""
+    def prewarm_finished(self, worker_ident: str, name: str, outcome: Outcome, replicas: int, elapsed: float) -> None:
+        """Enters a prewarm that ended after `elapsed` ms, with so many replicas loaded."""
         worker, function = self.workers.get(worker_ident), self.functions.get(name)
         replica = worker.replicas.get(function) if worker else None
         if replica is not None:
-            self.results.prewarm_finished(replica, outcome, copies, took, self.now)
+            self.results.prewarm_finished(replica, outcome, replicas, elapsed, self.now)
 
-    def health_checked(self, ident: str, outcome: str, report: tuple[float, ...] | None) -> None:
-        """A health check ended."""
+    def health_checked(self, ident: str, outcome: Outcome, load: WorkerLoad | None) -> None:
+        """Enters how a health check of the worker of that identifier ended, with the load that it reported."""
         if worker := self.workers.get(ident):
-            self.latency.record_report(worker, report, self.now)
+            self.latency.record_report(worker, load, self.now)
             self.health_checker.finished(worker, outcome, self.now)
             if outcome == Outcome.UNREACHED:
                 self.outliers.record(worker, outcome, self.now)
@@ -320,4 +288,4 @@
 def _all_workers() -> Worker:
     """All workers as one, for the limit on all our attempts."""
     records = (deque(maxlen=OBJECTIVE_SHARES_KEPT) for _ in range(4))
-    return Worker(Endpoint("", 0, 0, 0, "ready", 1.0, None), *records, 0.0, inf, None, 0)
+    return Worker(Endpoint("", 0, 0, 0, EndpointState.READY, 1.0, None), *records, 0.0, inf, None, 0)
--- a/wickdyke/routing/settings.py
+++ b/wickdyke/routing/settings.py
@@ -105,3 +105,17 @@
     zone: int
     report_fields: tuple[str, ...]
     weight_by_work: bool
+
+
+@dataclass(slots=True, frozen=True)
+class RouterSettings:
+    """All settings of a router but its request classes."""
+
+    instance: GatewayInstance
+    attempt_limits: AttemptLimits
+    function_cache: FunctionCache
+    slow_start: SlowStart
+    prewarm_quota: PrewarmQuota
+    discovery: Discovery
+    cost_weights: CostWeights
+    tenant_quotas: TenantQuotas = TenantQuotas()
--- a/wickdyke/simulator/host.py
+++ b/wickdyke/simulator/host.py
@@ -3,9 +3,12 @@
 import math
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass, field
+from typing import Any
 
 from wickdyke.config.deployment_settings import InvalidInputError, from_pairs, router_settings
+from wickdyke.routing.inputs import AttemptFinished, RequestReceived, WorkerLoad
 from wickdyke.routing.router import Router
+from wickdyke.routing.settings import RouterSettings
 from wickdyke.simulator import codec
 
 Lines = Iterator[tuple[int, list[str]]]
@@ -139,9 +142,10 @@
         if len(values) < 2:
             raise InvalidInputError("POWER_ON: expected an instance, a seed and the settings")
         ident, seed = codec.read_values("POWER_ON", values[:2], (("instance", codec.count), ("seed", codec.count)))
-        settings = router_settings(from_pairs(values[2:]))
+        settings: dict[str, Any] = router_settings(from_pairs(values[2:]))
+        request_classes = settings.pop("request_classes")
         batch.touched[ident] = None
-        self.instances[ident] = Instance(Router(self.now, seed, **settings))
+        self.instances[ident] = Instance(Router(self.now, seed, request_classes, RouterSettings(**settings)))
 
     def _endpoints(self, lines: Lines, entries: int) -> list[codec.Endpoint]:
         endpoints = []
@@ -161,7 +165,8 @@
                 _request_received(router, fields)
             case "REPORT_BACK", [ident, number, _, outcome, _, last, note, report]:
                 load_note, concurrent = codec.read_note(note)
-                router.attempt_finished(ident, number, outcome, last, load_note, concurrent, report)
+                load = _worker_load(router, report)
+                router.attempt_finished(AttemptFinished(ident, number, outcome, last, load_note, concurrent, load))
             case "FIRST_BYTE", [ident, number, _, _]:
                 router.answer_begun(ident, number)
             case "ABORTED", [ident]:
@@ -170,7 +175,7 @@
                 if cookie == instance.cookie:
                     instance.timer = None
             case "PING_RESULT", [worker, outcome, _, report]:
-                router.health_checked(worker, outcome, report)
+                router.health_checked(worker, outcome, _worker_load(router, report))
             case "BROUGHT_UP", [outcome, worker, replicas, latency, function]:
                 router.prewarm_finished(worker, function, outcome, replicas, latency)
             case "FLEET", [mode, _, endpoints]:
@@ -183,14 +188,19 @@
     ident, bits, left, request_class, function, work, _, memory, load, concurrency = fields
     if request_class >= len(router.request_classes):
         raise InvalidInputError(f"NEW_REQUEST: class is {request_class}, expected one of the settings")
-    router.request_received(
-        ident,
-        left,
-        router.request_classes[request_class],
-        function,
-        memory,
-        max(1, int(concurrency)),
-        load,
-        work if bits & codec.WORK_IS_KNOWN else None,
-        bool(bits & codec.IS_REPEAT),
+    received = RequestReceived(
+        ident=ident,
+        time_left=left,
+        request_class=router.request_classes[request_class],
+        function_name=function,
+        memory=memory,
+        concurrency=max(1, int(concurrency)),
+        load_hint=load,
+        work=work if bits & codec.WORK_IS_KNOWN else None,
+        is_repeat=bool(bits & codec.IS_REPEAT),
     )
+    router.request_received(received)
+
+
+def _worker_load(router: Router, values: tuple[float, ...] | None) -> WorkerLoad | None:
+    return WorkerLoad.from_values(router.instance.report_fields, values)
