--- a/bench/hot_path.py
+++ b/bench/hot_path.py
@@ -26,6 +26,7 @@
     from wickdyke.routing.decisions import Forward, Prewarm
     from wickdyke.routing.inputs import AttemptFinished, RequestReceived, WorkerLoad
     from wickdyke.routing.model import (
+        Backoff,
         Effect,
         Endpoint,
         EndpointState,
@@ -33,6 +34,7 @@
         Outcome,
         Request,
         RequestClass,
+        RetryBudgetTerms,
         RoutePolicy,
         Scope,
     )
@@ -72,10 +74,10 @@
             800.0,
             500.0,
             3,
-            (10.0, 2.0, 1e9, 0.5),
+            Backoff(10.0, 2.0, 1e9, 0.5),
             frozenset({Outcome.FULL, Outcome.MISS}),
             None,
-            (10000.0, 0.1, 5.0),
+            RetryBudgetTerms(10000.0, 0.1, 5.0),
             400.0,
             0,
         )
--- a/tests/acceptance_rig.py
+++ b/tests/acceptance_rig.py
@@ -9,7 +9,7 @@
 from wickdyke.gateway import context
 from wickdyke.gateway.events import RequestReceived
 from wickdyke.platform import service
-from wickdyke.routing.model import RoutePolicy
+from wickdyke.routing.model import Backoff, Hedging, RoutePolicy
 from wickdyke.transport import event_loop
 
 START = 1e9  # ms on the stand-in clock
@@ -35,9 +35,9 @@
     latency_objective=500.0,
     attempt_timeout=None,
     attempts=4,
-    backoff=(0.0, 1.0, 0.0, 0.0),
+    backoff=Backoff(0.0, 1.0, 0.0, 0.0),
     retryable=frozenset({"full", "unreached", "unsent", "error", "timeout", "cut"}),
-    hedge=(20.0, 2, 1.0),
+    hedge=Hedging(20.0, 2, 1.0),
     budget_terms=None,
     queue_timeout=None,
     priority=0,
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -4,7 +4,7 @@
 
 from tests.helpers import Fleet, called, verbs
 from wickdyke.routing.decisions import Forward
-from wickdyke.routing.model import RoutePolicy
+from wickdyke.routing.model import Backoff, Hedging, RetryBudgetTerms, RoutePolicy
 
 PLAIN = {
     "latency_objective": 800.0,
@@ -19,8 +19,14 @@
 }
 
 
+RECORDS = {"backoff": Backoff, "hedge": Hedging, "budget_terms": RetryBudgetTerms}
+
+
 def timing(**more):
-    return RoutePolicy(**{**PLAIN, **more})
+    """A route's policy; those of its fields that are records are given as tuples."""
+    fields = {**PLAIN, **more}
+    records = {name: kind(*fields[name]) for name, kind in RECORDS.items() if fields[name] is not None}
+    return RoutePolicy(**{**fields, **records})
 
 
 def first(decisions, verb="forward"):
@@ -154,7 +160,7 @@
                 fleet = Fleet(workers=1)
                 fleet.serve(calls=8)
                 worker = fleet.fe.workers["a"]
-                before = worker.concurrency_limit, fleet.fe.all_workers.concurrency_limit
+                before = worker.concurrency_limit, fleet.fe.global_concurrency.concurrency_limit
                 for _ in range(12):
                     fleet.fe.health_checked("a", "ok", fleet.reported(busy, 4.0))
                     called = [d.request for d in fleet.take(timing=terms) if isinstance(d, Forward)]
@@ -162,7 +168,7 @@
                         fleet.clock += 120.0
                         fleet.end(called[0], outcome, final=terms is None)
                 self.assertEqual(
-                    (worker.concurrency_limit < before[0], fleet.fe.all_workers.concurrency_limit < before[1]),
+                    (worker.concurrency_limit < before[0], fleet.fe.global_concurrency.concurrency_limit < before[1]),
                     (lowered, lowered),
                 )
 
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -594,7 +594,7 @@
                         fleet.fe.latency.record_report(worker, fleet.reported(share, 4.0), fleet.clock - age)
                 fleet.fe.schedule.next_at = fleet.fe.wake_at = fleet.clock
                 fleet.pull()
-                self.assertEqual(fleet.fe.all_workers.load_reports[-1].utilization, busy)
+                self.assertEqual(fleet.fe.global_concurrency.load_reports[-1].utilization, busy)
 
     def test_hints_of_work_count_whatever_becomes_of_the_rpc(self):
         fleet = Fleet()
@@ -867,7 +867,7 @@
                         "f", "ok", fleet.reported(busy, 6.0)
                     )  # elsewhere: at a busy home they would be denied
                     fleet.serve(f"p{at}", calls=2, ms=ms)
-                self.assertEqual(fleet.fe.all_workers.concurrency_limit < 9.0, limited)
+                self.assertEqual(fleet.fe.global_concurrency.concurrency_limit < 9.0, limited)
 
     def test_little_used_programs_stay_at_home(self):
         """(load, of a room of 1 what is left at the first by lot) -> whether it is chosen anew."""
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -18,7 +18,7 @@
 from wickdyke.routing.cells import Cell
 from wickdyke.routing.decisions import Forward
 from wickdyke.routing.inputs import WorkerLoad
-from wickdyke.routing.model import Endpoint, Worker, WorkSample
+from wickdyke.routing.model import Endpoint, RecordLengths, Worker, WorkSample
 from wickdyke.routing.settings import GatewayInstance, SlowStart
 from wickdyke.routing.slow_start import SlowStartGuard
 
@@ -187,7 +187,7 @@
             guards.served.append(WorkSample(5000.0, size * 0.5 * 5000.0 / busy))
             guards.survey([Cell(0, 0, size=size, utilization=(0.5 * self.SERVERS, self.SERVERS))], 5000.0)
             worker = Worker.from_endpoint(Endpoint(name, 0, 0, 0, "ready", self.SIZE, 5000.0), 1e4, 8.0)
-            worker.open_records((8, 8, 8, 8))
+            worker.open_records(RecordLengths(8, 8, 8, 8))
             pairs.append((guards, worker))
         for now in range(5000, int(5000 + warmup.ramp), 50):
             for guards, worker in pairs:
--- a/wickdyke/config/route_config.py
+++ b/wickdyke/config/route_config.py
@@ -18,7 +18,7 @@
     RetryBudgetPolicy,
 )
 from wickdyke.route_policy.transition import PolicyTransition, RetryBudgetUser
-from wickdyke.routing.model import RequestClass, RoutePolicy
+from wickdyke.routing.model import Backoff, Hedging, RequestClass, RetryBudgetTerms, RoutePolicy
 
 
 @dataclass(slots=True)
@@ -284,10 +284,10 @@
         terms.soft,
         terms.attempt,
         terms.attempts,
-        (pause.first, pause.growth, most, pause.spread),
+        Backoff(pause.first, pause.growth, most, pause.spread),
         terms.again,
-        (second.after, second.at_once, second.share) if second else None,
-        (budget.window, budget.share, budget.floor) if budget else None,
+        Hedging(second.after, second.at_once, second.share) if second else None,
+        RetryBudgetTerms(budget.window, budget.share, budget.floor) if budget else None,
         terms.queue,
         terms.priority,
         account,
--- a/wickdyke/routing/dispatcher.py
+++ b/wickdyke/routing/dispatcher.py
@@ -3,7 +3,6 @@
 from collections import deque
 from collections.abc import Callable
 from dataclasses import dataclass, field
-from heapq import heappush
 
 from wickdyke.routing.decisions import Cancel, Decision, Fail, Forward, Reject
 from wickdyke.routing.fleet import Fleet
@@ -18,12 +17,14 @@
     Attempt,
     Effect,
     Function,
+    GlobalConcurrency,
     Outcome,
     Replica,
     Request,
     RequestClass,
     Worker,
     active_attempts,
+    begin_activity,
     begin_attempt,
 )
 from wickdyke.routing.outliers import OutlierDetector
@@ -55,7 +56,7 @@
     selector: ReplicaSelector
     outliers: OutlierDetector
     fleet: Fleet
-    all_workers: Worker  # all workers as one, for the limit on all our attempts
+    global_concurrency: GlobalConcurrency
     decisions: deque[Decision]
     requests: dict[int, Request] = field(default_factory=dict)
     todo: deque[Request] = field(default_factory=deque)  # to be looked at
@@ -73,7 +74,7 @@
             request.queued = True
             self.todo.append(request)
 
-    def look_at_waiting(self, rank: Callable[[Request], tuple]) -> None:
+    def look_at_waiting(self, rank: Callable[[Request], tuple[float, float]]) -> None:
         """Looks at all that wait again, in that order."""
         self.waiting.sort(key=rank)
         self.todo.extend(self.waiting)
@@ -130,21 +131,22 @@
 
     def _all_attempts_in_use(self, now: float) -> bool:
         limited = not self.cache.loads_on_demand
-        return limited and active_attempts(self.all_workers, now) >= self.all_workers.concurrency_limit
+        return limited and active_attempts(self.global_concurrency, now) >= self.global_concurrency.concurrency_limit
 
     def _choose(self, request: Request, besides: set[Worker], now: float) -> Replica | None:
         can_serve = self._filter(request, besides, now)
         if self.outliers.network_fault:  # while new connections fail, workers with one that stands come first
             kept = self.limits.idle_timeout
-            connected = self.selector.choose(
-                request, lambda w: w.last_heard and now - w.last_heard < kept and can_serve(w), now
-            )
-            if connected:
+
+            def is_connected(worker: Worker) -> bool:
+                return worker.last_heard != 0.0 and now - worker.last_heard < kept and can_serve(worker)
+
+            if connected := self.selector.choose(request, is_connected, now):
                 return connected
         return self.selector.choose(request, can_serve, now)
 
     def _filter(self, request: Request, besides: set[Worker], now: float) -> Callable[[Worker], bool]:
-        most = attempts_allowed(request, self.limits)
+        allowed = attempts_allowed(request, self.limits)
         missed = {
             attempt.replica.worker
             for attempt in request.attempts
@@ -160,7 +162,7 @@
                 and not (worker in missed and not self.prewarm_limiter.may_send(worker, False, now))
                 and not (worker.ejections and (worker.in_flight or worker.failed_checks))
                 and self.slow_start.admits(worker, request, now)
-                and may_attempt_at(request, worker, most, now)
+                and may_attempt_at(request, worker, allowed, now)
             )
 
         return can_serve
@@ -191,7 +193,7 @@
             or prewarmed
             or self._may_ask_first(replica, request, now)
         ):
-            if request.attempts and request.route_policy and request.route_policy.budget_terms:
+            if request.attempts and request.retry_budget and request.route_policy and request.route_policy.budget_terms:
                 request.retry_budget.retries.append(now)
             self.forward(request, replica, now)
             return True
@@ -214,15 +216,14 @@
         """Sends the next attempt to the replica."""
         worker, warm = replica.worker, self.latency.is_loaded(replica, now)
         worker.open_records(WORKER_RECORDS)
-        active = active_attempts(worker, now), active_attempts(self.all_workers, now)
+        active = active_attempts(worker, now), active_attempts(self.global_concurrency, now)
         expected = self.latency.expected_latency(replica, request, now)
         overdue_at = now + max(OVERDUE_LEAST, OVERDUE_FACTOR * expected)
         attempt = Attempt(request, len(request.attempts), replica, now, expected, warm, *active, overdue_at)
         begin_attempt(attempt)
-        self.all_workers.in_flight.append(attempt)
-        for each in (worker, self.all_workers) if warm else ():
-            heappush(each.overdue_queue, (overdue_at, request.ident, attempt.number, attempt))
-            each.active += 1
+        self.global_concurrency.in_flight.append(attempt)
+        if warm:
+            begin_activity(attempt, (worker, self.global_concurrency))
         self.slow_start.attempt_sent(worker, request, now)
         timeout = request.route_policy.attempt_timeout if request.route_policy else None
         self.decisions.append(Forward(request, worker, timeout))
@@ -273,12 +274,14 @@
         A worker may be slow or lose answers, and the request would sit there. Under load it doubles the work. The first
         answer counts, the rest is cancelled.
         """
-        terms, budget = request.route_policy.hedge, request.retry_budget
-        if terms is None or not self.limits.hedging or budget.hedge_tokens < 1:
+        hedging = request.route_policy.hedge if request.route_policy else None
+        budget = request.retry_budget
+        if hedging is None or budget is None or not self.limits.hedging or budget.hedge_tokens < 1:
             return
-        after, at_once, _ = terms
         in_flight = [attempt for attempt in request.attempts if attempt.outcome is None]
-        if request.closed or not 0 < len(in_flight) < at_once or now - in_flight[-1].sent_at < after:
+        if request.closed or not 0 < len(in_flight) < hedging.max_in_flight:
+            return
+        if now - in_flight[-1].sent_at < hedging.after:
             return
         if replica := self.find_replica(request, {attempt.replica.worker for attempt in in_flight}, now):
             budget.hedge_tokens -= 1
--- a/wickdyke/routing/fleet.py
+++ b/wickdyke/routing/fleet.py
@@ -223,7 +223,8 @@
             if home.cell is not function.cell or home.nearest is not function.nearest:
                 self._move(function, home)
             function.fleet_version = self.version
-        return function.cell
+        cell: Cell = function.cell
+        return cell
 
     def _move(self, function: Function, home: Home) -> None:
         # A request may wait that is older than its function's forgetting, and another of the same name be known since.
--- a/wickdyke/routing/latency.py
+++ b/wickdyke/routing/latency.py
@@ -10,6 +10,7 @@
     LatencySample,
     LoadReport,
     Outcome,
+    RecordLengths,
     Replica,
     Request,
     Worker,
@@ -22,7 +23,7 @@
 RESULTS_KEPT = 8  # of a worker
 REPORTS_KEPT = 8  # of a worker
 OBJECTIVE_SHARES_KEPT = 8  # of a worker; also how many tell whether its limit has to change
-WORKER_RECORDS = LATENCY_SAMPLES_KEPT, RESULTS_KEPT, REPORTS_KEPT, OBJECTIVE_SHARES_KEPT
+WORKER_RECORDS = RecordLengths(LATENCY_SAMPLES_KEPT, RESULTS_KEPT, REPORTS_KEPT, OBJECTIVE_SHARES_KEPT)
 DURATIONS_KEPT = 16  # of a function, of a request class, of loads
 PRIOR_ANSWERS = 6.0  # answers by which a worker's pace is drawn towards that of its kind
 REPORT_AGE = 4000.0  # ms over which a load report fades
@@ -36,7 +37,9 @@
 CORE_SAMPLES_LEAST = 16  # before they count
 CORES_GUESS = 4.0  # requests that a worker runs at once while nothing tells
 CORES_QUANTILE = 0.1  # low: waiting for concurrency or loads holds requests but no core
-UTILIZATION_TELLING = 0.15, 0.85  # between these a report tells of cores; else queues and noise say little
+# Cores are estimated from reports between these utilizations: below noise prevails, above queues do.
+MIN_UTILIZATION_FOR_CORES = 0.15
+MAX_UTILIZATION_FOR_CORES = 0.85
 CLOCK_READING = 0.001  # ms: times are told in microseconds, and an answer within one reading took part of it
 PROMISED_UTILIZATION = 0.8  # of what a fleet can do, promised to tenants
 OVERDUE_FACTOR = 3.0  # a silent attempt is evidence after so many times its expected latency
@@ -138,8 +141,7 @@
             return
         utilization, in_flight, queued, pinned, _ = load
         if in_flight is not None:
-            low, high = UTILIZATION_TELLING
-            if utilization is not None and low < utilization < high:
+            if utilization is not None and MIN_UTILIZATION_FOR_CORES < utilization < MAX_UTILIZATION_FOR_CORES:
                 self.core_samples.append(max(1.0, in_flight) / (utilization * worker.endpoint.size))
             if utilization is None:
                 utilization = min(1.0, in_flight / self.cores(worker))
--- a/wickdyke/routing/model.py
+++ b/wickdyke/routing/model.py
@@ -5,13 +5,13 @@
 """
 
 from collections import deque
-from collections.abc import Sequence
 from dataclasses import dataclass, field
 from enum import StrEnum
-from heapq import heappop
+from heapq import heappop, heappush
+from math import inf
 from typing import Any, NamedTuple
 
-from wickdyke.routing.samples import Recent, trim
+from wickdyke.routing.samples import NO_SAMPLES, Recent, Samples, trim
 from wickdyke.routing.seeded_random import name_hash
 
 
@@ -49,7 +49,7 @@
 
 
 class EndpointState(StrEnum):
-    """What the endpoint list says of a worker."""
+    """What the endpoint list states of a worker."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -57,11 +57,11 @@
 
 
 class LoadNote(StrEnum):
-    """What an answer says of the replica that served it."""
+    """What an answer states of the replica that served it."""
 
     STOOD = "stood"  # it was loaded already
-    BEGAN = "began"  # this attempt began the load
-    AWAITED = "awaited"  # it waited for a load that had begun before
+    BEGAN = "began"  # this attempt started the load
+    AWAITED = "awaited"  # it waited for a load in progress
     FAILED = "load failed"
 
 
@@ -98,9 +98,9 @@
 
 
 class LoadReport(NamedTuple):
-    """What a worker reported; None where neither it nor the other field tells.
+    """A load report; None where it gives neither this field nor the one it is derived from.
 
-    `own_in_flight` are our attempts that were in flight there as the report came.
+    `own_in_flight` are our attempts that were in flight there as the report arrived.
     """
 
     received_at: float
@@ -127,24 +127,48 @@
     deadline: float
     priority_weight: float
     late_weight: float
-    durations: deque | None = None
+    durations: deque[float] = field(default_factory=deque)  # ms of work of recent requests
+
+
+class Backoff(NamedTuple):
+    """How long a request waits before its next attempt: `first` ms, times `growth` for each one before."""
+
+    first: float  # ms
+    growth: float
+    maximum: float  # ms
+    jitter: float  # part by which a wait is lengthened at random, at most
+
+
+class Hedging(NamedTuple):
+    """When a second attempt is sent while the first is in flight."""
+
+    after: float  # ms without an answer
+    max_in_flight: int  # attempts of one request
+    tokens_per_request: float  # hedged requests that each request pays for
+
+
+class RetryBudgetTerms(NamedTuple):
+    """How many retries a route's requests may have within `window` ms: `floor` and a `share` of the requests."""
+
+    window: float  # ms
+    share: float
+    floor: float
 
 
 @dataclass(slots=True, frozen=True, eq=False)
 class RoutePolicy:
     """What an operator's route states of the attempts of its requests.
 
-    `backoff` is (first, growth, most, spread), `hedge` (after, at once, share of requests), `budget_terms` (window,
-    share, floor). Equal policies are one object: the retry budget is kept by `budget_key`.
+    Equal policies are one object: the retry budget is kept by `budget_key`.
     """
 
     latency_objective: float
     attempt_timeout: float | None
     attempts: int
-    backoff: tuple[float, float, float, float]
+    backoff: Backoff
     retryable: frozenset[Outcome]
-    hedge: tuple[float, int, float] | None
-    budget_terms: tuple[float, float, float] | None
+    hedge: Hedging | None
+    budget_terms: RetryBudgetTerms | None
     queue_timeout: float | None
     priority: int
     budget_key: str = ""
@@ -154,8 +178,8 @@
 class RetryBudget:
     """What a route's requests may still spend: recent requests and retries, and hedge tokens saved up."""
 
-    requests: deque = field(default_factory=deque)
-    retries: deque = field(default_factory=deque)
+    requests: deque[float] = field(default_factory=deque)  # when they were received (ms)
+    retries: deque[float] = field(default_factory=deque)  # when they were sent (ms)
     hedge_tokens: float = 0.0
 
 
@@ -176,22 +200,22 @@
 class Worker:
     """A worker as this front end knows it.
 
-    `latency_samples`, `recent_results`, `load_reports`, `objective_shares` and `slow_start_sends` are empty tuples
-    until something is first sent there, so that a worker that is only listed costs little memory.
+    `latency_samples`, `recent_results`, `load_reports`, `objective_shares` and `slow_start_sends` are NO_SAMPLES until
+    something is first sent there, so that a worker that is only listed costs little memory.
     """
 
     endpoint: Endpoint
-    latency_samples: Sequence[LatencySample]
-    recent_results: Sequence[ResultSample]
-    load_reports: Sequence[LoadReport]
-    objective_shares: Sequence[ObjectiveShare]
+    latency_samples: Samples[LatencySample]
+    recent_results: Samples[ResultSample]
+    load_reports: Samples[LoadReport]
+    objective_shares: Samples[ObjectiveShare]
     memory_budget: float
     concurrency_limit: float
     warming_since: float | None  # when its slow start began
     name_hash: int
-    slow_start_sends: Sequence[WorkSample] = field(default_factory=deque)
+    slow_start_sends: Samples[WorkSample] = field(default_factory=deque)
     in_flight: list["Attempt"] = field(default_factory=list)
-    overdue_queue: list[tuple] = field(default_factory=list)  # heap of active attempts by when they are overdue
+    overdue_queue: list["OverdueEntry"] = field(default_factory=list)  # a heap
     active: int = 0
     replicas: dict["Function", "Replica"] = field(default_factory=dict)
     ejected_until: float = 0.0
@@ -209,26 +233,61 @@
     def from_endpoint(cls, endpoint: Endpoint, memory_budget: float, concurrency_limit: float) -> "Worker":
         """A worker that is only listed: warming up since it started, with no records yet."""
         name = name_hash(endpoint.ident)
-        return cls(endpoint, (), (), (), (), memory_budget, concurrency_limit, endpoint.started_at, name, ())
+        return cls(
+            endpoint=endpoint,
+            latency_samples=NO_SAMPLES,
+            recent_results=NO_SAMPLES,
+            load_reports=NO_SAMPLES,
+            objective_shares=NO_SAMPLES,
+            memory_budget=memory_budget,
+            concurrency_limit=concurrency_limit,
+            warming_since=endpoint.started_at,
+            name_hash=name,
+            slow_start_sends=NO_SAMPLES,
+        )
 
     def sum_samples(self, since: float) -> None:
-        """Sums up latency and work of the answers that came after that time (ms)."""
+        """Sums up latency and work of the answers received after that time (ms)."""
         trim(self.latency_samples, since)
         self.sampled_latency = sum(sample.latency for sample in self.latency_samples)
         self.sampled_work = sum(sample.work for sample in self.latency_samples)
 
     def pinned_memory(self) -> float:
-        """The part of its memory that its last report says is in use; 0 where it does not tell."""
+        """The part of its memory that is in use by its last report; 0 where none states it."""
         return self.load_reports[-1].pinned_memory if self.load_reports else 0.0
 
-    def open_records(self, lengths: tuple[int, int, int, int]) -> None:
-        """Begins the records, of so many samples at most, if it has none yet."""
-        if self.slow_start_sends == ():
-            records = (Recent(most) for most in lengths)
-            self.latency_samples, self.recent_results, self.load_reports, self.objective_shares = records
+    def open_records(self, lengths: "RecordLengths") -> None:
+        """Begins the records, if it has none yet."""
+        if self.slow_start_sends is NO_SAMPLES:
+            self.latency_samples = Recent(lengths.latency_samples)
+            self.recent_results = Recent(lengths.recent_results)
+            self.load_reports = Recent(lengths.load_reports)
+            self.objective_shares = Recent(lengths.objective_shares)
             self.slow_start_sends = Recent()
 
 
+class RecordLengths(NamedTuple):
+    """How many samples are kept of a worker."""
+
+    latency_samples: int
+    recent_results: int
+    load_reports: int
+    objective_shares: int
+
+
+@dataclass(slots=True, eq=False, repr=False)
+class GlobalConcurrency:
+    """The attempts of this front end at all workers together, and the limit on them."""
+
+    load_reports: deque[LoadReport]  # of the whole fleet
+    objective_shares: deque[ObjectiveShare]
+    concurrency_limit: float = inf
+    limit_lowered_at: float = 0.0  # ms
+    in_flight: list["Attempt"] = field(default_factory=list)
+    overdue_queue: list["OverdueEntry"] = field(default_factory=list)  # a heap
+    active: int = 0
+
+
 @dataclass(slots=True, eq=False, repr=False)
 class Function:
     """What a request runs and a worker loads.
@@ -242,10 +301,10 @@
     memory: float
     concurrency: int  # requests that one replica runs at once
     load_hint: float
-    recent_calls: deque
-    durations: deque
-    load_times: deque
-    concurrency_samples: deque  # (worker, requests of this function in flight there)
+    recent_calls: Samples[float]  # when it was called (ms)
+    durations: Samples[float]  # ms of work of recent requests
+    load_times: Samples[float]  # ms
+    concurrency_samples: Samples[tuple[Worker, int]]  # (worker, requests of this function in flight there)
     name_hash: int = 0
     replicas: list["Replica"] = field(default_factory=list)
     last_called: float = 0.0
@@ -260,7 +319,7 @@
 
 @dataclass(slots=True, eq=False, repr=False)
 class Replica:
-    """A function on a worker: how many copies are believed loaded, how many are wanted, and when it was last used."""
+    """A function on a worker; `loaded` instances of it are believed to be there, `wanted` are to be there."""
 
     function: Function
     worker: Worker
@@ -324,6 +383,18 @@
     withdrawn: bool = False  # cancelled in favour of another worker
 
 
+class OverdueEntry(NamedTuple):
+    """An active attempt, ordered by when its answer is overdue (ms)."""
+
+    overdue_at: float
+    request_ident: int
+    number: int
+    attempt: Attempt
+
+
+ConcurrencyLimited = Worker | GlobalConcurrency
+
+
 def replica_of(function: Function, worker: Worker) -> Replica:
     """The function's replica on that worker, entered on both if it is new."""
     replica = worker.replicas.get(function)
@@ -364,19 +435,29 @@
     attempt.outcome = outcome
 
 
-def active_attempts(worker: Worker, now: float) -> int:
-    """Our attempts that use its cores now: neither waiting for a load nor overdue at that time (ms).
+def active_attempts(pool: ConcurrencyLimited, now: float) -> int:
+    """Our attempts that use cores there now: neither waiting for a load nor overdue at that time (ms).
 
     Counted as they change, since thousands may be in flight.
     """
-    while worker.overdue_queue and worker.overdue_queue[0][0] < now:
-        attempt = heappop(worker.overdue_queue)[-1]
-        worker.active -= attempt.warm and attempt.outcome is None
-    return worker.active
-
-
-def end_activity(attempt: Attempt, workers: tuple[Worker, ...], now: float) -> None:
-    """Takes an attempt out of the count of those active at these workers."""
-    for worker in workers if attempt.warm and attempt.outcome is None else ():
-        active_attempts(worker, now)
-        worker.active -= attempt.overdue_at >= now
+    while pool.overdue_queue and pool.overdue_queue[0][0] < now:
+        attempt = heappop(pool.overdue_queue).attempt
+        pool.active -= attempt.warm and attempt.outcome is None
+    return pool.active
+
+
+def begin_activity(attempt: Attempt, pools: tuple[ConcurrencyLimited, ...]) -> None:
+    """Adds a warm attempt to the count of those active in these pools."""
+    entry = OverdueEntry(attempt.overdue_at, attempt.request.ident, attempt.number, attempt)
+    for pool in pools:
+        heappush(pool.overdue_queue, entry)
+        pool.active += 1
+
+
+def end_activity(attempt: Attempt, pools: tuple[ConcurrencyLimited, ...], now: float) -> None:
+    """Removes an attempt from the count of those active in these pools."""
+    if not attempt.warm or attempt.outcome is not None:
+        return
+    for pool in pools:
+        active_attempts(pool, now)
+        pool.active -= attempt.overdue_at >= now
--- a/wickdyke/routing/placement.py
+++ b/wickdyke/routing/placement.py
@@ -181,7 +181,7 @@
         # What is little used fills no cores, and must not move to and fro.
         leeway = KEEP_FACTOR - 1 if load / many < SMALL_LOAD * self.mean_room else 0.0
         ranking = [] if len(chosen) == many else [w for w in self.ranking(function) if w in self.active]
-        over_budget = []
+        over_budget: list[Worker] = []
         for worker in ranking:
             if worker in chosen or worker.utilization > self.hot_utilization:
                 continue
--- a/wickdyke/routing/placement_schedule.py
+++ b/wickdyke/routing/placement_schedule.py
@@ -5,7 +5,7 @@
 from wickdyke.routing.cells import Cell
 from wickdyke.routing.fleet import Fleet
 from wickdyke.routing.latency import REPORT_AGE
-from wickdyke.routing.model import LoadReport, Worker
+from wickdyke.routing.model import GlobalConcurrency, LoadReport
 from wickdyke.routing.periods import PERIOD, TICK
 from wickdyke.routing.samples import pooled_mean
 from wickdyke.routing.seeded_random import SeededRandom
@@ -26,7 +26,7 @@
     fleet: Fleet
     cache: FunctionCache
     slow_start: SlowStartGuard
-    all_workers: Worker  # all workers as one
+    global_concurrency: GlobalConcurrency
     random: SeededRandom
     next_at: float  # ms
     surveyed_at: float  # ms
@@ -56,4 +56,4 @@
         self.surveyed_at = now
         self.slow_start.survey(cells, now)
         utilization = pooled_mean([cell.reported_utilization for cell in cells], 0.0)
-        self.all_workers.load_reports.append(LoadReport(now, utilization, None, 0.0, 0))
+        self.global_concurrency.load_reports.append(LoadReport(now, utilization, None, 0.0, 0))
--- a/wickdyke/routing/results.py
+++ b/wickdyke/routing/results.py
@@ -7,10 +7,11 @@
 from wickdyke.routing.latency import LatencyEstimator
 from wickdyke.routing.model import (
     Attempt,
+    ConcurrencyLimited,
+    GlobalConcurrency,
     LoadNote,
     Outcome,
     Replica,
-    Worker,
     end_activity,
     finish_attempt,
 )
@@ -34,7 +35,7 @@
     slow_start: SlowStartGuard
     prewarm_limiter: PrewarmLimiter
     outliers: OutlierDetector
-    all_workers: Worker
+    global_concurrency: GlobalConcurrency
 
     def attempt_finished(self, attempt: Attempt, finished: AttemptFinished, now: float) -> None:
         """Enters how an attempt ended at `now` (ms)."""
@@ -42,12 +43,12 @@
         worker = attempt.replica.worker
         function = attempt.request.function
         if load_note in (LoadNote.BEGAN, LoadNote.AWAITED):
-            end_activity(attempt, (worker, self.all_workers), now)
+            end_activity(attempt, (worker, self.global_concurrency), now)
             attempt.warm = False
         self._adapt_limits(attempt, outcome, now)
-        end_activity(attempt, (worker, self.all_workers), now)
+        end_activity(attempt, (worker, self.global_concurrency), now)
         if attempt.outcome is None:
-            self.all_workers.in_flight.remove(attempt)
+            self.global_concurrency.in_flight.remove(attempt)
         finish_attempt(attempt, outcome)
         if attempt.warm or load_note == LoadNote.STOOD:
             self.latency.record_attempt(attempt, outcome, now)
@@ -68,12 +69,12 @@
         timed_out = outcome == Outcome.TIMEOUT and policy is not None and policy.attempt_timeout is not None
         if not attempt.warm or not (outcome == Outcome.OK or timed_out):
             return
-        gates = [(attempt.replica.worker, attempt.active_at_worker)]
-        if not attempt.active_at_worker:  # of all workers it tells only where nothing of ours was beside it
-            gates.append((self.all_workers, attempt.active_in_total))
-        for gate, active in gates:
-            if attempt.sent_at >= gate.limit_lowered_at:
-                adapt_limit(gate, attempt, active, timed_out, now)
+        pools: list[tuple[ConcurrencyLimited, int]] = [(attempt.replica.worker, attempt.active_at_worker)]
+        if not attempt.active_at_worker:  # beside others of ours its latency is evidence on that worker alone
+            pools.append((self.global_concurrency, attempt.active_in_total))
+        for pool, active in pools:
+            if attempt.sent_at >= pool.limit_lowered_at:
+                adapt_limit(pool, attempt, active, timed_out, now)
 
     def _served(self, attempt: Attempt, load_note: LoadNote | None, concurrent: int, now: float) -> None:
         request, replica, function = attempt.request, attempt.replica, attempt.request.function
--- a/wickdyke/routing/retries.py
+++ b/wickdyke/routing/retries.py
@@ -5,7 +5,7 @@
 from wickdyke.routing.seeded_random import SeededRandom
 from wickdyke.routing.settings import AttemptLimits
 
-HEDGE_TOKENS_MOST = 4.0  # hedged requests saved up
+MAX_HEDGE_TOKENS = 4.0  # hedged requests saved up
 
 
 class RetryBudgets:
@@ -22,8 +22,8 @@
         budget = self.by_key.setdefault(policy.budget_key, RetryBudget())
         if policy.budget_terms:
             budget.requests.append(now)
-        earned = policy.hedge[2] if policy.hedge else 0.0
-        budget.hedge_tokens = min(HEDGE_TOKENS_MOST, budget.hedge_tokens + earned)
+        earned = policy.hedge.tokens_per_request if policy.hedge else 0.0
+        budget.hedge_tokens = min(MAX_HEDGE_TOKENS, budget.hedge_tokens + earned)
         return budget
 
 
@@ -34,9 +34,9 @@
     return min(limits.attempts, request.route_policy.attempts)
 
 
-def may_attempt_at(request: Request, worker: Worker, most: int, now: float) -> bool:
-    """Whether one more attempt, at that worker, breaks no promise on what may run more than once."""
-    if request.closed or len(request.attempts) >= most or now >= request.deadline:
+def may_attempt_at(request: Request, worker: Worker, allowed: int, now: float) -> bool:
+    """Whether one more attempt of `allowed` in all, at that worker, respects the effect of the request's class."""
+    if request.closed or len(request.attempts) >= allowed or now >= request.deadline:
         return False
     may_have_run, request_class = request.may_have_run(), request.request_class
     if not may_have_run or request_class.effect == Effect.IDEMPOTENT:
@@ -55,15 +55,17 @@
 
 
 def may_reject(request: Request) -> bool:
-    """Whether asking again is harmless, so that it may be rejected; otherwise it has failed."""
-    everywhere = request.request_class.effect == Effect.KEYED and request.request_class.scope == Scope.ALL
-    return may_wait(request) or everywhere
+    """Whether the client may safely send it again, so that it may be rejected; otherwise it has failed."""
+    request_class = request.request_class
+    deduplicated = request_class.effect == Effect.KEYED and request_class.scope == Scope.ALL
+    return may_wait(request) or deduplicated
 
 
-def schedule_retry(request: Request, outcome: Outcome, random: SeededRandom, now: float) -> None:
-    """Sets when the next attempt may go, by the backoff of its route."""
-    first, growth, most, spread = request.route_policy.backoff
-    wait = min(most, first * growth ** (len(request.attempts) - 1)) * (1 + spread * random.fraction())
+def schedule_retry(request: Request, policy: RoutePolicy, outcome: Outcome, random: SeededRandom, now: float) -> None:
+    """Sets when the next attempt may be sent, by the backoff of its route."""
+    first, growth, maximum, jitter = policy.backoff
+    unjittered = min(maximum, first * growth ** (len(request.attempts) - 1))
+    wait = unjittered * (1 + jitter * random.fraction())
     request.not_before = now + (0.0 if outcome == Outcome.CANCELLED else wait)  # withdrawn: it has waited enough
 
 
@@ -73,13 +75,14 @@
     Retries multiply an overload, and failing workers. The budget hurts where it is far too small.
     """
     policy = request.route_policy
-    if policy is None or not request.attempts:
+    budget = request.retry_budget
+    if policy is None or budget is None or not request.attempts:
         return True
     if outcome != Outcome.CANCELLED and outcome not in policy.retryable:
         return False
     if policy.budget_terms is None:
         return True
-    (window, share, floor), budget = policy.budget_terms, request.retry_budget
+    window, share, floor = policy.budget_terms
     trim_times(budget.requests, now - window)
     trim_times(budget.retries, now - window)
     return len(budget.retries) + 1 <= floor + share * len(budget.requests)
--- a/wickdyke/routing/router.py
+++ b/wickdyke/routing/router.py
@@ -5,7 +5,6 @@
 """
 
 from collections import deque
-from math import inf
 
 from wickdyke.routing.cells import Cell
 from wickdyke.routing.concurrency import LIMIT_START
@@ -16,8 +15,8 @@
 from wickdyke.routing.fleet import Fleet
 from wickdyke.routing.health_checks import CHECK_EVERY, CHECK_SOON, HealthChecker
 from wickdyke.routing.inputs import AttemptFinished, RequestReceived, WorkerLoad
-from wickdyke.routing.latency import DURATIONS_KEPT, OBJECTIVE_SHARES_KEPT, LatencyEstimator, is_overdue
-from wickdyke.routing.model import Endpoint, EndpointState, Function, Outcome, Request, RequestClass, Worker
+from wickdyke.routing.latency import DURATIONS_KEPT, OBJECTIVE_SHARES_KEPT, REPORTS_KEPT, LatencyEstimator, is_overdue
+from wickdyke.routing.model import Endpoint, Function, GlobalConcurrency, Outcome, Request, RequestClass, Worker
 from wickdyke.routing.outliers import EXPECTED_LEAST, OutlierDetector
 from wickdyke.routing.periods import TICK
 from wickdyke.routing.placement import Placement
@@ -69,7 +68,9 @@
         self.outliers = OutlierDetector(self.notes.append, self.latency, self.slow_start)
         self.control_budget = ControlBudget()
         self.retry_budgets = RetryBudgets()
-        self.all_workers = _all_workers()
+        self.global_concurrency = GlobalConcurrency(
+            load_reports=deque(maxlen=REPORTS_KEPT), objective_shares=deque(maxlen=OBJECTIVE_SHARES_KEPT)
+        )
 
         def make_worker(endpoint: Endpoint) -> Worker:
             memory = cache.memory_on(endpoint) / instance.count
@@ -87,9 +88,9 @@
         self.health_checker = HealthChecker(limits.health_checks, self.control_budget, self.decisions)
         self.prewarmer = Prewarmer(cache, self.prewarm_limiter, self.control_budget, latency, self.decisions)
         self.results = ResultRecorder(
-            cache, latency, self.slow_start, self.prewarm_limiter, self.outliers, self.all_workers
+            cache, latency, self.slow_start, self.prewarm_limiter, self.outliers, self.global_concurrency
         )
-        self.schedule = PlacementSchedule(fleet, cache, self.slow_start, self.all_workers, self.random, now, now)
+        self.schedule = PlacementSchedule(fleet, cache, self.slow_start, self.global_concurrency, self.random, now, now)
         self.dispatcher = Dispatcher(
             limits=limits,
             cache=cache,
@@ -100,7 +101,7 @@
             selector=ReplicaSelector(fleet, self.outliers, self.random),
             outliers=self.outliers,
             fleet=fleet,
-            all_workers=self.all_workers,
+            global_concurrency=self.global_concurrency,
             decisions=self.decisions,
         )
 
@@ -194,7 +195,7 @@
         self.results.attempt_finished(request.attempts[finished.number], finished, now)
         request.closed = request.closed or finished.final
         if request.route_policy and finished.outcome != Outcome.OK:
-            schedule_retry(request, finished.outcome, self.random, now)
+            schedule_retry(request, request.route_policy, finished.outcome, self.random, now)
         if request.closed:
             self.dispatcher.close(request)
         else:
@@ -208,7 +209,7 @@
     def prewarm_finished(self, worker_ident: str, name: str, outcome: Outcome, replicas: int, elapsed: float) -> None:
         """Enters a prewarm that ended after `elapsed` ms, with so many replicas loaded."""
         worker, function = self.workers.get(worker_ident), self.functions.get(name)
-        replica = worker.replicas.get(function) if worker else None
+        replica = worker.replicas.get(function) if worker and function else None
         if replica is not None:
             self.results.prewarm_finished(replica, outcome, replicas, elapsed, self.now)
 
@@ -245,7 +246,7 @@
         for worker in self.outliers.ejected:
             self.health_checker.check(worker, CHECK_EVERY, now)
         self.health_checker.check_in_turn(TICK, now)
-        hedgeable = [attempt.request for attempt in self.all_workers.in_flight if attempt.request.route_policy]
+        hedgeable = [attempt.request for attempt in self.global_concurrency.in_flight if attempt.request.route_policy]
         for request in dict.fromkeys(hedgeable) if self.retry_budgets else ():
             self.dispatcher.hedge(request, now)
         self.dispatcher.look_at_waiting(self._rank)
@@ -255,7 +256,7 @@
         self.wake_at = min(self.schedule.next_at, now + TICK if busy else self.schedule.next_at)
 
     def _look_for_silent_workers(self, now: float) -> None:
-        in_flight = ((each.replica.worker, now - each.sent_at) for each in self.all_workers.in_flight)
+        in_flight = ((each.replica.worker, now - each.sent_at) for each in self.global_concurrency.in_flight)
         # Nothing else can be overdue yet.
         suspects = [worker for worker, age in in_flight if age >= EXPECTED_LEAST or worker.ejections]
         for worker in dict.fromkeys(suspects + self.health_checker.unanswered):
@@ -283,9 +284,3 @@
         replicas = (replica for function in cell.functions.values() for replica in function.replicas)
         homes = {replica.worker: None for replica in replicas if replica.placed}
         self.health_checker.watch(homes or cell.ready)
-
-
-def _all_workers() -> Worker:
-    """All workers as one, for the limit on all our attempts."""
-    records = (deque(maxlen=OBJECTIVE_SHARES_KEPT) for _ in range(4))
-    return Worker(Endpoint("", 0, 0, 0, EndpointState.READY, 1.0, None), *records, 0.0, inf, None, 0)
--- a/wickdyke/routing/slow_start.py
+++ b/wickdyke/routing/slow_start.py
@@ -76,10 +76,12 @@
         """Whether the worker is ready and, while it is warming up, may be sent this request now."""
         if worker.endpoint.state != EndpointState.READY:
             return False
-        if not self.is_warming_up(worker, now):
+        if worker.warming_since is None or not self.is_warming_up(worker, now):
             return True
-        settings, sends = self.settings, worker.slow_start_sends
-        work, age = self.mean_work(request), now - worker.warming_since
+        settings = self.settings
+        sends = worker.slow_start_sends
+        work = self.mean_work(request)
+        age = now - worker.warming_since
         trim(sends, now - settings.window)
         share = settings.multiple * (settings.start_share + (1 - settings.start_share) * age / settings.ramp)
         allowed = MARGIN * share * self.rate * worker.endpoint.size * settings.window
--- a/wickdyke/simulator/codec.py
+++ b/wickdyke/simulator/codec.py
@@ -2,6 +2,7 @@
 
 from collections.abc import Callable, Iterable, Iterator
 from dataclasses import dataclass
+from typing import Any
 
 from wickdyke.config.deployment_settings import (
     InvalidInputError,
@@ -21,7 +22,7 @@
 TEXT_SHOWN = 40  # characters of a value that an error message repeats
 MICROS = 1000  # in a ms
 WORK_IS_KNOWN, IS_REPEAT = 1, 2  # bits of a NEW_REQUEST
-Fields = tuple[tuple[str, Callable], ...]  # (label, reader) for each value of a message
+Fields = tuple[tuple[str, Callable[[str], Any]], ...]  # (label, reader) for each value of a message
 
 
 def raw(text: str) -> bytes:
@@ -121,7 +122,7 @@
 )
 
 
-def read_values(name: str, values: list[str], fields: Fields) -> list:
+def read_values(name: str, values: list[str], fields: Fields) -> list[Any]:
     """Reads the values of one message."""
     if len(values) != len(fields):
         raise InvalidInputError(f"{name}: expected {len(fields)} values, got {len(values)}")
@@ -181,19 +182,19 @@
     return text.replace("\t", " ").replace("\n", " ")
 
 
-def _forward(decision: decisions.Forward) -> tuple:
+def _forward(decision: decisions.Forward) -> tuple[str, ...]:
     return "ROUTE", str(decision.request.ident), decision.worker.endpoint.ident, micros(decision.timeout)
 
 
-def _cancel(decision: decisions.Cancel) -> tuple:
+def _cancel(decision: decisions.Cancel) -> tuple[str, ...]:
     return "CALL_OFF", str(decision.attempt.request.ident), str(decision.attempt.number)
 
 
-def _prewarm(decision: decisions.Prewarm) -> tuple:
+def _prewarm(decision: decisions.Prewarm) -> tuple[str, ...]:
     return "PRELOAD", decision.worker.endpoint.ident, decision.function.name, str(decision.replicas)
 
 
-WRITERS: dict[type, Callable[..., tuple]] = {
+WRITERS: dict[type, Callable[[Any], tuple[str, ...]]] = {
     decisions.Forward: _forward,
     decisions.Cancel: _cancel,
     decisions.Reject: lambda reject: ("SAY_NO", str(reject.request.ident), micros(reject.retry_after)),
--- a/wickdyke/simulator/host.py
+++ b/wickdyke/simulator/host.py
@@ -5,22 +5,24 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from wickdyke.config.deployment_settings import InvalidInputError, from_pairs, router_settings
+from wickdyke.config.deployment_settings import InvalidInputError, count, from_pairs, router_settings, span
 from wickdyke.routing.inputs import AttemptFinished, RequestReceived, WorkerLoad
+from wickdyke.routing.model import Endpoint
 from wickdyke.routing.router import Router
 from wickdyke.routing.settings import RouterSettings
 from wickdyke.simulator import codec
 
 Lines = Iterator[tuple[int, list[str]]]
-DELAY_LEAST = 0.001  # ms of a timer: one of 0 would never let the clock go on
+MIN_DELAY = 0.001  # ms of a timer: one of 0 would never let the clock go on
 
 
 class Instance:
     """One gateway instance and the timer that the wire holds for it."""
 
     def __init__(self, router: Router) -> None:
+        """An instance without a timer."""
         self.router = router
-        self.timer: float | None = None
+        self.timer: float | None = None  # when it is due (ms)
         self.cookie = 0
 
 
@@ -40,12 +42,13 @@
     """The instances of this process."""
 
     def __init__(self) -> None:
+        """A host without instances, before its first batch."""
         self.instances: dict[int, Instance] = {}
         self.now = -math.inf
         self.line_number = 0
 
     def replies(self, source: Iterable[str]) -> Iterator[str]:
-        """One reply for each batch. Raises BadInput with the number of the line."""
+        """One reply for each batch. Raises InvalidInputError with the number of the line."""
         lines = codec.read_lines(source)
         for number, (name, *values) in lines:
             self.line_number = number
@@ -77,7 +80,7 @@
     def _set_clock(self, name: str, values: list[str]) -> None:
         if name != "MARK":
             raise InvalidInputError(f"{name[: codec.TEXT_SHOWN]!r}, expected MARK")
-        (now,) = codec.read_values("MARK", values, (("clock", codec.span),))
+        (now,) = codec.read_values("MARK", values, (("clock", span),))
         if now < self.now:
             raise InvalidInputError(f"MARK: the clock is {now}, expected at least {self.now}")
         self.now = now
@@ -108,7 +111,7 @@
         if wake_at is not None and (instance.timer is None or wake_at < instance.timer):
             instance.timer = wake_at
             instance.cookie += 1
-            yield codec.Wake(max(DELAY_LEAST, wake_at - self.now), instance.cookie)
+            yield codec.Wake(max(MIN_DELAY, wake_at - self.now), instance.cookie)
 
     # ---- events ----
 
@@ -141,13 +144,13 @@
     def _start(self, values: list[str], batch: Batch) -> None:
         if len(values) < 2:
             raise InvalidInputError("POWER_ON: expected an instance, a seed and the settings")
-        ident, seed = codec.read_values("POWER_ON", values[:2], (("instance", codec.count), ("seed", codec.count)))
+        ident, seed = codec.read_values("POWER_ON", values[:2], (("instance", count), ("seed", count)))
         settings: dict[str, Any] = router_settings(from_pairs(values[2:]))
         request_classes = settings.pop("request_classes")
         batch.touched[ident] = None
         self.instances[ident] = Instance(Router(self.now, seed, request_classes, RouterSettings(**settings)))
 
-    def _endpoints(self, lines: Lines, entries: int) -> list[codec.Endpoint]:
+    def _endpoints(self, lines: Lines, entries: int) -> list[Endpoint]:
         endpoints = []
         for _ in range(entries):
             name, values = self._next_line(lines)
@@ -156,8 +159,8 @@
             endpoints.append(codec.read_endpoint(values))
         return endpoints
 
-    def _inform(self, instance: Instance, name: str, fields: list) -> None:
-        """Tells the router of one event."""
+    def _inform(self, instance: Instance, name: str, fields: list[Any]) -> None:
+        """Passes one event to the router."""
         router = instance.router
         router.advance(self.now)
         match name, fields:
@@ -181,10 +184,10 @@
             case "FLEET", [mode, _, endpoints]:
                 router.endpoints_changed(endpoints, {"0": False, "3": None}.get(mode, True))
             case "MEMO", _:
-                pass  # instances have nothing to tell each other
+                pass  # instances exchange nothing
 
 
-def _request_received(router: Router, fields: list) -> None:
+def _request_received(router: Router, fields: list[Any]) -> None:
     ident, bits, left, request_class, function, work, _, memory, load, concurrency = fields
     if request_class >= len(router.request_classes):
         raise InvalidInputError(f"NEW_REQUEST: class is {request_class}, expected one of the settings")
