--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -509,7 +509,11 @@
                 fleet = Fleet(workers=6, loads_on_call=False, tells=tells)
                 fleet.take()
                 program, workers, placement = fleet.fe.functions["p"], fleet.ready, fleet.placement
-                placement.mean_room, placement.active, one = 1.0, dict.fromkeys(workers), dict.fromkeys(workers, 1.0)
+                placement.mean_capacity, placement.active, one = (
+                    1.0,
+                    dict.fromkeys(workers),
+                    dict.fromkeys(workers, 1.0),
+                )
                 got = choose_workers(placement, program, 0.6, one, one, dict.fromkeys(workers, 9e9))
                 self.assertEqual(len(got), homes)
 
@@ -534,8 +538,10 @@
                 fleet = Fleet(workers=1)
                 for _ in range(10):
                     fleet.take()
-                fleet.placement.demand.since = fleet.clock - age
-                self.assertAlmostEqual(fleet.placement.demand.own_lanes(fleet.fe.functions["p"], fleet.clock), lanes)
+                fleet.placement.demand_estimator.since = fleet.clock - age
+                self.assertAlmostEqual(
+                    fleet.placement.demand_estimator.own_lanes(fleet.fe.functions["p"], fleet.clock), lanes
+                )
 
     def test_a_zone_is_a_fleet_of_its_own_where_crossing_costs(self):
         """(price of crossing, loads on call, workers of the zone shunned) -> the zones in which programs are placed."""
@@ -855,7 +861,7 @@
                 fleet.take()
                 program, (a, b) = fleet.fe.functions["p"], fleet.fe.workers.values()
                 program.concurrency_samples.extend((worker, many) for many in company for worker in (a, b))
-                self.assertTrue(least <= fleet.placement.demand.fleet_lanes(program, own, part) <= most)
+                self.assertTrue(least <= fleet.placement.demand_estimator.fleet_lanes(program, own, part) <= most)
 
     def test_late_answers_limit_all_our_call_outs(self):
         """(ms of each answer, busy share) -> whether what one front end has out at all workers is limited."""
@@ -877,7 +883,7 @@
                 fleet.take()
                 program, workers = fleet.fe.functions["p"], list(fleet.fe.workers.values())
                 home = min(workers, key=lambda w: rendezvous_rank(program, w))
-                fleet.placement.mean_room, fleet.placement.active = 1.0, dict.fromkeys(workers)
+                fleet.placement.mean_capacity, fleet.placement.active = 1.0, dict.fromkeys(workers)
                 room = {w: left if w is home else 1.0 for w in workers}
                 budget, part = dict.fromkeys(workers, 9e9), dict.fromkeys(workers, 1.0)
                 got = choose_workers(fleet.placement, program, load, part, room, budget)
--- a/wickdyke/routing/control_budget.py
+++ b/wickdyke/routing/control_budget.py
@@ -1,31 +1,32 @@
 """What front ends may spend on health checks and prewarms.
 
-Those of many front ends would cost more than the requests themselves: they are paid for by our own traffic.
+Those of many front ends would cost more than the requests themselves, so their rate follows that of our own requests.
 """
 
-PER_REQUEST = 0.5  # health checks or prewarms that a request pays for
-SAVED_MOST = 8.0
-SPARE = SAVED_MOST / 2  # above which workers are checked that no decision hangs on
+TOKENS_PER_REQUEST = 0.5  # one token is one health check or prewarm
+MAX_TOKENS = 8.0
+SPARE_TOKENS = MAX_TOKENS / 2  # above which also workers are checked that no decision depends on
 
 
 class ControlBudget:
     """A token bucket filled by requests; health checks and prewarms draw on it."""
 
     def __init__(self) -> None:
-        self.tokens = SAVED_MOST
+        """A full bucket."""
+        self.tokens = MAX_TOKENS
 
     def request_received(self) -> None:
-        """A request pays in."""
-        self.tokens = min(SAVED_MOST, self.tokens + PER_REQUEST)
+        """Adds the tokens of a request."""
+        self.tokens = min(MAX_TOKENS, self.tokens + TOKENS_PER_REQUEST)
 
     def covers_one(self) -> bool:
-        """Whether one more is paid for."""
+        """Whether there is a token."""
         return self.tokens >= 1
 
     def has_spare(self) -> bool:
-        """Whether there is enough for what no decision hangs on."""
-        return self.tokens > SPARE
+        """Whether there are enough tokens for checks that no decision depends on."""
+        return self.tokens > SPARE_TOKENS
 
     def spend(self) -> None:
-        """Pays for one."""
+        """Removes a token."""
         self.tokens -= 1
--- a/wickdyke/routing/health_checks.py
+++ b/wickdyke/routing/health_checks.py
@@ -1,4 +1,4 @@
-"""Health checks: asking workers for a load report, as far as our traffic pays for it."""
+"""Health checks: requests to workers for a load report, as far as the control budget covers them."""
 
 from collections import deque
 from collections.abc import Iterable
@@ -9,19 +9,22 @@
 from wickdyke.routing.model import EndpointState, Outcome, Worker
 
 CHECK_EVERY = 1000.0  # ms between checks of a worker
-CHECK_SOON = 300.0  # ms, where a decision hangs on it
+CHECK_SOON = 300.0  # ms between them where a decision depends on the result
 
 
 class HealthChecker:
     """Sends health checks, and keeps which workers did not answer them."""
 
     def __init__(self, enabled: bool, budget: ControlBudget, decisions: deque[Decision]) -> None:
-        self.enabled, self.budget, self.decisions = enabled, budget, decisions
-        self.rota: deque[Worker] = deque()  # workers whose reports decide something, in turn
+        """A checker that appends its checks to `decisions`."""
+        self.enabled = enabled
+        self.budget = budget
+        self.decisions = decisions
+        self.rota: deque[Worker] = deque()  # workers on whose reports decisions depend, in turn
         self.unanswered: list[Worker] = []
 
     def check(self, worker: Worker, every: float, now: float) -> None:
-        """Asks the worker for a report, unless one came or was asked for within `every` ms."""
+        """Checks the worker, unless a report was received or a check sent within `every` ms."""
         reported = worker.load_reports[-1].received_at if worker.load_reports else 0.0
         if (
             self.enabled
@@ -34,7 +37,7 @@
             self.decisions.append(HealthCheck(worker))
 
     def check_in_turn(self, tick: float, now: float) -> None:
-        """Goes on through the rota, at a pace that asks each worker once in a while."""
+        """Continues through the rota, at a pace that checks each worker every CHECK_EVERY ms; `tick` ms have passed."""
         if not self.budget.has_spare():
             return
         for _ in range(ceil(len(self.rota) * tick / CHECK_EVERY)):
@@ -42,13 +45,14 @@
             self.check(self.rota[0], CHECK_EVERY, now)
 
     def watch(self, workers: Iterable[Worker]) -> None:
-        """Sets the workers to be asked in turn."""
+        """Sets the workers to be checked in turn."""
         self.rota = deque(workers)
 
-    def finished(self, worker: Worker, outcome: str, now: float) -> None:
-        """Enters how a check ended."""
-        if outcome == Outcome.OK and worker.failed_checks:  # it speaks again: it may be tried now
+    def finished(self, worker: Worker, outcome: Outcome, now: float) -> None:
+        """Enters how a check of the worker ended."""
+        if outcome == Outcome.OK and worker.failed_checks:  # it answers again: it may be tried now
             worker.ejected_until = min(worker.ejected_until, now)
         worker.failed_checks = worker.failed_checks + 1 if outcome == Outcome.TIMEOUT else 0
-        others = [each for each in self.unanswered if each.failed_checks and each is not worker]
-        self.unanswered = others + [worker] * (worker.failed_checks > 0)
+        self.unanswered = [other for other in self.unanswered if other.failed_checks and other is not worker]
+        if worker.failed_checks:
+            self.unanswered.append(worker)
--- a/wickdyke/routing/placement.py
+++ b/wickdyke/routing/placement.py
@@ -11,19 +11,19 @@
 from wickdyke.routing.samples import mean
 from wickdyke.routing.settings import CostWeights, FunctionCache, GatewayInstance
 
-REPLACE_AFTER = 5000.0  # ms for which a function keeps its workers, over what is not our share
-FILL_UTILIZATION = 0.7  # of its cores up to which a worker is given our part
-HEADROOM = 1.5  # deviations of its concurrency that a replica keeps free
+KEEP_WORKERS_FOR = 5000.0  # ms for which a function keeps its workers, over what is not our share
+FILL_UTILIZATION = 0.7  # utilization up to which a worker is given our part
+HEADROOM = 1.5  # standard deviations of its concurrency that a replica keeps free
 FAIR_SHARE_SLACK = 1.2  # times its even part of our load that a worker is given
 KEEP_FACTOR = 1.4  # times that part that it may keep
-SMALL_LOAD = 0.15  # of a worker's room: what is little used may go over it
-CLOSE_LOAD = 0.75  # of the room of its workers less one, over which a function keeps them all
+SMALL_LOAD = 0.15  # part of a worker's free capacity: a smaller load may exceed it
+CLOSE_LOAD = 0.75  # part of the capacity of its workers less one, over which a function keeps them all
 HOT_FACTOR = 1.2  # times the mean utilization over which a worker is given nothing new
-HOT_LEAST = 0.8  # utilization that is never hot
-SPREAD = 0.2  # of a worker's room that one function is to take, where nothing tells how wanted it is
-FALLBACK_WORKERS = 8  # looked at where none has room
-KEEPER_CALLS = 3.0  # calls of others within an idle timeout that keep a replica loaded
-LEAST_ROOM = 1e-9
+MIN_HOT_UTILIZATION = 0.8  # utilization below which no worker counts as hot
+MAX_CAPACITY_PART = 0.2  # of a worker's capacity that one function takes where workers do not report concurrency
+MAX_FALLBACK_WORKERS = 8  # compared where none has free capacity
+MIN_KEEPER_CALLS = 3.0  # calls by other front ends within an idle timeout that keep a replica loaded
+MIN_CAPACITY = 1e-9  # lanes, where a capacity or a share divides
 
 
 @dataclass(slots=True)
@@ -36,9 +36,16 @@
     memory: dict[Function, float]  # our part of a replica
     share: float  # our part of what the workers do
     capacity: dict[Worker, float]  # lanes that we may use of each worker
-    room: dict[Worker, float]  # what is left of that
-    budget: dict[Worker, float]  # MB that are left of our part
-    kept: dict[Function, list[Worker]]  # workers that functions placed of late stay on
+    free_capacity: dict[Worker, float]  # lanes that are left of that
+    free_memory: dict[Worker, float]  # MB that are left of our part
+    kept_workers: dict[Function, list[Worker]]  # workers that functions placed recently stay on
+
+    def take(self, function: Function, workers: list[Worker], replicas: int) -> None:
+        """Uses up what so many replicas of the function take on each of its workers."""
+        load = self.demand[function] / len(workers)
+        for worker in workers:
+            self.free_capacity[worker] -= load
+            self.free_memory[worker] -= self.memory[function] * replicas
 
 
 class Placement:
@@ -53,16 +60,19 @@
         costs: CostWeights,
         since: float,
     ) -> None:
-        self.cell, self.latency, self.cache = cell, latency, cache
+        """An empty placement; `since` is when requests began to be counted (ms)."""
+        self.cell = cell
+        self.latency = latency
+        self.cache = cache
         self.explicit_loads = not cache.loads_on_demand  # an attempt that misses costs a round trip only
         self.front_ends = instance.count
         zone = instance.zone if costs.cross_zone > 0 and self.explicit_loads else None
         self.scope = CandidateScope(cell, zone)
-        self.demand = DemandEstimator(latency, cache, since)
-        self.pool = ActiveWorkers(latency)
+        self.demand_estimator = DemandEstimator(latency, cache, since)
+        self.active_workers = ActiveWorkers(latency)
         self.active: dict[Worker, None] = {}  # the workers that functions are placed on, in order
-        self.mean_room = 1.0  # lanes of an active worker that we may use
-        self.hot_utilization = inf  # over which a worker is given nothing new
+        self.mean_capacity = 1.0  # lanes of an active worker that we may use, on average
+        self.hot_utilization = inf  # above which a worker is given nothing new
         self.own_share = 1.0  # our part of what the workers do
 
     def ranking(self, function: Function) -> list[Worker]:
@@ -73,11 +83,11 @@
         return function.ranking
 
     def run(self, cells: list[Cell], now: float) -> None:
-        """Places all functions called within the idle timeout anew."""
+        """Places all functions called within the idle timeout anew, those in most demand first."""
         used = self._functions_in_use(now)
         self._survey(used, cells, now)
         this_pass = self._begin_pass(used, now)
-        for function in sorted(this_pass.demand, key=lambda each: (-this_pass.demand[each], each.name)):
+        for function in sorted(this_pass.demand, key=lambda used: (-this_pass.demand[used], used.name)):
             self._place(function, this_pass, now)
 
     def _functions_in_use(self, now: float) -> list[Function]:
@@ -89,113 +99,164 @@
         work = sum(len(function.recent_calls) * self.latency.usual_work(function) for function in used)
         self.latency.survey(self.cell, cells, work / max(1, calls), now)
 
+    # ---- what a pass begins with ----
+
     def _begin_pass(self, used: list[Function], now: float) -> PlacementPass:
-        own_demand = {function: self.demand.own_lanes(function, now) for function in used}
-        own = sum(own_demand.values())
-        everyone, workers = len(self.cell.ready), self.scope.update(now)
-        even = min(1.0, everyone / len(workers) / self.front_ends)
-        share = self.demand.own_share(workers, own, even)
-        scale = self._crowding(workers, own, share)
+        workers = self.scope.update(now)
+        own_demand = {function: self.demand_estimator.own_lanes(function, now) for function in used}
+        own_total = sum(own_demand.values())
+        share = self._share(workers, own_total)
+        cores_per_lane = self._cores_per_lane(workers, own_total, share)
         fleet_demand = {
-            function: max(self.demand.fleet_lanes(function, load, share), load) for function, load in own_demand.items()
+            function: max(self.demand_estimator.fleet_lanes(function, load, share), load)
+            for function, load in own_demand.items()
         }
-        demand = {function: load * scale * share for function, load in fleet_demand.items()}
+        demand = {function: load * cores_per_lane * share for function, load in fleet_demand.items()}
         memory = {function: function.memory * load / fleet_demand[function] for function, load in own_demand.items()}
-        well = [worker for worker in workers if not worker.ejections] or workers
-        self._activate(workers, well, own * scale / share, sum(memory.values()))
-        capacity = self._capacity(well, sum(demand.values()), share)
+        healthy = [worker for worker in workers if not worker.ejections] or workers
+        self._select_active(workers, healthy, own_total * cores_per_lane / share, sum(memory.values()))
+        capacity = self._capacity(healthy, sum(demand.values()), share)
         self.own_share = share
-        self.mean_room = max(LEAST_ROOM, mean([capacity[worker] for worker in self.active], 1.0))
-        budget = {worker: worker.memory_budget for worker in well}
-        kept = self._kept(demand, share, now)
-        return PlacementPass(own_demand, fleet_demand, demand, memory, share, capacity, dict(capacity), budget, kept)
+        self.mean_capacity = max(MIN_CAPACITY, mean([capacity[worker] for worker in self.active], 1.0))
+        return PlacementPass(
+            own_demand=own_demand,
+            fleet_demand=fleet_demand,
+            demand=demand,
+            memory=memory,
+            share=share,
+            capacity=capacity,
+            free_capacity=dict(capacity),
+            free_memory={worker: worker.memory_budget for worker in healthy},
+            kept_workers=self._kept_workers(demand, share, now),
+        )
+
+    def _share(self, workers: list[Worker], own_total: float) -> float:
+        """Our part of what the workers do; an even part is assumed where few reports were received."""
+        even = min(1.0, len(self.cell.ready) / len(workers) / self.front_ends)
+        return self.demand_estimator.own_share(workers, own_total, even)
 
-    def _crowding(self, workers: list[Worker], own: float, share: float) -> float:
+    def _cores_per_lane(self, workers: list[Worker], own_total: float, share: float) -> float:
         """Busy cores over busy lanes: crowding makes requests stay longer, but takes no more cores."""
         reported = mean([worker.utilization for worker in workers if worker.load_reports], 0.0)
-        busy = reported * sum(map(self.latency.cores, workers)) * share
-        return busy / own if busy and own else 1.0
+        busy_cores = reported * sum(map(self.latency.cores, workers)) * share
+        return busy_cores / own_total if busy_cores and own_total else 1.0
 
-    def _activate(self, workers: list[Worker], well: list[Worker], load: float, memory: float) -> None:
-        active = self.pool.select(workers, load, memory)
-        active = [worker for worker in active if not worker.ejections] or well
+    def _select_active(self, workers: list[Worker], healthy: list[Worker], load: float, memory: float) -> None:
+        selected = self.active_workers.select(workers, load, memory)
+        active = [worker for worker in selected if not worker.ejections] or healthy
         self.active = dict.fromkeys(active)
         reported = mean([worker.utilization for worker in active if worker.load_reports], 0.0)
-        self.hot_utilization = max(HOT_LEAST, HOT_FACTOR * reported)
+        self.hot_utilization = max(MIN_HOT_UTILIZATION, HOT_FACTOR * reported)
 
-    def _capacity(self, well: list[Worker], demand: float, share: float) -> dict[Worker, float]:
-        capacity = self.pool.capacity
-        even = FAIR_SHARE_SLACK * demand / sum(capacity[worker] for worker in self.active)
+    def _capacity(self, healthy: list[Worker], demand: float, share: float) -> dict[Worker, float]:
+        """Lanes that we may use of each worker: our even part with some slack, or our share of its cores."""
+        relative = self.active_workers.capacity
+        even = FAIR_SHARE_SLACK * demand / sum(relative[worker] for worker in self.active)
         return {
-            worker: max(even * capacity[worker], FILL_UTILIZATION * share * self.latency.cores(worker))
-            for worker in well
+            worker: max(even * relative[worker], FILL_UTILIZATION * share * self.latency.cores(worker))
+            for worker in healthy
         }
 
-    def _kept(self, demand: dict[Function, float], share: float, now: float) -> dict[Function, list[Worker]]:
-        keep_for = REPLACE_AFTER / max(1 - share, LEAST_ROOM)  # a front end that is alone keeps them
+    def _kept_workers(self, demand: dict[Function, float], share: float, now: float) -> dict[Function, list[Worker]]:
+        keep_for = KEEP_WORKERS_FOR / max(1 - share, MIN_CAPACITY)  # a front end that is alone keeps them
         return {
-            function: [each.worker for each in function.replicas if each.placed and each.worker in self.active]
+            function: [
+                replica.worker for replica in function.replicas if replica.placed and replica.worker in self.active
+            ]
             for function in demand
             if now - function.placed_at < keep_for
         }
 
+    # ---- placing one function ----
+
     def _place(self, function: Function, this_pass: PlacementPass, now: float) -> None:
-        demand = this_pass.demand[function]
-        kept = this_pass.kept.get(function, [])
-        chosen = self.choose_workers(function, demand, kept, this_pass)
-        each = demand / len(chosen) / this_pass.share
-        copies = max(1, ceil((each + HEADROOM * sqrt(each)) / function.concurrency))
-        if function not in this_pass.kept:
+        kept = this_pass.kept_workers.get(function, [])
+        chosen = self.choose_workers(function, this_pass.demand[function], kept, this_pass)
+        replicas = self._replicas_needed(function, this_pass, len(chosen))
+        if function not in this_pass.kept_workers:
             function.placed_at = now
-        for worker in chosen:
-            this_pass.room[worker] -= demand / len(chosen)
-            this_pass.budget[worker] -= this_pass.memory[function] * copies
-        others = this_pass.fleet_demand[function] - this_pass.own_demand[function]
-        calls = others / self.latency.usual_work(function) * self.cache.idle_timeout / len(chosen)
+        this_pass.take(function, chosen, replicas)
         for worker in chosen:
             replica_of(function, worker)
+        kept_by_others = self._others_calls(function, this_pass, len(chosen)) > MIN_KEEPER_CALLS
         for replica in function.replicas:
-            # Prewarming further copies would spend the few prewarms that the quota allows: where attempts ask first,
-            # workers add copies themselves as concurrency is used up. Where they do not, requests queue.
+            # More replicas on a worker would spend the few prewarms that the quota allows: where attempts may miss,
+            # workers add replicas themselves as concurrency is used up. Where they do not, requests queue.
             replica.placed = replica.worker in chosen
-            replica.wanted = 1 if self.explicit_loads else copies
-            if replica.placed and calls > KEEPER_CALLS:
-                self._believe_kept(replica, now)
+            replica.wanted = 1 if self.explicit_loads else replicas
+            if replica.placed and kept_by_others:
+                self._assume_kept_loaded(replica, now)
+
+    def _replicas_needed(self, function: Function, this_pass: PlacementPass, workers: int) -> int:
+        """Replicas on each of so many workers that run the fleet's requests, with some headroom."""
+        lanes = this_pass.demand[function] / workers / this_pass.share
+        return max(1, ceil((lanes + HEADROOM * sqrt(lanes)) / function.concurrency))
 
-    def _believe_kept(self, replica: Replica, now: float) -> None:
-        """Others call it often enough to keep it loaded, unless we were told otherwise."""
+    def _others_calls(self, function: Function, this_pass: PlacementPass, workers: int) -> float:
+        """Calls by other front ends that each of so many workers receives within an idle timeout."""
+        others_lanes = this_pass.fleet_demand[function] - this_pass.own_demand[function]
+        return others_lanes / self.latency.usual_work(function) * self.cache.idle_timeout / workers
+
+    def _assume_kept_loaded(self, replica: Replica, now: float) -> None:
+        """Others call it often enough to keep it loaded, unless our own attempts showed otherwise."""
         if self.explicit_loads:
-            believed = now - replica.last_miss > self.latency.load_time(replica.function)
+            assumed = now - replica.last_miss > self.latency.load_time(replica.function)
         else:
-            believed = bool(replica.last_used)
-        if believed and replica.worker.memory_short_until <= now:
-            replica.loaded, replica.last_used = max(1, replica.loaded), now
+            assumed = bool(replica.last_used)
+        if assumed and replica.worker.memory_short_until <= now:
+            replica.loaded = max(1, replica.loaded)
+            replica.last_used = now
 
     def choose_workers(
         self, function: Function, load: float, kept: list[Worker], this_pass: PlacementPass
     ) -> list[Worker]:
-        """The workers for `load` lanes of the function: those it keeps, then by its ranking those with room."""
-        room, capacity = this_pass.room, this_pass.capacity
-        many = self._workers_needed(load, len(kept))
-        chosen = [w for w in kept if room[w] + (KEEP_FACTOR - 1) * capacity[w] >= load / many][:many]
-        # What is little used fills no cores, and must not move to and fro.
-        leeway = KEEP_FACTOR - 1 if load / many < SMALL_LOAD * self.mean_room else 0.0
-        ranking = [] if len(chosen) == many else [w for w in self.ranking(function) if w in self.active]
-        over_budget: list[Worker] = []
+        """The workers for `load` lanes of the function: those of `kept` that can keep it, then others by its ranking.
+
+        Where none has free capacity it stays where it is, or goes to the one with most of its first in the ranking.
+        """
+        needed = self._workers_needed(load, len(kept))
+        load_each = load / needed
+        chosen = [
+            worker
+            for worker in kept
+            if this_pass.free_capacity[worker] + (KEEP_FACTOR - 1) * this_pass.capacity[worker] >= load_each
+        ][:needed]
+        if len(chosen) == needed:
+            return chosen
+        ranking = [worker for worker in self.ranking(function) if worker in self.active]
+        self._add_workers(chosen, needed, function, load_each, ranking, this_pass)
+        if chosen or kept:
+            return chosen or kept[:needed]
+        return [max(ranking[:MAX_FALLBACK_WORKERS], key=this_pass.free_capacity.__getitem__)]
+
+    def _add_workers(
+        self,
+        chosen: list[Worker],
+        needed: int,
+        function: Function,
+        load_each: float,
+        ranking: list[Worker],
+        this_pass: PlacementPass,
+    ) -> None:
+        """Adds workers with free capacity until `needed` are chosen: those with free memory before the others."""
+        # A small load fills no cores, and must not move to and fro.
+        slack = KEEP_FACTOR - 1 if load_each < SMALL_LOAD * self.mean_capacity else 0.0
+        short_of_memory: list[Worker] = []
         for worker in ranking:
             if worker in chosen or worker.utilization > self.hot_utilization:
                 continue
-            if room[worker] + leeway * capacity[worker] < load / many:
+            if this_pass.free_capacity[worker] + slack * this_pass.capacity[worker] < load_each:
                 continue
-            fits = this_pass.budget[worker] >= this_pass.memory[function]
-            (chosen if fits else over_budget).append(worker)
-            if len(chosen) == many:
+            fits = this_pass.free_memory[worker] >= this_pass.memory[function]
+            (chosen if fits else short_of_memory).append(worker)
+            if len(chosen) == needed:
                 break
-        chosen += over_budget[: many - len(chosen)]
-        return chosen or kept[:many] or [max(ranking[:FALLBACK_WORKERS], key=room.__getitem__)]
+        chosen += short_of_memory[: needed - len(chosen)]
 
     def _workers_needed(self, load: float, kept: int) -> int:
-        room = self.mean_room
-        spread = 1.0 if self.cache.reports_concurrency else SPREAD
-        many = max(1, ceil(load / room / spread))
-        return max(many, kept * (load > (kept - 1) * room * CLOSE_LOAD))
+        """How many workers a load of that many lanes is spread over; all that it keeps while they are well used."""
+        capacity = self.mean_capacity
+        part = 1.0 if self.cache.reports_concurrency else MAX_CAPACITY_PART
+        needed = max(1, ceil(load / capacity / part))
+        well_used = load > (kept - 1) * capacity * CLOSE_LOAD
+        return max(needed, kept if well_used else 0)
--- a/wickdyke/routing/prewarming.py
+++ b/wickdyke/routing/prewarming.py
@@ -13,34 +13,34 @@
 from wickdyke.routing.settings import FunctionCache, PrewarmQuota
 
 RENEW_AFTER = 0.7  # of the idle timeout after which a replica is prewarmed again to keep it
-LOST_AFTER = 4.0  # load times after which a load that told nothing counts as lost
-PER_WORKER = 2  # new replicas a worker and period
-COPIES_MOST = 16  # that one prewarm asks for
-KEPT_FOR_NEW = 0.34  # of the quota, which renewals may not use
+LOST_AFTER = 4.0  # load times after which a load without a result counts as lost
+MAX_NEW_PER_WORKER = 2  # new replicas in each period
+MAX_REPLICAS = 16  # that one prewarm asks for
+RESERVED_FOR_NEW = 0.34  # part of the quota that renewals may not use
 WINDOW_EDGE = 1e-3  # ms by which a prewarm counts for longer, to the safe side at the very edge
 
 
 @dataclass(slots=True, frozen=True)
 class PrewarmPlan:
-    """A prewarm that is wanted: so many copies at that replica; `renewal` where they are loaded already."""
+    """A prewarm that is wanted, of so many replicas on one worker; `renewal` where they are loaded already."""
 
     replica: Replica
-    copies: int
+    replicas: int
     renewal: bool
 
 
 class PrewarmLimiter:
     """Keeps prewarms within the quota: `free` ones and a share of the requests within its window.
 
-    Only requests of verified functions count. Clients that ask for what nobody has would earn prewarms otherwise, as
-    would functions that are broken. That misleads where nothing may be sent before something was earned and no replica
-    is loaded anywhere.
+    Only requests of verified functions count: requests of functions that do not exist or are broken would earn prewarms
+    otherwise. That delays a start in which no replica is loaded anywhere and no prewarm is free.
     """
 
     def __init__(self, quota: PrewarmQuota) -> None:
+        """A limiter that has seen no requests."""
         self.quota = quota
         self.requests: deque[float] = deque()  # when they were received (ms)
-        self.sent: deque[float] = deque()  # when prewarms were (ms)
+        self.sent: deque[float] = deque()  # when prewarms were sent (ms)
 
     def request_received(self, function: Function, now: float) -> None:
         """Counts a request, if its function is verified."""
@@ -48,7 +48,7 @@
             self.requests.append(now)
 
     def verify(self, function: Function, now: float) -> None:
-        """The function was answered or loaded: its requests within the window count from now on."""
+        """Counts the function's requests within the window, once it was answered or loaded for the first time."""
         if not function.verified:
             function.verified = True
             since = now - self.quota.window
@@ -57,7 +57,7 @@
                     insort(self.requests, at)
 
     def trim(self, now: float) -> None:
-        """Drops what is out of the window."""
+        """Drops the requests before the window."""
         trim_times(self.requests, now - self.quota.window)
 
     def may_send(self, worker: Worker, renewal: bool, now: float) -> bool:
@@ -68,8 +68,8 @@
         trim_times(self.sent, now - self.quota.window - WINDOW_EDGE)
         if not self.quota.window:
             return True
-        most = self.quota.free + self.quota.share * len(self.requests)
-        return len(self.sent) + 1 <= most * (1 - KEPT_FOR_NEW * renewal)
+        allowed = self.quota.free + self.quota.share * len(self.requests)
+        return len(self.sent) + 1 <= allowed * (1 - RESERVED_FOR_NEW * renewal)
 
 
 class Prewarmer:
@@ -83,47 +83,54 @@
         latency: LatencyEstimator,
         decisions: deque[Decision],
     ) -> None:
-        self.cache, self.limiter, self.budget, self.latency = cache, limiter, budget, latency
+        """A prewarmer that appends what it sends to `decisions`."""
+        self.cache = cache
+        self.limiter = limiter
+        self.budget = budget
+        self.latency = latency
         self.decisions = decisions
 
     def plan(self, cell: Cell, now: float) -> list[PrewarmPlan]:
-        """What is wanted for the functions of a cell, the most called first."""
+        """The prewarms wanted for the functions of a cell, those with most requests first."""
         plans: list[PrewarmPlan] = []
-        new: Counter[Worker] = Counter()
-        for function in sorted(cell.functions.values(), key=lambda each: (-len(each.recent_calls), each.name)):
+        new_replicas: Counter[Worker] = Counter()
+        for function in sorted(cell.functions.values(), key=lambda called: (-len(called.recent_calls), called.name)):
             if now - function.last_called >= self.cache.idle_timeout:
                 continue
             for replica in function.replicas:
                 if replica.placed and replica.prewarm_sent_at is None and replica.full_until <= now:
-                    self._plan_replica(replica, new, plans, now)
+                    self._plan_replica(replica, new_replicas, plans, now)
         return plans
 
-    def _plan_replica(self, replica: Replica, new: Counter[Worker], plans: list[PrewarmPlan], now: float) -> None:
+    def _plan_replica(
+        self, replica: Replica, new_replicas: Counter[Worker], plans: list[PrewarmPlan], now: float
+    ) -> None:
         function = replica.function
         loaded = self.latency.is_loaded(replica, now)
         renewal = loaded and replica.loaded >= replica.wanted
-        called_again = len(function.recent_calls) > 1  # else the one request, having missed, ordered what it needs
+        called_again = len(function.recent_calls) > 1  # else its one request, after its miss, sends the prewarm itself
         if renewal:
             wanted = called_again and now - replica.last_used >= RENEW_AFTER * self.cache.idle_timeout
         else:
             since = replica.loading_since
             lost = since is None or now - since > LOST_AFTER * self.latency.load_time(function)
-            wanted = (called_again or self.cache.loads_on_demand) and new[replica.worker] < PER_WORKER
-            wanted = wanted and (loaded or lost)
+            may_load = called_again or self.cache.loads_on_demand
+            few_new = new_replicas[replica.worker] < MAX_NEW_PER_WORKER
+            wanted = may_load and few_new and (loaded or lost)
         if wanted:
-            new[replica.worker] += not renewal
+            new_replicas[replica.worker] += not renewal
             plans.append(PrewarmPlan(replica, replica.wanted, renewal))
 
     def send(self, plan: PrewarmPlan, now: float) -> None:
-        """Sends a prewarm, if it is within the quota and paid for."""
+        """Sends a prewarm, if it is within the quota and covered by the control budget."""
         replica = plan.replica
-        paid = self.budget.covers_one() or not self.cache.loads_on_demand
-        if not paid or not self.limiter.may_send(replica.worker, plan.renewal, now):
+        covered = self.budget.covers_one() or not self.cache.loads_on_demand
+        if not covered or not self.limiter.may_send(replica.worker, plan.renewal, now):
             return
         self.limiter.sent.append(now)
         self.budget.spend()
         replica.prewarm_sent_at = now
         if not plan.renewal and not replica.loaded:
             replica.loading_since = now
-        copies = min(plan.copies, COPIES_MOST)
-        self.decisions.append(Prewarm(replica.worker, replica.function, copies))
+        replicas = min(plan.replicas, MAX_REPLICAS)
+        self.decisions.append(Prewarm(replica.worker, replica.function, replicas))
--- a/wickdyke/routing/router.py
+++ b/wickdyke/routing/router.py
@@ -7,7 +7,7 @@
 from collections import deque
 
 from wickdyke.routing.cells import Cell
-from wickdyke.routing.concurrency import LIMIT_START
+from wickdyke.routing.concurrency import INITIAL_LIMIT
 from wickdyke.routing.control_budget import ControlBudget
 from wickdyke.routing.decisions import Decision, FollowEndpoints, LogNote
 from wickdyke.routing.demand import CALLS_KEPT
@@ -17,7 +17,7 @@
 from wickdyke.routing.inputs import AttemptFinished, RequestReceived, WorkerLoad
 from wickdyke.routing.latency import DURATIONS_KEPT, OBJECTIVE_SHARES_KEPT, REPORTS_KEPT, LatencyEstimator, is_overdue
 from wickdyke.routing.model import Endpoint, Function, GlobalConcurrency, Outcome, Request, RequestClass, Worker
-from wickdyke.routing.outliers import EXPECTED_LEAST, OutlierDetector
+from wickdyke.routing.outliers import MIN_EXPECTED_LATENCY, OutlierDetector
 from wickdyke.routing.periods import TICK
 from wickdyke.routing.placement import Placement
 from wickdyke.routing.placement_schedule import PlacementSchedule
@@ -74,7 +74,7 @@
 
         def make_worker(endpoint: Endpoint) -> Worker:
             memory = cache.memory_on(endpoint) / instance.count
-            return Worker.from_endpoint(endpoint, memory, LIMIT_START)
+            return Worker.from_endpoint(endpoint, memory, INITIAL_LIMIT)
 
         def make_placement(cell: Cell) -> Placement:
             return Placement(cell, self.latency, cache, instance, settings.cost_weights, now)
@@ -258,7 +258,7 @@
     def _look_for_silent_workers(self, now: float) -> None:
         in_flight = ((each.replica.worker, now - each.sent_at) for each in self.global_concurrency.in_flight)
         # Nothing else can be overdue yet.
-        suspects = [worker for worker, age in in_flight if age >= EXPECTED_LEAST or worker.ejections]
+        suspects = [worker for worker, age in in_flight if age >= MIN_EXPECTED_LATENCY or worker.ejections]
         for worker in dict.fromkeys(suspects + self.health_checker.unanswered):
             self.dispatcher.withdraw_from(worker, now)
             if worker.ejected_until <= now and self.outliers.is_silent(worker, now):
--- a/wickdyke/routing/selection.py
+++ b/wickdyke/routing/selection.py
@@ -11,21 +11,21 @@
 from wickdyke.routing.ranking import rendezvous_rank
 from wickdyke.routing.seeded_random import SeededRandom
 
-TIE = 0.02  # part by which latencies that count as equal differ
-TIE_STEPS = 99
+TIE_PART = 0.02  # latencies that differ by less count as equal
+TIE_STEPS = 99  # of the random draw between those
 FULL_WAIT = 250.0  # ms for which a full replica is waited for
-FIRST_CHOICES = 5  # agreed workers that a new function's first request may go to
-WORKERS_LOOKED_AT = 8  # of each ranking, for one request
+MAX_FIRST_CHOICES = 5  # agreed workers that a new function's first request may go to
+MAX_WORKERS_COMPARED = 8  # of each ranking, for one request
 FURTHER_CELLS = 2  # that a function may use beside its home
 
 CanServe = Callable[[Worker], bool]
 
 
 def has_memory_for(worker: Worker, function: Function, placement: Placement, now: float) -> bool:
-    """Whether the worker is believed to have memory for one more replica.
+    """Whether the worker is assumed to have memory for one more replica.
 
-    With memory short each load pushes out another, and requests ask in vain. That misleads where full answers have
-    another cause; loaded replicas are used anyway.
+    With memory short each load evicts another, and requests miss in turn. The assumption is wrong where workers were
+    full for another reason; loaded replicas are used anyway.
     """
     memory = placement.cache.memory_on(worker.endpoint)
     if worker.memory_short_until > now:
@@ -37,108 +37,101 @@
     """Chooses a replica for a request's next attempt."""
 
     def __init__(self, fleet: Fleet, outliers: OutlierDetector, random: SeededRandom) -> None:
-        self.fleet, self.outliers, self.random = fleet, outliers, random
+        """A selector among the workers of `fleet`; `random` decides between equals."""
+        self.fleet = fleet
+        self.outliers = outliers
+        self.random = random
 
     def choose(self, request: Request, can_serve: CanServe, now: float) -> Replica | None:
-        """The replica, new if need be; None where the request has to wait. `can_serve` tells of each worker."""
+        """The replica, new if need be, of a worker that `can_serve`; None where the request has to wait."""
         function = request.function
         placement = self.fleet.home_of(function).placement
         if trial := self._ejected_worker_to_try(request, placement, can_serve):
             return replica_of(function, trial)
-        withdrawn_from = {each.replica.worker for each in request.attempts if each.withdrawn}
-        usable = [each for each in function.replicas if each.worker not in withdrawn_from and can_serve(each.worker)]
-        if replica := self._best_known(request, usable, placement, now):
-            return replica
-        loaded_but_full = [
-            each for each in usable if placement.latency.is_loaded(each, now) and each.full_until <= now + FULL_WAIT
+        withdrawn_from = {attempt.replica.worker for attempt in request.attempts if attempt.withdrawn}
+        usable = [
+            replica
+            for replica in function.replicas
+            if replica.worker not in withdrawn_from and can_serve(replica.worker)
         ]
-        if loaded_but_full and (placement.explicit_loads or any(_below_limit(e.worker, now) for e in loaded_but_full)):
-            return None  # a load elsewhere would come too late and crowd the package store
-        can_take_new = self._taker(function, placement, bool(loaded_but_full), withdrawn_from, can_serve, now)
-        return self._new_replica(request, placement, can_take_new)
+        if replica := self._best_existing(request, usable, placement, now):
+            return replica
+        loaded_but_full = _loaded_but_full(usable, placement, now)
+        if loaded_but_full and (placement.explicit_loads or _any_below_limit(loaded_but_full, now)):
+            return None  # a load elsewhere would take too long and crowd the package store
+
+        def can_load(worker: Worker) -> bool:
+            return (
+                worker not in withdrawn_from
+                and can_serve(worker)
+                and _below_limit(worker, now)
+                and has_memory_for(worker, function, placement, now)
+                and not (loaded_but_full and worker.utilization > TARGET_UTILIZATION)
+            )
+
+        return self._new_replica(request, placement, can_load)
 
     def _ejected_worker_to_try(self, request: Request, placement: Placement, can_serve: CanServe) -> Worker | None:
-        """An ejected worker of the function's home, whose time is up: one request tries it."""
+        """An ejected worker of the function's home, whose ejection is over: one request tries it."""
         if request.attempts or request.request_class.effect != Effect.IDEMPOTENT:
             return None
         members = placement.cell.members
-        trial = [w for w in self.outliers.ejected if w.endpoint.ident in members and can_serve(w)]
-        return min(trial, key=lambda worker: rendezvous_rank(request.function, worker), default=None)
-
-    def _best_known(self, request: Request, usable: list[Replica], placement: Placement, now: float) -> Replica | None:
+        trials = [worker for worker in self.outliers.ejected if worker.endpoint.ident in members and can_serve(worker)]
+        return min(trials, key=lambda worker: rendezvous_rank(request.function, worker), default=None)
+
+    def _best_existing(
+        self, request: Request, usable: list[Replica], placement: Placement, now: float
+    ) -> Replica | None:
+        """The best replica with capacity: placed before others, loaded before loading, untried before tried."""
+        with_capacity = [replica for replica in usable if _has_capacity(replica, now)]
+        loaded = [replica for replica in with_capacity if placement.latency.is_loaded(replica, now)]
         tried = _tried(request, placement)
-        known = [each for each in usable if _has_capacity(each, now)]
-        loaded = [each for each in known if placement.latency.is_loaded(each, now)]
-        untried = [each for each in loaded if each.worker not in tried]
-        placed = [each for each in untried if each.placed]
-        for group in (placed, untried, loaded):
-            if group:
-                return self._lowest_latency(request, group, placement, now)
-        coming = [
-            each
-            for each in known
-            if each.loading_since is not None
-            or each.placed
-            and has_memory_for(each.worker, request.function, placement, now)
-        ]
-        if not coming:
+        untried = [replica for replica in loaded if replica.worker not in tried]
+        placed = [replica for replica in untried if replica.placed]
+        if candidates := placed or untried or loaded:
+            return self._lowest_latency(request, candidates, placement, now)
+        loading = [replica for replica in with_capacity if _is_or_may_be_loading(replica, placement, now)]
+        if not loading:
             return None
-        if placement.explicit_loads and all(each.loading_since is None for each in coming):
+        if placement.explicit_loads and all(replica.loading_since is None for replica in loading):
             # After misses each front end would load a replica elsewhere, and memory would fill: so the first by rank.
-            # That hurts where that worker is crowded, until the replica is loaded.
-            return min(coming, key=lambda each: rendezvous_rank(request.function, each.worker))
-        return self._lowest_latency(request, coming, placement, now)
+            # That costs latency where that worker is crowded, until the replica is loaded.
+            return min(loading, key=lambda replica: rendezvous_rank(request.function, replica.worker))
+        return self._lowest_latency(request, loading, placement, now)
 
-    def _lowest_latency(self, request: Request, group: Iterable[Replica], placement: Placement, now: float) -> Replica:
+    def _lowest_latency(
+        self, request: Request, replicas: Iterable[Replica], placement: Placement, now: float
+    ) -> Replica:
         def latency(replica: Replica) -> float:
             expected = placement.latency.expected_latency(replica, request, now)
-            return expected * (1 + TIE * self.random.below(TIE_STEPS) / TIE_STEPS)
-
-        return min(group, key=latency)
-
-    def _taker(
-        self,
-        function: Function,
-        placement: Placement,
-        loaded_but_full: bool,
-        withdrawn_from: set[Worker],
-        can_serve: CanServe,
-        now: float,
-    ) -> CanServe:
-        def can_take_new(worker: Worker) -> bool:
-            return (
-                worker not in withdrawn_from
-                and can_serve(worker)
-                and _below_limit(worker, now)
-                and has_memory_for(worker, function, placement, now)
-                and not (loaded_but_full and worker.utilization > TARGET_UTILIZATION)
-            )
+            return expected * (1 + TIE_PART * self.random.below(TIE_STEPS) / TIE_STEPS)
 
-        return can_take_new
+        return min(replicas, key=latency)
 
-    def _new_replica(self, request: Request, placement: Placement, can_take_new: CanServe) -> Replica | None:
-        """A replica at a worker that can take one: at active workers before others, at home before the next cells.
+    def _new_replica(self, request: Request, placement: Placement, can_load: CanServe) -> Replica | None:
+        """A replica at a worker that can load one: at active workers before others, at home before the next cells.
 
-        A function whose only home is slow and at its limit would be rejected while other workers idle. That hurts
-        where the crowding is over sooner than a load.
+        A function whose only home is slow and at its limit would be rejected while other workers idle. That costs
+        memory where the crowding ends sooner than a load.
         """
         function = request.function
         for cell in self.fleet.near(function, 1 + FURTHER_CELLS):
-            ranking, active = cell.placement.ranking(function), cell.placement.active
-            for pool in ((worker for worker in ranking if worker in active), ranking):
-                free = [worker for worker in islice(pool, WORKERS_LOOKED_AT) if can_take_new(worker)]
+            ranking = cell.placement.ranking(function)
+            active = cell.placement.active
+            for workers in ((worker for worker in ranking if worker in active), ranking):
+                free = [worker for worker in islice(workers, MAX_WORKERS_COMPARED) if can_load(worker)]
                 if free:
                     return replica_of(function, self._pick(request, placement, free))
         return None
 
     def _pick(self, request: Request, placement: Placement, free: list[Worker]) -> Worker:
-        # Until its first placement each of hundreds of front ends would go to the same agreed worker, as it would at a
-        # start of all at once. That hurts functions which few call: they may be loaded at several.
+        # Until its first placement each of hundreds of front ends would send to the same agreed worker, as it would
+        # when all start at once. That costs memory for functions with few requests: they may be loaded at several.
         is_new = not (request.attempts or request.function.replicas)
         tried = _tried(request, placement)
         untried = [worker for worker in free if worker not in tried] or free
         if placement.explicit_loads and is_new:
-            return untried[self.random.below(min(FIRST_CHOICES, len(untried)))]
+            return untried[self.random.below(min(MAX_FIRST_CHOICES, len(untried)))]
         return untried[0]
 
 
@@ -151,9 +144,30 @@
     }
 
 
+def _loaded_but_full(replicas: list[Replica], placement: Placement, now: float) -> list[Replica]:
+    """Loaded replicas that will have capacity soon enough to be waited for."""
+    return [
+        replica
+        for replica in replicas
+        if placement.latency.is_loaded(replica, now) and replica.full_until <= now + FULL_WAIT
+    ]
+
+
+def _is_or_may_be_loading(replica: Replica, placement: Placement, now: float) -> bool:
+    if replica.loading_since is not None:
+        return True
+    return replica.placed and has_memory_for(replica.worker, replica.function, placement, now)
+
+
+def _any_below_limit(replicas: list[Replica], now: float) -> bool:
+    return any(_below_limit(replica.worker, now) for replica in replicas)
+
+
 def _below_limit(worker: Worker, now: float) -> bool:
     return active_attempts(worker, now) < worker.concurrency_limit
 
 
 def _has_capacity(replica: Replica, now: float) -> bool:
-    return replica.full_until <= now and _below_limit(replica.worker, now) and replica.in_flight < replica.concurrency()
+    if replica.full_until > now or not _below_limit(replica.worker, now):
+        return False
+    return replica.in_flight < replica.concurrency()
--- a/wickdyke/routing/slow_start.py
+++ b/wickdyke/routing/slow_start.py
@@ -1,4 +1,4 @@
-"""What a worker that is warming up may be sent, so that all front ends together do not overload it."""
+"""Slow start: limits what a warming worker is sent, so that all front ends together do not overload it."""
 
 from collections import deque
 from math import ceil, gcd
@@ -10,23 +10,24 @@
 from wickdyke.routing.seeded_random import hash_fraction
 from wickdyke.routing.settings import GatewayInstance, SlowStart
 
-MARGIN = 0.6  # part of what a warming worker stands that is used
-UTILIZATION_LEAST = 0.3  # utilization that our rate is divided by at least
-SERVED_WINDOW = 5000.0  # ms for which what we served counts
-SIZE_KEPT = 0.9  # of a fleet's size that is still believed a survey after it shrank
-SIZE_LEAST = 1e-6
+MARGIN = 0.6  # part of a warming worker's capacity that is used
+MIN_UTILIZATION = 0.3  # that our rate is divided by
+SERVED_WINDOW = 5000.0  # ms for which served requests count
+SIZE_DECAY = 0.9  # part of the fleet's size that is kept at each survey after it shrank
+MIN_SIZE = 1e-6
 GOLDEN_RATIO = 0.618034  # spreads the instances' turns evenly
 
 
 class SlowStartGuard:
-    """Every attempt passes here: what a warming worker gets stays within our part of what it stands."""
+    """Admits attempts to a warming worker up to our part of its present capacity."""
 
     def __init__(self, settings: SlowStart, instance: GatewayInstance) -> None:
+        """A guard for this instance, before its first survey."""
         self.settings = settings
         self.instance_fraction = _spread_index(instance) / instance.count
         self.even_share = 1 / instance.count
         self.served: deque[WorkSample] = deque()
-        self.rate = 0.0  # work that we send for each size of a worker and ms, were the fleet fully used
+        self.rate = 0.0  # work that we would send per size of a worker and ms if the fleet were fully used
         self.size = 0.0  # of the fleet
 
     def is_warming_up(self, worker: Worker, now: float) -> bool:
@@ -34,27 +35,27 @@
         return worker.warming_since is not None and now - worker.warming_since < self.settings.ramp
 
     def attempt_sent(self, worker: Worker, request: Request, now: float) -> None:
-        """Counts an attempt, also at a worker that is not known to warm up.
+        """Counts an attempt, also at a worker that is not known to be warming up.
 
-        We may learn late that it has started anew, and what we sent meanwhile counts too.
+        Its restart may be noticed later, and what was sent meanwhile counts too.
         """
         trim(worker.slow_start_sends, now - self.settings.window)
         worker.slow_start_sends.append(WorkSample(now, self.mean_work(request)))
 
     def connection_lost(self, worker: Worker, now: float) -> None:
-        """The worker's connections ended: it counts as started anew.
+        """The worker's connections ended: it counts as restarted.
 
-        What it got before went to the process that ended with them. Once it is known to warm up, all counts.
+        What was sent before went to the process that ended with them. Once it is known to warm up, all counts.
         """
         if not self.is_warming_up(worker, now):
             trim(worker.slow_start_sends, now)
         worker.warming_since = now
 
     def carry_over(self, before: Worker, worker: Worker | None) -> None:
-        """The worker is listed as started anew: what was sent since its start counts for its new record."""
+        """The worker is listed as restarted: what was sent since its start counts for its new record."""
         if worker is None or worker.warming_since is None:
             return
-        sends = [sent for sent in before.slow_start_sends if sent.at >= worker.warming_since]
+        sends = [sample for sample in before.slow_start_sends if sample.at >= worker.warming_since]
         if sends:
             worker.open_records(WORKER_RECORDS)
             worker.slow_start_sends.extend(sends)
@@ -64,13 +65,13 @@
         self.served.append(WorkSample(now, self.mean_work(request)))
 
     def survey(self, cells: list[Cell], now: float) -> None:
-        """Estimates our rate from what was served of late and how busy all workers are."""
+        """Estimates our rate from the requests served recently and the utilization of all workers."""
         trim(self.served, now - SERVED_WINDOW)
         utilization = pooled_mean([cell.utilization for cell in cells], 1.0)
         size = sum(cell.size for cell in cells)
-        self.size = max(size, self.size * SIZE_KEPT, SIZE_LEAST)
-        used = min(1.0, max(UTILIZATION_LEAST, utilization))
-        self.rate = sum(each.work for each in self.served) / self.size / SERVED_WINDOW / used
+        self.size = max(size, self.size * SIZE_DECAY, MIN_SIZE)
+        utilization = min(1.0, max(MIN_UTILIZATION, utilization))
+        self.rate = sum(sample.work for sample in self.served) / self.size / SERVED_WINDOW / utilization
 
     def admits(self, worker: Worker, request: Request, now: float) -> bool:
         """Whether the worker is ready and, while it is warming up, may be sent this request now."""
@@ -90,15 +91,16 @@
         return not sends and self._has_turn(worker, allowed / work, age)
 
     def _has_turn(self, worker: Worker, part: float, age: float) -> bool:
-        # One request of each of many front ends is too much, also if many draw well at once: by instance index each has
-        # whole turns, rare as its part is small. That wastes room where all functions are on warming workers.
+        # One request of each of many front ends is too much, also if many draw luckily at once: by its index each
+        # instance has whole turns, as rare as its part is small. That wastes capacity where all functions are on
+        # warming workers.
         offset = self.instance_fraction / self.even_share * GOLDEN_RATIO % 1
         turn = int(age / self.settings.window + offset)
         drawn = (hash_fraction(worker.name_hash, turn) + self.instance_fraction) % 1
         return turn > 0 and drawn < max(part, self.even_share)
 
     def mean_work(self, request: Request) -> float:
-        """ms of work that a request of this class takes on the mean."""
+        """Mean work (ms) of requests of this class."""
         request_class = request.request_class
         return max(1.0, mean(request_class.durations, request_class.latency_objective * WORK_GUESS))
 
@@ -110,5 +112,5 @@
     common with their number, so that each gets a number of its own.
     """
     strides = range(ceil(instance.count * GOLDEN_RATIO), instance.count + 2)
-    stride = next(each for each in strides if gcd(each, instance.count) == 1)
+    stride = next(candidate for candidate in strides if gcd(candidate, instance.count) == 1)
     return instance.index * stride % instance.count
