--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -13,8 +13,14 @@
 from wickdyke.routing.cells import Cell
 from wickdyke.routing.decisions import Cancel, Forward, Prewarm, Reject
 from wickdyke.routing.inputs import AttemptFinished, RequestReceived
-from wickdyke.routing.model import Endpoint, Function, Worker, WorkSample, replica_of
+from wickdyke.routing.model import (
+    Endpoint,
+    Function,
+    Worker,
+    WorkSample,
+)
 from wickdyke.routing.ranking import rendezvous_rank
+from wickdyke.routing.replicas import replica_of
 from wickdyke.routing.seeded_random import hash_fraction, name_hash
 from wickdyke.routing.settings import GatewayInstance, PrewarmQuota, SlowStart
 from wickdyke.routing.slow_start import SlowStartGuard
--- a/tests/test_simulated_fleet.py
+++ b/tests/test_simulated_fleet.py
@@ -293,7 +293,7 @@
         self.assertFalse(any(cell.functions for cell in fleet.fronts[0].router.fleet.cells.values()))
 
     def test_no_more_functions_are_known_than_the_bound(self):
-        with patch.object(router, "FUNCTIONS_KEPT", 200):
+        with patch.object(router, "MAX_FUNCTIONS", 200):
             fleet = hollow(300)
             front = fleet.fronts[0]
             for name in names(500):
@@ -306,7 +306,7 @@
 
     def test_a_request_outlives_the_forgetting_of_its_function(self):
         """Requests wait, their functions are forgotten and met again, the list changes: all get their answers."""
-        with patch.object(router, "FUNCTIONS_KEPT", 40):
+        with patch.object(router, "MAX_FUNCTIONS", 40):
             fleet = hollow(300)
             front = fleet.fronts[0]
             front_end = front.router
--- a/wickdyke/routing/concurrency.py
+++ b/wickdyke/routing/concurrency.py
@@ -1,7 +1,11 @@
 """An adaptive limit on attempts in flight: lowered while answers come late at a full worker, raised as it is used."""
 
+from wickdyke.routing.in_flight import ConcurrencyLimited, active_attempts
 from wickdyke.routing.latency import OBJECTIVE_SHARES_KEPT
-from wickdyke.routing.model import Attempt, ConcurrencyLimited, ObjectiveShare, active_attempts
+from wickdyke.routing.model import (
+    Attempt,
+    ObjectiveShare,
+)
 from wickdyke.routing.samples import mean
 
 INITIAL_LIMIT = 8.0  # attempts
--- a/wickdyke/routing/dispatcher.py
+++ b/wickdyke/routing/dispatcher.py
@@ -1,14 +1,16 @@
-"""Decides what becomes of each open request: forwarded, kept waiting, hedged, withdrawn, rejected or failed."""
+"""Dispatches each open request: it is forwarded, kept waiting, hedged, withdrawn, rejected or failed."""
 
 from collections import deque
 from collections.abc import Callable
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
 from wickdyke.routing.decisions import Cancel, Decision, Fail, Forward, Reject
 from wickdyke.routing.fleet import Fleet
+from wickdyke.routing.in_flight import GlobalConcurrency, active_attempts, begin_activity, begin_attempt
 from wickdyke.routing.latency import (
+    MIN_OVERDUE,
     OVERDUE_FACTOR,
-    OVERDUE_LEAST,
     REPORT_AGE,
     WORKER_RECORDS,
     LatencyEstimator,
@@ -17,15 +19,11 @@
     Attempt,
     Effect,
     Function,
-    GlobalConcurrency,
     Outcome,
     Replica,
     Request,
     RequestClass,
     Worker,
-    active_attempts,
-    begin_activity,
-    begin_attempt,
 )
 from wickdyke.routing.outliers import OutlierDetector
 from wickdyke.routing.periods import TICK
@@ -36,11 +34,17 @@
 from wickdyke.routing.settings import AttemptLimits, FunctionCache
 from wickdyke.routing.slow_start import SlowStartGuard
 
-TIME_FOR_ATTEMPT = 2 * TICK  # ms before its deadline up to which a request may be attempted
-RETRY_LOOK_EVERY = 3 * TICK  # ms between looks for a retry that found no worker
-LATE_FACTOR = 1.5  # times its expected latency by which a request is to be in time
+MIN_TIME_FOR_ATTEMPT = 2 * TICK  # ms before its deadline up to which a request may be attempted
+RETRY_INTERVAL = 3 * TICK  # ms between searches for a worker for a retry
+LATE_FACTOR = 1.5  # a request is late where this many times its expected latency exceeds its objective
 
-Kind = tuple[Function, RequestClass, bool]
+
+class RequestKind(NamedTuple):
+    """Requests of one kind find the same replicas."""
+
+    function: Function
+    request_class: RequestClass
+    is_first_attempt: bool
 
 
 @dataclass(slots=True)
@@ -59,29 +63,29 @@
     global_concurrency: GlobalConcurrency
     decisions: deque[Decision]
     requests: dict[int, Request] = field(default_factory=dict)
-    todo: deque[Request] = field(default_factory=deque)  # to be looked at
+    pending: deque[Request] = field(default_factory=deque)  # to be dispatched now
     waiting: list[Request] = field(default_factory=list)  # until the next tick
-    unplaceable: set[Kind] = field(default_factory=set)  # that found no replica at this time
+    unplaceable: set[RequestKind] = field(default_factory=set)  # for which there is no replica at this time
 
     def open(self, request: Request) -> None:
-        """Takes a new request."""
+        """Adds a new request."""
         self.requests[request.ident] = request
-        self.todo.append(request)
+        self.pending.append(request)
 
-    def look_again(self, request: Request) -> None:
-        """An attempt of the request has ended without an answer."""
+    def attempt_failed(self, request: Request) -> None:
+        """Dispatches a request again, of which an attempt ended without a final answer."""
         if not request.queued:
             request.queued = True
-            self.todo.append(request)
+            self.pending.append(request)
 
-    def look_at_waiting(self, rank: Callable[[Request], tuple[float, float]]) -> None:
-        """Looks at all that wait again, in that order."""
+    def retry_waiting(self, rank: Callable[[Request], tuple[float, float]]) -> None:
+        """Dispatches all waiting requests again, in the order of their rank."""
         self.waiting.sort(key=rank)
-        self.todo.extend(self.waiting)
+        self.pending.extend(self.waiting)
         self.waiting = []
 
     def close(self, request: Request) -> None:
-        """The request has its answer, or its client has gone: what is in flight is cancelled."""
+        """Closes a request that has its answer, or whose client has left; its attempts in flight are cancelled."""
         request.closed = True
         in_flight = [attempt for attempt in request.attempts if attempt.outcome is None]
         if self.limits.cancel:
@@ -90,41 +94,42 @@
             self.requests.pop(request.ident, None)
 
     def dispatch(self, request: Request, now: float) -> None:
-        """Decides what becomes of a request that has nothing in flight."""
+        """Forwards, queues, rejects or fails a request that has no attempt in flight."""
         request.queued = False
         if request.closed or any(attempt.outcome is None for attempt in request.attempts):
             return
-        may_go_on, replica = self._may_go_on(request, now), None
-        if may_go_on and now >= request.not_before:
+        may_attempt = self._may_attempt(request, now)
+        replica = None
+        if may_attempt and now >= request.not_before:
             replica = self.find_replica(request, set(), now)
         if replica and self._rejected_early(replica, request, now):
-            may_go_on = False
-        if replica and may_go_on and self._forward_or_prewarm(replica, request, now):
+            may_attempt = False
+        if replica and may_attempt and self._forward_or_prewarm(replica, request, now):
             return
-        if may_go_on and self._may_wait(request, now):
+        if may_attempt and self._may_wait(request, now):
             self._wait(request, replica, now)
         else:
             self._give_up(request)
 
-    def _may_go_on(self, request: Request, now: float) -> bool:
+    def _may_attempt(self, request: Request, now: float) -> bool:
         if not request.route_policy:
             return True
-        last = request.attempts[-1].outcome if request.attempts else None
-        more = len(request.attempts) < attempts_allowed(request, self.limits)
-        return more and within_retry_budget(request, last, now)
+        last_outcome = request.attempts[-1].outcome if request.attempts else None
+        attempts_left = len(request.attempts) < attempts_allowed(request, self.limits)
+        return attempts_left and within_retry_budget(request, last_outcome, now)
 
     # ---- finding a replica ----
 
-    def find_replica(self, request: Request, besides: set[Worker], now: float) -> Replica | None:
-        """A replica for the next attempt, at none of those workers; None where there is none now."""
-        if now >= request.deadline - TIME_FOR_ATTEMPT or self._all_attempts_in_use(now):
+    def find_replica(self, request: Request, excluded: set[Worker], now: float) -> Replica | None:
+        """A replica for the next attempt, at none of the `excluded` workers; None where there is none now."""
+        if now >= request.deadline - MIN_TIME_FOR_ATTEMPT or self._all_attempts_in_use(now):
             return None
-        # To look at thousands that wait would take longer than the time between two looks. The first to find no replica
-        # tells for all like it, until something is heard.
-        kind = request.function, request.request_class, not request.attempts
+        # A search for each of thousands of waiting requests would take longer than a tick. The first without a replica
+        # decides for all of its kind, until the next input.
+        kind = RequestKind(request.function, request.request_class, not request.attempts)
         if kind in self.unplaceable:
             return None
-        replica = self._choose(request, besides, now)
+        replica = self._choose(request, excluded, now)
         if replica is None and not request.attempts:
             self.unplaceable.add(kind)
         return replica
@@ -133,19 +138,19 @@
         limited = not self.cache.loads_on_demand
         return limited and active_attempts(self.global_concurrency, now) >= self.global_concurrency.concurrency_limit
 
-    def _choose(self, request: Request, besides: set[Worker], now: float) -> Replica | None:
-        can_serve = self._filter(request, besides, now)
-        if self.outliers.network_fault:  # while new connections fail, workers with one that stands come first
-            kept = self.limits.idle_timeout
+    def _choose(self, request: Request, excluded: set[Worker], now: float) -> Replica | None:
+        can_serve = self._filter(request, excluded, now)
+        if self.outliers.network_fault:  # while new connections fail, connected workers are preferred
+            idle_timeout = self.limits.idle_timeout
 
             def is_connected(worker: Worker) -> bool:
-                return worker.last_heard != 0.0 and now - worker.last_heard < kept and can_serve(worker)
+                return worker.last_heard != 0.0 and now - worker.last_heard < idle_timeout and can_serve(worker)
 
             if connected := self.selector.choose(request, is_connected, now):
                 return connected
         return self.selector.choose(request, can_serve, now)
 
-    def _filter(self, request: Request, besides: set[Worker], now: float) -> Callable[[Worker], bool]:
+    def _filter(self, request: Request, excluded: set[Worker], now: float) -> Callable[[Worker], bool]:
         allowed = attempts_allowed(request, self.limits)
         missed = {
             attempt.replica.worker
@@ -157,7 +162,7 @@
 
         def can_serve(worker: Worker) -> bool:
             return (
-                worker not in besides
+                worker not in excluded
                 and worker.ejected_until <= now
                 and not (worker in missed and not self.prewarm_limiter.may_send(worker, False, now))
                 and not (worker.ejections and (worker.in_flight or worker.failed_checks))
@@ -172,8 +177,8 @@
     def _rejected_early(self, replica: Replica, request: Request, now: float) -> bool:
         """Whether a first attempt would be late at a worker that is full already.
 
-        In an overload each of many front ends sends little, and queues make all late. That hurts where the last report
-        was of a short burst.
+        In an overload each of many front ends sends little, and queues make all answers late. Requests are rejected
+        needlessly where the last report was of a short burst.
         """
         if request.attempts or self.cache.loads_on_demand or not replica.worker.load_reports:
             return False
@@ -185,13 +190,13 @@
         return now + LATE_FACTOR * expected > request.objective_at
 
     def _forward_or_prewarm(self, replica: Replica, request: Request, now: float) -> bool:
-        """Forwards the request, if it is not to wait for a prewarm of the replica; whether it was forwarded."""
+        """Forwards the request, unless it has to wait for a prewarm of the replica; whether it was forwarded."""
         prewarmed = replica.prewarm_sent_at is not None and replica.prewarm_sent_at < now
         if (
             self.cache.loads_on_demand
             or self.latency.is_loaded(replica, now)
             or prewarmed
-            or self._may_ask_first(replica, request, now)
+            or self._may_risk_miss(replica, request, now)
         ):
             if request.attempts and request.retry_budget and request.route_policy and request.route_policy.budget_terms:
                 request.retry_budget.retries.append(now)
@@ -201,25 +206,34 @@
             self.prewarmer.send(PrewarmPlan(replica, 1, False), now)
         return False
 
-    def _may_ask_first(self, replica: Replica, request: Request, now: float) -> bool:
-        """Whether an attempt may find out that the function is not loaded there.
+    def _may_risk_miss(self, replica: Replica, request: Request, now: float) -> bool:
+        """Whether an attempt may be sent although the function may not be loaded there.
 
-        Each of many front ends would spend its quota on replicas that others' prewarms brought. A miss proves that none
-        is loaded; that hurts where misses are slow.
+        Otherwise each of many front ends would spend its quota on replicas that others have prewarmed. A miss proves
+        that none is loaded; it costs latency where misses are slow.
         """
         load_time = self.latency.load_time(replica.function)
         another_left = len(request.attempts) + 1 < attempts_allowed(request, self.limits)
-        asked_before = any(attempt.replica is replica for attempt in request.attempts)
-        return another_left and now - replica.last_miss > load_time and not asked_before
+        tried_before = any(attempt.replica is replica for attempt in request.attempts)
+        return another_left and now - replica.last_miss > load_time and not tried_before
 
     def forward(self, request: Request, replica: Replica, now: float) -> None:
         """Sends the next attempt to the replica."""
-        worker, warm = replica.worker, self.latency.is_loaded(replica, now)
+        worker = replica.worker
+        warm = self.latency.is_loaded(replica, now)
         worker.open_records(WORKER_RECORDS)
-        active = active_attempts(worker, now), active_attempts(self.global_concurrency, now)
         expected = self.latency.expected_latency(replica, request, now)
-        overdue_at = now + max(OVERDUE_LEAST, OVERDUE_FACTOR * expected)
-        attempt = Attempt(request, len(request.attempts), replica, now, expected, warm, *active, overdue_at)
+        attempt = Attempt(
+            request=request,
+            number=len(request.attempts),
+            replica=replica,
+            sent_at=now,
+            expected_latency=expected,
+            warm=warm,
+            active_at_worker=active_attempts(worker, now),
+            active_in_total=active_attempts(self.global_concurrency, now),
+            overdue_at=now + max(MIN_OVERDUE, OVERDUE_FACTOR * expected),
+        )
         begin_attempt(attempt)
         self.global_concurrency.in_flight.append(attempt)
         if warm:
@@ -235,27 +249,27 @@
     # ---- waiting and giving up ----
 
     def _may_wait(self, request: Request, now: float) -> bool:
-        if now >= request.deadline - TIME_FOR_ATTEMPT or not may_wait(request):
+        if now >= request.deadline - MIN_TIME_FOR_ATTEMPT or not may_wait(request):
             return False
         if len(request.attempts) >= attempts_allowed(request, self.limits):
             return False
         return not self._is_late(request, now)
 
     def _is_late(self, request: Request, now: float) -> bool:
-        """Whether its usual latency no longer fits; by its route, whether it has queued for too long."""
+        """Whether its usual latency exceeds its objective, or it has queued for longer than its route allows."""
         usual = self.latency.expected_work(request) * self.latency.average_pace
         late = now + usual >= request.objective_at
         policy = request.route_policy
         if not policy:
             return late
         timeout = policy.queue_timeout
-        queued_out = not request.attempts and timeout is not None and now - request.received_at >= timeout
-        return late and now >= request.not_before or queued_out
+        queued_too_long = not request.attempts and timeout is not None and now - request.received_at >= timeout
+        return (late and now >= request.not_before) or queued_too_long
 
     def _wait(self, request: Request, replica: Replica | None, now: float) -> None:
         request.queued = True
-        if request.attempts and not replica and not self.cache.loads_on_demand:  # the quota is spent: looks cost CPU
-            request.not_before = max(request.not_before, now + RETRY_LOOK_EVERY)
+        if request.attempts and not replica and not self.cache.loads_on_demand:  # the quota is used up
+            request.not_before = max(request.not_before, now + RETRY_INTERVAL)
         self.waiting.append(request)
 
     def _give_up(self, request: Request) -> None:
@@ -269,10 +283,10 @@
     # ---- hedging and withdrawing ----
 
     def hedge(self, request: Request, now: float) -> None:
-        """Sends a second attempt while the first is silent, as far as its route states and has saved up.
+        """Sends a further attempt while the last one is unanswered, as far as its route's policy and tokens allow.
 
-        A worker may be slow or lose answers, and the request would sit there. Under load it doubles the work. The first
-        answer counts, the rest is cancelled.
+        A worker may be slow or lose answers. Under load hedging doubles the work. The first answer counts, the other
+        attempts are cancelled.
         """
         hedging = request.route_policy.hedge if request.route_policy else None
         budget = request.retry_budget
@@ -288,10 +302,10 @@
             self.forward(request, replica, now)
 
     def withdraw_from(self, worker: Worker, now: float) -> None:
-        """Cancels what an ejected worker has said nothing of, where another may take it.
+        """Cancels the attempts that an ejected worker has not answered, where another worker may serve them.
 
-        A request would sit out its time at a worker that hangs. Where work goes on after a cancel it is done twice: so
-        never where a worker is slow and answers others.
+        Otherwise a request would spend its time at a worker that hangs. Work that continues after a cancel is done
+        twice: so never where a worker is only slow and answers others.
         """
         if not self.limits.cancel or worker.ejected_until <= now:
             return
@@ -308,5 +322,5 @@
             return False
         if worker.last_heard > attempt.sent_at or not within_retry_budget(request, Outcome.CANCELLED, now):
             return False
-        left = {each.replica.worker for each in request.attempts if each.withdrawn} | {worker}
-        return any(other.ejected_until <= now for other in self.fleet.ready(left))
+        withdrawn_from = {other.replica.worker for other in request.attempts if other.withdrawn} | {worker}
+        return any(other.ejected_until <= now for other in self.fleet.ready(withdrawn_from))
--- a/wickdyke/routing/fleet.py
+++ b/wickdyke/routing/fleet.py
@@ -19,8 +19,14 @@
 
 from wickdyke.routing.cells import Cell
 from wickdyke.routing.hash_ring import HashRing, points_of
-from wickdyke.routing.model import Endpoint, EndpointState, Function, Worker, forget_replicas
+from wickdyke.routing.model import (
+    Endpoint,
+    EndpointState,
+    Function,
+    Worker,
+)
 from wickdyke.routing.ranking import size_of
+from wickdyke.routing.replicas import forget_replicas
 
 PATH_BITS = 64
 FORGOTTEN_AT_ONCE = 1 / 8  # of a cell's functions, where too many are known
--- /dev/null
+++ b/wickdyke/routing/in_flight.py
@@ -0,0 +1,67 @@
+"""The attempts in flight, and how many of them are active: at each worker, and in all for the limit on all attempts."""
+
+from collections import deque
+from dataclasses import dataclass, field
+from heapq import heappop, heappush
+from math import inf
+
+from wickdyke.routing.model import Attempt, LoadReport, ObjectiveShare, Outcome, OverdueEntry, Worker
+
+
+@dataclass(slots=True, eq=False, repr=False)
+class GlobalConcurrency:
+    """The attempts of this front end at all workers together, and the limit on them."""
+
+    load_reports: deque[LoadReport]  # of the whole fleet
+    objective_shares: deque[ObjectiveShare]
+    concurrency_limit: float = inf
+    limit_lowered_at: float = 0.0  # ms
+    in_flight: list[Attempt] = field(default_factory=list)
+    overdue_queue: list[OverdueEntry] = field(default_factory=list)  # a heap
+    active: int = 0
+
+
+ConcurrencyLimited = Worker | GlobalConcurrency
+
+
+def begin_attempt(attempt: Attempt) -> None:
+    """Enters an attempt that is sent."""
+    attempt.request.attempts.append(attempt)
+    attempt.replica.in_flight += 1
+    attempt.replica.worker.in_flight.append(attempt)
+
+
+def finish_attempt(attempt: Attempt, outcome: Outcome) -> None:
+    """Enters how an attempt ended; it is in flight no more."""
+    if attempt.outcome is None:
+        attempt.replica.in_flight -= 1
+        attempt.replica.worker.in_flight.remove(attempt)
+    attempt.outcome = outcome
+
+
+def active_attempts(pool: ConcurrencyLimited, now: float) -> int:
+    """Our attempts that use cores there now: neither waiting for a load nor overdue at that time (ms).
+
+    Counted as they change, since thousands may be in flight.
+    """
+    while pool.overdue_queue and pool.overdue_queue[0][0] < now:
+        attempt = heappop(pool.overdue_queue).attempt
+        pool.active -= attempt.warm and attempt.outcome is None
+    return pool.active
+
+
+def begin_activity(attempt: Attempt, pools: tuple[ConcurrencyLimited, ...]) -> None:
+    """Adds a warm attempt to the count of those active in these pools."""
+    entry = OverdueEntry(attempt.overdue_at, attempt.request.ident, attempt.number, attempt)
+    for pool in pools:
+        heappush(pool.overdue_queue, entry)
+        pool.active += 1
+
+
+def end_activity(attempt: Attempt, pools: tuple[ConcurrencyLimited, ...], now: float) -> None:
+    """Removes an attempt from the count of those active in these pools."""
+    if not attempt.warm or attempt.outcome is not None:
+        return
+    for pool in pools:
+        active_attempts(pool, now)
+        pool.active -= attempt.overdue_at >= now
--- a/wickdyke/routing/latency.py
+++ b/wickdyke/routing/latency.py
@@ -22,43 +22,44 @@
 LATENCY_SAMPLES_KEPT = 40  # of a worker
 RESULTS_KEPT = 8  # of a worker
 REPORTS_KEPT = 8  # of a worker
-OBJECTIVE_SHARES_KEPT = 8  # of a worker; also how many tell whether its limit has to change
+OBJECTIVE_SHARES_KEPT = 8  # of a worker; its limit is adapted from that many
 WORKER_RECORDS = RecordLengths(LATENCY_SAMPLES_KEPT, RESULTS_KEPT, REPORTS_KEPT, OBJECTIVE_SHARES_KEPT)
 DURATIONS_KEPT = 16  # of a function, of a request class, of loads
-PRIOR_ANSWERS = 6.0  # answers by which a worker's pace is drawn towards that of its kind
+PRIOR_ANSWERS = 6.0  # answers that the pace of its kind weighs in a worker's pace
 REPORT_AGE = 4000.0  # ms over which a load report fades
-LOAD_TIME_GUESS = 1000.0  # ms that a load takes while none was seen
-LOAD_TIME_LEAST = 50.0  # ms: what took less was no load
-LOADS_BEFORE_HINT = 4  # loads seen of a function after which its hint no longer counts
-WORK_GUESS = 0.25  # of the latency objective, while no answer was seen
-LOAD_LEFT_LEAST = 0.2  # of a load's time, of one that should have ended
-KIND_PRIOR = 16  # part of all work by which a kind's pace is drawn towards the average
+DEFAULT_LOAD_TIME = 1000.0  # ms, before any load was measured
+MIN_LOAD_TIME = 50.0  # ms: what took less was no load
+MIN_LOADS_WITHOUT_HINT = 4  # measured loads of a function from which its hint no longer counts
+DEFAULT_WORK_PART = 0.25  # of the latency objective, before any answer was received
+MIN_REMAINING_LOAD_PART = 0.2  # of the load time, for a load that should have ended
+KIND_PRIOR = 16  # the average pace weighs 1/16 of all work in a kind's pace
 CORE_SAMPLES_KEPT = 400
-CORE_SAMPLES_LEAST = 16  # before they count
-CORES_GUESS = 4.0  # requests that a worker runs at once while nothing tells
-CORES_QUANTILE = 0.1  # low: waiting for concurrency or loads holds requests but no core
+MIN_CORE_SAMPLES = 16  # above which they count
+DEFAULT_CORES = 4.0  # requests that a worker runs at once, without any evidence
+CORES_QUANTILE = 0.1  # low, as requests that wait for concurrency or loads use no core
 # Cores are estimated from reports between these utilizations: below noise prevails, above queues do.
 MIN_UTILIZATION_FOR_CORES = 0.15
 MAX_UTILIZATION_FOR_CORES = 0.85
-CLOCK_READING = 0.001  # ms: times are told in microseconds, and an answer within one reading took part of it
-PROMISED_UTILIZATION = 0.8  # of what a fleet can do, promised to tenants
-OVERDUE_FACTOR = 3.0  # a silent attempt is evidence after so many times its expected latency
-OVERDUE_LEAST = 400.0  # ms
+CLOCK_RESOLUTION = 0.001  # ms; an answer within one reading of the clock took part of it
+PROMISED_UTILIZATION = 0.8  # part of a fleet's capacity that is promised to tenants
+OVERDUE_FACTOR = 3.0  # times its expected latency after which an attempt is overdue
+MIN_OVERDUE = 400.0  # ms
 
 
 def is_overdue(attempt: Attempt, now: float) -> bool:
-    """Whether an answer should have come by now."""
+    """Whether an answer should have been received by now."""
     factor = OVERDUE_FACTOR if attempt.warm else 1.0
-    return now - attempt.sent_at > max(OVERDUE_LEAST, factor * attempt.expected_latency)
+    return now - attempt.sent_at > max(MIN_OVERDUE, factor * attempt.expected_latency)
 
 
 class LatencyEstimator:
-    """Learns from answers and load reports.
+    """Estimates paces, cores and load times from answers and load reports.
 
-    A worker's pace is round trip plus run time as measured, over what its requests take on the average worker.
+    A worker's pace is the measured latency of its answers over the work in them: 1 on the average worker.
     """
 
     def __init__(self, cache: FunctionCache, quotas: TenantQuotas) -> None:
+        """An estimator without samples."""
         self.idle_timeout = cache.idle_timeout
         self.promised_rate = sum(quotas.quotas)
         self.average_pace = 1.0
@@ -76,13 +77,13 @@
         return max(1.0, request.work)
 
     def usual_work(self, function: Function) -> float:
-        """ms that a request of the function takes on the average worker, drawn towards its class by one sample."""
+        """ms that a request of the function takes on the average worker, the mean of its class counts as one sample."""
         request_class = function.request_class
-        usual = mean(request_class.durations, request_class.latency_objective * WORK_GUESS)
+        usual = mean(request_class.durations, request_class.latency_objective * DEFAULT_WORK_PART)
         return (sum(function.durations) + usual) / (len(function.durations) + 1)
 
     def pace(self, worker: Worker) -> float:
-        """Latency over work at that worker, drawn towards the pace of its kind where few answers were seen."""
+        """Latency over work at that worker, drawn towards the pace of its kind where few answers were received."""
         prior = PRIOR_ANSWERS * worker.sampled_work / (len(worker.latency_samples) or 1) or 1.0
         return (worker.sampled_latency + prior * self.usual_pace(worker)) / (worker.sampled_work + prior)
 
@@ -95,7 +96,7 @@
         return max(1.0, self.cores_per_size * worker.endpoint.size)
 
     def survey(self, cell: Cell, cells: list[Cell], mean_work: float, now: float) -> None:
-        """Sums up what was seen of a cell's workers, and what all cells' last surveys tell of paces and cores.
+        """Sums up the samples of a cell's workers, and estimates paces and cores from all cells' last surveys.
 
         `mean_work` is the ms that a request of the cell's functions takes on the average worker.
         """
@@ -113,23 +114,23 @@
         kinds = sum_by_key(cell.pool for cell in cells)
         if total_work := sum(work for _, work in kinds.values()):
             self.average_pace = sum(latency for latency, _ in kinds.values()) / total_work
-            prior = total_work / KIND_PRIOR  # a kind of which little was heard counts as average too
+            prior = total_work / KIND_PRIOR  # a kind with few answers counts as average
             self.pace_by_kind = {
                 kind: (latency + prior * self.average_pace) / (work + prior) for kind, (latency, work) in kinds.items()
             }
 
     def _update_cores(self, workers: list[Worker], cells: list[Cell], mean_work: float) -> None:
-        if len(self.core_samples) > CORE_SAMPLES_LEAST:
+        if len(self.core_samples) > MIN_CORE_SAMPLES:
             ordered = sorted(self.core_samples)
             cores = ordered[int(len(ordered) * CORES_QUANTILE)]
         else:
-            # Reports that give only one of utilization and requests in flight tell nothing of cores, nor does anything
-            # in the first seconds. What tenants are promised does; it misleads where far less or more is promised
-            # than the fleet can do.
+            # Reports with only one of utilization and requests in flight are no evidence of cores, and in the first
+            # seconds there are none. The rates promised to tenants are; the estimate is wrong where far less or more
+            # is promised than the fleet can serve.
             ready = max(1, sum(len(cell.ready) for cell in cells))
             promised = self.promised_rate / 1000 * mean_work / PROMISED_UTILIZATION / ready
             size = mean([worker.endpoint.size for worker in workers], 1.0)
-            cores = (promised or CORES_GUESS) / size
+            cores = (promised or DEFAULT_CORES) / size
         self.cores_per_size = cores
 
     def record_report(self, worker: Worker, load: WorkerLoad | None, now: float) -> None:
@@ -154,57 +155,60 @@
 
     # ---- loads ----
 
-    def record_load(self, function: Function, took: float, began: bool = False) -> None:
-        """Enters how long a load took; a short one counts only where the worker says that it `began` one."""
-        if began or took > LOAD_TIME_LEAST:
-            function.load_times.append(max(1.0, took))
-            self.load_times.append(max(1.0, took))
+    def record_load(self, function: Function, elapsed: float, is_certain: bool = False) -> None:
+        """Enters how long a load took (ms); a short one counts only where the worker reported a load (`is_certain`)."""
+        if is_certain or elapsed > MIN_LOAD_TIME:
+            load_time = max(1.0, elapsed)
+            function.load_times.append(load_time)
+            self.load_times.append(load_time)
 
     def load_time(self, function: Function) -> float:
         """ms that a load of the function takes.
 
         A hint that is far too long would keep requests waiting at silent workers for two such loads, and packages may
-        grow smaller: after a few loads seen the hint counts no more. That misleads where the first few came from a
-        cache.
+        become smaller: after a few measured loads the hint no longer counts. That is too short where the first few
+        were served from a cache.
         """
-        hint = function.load_hint if len(function.load_times) < LOADS_BEFORE_HINT else 0.0
-        usual = function.load_hint or mean(self.load_times, LOAD_TIME_GUESS)
+        hint = function.load_hint if len(function.load_times) < MIN_LOADS_WITHOUT_HINT else 0.0
+        usual = function.load_hint or mean(self.load_times, DEFAULT_LOAD_TIME)
         return max(hint, mean(function.load_times, usual))
 
     def is_loaded(self, replica: Replica, now: float) -> bool:
-        """Whether the function is believed loaded there: unused for less than the idle timeout."""
+        """Whether the function is assumed loaded there: used within the idle timeout."""
         return replica.loaded > 0 and (replica.in_flight > 0 or now - replica.last_used < self.idle_timeout)
 
-    def _load_left(self, replica: Replica, now: float) -> float:
-        whole = 0.0 if self.is_loaded(replica, now) else self.load_time(replica.function)
-        done = 0.0 if replica.loading_since is None else now - replica.loading_since
-        return max(whole * LOAD_LEFT_LEAST, whole - done)
+    def _remaining_load(self, replica: Replica, now: float) -> float:
+        load_time = 0.0 if self.is_loaded(replica, now) else self.load_time(replica.function)
+        elapsed = 0.0 if replica.loading_since is None else now - replica.loading_since
+        return max(load_time * MIN_REMAINING_LOAD_PART, load_time - elapsed)
 
     # ---- latency of a request ----
 
     def expected_latency(self, replica: Replica, request: Request, now: float) -> float:
         """ms until an answer, counting our own load there now and that of others as last reported."""
-        worker, others = replica.worker, 0.0
+        worker = replica.worker
+        others = 0.0  # attempts of other front ends in flight there
         if worker.load_reports:
             report = worker.load_reports[-1]
             fade = max(0.0, 1 - (now - report.received_at) / REPORT_AGE)
             others = max(0.0, (report.in_flight or 0.0) - report.own_in_flight) * fade
         crowding = 1 + (len(worker.in_flight) + others) / self.cores(worker)
-        return self.expected_work(request) * self.pace(worker) * crowding + self._load_left(replica, now)
+        return self.expected_work(request) * self.pace(worker) * crowding + self._remaining_load(replica, now)
 
     def record_attempt(self, attempt: Attempt, outcome: Outcome, now: float) -> None:
         """Enters how long an attempt at a loaded replica took.
 
-        One that was given up after its expected latency counts as having taken at least that long: a worker that grows
-        slower would never show otherwise, nor would lost answers.
+        One that was given up after its expected latency counts as having taken at least that long: otherwise neither a
+        worker that becomes slower nor lost answers would show.
         """
-        worker, request = attempt.replica.worker, attempt.request
-        took = max(CLOCK_READING, now - attempt.sent_at)
-        given_up = outcome in (Outcome.TIMEOUT, Outcome.CANCELLED) and took > attempt.expected_latency
+        worker = attempt.replica.worker
+        request = attempt.request
+        elapsed = max(CLOCK_RESOLUTION, now - attempt.sent_at)
+        given_up = outcome in (Outcome.TIMEOUT, Outcome.CANCELLED) and elapsed > attempt.expected_latency
         if outcome == Outcome.OK or given_up:
-            latency = took if outcome == Outcome.OK else min(took, OVERDUE_FACTOR * attempt.expected_latency)
+            latency = elapsed if outcome == Outcome.OK else min(elapsed, OVERDUE_FACTOR * attempt.expected_latency)
             worker.latency_samples.append(LatencySample(now, latency, self.expected_work(request)))
             worker.sum_samples(now - SAMPLE_AGE)
         if outcome == Outcome.OK and request.work is None:
             for durations in (request.function.durations, request.request_class.durations):
-                durations.append(took / self.pace(worker))
+                durations.append(elapsed / self.pace(worker))
--- a/wickdyke/routing/model.py
+++ b/wickdyke/routing/model.py
@@ -1,14 +1,12 @@
 """What the router knows of functions, workers, requests and attempts.
 
-These are plain records with the few operations that keep them consistent; nothing here decides. Times are milliseconds
+These are plain records; nothing here decides. Times are milliseconds
 on the host's monotonic clock, spans are milliseconds, memory is in MB.
 """
 
 from collections import deque
 from dataclasses import dataclass, field
 from enum import StrEnum
-from heapq import heappop, heappush
-from math import inf
 from typing import Any, NamedTuple
 
 from wickdyke.routing.samples import NO_SAMPLES, Recent, Samples, trim
@@ -275,19 +273,6 @@
     objective_shares: int
 
 
-@dataclass(slots=True, eq=False, repr=False)
-class GlobalConcurrency:
-    """The attempts of this front end at all workers together, and the limit on them."""
-
-    load_reports: deque[LoadReport]  # of the whole fleet
-    objective_shares: deque[ObjectiveShare]
-    concurrency_limit: float = inf
-    limit_lowered_at: float = 0.0  # ms
-    in_flight: list["Attempt"] = field(default_factory=list)
-    overdue_queue: list["OverdueEntry"] = field(default_factory=list)  # a heap
-    active: int = 0
-
-
 @dataclass(slots=True, eq=False, repr=False)
 class Function:
     """What a request runs and a worker loads.
@@ -390,74 +375,3 @@
     request_ident: int
     number: int
     attempt: Attempt
-
-
-ConcurrencyLimited = Worker | GlobalConcurrency
-
-
-def replica_of(function: Function, worker: Worker) -> Replica:
-    """The function's replica on that worker, entered on both if it is new."""
-    replica = worker.replicas.get(function)
-    if replica is None:
-        replica = worker.replicas[function] = Replica(function, worker)
-        function.replicas.append(replica)
-    return replica
-
-
-def forget_replicas(replicas: list[Replica]) -> None:
-    """Removes replicas from their workers and functions."""
-    for replica in replicas:
-        replica.worker.replicas.pop(replica.function, None)
-        if replica in replica.function.replicas:
-            replica.function.replicas.remove(replica)
-
-
-def clear_replicas(worker: Worker) -> None:
-    """Nothing is loaded or loading on that worker any more."""
-    for replica in worker.replicas.values():
-        replica.loaded = 0
-        replica.loading_since = None
-        replica.last_used = 0.0
-
-
-def begin_attempt(attempt: Attempt) -> None:
-    """Enters an attempt that is sent."""
-    attempt.request.attempts.append(attempt)
-    attempt.replica.in_flight += 1
-    attempt.replica.worker.in_flight.append(attempt)
-
-
-def finish_attempt(attempt: Attempt, outcome: Outcome) -> None:
-    """Enters how an attempt ended; it is in flight no more."""
-    if attempt.outcome is None:
-        attempt.replica.in_flight -= 1
-        attempt.replica.worker.in_flight.remove(attempt)
-    attempt.outcome = outcome
-
-
-def active_attempts(pool: ConcurrencyLimited, now: float) -> int:
-    """Our attempts that use cores there now: neither waiting for a load nor overdue at that time (ms).
-
-    Counted as they change, since thousands may be in flight.
-    """
-    while pool.overdue_queue and pool.overdue_queue[0][0] < now:
-        attempt = heappop(pool.overdue_queue).attempt
-        pool.active -= attempt.warm and attempt.outcome is None
-    return pool.active
-
-
-def begin_activity(attempt: Attempt, pools: tuple[ConcurrencyLimited, ...]) -> None:
-    """Adds a warm attempt to the count of those active in these pools."""
-    entry = OverdueEntry(attempt.overdue_at, attempt.request.ident, attempt.number, attempt)
-    for pool in pools:
-        heappush(pool.overdue_queue, entry)
-        pool.active += 1
-
-
-def end_activity(attempt: Attempt, pools: tuple[ConcurrencyLimited, ...], now: float) -> None:
-    """Removes an attempt from the count of those active in these pools."""
-    if not attempt.warm or attempt.outcome is not None:
-        return
-    for pool in pools:
-        active_attempts(pool, now)
-        pool.active -= attempt.overdue_at >= now
--- a/wickdyke/routing/outliers.py
+++ b/wickdyke/routing/outliers.py
@@ -4,7 +4,12 @@
 from collections.abc import Callable
 
 from wickdyke.routing.latency import WORKER_RECORDS, LatencyEstimator
-from wickdyke.routing.model import Outcome, ResultSample, Worker, clear_replicas
+from wickdyke.routing.model import (
+    Outcome,
+    ResultSample,
+    Worker,
+)
+from wickdyke.routing.replicas import clear_replicas
 from wickdyke.routing.slow_start import SlowStartGuard
 
 FIRST_EJECTION = 1500.0  # ms, doubled each time
--- a/wickdyke/routing/placement.py
+++ b/wickdyke/routing/placement.py
@@ -7,7 +7,12 @@
 from wickdyke.routing.cells import Cell
 from wickdyke.routing.demand import DemandEstimator
 from wickdyke.routing.latency import LatencyEstimator
-from wickdyke.routing.model import Function, Replica, Worker, replica_of
+from wickdyke.routing.model import (
+    Function,
+    Replica,
+    Worker,
+)
+from wickdyke.routing.replicas import replica_of
 from wickdyke.routing.samples import mean
 from wickdyke.routing.settings import CostWeights, FunctionCache, GatewayInstance
 
--- a/wickdyke/routing/placement_schedule.py
+++ b/wickdyke/routing/placement_schedule.py
@@ -4,8 +4,11 @@
 
 from wickdyke.routing.cells import Cell
 from wickdyke.routing.fleet import Fleet
+from wickdyke.routing.in_flight import GlobalConcurrency
 from wickdyke.routing.latency import REPORT_AGE
-from wickdyke.routing.model import GlobalConcurrency, LoadReport
+from wickdyke.routing.model import (
+    LoadReport,
+)
 from wickdyke.routing.periods import PERIOD, TICK
 from wickdyke.routing.samples import pooled_mean
 from wickdyke.routing.seeded_random import SeededRandom
--- /dev/null
+++ b/wickdyke/routing/replicas.py
@@ -0,0 +1,28 @@
+"""Operations that keep a replica's entries at its worker and its function consistent."""
+
+from wickdyke.routing.model import Function, Replica, Worker
+
+
+def replica_of(function: Function, worker: Worker) -> Replica:
+    """The function's replica on that worker, entered on both if it is new."""
+    replica = worker.replicas.get(function)
+    if replica is None:
+        replica = worker.replicas[function] = Replica(function, worker)
+        function.replicas.append(replica)
+    return replica
+
+
+def forget_replicas(replicas: list[Replica]) -> None:
+    """Removes replicas from their workers and functions."""
+    for replica in replicas:
+        replica.worker.replicas.pop(replica.function, None)
+        if replica in replica.function.replicas:
+            replica.function.replicas.remove(replica)
+
+
+def clear_replicas(worker: Worker) -> None:
+    """Nothing is loaded or loading on that worker any more."""
+    for replica in worker.replicas.values():
+        replica.loaded = 0
+        replica.loading_since = None
+        replica.last_used = 0.0
--- a/wickdyke/routing/results.py
+++ b/wickdyke/routing/results.py
@@ -3,17 +3,14 @@
 from dataclasses import dataclass
 
 from wickdyke.routing.concurrency import adapt_limit
+from wickdyke.routing.in_flight import ConcurrencyLimited, GlobalConcurrency, end_activity, finish_attempt
 from wickdyke.routing.inputs import AttemptFinished
 from wickdyke.routing.latency import LatencyEstimator
 from wickdyke.routing.model import (
     Attempt,
-    ConcurrencyLimited,
-    GlobalConcurrency,
     LoadNote,
     Outcome,
     Replica,
-    end_activity,
-    finish_attempt,
 )
 from wickdyke.routing.outliers import OutlierDetector
 from wickdyke.routing.prewarming import PrewarmLimiter
--- a/wickdyke/routing/router.py
+++ b/wickdyke/routing/router.py
@@ -1,7 +1,7 @@
-"""The router: a state machine that is told what happens and asked what to do.
+"""The router: a state machine that is fed inputs and returns decisions.
 
 The host advances its time and passes inputs, which only update its state; then it calls `decide` until that returns
-None, and carries out what was decided. `wake_at` is when to advance it next if nothing comes before.
+None, and carries out the decisions. `wake_at` is when to advance it next if there is no input before.
 """
 
 from collections import deque
@@ -14,9 +14,17 @@
 from wickdyke.routing.dispatcher import Dispatcher
 from wickdyke.routing.fleet import Fleet
 from wickdyke.routing.health_checks import CHECK_EVERY, CHECK_SOON, HealthChecker
+from wickdyke.routing.in_flight import GlobalConcurrency
 from wickdyke.routing.inputs import AttemptFinished, RequestReceived, WorkerLoad
 from wickdyke.routing.latency import DURATIONS_KEPT, OBJECTIVE_SHARES_KEPT, REPORTS_KEPT, LatencyEstimator, is_overdue
-from wickdyke.routing.model import Endpoint, Function, GlobalConcurrency, Outcome, Request, RequestClass, Worker
+from wickdyke.routing.model import (
+    Endpoint,
+    Function,
+    Outcome,
+    Request,
+    RequestClass,
+    Worker,
+)
 from wickdyke.routing.outliers import MIN_EXPECTED_LATENCY, OutlierDetector
 from wickdyke.routing.periods import TICK
 from wickdyke.routing.placement import Placement
@@ -33,11 +41,11 @@
 SINGLE_CELL_LIMIT = 128  # workers of a fleet that is one cell
 CELL_CAPACITY = 48  # workers of a cell in a larger fleet
 POINTS_PER_FUNCTION = 16  # on the hash ring
-FUNCTIONS_KEPT = 16384
+MAX_FUNCTIONS = 16384
 
 
 class Router:
-    """One front end's decisions, which depend on its settings, seed and inputs alone."""
+    """The decisions of one front end; they depend on its settings, seed and inputs alone."""
 
     def __init__(
         self,
@@ -83,7 +91,7 @@
         self._assemble(settings.attempt_limits, now)
 
     def _assemble(self, limits: AttemptLimits, now: float) -> None:
-        """Makes the parts that decide, from those that know."""
+        """Builds the parts that decide, from those that hold state."""
         cache, latency, fleet = self.cache, self.latency, self.fleet
         self.health_checker = HealthChecker(limits.health_checks, self.control_budget, self.decisions)
         self.prewarmer = Prewarmer(cache, self.prewarm_limiter, self.control_budget, latency, self.decisions)
@@ -112,7 +120,7 @@
 
     @property
     def functions(self) -> dict[str, Function]:
-        """The functions known, by name."""
+        """The functions in use, by name."""
         return self.fleet.functions
 
     @property
@@ -123,12 +131,12 @@
     # ---- inputs: they only update the state ----
 
     def advance(self, now: float) -> None:
-        """The time is `now` (ms)."""
+        """Sets the time (ms)."""
         self.now = now
         self.dispatcher.unplaceable.clear()
 
     def endpoints_changed(self, endpoints: list[Endpoint], whole: bool | None) -> None:
-        """Entries of the endpoint list came: all of it, or what has changed; with None it must be followed anew."""
+        """Enters the `whole` endpoint list, or changed entries; with None it has to be subscribed to again."""
         if whole is None:
             self.following = self.discovery.pushed
         changes = self.fleet.update(endpoints, bool(whole))
@@ -178,11 +186,11 @@
             last_called=self.now,
         )
         self.fleet.enter(function)
-        self.fleet.shrink(FUNCTIONS_KEPT)
+        self.fleet.shrink(MAX_FUNCTIONS)
         return function
 
     def answer_begun(self, ident: int, number: int) -> None:
-        """The first byte of an answer was passed on: the request may not be answered otherwise any more."""
+        """The first byte of an answer was sent to the client: the request gets no other answer."""
         if ident in self.requests:
             self.requests[ident].closed = True
 
@@ -199,7 +207,7 @@
         if request.closed:
             self.dispatcher.close(request)
         else:
-            self.dispatcher.look_again(request)
+            self.dispatcher.attempt_failed(request)
 
     def client_gone(self, ident: int) -> None:
         """The client closed its connection or cancelled the request."""
@@ -229,8 +237,8 @@
         if self.now >= self.wake_at:
             self._tick()
         while not (self.notes or self.decisions):
-            if self.dispatcher.todo:
-                self.dispatcher.dispatch(self.dispatcher.todo.popleft(), self.now)
+            if self.dispatcher.pending:
+                self.dispatcher.dispatch(self.dispatcher.pending.popleft(), self.now)
             elif self.planned:
                 self.prewarmer.send(self.planned.popleft(), self.now)
             else:
@@ -242,33 +250,37 @@
         if not self.following:
             self.following = True
             self.decisions.append(FollowEndpoints(True))
-        self._look_for_silent_workers(now)
+        self._check_silent_workers(now)
         for worker in self.outliers.ejected:
             self.health_checker.check(worker, CHECK_EVERY, now)
         self.health_checker.check_in_turn(TICK, now)
         hedgeable = [attempt.request for attempt in self.global_concurrency.in_flight if attempt.request.route_policy]
-        for request in dict.fromkeys(hedgeable) if self.retry_budgets else ():
-            self.dispatcher.hedge(request, now)
-        self.dispatcher.look_at_waiting(self._rank)
+        if self.retry_budgets:
+            for request in dict.fromkeys(hedgeable):
+                self.dispatcher.hedge(request, now)
+        self.dispatcher.retry_waiting(self._rank)
         if now >= self.schedule.next_at:
             self._place(now)
         busy = self.requests or self.health_checker.unanswered
         self.wake_at = min(self.schedule.next_at, now + TICK if busy else self.schedule.next_at)
 
-    def _look_for_silent_workers(self, now: float) -> None:
-        in_flight = ((each.replica.worker, now - each.sent_at) for each in self.global_concurrency.in_flight)
-        # Nothing else can be overdue yet.
-        suspects = [worker for worker, age in in_flight if age >= MIN_EXPECTED_LATENCY or worker.ejections]
+    def _check_silent_workers(self, now: float) -> None:
+        # No other attempt can be overdue yet.
+        suspects = [
+            attempt.replica.worker
+            for attempt in self.global_concurrency.in_flight
+            if now - attempt.sent_at >= MIN_EXPECTED_LATENCY or attempt.replica.worker.ejections
+        ]
         for worker in dict.fromkeys(suspects + self.health_checker.unanswered):
             self.dispatcher.withdraw_from(worker, now)
             if worker.ejected_until <= now and self.outliers.is_silent(worker, now):
                 self.outliers.eject(worker, now, f"silent with {len(worker.in_flight)} in flight")
             oldest = worker.in_flight[0] if worker.in_flight else None
             if oldest and worker.last_heard <= oldest.sent_at and is_overdue(oldest, now):
-                self.health_checker.check(worker, CHECK_SOON, now)  # a decision hangs on it
+                self.health_checker.check(worker, CHECK_SOON, now)  # a decision depends on it
 
     def _rank(self, request: Request) -> tuple[float, float]:
-        """Order of those that wait: by their routes' priority, then by weight, or by weight for the work in them."""
+        """Order of waiting requests: by the priority of their route, then by weight, or by weight over work."""
         priority = request.route_policy.priority if request.route_policy else 0
         work = 1 if self.instance.weight_by_work else self.latency.expected_work(request)
         return -priority, -request.request_class.priority_weight / work
@@ -280,7 +292,7 @@
         cell.placement.run(list(self.fleet.cells.values()), now)
         if self.cache.may_prewarm:
             self.planned.extend(self.prewarmer.plan(cell, now))
-        # Reports of workers without a placed function would decide nothing.
+        # No decision depends on reports of workers without a placed function.
         replicas = (replica for function in cell.functions.values() for replica in function.replicas)
         homes = {replica.worker: None for replica in replicas if replica.placed}
         self.health_checker.watch(homes or cell.ready)
--- a/wickdyke/routing/selection.py
+++ b/wickdyke/routing/selection.py
@@ -5,10 +5,19 @@
 
 from wickdyke.routing.active_workers import TARGET_UTILIZATION
 from wickdyke.routing.fleet import Fleet
-from wickdyke.routing.model import Effect, Function, Outcome, Replica, Request, Worker, active_attempts, replica_of
+from wickdyke.routing.in_flight import active_attempts
+from wickdyke.routing.model import (
+    Effect,
+    Function,
+    Outcome,
+    Replica,
+    Request,
+    Worker,
+)
 from wickdyke.routing.outliers import OutlierDetector
 from wickdyke.routing.placement import Placement
 from wickdyke.routing.ranking import rendezvous_rank
+from wickdyke.routing.replicas import replica_of
 from wickdyke.routing.seeded_random import SeededRandom
 
 TIE_PART = 0.02  # latencies that differ by less count as equal
--- a/wickdyke/routing/slow_start.py
+++ b/wickdyke/routing/slow_start.py
@@ -4,7 +4,7 @@
 from math import ceil, gcd
 
 from wickdyke.routing.cells import Cell
-from wickdyke.routing.latency import WORK_GUESS, WORKER_RECORDS
+from wickdyke.routing.latency import DEFAULT_WORK_PART, WORKER_RECORDS
 from wickdyke.routing.model import EndpointState, Request, Worker, WorkSample
 from wickdyke.routing.samples import mean, pooled_mean, trim
 from wickdyke.routing.seeded_random import hash_fraction
@@ -102,7 +102,7 @@
     def mean_work(self, request: Request) -> float:
         """Mean work (ms) of requests of this class."""
         request_class = request.request_class
-        return max(1.0, mean(request_class.durations, request_class.latency_objective * WORK_GUESS))
+        return max(1.0, mean(request_class.durations, request_class.latency_objective * DEFAULT_WORK_PART))
 
 
 def _spread_index(instance: GatewayInstance) -> int:
