--- a/wickdyke/gateway/recording.py
+++ b/wickdyke/gateway/recording.py
@@ -31,13 +31,13 @@
 from wickdyke.routing.router import Router
 from wickdyke.routing.settings import RouterSettings
 
-MAX_QUEUED = 200000  # entries; a recording that can't be written as fast stops, and says so at its end
-TEMPORARY = (errno.ENOSPC, errno.EDQUOT, errno.EIO)  # of a folder that may work again later
-CLOSE_TIMEOUT = 5.0  # s that the end of a recording may take
+MAX_QUEUED = 200000  # entries; a recording that can't be written as fast is broken off
+TEMPORARY_ERRORS = (errno.ENOSPC, errno.EDQUOT, errno.EIO)  # of a folder that may work again later
+CLOSE_TIMEOUT = 5.0  # s
 
 
-def as_entry(decision: Decision) -> list[Any]:
-    """A decision by the identifiers of what it is about."""
+def as_entry(decision: Decision) -> list[Any]:  # noqa: PLR0911 - one return for each type of decision
+    """A decision as it is stored: its word, and identifiers in place of records."""
     match decision:
         case Forward(request, worker, timeout):
             return ["forward", request.ident, worker.endpoint.ident, timeout]
@@ -80,13 +80,14 @@
 class DecisionRecorder:
     """Writes the recording, by a thread of its own.
 
-    One that can't be written, or not as fast as entries come, is ended: `broken` is set, an error is logged once, and
-    what is on disk can be replayed up to there. Whoever records is never held up and gets no error.
+    One that can't be written, or not as fast as entries are added, is ended: `broken` is set, an error is logged once,
+    and what is on disk can be replayed up to there. The caller is never blocked and gets no error.
     """
 
     def __init__(self, path: str, log: Any = None) -> None:
         """Raises OSError where the file can never be opened; where that only fails for now, nothing is recorded."""
-        self.path, self.log = path, log
+        self.path = path
+        self.log = log
         self.entries: queue.Queue[tuple[Any, ...] | None] = queue.Queue(MAX_QUEUED)
         self.broken = False
         self.lock = threading.Lock()
@@ -94,7 +95,7 @@
         try:
             self.sink = open(path, "wb")  # noqa: SIM115 - closed by the thread
         except OSError as error:
-            if error.errno not in TEMPORARY:
+            if error.errno not in TEMPORARY_ERRORS:
                 raise
             self._end(error.strerror or str(error))
         else:
@@ -116,7 +117,7 @@
         self._put(("decided", as_entry(decision)))
 
     def close(self) -> None:
-        """Writes what waits and ends, within CLOSE_TIMEOUT s."""
+        """Writes the queued entries and ends, within CLOSE_TIMEOUT s."""
         if not self.thread.is_alive():
             return
         ends = time.monotonic() + CLOSE_TIMEOUT
@@ -132,12 +133,13 @@
         except queue.Full:
             self._end(f"{MAX_QUEUED} entries wait to be written")
 
-    def _end(self, why: str) -> None:
+    def _end(self, reason: str) -> None:
         """Ends the recording; the reason is logged the first time."""
         with self.lock:
-            first, self.broken = not self.broken, True
-        if first and self.log is not None:
-            self.log.error("recording ended", path=self.path, why=why)
+            is_first = not self.broken
+            self.broken = True
+        if is_first and self.log is not None:
+            self.log.error("recording ended", path=self.path, why=reason)
 
     def _write(self) -> None:
         encoder = msgspec.json.Encoder()
@@ -147,7 +149,8 @@
                     sink.write(encoder.encode(entry) + b"\n")
                 if self.broken:
                     sink.write(encoder.encode(("broken off",)) + b"\n")
-        except Exception as error:  # also a value that can't be encoded: the recording is over, the gateway is not
+        # Also a value that can't be encoded ends the recording, not the gateway.
+        except Exception as error:  # noqa: BLE001 - see above
             self._end(getattr(error, "strerror", None) or f"{type(error).__name__}: {error}")
             with contextlib.suppress(queue.Empty):
                 while True:  # entries that will never be written need not be held
@@ -166,14 +169,14 @@
 
 
 class ReplayResult(NamedTuple):
-    """How many decisions came out as recorded, and the first difference, if there is one."""
+    """How many decisions were the same as recorded, and the first difference, if there is one."""
 
     same: int
     difference: str | None
 
 
 def replay(lines: Iterable[bytes]) -> ReplayResult:
-    """Gives a recording's inputs to a new router, and compares what that decides with what was recorded."""
+    """Passes a recording's inputs to a new router, and compares its decisions with those recorded."""
     source = entries(lines)
     start = next(source, None)
     if not start or start[0] != "start":
@@ -192,7 +195,7 @@
 
 
 class _Player:
-    """A router made as the recorded one was. `expected` is what was recorded of the last `decide`, if not compared."""
+    """A router made as the recorded one; `expected` are the decisions recorded of its last `decide`, until compared."""
 
     def __init__(self, now: float, seed: int, request_classes: list[dict[str, Any]], settings: dict[str, Any]) -> None:
         classes = [msgspec.convert(fields, RequestClass, strict=False) for fields in request_classes]
@@ -204,7 +207,7 @@
         self.expected: list[list[Any]] | None = None
 
     def apply(self, now: float, name: str, args: list[Any]) -> None:
-        """Gives the router one input, or takes its decisions."""
+        """Passes one input to the router, or takes its decisions."""
         self.now = now
         self.router.advance(now)
         if name == "decide":
@@ -242,8 +245,9 @@
         self.expected.append(decision)
 
     def compare(self) -> str | None:
-        """The difference between what was decided last and what was recorded of it, if there is one."""
-        expected, self.expected = self.expected, None
+        """The difference between the last decisions and those recorded, if there is one."""
+        expected = self.expected
+        self.expected = None
         if expected is None:
             return None
         if msgspec.json.encode(self.decided) != msgspec.json.encode(expected):
--- a/wickdyke/routing/cells.py
+++ b/wickdyke/routing/cells.py
@@ -6,17 +6,17 @@
 
 from wickdyke.routing.model import EndpointState, Function, Worker
 
-PERIOD_LEAST = 1.0  # ms
+MIN_PERIOD = 1.0  # ms
 
 
 @dataclass(slots=True, eq=False)
 class Cell:
     """Workers whose paths begin with the same `depth` bits, and the functions at home there.
 
-    `ready` and their `size` are as of the last change of the list. `placement` is where its functions are placed, done
-    at `placed_at` (ms), a `period` (ms) before the next is due, with `calls_since`. `pool` has, by kind of worker, the
-    latency (ms) of recent answers and the work in them. `utilization` and `reported_utilization` are sum and count: of
-    each worker's mean of its last reports, and of all recent reports.
+    `ready` and their `size` are as of the last change of the list. `placement` is where its functions are placed: it
+    was done at `placed_at` (ms), is due again after a `period` (ms), and `calls_since` were received. `pool` has, by
+    kind of worker, the latency (ms) of recent answers and the work in them. `utilization` and `reported_utilization`
+    are sum and count: of each worker's mean of its last reports, and of all recent reports.
     """
 
     depth: int
@@ -34,19 +34,19 @@
     reported_utilization: tuple[float, int] = (0.0, 0)
 
     def refresh(self) -> bool:
-        """Reads the members' states anew; whether other workers are ready than before, or of another size."""
+        """Updates `ready` and `size`; returns whether they have changed."""
         before = self.ready, self.size
         self.ready = [worker for worker in self.members.values() if worker.endpoint.state == EndpointState.READY]
         self.size = sum(worker.endpoint.size for worker in self.ready)
         return (self.ready, self.size) != before
 
     def due(self) -> float:
-        """When it is to be placed again (ms)."""
+        """When it is to be placed next (ms)."""
         return self.placed_at + self.period
 
     def lateness(self, now: float) -> float:
         """How long ago (ms) it was placed, in its own periods."""
-        return (now - self.placed_at) / max(self.period, PERIOD_LEAST)
+        return (now - self.placed_at) / max(self.period, MIN_PERIOD)
 
     def called_since(self, time: float) -> list[Function]:
         """Its functions that were called after that time (ms)."""
--- a/wickdyke/routing/decisions.py
+++ b/wickdyke/routing/decisions.py
@@ -1,4 +1,4 @@
-"""What the router decides. The host carries each decision out in the order in which they come."""
+"""The router's decisions. The host carries them out in their order."""
 
 from dataclasses import dataclass
 
@@ -23,7 +23,7 @@
 
 @dataclass(slots=True, frozen=True, eq=False)
 class Reject:
-    """Answer that nothing was done and may be asked again, after `retry_after` ms if that is given."""
+    """Answer that nothing was done and the request may be repeated, after `retry_after` ms if that is given."""
 
     request: Request
     retry_after: float | None
@@ -38,7 +38,7 @@
 
 @dataclass(slots=True, frozen=True, eq=False)
 class Prewarm:
-    """Order the worker to have so many replicas of the function loaded."""
+    """Request that the worker loads so many replicas of the function."""
 
     worker: Worker
     function: Function
@@ -47,7 +47,7 @@
 
 @dataclass(slots=True, frozen=True, eq=False)
 class HealthCheck:
-    """Ask the worker for its load report."""
+    """Request the worker's load report."""
 
     worker: Worker
 
--- a/wickdyke/routing/fleet.py
+++ b/wickdyke/routing/fleet.py
@@ -1,11 +1,11 @@
-"""The listed workers as cells of bounded size, and the functions known, each with its home.
-
-What is here follows from the list alone, so front ends that hold the same list agree without talking, whatever order
-its changes came in. A fleet of at most `single_cell_limit` workers is one cell. In a larger one, a worker's identifier
-is hashed to a path of bits. A binary trie over the paths ends in a cell wherever at most `cell_capacity` workers lie
-below a node (extendible hashing: Fagin et al., ACM TODS 4(3), 1979). A cell that overflows is split in two, two that
-fit one again are merged; no other cell is touched. The cell of a function's nearest worker on the hash ring is its
-home; without the home's workers, the nearest of the others gives the next cell.
+"""The listed workers as cells of bounded size, and the functions in use, each with its home.
+
+All of it follows from the list alone, so front ends with the same list agree without communication, in whatever order
+they received its changes. A fleet of at most `single_cell_limit` workers is one cell. In a larger one, a worker's
+identifier is hashed to a path of bits. A binary trie over the paths ends in a cell wherever at most `cell_capacity`
+workers lie below a node (extendible hashing: Fagin et al., ACM TODS 4(3), 1979). A cell that overflows is split in
+two, two that fit one again are merged; no other cell is touched. The cell of a function's nearest worker on the hash
+ring is its home; without the home's workers, the nearest of the others gives the next cell.
 """
 
 from collections.abc import Callable, Collection, Iterable, Iterator
@@ -29,12 +29,12 @@
 from wickdyke.routing.replicas import forget_replicas
 
 PATH_BITS = 64
-FORGOTTEN_AT_ONCE = 1 / 8  # of a cell's functions, where too many are known
+FORGOTTEN_PART = 1 / 8  # of a cell's functions, where there are too many
 
 
 @dataclass(slots=True, frozen=True)
 class Home:
-    """A function's cell, and its nearest worker there; none where all are one cell, whose order is by rank alone."""
+    """A function's cell, and its nearest worker there; None in a fleet of one cell, where ranks alone decide."""
 
     cell: Cell
     nearest: Worker | None = None
@@ -42,16 +42,16 @@
 
 @dataclass(slots=True, frozen=True)
 class FleetChanges:
-    """What an update of the list changed: workers that are gone, and cells in which others are ready than before."""
+    """The effects of an update: workers that are gone, and cells whose ready workers have changed."""
 
     gone: list[Worker]
     cells: list[Cell]
 
 
 class Fleet:
-    """The listed workers and the functions that are known.
+    """The listed workers and the functions in use.
 
-    `make_worker` gives the record of a worker that is new on the list, `make_placement` that of a cell's placement.
+    `make_worker` returns the record of a worker that is new on the list, `make_placement` the placement of a cell.
     """
 
     def __init__(
@@ -62,9 +62,12 @@
         make_worker: Callable[[Endpoint], Worker],
         make_placement: Callable[[Cell], Any],
     ) -> None:
-        self.single_cell_limit, self.cell_capacity = single_cell_limit, cell_capacity
+        """A fleet of one cell without workers."""
+        self.single_cell_limit = single_cell_limit
+        self.cell_capacity = cell_capacity
         self.points_per_function = points_per_function
-        self.make_worker, self.make_placement = make_worker, make_placement
+        self.make_worker = make_worker
+        self.make_placement = make_placement
         self.workers: dict[str, Worker] = {}
         self.functions: dict[str, Function] = {}
         self.cells: dict[tuple[int, int], Cell] = {}
@@ -80,7 +83,7 @@
     # ---- the endpoint list ----
 
     def update(self, endpoints: Iterable[Endpoint], whole: bool) -> FleetChanges:
-        """Takes entries of the list: all of it, or what has changed. The cost follows the entries."""
+        """Enters the `whole` list, or changed entries; the cost is linear in the entries."""
         named = {endpoint.ident: endpoint for endpoint in endpoints}
         missing = [ident for ident in self.workers if ident not in named] if whole else []
         gone = [self._remove(ident) for ident in missing]
@@ -103,7 +106,9 @@
                 self.cells_without_workers.discard(cell)
             else:
                 self.cells_without_workers.add(cell)
-        ended, self.touched, self.ended = self.ended, {}, []
+        ended = self.ended
+        self.touched = {}
+        self.ended = []
         self.cells_without_workers.difference_update(ended)
         self.version += bool(live or ended)
         return FleetChanges(gone, changed)
@@ -149,7 +154,8 @@
 
     def cell_of(self, ident: str) -> Cell:
         """The cell of a listed worker."""
-        path, depth = self.positions[ident][0], 0
+        path, _ = self.positions[ident]
+        depth = 0
         while (cell := self.cells.get((depth, path >> PATH_BITS - depth))) is None:
             depth += 1
         return cell
@@ -189,41 +195,41 @@
         self.cells[cell.depth, cell.prefix] = cell
         cell.placement = self.make_placement(cell)
 
-    def in_turn(self, many: int) -> list[Cell]:
-        """Of the next so many cells, those with functions; each call goes on where the last one stopped."""
+    def in_turn(self, count: int) -> list[Cell]:
+        """Of the next `count` cells, those with functions; each call continues where the last one ended."""
         cells = list(self.cells.values())
-        at = self.next_cell % len(cells)
-        self.next_cell = at + many
-        return [cell for cell in islice(chain(cells[at:], cells[:at]), many) if cell.functions]
+        start = self.next_cell % len(cells)
+        self.next_cell = start + count
+        return [cell for cell in islice(chain(cells[start:], cells[:start]), count) if cell.functions]
 
-    def ready(self, besides: Collection[Worker] = ()) -> Iterator[Worker]:
-        """The other workers that may be sent something, as far as the list tells."""
+    def ready(self, excluded: Collection[Worker] = ()) -> Iterator[Worker]:
+        """The workers that the list states as ready, without the `excluded` ones."""
         everyone = chain.from_iterable(cell.ready for cell in self.cells.values())
-        return (worker for worker in everyone if worker not in besides)
+        return (worker for worker in everyone if worker not in excluded)
 
     # ---- functions ----
 
     def enter(self, function: Function) -> Cell:
-        """Makes a function known; its home."""
+        """Adds a function; returns its home."""
         self.functions[function.name] = function
         return self.home_of(function)
 
     def drop(self, functions: Iterable[Function]) -> None:
-        """Forgets functions, but for those with an attempt in flight."""
+        """Removes functions, except those with an attempt in flight."""
         for function in functions:
             if not any(replica.in_flight for replica in function.replicas):
                 forget_replicas(list(function.replicas))
                 del self.functions[function.name], function.cell.functions[function.name]
 
-    def shrink(self, most: int) -> None:
-        """Forgets functions called longest ago, of the cell that has most, where more than so many are known."""
-        if len(self.functions) > most:
-            known = max((cell.functions for cell in self.cells.values()), key=len)
-            many = ceil(len(known) * FORGOTTEN_AT_ONCE)
-            self.drop(nsmallest(many, known.values(), lambda function: function.last_called))
+    def shrink(self, maximum: int) -> None:
+        """Removes the least recently called functions of the largest cell, where there are more than `maximum`."""
+        if len(self.functions) > maximum:
+            largest = max((cell.functions for cell in self.cells.values()), key=len)
+            count = ceil(len(largest) * FORGOTTEN_PART)
+            self.drop(nsmallest(count, largest.values(), lambda function: function.last_called))
 
     def home_of(self, function: Function) -> Cell:
-        """The cell of a function, looked up again only where the list has changed since."""
+        """The cell of a function, computed again only where the list has changed since."""
         if function.fleet_version != self.version:
             home = self.home(function.name) or Home(function.cell or next(iter(self.cells.values())))
             if home.cell is not function.cell or home.nearest is not function.nearest:
@@ -233,29 +239,31 @@
         return cell
 
     def _move(self, function: Function, home: Home) -> None:
-        # A request may wait that is older than its function's forgetting, and another of the same name be known since.
+        # A waiting request may refer to a function that was removed since, and another of the same name be added.
         if self.functions.get(function.name) is function:
             if function.cell is not None:
                 del function.cell.functions[function.name]
             home.cell.functions[function.name] = function
-        function.cell, function.nearest, function.ranked_from = home.cell, home.nearest, None
+        function.cell = home.cell
+        function.nearest = home.nearest
+        function.ranked_from = None
 
     def settle(self, cell: Cell, before: float) -> None:
-        """Sends the functions of a cell that the list has moved to their homes; forgets those called before (ms)."""
-        for function in [each for each in cell.functions.values() if each.fleet_version != self.version]:
+        """Moves functions whose home has changed out of the cell; removes those last called before that time (ms)."""
+        for function in [moved for moved in cell.functions.values() if moved.fleet_version != self.version]:
             self.home_of(function)
         self.drop([function for function in cell.functions.values() if function.last_called < before])
 
-    def near(self, function: Function, many: int) -> Iterator[Cell]:
-        """The first cells of a known function, its home before the next ones, so many at most."""
+    def near(self, function: Function, maximum: int) -> Iterator[Cell]:
+        """The nearest cells of a function, its home first, at most `maximum`."""
         cells = [self.home_of(function)]
         yield cells[0]
-        while len(cells) < many and (home := self.home(function.name, cells)):
+        while len(cells) < maximum and (home := self.home(function.name, cells)):
             cells.append(home.cell)
             yield home.cell
 
     def home(self, name: str, besides: Collection[Cell] = ()) -> Home | None:
-        """The nearest cell of the function of that name that has a ready worker, but for `besides`; None without."""
+        """The nearest cell with a ready worker of the function of that name, not one of `besides`; None without."""
         if len(self.cells) == 1:
             (only,) = self.cells.values()
             return None if only in besides else Home(only)
@@ -263,10 +271,10 @@
         if len(excluded) >= len(self.cells):
             return None
         points = points_of(name, self.points_per_function)
-        ident = self.ring.nearest(points, lambda each: bool(excluded) and self.cell_of(each) in excluded)
+        ident = self.ring.nearest(points, lambda candidate: bool(excluded) and self.cell_of(candidate) in excluded)
         return None if ident is None else Home(self.cell_of(ident), self.workers[ident])
 
 
 def _replaces(endpoint: Endpoint, worker: Worker) -> bool:
-    """Whether the entry says that the worker known is gone: removed, or started anew under the same identifier."""
+    """Whether by this entry the worker is gone: removed, or restarted under the same identifier."""
     return endpoint.state == EndpointState.GONE or endpoint.started_at != worker.endpoint.started_at
--- a/wickdyke/routing/hash_ring.py
+++ b/wickdyke/routing/hash_ring.py
@@ -31,6 +31,7 @@
     """The points of all workers, in order, each with its owner's identifier and size."""
 
     def __init__(self) -> None:
+        """A ring without workers."""
         self.points: list[int] = []
         self.owners: list[str] = []
         self.sizes: dict[str, float] = {}
@@ -38,16 +39,16 @@
 
     def insert(self, point: int, ident: str, size: float) -> None:
         """Adds a worker's point."""
-        at = self._index(point, ident)
-        self.points.insert(at, point)
-        self.owners.insert(at, ident)
+        index = self._index(point, ident)
+        self.points.insert(index, point)
+        self.owners.insert(index, ident)
         self.sizes[ident] = size
         self.size_counts[size] += 1
 
     def remove(self, point: int, ident: str) -> None:
         """Removes a worker's point."""
-        at = self._index(point, ident)
-        del self.points[at], self.owners[at]
+        index = self._index(point, ident)
+        del self.points[index], self.owners[index]
         self._forget_size(self.sizes.pop(ident))
 
     def resize(self, ident: str, size: float) -> None:
@@ -62,23 +63,26 @@
             del self.size_counts[size]
 
     def _index(self, point: int, ident: str) -> int:
-        at = bisect_left(self.points, point)
-        while at < len(self.points) and self.points[at] == point and self.owners[at] < ident:
-            at += 1
-        return at
+        index = bisect_left(self.points, point)
+        while index < len(self.points) and self.points[index] == point and self.owners[index] < ident:
+            index += 1
+        return index
 
     def nearest(self, points: list[int], excluded: Callable[[str], bool]) -> str | None:
-        """The identifier of the worker nearest to a function's points, of those not excluded."""
-        ring, largest, best, found = self.points, max(self.size_counts), inf, None
-        many = len(ring)
+        """The identifier of the worker nearest to a function's points, of those not excluded; None where all are."""
+        ring = self.points
+        largest = max(self.size_counts)
+        shortest = inf
+        nearest = None
         for point in points:
-            at = bisect_left(ring, point)
-            for step in range(at - many, at):  # a negative index goes round the ring
-                way = (ring[step] - point) % RING
-                if way >= best * largest:
+            start = bisect_left(ring, point)
+            for index in range(start - len(ring), start):  # a negative index wraps around the ring
+                way = (ring[index] - point) % RING
+                if way >= shortest * largest:
                     break
-                ident = self.owners[step]
+                ident = self.owners[index]
                 distance = way / self.sizes[ident]
-                if distance < best and not excluded(ident):
-                    best, found = distance, ident
-        return found
+                if distance < shortest and not excluded(ident):
+                    shortest = distance
+                    nearest = ident
+        return nearest
--- a/wickdyke/routing/model.py
+++ b/wickdyke/routing/model.py
@@ -67,7 +67,7 @@
 
 
 class LatencySample(NamedTuple):
-    """How long (ms) an answer that came `at` (ms) took, and the work in it (ms on the average worker)."""
+    """The latency (ms) of an answer received `at` (ms), and the work in it (ms on the average worker)."""
 
     at: float
     latency: float
@@ -112,8 +112,8 @@
 class RequestClass:
     """A class of requests, as the settings state it.
 
-    `scope` is where an idempotency key is known for `dedupe_window`; `latency_objective` is the
-    time within which an answer has its full weight, longer by `objective_per_work` for each ms of work.
+    `scope` is where an idempotency key is recognized for `dedupe_window`; `latency_objective` is the time within which
+    an answer has its full weight, longer by `objective_per_work` for each ms of work.
     """
 
     name: str
@@ -343,7 +343,7 @@
     queued: bool = False
 
     def may_have_run(self) -> list["Attempt"]:
-        """Its attempts that are not known never to have run."""
+        """Its attempts that may have run: all but those whose outcome excludes it."""
         return [attempt for attempt in self.attempts if attempt.outcome not in NEVER_RAN]
 
 
--- a/wickdyke/routing/outliers.py
+++ b/wickdyke/routing/outliers.py
@@ -61,7 +61,8 @@
             clear_replicas(worker)
             self.slow_start.connection_lost(worker, now)
         if outcome in ANSWERED:
-            worker.last_heard, worker.failed_checks = now, 0
+            worker.last_heard = now
+            worker.failed_checks = 0
         self._readmit(worker, outcome, now)
         self._eject_if_failing(worker, outcome, now)
 
--- a/wickdyke/routing/placement_schedule.py
+++ b/wickdyke/routing/placement_schedule.py
@@ -1,4 +1,4 @@
-"""When each cell is placed anew: one cell at a time, so that no turn takes long."""
+"""When each cell is placed again: one cell at a time, so that no turn takes long."""
 
 from dataclasses import dataclass
 
@@ -15,31 +15,31 @@
 from wickdyke.routing.settings import FunctionCache
 from wickdyke.routing.slow_start import SlowStartGuard
 
-PERIOD_SPREAD = 0.2  # by which periods differ, so that front ends fall out of step
+PERIOD_JITTER = 0.2  # part by which periods differ, so that front ends are not in step
 FEW_CALLS = 16  # in a period; with fewer it is made longer
-LONGER_MOST = 4.0  # times
+MAX_PERIOD_FACTOR = 4.0
 FORGET_AFTER = 3  # idle timeouts after which a function is forgotten, in a fleet of one cell
-CELLS_SEEN = 32  # cells looked at for one placement
+MAX_CELLS_COMPARED = 32  # for one placement
 
 
 @dataclass(slots=True)
 class PlacementSchedule:
-    """Picks the cell that is longest due, and keeps what all cells share up to date."""
+    """Picks the cell that is most overdue, and updates the estimates that all cells share."""
 
     fleet: Fleet
     cache: FunctionCache
     slow_start: SlowStartGuard
     global_concurrency: GlobalConcurrency
     random: SeededRandom
-    next_at: float  # ms
-    surveyed_at: float  # ms
+    next_at: float  # ms, when the next cell is due
+    surveyed_at: float  # ms, of the last estimates over all cells
 
     def due_cell(self, now: float) -> Cell | None:
         """The cell that is to be placed now, surveyed; sets when the next is due."""
         cells = list(self.fleet.cells.values())
-        used = self.fleet.in_turn(CELLS_SEEN) or cells[:1]
-        cell = max(used, key=lambda each: each.lateness(now))
-        if len(cells) > CELLS_SEEN and cell.lateness(now) < 1:
+        used = self.fleet.in_turn(MAX_CELLS_COMPARED) or cells[:1]
+        cell = max(used, key=lambda candidate: candidate.lateness(now))
+        if len(cells) > MAX_CELLS_COMPARED and cell.lateness(now) < 1:
             self.next_at = now + (TICK if self.fleet.functions else PERIOD)
             return None
         self._reschedule(cell, cells, used, now)
@@ -50,10 +50,13 @@
         return cell
 
     def _reschedule(self, cell: Cell, cells: list[Cell], used: list[Cell], now: float) -> None:
-        longer = min(LONGER_MOST, max(1.0, FEW_CALLS / (1 + cell.calls_since)))
-        drawn = 1 - PERIOD_SPREAD / 2 + PERIOD_SPREAD * self.random.fraction()
-        cell.placed_at, cell.period, cell.calls_since = now, PERIOD * longer * drawn, 0
-        self.next_at = max(now + TICK, min(each.due() for each in used) if len(cells) <= CELLS_SEEN else now)
+        factor = min(MAX_PERIOD_FACTOR, max(1.0, FEW_CALLS / (1 + cell.calls_since)))
+        jitter = 1 - PERIOD_JITTER / 2 + PERIOD_JITTER * self.random.fraction()
+        cell.placed_at = now
+        cell.period = PERIOD * factor * jitter
+        cell.calls_since = 0
+        next_due = min(candidate.due() for candidate in used) if len(cells) <= MAX_CELLS_COMPARED else now
+        self.next_at = max(now + TICK, next_due)
 
     def _survey(self, cells: list[Cell], now: float) -> None:
         self.surveyed_at = now
--- a/wickdyke/routing/results.py
+++ b/wickdyke/routing/results.py
@@ -1,4 +1,4 @@
-"""Enters what came of attempts and prewarms in the records that decisions are made from."""
+"""Enters the results of attempts and prewarms in the records that decisions depend on."""
 
 from dataclasses import dataclass
 
@@ -19,8 +19,8 @@
 from wickdyke.routing.slow_start import SlowStartGuard
 
 MEMORY_SHORT_FOR = 1000.0  # ms after a worker had no memory for a replica
-BUDGET_GROWTH = 1.25  # of a worker's memory budget after a prewarm that was answered in full
-BUDGET_SHRINK = 0.7  # after one that was rejected or failed
+BUDGET_GROWTH = 1.25  # factor of a worker's memory budget after a successful prewarm
+BUDGET_SHRINK = 0.7  # factor after one that was rejected or failed
 
 
 @dataclass(slots=True)
@@ -55,10 +55,10 @@
             _missed(attempt.replica, now)
         elif outcome == Outcome.FULL:
             self._full(attempt.replica, concurrent, now)
-        # Clients that ask for what nobody has would make workers look sick, as would functions that are broken. That
-        # misleads where a worker fails all functions that only it has had.
-        blamed = function.verified or outcome != Outcome.ERROR
-        self.outliers.record(worker, outcome if blamed else Outcome.MISS, now)
+        # Requests of functions that do not exist or are broken would make workers look unhealthy. That hides a worker
+        # that fails all functions which only it has served.
+        is_evidence = function.verified or outcome != Outcome.ERROR
+        self.outliers.record(worker, outcome if is_evidence else Outcome.MISS, now)
         self.latency.record_report(worker, load, now)
 
     def _adapt_limits(self, attempt: Attempt, outcome: Outcome, now: float) -> None:
@@ -74,44 +74,57 @@
                 adapt_limit(pool, attempt, active, timed_out, now)
 
     def _served(self, attempt: Attempt, load_note: LoadNote | None, concurrent: int, now: float) -> None:
-        request, replica, function = attempt.request, attempt.replica, attempt.request.function
+        request = attempt.request
+        replica = attempt.replica
+        function = request.function
         if self.cache.reports_concurrency:
             function.concurrency_samples.append((replica.worker, concurrent))
         self.slow_start.request_served(request, now)
         if replica.loading_since is not None and load_note in (LoadNote.BEGAN, None) and not attempt.warm:
-            took = now - replica.loading_since - self.latency.expected_work(request)
-            self.latency.record_load(function, took, load_note == LoadNote.BEGAN)
-        replica.loaded, replica.last_used, replica.loading_since = max(1, replica.loaded), now, None
+            elapsed = now - replica.loading_since - self.latency.expected_work(request)
+            self.latency.record_load(function, elapsed, load_note == LoadNote.BEGAN)
+        replica.loaded = max(1, replica.loaded)
+        replica.last_used = now
+        replica.loading_since = None
         self.prewarm_limiter.verify(function, now)
 
     def _full(self, replica: Replica, concurrent: int, now: float) -> None:
-        # Full workers answer at once and would draw more. That hurts where they are full briefly, or lack memory.
-        function, worker = replica.function, replica.worker
+        # Full workers answer at once and would attract more. That costs capacity where they are full only briefly.
+        function = replica.function
+        worker = replica.worker
         gap = (now - function.recent_calls[0]) / len(function.recent_calls)
         pause = max(FULL_WAIT, gap * (1 - function.cell.placement.own_share))
         replica.full_until = now + min(pause, self.cache.idle_timeout / 2)
-        if not concurrent and self.cache.reports_concurrency and not replica.in_flight:  # nor memory for a replica
+        if not concurrent and self.cache.reports_concurrency and not replica.in_flight:  # no memory for a replica
             if worker.memory_short_until <= now:
                 worker.memory_budget *= BUDGET_SHRINK
             worker.memory_short_until = now + MEMORY_SHORT_FOR
-            replica.loaded, replica.last_used = 0, 0.0
+            replica.loaded = 0
+            replica.last_used = 0.0
 
     def prewarm_finished(self, replica: Replica, outcome: Outcome, replicas: int, elapsed: float, now: float) -> None:
         """Enters how a prewarm ended after `elapsed` ms, with so many replicas loaded."""
-        worker, function = replica.worker, replica.function
-        replica.prewarm_sent_at = replica.loading_since = None
+        worker = replica.worker
+        function = replica.function
+        replica.prewarm_sent_at = None
+        replica.loading_since = None
         if outcome == Outcome.OK:
             self.latency.record_load(function, 0.0 if replica.loaded else elapsed)
-            worker.last_heard, replica.loaded, replica.last_used = now, replicas, now
+            worker.last_heard = now
+            replica.loaded = replicas
+            replica.last_used = now
             self.prewarm_limiter.verify(function, now)
-            most = self.cache.memory_on(worker.endpoint)
-            worker.memory_budget = min(worker.memory_budget * BUDGET_GROWTH, most)
+            maximum = self.cache.memory_on(worker.endpoint)
+            worker.memory_budget = min(worker.memory_budget * BUDGET_GROWTH, maximum)
         elif outcome in (Outcome.FULL, Outcome.ERROR):
-            replica.loaded, replica.full_until = replicas, now + self.cache.idle_timeout / 8
+            replica.loaded = replicas
+            replica.full_until = now + self.cache.idle_timeout / 8
             worker.memory_budget = max(worker.memory_budget * BUDGET_SHRINK, function.memory)
         else:
             self.outliers.record(worker, outcome, now)
 
 
 def _missed(replica: Replica, now: float) -> None:
-    replica.loaded, replica.loading_since, replica.last_miss = 0, None, now
+    replica.loaded = 0
+    replica.loading_since = None
+    replica.last_miss = now
--- a/wickdyke/routing/router.py
+++ b/wickdyke/routing/router.py
@@ -80,19 +80,24 @@
             load_reports=deque(maxlen=REPORTS_KEPT), objective_shares=deque(maxlen=OBJECTIVE_SHARES_KEPT)
         )
 
+        self.fleet = self._make_fleet(settings, now)
+        self._assemble(settings.attempt_limits, now)
+
+    def _make_fleet(self, settings: RouterSettings, now: float) -> Fleet:
         def make_worker(endpoint: Endpoint) -> Worker:
-            memory = cache.memory_on(endpoint) / instance.count
+            memory = settings.function_cache.memory_on(endpoint) / settings.instance.count
             return Worker.from_endpoint(endpoint, memory, INITIAL_LIMIT)
 
         def make_placement(cell: Cell) -> Placement:
-            return Placement(cell, self.latency, cache, instance, settings.cost_weights, now)
+            return Placement(cell, self.latency, settings.function_cache, settings.instance, settings.cost_weights, now)
 
-        self.fleet = Fleet(SINGLE_CELL_LIMIT, CELL_CAPACITY, POINTS_PER_FUNCTION, make_worker, make_placement)
-        self._assemble(settings.attempt_limits, now)
+        return Fleet(SINGLE_CELL_LIMIT, CELL_CAPACITY, POINTS_PER_FUNCTION, make_worker, make_placement)
 
     def _assemble(self, limits: AttemptLimits, now: float) -> None:
         """Builds the parts that decide, from those that hold state."""
-        cache, latency, fleet = self.cache, self.latency, self.fleet
+        cache = self.cache
+        latency = self.latency
+        fleet = self.fleet
         self.health_checker = HealthChecker(limits.health_checks, self.control_budget, self.decisions)
         self.prewarmer = Prewarmer(cache, self.prewarm_limiter, self.control_budget, latency, self.decisions)
         self.results = ResultRecorder(
--- a/wickdyke/routing/seeded_random.py
+++ b/wickdyke/routing/seeded_random.py
@@ -11,10 +11,11 @@
     """A linear congruential generator (Knuth's MMIX constants), of which the high bits are used."""
 
     def __init__(self, seed: int) -> None:
+        """A generator that starts from this seed."""
         self.state = seed % MODULUS
 
     def below(self, bound: int) -> int:
-        """A whole number of at least 0 and below `bound`."""
+        """An integer of at least 0 and below `bound`."""
         self.state = (self.state * MULTIPLIER + INCREMENT) % MODULUS
         return (self.state >> 33) % bound
 
@@ -33,10 +34,10 @@
 
 
 def hash_fraction(*hashes: int) -> float:
-    """A number above 0 and at most 1 that depends on the hashes alone; it makes no objects, as it is called often."""
+    """A number above 0 and at most 1 that depends on the hashes alone; makes no SeededRandom, as it is called often."""
     state = 0
-    for each in (*hashes, None):
-        state = state if each is None else state ^ each ^ state >> 33
+    for value in (*hashes, None):
+        state = state if value is None else state ^ value ^ state >> 33
         state = (state * MULTIPLIER + INCREMENT) % MODULUS
     return 1 - (state >> 33) % 2**31 / 2**31
 
--- a/wickdyke/routing/settings.py
+++ b/wickdyke/routing/settings.py
@@ -1,4 +1,4 @@
-"""What a deployment states for the router: one frozen record for each part of its settings.
+"""The router's settings, as a deployment states them: one frozen record for each part.
 
 Spans are milliseconds, memory is in MB, shares are parts of one.
 """
@@ -36,7 +36,7 @@
     """How functions are kept loaded on workers.
 
     `loads_on_demand`: an attempt at a worker without the function loads it; otherwise it misses. `reports_warmth` and
-    `reports_concurrency`: what answers tell.
+    `reports_concurrency`: whether answers state if the function was loaded, and its requests in flight.
     """
 
     memory: tuple[float, ...]
@@ -48,13 +48,13 @@
     reports_concurrency: bool
 
     def memory_on(self, endpoint: Endpoint) -> float:
-        """MB that a worker of that kind has for replicas; 0 where the settings do not tell."""
+        """MB that a worker of that kind has for replicas; 0 where the settings do not state it."""
         return (self.memory[endpoint.kind :] or self.memory or (0.0,))[0]
 
 
 @dataclass(slots=True, frozen=True)
 class AttemptLimits:
-    """What a request and this front end may use.
+    """Limits on the attempts of a request and of this front end.
 
     `hedging`: attempts of one request may overlap; `retry_after` is the longest pause that a rejection states.
     """
@@ -70,7 +70,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Discovery:
-    """How the endpoint list comes, and how soon a draining worker must be sent nothing more (`drain_grace`)."""
+    """How the endpoint list is received, and how soon a draining worker must be sent nothing more (`drain_grace`)."""
 
     pushed: bool
     poll_within: float
@@ -79,7 +79,7 @@
 
 @dataclass(slots=True, frozen=True)
 class CostWeights:
-    """What things cost, in parts of the priority weight of what was asked for."""
+    """Costs, as parts of the priority weight of the request."""
 
     waste: float
     late: float
@@ -91,7 +91,7 @@
 
 @dataclass(slots=True, frozen=True)
 class TenantQuotas:
-    """What tenants are promised: requests a second of the whole fleet for each."""
+    """The rate that each tenant is promised, in requests per second of the whole fleet."""
 
     quotas: tuple[float, ...] = ()
 
--- a/wickdyke/simulator/codec.py
+++ b/wickdyke/simulator/codec.py
@@ -19,9 +19,10 @@
 from wickdyke.routing.decisions import Decision
 from wickdyke.routing.model import Endpoint, EndpointState, LoadNote, Outcome
 
-TEXT_SHOWN = 40  # characters of a value that an error message repeats
-MICROS = 1000  # in a ms
-WORK_IS_KNOWN, IS_REPEAT = 1, 2  # bits of a NEW_REQUEST
+MAX_TEXT_SHOWN = 40  # characters of a value that an error message repeats
+MICROS_PER_MS = 1000
+WORK_IS_KNOWN = 1  # bit of a NEW_REQUEST
+IS_REPEAT = 2  # bit of a NEW_REQUEST
 Fields = tuple[tuple[str, Callable[[str], Any]], ...]  # (label, reader) for each value of a message
 
 
@@ -131,7 +132,7 @@
         try:
             read.append(reader(text))
         except ValueError as error:
-            raise InvalidInputError(f"{name}: {label} is {text[:TEXT_SHOWN]!r}, expected {error}") from None
+            raise InvalidInputError(f"{name}: {label} is {text[:MAX_TEXT_SHOWN]!r}, expected {error}") from None
     return read
 
 
@@ -145,24 +146,24 @@
         -1 if cell is None else cell,
         state,
         1.0 if size is None else size,
-        started_at / MICROS if started_at else None,
+        started_at / MICROS_PER_MS if started_at else None,
     )
 
 
 def read_note(value: int | None) -> tuple[LoadNote | None, int]:
-    """What an outcome tells of the replica, and how many requests of the function the worker had."""
+    """The load note of a note's code, and the requests of the function in flight at the worker."""
     concurrent, code = divmod(value or 0, NOTE_CODES)
     return LOAD_NOTES.get(code), concurrent
 
 
 def micros(ms: float | None) -> str:
-    """A time as the wire has it."""
-    return "-" if ms is None else str(round(ms * MICROS))
+    """A span (ms) in the wire's unit; "-" for None."""
+    return "-" if ms is None else str(round(ms * MICROS_PER_MS))
 
 
 @dataclass(slots=True, frozen=True)
 class Wake:
-    """The instance is to be advanced after that many ms; the simulator gives the cookie back."""
+    """The instance is to be advanced after `delay` ms; the simulator returns the cookie then."""
 
     delay: float
     cookie: int
@@ -172,7 +173,7 @@
 class Fault:
     """The instance has failed."""
 
-    why: str
+    reason: str
 
 
 Reply = Decision | Wake | Fault
@@ -204,7 +205,7 @@
     decisions.FollowEndpoints: lambda follow: ("TAIL", "1" if follow.enabled else "0"),
     decisions.LogNote: lambda note: ("REMARK", _one_line(note.text)),
     Wake: lambda wake: ("SET_TIMER", micros(wake.delay), str(wake.cookie)),
-    Fault: lambda fault: ("EXCEPTION", _one_line(fault.why)),
+    Fault: lambda fault: ("EXCEPTION", _one_line(fault.reason)),
 }
 
 
@@ -220,7 +221,7 @@
     try:
         for number_read, text in enumerate(source, 1):
             if not text.endswith("\n"):
-                raise InvalidInputError(f"line {number_read}: {text[:TEXT_SHOWN]!r}: expected the line to end")
+                raise InvalidInputError(f"line {number_read}: {text[:MAX_TEXT_SHOWN]!r}: expected the line to end")
             yield number_read, text[:-1].split("\t")
     except UnicodeDecodeError:
         raise InvalidInputError(f"line {number_read + 1}: expected UTF-8 text") from None
--- a/wickdyke/simulator/host.py
+++ b/wickdyke/simulator/host.py
@@ -28,13 +28,13 @@
 
 @dataclass(slots=True)
 class Batch:
-    """The instances that a batch has events for, in their order, and those that failed, with the reason."""
+    """The instances that a batch has events for, in their order, and the reasons of those that failed."""
 
     touched: dict[int, None] = field(default_factory=dict)
     faults: dict[int, str] = field(default_factory=dict)
 
     def fail(self, ident: int, error: Exception) -> None:
-        """Whatever goes wrong inside one instance is that instance's fault, and no other's."""
+        """Records the failure of one instance, which must not affect the others."""
         self.faults[ident] = f"{type(error).__name__}: {error}"
 
 
@@ -69,7 +69,7 @@
             name, values = self._next_line(lines)
             if name == "END":
                 break
-            self._event(lines, name, values, batch)
+            self._apply_event(lines, name, values, batch)
         if values:
             raise InvalidInputError("END: expected no values")
         reply: list[str] = []
@@ -79,7 +79,7 @@
 
     def _set_clock(self, name: str, values: list[str]) -> None:
         if name != "MARK":
-            raise InvalidInputError(f"{name[: codec.TEXT_SHOWN]!r}, expected MARK")
+            raise InvalidInputError(f"{name[: codec.MAX_TEXT_SHOWN]!r}, expected MARK")
         (now,) = codec.read_values("MARK", values, (("clock", span),))
         if now < self.now:
             raise InvalidInputError(f"MARK: the clock is {now}, expected at least {self.now}")
@@ -97,7 +97,7 @@
         if instance is not None and ident not in batch.faults:
             try:
                 reply += [codec.write_line(ident, each) for each in self._decisions(instance)]
-            except Exception as error:
+            except Exception as error:  # noqa: BLE001 - whatever fails in one instance is reported for that instance
                 batch.fail(ident, error)
         if ident in batch.faults:
             reply.append(codec.write_line(ident, codec.Fault(batch.faults[ident])))
@@ -115,12 +115,12 @@
 
     # ---- events ----
 
-    def _event(self, lines: Lines, name: str, values: list[str], batch: Batch) -> None:
+    def _apply_event(self, lines: Lines, name: str, values: list[str], batch: Batch) -> None:
         if name == "POWER_ON":
             self._start(values, batch)
             return
         if name not in codec.EVENTS:
-            raise InvalidInputError(f"{name[: codec.TEXT_SHOWN]!r}, expected an event or END")
+            raise InvalidInputError(f"{name[: codec.MAX_TEXT_SHOWN]!r}, expected an event or END")
         event_line = self.line_number
         ident, *fields = codec.read_values(name, values, codec.EVENTS[name])
         instance = self.instances.get(ident)
@@ -138,7 +138,7 @@
             self._inform(instance, name, fields)
         except InvalidInputError as error:
             raise InvalidInputError(f"line {event_line}: {error}") from None
-        except Exception as error:
+        except Exception as error:  # noqa: BLE001 - as above
             batch.fail(ident, error)
 
     def _start(self, values: list[str], batch: Batch) -> None:
@@ -155,11 +155,11 @@
         for _ in range(entries):
             name, values = self._next_line(lines)
             if name != "ROW":
-                raise InvalidInputError(f"{name[: codec.TEXT_SHOWN]!r}, expected a ROW ({entries} were announced)")
+                raise InvalidInputError(f"{name[: codec.MAX_TEXT_SHOWN]!r}, expected a ROW ({entries} were announced)")
             endpoints.append(codec.read_endpoint(values))
         return endpoints
 
-    def _inform(self, instance: Instance, name: str, fields: list[Any]) -> None:
+    def _inform(self, instance: Instance, name: str, fields: list[Any]) -> None:  # noqa: C901 - one case for each event
         """Passes one event to the router."""
         router = instance.router
         router.advance(self.now)
