--- a/bench/overload.py
+++ b/bench/overload.py
@@ -16,6 +16,7 @@
 from wickdyke.config import sexpr
 from wickdyke.config.sexpr import Expression
 from wickdyke.fault_injection import report, scenario, trace
+from wickdyke.fault_injection.faults import FaultKind
 from wickdyke.fault_injection.rule_checker import RuleChecker
 from wickdyke.fault_injection.scenario_runner import ScenarioRunner
 
@@ -82,7 +83,7 @@
 def main(file: str, seeds: int, lines: bool) -> None:
     """Measures the variants of FILE, in pairs by seed."""
     script = scenario.read(file)
-    burst = next(trouble for trouble in script.troubles if trouble.kind == "burst")
+    burst = next(trouble for trouble in script.faults if trouble.kind is FaultKind.BURST)
     starts, ends = int(burst.at // STEP), int((burst.at + burst.values["for"]) // STEP)
     rows: dict[str, list[list]] = {name: [] for name in variants(script.routes)}
     for step in range(seeds):
--- a/bench/worker.py
+++ b/bench/worker.py
@@ -23,6 +23,7 @@
 from bench.overload import recovery, seconds
 from wickdyke.config import worker_config
 from wickdyke.fault_injection import report, scenario, trace
+from wickdyke.fault_injection.faults import FaultKind
 from wickdyke.fault_injection.rule_checker import RuleChecker
 from wickdyke.fault_injection.scenario_runner import ScenarioRunner
 from wickdyke.gateway import log as logs
@@ -186,7 +187,7 @@
 def play(script: scenario.Scenario, holds: bool, found: dict) -> None:
     """One run, judged."""
     mine = copy.copy(script)
-    mine.holds = holds
+    mine.prewarming = holds
     with tempfile.TemporaryDirectory(prefix="wd-") as folder:
         found[holds] = RuleChecker(trace.read(ScenarioRunner(mine, os.path.join(folder, "run")).run()))
 
@@ -194,8 +195,8 @@
 def recover(file: str, seeds: int) -> list[list[str]]:
     """Seconds from the first mass restart until three in a row have nine tenths in time, with and without orders."""
     script = scenario.read(file)
-    first = next(trouble for trouble in script.troubles if trouble.kind == "die")
-    last = next(trouble.at for trouble in script.troubles if trouble.at > first.at)
+    first = next(trouble for trouble in script.faults if trouble.kind is FaultKind.DIE)
+    last = next(trouble.at for trouble in script.faults if trouble.at > first.at)
     rows: dict[bool, list] = {True: [], False: []}
     for _ in range(seeds):
         found: dict[bool, RuleChecker] = {}
@@ -261,7 +262,7 @@
             while not ended.wait(0.1):
                 sample(director, name, found)
 
-        watchers = [threading.Thread(target=watch, args=(name,)) for name in scenario.worker_names(director.script)]
+        watchers = [threading.Thread(target=watch, args=(name,)) for name in scenario.worker_names(director.scenario)]
         for watcher in watchers:
             watcher.start()
         try:
--- a/tests/faulty_gateways.py
+++ b/tests/faulty_gateways.py
@@ -1,7 +1,11 @@
-"""A gateway made wrong on purpose: `python -m tests.faulty_gateways MISTAKE serve FILE`. The checker must find each."""
+"""Gateways with a deliberate defect: `python -m tests.faulty_gateways DEFECT serve FILE`.
+
+The rule checker must find the rule that each of them breaks.
+"""
 
 import itertools
 import sys
+from enum import Enum
 
 from wickdyke.cli import main
 from wickdyke.config import route_config
@@ -14,68 +18,83 @@
 from wickdyke.routing.prewarming import PrewarmLimiter
 from wickdyke.routing.slow_start import SlowStartGuard
 
-_turn = itertools.count(1)
+RESPONSES_PER_DEFECT = 50  # one response of so many is wrong
+
+
+class Defect(Enum):
+    """What is wrong with a gateway; the value is the word on the command line."""
+
+    NONE = "none"
+    DUPLICATE_RESPONSES = "duplicate-responses"
+    MISSING_RESPONSES = "missing-responses"
+    RETRIES_EVERYTHING = "retries-everything"
+    WITHDRAWS_WITHOUT_CANCEL = "withdraws-without-cancel"
+    IGNORES_DRAINING = "ignores-draining"
+    IGNORES_SLOW_START = "ignores-slow-start"
+    ACCEPTS_ANY_ROUTES = "accepts-any-routes"
+    UNLIMITED_PREWARMING = "unlimited-prewarming"
+
+
+_response_numbers = itertools.count(1)
 _answer = PendingRequest.answer
+_apply = EndpointList.apply
+
+
+def _is_defective_response():
+    return next(_response_numbers) % RESPONSES_PER_DEFECT == 0
 
 
-def _twice(ask, body):
-    _answer(ask, body)
-    if next(_turn) % 50 == 0:
-        ask.client.write(body + b"\n")
+def _answer_twice_at_times(request, body):
+    _answer(request, body)
+    if _is_defective_response():
+        request.client.write(body + b"\n")
 
 
-def _never(ask, body):
-    if next(_turn) % 50:
-        _answer(ask, body)
+def _answer_not_always(request, body):
+    if not _is_defective_response():
+        _answer(request, body)
 
 
-def _unsaid(attempts, pending, attempt, outcome):
+def _withdraw_without_cancel(attempts, pending, attempt, outcome):
     attempts.context.post(AttemptWithdrawn(pending, attempt, outcome))
 
 
-_rows = EndpointList.apply
+def _apply_as_ready(endpoint_list, rows, now):
+    return _apply(endpoint_list, [_ready(row) for row in rows], now)
 
 
-def _deaf(roster, rows, now):
-    return _rows(
-        roster,
-        [
-            EndpointRow(**{name: getattr(row, name) for name in row.__slots__ if name != "state"}, state="ready")
-            for row in rows
-        ],
-        now,
-    )
+def _ready(row):
+    return EndpointRow(**{name: getattr(row, name) for name in row.__slots__ if name != "state"}, state="ready")
 
 
-def _draining(roster, name):
+def _no_worker_is_draining(endpoint_list, name):
     return []
 
 
-def make(mistake):
-    """Puts the mistake in."""
-    match mistake:
-        case "none":
+def install(defect):
+    """Put the defect into the classes of this process's gateway."""
+    match defect:
+        case Defect.NONE:
             pass
-        case "answers twice":
-            PendingRequest.answer = _twice
-        case "never answers":
-            PendingRequest.answer = _never
-        case "repeats all":
+        case Defect.DUPLICATE_RESPONSES:
+            PendingRequest.answer = _answer_twice_at_times
+        case Defect.MISSING_RESPONSES:
+            PendingRequest.answer = _answer_not_always
+        case Defect.RETRIES_EVERYTHING:
             Request.may_have_run = lambda request: []
-        case "cancels in silence":
-            Attempts._withdraw = _unsaid
-        case "deaf to drains":
-            EndpointList.apply, EndpointList.draining = _deaf, _draining
-        case "blind to the cold":
+        case Defect.WITHDRAWS_WITHOUT_CANCEL:
+            Attempts._withdraw = _withdraw_without_cancel
+        case Defect.IGNORES_DRAINING:
+            EndpointList.apply = _apply_as_ready
+            EndpointList.draining = _no_worker_is_draining
+        case Defect.IGNORES_SLOW_START:
             SlowStartGuard.is_warming_up = lambda guard, worker, now: False
-        case "checks no routes":
-            route_config.sums.check = lambda terms, method, ground: []
-        case "orders at will":
+        case Defect.ACCEPTS_ANY_ROUTES:
+            route_config.validation.validate = lambda policy, request_class, environment: []
+        case Defect.UNLIMITED_PREWARMING:
             PrewarmLimiter.may_send = lambda limiter, worker, renewal, now: worker.endpoint.state == "ready"
-        case _:
-            raise SystemExit(f"no such mistake: {mistake}")
 
 
 if __name__ == "__main__":
-    make(sys.argv.pop(1))
-    main(prog_name="wrong")
+    install(Defect(sys.argv.pop(1)))
+    main(prog_name="faulty-gateway")
--- a/tests/test_fault_injection.py
+++ b/tests/test_fault_injection.py
@@ -1,4 +1,4 @@
-"""Whole days against real gateways: the rules hold, and the judge finds each that a wrong gateway breaks."""
+"""Scenarios against real gateways: the rules hold, and the checker finds each rule that a faulty gateway breaks."""
 
 import os
 import subprocess
@@ -7,12 +7,14 @@
 import threading
 import unittest
 
+from tests.faulty_gateways import Defect
 from wickdyke.config.sexpr import InvalidConfigError
 from wickdyke.fault_injection import scenario, trace
+from wickdyke.fault_injection.child_process import RigError
 from wickdyke.fault_injection.rule_checker import RuleChecker
-from wickdyke.fault_injection.scenario_runner import RigError, ScenarioRunner
+from wickdyke.fault_injection.scenario_runner import ScenarioRunner
 
-DAY = """(script "day" (length 6 s) (gateways 2) (workers 6) (zones 2) (rate 130) (drain-grace 300 ms)
+FAULTS_SCENARIO = """(script "day" (length 6 s) (gateways 2) (workers 6) (zones 2) (rate 130) (drain-grace 300 ms)
   (warmup (start-share 0.05) (ramp 8 s) (multiple 1.5) (window 2 s)) (ration (free 3) (share 0.02) (window 5 s))
   (method "idem" (effect idempotent) (soft-deadline 750 ms) (deadline 3 s) (work 60 ms) (programs 30) (load 300 ms))
   (method "side" (effect side-effecting) (soft-deadline 1 s) (deadline 2 s) (part 0.5) (work 40 ms) (programs 4))
@@ -24,92 +26,95 @@
   (on (call-out "w4" 15) (die "w4")))"""
 
 
-FORCED = """(script "forced" (length 5 s) (gateways 1) (workers 4) (rate 60) (cancel no)
+INVALID_ROUTES_SCENARIO = """(script "forced" (length 5 s) (gateways 1) (workers 4) (rate 60) (cancel no)
   (method "idem" (effect idempotent) (soft-deadline 750 ms) (deadline 4 s) (work 20 ms) (programs 4) (load 50 ms))
   (route "r" (attempt 300 ms%s) (attempts 3) (pause (first %s ms)) (again timeout full))
   (at 1 s (hang "w1" (for 3 s))) (at 2 s (hang "w2" (for 2 s))))"""
 
 
-class Forced(unittest.TestCase):
-    def test_past_the_check(self):
-        """A file that the check refuses, forced past it, breaks the rule that the check keeps; a good one does not."""
+def faulty_gateway_command(defect):
+    """The command that starts a gateway with a defect."""
+    return (sys.executable, "-m", "tests.faulty_gateways", defect.value, "serve")
+
+
+class InvalidRoutesTest(unittest.TestCase):
+    def test_rule_of_skipped_validation(self):
+        """Invalid routes, forced past the validation, break the rule that it guards; else the gateway refuses them."""
         with tempfile.TemporaryDirectory(prefix="wd-") as folder:
-            for name, figures, mistake, rules in (
-                ("bad", ("", 1), "checks no routes", {2}),
-                ("refused", ("", 1), "none", None),
+            for name, figures, defect, rules in (
+                ("bad", ("", 1), Defect.ACCEPTS_ANY_ROUTES, {2}),
+                ("refused", ("", 1), Defect.NONE, None),
             ):
                 with self.subTest(case=name):
                     path = os.path.join(folder, f"{name}.sexp")
                     with open(path, "w") as sink:
-                        sink.write(FORCED % figures)
-                    director = ScenarioRunner(
-                        scenario.read(path),
-                        os.path.join(folder, name),
-                        (sys.executable, "-m", "tests.faulty_gateways", mistake, "serve"),
+                        sink.write(INVALID_ROUTES_SCENARIO % figures)
+                    runner = ScenarioRunner(
+                        scenario.read(path), os.path.join(folder, name), faulty_gateway_command(defect)
                     )
                     if rules is None:
                         with self.assertRaises(RigError):
-                            director.run()
-                        with open(os.path.join(folder, name, "g1.err")) as said:
-                            self.assertIn("does not cancel", said.read())
+                            runner.run()
+                        with open(os.path.join(folder, name, "g1.err")) as error_log:
+                            self.assertIn("does not cancel", error_log.read())
                         continue
-                    judge = RuleChecker(trace.read(director.run()))
-                    self.assertEqual({finding.rule for finding in judge.findings}, rules)
+                    checker = RuleChecker(trace.read(runner.run()))
+                    self.assertEqual({finding.rule for finding in checker.findings}, rules)
 
 
-class Mistakes(unittest.TestCase):
-    def test_found(self):
-        """(mistake) -> the rule that the judge must find broken; with none, all are kept."""
+class DefectsTest(unittest.TestCase):
+    def test_broken_rules_found(self):
+        """(defect) -> the rule that the checker must find broken; without a defect all rules are kept."""
         cases = (
-            ("none", set()),
-            ("answers twice", {1}),
-            ("never answers", {1}),
-            ("repeats all", {2}),
-            ("cancels in silence", {2}),
-            ("deaf to drains", {3}),
-            ("blind to the cold", {4}),
-            ("orders at will", {5}),
+            (Defect.NONE, set()),
+            (Defect.DUPLICATE_RESPONSES, {1}),
+            (Defect.MISSING_RESPONSES, {1}),
+            (Defect.RETRIES_EVERYTHING, {2}),
+            (Defect.WITHDRAWS_WITHOUT_CANCEL, {2}),
+            (Defect.IGNORES_DRAINING, {3}),
+            (Defect.IGNORES_SLOW_START, {4}),
+            (Defect.UNLIMITED_PREWARMING, {5}),
         )
-        found, failed = {}, {}
+        checkers, errors = {}, {}
         with tempfile.TemporaryDirectory(prefix="wd-") as folder:
             path = os.path.join(folder, "day.sexp")
             with open(path, "w") as sink:
-                sink.write(DAY)
-            # Attempts that are over are taken back at once, however long the module waits for a silent worker.
-            timed = os.path.join(folder, "timed.sexp")
-            with open(timed, "w") as sink:
-                sink.write(FORCED.replace(" (cancel no)", "") % ("", 1))
+                sink.write(FAULTS_SCENARIO)
+            # With timed attempts a withdrawal does not depend on how long the router waits for a silent worker.
+            timed_path = os.path.join(folder, "timed.sexp")
+            with open(timed_path, "w") as sink:
+                sink.write(INVALID_ROUTES_SCENARIO.replace(" (cancel no)", "") % ("", 1))
 
-            def play(mistake):
+            def run(defect):
                 try:
-                    script = scenario.read(timed if mistake == "cancels in silence" else path)
-                    director = ScenarioRunner(
-                        script,
-                        os.path.join(folder, mistake.replace(" ", "-")),
-                        (sys.executable, "-m", "tests.faulty_gateways", mistake, "serve"),
+                    runner = ScenarioRunner(
+                        scenario.read(timed_path if defect is Defect.WITHDRAWS_WITHOUT_CANCEL else path),
+                        os.path.join(folder, defect.value),
+                        faulty_gateway_command(defect),
                     )
-                    found[mistake] = RuleChecker(trace.read(director.run()))
-                except Exception as bad:
-                    failed[mistake] = bad
+                    checkers[defect] = RuleChecker(trace.read(runner.run()))
+                except Exception as error:  # noqa: BLE001 - the main thread asserts that there is none
+                    errors[defect] = error
 
-            for few in (cases[:3], cases[3:6], cases[6:]):  # a few at once: each is several processes
-                threads = [threading.Thread(target=play, args=(mistake,)) for mistake, _ in few]
+            for batch in (cases[:3], cases[3:6], cases[6:]):  # a few at once: each run is several processes
+                threads = [threading.Thread(target=run, args=(defect,)) for defect, _ in batch]
                 for thread in threads:
                     thread.start()
                 for thread in threads:
                     thread.join()
-        self.assertEqual(failed, {})
-        for mistake, rules in cases:
-            with self.subTest(mistake=mistake):
-                got = {finding.rule for finding in found[mistake].findings}
-                self.assertLessEqual(rules, got, [str(f) for f in found[mistake].findings[:5]])
+        self.assertEqual(errors, {})
+        for defect, rules in cases:
+            with self.subTest(defect=defect):
+                findings = checkers[defect].findings
+                broken_rules = {finding.rule for finding in findings}
+                self.assertLessEqual(rules, broken_rules, [str(finding) for finding in findings[:5]])
                 if not rules:
-                    self.assertEqual(got, set(), [str(f) for f in found[mistake].findings[:5]])
+                    self.assertEqual(broken_rules, set(), [str(finding) for finding in findings[:5]])
 
 
-class Scripts(unittest.TestCase):
-    def test_bad(self):
-        """(what stands in place of a trouble) -> words of the one message."""
+class InvalidScenariosTest(unittest.TestCase):
+    def test_diagnostics(self):
+        """(an invalid fault) -> words of the one diagnostic."""
         for text, words in (
             ('(at 1 s (dye "w1"))', ("dye", "die")),
             ('(at 1 s (die "w9"))', ("w9", "w1, w2")),
@@ -129,44 +134,45 @@
                     " (soft-deadline 1 s) (deadline 2 s) (work 1 ms)))"
                 )
                 sink.flush()
-                with self.assertRaises(InvalidConfigError) as bad:
+                with self.assertRaises(InvalidConfigError) as raised:
                     scenario.read(sink.name)
-                self.assertEqual(len(bad.exception.troubles), 1, bad.exception)
+                self.assertEqual(len(raised.exception.troubles), 1, raised.exception)
                 for word in words:
-                    self.assertIn(word, str(bad.exception))
+                    self.assertIn(word, str(raised.exception))
 
 
-class Commands(unittest.TestCase):
-    def test_codes(self):
-        """(arguments) -> exit code, and words; never a traceback."""
+class CommandsTest(unittest.TestCase):
+    def test_exit_codes(self):
+        """(arguments) -> exit code and words of the output; never a traceback."""
         with tempfile.TemporaryDirectory() as folder:
-            broken, good = os.path.join(folder, "a.trace"), os.path.join(folder, "b.trace")
-            with open(broken, "w") as sink:
+            invalid = os.path.join(folder, "a.trace")
+            without_terms = os.path.join(folder, "b.trace")
+            with open(invalid, "w") as sink:
                 sink.write("no\n{}\n")
-            with open(good, "w") as sink:
+            with open(without_terms, "w") as sink:
                 sink.write('{"t":1,"by":"c","n":1,"what":"x"}\n')
-            for argv, code, words in (
-                (("judge", broken), 2, "a.trace:1"),
-                (("judge", good), 2, "terms"),
+            for arguments, code, words in (
+                (("judge", invalid), 2, "a.trace:1"),
+                (("judge", without_terms), 2, "terms"),
                 (("judge", folder + "/none"), 2, "none"),
                 (("prove", folder + "/none"), 2, "none"),
                 (("check", folder + "/none"), 2, "none"),
                 (("serve", folder + "/none"), 2, "none"),
                 (("up", folder + "/none"), 2, "none"),
-                (("replay", broken), 2, "recording"),
+                (("replay", invalid), 2, "recording"),
                 (("replay", folder + "/none"), 2, "none"),
                 (("call", folder + "/none", "m", "p"), 5, "none"),
                 (("call", "10.0.0.1:80", "m", "p"), 5, "loopback"),
                 (("dance",), 2, "dance"),
                 (("check", "scripts/small.sexp"), 0, "good"),
             ):
-                with self.subTest(argv=argv):
-                    done = subprocess.run(
-                        [sys.executable, "-m", "wickdyke.cli", *argv], capture_output=True, text=True, timeout=60
+                with self.subTest(arguments=arguments):
+                    completed = subprocess.run(
+                        [sys.executable, "-m", "wickdyke.cli", *arguments], capture_output=True, text=True, timeout=60
                     )
-                    self.assertEqual(done.returncode, code, done.stderr)
-                    self.assertIn(words, done.stdout + done.stderr)
-                    self.assertNotIn("Traceback", done.stderr)
+                    self.assertEqual(completed.returncode, code, completed.stderr)
+                    self.assertIn(words, completed.stdout + completed.stderr)
+                    self.assertNotIn("Traceback", completed.stderr)
 
 
 if __name__ == "__main__":
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -44,7 +44,7 @@
                 gateway = director.gateways["g1"]
                 self.assertEqual(run("serve", os.path.join(folder, "run", "g1.sexp"))[0], 2)  # a live one is there
                 gateway.process.send_signal(signal.SIGTERM)
-                self.assertEqual(gateway.end(), 0)
+                self.assertEqual(gateway.wait(), 0)
                 self.assertEqual(run("call", sock, "m", "p")[0], 5)
             finally:
                 director.close()
--- a/wickdyke/cli/prove.py
+++ b/wickdyke/cli/prove.py
@@ -1,4 +1,4 @@
-"""prove, judge and replay."""
+"""The commands prove, judge and replay: run scenarios, check the rules, compare recorded decisions."""
 
 import os
 import shutil
@@ -10,11 +10,16 @@
 
 from wickdyke.config.sexpr import InvalidConfigError
 from wickdyke.fault_injection import report, scenario, trace
+from wickdyke.fault_injection.child_process import RigError
 from wickdyke.fault_injection.rule_checker import RuleChecker
-from wickdyke.fault_injection.scenario_runner import RigError, ScenarioRunner
+from wickdyke.fault_injection.scenario import Scenario
+from wickdyke.fault_injection.scenario_runner import ScenarioRunner
 from wickdyke.gateway import recording as recordings
 
-BROKEN, BAD, RIG = 1, 2, 3
+EXIT_RULE_BROKEN = 1
+EXIT_INVALID_INPUT = 2
+EXIT_RIG_FAILED = 3
+MAX_FINDINGS = 20  # of a rule, shown by judge
 
 
 @click.command()
@@ -32,48 +37,51 @@
         wickdyke prove scripts/bad-day.sexp
     """
     try:
-        played = [scenario.read(file) for file in files]
-    except InvalidConfigError as bad:
-        print(bad, file=sys.stderr)
-        raise SystemExit(BAD) from None
-    broken = False
-    for script in played:
-        first = script.seed
+        scenarios = [scenario.read(file) for file in files]
+    except InvalidConfigError as error:
+        print(error, file=sys.stderr)
+        raise SystemExit(EXIT_INVALID_INPUT) from None
+    any_broken = False
+    for current in scenarios:
+        first_seed = current.seed
         for step in range(seeds):
-            script.seed = first + step
-            folder = os.path.join(keep, f"{script.name.replace(' ', '-')}-{script.seed}") if keep else None
-            broken |= _play(script, folder, brief)
-    raise SystemExit(BROKEN if broken else 0)
-
-
-def _play(script: scenario.Scenario, folder: str | None, brief: bool) -> bool:
-    made = folder or tempfile.mkdtemp(prefix="wd-")
-    say: Callable[[str], None] = (lambda text: None) if brief else print
-    say(
-        f"{script.name}, seed {script.seed}: {script.gateways} gateways, {script.workers} workers, "
-        f"{script.length / 1000:g} s"
+            current.seed = first_seed + step
+            folder = os.path.join(keep, f"{current.name.replace(' ', '-')}-{current.seed}") if keep else None
+            any_broken |= _run(current, folder, brief)
+    raise SystemExit(EXIT_RULE_BROKEN if any_broken else 0)
+
+
+def _run(current: Scenario, kept_folder: str | None, brief: bool) -> bool:
+    """Run a scenario once and print the result; returns whether a rule broke."""
+    folder = kept_folder or tempfile.mkdtemp(prefix="wd-")
+    report_progress: Callable[[str], None] = (lambda text: None) if brief else print
+    report_progress(
+        f"{current.name}, seed {current.seed}: {current.gateway_count} gateways, {current.worker_count} workers, "
+        f"{current.duration_ms / 1000:g} s"
     )
-    director = ScenarioRunner(script, made, say=say)
+    runner = ScenarioRunner(current, folder, report_progress=report_progress)
     try:
-        judge = RuleChecker(trace.read(director.run()))
-    except (RigError, trace.InvalidTraceError) as bad:
-        print(f"{script.name}, seed {script.seed}: {bad}", file=sys.stderr)
-        raise SystemExit(RIG) from None
+        checker = RuleChecker(trace.read(runner.run()))
+    except (RigError, trace.InvalidTraceError) as error:
+        print(f"{current.name}, seed {current.seed}: {error}", file=sys.stderr)
+        raise SystemExit(EXIT_RIG_FAILED) from None
     if brief:
-        totals = {column: sum(counts[column] for counts in judge.outcomes().values()) for column in report.COLUMNS}
-        rules = (
-            "rules kept"
-            if not judge.findings
-            else "BROKEN " + ", ".join(str(rule) for rule in sorted({finding.rule for finding in judge.findings}))
-        )
-        print(f"{script.name} | {script.seed} | {rules} | " + " | ".join(map(str, totals.values())), flush=True)
+        print(_brief_line(current, checker), flush=True)
     else:
-        say("\n" + report.verdict(judge))
-    if judge.findings or folder:
-        print(f"traces and logs: {made}")
+        print("\n" + report.verdict(checker))
+    if checker.findings or kept_folder:
+        print(f"traces and logs: {folder}")
     else:
-        shutil.rmtree(made, ignore_errors=True)
-    return bool(judge.findings)
+        shutil.rmtree(folder, ignore_errors=True)
+    return bool(checker.findings)
+
+
+def _brief_line(current: Scenario, checker: RuleChecker) -> str:
+    outcomes = checker.outcomes().values()
+    totals = [str(sum(counts[column] for counts in outcomes)) for column in report.COLUMNS]
+    broken_rules = sorted({finding.rule for finding in checker.findings})
+    rules = "BROKEN " + ", ".join(map(str, broken_rules)) if broken_rules else "rules kept"
+    return f"{current.name} | {current.seed} | {rules} | " + " | ".join(totals)
 
 
 @click.command()
@@ -87,21 +95,25 @@
     Example:
         wickdyke judge run/bad-day-11
     """
-    paths = [
-        os.path.join(each, name)
-        for each in traces
-        if os.path.isdir(each)
-        for name in sorted(os.listdir(each))
+    try:
+        checker = RuleChecker(trace.read(_trace_files(traces)))
+    except (trace.InvalidTraceError, ValueError) as error:
+        print(error, file=sys.stderr)
+        raise SystemExit(EXIT_INVALID_INPUT) from None
+    print(report.verdict(checker, MAX_FINDINGS))
+    raise SystemExit(EXIT_RULE_BROKEN if checker.findings else 0)
+
+
+def _trace_files(paths: tuple[str, ...]) -> list[str]:
+    """The traces of the folders among the paths, then the paths that are no folders."""
+    in_folders = [
+        os.path.join(folder, name)
+        for folder in paths
+        if os.path.isdir(folder)
+        for name in sorted(os.listdir(folder))
         if name.endswith(".trace")
     ]
-    paths += [each for each in traces if not os.path.isdir(each)]
-    try:
-        judged = RuleChecker(trace.read(paths))
-    except (trace.InvalidTraceError, ValueError) as bad:
-        print(bad, file=sys.stderr)
-        raise SystemExit(BAD) from None
-    print(report.verdict(judged, shown=20))
-    raise SystemExit(BROKEN if judged.findings else 0)
+    return in_folders + [path for path in paths if not os.path.isdir(path)]
 
 
 @click.command()
@@ -117,9 +129,9 @@
     """
     try:
         with open(recording, "rb") as source:
-            alike, differs = recordings.replay(source)
-    except (OSError, ValueError, KeyError, TypeError) as bad:
-        print(f"{recording}: found {bad}, expected a recording", file=sys.stderr)
-        raise SystemExit(BAD) from None
-    print(f"{alike} decisions alike" + (f"; then: {differs}" if differs else ""))
-    raise SystemExit(BROKEN if differs else 0)
+            equal_count, difference = recordings.replay(source)
+    except (OSError, ValueError, KeyError, TypeError) as error:
+        print(f"{recording}: found {error}, expected a recording", file=sys.stderr)
+        raise SystemExit(EXIT_INVALID_INPUT) from None
+    print(f"{equal_count} decisions alike" + (f"; then: {difference}" if difference else ""))
+    raise SystemExit(EXIT_RULE_BROKEN if difference else 0)
--- a/wickdyke/cli/serve.py
+++ b/wickdyke/cli/serve.py
@@ -10,7 +10,8 @@
 from wickdyke.config import gateway_config
 from wickdyke.config.sexpr import InvalidConfigError
 from wickdyke.fault_injection import scenario
-from wickdyke.fault_injection.scenario_runner import RigError, ScenarioRunner
+from wickdyke.fault_injection.child_process import RigError
+from wickdyke.fault_injection.scenario_runner import ScenarioRunner
 from wickdyke.gateway import log as logs
 from wickdyke.jsonrpc.service import Gateway, until_signal
 from wickdyke.transport.line_server import AddressInUse
@@ -90,7 +91,7 @@
             for child in director.gateways.values():
                 child.process.send_signal(signal.SIGTERM)
             for child in director.gateways.values():
-                child.end()
+                child.wait()
         except RigError as bad:
             _fail(str(bad), 3)
         finally:
--- a/wickdyke/fault_injection/__init__.py
+++ b/wickdyke/fault_injection/__init__.py
@@ -1,4 +1,5 @@
-"""Stand-ins, fault scripts, the recorder of traffic and the judge of the five rules.
+"""Fault injection: fake workers, store and clients, scenarios of faults, and the checker of the five rules.
 
-It sees sockets: it uses the protocol and the reader of S-expressions, never the gateway or the module.
+Everything is observed at the sockets: this package uses the wire protocol and the reader of S-expressions, never the
+gateway or its router.
 """
--- /dev/null
+++ b/wickdyke/fault_injection/endpoint_publisher.py
@@ -0,0 +1,60 @@
+"""The endpoint file of a scenario over time: which workers it lists, in which state, and how late."""
+
+from dataclasses import replace
+
+from wickdyke.config import endpoint_file
+from wickdyke.config.endpoint_file import EndpointRow
+from wickdyke.fault_injection.run_folder import RunFolder
+from wickdyke.fault_injection.scenario import EndpointState
+from wickdyke.fault_injection.timeline import Timeline
+from wickdyke.fault_injection.trace import TraceRecorder, clock
+
+ENDPOINT_FILE = "workers.sexp"
+
+
+class EndpointPublisher:
+    """Writes the endpoint file that the gateways follow, and records in the trace what it lists."""
+
+    def __init__(self, folder: RunFolder, timeline: Timeline, record: TraceRecorder, lag: float) -> None:
+        """Publish changes `lag` ms after they happen."""
+        self.lag = lag
+        self.rows: dict[str, EndpointRow] = {}  # workers as they were last started, by name
+        self._folder = folder
+        self._timeline = timeline
+        self._record = record
+        self._published: dict[str, EndpointRow] = {}
+        self._last_due = 0.0  # trace clock, ms: changes are published in the order in which they happened
+
+    def set_lag(self, lag: float) -> None:
+        """Publish later changes `lag` ms after they happen."""
+        self.lag = lag
+
+    def publish_all(self) -> None:
+        """List every worker at once, as ready; raises OSError."""
+        self._published = dict(self.rows)
+        self._write_file()
+
+    def record_all(self) -> None:
+        """Record in the trace that every worker is listed as ready."""
+        for name, row in self.rows.items():
+            self._record("told", worker=name, state=EndpointState.READY.value, start=row.start)
+
+    def publish_later(self, name: str, state: EndpointState, lag: float | None = None) -> None:
+        """List a worker in a new state after `lag` ms, or after the lag in force."""
+        self._last_due = max(self._last_due, clock() + (self.lag if lag is None else lag))
+        row = replace(self.rows[name], state=state.value)
+        self._timeline.schedule(self._last_due - clock(), self._publish, row)
+
+    def _publish(self, row: EndpointRow) -> None:
+        self._published[row.name] = row
+        # Danger: a gateway may read the new file before this process records it. So `ready` counts from before the
+        # file is replaced and the other states from after it; otherwise an attempt that was sent in good time would
+        # look like one sent to a draining worker.
+        before = clock()
+        self._write_file()
+        published_at = before if row.state == EndpointState.READY.value else None
+        self._record("told", published_at, worker=row.name, state=row.state, start=row.start)
+
+    def _write_file(self) -> None:
+        listed = [row for row in self._published.values() if row.state != EndpointState.GONE.value]
+        self._folder.replace(ENDPOINT_FILE, endpoint_file.format_endpoints(listed))
--- /dev/null
+++ b/wickdyke/fault_injection/fault_injector.py
@@ -0,0 +1,168 @@
+"""Injects the faults of a scenario into the processes of a run."""
+
+import signal
+from collections.abc import Callable
+
+import psutil  # type: ignore[import-untyped]  # the package has no types
+
+from wickdyke.fault_injection.endpoint_publisher import EndpointPublisher
+from wickdyke.fault_injection.faults import Fault, FaultKind
+from wickdyke.fault_injection.rig_processes import RigProcesses
+from wickdyke.fault_injection.run_folder import RunFolder
+from wickdyke.fault_injection.scenario import Scenario
+from wickdyke.fault_injection.timeline import Timeline
+from wickdyke.fault_injection.worker_lifecycle import WorkerLifecycle
+
+ROUTE_FILE = "routes.sexp"
+DEPLOY_DRAIN_SHARE = 0.8  # of the time between the workers of a deploy
+VALUE_KEYS = ("factor", "share", "past")  # a fault that a fake worker is sent has at most one of them
+
+
+def write_routes(folder: RunFolder, routes: str) -> None:
+    """Replace the route file that the gateways follow; raises OSError."""
+    folder.replace(ROUTE_FILE, f"(routes {routes})\n")
+
+
+def worker_command(fault: Fault) -> dict[str, object]:
+    """The command that starts a fault in a fake worker."""
+    command: dict[str, object] = {"fault": fault.kind.value}
+    if "for" in fault.values:
+        command["for"] = fault.duration
+    for key in VALUE_KEYS:
+        if key in fault.values:
+            command["value"] = fault.values[key]
+    return command
+
+
+class FaultInjector:
+    """Starts faults, and ends those that last for a time."""
+
+    def __init__(
+        self,
+        scenario: Scenario,
+        processes: RigProcesses,
+        endpoints: EndpointPublisher,
+        timeline: Timeline,
+        folder: RunFolder,
+        workers: WorkerLifecycle,
+    ) -> None:
+        self._scenario = scenario
+        self._processes = processes
+        self._endpoints = endpoints
+        self._timeline = timeline
+        self._folder = folder
+        self._workers = workers
+        self._handlers: dict[FaultKind, Callable[[Fault], None]] = {
+            FaultKind.DIE: self._kill_workers,
+            FaultKind.LOSE_ZONE: self._kill_zones,
+            FaultKind.DRAIN: self._drain_workers,
+            FaultKind.DEPLOY: self._deploy_workers,
+            FaultKind.AGE: self._age_workers,
+            FaultKind.REROUTE: self._replace_routes,
+            FaultKind.KILL_REPLICA: self._kill_replicas,
+            FaultKind.RELEASE: self._release,
+            FaultKind.LIST_LAG: self._delay_endpoint_file,
+            FaultKind.KILL_GATEWAY: self._kill_gateways,
+            FaultKind.STALL: self._stall_store,
+            FaultKind.STORE_DOWN: self._kill_store,
+            FaultKind.BURST: self._change_rate,
+            FaultKind.HOT: self._call_few_functions,
+            FaultKind.ONCE: self._change_share,
+            FaultKind.SHORT: self._change_share,
+        }
+
+    def inject(self, fault: Fault) -> None:
+        """Start a fault now."""
+        self._handlers.get(fault.kind, self._send_to_workers)(fault)
+
+    def arm(self, fault: Fault) -> None:
+        """Have the fake worker of the fault's trigger start the fault on its event."""
+        if fault.trigger is None:
+            raise ValueError(f"{fault.location}: a fault without a trigger")
+        trigger = fault.trigger
+        self._processes.workers[trigger.worker].send(
+            {"on": trigger.event.value, "nth": trigger.nth, "fault": worker_command(fault)}
+        )
+
+    # ---- workers ----
+
+    def _send_to_workers(self, fault: Fault) -> None:
+        for name in fault.targets:
+            self._processes.workers[name].send(worker_command(fault))
+
+    def _kill_workers(self, fault: Fault) -> None:
+        for name in fault.targets:
+            self._workers.kill(name, fault.restart_delay)
+
+    def _kill_zones(self, fault: Fault) -> None:
+        for zone in fault.targets:
+            self._workers.kill_zone(zone, fault.restart_delay)
+
+    def _drain_workers(self, fault: Fault) -> None:
+        for name in fault.targets:
+            self._workers.drain(name, fault.duration)
+
+    def _deploy_workers(self, fault: Fault) -> None:
+        interval = fault.values["each"]
+        for index, name in enumerate(fault.targets):
+            self._timeline.schedule(index * interval, self._workers.drain, name, interval * DEPLOY_DRAIN_SHARE)
+
+    def _age_workers(self, fault: Fault) -> None:
+        for name in fault.targets:
+            self._processes.workers[name].send(worker_command(fault))
+            self._timeline.schedule(fault.duration, self._workers.kill, name, fault.restart_delay)
+
+    def _release(self, fault: Fault) -> None:
+        for child in self._processes.workers.values():
+            child.send(worker_command(fault))
+
+    def _kill_replicas(self, fault: Fault) -> None:
+        for name in fault.targets:
+            for parent in psutil.Process(self._processes.workers[name].process.pid).children():
+                for replica in parent.children()[:1]:
+                    replica.kill()
+
+    # ---- gateways, routes and the endpoint file ----
+
+    def _kill_gateways(self, fault: Fault) -> None:
+        for name in fault.targets:
+            self._processes.kill_gateway(name)
+            self._timeline.schedule(fault.restart_delay, self._processes.start_gateway, name)
+
+    def _replace_routes(self, fault: Fault) -> None:
+        write_routes(self._folder, fault.routes)
+
+    def _delay_endpoint_file(self, fault: Fault) -> None:
+        self._endpoints.set_lag(fault.values["by"])
+        self._timeline.schedule(fault.duration, self._endpoints.set_lag, self._scenario.endpoint_lag_ms)
+
+    # ---- store ----
+
+    def _stall_store(self, fault: Fault) -> None:
+        store = self._processes.store
+        if self._scenario.real_workers:
+            store.send_signal(signal.SIGSTOP)
+            self._timeline.schedule(fault.duration, store.send_signal, signal.SIGCONT)
+        else:
+            store.send({"for": fault.duration})
+
+    def _kill_store(self, fault: Fault) -> None:
+        self._processes.store.kill()
+        self._timeline.schedule(fault.restart_delay, self._processes.start_store)
+
+    # ---- traffic ----
+
+    def _change_rate(self, fault: Fault) -> None:
+        self._change_traffic(fault, fault.values["factor"], 1.0)
+
+    def _change_share(self, fault: Fault) -> None:
+        self._change_traffic(fault, fault.values["share"], 0.0)
+
+    def _call_few_functions(self, fault: Fault) -> None:
+        self._change_traffic(fault, [fault.values["programs"], fault.values["share"]], [1, 0.0])
+
+    def _change_traffic(self, fault: Fault, value: object, normal_value: object) -> None:
+        key = fault.kind.value
+        for client in self._processes.load_clients:
+            client.send({key: value})
+            self._timeline.schedule(fault.duration, client.send, {key: normal_value})
--- /dev/null
+++ b/wickdyke/fault_injection/faults.py
@@ -0,0 +1,290 @@
+"""The faults that a scenario can inject, and the reader of their (at ...) and (on ...) expressions.
+
+The names of faults and of their values are keys of scenario files, commands to fake processes and words of traces.
+"""
+
+from dataclasses import dataclass, field
+from enum import Enum
+from typing import Any
+
+from wickdyke.config import schema, sexpr
+from wickdyke.config.schema import Diagnostics, Reader, count, number, span
+from wickdyke.config.sexpr import Atom, Expression, SourceLocation
+
+
+class FaultKind(Enum):
+    """What goes wrong; the value is the name in scenario files."""
+
+    DIE = "die"  # the worker is killed and started again
+    DRAIN = "drain"  # the worker is drained, then replaced
+    DEPLOY = "deploy"  # the workers are drained and replaced one after another
+    HANG = "hang"  # the worker answers nothing
+    SLOW = "slow"  # the worker's work takes longer
+    FAIL = "fail"  # a share of the attempts fails
+    LOSE = "lose"  # a share of the responses is not sent
+    NEIGHBOUR = "neighbour"  # another tenant uses a share of the cores
+    AGE = "age"  # the worker becomes slower and slower until it is restarted
+    LATE = "late"  # one response comes after its deadline
+    RELEASE = "release"  # a release: workers drop their loaded functions
+    LIST_LAG = "list-lag"  # the endpoint file is written later than usual
+    BURST = "burst"  # more requests
+    HOT = "hot"  # a share of the requests calls very few functions
+    ONCE = "once"  # a share of the requests calls functions that nothing else calls
+    SHORT = "short"  # a share of the requests has a shorter deadline
+    STALL = "stall"  # the store serves nothing
+    KILL_GATEWAY = "kill-gateway"  # the gateway is killed and started again
+    LOSE_ZONE = "lose-zone"  # all workers of the zone are killed and started again
+    REROUTE = "reroute"  # the route file is replaced
+    KILL_REPLICA = "kill-copy"  # one replica process of the worker is killed
+    STORE_DOWN = "store-down"  # the store is killed and started again
+
+
+class FaultTarget(Enum):
+    """What a fault names; the value is the word of messages."""
+
+    WORKERS = "workers"
+    GATEWAYS = "gateway"
+    ZONES = "zone"
+    ROUTES = "routes"
+    NONE = "none"
+
+
+class WorkerSupport(Enum):
+    """Which workers can have a fault."""
+
+    ANY = "any"
+    FAKE_ONLY = "fake only"
+    REAL_ONLY = "real only"
+
+
+class TriggerEvent(Enum):
+    """What a worker counts until a fault starts; the value is the name in scenario files."""
+
+    ATTEMPT = "call-out"
+    LOAD = "load"
+
+
+@dataclass(slots=True, frozen=True)
+class FaultParameter:
+    """A value of a fault: how it is read, and what it is where it is left out."""
+
+    reader: Reader
+    default: float
+
+
+@dataclass(slots=True, frozen=True)
+class FaultSpecification:
+    """What a kind of fault names, which values it takes, who can have it, and whether an event can trigger it."""
+
+    target: FaultTarget
+    parameters: dict[str, FaultParameter] = field(default_factory=dict)
+    support: WorkerSupport = WorkerSupport.ANY
+    on_event: bool = False
+
+
+@dataclass(slots=True, frozen=True)
+class FaultTrigger:
+    """A fault starts when the worker gets its `nth` attempt or load."""
+
+    event: TriggerEvent
+    worker: str
+    nth: int
+
+
+@dataclass(slots=True, frozen=True)
+class Fault:
+    """One fault of a scenario: at a time (`at`, ms from the start of the run) or on a trigger."""
+
+    kind: FaultKind
+    targets: tuple[str, ...]
+    values: dict[str, float]  # by the keys of scenario files; times in ms
+    location: SourceLocation
+    at: float | None = None
+    trigger: FaultTrigger | None = None
+    routes: str = ""  # the text of the new route file, for REROUTE
+
+    @property
+    def duration(self) -> float:
+        """How long the fault lasts, in ms."""
+        return self.values["for"]
+
+    @property
+    def restart_delay(self) -> float:
+        """After how many ms what was killed is started again."""
+        return self.values["back"]
+
+    def __str__(self) -> str:
+        return " ".join([self.kind.value, *self.targets, *[f"{key}={value:g}" for key, value in self.values.items()]])
+
+
+def _duration(default: float) -> FaultParameter:
+    return FaultParameter(span(), default)
+
+
+def _share(maximum: float, default: float) -> FaultParameter:
+    return FaultParameter(number(0, maximum), default)
+
+
+FAULT_SPECIFICATIONS: dict[FaultKind, FaultSpecification] = {
+    FaultKind.DIE: FaultSpecification(FaultTarget.WORKERS, {"back": _duration(4000.0)}, on_event=True),
+    FaultKind.DRAIN: FaultSpecification(FaultTarget.WORKERS, {"for": _duration(3000.0)}),
+    FaultKind.DEPLOY: FaultSpecification(FaultTarget.WORKERS, {"each": _duration(2500.0)}),
+    FaultKind.HANG: FaultSpecification(
+        FaultTarget.WORKERS, {"for": _duration(4000.0)}, WorkerSupport.FAKE_ONLY, on_event=True
+    ),
+    FaultKind.SLOW: FaultSpecification(
+        FaultTarget.WORKERS,
+        {"factor": FaultParameter(number(1, 1000), 4.0), "for": _duration(5000.0)},
+        WorkerSupport.FAKE_ONLY,
+        on_event=True,
+    ),
+    FaultKind.FAIL: FaultSpecification(
+        FaultTarget.WORKERS,
+        {"share": _share(1, 0.8), "for": _duration(5000.0)},
+        WorkerSupport.FAKE_ONLY,
+        on_event=True,
+    ),
+    FaultKind.LOSE: FaultSpecification(
+        FaultTarget.WORKERS,
+        {"share": _share(1, 0.3), "for": _duration(5000.0)},
+        WorkerSupport.FAKE_ONLY,
+        on_event=True,
+    ),
+    FaultKind.NEIGHBOUR: FaultSpecification(
+        FaultTarget.WORKERS,
+        {"share": _share(0.95, 0.6), "for": _duration(5000.0)},
+        WorkerSupport.FAKE_ONLY,
+        on_event=True,
+    ),
+    FaultKind.AGE: FaultSpecification(
+        FaultTarget.WORKERS,
+        {"factor": FaultParameter(number(0, 1000), 6.0), "for": _duration(6000.0), "back": _duration(4000.0)},
+        WorkerSupport.FAKE_ONLY,
+    ),
+    FaultKind.LATE: FaultSpecification(
+        FaultTarget.WORKERS, {"past": _duration(5.0)}, WorkerSupport.FAKE_ONLY, on_event=True
+    ),
+    FaultKind.RELEASE: FaultSpecification(FaultTarget.NONE, support=WorkerSupport.FAKE_ONLY),
+    FaultKind.LIST_LAG: FaultSpecification(FaultTarget.NONE, {"by": _duration(4000.0), "for": _duration(8000.0)}),
+    FaultKind.BURST: FaultSpecification(
+        FaultTarget.NONE, {"factor": FaultParameter(number(0.01, 100), 2.0), "for": _duration(4000.0)}
+    ),
+    FaultKind.HOT: FaultSpecification(
+        FaultTarget.NONE,
+        {"programs": FaultParameter(count(1, 100), 2), "share": _share(1, 0.2), "for": _duration(6000.0)},
+    ),
+    FaultKind.ONCE: FaultSpecification(
+        FaultTarget.NONE, {"share": _share(1, 0.15), "for": _duration(6000.0)}, WorkerSupport.FAKE_ONLY
+    ),
+    FaultKind.SHORT: FaultSpecification(FaultTarget.NONE, {"share": _share(1, 0.4), "for": _duration(6000.0)}),
+    FaultKind.STALL: FaultSpecification(FaultTarget.NONE, {"for": _duration(3000.0)}),
+    FaultKind.KILL_GATEWAY: FaultSpecification(FaultTarget.GATEWAYS, {"back": _duration(2000.0)}),
+    FaultKind.LOSE_ZONE: FaultSpecification(FaultTarget.ZONES, {"back": _duration(4000.0)}),
+    FaultKind.REROUTE: FaultSpecification(FaultTarget.ROUTES),
+    FaultKind.KILL_REPLICA: FaultSpecification(FaultTarget.WORKERS, support=WorkerSupport.REAL_ONLY),
+    FaultKind.STORE_DOWN: FaultSpecification(FaultTarget.NONE, {"back": _duration(2000.0)}, WorkerSupport.REAL_ONLY),
+}
+NAMES = {kind.value: kind for kind in FAULT_SPECIFICATIONS}
+
+
+def read_timed_fault(expression: Expression, diagnostics: Diagnostics) -> Fault | None:
+    """Read (at TIME (FAULT ...)), as in `(at 5 s (die "w3"))`; None where it is invalid."""
+    items = expression.items
+    if not items or not isinstance(items[-1], Expression):
+        diagnostics.add(expression.spot, "(at ...) without a trouble", "(at TIME (TROUBLE ...))")
+        return None
+    at = span()(Expression("at", items[:-1], expression.spot), diagnostics)
+    return _read_fault(items[-1], diagnostics, at=at)
+
+
+def read_triggered_fault(expression: Expression, diagnostics: Diagnostics) -> Fault | None:
+    """Read (on (EVENT WORKER NTH) (FAULT ...)), as in `(on (call-out "w2" 20) (die "w2"))`; None where invalid."""
+    parts = [item for item in expression.items if isinstance(item, Expression)]
+    if len(expression.items) != 2 or len(parts) != 2:
+        diagnostics.add(expression.spot, "(on ...) with other items", '(on (call-out|load "WORKER" NTH) (TROUBLE ...))')
+        return None
+    event, fault_expression = parts
+    if not _check_trigger(event, diagnostics):
+        return None
+    kind = NAMES.get(fault_expression.name)
+    if kind is None or not FAULT_SPECIFICATIONS[kind].on_event:
+        allowed = [kind.value for kind, specification in FAULT_SPECIFICATIONS.items() if specification.on_event]
+        diagnostics.add(
+            fault_expression.spot, schema.describe(fault_expression), "on an event one of " + ", ".join(allowed)
+        )
+        return None
+    trigger = _build_trigger(event)
+    fault = _read_fault(fault_expression, diagnostics, trigger=trigger)
+    if fault is not None and fault.targets != (trigger.worker,):
+        diagnostics.add(
+            fault_expression.spot,
+            f"trouble at {', '.join(fault.targets)}",
+            f"the worker of the event, {trigger.worker}",
+        )
+    return fault
+
+
+def _check_trigger(event: Expression, diagnostics: Diagnostics) -> bool:
+    atom_kinds = [item.kind for item in event.items if isinstance(item, Atom)]
+    known_events = [known.value for known in TriggerEvent]
+    if event.name in known_events and atom_kinds == ["string", "number"]:
+        return True
+    diagnostics.add(event.spot, schema.describe(event), '(call-out "WORKER" NTH) or (load "WORKER" NTH)')
+    return False
+
+
+def _build_trigger(event: Expression) -> FaultTrigger:
+    worker, nth = event.items
+    assert isinstance(worker, Atom)
+    assert isinstance(nth, Atom)
+    return FaultTrigger(TriggerEvent(event.name), str(worker.value), int(nth.value))
+
+
+def _read_fault(
+    expression: Expression, diagnostics: Diagnostics, at: float | None = None, trigger: FaultTrigger | None = None
+) -> Fault | None:
+    kind = NAMES.get(expression.name)
+    if kind is None:
+        diagnostics.add(expression.spot, f"({expression.name} ...)", "a trouble: " + ", ".join(NAMES))
+        return None
+    specification = FAULT_SPECIFICATIONS[kind]
+    if specification.target is FaultTarget.ROUTES:  # any text: a scenario may also put in an invalid route file
+        return Fault(kind, (), {}, expression.spot, at, trigger, _text_of_items(expression))
+    targets = _read_targets(expression, specification, diagnostics)
+    values = _read_values(expression, specification, diagnostics)
+    return Fault(kind, targets, values, expression.spot, at, trigger)
+
+
+def _text_of_items(expression: Expression) -> str:
+    return " ".join(
+        sexpr.format_expression(item) if isinstance(item, Expression) else item.text for item in expression.items
+    )
+
+
+def _read_targets(
+    expression: Expression, specification: FaultSpecification, diagnostics: Diagnostics
+) -> tuple[str, ...]:
+    targets = tuple(str(item.value) for item in expression.items if isinstance(item, Atom) and item.kind == "string")
+    takes_none = specification.target is FaultTarget.NONE
+    if takes_none != (not targets):
+        target = specification.target.value.removesuffix("s")
+        diagnostics.add(
+            expression.spot,
+            f"({expression.name} with {len(targets)} names)",
+            "none" if takes_none else f"at least one {target} in double quotes",
+        )
+    return targets
+
+
+def _read_values(
+    expression: Expression, specification: FaultSpecification, diagnostics: Diagnostics
+) -> dict[str, float]:
+    parameters = specification.parameters
+    values: dict[str, Any] = {key: parameter.default for key, parameter in parameters.items()}
+    for item in expression.items:
+        if isinstance(item, Expression) and item.name in parameters:
+            values[item.name] = parameters[item.name].reader(item, diagnostics)
+        elif isinstance(item, Expression) or item.kind != "string":
+            allowed = ", ".join(f"({key} ...)" for key in parameters) or "nothing else"
+            diagnostics.add(item.spot, schema.describe(item), f"names, and {allowed}")
+    return values
--- /dev/null
+++ b/wickdyke/fault_injection/function_packages.py
@@ -0,0 +1,34 @@
+"""The packages of the functions that a scenario's requests call on real workers."""
+
+import os
+import tempfile
+
+from wickdyke.fault_injection.scenario import RequestClassTraffic, Scenario
+from wickdyke.worker import package
+
+# Loading and running are time slept. The input's keys are those that the load client sends.
+FUNCTION_SOURCE = """import time
+time.sleep({load} / 1000)
+def run(asked):
+    time.sleep(asked["work_ms"] / 1000)
+    return {{"mark": asked["mark"]}}
+"""
+
+
+def write_packages(scenario: Scenario, store_folder: str) -> None:
+    """Pack every function of the scenario into the folder of a store; raises OSError."""
+    with tempfile.TemporaryDirectory(prefix="wd-") as source_folder:
+        for request_class in scenario.request_classes:
+            for number in range(request_class.function_count):
+                _write_source(source_folder, request_class, number)
+                package.pack(source_folder, store_folder)
+
+
+def _write_source(folder: str, request_class: RequestClassTraffic, number: int) -> None:
+    with open(os.path.join(folder, "main.py"), "w", encoding="utf-8") as sink:
+        sink.write(FUNCTION_SOURCE.format(load=request_class.load_ms))
+    with open(os.path.join(folder, package.MANIFEST), "w", encoding="utf-8") as sink:
+        sink.write(
+            f'(package "{request_class.name}/{number}" (version "1") (entry "main:run")'
+            f" (memory {request_class.memory_mb:g} MB) (lanes {request_class.concurrency}))"
+        )
--- a/wickdyke/fault_injection/report.py
+++ b/wickdyke/fault_injection/report.py
@@ -1,64 +1,72 @@
-"""A verdict as a person reads it."""
+"""The result of a run as text: rules, outcomes and latencies."""
 
-from hdrh.histogram import HdrHistogram
+from hdrh.histogram import HdrHistogram  # type: ignore[import-untyped]  # the package has no types
 
 from wickdyke.fault_injection.rule_checker import RULES, RuleChecker
 
-COLUMNS = ("asked", "ok in time", "ok late", "denied", "aborted", "lost")
-POINTS = (50.0, 90.0, 99.0, 99.9, 100.0)
+COLUMNS = ("asked", "ok in time", "ok late", "denied", "aborted", "lost")  # the keys of RuleChecker.outcomes()
+PERCENTILES = (50.0, 90.0, 99.0, 99.9, 100.0)
+MICROSECONDS_PER_MS = 1000
+MAX_LATENCY = 60_000_000  # microseconds
+SIGNIFICANT_DIGITS = 3
 
 
-def histogram(samples: list[float]) -> HdrHistogram:
-    """Samples in ms, kept to 3 digits from a microsecond to a minute."""
-    kept = HdrHistogram(1, 60_000_000, 3)
-    for sample in samples:
-        kept.record_value(max(1, min(60_000_000, round(sample * 1000))))
-    return kept
+def histogram(latencies: list[float]) -> HdrHistogram:
+    """A histogram, in microseconds, of latencies in ms; they are clamped to a microsecond and a minute."""
+    result = HdrHistogram(1, MAX_LATENCY, SIGNIFICANT_DIGITS)
+    for latency in latencies:
+        result.record_value(max(1, min(MAX_LATENCY, round(latency * MICROSECONDS_PER_MS))))
+    return result
 
 
-def quantiles(samples: list[float]) -> list[float]:
-    """The samples' quantiles at POINTS, in ms."""
-    kept = histogram(samples)
-    return [kept.get_value_at_percentile(point) / 1000 for point in POINTS]
+def quantiles(latencies: list[float]) -> list[float]:
+    """The latencies at PERCENTILES, in ms."""
+    values = histogram(latencies)
+    return [values.get_value_at_percentile(percentile) / MICROSECONDS_PER_MS for percentile in PERCENTILES]
 
 
 def table(head: tuple[str, ...], rows: list[list[str]]) -> str:
-    """Columns under their heads; the first to the left."""
-    widths = [max(len(row[at]) for row in [list(head), *rows]) for at in range(len(head))]
-    return "\n".join(
-        "  ".join(
-            cell.ljust(width) if at == 0 else cell.rjust(width)
-            for at, (cell, width) in enumerate(zip(row, widths, strict=True))
-        ).rstrip()
-        for row in [list(head), *rows]
-    )
-
-
-def verdict(judge: RuleChecker, shown: int = 5) -> str:
-    """Rules, outcomes by method, latencies."""
-    parts = []
+    """A table as text; the first column is aligned to the left, the others to the right."""
+    lines = [list(head), *rows]
+    widths = [max(len(line[column]) for line in lines) for column in range(len(head))]
+    return "\n".join(_table_line(line, widths) for line in lines)
+
+
+def _table_line(cells: list[str], widths: list[int]) -> str:
+    first, *others = zip(cells, widths, strict=True)
+    aligned = [first[0].ljust(first[1]), *[cell.rjust(width) for cell, width in others]]
+    return "  ".join(aligned).rstrip()
+
+
+def verdict(checker: RuleChecker, max_findings: int = 5) -> str:
+    """Rules with at most `max_findings` findings each, outcomes by request class, and latencies."""
+    parts = [*_rule_lines(checker, max_findings), "", _outcome_table(checker)]
+    if checker.latencies():
+        parts += ["", _latency_table(checker)]
+    return "\n".join(parts)
+
+
+def _rule_lines(checker: RuleChecker, max_findings: int) -> list[str]:
+    lines = []
     for rule, name in RULES.items():
-        broken = [finding for finding in judge.findings if finding.rule == rule]
-        parts.append(f"rule {rule}, {name}: " + (f"BROKEN {len(broken)} times" if broken else "kept"))
-        parts += [f"    {finding}" for finding in broken[:shown]]
-    outcomes = judge.outcomes()
-    parts += [
-        "",
-        table(
-            ("method", *COLUMNS),
-            [[method, *[str(counts[column]) for column in COLUMNS]] for method, counts in sorted(outcomes.items())],
-        ),
+        findings = [finding for finding in checker.findings if finding.rule == rule]
+        lines.append(f"rule {rule}, {name}: " + (f"BROKEN {len(findings)} times" if findings else "kept"))
+        lines += [f"    {finding}" for finding in findings[:max_findings]]
+    return lines
+
+
+def _outcome_table(checker: RuleChecker) -> str:
+    rows = [
+        [request_class, *[str(counts[column]) for column in COLUMNS]]
+        for request_class, counts in sorted(checker.outcomes().items())
     ]
-    latencies = judge.latencies()
-    if latencies:
-        parts += [
-            "",
-            table(
-                ("ok answers, ms", *[f"p{point:g}" for point in POINTS]),
-                [
-                    [method, *[f"{value:.1f}" for value in quantiles(samples)]]
-                    for method, samples in sorted(latencies.items())
-                ],
-            ),
-        ]
-    return "\n".join(parts)
+    return table(("method", *COLUMNS), rows)
+
+
+def _latency_table(checker: RuleChecker) -> str:
+    head = ("ok answers, ms", *[f"p{percentile:g}" for percentile in PERCENTILES])
+    rows = [
+        [request_class, *[f"{value:.1f}" for value in quantiles(latencies)]]
+        for request_class, latencies in sorted(checker.latencies().items())
+    ]
+    return table(head, rows)
--- /dev/null
+++ b/wickdyke/fault_injection/rig_processes.py
@@ -0,0 +1,200 @@
+"""The processes of one run of a scenario: gateways, fake or real workers, the store and the load clients."""
+
+import itertools
+import os
+import sys
+from collections.abc import Iterator, Sequence
+
+import msgspec
+
+from wickdyke.config.endpoint_file import EndpointRow
+from wickdyke.fault_injection.child_process import ChildProcess, RigError
+from wickdyke.fault_injection.fake_store import FakeStoreConfig
+from wickdyke.fault_injection.fake_worker import FakeWorkerConfig
+from wickdyke.fault_injection.function_packages import write_packages
+from wickdyke.fault_injection.load_client import LoadPlan, RequestKind
+from wickdyke.fault_injection.run_folder import RunFolder
+from wickdyke.fault_injection.scenario import Effect, EndpointState, Scenario, cell_of, gateway_names, zone_of
+from wickdyke.fault_injection.settings_files import STORE_SETTINGS, gateway_settings, worker_settings
+from wickdyke.fault_injection.trace import TraceRecorder
+
+GATEWAY_COMMAND = (sys.executable, "-m", "wickdyke.cli", "serve")
+STARTS_PER_SEED = 100000  # start numbers of scenarios with different seeds are apart by this
+WORKER_SEED_FACTOR = 7919  # a prime: workers of different seeds and starts have different random numbers
+WORKER_KIND = "k"
+CLIENT_NAME = "c1"
+
+
+class RigProcesses:
+    """Starts the processes of a scenario in a folder and keeps them by name."""
+
+    def __init__(
+        self, scenario: Scenario, folder: RunFolder, record: TraceRecorder, gateway_command: Sequence[str]
+    ) -> None:
+        """Start nothing yet; `gateway_command` is what the name of a settings file is appended to."""
+        self.workers: dict[str, ChildProcess] = {}
+        self.gateways: dict[str, ChildProcess] = {}
+        self.load_clients: list[ChildProcess] = []
+        self._store: ChildProcess | None = None
+        self._scenario = scenario
+        self._folder = folder
+        self._record = record
+        self._gateway_command = gateway_command
+        self._start_numbers = itertools.count(scenario.seed * STARTS_PER_SEED + 1)
+
+    @property
+    def store(self) -> ChildProcess:
+        """The store that runs; raises RigError before its start."""
+        if self._store is None:
+            raise RigError("the store was not started")
+        return self._store
+
+    def start_worker(self, name: str, warming_up: bool) -> EndpointRow:
+        """Start a worker, in place of its last process if there was one; returns its row of the endpoint file.
+
+        The worker may not be ready yet. With `warming_up` unset a fake worker is at its full speed from the start.
+        """
+        start_number = next(self._start_numbers)
+        trace_path = self._folder.trace_file(name)
+        if name in self.workers:
+            self.workers[name].wait()
+        if self._scenario.real_workers:
+            arguments = self._real_worker_arguments(name, start_number, trace_path)
+        else:
+            arguments = self._fake_worker_arguments(name, start_number, trace_path, warming_up)
+        self.workers[name] = self._spawn(name, arguments, wait_until_ready=False)
+        return EndpointRow(
+            name=name,
+            address=self._folder.file(f"{name}.sock"),
+            zone=zone_of(self._scenario, name),
+            kind=WORKER_KIND,
+            cell=cell_of(name),
+            cores=float(self._scenario.cores) * self._scenario.speed,
+            state=EndpointState.READY.value,
+            start=start_number,
+        )
+
+    def _real_worker_arguments(self, name: str, start_number: int, trace_path: str) -> tuple[str, ...]:
+        settings_path = self._folder.write(f"{name}.sexp", worker_settings(self._scenario, name))
+        return (
+            *(sys.executable, "-m", "wickdyke.cli", "worker", settings_path),
+            *("--trace", trace_path),
+            *("--start", str(start_number)),
+            *("--log", self._folder.file(f"{name}.log")),
+        )
+
+    def _fake_worker_arguments(
+        self, name: str, start_number: int, trace_path: str, warming_up: bool
+    ) -> tuple[str, ...]:
+        scenario = self._scenario
+        config = FakeWorkerConfig(
+            name=name,
+            socket=self._folder.file(f"{name}.sock"),
+            trace=trace_path,
+            store=self._folder.file("store.sock"),
+            start=start_number,
+            seed=scenario.seed * WORKER_SEED_FACTOR + start_number,
+            cores=scenario.cores,
+            speed=scenario.speed,
+            memory_mb=scenario.worker_memory_mb,
+            idle_life=scenario.idle_lifetime_ms,
+            queue_most=scenario.queue_limit,
+            cold=warming_up,
+            start_share=scenario.slow_start.start_share,
+            ramp=scenario.slow_start.ramp_ms,
+            multiple=scenario.slow_start.overload_multiple,
+            window=scenario.slow_start.window_ms,
+        )
+        return _module_arguments("fake_worker", config)
+
+    def start_gateway(self, name: str) -> None:
+        """Start a gateway with the settings that write_gateway_settings() wrote; it may not be ready yet."""
+        self._record("gateway-started", gateway=name)
+        arguments = (
+            *self._gateway_command,
+            self._folder.file(f"{name}.sexp"),
+            "--log",
+            self._folder.file(f"{name}.log"),
+        )
+        self.gateways[name] = self._spawn(name, arguments, wait_until_ready=False)
+
+    def kill_gateway(self, name: str) -> None:
+        """Kill a gateway."""
+        self.gateways[name].kill()
+        self._record("gateway-killed", gateway=name)
+
+    def write_gateway_settings(self, number: int) -> None:
+        """Write the settings file of the gateway of that number; raises OSError."""
+        self._folder.write(f"g{number}.sexp", gateway_settings(self._scenario, number))
+
+    def start_store(self) -> None:
+        """Start the store and wait until it is ready; raises RigError."""
+        if self._scenario.real_workers:
+            arguments = self._real_store_arguments()
+        else:
+            trace_path = self._folder.trace_file("store")
+            config = FakeStoreConfig(self._folder.file("store.sock"), trace_path, self._scenario.store_concurrency)
+            arguments = _module_arguments("fake_store", config)
+        self._store = self._spawn("store", arguments, wait_until_ready=True)
+
+    def _real_store_arguments(self) -> tuple[str, ...]:
+        if not os.path.exists(self._folder.file("store")):
+            write_packages(self._scenario, self._folder.file("store"))
+        settings_path = self._folder.write("store.sexp", STORE_SETTINGS)
+        return (sys.executable, "-m", "wickdyke.cli", "store", settings_path)
+
+    def start_load_client(self) -> None:
+        """Start the load client and wait until it is ready; raises RigError."""
+        arguments = _module_arguments("load_client", self._load_plan())
+        self.load_clients.append(self._spawn(CLIENT_NAME, arguments, wait_until_ready=True))
+
+    def _load_plan(self) -> LoadPlan:
+        scenario = self._scenario
+        kinds = [
+            RequestKind(
+                method=request_class.name,
+                part=request_class.weight,
+                deadline=request_class.deadline_ms,
+                work_ms=request_class.work_ms,
+                programs=request_class.function_count,
+                memory_mb=request_class.memory_mb,
+                lanes=request_class.concurrency,
+                load_ms=request_class.load_ms,
+                tokened=request_class.effect is Effect.TOKENED,
+            )
+            for request_class in scenario.request_classes
+        ]
+        return LoadPlan(
+            name=CLIENT_NAME,
+            trace=self._folder.trace_file(CLIENT_NAME),
+            gateways={name: self._folder.file(f"{name}.sock") for name in gateway_names(scenario)},
+            kinds=kinds,
+            rate=scenario.request_rate,
+            length=scenario.duration_ms,
+            seed=scenario.seed,
+            connections=scenario.connections,
+            most=scenario.max_requests,
+        )
+
+    def close(self) -> None:
+        """End every process; those that still run are killed."""
+        for child in self._all():
+            if child.is_running:
+                child.kill()
+            else:
+                child.wait()
+
+    def _all(self) -> Iterator[ChildProcess]:
+        yield from self.load_clients
+        yield from self.gateways.values()
+        yield from self.workers.values()
+        if self._store is not None:
+            yield self._store
+
+    def _spawn(self, name: str, arguments: Sequence[str], wait_until_ready: bool) -> ChildProcess:
+        return ChildProcess(arguments, self._folder.file(f"{name}.err"), wait_until_ready)
+
+
+def _module_arguments(module: str, config: msgspec.Struct) -> tuple[str, ...]:
+    encoded = msgspec.json.encode(config).decode()
+    return (sys.executable, "-m", f"wickdyke.fault_injection.{module}", encoded)
--- a/wickdyke/fault_injection/scenario.py
+++ b/wickdyke/fault_injection/scenario.py
@@ -1,177 +1,193 @@
-"""Fault scripts: S-expressions that say what stands, what is asked of it, and what goes wrong when."""
+"""Scenarios: files of S-expressions that state which processes run, their traffic, and which faults come when.
+
+The keys of scenario files are the names of the fields in the tables below; the builders map them to the records.
+"""
 
 from dataclasses import dataclass, field
+from enum import Enum
+from typing import Any
 
 from wickdyke.config import schema, sexpr
 from wickdyke.config.schema import Diagnostics, Field, choice, count, flag, number, record, size, span
-from wickdyke.config.sexpr import Atom, Expression, SourceLocation
+from wickdyke.config.sexpr import Expression
+from wickdyke.fault_injection.faults import (
+    FAULT_SPECIFICATIONS,
+    Fault,
+    FaultTarget,
+    WorkerSupport,
+    read_timed_fault,
+    read_triggered_fault,
+)
+
+
+class Effect(Enum):
+    """What running a request a second time would do; the value is the word of settings and traces."""
+
+    IDEMPOTENT = "idempotent"
+    TOKENED = "tokened"
+    SIDE_EFFECTING = "side-effecting"
+
+
+class EffectScope(Enum):
+    """Among which workers an idempotency key is known; the value is the word of settings and traces."""
+
+    ALL = "all"
+    ZONE = "zone"
+    CELL = "cell"
+
+
+class EndpointState(Enum):
+    """The state of a worker in the endpoint file; the value is the word of the file and of traces."""
+
+    READY = "ready"
+    DRAINING = "draining"
+    GONE = "gone"
 
 
 @dataclass(slots=True, frozen=True)
 class RequestClassTraffic:
-    """A method and the traffic in it."""
+    """A request class and its traffic. Times in ms, memory in MB."""
 
     name: str
-    effect: str
-    scope: str
-    window: float
-    soft: float
-    deadline: float
-    gain: float
-    late_gain: float
-    part: float
-    work: float
-    programs: int
-    memory: float
-    lanes: int
-    load: float
+    effect: Effect
+    scope: EffectScope
+    key_window_ms: float  # how long an idempotency key is known
+    soft_deadline_ms: float
+    deadline_ms: float
+    gain: float  # what a response in time is worth
+    late_gain: float  # the share of it that a late response is worth
+    weight: float  # the share of all requests, relative to the other classes
+    work_ms: float
+    function_count: int
+    memory_mb: float  # of one replica
+    concurrency: int  # requests that one replica runs at once
+    load_ms: float
 
 
 @dataclass(slots=True, frozen=True)
-class Fault:
-    """One thing that goes wrong: at a time, or when a worker has its `nth` call-out or load."""
+class SlowStart:
+    """How workers warm up after a start."""
 
-    kind: str
-    who: tuple[str, ...]
-    values: dict[str, float]
-    spot: SourceLocation
-    at: float | None = None
-    event: str | None = None
-    event_worker: str | None = None
-    nth: int = 0
-    text: str = ""
+    start_share: float = 0.25  # of a worker's speed, right after its start
+    ramp_ms: float = 6000.0
+    overload_multiple: float = 3.0  # of its capacity in the window, beyond which a warming worker falls over
+    window_ms: float = 1500.0
+
+
+@dataclass(slots=True, frozen=True)
+class PrewarmQuota:
+    """How many prewarm orders are allowed within the window: a fixed number and a share of the requests."""
+
+    free: float = 0.0
+    share: float = 0.0
+    window_ms: float = 0.0
 
 
 @dataclass(slots=True)
 class Scenario:
-    """A day as scripted. Times in ms, memory in MB."""
+    """A run as a scenario file states it. Times in ms, memory in MB."""
 
     name: str
     seed: int
-    length: float
-    gateways: int
-    workers: int
-    zones: int
-    cores: int
-    speed: float
-    memory: float
-    queue: int
-    idle_life: float
-    rate: float
+    duration_ms: float
+    gateway_count: int
+    worker_count: int
+    zone_count: int
+    cores: int  # of one worker
+    speed: float  # ms of work that a core does in a ms
+    worker_memory_mb: float
+    queue_limit: int
+    idle_lifetime_ms: float  # of a replica without requests
+    request_rate: float  # requests a second
     connections: int
-    most: int
-    call_outs: int
-    overlap: bool
-    drain_grace: float
-    list_lag: float
-    answer_way: float
-    transit: float
-    store_pace: int
-    warmup: dict[str, float]
-    ration: dict[str, float]
-    methods: list[RequestClassTraffic]
-    cancel: bool = True
-    runtime: bool = False
-    holds: bool = True
-    routes: str = ""
-    troubles: list[Fault] = field(default_factory=list)
-
-
-# kind -> (whom it names: workers, gateway, none; the figures it takes, with the one that holds where left out)
-FAULT_KINDS: dict[str, tuple[str, dict[str, tuple]]] = {
-    "die": ("workers", {"back": (span(), 4000.0)}),
-    "drain": ("workers", {"for": (span(), 3000.0)}),
-    "deploy": ("workers", {"each": (span(), 2500.0)}),
-    "hang": ("workers", {"for": (span(), 4000.0)}),
-    "slow": ("workers", {"factor": (number(1, 1000), 4.0), "for": (span(), 5000.0)}),
-    "fail": ("workers", {"share": (number(0, 1), 0.8), "for": (span(), 5000.0)}),
-    "lose": ("workers", {"share": (number(0, 1), 0.3), "for": (span(), 5000.0)}),
-    "neighbour": ("workers", {"share": (number(0, 0.95), 0.6), "for": (span(), 5000.0)}),
-    "age": ("workers", {"factor": (number(0, 1000), 6.0), "for": (span(), 6000.0), "back": (span(), 4000.0)}),
-    "late": ("workers", {"past": (span(), 5.0)}),
-    "release": ("none", {}),
-    "list-lag": ("none", {"by": (span(), 4000.0), "for": (span(), 8000.0)}),
-    "burst": ("none", {"factor": (number(0.01, 100), 2.0), "for": (span(), 4000.0)}),
-    "hot": ("none", {"programs": (count(1, 100), 2), "share": (number(0, 1), 0.2), "for": (span(), 6000.0)}),
-    "once": ("none", {"share": (number(0, 1), 0.15), "for": (span(), 6000.0)}),
-    "short": ("none", {"share": (number(0, 1), 0.4), "for": (span(), 6000.0)}),
-    "stall": ("none", {"for": (span(), 3000.0)}),
-    "kill-gateway": ("gateway", {"back": (span(), 2000.0)}),
-    "lose-zone": ("zone", {"back": (span(), 4000.0)}),
-    "reroute": ("routes", {}),
-    "kill-copy": ("workers", {}),
-    "store-down": ("none", {"back": (span(), 2000.0)}),
-}
-OF_STANDINS = ("hang", "slow", "fail", "lose", "neighbour", "age", "late", "release", "once")
-OF_RUNTIME = ("kill-copy", "store-down")
-ON_EVENT = ("die", "hang", "slow", "fail", "lose", "neighbour", "late")
-
-
-def _trouble(form: Expression, notes: Diagnostics, **when) -> Fault | None:
-    if form.name not in FAULT_KINDS:
-        notes.add(form.spot, f"({form.name} ...)", "a trouble: " + ", ".join(FAULT_KINDS))
-        return None
-    whom, figures = FAULT_KINDS[form.name]
-    if whom == "routes":  # its forms are the new file, whatever they hold: bad ones are a trouble as well
-        text = " ".join(
-            sexpr.format_expression(item) if isinstance(item, Expression) else item.text for item in form.items
-        )
-        return Fault(form.name, (), {}, form.spot, text=text, **when)
-    names = tuple(str(item.value) for item in form.items if isinstance(item, Atom) and item.kind == "string")
-    if (whom == "none") != (not names):
-        notes.add(
-            form.spot,
-            f"({form.name} with {len(names)} names)",
-            "none" if whom == "none" else f"at least one {whom.removesuffix('s')} in double quotes",
-        )
-    values: dict[str, float] = {name: absent for name, (_, absent) in figures.items()}
-    for item in form.items:
-        if isinstance(item, Expression) and item.name in figures:
-            values[item.name] = figures[item.name][0](item, notes)
-        elif isinstance(item, Expression) or item.kind != "string":
-            notes.add(
-                item.spot,
-                schema.describe(item),
-                "names, and " + (", ".join(f"({f} ...)" for f in figures) or "nothing else"),
-            )
-    return Fault(form.name, names, values, form.spot, **when)
-
-
-def _at(form: Expression, notes: Diagnostics) -> Fault | None:
-    """(at 5 s (die "w3"))"""
-    *time, last = form.items or [None]
-    if not isinstance(last, Expression):
-        notes.add(form.spot, "(at ...) without a trouble", "(at TIME (TROUBLE ...))")
-        return None
-    at = span()(Expression("at", time, form.spot), notes)
-    return _trouble(last, notes, at=at)
-
-
-def _on(form: Expression, notes: Diagnostics) -> Fault | None:
-    """(on (call-out "w2" 20) (die "w2"))"""
-    if len(form.items) != 2 or not all(isinstance(item, Expression) for item in form.items):
-        notes.add(form.spot, "(on ...) with other items", '(on (call-out|load "WORKER" NTH) (TROUBLE ...))')
-        return None
-    event, trouble = form.items
-    kinds = [item.kind for item in event.items if isinstance(item, Atom)]
-    if event.name not in ("call-out", "load") or kinds != ["string", "number"]:
-        notes.add(event.spot, schema.describe(event), '(call-out "WORKER" NTH) or (load "WORKER" NTH)')
-        return None
-    if trouble.name not in ON_EVENT:
-        notes.add(trouble.spot, schema.describe(trouble), "on an event one of " + ", ".join(ON_EVENT))
-        return None
-    worker, nth = event.items
-    found = _trouble(trouble, notes, event=event.name, event_worker=str(worker.value), nth=int(nth.value))
-    if found is not None and found.who != (worker.value,):
-        notes.add(trouble.spot, f"trouble at {', '.join(found.who)}", f"the worker of the event, {worker.value}")
-    return found
-
-
-METHOD = record(
-    lambda spot, soft_deadline, **values: RequestClassTraffic(soft=soft_deadline, **values),
+    max_requests: int  # of the whole run; 0 for no limit
+    max_attempts: int
+    overlap: bool  # whether attempts of a request may run at once
+    drain_grace_ms: float
+    endpoint_lag_ms: float  # from a change of a worker to the endpoint file
+    response_transit_ms: float
+    transit_ms: float  # allowed by the rule checker between send and receipt
+    store_concurrency: int  # fetches that the fake store serves at full speed
+    slow_start: SlowStart
+    prewarm_quota: PrewarmQuota
+    request_classes: list[RequestClassTraffic]
+    cancel_supported: bool = True
+    real_workers: bool = False
+    prewarming: bool = True
+    routes: str = ""  # the text of the route file's routes
+    faults: list[Fault] = field(default_factory=list)
+
+
+def _build_request_class(**values: Any) -> RequestClassTraffic:
+    return RequestClassTraffic(
+        name=values["name"],
+        effect=values["effect"],
+        scope=values["scope"],
+        key_window_ms=values["window"],
+        soft_deadline_ms=values["soft_deadline"],
+        deadline_ms=values["deadline"],
+        gain=values["gain"],
+        late_gain=values["late_gain"],
+        weight=values["part"],
+        work_ms=values["work"],
+        function_count=values["programs"],
+        memory_mb=values["memory"],
+        concurrency=values["lanes"],
+        load_ms=values["load"],
+    )
+
+
+def _build_slow_start(**values: Any) -> SlowStart:
+    return SlowStart(values["start_share"], values["ramp"], values["multiple"], values["window"])
+
+
+def _build_prewarm_quota(**values: Any) -> PrewarmQuota:
+    return PrewarmQuota(values["free"], values["share"], values["window"])
+
+
+def _build_scenario(**values: Any) -> Scenario:
+    return Scenario(
+        name=values["name"],
+        seed=values["seed"],
+        duration_ms=values["length"],
+        gateway_count=values["gateways"],
+        worker_count=values["workers"],
+        zone_count=values["zones"],
+        cores=values["cores"],
+        speed=values["speed"],
+        worker_memory_mb=values["memory"],
+        queue_limit=values["queue"],
+        idle_lifetime_ms=values["idle_life"],
+        request_rate=values["rate"],
+        connections=values["connections"],
+        max_requests=values["most"],
+        max_attempts=values["call_outs"],
+        overlap=values["overlap"],
+        drain_grace_ms=values["drain_grace"],
+        endpoint_lag_ms=values["list_lag"],
+        response_transit_ms=values["answer_way"],
+        transit_ms=values["transit"],
+        store_concurrency=values["store_pace"],
+        slow_start=values["warmup"],
+        prewarm_quota=values["ration"],
+        request_classes=values["method"],
+        cancel_supported=values["cancel"],
+        real_workers=values["runtime"],
+        prewarming=values["holds"],
+        routes=" ".join(values["route"]),
+        faults=[*values["at"], *values["on"]],
+    )
+
+
+def _route_text(expression: Expression, diagnostics: Diagnostics) -> str:
+    return sexpr.format_expression(expression)
+
+
+REQUEST_CLASS = record(
+    _build_request_class,
     named=True,
-    effect=Field(choice(idempotent="idempotent", tokened="tokened", side_effecting="side-effecting")),
-    scope=Field(choice(all="all", zone="zone", cell="cell"), "all"),
+    effect=Field(choice(idempotent=Effect.IDEMPOTENT, tokened=Effect.TOKENED, side_effecting=Effect.SIDE_EFFECTING)),
+    scope=Field(choice(all=EffectScope.ALL, zone=EffectScope.ZONE, cell=EffectScope.CELL), EffectScope.ALL),
     window=Field(span(), 0.0),
     soft_deadline=Field(span(1)),
     deadline=Field(span(1)),
@@ -184,29 +200,23 @@
     lanes=Field(count(1, 1000), 4),
     load=Field(span(), 500.0),
 )
-WARMUP = record(
-    lambda spot, **values: values,
+SLOW_START = record(
+    _build_slow_start,
     start_share=Field(number(0.001, 1), 0.25),
     ramp=Field(span(), 6000.0),
     multiple=Field(number(1, 1000), 3.0),
     window=Field(span(1), 1500.0),
 )
-RATION = record(
-    lambda spot, **values: values,
+PREWARM_QUOTA = record(
+    _build_prewarm_quota,
     free=Field(number(0, 1e6), 0.0),
     share=Field(number(0, 1e6), 0.0),
     window=Field(span(), 0.0),
 )
-
-
-def _script(spot: SourceLocation, at: list, on: list, method: list, route: list, **values) -> Scenario:
-    return Scenario(methods=method, troubles=[*at, *on], routes=" ".join(route), **values)
-
-
-SCRIPT = record(
-    _script,
+SCENARIO = record(
+    _build_scenario,
     named=True,
-    route=Field(lambda form, notes: sexpr.format_expression(form), None, many=True),
+    route=Field(_route_text, None, many=True),
     cancel=Field(flag, True),
     runtime=Field(flag, False),
     holds=Field(flag, True),
@@ -230,55 +240,82 @@
     answer_way=Field(span(), 150.0),
     transit=Field(span(), 250.0),
     store_pace=Field(count(1, 10000), 8),
-    warmup=Field(WARMUP, {"start_share": 0.25, "ramp": 6000.0, "multiple": 3.0, "window": 1500.0}),
-    ration=Field(RATION, {"free": 0.0, "share": 0.0, "window": 0.0}),
-    method=Field(METHOD, many=True),
-    at=Field(_at, None, many=True),
-    on=Field(_on, None, many=True),
+    warmup=Field(SLOW_START, SlowStart()),
+    ration=Field(PREWARM_QUOTA, PrewarmQuota()),
+    method=Field(REQUEST_CLASS, many=True),
+    at=Field(read_timed_fault, None, many=True),
+    on=Field(read_triggered_fault, None, many=True),
 )
 
 
-def worker_names(script: Scenario) -> list[str]:
-    """w1, w2 ..."""
-    return [f"w{number}" for number in range(1, script.workers + 1)]
+def worker_names(scenario: Scenario) -> list[str]:
+    """The names of the scenario's workers: w1, w2 ..."""
+    return [f"w{number}" for number in range(1, scenario.worker_count + 1)]
+
+
+def gateway_names(scenario: Scenario) -> list[str]:
+    """The names of the scenario's gateways: g1, g2 ..."""
+    return [f"g{number}" for number in range(1, scenario.gateway_count + 1)]
 
 
-def zone_of(script: Scenario, worker: str) -> str:
-    """The zone a worker stands in: they are dealt out in turn."""
-    return f"z{(int(worker[1:]) - 1) % script.zones + 1}"
+def zone_of(scenario: Scenario, worker: str) -> str:
+    """The zone of a worker: zones are assigned to workers in turn."""
+    return f"z{(int(worker[1:]) - 1) % scenario.zone_count + 1}"
+
+
+CELL_COUNT = 3
+
+
+def cell_of(worker: str) -> int:
+    """The cell of a worker: cells are assigned to workers in turn."""
+    return int(worker[1:]) % CELL_COUNT
 
 
 def read(path: str) -> Scenario:
-    """Reads and checks a script; raises Unusable with all that is wrong."""
-    notes = Diagnostics()
-    form = schema.single_expression(sexpr.read(path), "script", path, notes)
-    script = SCRIPT(form, notes) if form is not None else None
-    if script is not None:
-        known = {
-            "workers": worker_names(script),
-            "gateway": [f"g{n}" for n in range(1, script.gateways + 1)],
-            "zone": [f"z{n}" for n in range(1, script.zones + 1)],
-            "none": [],
-        }
-        for trouble in script.troubles:
-            for name in trouble.who:
-                if name not in known[FAULT_KINDS[trouble.kind][0]]:
-                    notes.add(trouble.spot, f'"{name}"', "one of " + ", ".join(known[FAULT_KINDS[trouble.kind][0]]))
-            if script.runtime and (trouble.event or trouble.kind in OF_STANDINS):
-                notes.add(
-                    trouble.spot,
-                    f"({trouble.kind} ...)",
-                    "a trouble that workers of our own can have: "
-                    + ", ".join(kind for kind in FAULT_KINDS if kind not in OF_STANDINS),
-                )
-            elif not script.runtime and trouble.kind in OF_RUNTIME:
-                notes.add(trouble.spot, f"({trouble.kind} ...)", "it with (runtime yes): stand-ins have no such thing")
-        for method in script.methods:
-            if method.soft >= method.deadline:
-                notes.add(
-                    form.spot,
-                    f'method "{method.name}" with a soft deadline of {method.soft:g} ms',
-                    f"one before its deadline, {method.deadline:g} ms",
-                )
-    notes.done()
-    return script
+    """Read and check a scenario file; raises InvalidConfigError with all that is wrong in it."""
+    diagnostics = Diagnostics()
+    expression = schema.single_expression(sexpr.read(path), "script", path, diagnostics)
+    scenario: Scenario | None = SCENARIO(expression, diagnostics) if expression is not None else None
+    if expression is not None and scenario is not None:
+        for fault in scenario.faults:
+            _check_targets(scenario, fault, diagnostics)
+            _check_support(scenario, fault, diagnostics)
+        _check_deadlines(scenario, expression, diagnostics)
+    diagnostics.done()
+    assert scenario is not None  # else there was a diagnostic
+    return scenario
+
+
+def _check_targets(scenario: Scenario, fault: Fault, diagnostics: Diagnostics) -> None:
+    targets = {
+        FaultTarget.WORKERS: worker_names(scenario),
+        FaultTarget.GATEWAYS: gateway_names(scenario),
+        FaultTarget.ZONES: [f"z{number}" for number in range(1, scenario.zone_count + 1)],
+    }.get(FAULT_SPECIFICATIONS[fault.kind].target, [])
+    for name in fault.targets:
+        if name not in targets:
+            diagnostics.add(fault.location, f'"{name}"', "one of " + ", ".join(targets))
+
+
+def _check_support(scenario: Scenario, fault: Fault, diagnostics: Diagnostics) -> None:
+    support = FAULT_SPECIFICATIONS[fault.kind].support
+    shown = f"({fault.kind.value} ...)"
+    if scenario.real_workers and (fault.trigger or support is WorkerSupport.FAKE_ONLY):
+        supported = [
+            kind.value
+            for kind, specification in FAULT_SPECIFICATIONS.items()
+            if specification.support is not WorkerSupport.FAKE_ONLY
+        ]
+        diagnostics.add(fault.location, shown, "a trouble that workers of our own can have: " + ", ".join(supported))
+    elif not scenario.real_workers and support is WorkerSupport.REAL_ONLY:
+        diagnostics.add(fault.location, shown, "it with (runtime yes): stand-ins have no such thing")
+
+
+def _check_deadlines(scenario: Scenario, expression: Expression, diagnostics: Diagnostics) -> None:
+    for request_class in scenario.request_classes:
+        if request_class.soft_deadline_ms >= request_class.deadline_ms:
+            diagnostics.add(
+                expression.spot,
+                f'method "{request_class.name}" with a soft deadline of {request_class.soft_deadline_ms:g} ms',
+                f"one before its deadline, {request_class.deadline_ms:g} ms",
+            )
--- a/wickdyke/fault_injection/trace.py
+++ b/wickdyke/fault_injection/trace.py
@@ -1,7 +1,7 @@
-"""What passed the sockets, written down by clients and stand-ins: one JSON object a line.
+"""Traces: what fake processes and clients observe at the sockets, one JSON object a line.
 
-`t` is this machine's monotonic time in ms, `by` who wrote it, `n` its number there. docs/protocol.md names the
-kinds of line.
+Keys of a line: `t`, the machine's monotonic time in ms; `by`, the name of the writer; `n`, the line's number there;
+`what`, the kind of line. docs/protocol.md lists the kinds of line and their other keys.
 """
 
 import contextlib
@@ -9,10 +9,19 @@
 import threading
 import time
 from collections.abc import Iterable
+from typing import Any
 
 import msgspec
 
-INCOMPLETE = ".incomplete"  # after a trace's name: some line of it was not written
+INCOMPLETE = ".incomplete"  # suffix of the marker file of a trace in which a line is missing
+STANDARD_ERROR = 2  # file descriptor
+SHOWN_BYTES = 40  # of an invalid line, in an error
+
+TraceEntry = dict[str, Any]
+
+
+class InvalidTraceError(Exception):
+    """A trace cannot be read, or a line of it is missing."""
 
 
 def clock() -> float:
@@ -21,78 +30,104 @@
 
 
 class TraceRecorder:
-    """Writes lines at once, unbuffered, so that what a killed stand-in saw is kept.
+    """Appends lines to a trace at once, without a buffer, so that a killed process leaves all that it observed.
 
-    A line that can't be written makes the trace incomplete: a file named as the trace and INCOMPLETE tells so, and
-    whoever wrote the line gets Broken.
+    If a line cannot be written, the trace is marked as incomplete by a file beside it, and the caller gets an
+    InvalidTraceError.
     """
 
-    def __init__(self, path: str, by: str) -> None:
-        """Raises OSError."""
-        self.path, self.by, self.n = path, by, 0
-        self.lock = threading.Lock()  # numbers go up in the order of the lines
-        self.failed: str | None = None
-        self.file = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_APPEND, 0o644)
+    def __init__(self, path: str, writer: str) -> None:
+        """Open the trace for appending; raises OSError."""
+        self.path = path
+        self.writer = writer
+        self.line_number = 0
+        self.failure: str | None = None
+        self.file = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_APPEND, 0o644)  # descriptor
+        self._lock = threading.Lock()  # numbers ascend in the order of the lines
 
     def __call__(self, what: str, t: float | None = None, **more: object) -> None:
-        """Writes one line; `t` where it happened before now. Raises Broken."""
-        with self.lock:
-            if self.failed is not None:
-                raise InvalidTraceError(self.failed)
-            self.n += 1
-            line = {"t": clock() if t is None else t, "by": self.by, "n": self.n, "what": what, **more}
-            left = memoryview(msgspec.json.encode(line) + b"\n")
+        """Write one line; `t` (ms) if it happened before now. Raises InvalidTraceError if a line was not written."""
+        with self._lock:
+            if self.failure is not None:
+                raise InvalidTraceError(self.failure)
+            self.line_number += 1
+            entry = {"t": clock() if t is None else t, "by": self.writer, "n": self.line_number, "what": what, **more}
             try:
-                while left:
-                    left = left[os.write(self.file, left) :]
-            except OSError as bad:
-                self._fail(bad)
-                raise InvalidTraceError(self.failed) from None
-
-    def _fail(self, bad: OSError) -> None:
-        self.failed = f"{self.path}: line {self.n} of {self.by} was not written ({bad.strerror})"
+                self._write(msgspec.json.encode(entry) + b"\n")
+            except OSError as error:
+                self.failure = (
+                    f"{self.path}: line {self.line_number} of {self.writer} was not written ({error.strerror})"
+                )
+                self._mark_incomplete(self.failure)
+                raise InvalidTraceError(self.failure) from None
+
+    def _write(self, line: bytes) -> None:
+        remaining = memoryview(line)
+        while remaining:
+            remaining = remaining[os.write(self.file, remaining) :]
+
+    def _mark_incomplete(self, failure: str) -> None:
         with contextlib.suppress(OSError):
-            os.write(2, f"{self.failed}\n".encode())
-        mark = self.path + INCOMPLETE
+            os.write(STANDARD_ERROR, f"{failure}\n".encode())
+        marker = self.path + INCOMPLETE
         try:
-            os.close(os.open(mark, os.O_WRONLY | os.O_CREAT, 0o644))
-        except OSError:  # no new file to be had: the trace itself is taken from the judge
+            os.close(os.open(marker, os.O_WRONLY | os.O_CREAT, 0o644))
+        except OSError:  # no new file can be made: rename the trace, so that it is not read as complete
             with contextlib.suppress(OSError):
-                os.rename(self.path, mark)
+                os.rename(self.path, marker)
 
 
-class InvalidTraceError(Exception):
-    """A trace that can't be read, or is not whole."""
-
-
-def read(paths: Iterable[str]) -> list[dict]:
-    """All lines of the files, merged in the order of time, then of writer and number."""
-    lines: list[dict] = []
+def read(paths: Iterable[str]) -> list[TraceEntry]:
+    """All lines of the traces, in the order of time, then of writer and number; raises InvalidTraceError."""
+    entries: list[TraceEntry] = []
     for path in paths:
-        if os.path.exists(path + INCOMPLETE):
-            raise InvalidTraceError(f"{path}: found {path + INCOMPLETE}, expected a trace whose lines were all written")
-        try:
-            with open(path, "rb") as source:
-                content = source.read().split(b"\n")
-        except OSError as bad:
-            raise InvalidTraceError(f"{path}: {bad.strerror}, expected a trace") from None
-        numbers: dict[str, int] = {}
-        for at, line in enumerate(content, 1):
-            if not line:
-                continue
-            try:
-                entry = msgspec.json.decode(line)
-                float(entry["t"]), str(entry["by"]), int(entry["n"]), str(entry["what"])
-            except (msgspec.MsgspecError, TypeError, KeyError, ValueError):
-                if at == len(content):
-                    continue  # its writer was killed in the middle of its last line
-                raise InvalidTraceError(f"{path}:{at}: found {line[:40]!r}, expected a line of a trace") from None
-            last = numbers.get(entry["by"], 0)
-            if entry["n"] not in (last + 1, 1):  # a writer that was started anew counts from 1 again
-                raise InvalidTraceError(
-                    f"{path}:{at}: found line {entry['n']} of {entry['by']} after {last}, expected the next"
-                )
-            numbers[entry["by"]] = entry["n"]
-            lines.append(entry)
-    lines.sort(key=lambda e: (e["t"], e["by"], e["n"]))
-    return lines
+        entries.extend(_read_file(path))
+    entries.sort(key=lambda entry: (entry["t"], entry["by"], entry["n"]))
+    return entries
+
+
+def _read_file(path: str) -> list[TraceEntry]:
+    marker = path + INCOMPLETE
+    if os.path.exists(marker):
+        raise InvalidTraceError(f"{path}: found {marker}, expected a trace whose lines were all written")
+    try:
+        with open(path, "rb") as source:
+            lines = source.read().split(b"\n")
+    except OSError as error:
+        raise InvalidTraceError(f"{path}: {error.strerror}, expected a trace") from None
+    entries: list[TraceEntry] = []
+    last_numbers: dict[str, int] = {}
+    for line_number, line in enumerate(lines, 1):
+        if not line:
+            continue
+        entry = _parse(line)
+        if entry is None and line_number == len(lines):
+            continue  # the writer was killed in the middle of its last line
+        if entry is None:
+            raise InvalidTraceError(f"{path}:{line_number}: found {line[:SHOWN_BYTES]!r}, expected a line of a trace")
+        _check_number(entry, last_numbers, f"{path}:{line_number}")
+        entries.append(entry)
+    return entries
+
+
+def _parse(line: bytes) -> TraceEntry | None:
+    """The entry of a line; None if it is not the line of a trace."""
+    try:
+        entry: TraceEntry = msgspec.json.decode(line)
+        float(entry["t"])
+        str(entry["by"])
+        int(entry["n"])
+        str(entry["what"])
+    except (msgspec.MsgspecError, TypeError, KeyError, ValueError):
+        return None
+    return entry
+
+
+def _check_number(entry: TraceEntry, last_numbers: dict[str, int], place: str) -> None:
+    """Check that no line of the entry's writer is missing; a writer that was restarted counts from 1 again."""
+    number = entry["n"]
+    writer = entry["by"]
+    last_number = last_numbers.get(writer, 0)
+    if number not in (last_number + 1, 1):
+        raise InvalidTraceError(f"{place}: found line {number} of {writer} after {last_number}, expected the next")
+    last_numbers[writer] = number
