--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -48,7 +48,7 @@
 
 def ask(ident=ASCII_A, body=b"x"):
     """What a client asked."""
-    return SimpleNamespace(call=SimpleNamespace(ident=ident, token="", input=body, load_ms=None))
+    return SimpleNamespace(call=SimpleNamespace(ident=ident, idempotency_key="", input=body, load_ms=None))
 
 
 def told_left(parts):
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -963,7 +963,8 @@
             (396.5, True, "2d071f1f7aeaaed654f62e293c13f6a0", 1238.0),
         )
         self.assertEqual(
-            (read(r="0").repeat, read(r="false").repeat, read(r="true").repeat, read().token), (False, False, True, "")
+            (read(r="0").is_repeat, read(r="false").is_repeat, read(r="true").is_repeat, read().idempotency_key),
+            (False, False, True, ""),
         )
         for more in (
             {"t": "west"},
@@ -988,7 +989,7 @@
         for token, told in (("", b"lane=book,name=f,ttl=5"), ("k1", b"lane=book,name=f,ttl=5,dedupe=k1")):
             call_out = Mock()
             call_out.request.request_class.name, call_out.request.function.name = "book", "f"
-            ask = SimpleNamespace(call=SimpleNamespace(ident=ASCII_A, token=token, input=b"x"))
+            ask = SimpleNamespace(call=SimpleNamespace(ident=ASCII_A, idempotency_key=token, input=b"x"))
             # No time passes: the command has what is left by then.
             with (
                 patch.object(worker_protocol, "clock", lambda: 1000.0),
