--- a/tests/test_fault_injection.py
+++ b/tests/test_fault_injection.py
@@ -42,7 +42,7 @@
         """Invalid routes, forced past the validation, break the rule that it guards; else the gateway refuses them."""
         with tempfile.TemporaryDirectory(prefix="wd-") as folder:
             for name, figures, defect, rules in (
-                ("bad", ("", 1), Defect.ACCEPTS_ANY_ROUTES, {2}),
+                ("accepted", ("", 1), Defect.ACCEPTS_ANY_ROUTES, {2}),
                 ("refused", ("", 1), Defect.NONE, None),
             ):
                 with self.subTest(case=name):
--- a/wickdyke/cli/prove.py
+++ b/wickdyke/cli/prove.py
@@ -24,13 +24,13 @@
 
 @click.command()
 @click.argument("files", nargs=-1, required=True, type=click.Path())
-@click.option("--seeds", default=1, type=click.IntRange(1, 1000), help="Play each script with so many seeds.")
+@click.option("--seeds", default=1, type=click.IntRange(1, 1000), help="Run each scenario with so many seeds.")
 @click.option("--keep", type=click.Path(), help="Keep traces and logs in this folder (else only if a rule broke).")
 @click.option("--brief", is_flag=True, help="One line a run.")
 def prove(files: tuple[str, ...], seeds: int, keep: str | None, brief: bool) -> None:
-    """Play fault scripts against real gateways and judge the five rules from the traffic.
+    """Run fault scenarios against real gateways and check the five rules from the traffic.
 
-    Exit code 0: all rules kept; 1: a rule broke; 2: a script can't be used; 3: the rig itself failed.
+    Exit code 0: all rules kept; 1: a rule broke; 2: a scenario is invalid; 3: the run itself failed.
 
     \b
     Example:
@@ -87,7 +87,7 @@
 @click.command()
 @click.argument("traces", nargs=-1, required=True, type=click.Path())
 def judge(traces: tuple[str, ...]) -> None:
-    """Judge the five rules from TRACES (files, or one folder of a run).
+    """Check the five rules from TRACES (files, or one folder of a run).
 
     Exit code 0: all kept; 1: a rule broke; 2: a trace can't be read.
 
@@ -119,7 +119,7 @@
 @click.command()
 @click.argument("recording", type=click.Path())
 def replay(recording: str) -> None:
-    """Tell the module again what RECORDING holds, and compare what it decides.
+    """Replay the events of RECORDING to the router and compare its decisions with the recorded ones.
 
     Exit code 0: the same decisions; 1: they differ; 2: the recording can't be read.
 
--- a/wickdyke/fault_injection/endpoint_publisher.py
+++ b/wickdyke/fault_injection/endpoint_publisher.py
@@ -5,9 +5,10 @@
 from wickdyke.config import endpoint_file
 from wickdyke.config.endpoint_file import EndpointRow
 from wickdyke.fault_injection.run_folder import RunFolder
+from wickdyke.fault_injection.run_trace import RunTrace
 from wickdyke.fault_injection.scenario import EndpointState
 from wickdyke.fault_injection.timeline import Timeline
-from wickdyke.fault_injection.trace import TraceRecorder, clock
+from wickdyke.fault_injection.trace import clock
 
 ENDPOINT_FILE = "workers.sexp"
 
@@ -15,13 +16,13 @@
 class EndpointPublisher:
     """Writes the endpoint file that the gateways follow, and records in the trace what it lists."""
 
-    def __init__(self, folder: RunFolder, timeline: Timeline, record: TraceRecorder, lag: float) -> None:
+    def __init__(self, folder: RunFolder, timeline: Timeline, trace: RunTrace, lag: float) -> None:
         """Publish changes `lag` ms after they happen."""
         self.lag = lag
         self.rows: dict[str, EndpointRow] = {}  # workers as they were last started, by name
         self._folder = folder
         self._timeline = timeline
-        self._record = record
+        self._trace = trace
         self._published: dict[str, EndpointRow] = {}
         self._last_due = 0.0  # trace clock, ms: changes are published in the order in which they happened
 
@@ -36,8 +37,8 @@
 
     def record_all(self) -> None:
         """Record in the trace that every worker is listed as ready."""
-        for name, row in self.rows.items():
-            self._record("told", worker=name, state=EndpointState.READY.value, start=row.start)
+        for row in self.rows.values():
+            self._trace.endpoint_listed(row)
 
     def publish_later(self, name: str, state: EndpointState, lag: float | None = None) -> None:
         """List a worker in a new state after `lag` ms, or after the lag in force."""
@@ -53,7 +54,7 @@
         before = clock()
         self._write_file()
         published_at = before if row.state == EndpointState.READY.value else None
-        self._record("told", published_at, worker=row.name, state=row.state, start=row.start)
+        self._trace.endpoint_listed(row, published_at)
 
     def _write_file(self) -> None:
         listed = [row for row in self._published.values() if row.state != EndpointState.GONE.value]
--- a/wickdyke/fault_injection/fault_injector.py
+++ b/wickdyke/fault_injection/fault_injector.py
@@ -6,7 +6,7 @@
 import psutil  # type: ignore[import-untyped]  # the package has no types
 
 from wickdyke.fault_injection.endpoint_publisher import EndpointPublisher
-from wickdyke.fault_injection.faults import Fault, FaultKind
+from wickdyke.fault_injection.faults import Fault, FaultKind, FaultValue
 from wickdyke.fault_injection.rig_processes import RigProcesses
 from wickdyke.fault_injection.run_folder import RunFolder
 from wickdyke.fault_injection.scenario import Scenario
@@ -15,7 +15,11 @@
 
 ROUTE_FILE = "routes.sexp"
 DEPLOY_DRAIN_SHARE = 0.8  # of the time between the workers of a deploy
-VALUE_KEYS = ("factor", "share", "past")  # a fault that a fake worker is sent has at most one of them
+COMMAND_VALUES = (
+    FaultValue.FACTOR,
+    FaultValue.SHARE,
+    FaultValue.LATENESS,
+)  # a fault that a fake worker is sent has at most one of them
 
 
 def write_routes(folder: RunFolder, routes: str) -> None:
@@ -26,9 +30,9 @@
 def worker_command(fault: Fault) -> dict[str, object]:
     """The command that starts a fault in a fake worker."""
     command: dict[str, object] = {"fault": fault.kind.value}
-    if "for" in fault.values:
+    if FaultValue.DURATION in fault.values:
         command["for"] = fault.duration
-    for key in VALUE_KEYS:
+    for key in COMMAND_VALUES:
         if key in fault.values:
             command["value"] = fault.values[key]
     return command
@@ -103,7 +107,7 @@
             self._workers.drain(name, fault.duration)
 
     def _deploy_workers(self, fault: Fault) -> None:
-        interval = fault.values["each"]
+        interval = fault.values[FaultValue.INTERVAL]
         for index, name in enumerate(fault.targets):
             self._timeline.schedule(index * interval, self._workers.drain, name, interval * DEPLOY_DRAIN_SHARE)
 
@@ -133,7 +137,7 @@
         write_routes(self._folder, fault.routes)
 
     def _delay_endpoint_file(self, fault: Fault) -> None:
-        self._endpoints.set_lag(fault.values["by"])
+        self._endpoints.set_lag(fault.values[FaultValue.LAG])
         self._timeline.schedule(fault.duration, self._endpoints.set_lag, self._scenario.endpoint_lag_ms)
 
     # ---- store ----
@@ -153,13 +157,13 @@
     # ---- traffic ----
 
     def _change_rate(self, fault: Fault) -> None:
-        self._change_traffic(fault, fault.values["factor"], 1.0)
+        self._change_traffic(fault, fault.values[FaultValue.FACTOR], 1.0)
 
     def _change_share(self, fault: Fault) -> None:
-        self._change_traffic(fault, fault.values["share"], 0.0)
+        self._change_traffic(fault, fault.values[FaultValue.SHARE], 0.0)
 
     def _call_few_functions(self, fault: Fault) -> None:
-        self._change_traffic(fault, [fault.values["programs"], fault.values["share"]], [1, 0.0])
+        self._change_traffic(fault, [fault.values[FaultValue.FUNCTION_COUNT], fault.values[FaultValue.SHARE]], [1, 0.0])
 
     def _change_traffic(self, fault: Fault, value: object, normal_value: object) -> None:
         key = fault.kind.value
--- a/wickdyke/fault_injection/faults.py
+++ b/wickdyke/fault_injection/faults.py
@@ -4,7 +4,7 @@
 """
 
 from dataclasses import dataclass, field
-from enum import Enum
+from enum import Enum, StrEnum
 from typing import Any
 
 from wickdyke.config import schema, sexpr
@@ -39,6 +39,19 @@
     STORE_DOWN = "store-down"  # the store is killed and started again
 
 
+class FaultValue(StrEnum):
+    """A value of a fault; the word is its key in scenario files. Times are ms."""
+
+    DURATION = "for"
+    RESTART_DELAY = "back"  # until what was killed is started again
+    INTERVAL = "each"  # between the workers of a deploy
+    FACTOR = "factor"
+    SHARE = "share"
+    LAG = "by"  # of the endpoint file
+    LATENESS = "past"  # of a response beyond its deadline
+    FUNCTION_COUNT = "programs"
+
+
 class FaultTarget(Enum):
     """What a fault names; the value is the word of messages."""
 
@@ -77,7 +90,7 @@
     """What a kind of fault names, which values it takes, who can have it, and whether an event can trigger it."""
 
     target: FaultTarget
-    parameters: dict[str, FaultParameter] = field(default_factory=dict)
+    parameters: dict[FaultValue, FaultParameter] = field(default_factory=dict)
     support: WorkerSupport = WorkerSupport.ANY
     on_event: bool = False
 
@@ -97,7 +110,7 @@
 
     kind: FaultKind
     targets: tuple[str, ...]
-    values: dict[str, float]  # by the keys of scenario files; times in ms
+    values: dict[FaultValue, float]
     location: SourceLocation
     at: float | None = None
     trigger: FaultTrigger | None = None
@@ -106,12 +119,12 @@
     @property
     def duration(self) -> float:
         """How long the fault lasts, in ms."""
-        return self.values["for"]
+        return self.values[FaultValue.DURATION]
 
     @property
     def restart_delay(self) -> float:
         """After how many ms what was killed is started again."""
-        return self.values["back"]
+        return self.values[FaultValue.RESTART_DELAY]
 
     def __str__(self) -> str:
         return " ".join([self.kind.value, *self.targets, *[f"{key}={value:g}" for key, value in self.values.items()]])
@@ -126,63 +139,82 @@
 
 
 FAULT_SPECIFICATIONS: dict[FaultKind, FaultSpecification] = {
-    FaultKind.DIE: FaultSpecification(FaultTarget.WORKERS, {"back": _duration(4000.0)}, on_event=True),
-    FaultKind.DRAIN: FaultSpecification(FaultTarget.WORKERS, {"for": _duration(3000.0)}),
-    FaultKind.DEPLOY: FaultSpecification(FaultTarget.WORKERS, {"each": _duration(2500.0)}),
+    FaultKind.DIE: FaultSpecification(
+        FaultTarget.WORKERS, {FaultValue.RESTART_DELAY: _duration(4000.0)}, on_event=True
+    ),
+    FaultKind.DRAIN: FaultSpecification(FaultTarget.WORKERS, {FaultValue.DURATION: _duration(3000.0)}),
+    FaultKind.DEPLOY: FaultSpecification(FaultTarget.WORKERS, {FaultValue.INTERVAL: _duration(2500.0)}),
     FaultKind.HANG: FaultSpecification(
-        FaultTarget.WORKERS, {"for": _duration(4000.0)}, WorkerSupport.FAKE_ONLY, on_event=True
+        FaultTarget.WORKERS, {FaultValue.DURATION: _duration(4000.0)}, WorkerSupport.FAKE_ONLY, on_event=True
     ),
     FaultKind.SLOW: FaultSpecification(
         FaultTarget.WORKERS,
-        {"factor": FaultParameter(number(1, 1000), 4.0), "for": _duration(5000.0)},
+        {FaultValue.FACTOR: FaultParameter(number(1, 1000), 4.0), FaultValue.DURATION: _duration(5000.0)},
         WorkerSupport.FAKE_ONLY,
         on_event=True,
     ),
     FaultKind.FAIL: FaultSpecification(
         FaultTarget.WORKERS,
-        {"share": _share(1, 0.8), "for": _duration(5000.0)},
+        {FaultValue.SHARE: _share(1, 0.8), FaultValue.DURATION: _duration(5000.0)},
         WorkerSupport.FAKE_ONLY,
         on_event=True,
     ),
     FaultKind.LOSE: FaultSpecification(
         FaultTarget.WORKERS,
-        {"share": _share(1, 0.3), "for": _duration(5000.0)},
+        {FaultValue.SHARE: _share(1, 0.3), FaultValue.DURATION: _duration(5000.0)},
         WorkerSupport.FAKE_ONLY,
         on_event=True,
     ),
     FaultKind.NEIGHBOUR: FaultSpecification(
         FaultTarget.WORKERS,
-        {"share": _share(0.95, 0.6), "for": _duration(5000.0)},
+        {FaultValue.SHARE: _share(0.95, 0.6), FaultValue.DURATION: _duration(5000.0)},
         WorkerSupport.FAKE_ONLY,
         on_event=True,
     ),
     FaultKind.AGE: FaultSpecification(
         FaultTarget.WORKERS,
-        {"factor": FaultParameter(number(0, 1000), 6.0), "for": _duration(6000.0), "back": _duration(4000.0)},
+        {
+            FaultValue.FACTOR: FaultParameter(number(0, 1000), 6.0),
+            FaultValue.DURATION: _duration(6000.0),
+            FaultValue.RESTART_DELAY: _duration(4000.0),
+        },
         WorkerSupport.FAKE_ONLY,
     ),
     FaultKind.LATE: FaultSpecification(
-        FaultTarget.WORKERS, {"past": _duration(5.0)}, WorkerSupport.FAKE_ONLY, on_event=True
+        FaultTarget.WORKERS, {FaultValue.LATENESS: _duration(5.0)}, WorkerSupport.FAKE_ONLY, on_event=True
     ),
     FaultKind.RELEASE: FaultSpecification(FaultTarget.NONE, support=WorkerSupport.FAKE_ONLY),
-    FaultKind.LIST_LAG: FaultSpecification(FaultTarget.NONE, {"by": _duration(4000.0), "for": _duration(8000.0)}),
+    FaultKind.LIST_LAG: FaultSpecification(
+        FaultTarget.NONE, {FaultValue.LAG: _duration(4000.0), FaultValue.DURATION: _duration(8000.0)}
+    ),
     FaultKind.BURST: FaultSpecification(
-        FaultTarget.NONE, {"factor": FaultParameter(number(0.01, 100), 2.0), "for": _duration(4000.0)}
+        FaultTarget.NONE,
+        {FaultValue.FACTOR: FaultParameter(number(0.01, 100), 2.0), FaultValue.DURATION: _duration(4000.0)},
     ),
     FaultKind.HOT: FaultSpecification(
         FaultTarget.NONE,
-        {"programs": FaultParameter(count(1, 100), 2), "share": _share(1, 0.2), "for": _duration(6000.0)},
+        {
+            FaultValue.FUNCTION_COUNT: FaultParameter(count(1, 100), 2),
+            FaultValue.SHARE: _share(1, 0.2),
+            FaultValue.DURATION: _duration(6000.0),
+        },
     ),
     FaultKind.ONCE: FaultSpecification(
-        FaultTarget.NONE, {"share": _share(1, 0.15), "for": _duration(6000.0)}, WorkerSupport.FAKE_ONLY
+        FaultTarget.NONE,
+        {FaultValue.SHARE: _share(1, 0.15), FaultValue.DURATION: _duration(6000.0)},
+        WorkerSupport.FAKE_ONLY,
     ),
-    FaultKind.SHORT: FaultSpecification(FaultTarget.NONE, {"share": _share(1, 0.4), "for": _duration(6000.0)}),
-    FaultKind.STALL: FaultSpecification(FaultTarget.NONE, {"for": _duration(3000.0)}),
-    FaultKind.KILL_GATEWAY: FaultSpecification(FaultTarget.GATEWAYS, {"back": _duration(2000.0)}),
-    FaultKind.LOSE_ZONE: FaultSpecification(FaultTarget.ZONES, {"back": _duration(4000.0)}),
+    FaultKind.SHORT: FaultSpecification(
+        FaultTarget.NONE, {FaultValue.SHARE: _share(1, 0.4), FaultValue.DURATION: _duration(6000.0)}
+    ),
+    FaultKind.STALL: FaultSpecification(FaultTarget.NONE, {FaultValue.DURATION: _duration(3000.0)}),
+    FaultKind.KILL_GATEWAY: FaultSpecification(FaultTarget.GATEWAYS, {FaultValue.RESTART_DELAY: _duration(2000.0)}),
+    FaultKind.LOSE_ZONE: FaultSpecification(FaultTarget.ZONES, {FaultValue.RESTART_DELAY: _duration(4000.0)}),
     FaultKind.REROUTE: FaultSpecification(FaultTarget.ROUTES),
     FaultKind.KILL_REPLICA: FaultSpecification(FaultTarget.WORKERS, support=WorkerSupport.REAL_ONLY),
-    FaultKind.STORE_DOWN: FaultSpecification(FaultTarget.NONE, {"back": _duration(2000.0)}, WorkerSupport.REAL_ONLY),
+    FaultKind.STORE_DOWN: FaultSpecification(
+        FaultTarget.NONE, {FaultValue.RESTART_DELAY: _duration(2000.0)}, WorkerSupport.REAL_ONLY
+    ),
 }
 NAMES = {kind.value: kind for kind in FAULT_SPECIFICATIONS}
 
@@ -278,12 +310,13 @@
 
 def _read_values(
     expression: Expression, specification: FaultSpecification, diagnostics: Diagnostics
-) -> dict[str, float]:
+) -> dict[FaultValue, float]:
     parameters = specification.parameters
-    values: dict[str, Any] = {key: parameter.default for key, parameter in parameters.items()}
+    values: dict[FaultValue, Any] = {key: parameter.default for key, parameter in parameters.items()}
     for item in expression.items:
         if isinstance(item, Expression) and item.name in parameters:
-            values[item.name] = parameters[item.name].reader(item, diagnostics)
+            key = FaultValue(item.name)
+            values[key] = parameters[key].reader(item, diagnostics)
         elif isinstance(item, Expression) or item.kind != "string":
             allowed = ", ".join(f"({key} ...)" for key in parameters) or "nothing else"
             diagnostics.add(item.spot, schema.describe(item), f"names, and {allowed}")
--- a/wickdyke/fault_injection/function_packages.py
+++ b/wickdyke/fault_injection/function_packages.py
@@ -9,9 +9,9 @@
 # Loading and running are time slept. The input's keys are those that the load client sends.
 FUNCTION_SOURCE = """import time
 time.sleep({load} / 1000)
-def run(asked):
-    time.sleep(asked["work_ms"] / 1000)
-    return {{"mark": asked["mark"]}}
+def run(arguments):
+    time.sleep(arguments["work_ms"] / 1000)
+    return {{"mark": arguments["mark"]}}
 """
 
 
--- a/wickdyke/fault_injection/rig_processes.py
+++ b/wickdyke/fault_injection/rig_processes.py
@@ -14,9 +14,9 @@
 from wickdyke.fault_injection.function_packages import write_packages
 from wickdyke.fault_injection.load_client import LoadPlan, RequestKind
 from wickdyke.fault_injection.run_folder import RunFolder
+from wickdyke.fault_injection.run_trace import RunTrace
 from wickdyke.fault_injection.scenario import Effect, EndpointState, Scenario, cell_of, gateway_names, zone_of
 from wickdyke.fault_injection.settings_files import STORE_SETTINGS, gateway_settings, worker_settings
-from wickdyke.fault_injection.trace import TraceRecorder
 
 GATEWAY_COMMAND = (sys.executable, "-m", "wickdyke.cli", "serve")
 STARTS_PER_SEED = 100000  # start numbers of scenarios with different seeds are apart by this
@@ -28,9 +28,7 @@
 class RigProcesses:
     """Starts the processes of a scenario in a folder and keeps them by name."""
 
-    def __init__(
-        self, scenario: Scenario, folder: RunFolder, record: TraceRecorder, gateway_command: Sequence[str]
-    ) -> None:
+    def __init__(self, scenario: Scenario, folder: RunFolder, trace: RunTrace, gateway_command: Sequence[str]) -> None:
         """Start nothing yet; `gateway_command` is what the name of a settings file is appended to."""
         self.workers: dict[str, ChildProcess] = {}
         self.gateways: dict[str, ChildProcess] = {}
@@ -38,7 +36,7 @@
         self._store: ChildProcess | None = None
         self._scenario = scenario
         self._folder = folder
-        self._record = record
+        self._trace = trace
         self._gateway_command = gateway_command
         self._start_numbers = itertools.count(scenario.seed * STARTS_PER_SEED + 1)
 
@@ -109,7 +107,7 @@
 
     def start_gateway(self, name: str) -> None:
         """Start a gateway with the settings that write_gateway_settings() wrote; it may not be ready yet."""
-        self._record("gateway-started", gateway=name)
+        self._trace.gateway_started(name)
         arguments = (
             *self._gateway_command,
             self._folder.file(f"{name}.sexp"),
@@ -121,7 +119,7 @@
     def kill_gateway(self, name: str) -> None:
         """Kill a gateway."""
         self.gateways[name].kill()
-        self._record("gateway-killed", gateway=name)
+        self._trace.gateway_killed(name)
 
     def write_gateway_settings(self, number: int) -> None:
         """Write the settings file of the gateway of that number; raises OSError."""
--- a/wickdyke/fault_injection/scenario_runner.py
+++ b/wickdyke/fault_injection/scenario_runner.py
@@ -11,12 +11,12 @@
 from wickdyke.fault_injection.faults import Fault
 from wickdyke.fault_injection.rig_processes import GATEWAY_COMMAND, RigProcesses
 from wickdyke.fault_injection.run_folder import RunFolder
-from wickdyke.fault_injection.scenario import Scenario, cell_of, gateway_names, worker_names, zone_of
+from wickdyke.fault_injection.run_trace import WRITER, RunTrace
+from wickdyke.fault_injection.scenario import Scenario, gateway_names, worker_names
 from wickdyke.fault_injection.timeline import Timeline
-from wickdyke.fault_injection.trace import TraceRecorder, clock
+from wickdyke.fault_injection.trace import clock
 from wickdyke.fault_injection.worker_lifecycle import WorkerLifecycle
 
-TRACE_WRITER = "director"  # the name in traces of this process
 STEP_SECONDS = 0.005
 CLIENT_GRACE = 20000.0  # ms beyond the scenario and its longest deadline until the load clients must have ended
 
@@ -43,17 +43,17 @@
         self.folder = folder
         self._report_progress = report_progress
         self._run_folder = RunFolder(folder)
-        self._record = TraceRecorder(self._run_folder.trace_file(TRACE_WRITER), TRACE_WRITER)
+        self._trace = RunTrace(self._run_folder.trace_file(WRITER))
         self._timeline = Timeline()
-        self._processes = RigProcesses(scenario, self._run_folder, self._record, gateway_command)
-        self._endpoints = EndpointPublisher(self._run_folder, self._timeline, self._record, scenario.endpoint_lag_ms)
+        self._processes = RigProcesses(scenario, self._run_folder, self._trace, gateway_command)
+        self._endpoints = EndpointPublisher(self._run_folder, self._timeline, self._trace, scenario.endpoint_lag_ms)
         self._workers = WorkerLifecycle(
             scenario,
             self._processes,
             self._endpoints,
             self._timeline,
             self._run_folder,
-            self._record,
+            self._trace,
             report_progress,
         )
         self._faults = FaultInjector(
@@ -80,7 +80,7 @@
 
         Raises RigError if a process does not become ready.
         """
-        self._record_terms()
+        self._trace.run_settings(self.scenario)
         self._processes.start_store()
         self._start_workers()
         self._start_gateways()
@@ -109,50 +109,6 @@
         """End every process."""
         self._processes.close()
 
-    def _record_terms(self) -> None:
-        """Record what the rule checker needs to know of the scenario; the keys are those of traces."""
-        scenario = self.scenario
-        self._record(
-            "terms",
-            transit=scenario.transit_ms,
-            overlap=scenario.overlap,
-            drain_grace=scenario.drain_grace_ms,
-            warmup={
-                "start_share": scenario.slow_start.start_share,
-                "ramp": scenario.slow_start.ramp_ms,
-                "multiple": scenario.slow_start.overload_multiple,
-                "window": scenario.slow_start.window_ms,
-            },
-            ration={
-                "free": scenario.prewarm_quota.free,
-                "share": scenario.prewarm_quota.share,
-                "window": scenario.prewarm_quota.window_ms,
-            },
-            methods=self._request_class_terms(),
-            workers=self._worker_terms(),
-        )
-
-    def _request_class_terms(self) -> dict[str, object]:
-        return {
-            request_class.name: {
-                "effect": request_class.effect.value,
-                "scope": request_class.scope.value,
-                "window": request_class.key_window_ms,
-                "soft": request_class.soft_deadline_ms,
-            }
-            for request_class in self.scenario.request_classes
-        }
-
-    def _worker_terms(self) -> dict[str, object]:
-        return {
-            name: {
-                "zone": zone_of(self.scenario, name),
-                "cell": cell_of(name),
-                "capacity": self.scenario.cores * self.scenario.speed,
-            }
-            for name in worker_names(self.scenario)
-        }
-
     def _start_workers(self) -> None:
         for name in worker_names(self.scenario):
             self._workers.start(name, warming_up=False)
@@ -178,7 +134,7 @@
                 self._faults.arm(fault)
 
     def _inject(self, fault: Fault) -> None:
-        self._record("trouble", text=str(fault))
+        self._trace.fault_injected(fault)
         self._report_progress(self._timeline.timestamped(str(fault)))
         self._faults.inject(fault)
 
--- a/wickdyke/fault_injection/worker_lifecycle.py
+++ b/wickdyke/fault_injection/worker_lifecycle.py
@@ -8,9 +8,9 @@
 from wickdyke.fault_injection.endpoint_publisher import EndpointPublisher
 from wickdyke.fault_injection.rig_processes import RigProcesses
 from wickdyke.fault_injection.run_folder import RunFolder
+from wickdyke.fault_injection.run_trace import RunTrace
 from wickdyke.fault_injection.scenario import EndpointState, Scenario
 from wickdyke.fault_injection.timeline import Timeline
-from wickdyke.fault_injection.trace import TraceRecorder
 
 DRAIN_EXIT_DELAY = 500.0  # ms from the order to drain to the end of the worker
 EXIT_POLL_INTERVAL = 50.0  # ms
@@ -28,7 +28,7 @@
         endpoints: EndpointPublisher,
         timeline: Timeline,
         folder: RunFolder,
-        record: TraceRecorder,
+        trace: RunTrace,
         report_progress: Callable[[str], None],
     ) -> None:
         self._scenario = scenario
@@ -36,7 +36,7 @@
         self._endpoints = endpoints
         self._timeline = timeline
         self._folder = folder
-        self._record = record
+        self._trace = trace
         self._report_progress = report_progress
         self._down: set[str] = set()
 
@@ -72,14 +72,14 @@
             if name in self._down or exit_code is None:
                 continue
             self._down.add(name)
-            self._record("worker-killed", worker=name)
+            self._trace.worker_ended(name)
             self._report_progress(self._timeline.timestamped(f"{name} ended with code {exit_code}"))
             self._endpoints.publish_later(name, EndpointState.GONE)
             if exit_code == TRIGGERED_DIE_EXIT_CODE:
                 self._timeline.schedule(CRASH_RESTART_DELAY, self._restart, name)
 
     def _record_end(self, name: str) -> None:
-        self._record("worker-killed", worker=name)
+        self._trace.worker_ended(name)
         self._endpoints.publish_later(name, EndpointState.GONE)
 
     def _restart(self, name: str) -> None:
