--- a/bench/overload.py
+++ b/bench/overload.py
@@ -32,7 +32,7 @@
             Expression(
                 form.name,
                 [item for item in form.items if not (isinstance(item, Expression) and item.name in names)],
-                form.spot,
+                form.location,
             )
             for form in forms
         ]
--- a/tests/test_fault_injection.py
+++ b/tests/test_fault_injection.py
@@ -131,7 +131,7 @@
                 sink.flush()
                 with self.assertRaises(InvalidConfigError) as bad:
                     scenario.read(sink.name)
-                self.assertEqual(len(bad.exception.troubles), 1, bad.exception)
+                self.assertEqual(len(bad.exception.diagnostics), 1, bad.exception)
                 for word in words:
                     self.assertIn(word, str(bad.exception))
 
--- a/tests/test_route_policy.py
+++ b/tests/test_route_policy.py
@@ -94,7 +94,7 @@
                 try:
                     route_config.check_transition(read(new), "f", held, 1.0)
                 except sexpr.InvalidConfigError as bad:
-                    found = [str(trouble) for trouble in bad.troubles]
+                    found = [str(trouble) for trouble in bad.diagnostics]
                     self.assertNotIsInstance(bad, sexpr.IncompleteInputError)
                 self.assertEqual(len(found), bool(words), found)
                 for word in words:
@@ -225,7 +225,7 @@
                     read(text, ground)
                 said = str(bad.exception)
                 if not text.startswith("(pause 30"):
-                    self.assertEqual(len(bad.exception.troubles), 1, said)
+                    self.assertEqual(len(bad.exception.diagnostics), 1, said)
                 for word in words:
                     self.assertIn(word, said)
 
@@ -369,7 +369,7 @@
         text = route_config.format_routes(made)
         notes = route_config.Diagnostics()
         back = route_config.ROUTES(sexpr.parse(text, "f")[0], notes)
-        self.assertEqual(notes.troubles, [])
+        self.assertEqual(notes.entries, [])
         self.assertEqual(
             [(r.name, r.takes, {n: v for n, (v, _) in r.stated.items()}) for r in back],
             [(r.name, r.takes, {n: v for n, (v, _) in r.stated.items()}) for r in made],
@@ -541,7 +541,7 @@
         began = time.monotonic()
         with self.assertRaises(InvalidConfigError) as bad:
             read(" ".join(lines))
-        self.assertEqual(len(bad.exception.troubles), 2)
+        self.assertEqual(len(bad.exception.diagnostics), 2)
         self.assertLess(time.monotonic() - began, 60)
 
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -112,7 +112,7 @@
         text = GOOD.replace("750 ms", "750").replace("idempotent", "idem").replace("8 s", "8").replace("14 s", "14")
         with self.assertRaises(InvalidConfigError) as bad:
             self.read(text)
-        self.assertEqual([t.spot.line for t in bad.exception.troubles], [6, 6, 9, 10])
+        self.assertEqual([t.location.line for t in bad.exception.diagnostics], [6, 6, 9, 10])
 
     def test_no_file(self):
         for text, words in ((b"\xff(", "UTF-8"), ("", "nothing"), ("(" * 5000, "closed")):
--- a/tests/test_worker.py
+++ b/tests/test_worker.py
@@ -120,7 +120,7 @@
                     sink.write(text)
                 with self.assertRaises(InvalidConfigError) as caught:
                     package.pack(self.path("f"), self.path("store"))
-                self.assertEqual(len(caught.exception.troubles), 1, caught.exception)
+                self.assertEqual(len(caught.exception.diagnostics), 1, caught.exception)
                 for word in words:
                     self.assertIn(word, str(caught.exception))
                 self.assertFalse(os.path.exists(self.path("store")))
@@ -182,7 +182,7 @@
                     path = self.archive(*entries, cut=cut)
                 with self.assertRaises(InvalidConfigError) as caught:
                     package.from_zip(path)
-                self.assertEqual(len(caught.exception.troubles), 1)
+                self.assertEqual(len(caught.exception.diagnostics), 1)
                 for word in words:
                     self.assertIn(word, str(caught.exception))
         made, files = package.from_zip(self.archive(*plain))
@@ -552,7 +552,7 @@
                     sink.write(text)
                 with self.assertRaises(InvalidConfigError) as caught:
                     worker_config.read(self.path("w.sexp"))
-                self.assertEqual(len(caught.exception.troubles), 1, caught.exception)
+                self.assertEqual(len(caught.exception.diagnostics), 1, caught.exception)
                 for word in words:
                     self.assertIn(word, str(caught.exception))
 
--- a/wickdyke/cli/move.py
+++ b/wickdyke/cli/move.py
@@ -51,9 +51,9 @@
         schema.single_expression(sexpr.read(file), name, file, notes)
         for file, name in ((old, "gateway"), (shape, "shape"))
     ]
-    notes.done()
+    notes.raise_if_any()
     made, told = migration.migrate(*forms, notes)
-    notes.done()
+    notes.raise_if_any()
     text, folder = migration.format_config(made), os.path.dirname(os.path.abspath(new))
     with open(old) as source:
         lost = migration.count_comments(source.read())
@@ -74,5 +74,5 @@
             if name is not None:
                 read(name)
         except InvalidConfigError as bad:
-            told += [f"no longer fits: {trouble}" for trouble in bad.troubles]
+            told += [f"no longer fits: {trouble}" for trouble in bad.diagnostics]
     return told
--- a/wickdyke/config/address.py
+++ b/wickdyke/config/address.py
@@ -44,7 +44,7 @@
     try:
         parse(address)
     except ValueError as bad:
-        notes.add(form.items[0].spot, form.items[0].text, str(bad))
+        notes.add(form.items[0].location, form.items[0].text, str(bad))
         return None
     return address
 
--- a/wickdyke/config/endpoint_file.py
+++ b/wickdyke/config/endpoint_file.py
@@ -22,8 +22,8 @@
     start: int
 
 
-def _row(spot: SourceLocation, **values) -> tuple[EndpointRow, SourceLocation]:
-    return EndpointRow(**values), spot
+def _row(location: SourceLocation, **values) -> tuple[EndpointRow, SourceLocation]:
+    return EndpointRow(**values), location
 
 
 WORKER = record(
@@ -37,7 +37,7 @@
     state=Field(choice(ready="ready", draining="draining", gone="gone"), "ready"),
     start=Field(count(0, 2**53), 0),
 )
-WORKERS = record(lambda spot, worker: worker, worker=Field(WORKER, None, many=True))
+WORKERS = record(lambda location, worker: worker, worker=Field(WORKER, None, many=True))
 
 
 def parse_endpoints(
@@ -47,13 +47,15 @@
     notes = Diagnostics()
     form = schema.single_expression(forms, "workers", path, notes)
     found = WORKERS(form, notes) if form is not None else None
-    for row, spot in found or ():
+    for row, location in found or ():
         for what, value, known in (("zone", row.zone, zones), ("kind", row.kind, kinds)):
             if known and value not in known:
                 said = f'{what} "{value}"' if value else f"no {what}"
-                notes.add(spot, said, f"one of {', '.join(known)}, as the gateway's file names them")
-    schema.check_unique([row.name for row, _ in found or ()], [spot for _, spot in found or ()], "worker", notes)
-    notes.done()
+                notes.add(location, said, f"one of {', '.join(known)}, as the gateway's file names them")
+    schema.check_unique(
+        [row.name for row, _ in found or ()], [location for _, location in found or ()], "worker", notes
+    )
+    notes.raise_if_any()
     return [row for row, _ in found]
 
 
--- a/wickdyke/config/gateway_config.py
+++ b/wickdyke/config/gateway_config.py
@@ -41,7 +41,7 @@
     memory: float
     lanes: int
     load: float | None
-    spot: SourceLocation
+    location: SourceLocation
 
     def fits(self, program: str) -> bool:
         """Whether it speaks of that program."""
@@ -86,12 +86,12 @@
 
 
 def _part(record_type):
-    """Builds without the spot, which most parts have no use for."""
-    return lambda spot, **values: record_type(**values)
+    """Builds without the location, which most parts have no use for."""
+    return lambda location, **values: record_type(**values)
 
 
 def _method(
-    spot: SourceLocation,
+    location: SourceLocation,
     name: str,
     effect: str,
     scope: str,
@@ -102,11 +102,11 @@
     gain: float,
     late_gain: float,
 ) -> tuple[RequestClass, SourceLocation]:
-    return RequestClass(name, effect, scope, window, soft_deadline, soft_stretch, deadline, gain, late_gain), spot
+    return RequestClass(name, effect, scope, window, soft_deadline, soft_stretch, deadline, gain, late_gain), location
 
 
 def _attempt_limits(
-    spot: SourceLocation, most: int, overlap: bool, probe: bool, dial: float, idle_close: float, **rest
+    location: SourceLocation, most: int, overlap: bool, probe: bool, dial: float, idle_close: float, **rest
 ):
     return AttemptLimits(
         attempts=most, hedging=overlap, health_checks=probe, connect_timeout=dial, idle_timeout=idle_close, **rest
@@ -114,7 +114,7 @@
 
 
 def _function_cache(
-    spot: SourceLocation,
+    location: SourceLocation,
     idle_life: float,
     may_hold: bool,
     loads_on_call: bool,
@@ -132,7 +132,7 @@
     }
 
 
-def _cost_weights(spot: SourceLocation, probe: float, crossing: float, **rest: float) -> CostWeights:
+def _cost_weights(location: SourceLocation, probe: float, crossing: float, **rest: float) -> CostWeights:
     return CostWeights(health_check=probe, cross_zone=crossing, **rest)
 
 
@@ -149,16 +149,20 @@
     late_gain=Field(number(0, 1), 0.0),
 )
 PROGRAM = record(
-    lambda spot, name, memory, lanes, load: FunctionSettings(name, memory, lanes, load, spot),
+    lambda location, name, memory, lanes, load: FunctionSettings(name, memory, lanes, load, location),
     named=True,
     memory=Field(size(0)),
     lanes=Field(count(1, 4096), 1),
     load=Field(span(), None),
 )
-KIND = record(lambda spot, name, memory: (name, memory, spot), named=True, memory=Field(size()))
-LISTEN = record(lambda spot, json_rpc: json_rpc, json_rpc=Field(address.read))
-FOLLOWED = record(lambda spot, file, reread: (file, reread), file=Field(text), reread=Field(span(5.0, 60000.0), 100.0))
-SEAT = record(lambda spot, number, of: (number, of, spot), number=Field(count(0, 100000)), of=Field(count(1, 100000)))
+KIND = record(lambda location, name, memory: (name, memory, location), named=True, memory=Field(size()))
+LISTEN = record(lambda location, json_rpc: json_rpc, json_rpc=Field(address.read))
+FOLLOWED = record(
+    lambda location, file, reread: (file, reread), file=Field(text), reread=Field(span(5.0, 60000.0), 100.0)
+)
+SEAT = record(
+    lambda location, number, of: (number, of, location), number=Field(count(0, 100000)), of=Field(count(1, 100000))
+)
 CALL_OUTS = record(
     _attempt_limits,
     most=Field(count(1, 100), 3),
@@ -169,7 +173,7 @@
     dial=Field(span(1.0, 60000.0), 250.0),
     idle_close=Field(span(1.0), 15000.0),
 )
-TENANT = record(lambda spot, name, quota: (name, quota, spot), named=True, quota=Field(number(0.001, 1e9)))
+TENANT = record(lambda location, name, quota: (name, quota, location), named=True, quota=Field(number(0.001, 1e9)))
 STOCK = record(
     _function_cache,
     idle_life=Field(span(1.0)),
@@ -216,7 +220,7 @@
 )
 
 
-def _isolation(spot: SourceLocation, loads: dict, calls: dict) -> BreakerSettings:
+def _isolation(location: SourceLocation, loads: dict, calls: dict) -> BreakerSettings:
     return BreakerSettings(
         loads["workers"],
         loads["window"],
@@ -235,7 +239,7 @@
     calls=Field(CALLS, {"copies": 3.0, "window": 60000.0, "first": 10000.0, "most": 600000.0}),
 )
 GATEWAY = record(
-    lambda spot, **values: (spot, values),
+    lambda location, **values: (location, values),
     name=Field(text, "gateway"),
     listen=Field(LISTEN),
     workers=Field(FOLLOWED),
@@ -243,7 +247,7 @@
     log=Field(text, None),
     tape=Field(text, None),
     seed=Field(count(0, 2**53), None),
-    zone=Field(record(lambda spot, name: (name, spot), named=True), None, many=True),
+    zone=Field(record(lambda location, name: (name, location), named=True), None, many=True),
     at=Field(text, None),
     kind=Field(KIND, None, many=True),
     method=Field(METHOD, many=True),
@@ -265,7 +269,7 @@
 )
 
 
-def _contradictions(spot: SourceLocation, got: dict, notes: Diagnostics) -> None:
+def _contradictions(location: SourceLocation, got: dict, notes: Diagnostics) -> None:
     way = got["answer_way"]
     for method, at in got["method"]:
         if method.latency_objective >= method.deadline:
@@ -280,27 +284,27 @@
             notes.add(at, f'method "{method.name}" tokened without a window', "(window TIME) in it")
         if method.effect != "tokened" and method.dedupe_window:
             notes.add(at, f'method "{method.name}" {method.effect} with a window', "a window only where tokened")
-    for what, names, spots in (
+    for what, names, locations in (
         ("method", [m.name for m, _ in got["method"]], [at for _, at in got["method"]]),
-        ("program", [p.name for p in got["program"]], [p.spot for p in got["program"]]),
+        ("program", [p.name for p in got["program"]], [p.location for p in got["program"]]),
         ("kind", [k for k, _, _ in got["kind"]], [at for _, _, at in got["kind"]]),
         ("tenant", [t for t, _, _ in got["tenant"]], [at for _, _, at in got["tenant"]]),
         ("zone", [z for z, _ in got["zone"]], [at for _, at in got["zone"]]),
     ):
-        schema.check_unique(names, spots, what, notes)
+        schema.check_unique(names, locations, what, notes)
     zones = [zone for zone, _ in got["zone"]]
     if got["at"] is not None and got["at"] not in zones:
-        notes.add(spot, f'(at "{got["at"]}")', "one of the zones" + "".join(f' "{z}"' for z in zones))
+        notes.add(location, f'(at "{got["at"]}")', "one of the zones" + "".join(f' "{z}"' for z in zones))
     if got["at"] is None and len(zones) > 1:
-        notes.add(spot, f"{len(zones)} zones and no (at ...)", '(at "ZONE"): where this gateway stands')
+        notes.add(location, f"{len(zones)} zones and no (at ...)", '(at "ZONE"): where this gateway stands')
     place, of, at = got["seat"]
     if place >= of:
         notes.add(at, f"number {place} of {of}", f"a number of 0 to {of - 1}")
     if got["workers"][0] == got["listen"]:
-        notes.add(spot, f'"{got["listen"]}" as socket and as list of workers', "two different files")
+        notes.add(location, f'"{got["listen"]}" as socket and as list of workers', "two different files")
     if got["bounds"].unread < got["bounds"].line:
         notes.add(
-            spot,
+            location,
             f"unread of {got['bounds'].unread:g} MB under line of {got['bounds'].line:g} MB",
             "room for one line at least",
         )
@@ -318,7 +322,7 @@
     read_form = GATEWAY(form, notes) if form is not None else None
     if read_form is not None:
         _contradictions(*read_form, notes)
-    notes.done()
+    notes.raise_if_any()
     _, got = read_form
     base = os.path.dirname(path)
 
--- a/wickdyke/config/migration.py
+++ b/wickdyke/config/migration.py
@@ -29,9 +29,9 @@
     for item in old.items:
         instead = stated.pop(item.name, None) if isinstance(item, Expression) else None
         if instead is not None and format_expression(instead) != format_expression(item):
-            told.append(f"{item.spot}: {old.name}: {format_expression(item)} became {format_expression(instead)}")
+            told.append(f"{item.location}: {old.name}: {format_expression(item)} became {format_expression(instead)}")
         kept.append(instead or item)
-    return Expression(old.name, [*kept, *stated.values()], old.spot)
+    return Expression(old.name, [*kept, *stated.values()], old.location)
 
 
 def migrate(old: Expression, shape: Expression, notes: Diagnostics) -> tuple[Expression, list[str]]:
@@ -40,9 +40,9 @@
     stated: dict[tuple[str, str], Expression] = {}
     for item in shape.items:
         if not isinstance(item, Expression) or not item.name:
-            notes.add(item.spot, describe(item), "a field of gateway in brackets")
+            notes.add(item.location, describe(item), "a field of gateway in brackets")
         elif _key(item) in stated:
-            notes.add(item.spot, f"({' '.join(filter(None, _key(item)))} ...) a second time", "it once")
+            notes.add(item.location, f"({' '.join(filter(None, _key(item)))} ...) a second time", "it once")
         else:
             stated[_key(item)] = item
     replaced = {name for name, _ in stated} & set(WHOLE)
@@ -53,16 +53,16 @@
             continue
         new = stated.pop(_key(item), None)
         if new is None and item.name in replaced:
-            told.append(f"{item.spot}: {format_expression(item)} has no counterpart")
+            told.append(f"{item.location}: {format_expression(item)} has no counterpart")
         elif new is None:
             kept.append(item)
         elif item.name in MERGED:
             kept.append(_merged(item, new, told))
         else:
             if format_expression(new) != format_expression(item):
-                told.append(f"{item.spot}: {format_expression(item)} became {format_expression(new)}")
+                told.append(f"{item.location}: {format_expression(item)} became {format_expression(new)}")
             kept.append(new)
-    return Expression(old.name, [*kept, *stated.values()], old.spot), told
+    return Expression(old.name, [*kept, *stated.values()], old.location), told
 
 
 def format_config(form: Expression) -> str:
--- a/wickdyke/config/route_config.py
+++ b/wickdyke/config/route_config.py
@@ -74,12 +74,12 @@
     """(attempt 500 ms (linger 300 ms))"""
     plain = [item for item in form.items if isinstance(item, Atom)]
     more = [item for item in form.items if isinstance(item, Expression)]
-    took, linger = span(1.0)(Expression("attempt", plain, form.spot), notes), None
+    took, linger = span(1.0)(Expression("attempt", plain, form.location), notes), None
     for item in more:
         if item.name == "linger" and linger is None:
             linger = span()(item, notes)
         else:
-            notes.add(item.spot, schema.describe(item), "(attempt TIME) or (attempt TIME (linger TIME))")
+            notes.add(item.location, schema.describe(item), "(attempt TIME) or (attempt TIME (linger TIME))")
     return took, linger
 
 
@@ -87,10 +87,10 @@
     """(again full miss cut), or (again nothing)"""
     named = schema.word_list(form, notes) or ()
     if not named:
-        notes.add(form.spot, "(again)", "outcomes, or (again nothing)")
+        notes.add(form.location, "(again)", "outcomes, or (again nothing)")
     for word in named if named != ("nothing",) else ():
         if word not in OUTCOMES:
-            notes.add(form.spot, f"the outcome {word}", "some of " + ", ".join(OUTCOMES))
+            notes.add(form.location, f"the outcome {word}", "some of " + ", ".join(OUTCOMES))
     return frozenset(named) - {"nothing"}
 
 
@@ -101,7 +101,9 @@
     return SECOND(form, notes)
 
 
-def _seconds(spot: SourceLocation, after: float | None, after_share: float | None, at_once: int, part: float) -> Any:
+def _seconds(
+    location: SourceLocation, after: float | None, after_share: float | None, at_once: int, part: float
+) -> Any:
     return after, after_share, at_once, part
 
 
@@ -113,20 +115,23 @@
     part=Field(number(0.0001, 1), 0.05),
 )
 PAUSE = record(
-    lambda spot, **values: BackoffPolicy(**values),
+    lambda location, **values: BackoffPolicy(**values),
     first=Field(span()),
     growth=Field(number(1, 100), 1.0),
     most=Field(span(), float("inf")),
     spread=Field(number(0, 10), 0.0),
 )
 BUDGET = record(
-    lambda spot, **values: RetryBudgetPolicy(**values),
+    lambda location, **values: RetryBudgetPolicy(**values),
     window=Field(span()),
     share=Field(number(0, 100), 0.0),
     floor=Field(number(0, 1e6), 0.0),
 )
 TAKES = record(
-    lambda spot, **parts: Pattern(**parts), method=Field(text, ANY), program=Field(text, ANY), tenant=Field(text, ANY)
+    lambda location, **parts: Pattern(**parts),
+    method=Field(text, ANY),
+    program=Field(text, ANY),
+    tenant=Field(text, ANY),
 )
 READERS: dict[str, schema.Reader] = {
     "soft-deadline": span(1.0),
@@ -143,12 +148,16 @@
 
 
 def _placed(reader: schema.Reader) -> schema.Reader:
-    return lambda form, notes: (reader(form, notes), form.spot)
+    return lambda form, notes: (reader(form, notes), form.location)
 
 
-def _route(spot: SourceLocation, name: str, takes: Pattern, like: str | None, **stated) -> Route:
+def _route(location: SourceLocation, name: str, takes: Pattern, like: str | None, **stated) -> Route:
     return Route(
-        name, spot, takes, like, {key.replace("_", "-"): value for key, value in stated.items() if value is not None}
+        name,
+        location,
+        takes,
+        like,
+        {key.replace("_", "-"): value for key, value in stated.items() if value is not None},
     )
 
 
@@ -159,7 +168,7 @@
     like=Field(text, None),
     **{name.replace("-", "_"): Field(_placed(reader), None) for name, reader in READERS.items()},
 )
-ROUTES = record(lambda spot, route: route, route=Field(ROUTE, None, many=True))
+ROUTES = record(lambda location, route: route, route=Field(ROUTE, None, many=True))
 
 
 def _lines(routes: list[Route], notes: Diagnostics) -> None:
@@ -222,8 +231,8 @@
     notes = Diagnostics()
     form = schema.single_expression(forms, "routes", path, notes)
     routes = ROUTES(form, notes) if form is not None else None
-    if notes.troubles or routes is None:
-        notes.done()
+    if notes.entries or routes is None:
+        notes.raise_if_any()
     schema.check_unique([route.name for route in routes], [route.spot for route in routes], "route", notes)
     _lines(routes, notes)
     for one, other, both in find_ties([route.takes for route in routes]):
@@ -246,8 +255,8 @@
                 if (at, refusal) not in said:  # a line that many routes inherit is wrong once
                     said.add((at, refusal))
                     notes.add(at, f'in route "{route.name}" {refusal.found}', refusal.expected, suggested_fix(refusal))
-    notes.troubles = list(dict.fromkeys(notes.troubles))
-    notes.done()
+    notes.entries = list(dict.fromkeys(notes.entries))
+    notes.raise_if_any()
     return Routes(routes, RouteTable([(route.takes, route) for route in routes]), held)
 
 
@@ -315,8 +324,8 @@
             fix,
         )
     if stranded and all(each.until is not None for each in stranded):
-        raise sexpr.IncompleteInputError(notes.troubles)
-    notes.done()
+        raise sexpr.IncompleteInputError(notes.entries)
+    notes.raise_if_any()
 
 
 # ---- as text ----
--- a/wickdyke/config/schema.py
+++ b/wickdyke/config/schema.py
@@ -19,16 +19,16 @@
 class Diagnostics:
     """The troubles noted so far."""
 
-    troubles: list[Diagnostic] = field(default_factory=list)
+    entries: list[Diagnostic] = field(default_factory=list)
 
-    def add(self, spot: SourceLocation, found: str, expected: str, fix: str = "") -> None:
+    def add(self, location: SourceLocation, found: str, expected: str, fix: str = "") -> None:
         """Notes one."""
-        self.troubles.append(Diagnostic(spot, found, expected, fix))
+        self.entries.append(Diagnostic(location, found, expected, fix))
 
-    def done(self) -> None:
+    def raise_if_any(self) -> None:
         """Raises Unusable if there was any."""
-        if self.troubles:
-            raise InvalidConfigError(self.troubles)
+        if self.entries:
+            raise InvalidConfigError(self.entries)
 
 
 Reader = Callable[[Expression, Diagnostics], Any]
@@ -51,7 +51,7 @@
         and form.items[0].kind == "word"
         else ""
     )
-    notes.add(form.spot, f"({form.name} {found})" if form.items else f"({form.name})", expected, fix)
+    notes.add(form.location, f"({form.name} {found})" if form.items else f"({form.name})", expected, fix)
     return None
 
 
@@ -62,12 +62,12 @@
         items = form.items
         value = items[0] if items and isinstance(items[0], Atom) and items[0].kind == "number" else None
         if value is None:
-            notes.add(form.spot, f"({form.name} {' '.join(map(describe, items))})".replace(" )", ")"), what)
+            notes.add(form.location, f"({form.name} {' '.join(map(describe, items))})".replace(" )", ")"), what)
             return None
         unit = items[1] if len(items) == 2 and isinstance(items[1], Atom) else None
         if len(items) == 1:
             notes.add(
-                value.spot,
+                value.location,
                 f"{value.text} without a unit",
                 f"{what} with its unit ({listed})",
                 f"write {value.text} {next(u for u, f in units.items() if f == 1.0)} if that is what is meant",
@@ -76,7 +76,7 @@
         if unit is None or unit.text not in units:
             close = {u.lower(): u for u in units}.get(str(getattr(unit, "text", "")).lower())
             notes.add(
-                (unit or value).spot,
+                (unit or value).location,
                 f"the unit {' '.join(map(describe, items[1:]))}",
                 f"one of {listed}",
                 f"write {close}" if close else "",
@@ -85,7 +85,7 @@
         amount = value.value * units[unit.text]
         if not least <= amount <= most:
             notes.add(
-                value.spot,
+                value.location,
                 f"{value.text} {unit.text}",
                 f"{what} of {least:g} to {most:g} " + next(u for u, f in units.items() if f == 1.0),
             )
@@ -111,7 +111,7 @@
     def reader(form: Expression, notes: Diagnostics) -> float | None:
         atom = _only(form, notes, "number", f"one number of {least:g} to {most:g}")
         if atom is not None and not least <= atom.value <= most:
-            notes.add(atom.spot, atom.text, f"a number of {least:g} to {most:g}")
+            notes.add(atom.location, atom.text, f"a number of {least:g} to {most:g}")
             return None
         return None if atom is None else atom.value
 
@@ -125,7 +125,7 @@
     def reader(form: Expression, notes: Diagnostics) -> int | None:
         value = plain(form, notes)
         if value is not None and value != int(value):
-            notes.add(form.items[0].spot, form.items[0].text, "a whole number", f"write {round(value)}")
+            notes.add(form.items[0].location, form.items[0].text, "a whole number", f"write {round(value)}")
             return None
         return None if value is None else int(value)
 
@@ -136,7 +136,7 @@
     """A string in double quotes that is not empty."""
     atom = _only(form, notes, "string", "one string in double quotes")
     if atom is not None and not atom.value:
-        notes.add(atom.spot, '""', "a string that is not empty")
+        notes.add(atom.location, '""', "a string that is not empty")
         return None
     return None if atom is None else str(atom.value)
 
@@ -151,7 +151,7 @@
             return None
         if atom.text not in table:
             near = get_close_matches(atom.text, table, 1)
-            notes.add(atom.spot, atom.text, "one of " + ", ".join(table), f"write {near[0]}" if near else "")
+            notes.add(atom.location, atom.text, "one of " + ", ".join(table), f"write {near[0]}" if near else "")
             return None
         return table[atom.text]
 
@@ -166,9 +166,9 @@
     found: list[str] = []
     for item in form.items:
         if not isinstance(item, Atom) or item.kind != "word":
-            notes.add(item.spot, describe(item), "a word")
+            notes.add(item.location, describe(item), "a word")
         elif item.text in found:
-            notes.add(item.spot, f"{item.text} a second time", "each word once")
+            notes.add(item.location, f"{item.text} a second time", "each word once")
         else:
             found.append(item.text)
     return tuple(found)
@@ -191,24 +191,24 @@
     table = {name.replace("_", "-"): f for name, f in fields.items()}
 
     def reader(form: Expression, notes: Diagnostics) -> Any:
-        before, items, values = len(notes.troubles), list(form.items), {}
+        before, items, values = len(notes.entries), list(form.items), {}
         if named:
             first = items.pop(0) if items and isinstance(items[0], Atom) else None
             if first is None or first.kind != "string" or not first.value:
-                notes.add(form.spot, f"({form.name} without a name", f'({form.name} "NAME" ...)')
+                notes.add(form.location, f"({form.name} without a name", f'({form.name} "NAME" ...)')
             else:
                 values["name"] = str(first.value)
         seen: dict[str, SourceLocation] = {}
         excused: set[str] = set()
         for item in items:
             if isinstance(item, Atom) or not item.name:
-                notes.add(item.spot, describe(item), f"a field of {form.name} in brackets")
+                notes.add(item.location, describe(item), f"a field of {form.name} in brackets")
                 excused.add(describe(item))  # else it would be said to be missing as well
                 continue
             if item.name not in table:
                 near = get_close_matches(item.name, table, 1, 0.5)
                 notes.add(
-                    item.spot,
+                    item.location,
                     f"({item.name} ...)",
                     f"a field of {form.name}",
                     f"did you mean {near[0]}?" if near else "it knows " + ", ".join(table),
@@ -218,13 +218,13 @@
             known = table[item.name]
             if item.name in seen and not known.many:
                 notes.add(
-                    item.spot,
+                    item.location,
                     f"({item.name} ...) a second time",
                     "it once",
                     f"the first stands in line {seen[item.name].line}",
                 )
                 continue
-            seen[item.name] = item.spot
+            seen[item.name] = item.location
             value = known.reader(item, notes)
             if known.many:
                 values.setdefault(item.name, []).append(value)
@@ -233,11 +233,11 @@
         for name, known in table.items():
             if name not in seen:
                 if known.absent is REQUIRED and name not in excused:
-                    notes.add(form.spot, f"({form.name} ...) without {name}", f"({name} ...) in it")
+                    notes.add(form.location, f"({form.name} ...) without {name}", f"({name} ...) in it")
                 values[name] = [] if known.many and known.absent in (REQUIRED, None) else known.absent
-        if len(notes.troubles) > before:
+        if len(notes.entries) > before:
             return None
-        return build(spot=form.spot, **{name.replace("-", "_"): value for name, value in values.items()})
+        return build(location=form.location, **{name.replace("-", "_"): value for name, value in values.items()})
 
     return reader
 
@@ -247,18 +247,20 @@
     right = [form for form in forms if form.name == name]
     for form in forms:
         if form.name != name:
-            notes.add(form.spot, describe(form), f"({name} ...)")
+            notes.add(form.location, describe(form), f"({name} ...)")
     for form in right[1:]:
-        notes.add(form.spot, f"a second ({name} ...)", "one")
-    if not right and not notes.troubles:
+        notes.add(form.location, f"a second ({name} ...)", "one")
+    if not right and not notes.entries:
         notes.add(SourceLocation(file, 1, 1), "nothing", f"({name} ...)")
     return right[0] if right else None
 
 
-def check_unique(items: list, spots: list[SourceLocation], what: str, notes: Diagnostics) -> None:
+def check_unique(items: list, locations: list[SourceLocation], what: str, notes: Diagnostics) -> None:
     """Notes each name that stands twice."""
     first: dict[object, SourceLocation] = {}
-    for name, spot in zip(items, spots, strict=True):
+    for name, location in zip(items, locations, strict=True):
         if name in first:
-            notes.add(spot, f"{what} {name} a second time", "each once", f"the first stands in line {first[name].line}")
-        first.setdefault(name, spot)
+            notes.add(
+                location, f"{what} {name} a second time", "each once", f"the first stands in line {first[name].line}"
+            )
+        first.setdefault(name, location)
--- a/wickdyke/config/sexpr.py
+++ b/wickdyke/config/sexpr.py
@@ -23,21 +23,21 @@
 class Diagnostic:
     """One thing that is wrong: where, what was found, what was expected, and the likely fix."""
 
-    spot: SourceLocation
+    location: SourceLocation
     found: str
     expected: str
     fix: str = ""
 
     def __str__(self) -> str:
-        return f"{self.spot}: found {self.found}, expected {self.expected}" + (f"; {self.fix}" if self.fix else "")
+        return f"{self.location}: found {self.found}, expected {self.expected}" + (f"; {self.fix}" if self.fix else "")
 
 
 class InvalidConfigError(Exception):
     """A file that can't be used, with all that is wrong with it in the order of its lines."""
 
-    def __init__(self, troubles: list[Diagnostic]) -> None:
-        self.troubles = sorted(troubles, key=lambda t: t.spot)
-        super().__init__("\n".join(map(str, self.troubles)))
+    def __init__(self, diagnostics: list[Diagnostic]) -> None:
+        self.diagnostics = sorted(diagnostics, key=lambda t: t.location)
+        super().__init__("\n".join(map(str, self.diagnostics)))
 
 
 class IncompleteInputError(InvalidConfigError):
@@ -51,7 +51,7 @@
     kind: str
     value: str | float
     text: str
-    spot: SourceLocation
+    location: SourceLocation
 
 
 @dataclass(slots=True, frozen=True)
@@ -60,7 +60,7 @@
 
     name: str
     items: list["Atom | Expression"] = field(default_factory=list)
-    spot: SourceLocation = SourceLocation("", 1, 1)
+    location: SourceLocation = SourceLocation("", 1, 1)
 
 
 _grammar = Lark(
@@ -82,21 +82,21 @@
 
 
 def _atom(token: Token, file: str) -> Atom:
-    spot = SourceLocation(file, token.line, token.column)
+    location = SourceLocation(file, token.line, token.column)
     if token.type == "NUMBER":
-        return Atom("number", float(token), str(token), spot)
+        return Atom("number", float(token), str(token), location)
     if token.type == "STRING":
-        return Atom("string", _string(token), str(token), spot)
-    return Atom("word", str(token), str(token), spot)
+        return Atom("string", _string(token), str(token), location)
+    return Atom("word", str(token), str(token), location)
 
 
 def _form(tree, file: str) -> Expression:
     opening, *children = tree.children
     items = [_atom(c, file) if isinstance(c, Token) else _form(c, file) for c in children]
-    spot = SourceLocation(file, opening.line, opening.column)
+    location = SourceLocation(file, opening.line, opening.column)
     if items and isinstance(items[0], Atom) and items[0].kind == "word":
-        return Expression(items[0].text, items[1:], spot)
-    return Expression("", items, spot)
+        return Expression(items[0].text, items[1:], location)
+    return Expression("", items, location)
 
 
 def format_expression(form: Expression) -> str:
--- a/wickdyke/config/worker_config.py
+++ b/wickdyke/config/worker_config.py
@@ -30,12 +30,16 @@
     ramp: Ramp
     log: str | None
     trace: str | None
-    spot: SourceLocation
+    location: SourceLocation
 
 
-RAMP = record(lambda spot, **values: Ramp(**values), start_share=Field(number(0.001, 1), 0.25), ramp=Field(span(), 0.0))
-STORE = record(lambda spot, **values: (spot, values), folder=Field(text, None), service=Field(address.read, None))
-CACHE = record(lambda spot, **values: values, folder=Field(text), most=Field(size(1), 1024.0))
+RAMP = record(
+    lambda location, **values: Ramp(**values), start_share=Field(number(0.001, 1), 0.25), ramp=Field(span(), 0.0)
+)
+STORE = record(
+    lambda location, **values: (location, values), folder=Field(text, None), service=Field(address.read, None)
+)
+CACHE = record(lambda location, **values: values, folder=Field(text), most=Field(size(1), 1024.0))
 
 
 def _workshop(store: tuple, cache: dict, **values) -> WorkerConfig:
@@ -79,7 +83,7 @@
 
 
 DEPOT = record(
-    lambda spot, **values: StoreConfig(**values),
+    lambda location, **values: StoreConfig(**values),
     listen=Field(address.read),
     folder=Field(text),
     pace=Field(size(0.001), 100.0),
@@ -92,7 +96,7 @@
     notes = Diagnostics()
     form = schema.single_expression(sexpr.read(path), "store", path, notes)
     made = DEPOT(form, notes) if form is not None else None
-    notes.done()
+    notes.raise_if_any()
     base = os.path.dirname(os.path.abspath(path))
     made.folder, made.listen = os.path.join(base, made.folder), address.beside(made.listen, base)
     return made
@@ -105,11 +109,11 @@
     made = WORKSHOP(form, notes) if form is not None else None
     if made is not None and (made.folder is None) == (made.service is None):
         notes.add(
-            made.spot,
+            made.location,
             "(store ...) with " + ("neither" if made.folder is None else "both"),
             "either (folder PATH) or (service ADDRESS)",
         )
-    notes.done()
+    notes.raise_if_any()
     base = os.path.dirname(os.path.abspath(path))
     made.cache = os.path.join(base, made.cache)
     made.folder = made.folder and os.path.join(base, made.folder)
--- a/wickdyke/fault_injection/scenario.py
+++ b/wickdyke/fault_injection/scenario.py
@@ -109,18 +109,18 @@
 
 def _trouble(form: Expression, notes: Diagnostics, **when) -> Fault | None:
     if form.name not in FAULT_KINDS:
-        notes.add(form.spot, f"({form.name} ...)", "a trouble: " + ", ".join(FAULT_KINDS))
+        notes.add(form.location, f"({form.name} ...)", "a trouble: " + ", ".join(FAULT_KINDS))
         return None
     whom, figures = FAULT_KINDS[form.name]
     if whom == "routes":  # its forms are the new file, whatever they hold: bad ones are a trouble as well
         text = " ".join(
             sexpr.format_expression(item) if isinstance(item, Expression) else item.text for item in form.items
         )
-        return Fault(form.name, (), {}, form.spot, text=text, **when)
+        return Fault(form.name, (), {}, form.location, text=text, **when)
     names = tuple(str(item.value) for item in form.items if isinstance(item, Atom) and item.kind == "string")
     if (whom == "none") != (not names):
         notes.add(
-            form.spot,
+            form.location,
             f"({form.name} with {len(names)} names)",
             "none" if whom == "none" else f"at least one {whom.removesuffix('s')} in double quotes",
         )
@@ -130,45 +130,45 @@
             values[item.name] = figures[item.name][0](item, notes)
         elif isinstance(item, Expression) or item.kind != "string":
             notes.add(
-                item.spot,
+                item.location,
                 schema.describe(item),
                 "names, and " + (", ".join(f"({f} ...)" for f in figures) or "nothing else"),
             )
-    return Fault(form.name, names, values, form.spot, **when)
+    return Fault(form.name, names, values, form.location, **when)
 
 
 def _at(form: Expression, notes: Diagnostics) -> Fault | None:
     """(at 5 s (die "w3"))"""
     *time, last = form.items or [None]
     if not isinstance(last, Expression):
-        notes.add(form.spot, "(at ...) without a trouble", "(at TIME (TROUBLE ...))")
+        notes.add(form.location, "(at ...) without a trouble", "(at TIME (TROUBLE ...))")
         return None
-    at = span()(Expression("at", time, form.spot), notes)
+    at = span()(Expression("at", time, form.location), notes)
     return _trouble(last, notes, at=at)
 
 
 def _on(form: Expression, notes: Diagnostics) -> Fault | None:
     """(on (call-out "w2" 20) (die "w2"))"""
     if len(form.items) != 2 or not all(isinstance(item, Expression) for item in form.items):
-        notes.add(form.spot, "(on ...) with other items", '(on (call-out|load "WORKER" NTH) (TROUBLE ...))')
+        notes.add(form.location, "(on ...) with other items", '(on (call-out|load "WORKER" NTH) (TROUBLE ...))')
         return None
     event, trouble = form.items
     kinds = [item.kind for item in event.items if isinstance(item, Atom)]
     if event.name not in ("call-out", "load") or kinds != ["string", "number"]:
-        notes.add(event.spot, schema.describe(event), '(call-out "WORKER" NTH) or (load "WORKER" NTH)')
+        notes.add(event.location, schema.describe(event), '(call-out "WORKER" NTH) or (load "WORKER" NTH)')
         return None
     if trouble.name not in ON_EVENT:
-        notes.add(trouble.spot, schema.describe(trouble), "on an event one of " + ", ".join(ON_EVENT))
+        notes.add(trouble.location, schema.describe(trouble), "on an event one of " + ", ".join(ON_EVENT))
         return None
     worker, nth = event.items
     found = _trouble(trouble, notes, event=event.name, event_worker=str(worker.value), nth=int(nth.value))
     if found is not None and found.who != (worker.value,):
-        notes.add(trouble.spot, f"trouble at {', '.join(found.who)}", f"the worker of the event, {worker.value}")
+        notes.add(trouble.location, f"trouble at {', '.join(found.who)}", f"the worker of the event, {worker.value}")
     return found
 
 
 METHOD = record(
-    lambda spot, soft_deadline, **values: RequestClassTraffic(soft=soft_deadline, **values),
+    lambda location, soft_deadline, **values: RequestClassTraffic(soft=soft_deadline, **values),
     named=True,
     effect=Field(choice(idempotent="idempotent", tokened="tokened", side_effecting="side-effecting")),
     scope=Field(choice(all="all", zone="zone", cell="cell"), "all"),
@@ -185,21 +185,21 @@
     load=Field(span(), 500.0),
 )
 WARMUP = record(
-    lambda spot, **values: values,
+    lambda location, **values: values,
     start_share=Field(number(0.001, 1), 0.25),
     ramp=Field(span(), 6000.0),
     multiple=Field(number(1, 1000), 3.0),
     window=Field(span(1), 1500.0),
 )
 RATION = record(
-    lambda spot, **values: values,
+    lambda location, **values: values,
     free=Field(number(0, 1e6), 0.0),
     share=Field(number(0, 1e6), 0.0),
     window=Field(span(), 0.0),
 )
 
 
-def _script(spot: SourceLocation, at: list, on: list, method: list, route: list, **values) -> Scenario:
+def _script(location: SourceLocation, at: list, on: list, method: list, route: list, **values) -> Scenario:
     return Scenario(methods=method, troubles=[*at, *on], routes=" ".join(route), **values)
 
 
@@ -276,9 +276,9 @@
         for method in script.methods:
             if method.soft >= method.deadline:
                 notes.add(
-                    form.spot,
+                    form.location,
                     f'method "{method.name}" with a soft deadline of {method.soft:g} ms',
                     f"one before its deadline, {method.deadline:g} ms",
                 )
-    notes.done()
+    notes.raise_if_any()
     return script
--- a/wickdyke/gateway/file_watcher.py
+++ b/wickdyke/gateway/file_watcher.py
@@ -69,7 +69,7 @@
         return found.st_mtime_ns, found.st_ino, found.st_size
 
     def _log_unusable(self, error: InvalidConfigError) -> None:
-        why, more = str(error.troubles[0]), len(error.troubles) - 1
+        why, more = str(error.diagnostics[0]), len(error.diagnostics) - 1
         if more:
             why += f" (and {more} more)"
         self.log.warning(f"{self.what} unusable", why=why, kept="the last good one")
--- a/wickdyke/worker/package.py
+++ b/wickdyke/worker/package.py
@@ -49,7 +49,7 @@
     def reader(form: Expression, notes: Diagnostics) -> str | None:
         value = text(form, notes)
         if value is not None and not pattern.fullmatch(value):
-            notes.add(form.items[0].spot, form.items[0].text, expected)
+            notes.add(form.items[0].location, form.items[0].text, expected)
             return None
         return value
 
@@ -62,20 +62,20 @@
     for item in form.items:
         kinds = [each.kind for each in item.items if isinstance(each, Atom)] if isinstance(item, Expression) else []
         if not isinstance(item, Expression) or item.name != "set" or kinds != ["string", "string"]:
-            notes.add(item.spot, schema.describe(item), '(set "NAME" "VALUE")')
+            notes.add(item.location, schema.describe(item), '(set "NAME" "VALUE")')
             continue
         key, value = (str(each.value) for each in item.items)
         if not key or "=" in key or "\0" in key + value:
-            notes.add(item.spot, f'the variable "{key}"', "a name without = in it")
+            notes.add(item.location, f'the variable "{key}"', "a name without = in it")
         elif key in found:
-            notes.add(item.spot, f'"{key}" a second time', "each variable once")
+            notes.add(item.location, f'"{key}" a second time', "each variable once")
         else:
             found[key] = value
     return tuple(found.items())
 
 
 PACKAGE = record(
-    lambda spot, **values: Manifest(spot=spot, **values),
+    lambda location, **values: Manifest(spot=location, **values),
     named=True,
     version=Field(_matching(VERSION, 'numbers with dots, as "1.2.0"')),
     entry=Field(_matching(ENTRY, 'a module and a function, as "main:run"')),
@@ -100,7 +100,7 @@
     made = PACKAGE(form, notes) if form is not None else None
     if made is not None and not named(made.name):
         notes.add(made.spot, f'the name "{made.name}"', "letters, digits, . _ - and / between parts, at most 200")
-    notes.done()
+    notes.raise_if_any()
     return made
 
 
@@ -239,7 +239,7 @@
     try:
         made, files = from_folder(folder)
     except InvalidConfigError as bad:
-        if not any("as its manifest says" in trouble.expected for trouble in bad.troubles):
+        if not any("as its manifest says" in trouble.expected for trouble in bad.diagnostics):
             raise
         raise refuse(
             folder, "a digest in the manifest that does not fit", "none: pack writes it", "take (digest ...) out"
--- a/wickdyke/worker/replica_loader.py
+++ b/wickdyke/worker/replica_loader.py
@@ -110,7 +110,7 @@
         case source.Unknown():
             return Rejection.MISS, str(error)
         case InvalidConfigError():
-            return Rejection.MISS, str(error.troubles[0])
+            return Rejection.MISS, str(error.diagnostics[0])
         case OSError():
             return Rejection.MISS, f"{error.filename or 'the store'}: {error.strerror or error}"
         case ValueError():
