--- a/bench/worker.py
+++ b/bench/worker.py
@@ -105,7 +105,7 @@
     with open(os.path.join(folder, "w.sexp"), "w") as sink:
         sink.write(SHOP.format(cache=cache))
     shop = worker_config.read(os.path.join(folder, "w.sexp"))
-    made = Worker(shop, Folder(shop.folder), logs.logger(io.StringIO(), False)[0])
+    made = Worker(shop, Folder(shop.store_folder), logs.logger(io.StringIO(), False)[0])
     made.open()
     return made
 
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -151,7 +151,7 @@
             )
         self.config = gateway_config.read(os.path.join(self.folder, "g.sexp"))
         if tape:
-            self.config.tape = os.path.join(self.folder, "tape")
+            self.config.recording_path = os.path.join(self.folder, "tape")
         self.said = sink or io.StringIO()
         self.log, self.scribe = logs.logger(self.said, False)
         self.gateway = Gateway(self.config, self.log)
--- a/tests/test_circuit_breaker.py
+++ b/tests/test_circuit_breaker.py
@@ -140,7 +140,7 @@
         bars = RequestBreakers(1, 1e9, Backoff(1000.0, 60000.0))
         for at in range(10_100):
             bars.replica_ended("p", str(at).encode(), 1, 0.0)
-        self.assertEqual((len(bars.known), bars.open_by_function), (10_000, {"p": 10_000}))
+        self.assertEqual((len(bars.tracked), bars.open_by_function), (10_000, {"p": 10_000}))
 
 
 if __name__ == "__main__":
--- a/tests/test_coordinator.py
+++ b/tests/test_coordinator.py
@@ -313,7 +313,7 @@
             self.assertEqual((before.attempts, _ended(running)), (1, 3))
             client.close()
             running.gateway.recorder.close()
-            with open(running.config.tape, "rb") as source:
+            with open(running.config.recording_path, "rb") as source:
                 self.assertIsNone(recording.replay(source)[1])
 
     def test_change_that_strands(self):
@@ -483,7 +483,7 @@
             running.gateway.client_server.shut()
             running.coordinator.end()
             running.gateway.recorder.close()
-            with open(running.config.tape, "rb") as source:
+            with open(running.config.recording_path, "rb") as source:
                 lines = source.readlines()
             running.coordinator.events.put(None)
             alike, differs = recording.replay(lines)
--- a/tests/test_listener_faults.py
+++ b/tests/test_listener_faults.py
@@ -11,7 +11,7 @@
 
 from tests.descriptors import open_descriptors, opened_since
 from tests.rig import LONG, until
-from wickdyke.config.gateway_config import ServerLimits
+from wickdyke.config.gateway_sections import ServerLimits
 from wickdyke.jsonrpc import client_server
 from wickdyke.transport import acceptor, line_server
 
@@ -38,7 +38,9 @@
     errno.ESOCKTNOSUPPORT,
     errno.ETIMEDOUT,
 )
-BOUNDS = ServerLimits(connections=16, open_rpcs=16, open_each=16, line=1000, unread=1000, events=16)
+BOUNDS = ServerLimits(
+    connections=16, open_requests=16, open_requests_per_client=16, line_bytes=1000, unread_bytes=1000, events=16
+)
 CONNECTIONS = 3  # made one after the other: the path of the acceptor is the same for each
 
 
@@ -120,7 +122,9 @@
 
     def __init__(self, folder):
         self.address = os.path.join(folder, "door.sock")
-        config = SimpleNamespace(bounds=BOUNDS, request_classes=(), stated=(), tenants=(), listen=self.address)
+        config = SimpleNamespace(
+            bounds=BOUNDS, request_classes=(), function_settings=(), tenants=(), listen=self.address
+        )
         self.door = client_server.ClientServer(config, Mock(), lambda: "", Mock())
         self.door.open()
 
--- a/tests/test_migration.py
+++ b/tests/test_migration.py
@@ -56,7 +56,7 @@
         )
         self.assertEqual((new.attempt_limits.attempts, new.attempt_limits.hedging), (4, False))
         self.assertEqual((new.function_cache.idle_timeout, new.function_cache.loads_on_demand), (8000.0, False))
-        self.assertEqual((new.slow_start, new.programs[0].memory, new.zones), (old.slow_start, 100.0, old.zones))
+        self.assertEqual((new.slow_start, new.functions[0].memory, new.zones), (old.slow_start, 100.0, old.zones))
         for words in (
             '(kind "old" (memory 8 GB)) has no counterpart',
             "(most 3) became (most 4)",
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -771,7 +771,7 @@
             ),
             (["idempotent", "side-effecting"], 500.0, 2, ("utilization", "in_flight"), 256),
         )
-        self.assertEqual(got.bounds.open_rpcs, 1024)  # of 64 MB
+        self.assertEqual(got.bounds.open_requests, 1024)  # of 64 MB
         self.assertEqual(
             (got.attempt_limits.cancel, got.attempt_limits.hedging, got.prewarm_quota.free, got.kinds),
             (True, False, 6.0, ("std", "slow")),
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -48,7 +48,7 @@
             [("m", "idempotent", 0.0, "all"), ("t", "tokened", 120000.0, "cell")],
         )
         for program, memory in (("p/one", 100.0), ("p/two", 1024.0), ("q", None)):
-            stated = got.stated(program)
+            stated = got.function_settings(program)
             self.assertEqual(stated and stated.memory, memory)
         self.assertTrue(got.listen.endswith("/run/w.sock") and os.path.isabs(got.listen))
 
--- a/wickdyke/circuit_breaker/__init__.py
+++ b/wickdyke/circuit_breaker/__init__.py
@@ -1,1 +1,1 @@
-"""The state of the circuit breaker: functions that do not load, requests that end replicas. Pure, no clock."""
+"""State machines of circuit breakers for functions that do not load and requests that end replicas; without I/O."""
--- a/wickdyke/circuit_breaker/breakers.py
+++ b/wickdyke/circuit_breaker/breakers.py
@@ -1,181 +1,229 @@
 """Circuit breakers for functions that load nowhere and for requests that end each replica they run in.
 
-The router places functions and retries requests in good faith: each gateway would try a broken function on every
-worker, and carry a poison request from replica to replica. While a breaker is open, what it is for is rejected at once,
-saying when to come back; after a pause one request passes as a trial, and the pause doubles if that fails. All else
-goes on as before. Times are float ms of the host: the same events give the same answers.
+The router assumes that functions load and that requests do no harm: each gateway would try a broken function on every
+worker, and retry a poison request in replica after replica. While a breaker is open, requests of its function, or equal
+to its request, are rejected at once with a time to retry after. Once a pause is over, one request passes as a trial; if
+the trial fails, the pause doubles. Times are float ms of the host's clock: the same events give the same results.
 """
 
 from collections import OrderedDict
 from dataclasses import dataclass, field
 
-MAX_TRACKED = 10_000  # functions or requests remembered; the least recently heard of go first
+MAX_TRACKED = 10_000  # functions or requests; the least recently reported are dropped first
 MAX_DOUBLINGS = 40  # of a pause: a float holds it
 ROUNDING = 1e-9  # of a sum of shares
 
 
 @dataclass(slots=True, frozen=True)
-class BreakerSettings:
-    """When something is kept from being tried. Times are ms."""
+class FunctionBreakerSettings:
+    """When a function's breaker opens: loads failed at so many `workers` within `window` ms. Pauses are ms."""
 
     workers: int = 2
-    loads_window: float = 30000.0
-    loads_first: float = 1000.0
-    loads_most: float = 60000.0
-    copies: float = 3.0
-    calls_window: float = 60000.0
-    calls_first: float = 10000.0
-    calls_most: float = 600000.0
+    window: float = 30000.0
+    first_pause: float = 1000.0
+    longest_pause: float = 60000.0
+
+
+@dataclass(slots=True, frozen=True)
+class RequestBreakerSettings:
+    """When a request's breaker opens: it ended so many `replicas` within `window` ms. Pauses are ms."""
+
+    replicas: float = 3.0
+    window: float = 60000.0
+    first_pause: float = 10000.0
+    longest_pause: float = 600000.0
+
+
+DEFAULT_FUNCTION_BREAKERS = FunctionBreakerSettings()
+DEFAULT_REQUEST_BREAKERS = RequestBreakerSettings()
+
+
+@dataclass(slots=True, frozen=True)
+class BreakerSettings:
+    """The settings of both kinds of breakers."""
+
+    functions: FunctionBreakerSettings = DEFAULT_FUNCTION_BREAKERS
+    requests: RequestBreakerSettings = DEFAULT_REQUEST_BREAKERS
 
 
 @dataclass(slots=True)
 class Breaker:
-    """Whether something is rejected and until when; `step` doubles the pause. `trial` is when one was let through."""
+    """The state of one breaker: open or closed, the end of its pause and how often it has opened without success.
+
+    `trial_at` is when a trial was let through, None if there is none.
+    """
 
-    until: float = 0.0
-    step: int = 0
     is_open: bool = False
-    trial: float | None = None
+    paused_until: float = 0.0
+    doublings: int = 0
+    trial_at: float | None = None
+
+    @property
+    def awaits_trial(self) -> bool:
+        """Whether it is open and has let no trial through."""
+        return self.is_open and self.trial_at is None
 
 
 class Backoff:
-    """Pauses of `first` ms, doubled up to `most`.
+    """Pauses of `first` ms, doubled up to `longest`.
 
-    With many gateways up to `first` for each: all of them together try about once in `first` at the longest.
+    The longest pause is at least `first` for each gateway, so that all of them together try about once in `first`.
     """
 
-    def __init__(self, first: float, most: float, gateways: int = 1) -> None:
-        self.first, self.most = first, max(most, first * gateways)
-
-    def trip(self, breaker: Breaker, now: float) -> float:
-        """Opens it for the next pause; returns its length."""
-        pause = min(self.most, self.first * 2.0 ** min(breaker.step, MAX_DOUBLINGS))
-        breaker.until, breaker.step = now + pause, breaker.step + 1
-        breaker.is_open, breaker.trial = True, None
+    def __init__(self, first: float, longest: float, gateways: int = 1) -> None:
+        self.first = first
+        self.longest = max(longest, first * gateways)
+
+    def open(self, breaker: Breaker, now: float) -> float:
+        """Opens the breaker for its next pause; returns the pause in ms."""
+        pause = min(self.longest, self.first * 2.0 ** min(breaker.doublings, MAX_DOUBLINGS))
+        breaker.is_open = True
+        breaker.paused_until = now + pause
+        breaker.doublings += 1
+        breaker.trial_at = None
         return pause
 
     def wait(self, breaker: Breaker, now: float) -> float | None:
-        """None where a request may go (as the trial, once the pause is over), else ms until it is worth coming back."""
+        """None where a request may pass (as the trial, once the pause is over), else ms until it may be retried."""
         if not breaker.is_open:
             return None
-        if now < breaker.until:
-            return breaker.until - now
-        if breaker.trial is None or now >= breaker.trial + self.first:  # a trial without a result is not waited for
-            breaker.trial = now
+        if now < breaker.paused_until:
+            return breaker.paused_until - now
+        if breaker.trial_at is None or now >= breaker.trial_at + self.first:  # the last trial may never have a result
+            breaker.trial_at = now
             return None
-        return breaker.trial + self.first - now
+        return breaker.trial_at + self.first - now
 
 
 @dataclass(slots=True)
 class LoadFailures:
-    """Workers where loads of a function failed since it was last loaded somewhere, with the time."""
+    """The breaker of a function, and the workers where loads of it failed since it was last loaded, with the times."""
 
     breaker: Breaker = field(default_factory=Breaker)
     failed: dict[str, float] = field(default_factory=dict)
 
 
 class FunctionBreakers:
-    """Functions that fail to load at `workers` different workers, and were loaded nowhere in between.
+    """Breakers of functions that fail to load at `workers` different workers, and were loaded nowhere in between.
 
-    Failures at fewer concern the worker alone: the router goes elsewhere. A failure counts for `window` ms.
+    Failures at fewer workers concern these workers: the router uses others. A failure counts for `window` ms.
     """
 
     def __init__(self, workers: int, window: float, backoff: Backoff) -> None:
-        self.workers, self.window, self.backoff = workers, window, backoff
-        self.known: OrderedDict[str, LoadFailures] = OrderedDict()
+        self.workers = workers
+        self.window = window
+        self.backoff = backoff
+        self.tracked: OrderedDict[str, LoadFailures] = OrderedDict()
 
     def failed(self, function: str, worker: str, now: float) -> float | None:
-        """A load failed there; the pause in ms where that opens the breaker."""
-        loads = self.known.setdefault(function, LoadFailures())
-        self.known.move_to_end(function)
-        if len(self.known) > MAX_TRACKED:
-            self.known.popitem(last=False)
-        loads.failed = {name: at for name, at in loads.failed.items() if at > now - self.window}
+        """A load failed at that worker; returns the pause in ms if that opens the breaker, else None."""
+        loads = self._track(function)
+        loads.failed = {name: failed_at for name, failed_at in loads.failed.items() if failed_at > now - self.window}
         loads.failed[worker] = now
-        breaker = loads.breaker
-        if breaker.is_open and breaker.trial is None:
-            return None  # sent before the breaker opened
-        if breaker.is_open or len(loads.failed) >= self.workers:
-            return self.backoff.trip(breaker, now)
+        if loads.breaker.awaits_trial:
+            return None  # the load began before the breaker opened
+        if loads.breaker.is_open or len(loads.failed) >= self.workers:
+            return self.backoff.open(loads.breaker, now)
         return None
 
+    def _track(self, function: str) -> LoadFailures:
+        loads = self.tracked.setdefault(function, LoadFailures())
+        self.tracked.move_to_end(function)
+        if len(self.tracked) > MAX_TRACKED:
+            self.tracked.popitem(last=False)
+        return loads
+
+    def failed_workers(self, function: str) -> list[str]:
+        """The workers whose failures count against the function."""
+        return list(self.tracked[function].failed)
+
     def loaded(self, function: str) -> bool:
-        """It is loaded or ran somewhere: all is forgotten. True where that closes the breaker."""
-        loads = self.known.pop(function, None)
+        """The function was loaded or ran somewhere, which clears its failures; True if that closes its breaker."""
+        loads = self.tracked.pop(function, None)
         return loads is not None and loads.breaker.is_open
 
     def wait(self, function: str, now: float) -> float | None:
-        """None where a request for it may go, else ms until it is worth coming back."""
-        loads = self.known.get(function)
+        """None where a request for it may pass, else ms until it may be retried."""
+        loads = self.tracked.get(function)
         return None if loads is None else self.backoff.wait(loads.breaker, now)
 
 
+@dataclass(slots=True, frozen=True)
+class ReplicaEnd:
+    """A replica that ended at that time, and the share of it that is attributed to one request."""
+
+    ended_at: float
+    share: float
+
+
 @dataclass(slots=True)
 class FailureAttribution:
-    """What a request is blamed for: shares of replicas that ended with it inside, with their times."""
+    """The breaker of a request, and the ends of replicas that are attributed to it."""
 
     breaker: Breaker = field(default_factory=Breaker)
-    shares: list[tuple[float, float]] = field(default_factory=list)
+    replica_ends: list[ReplicaEnd] = field(default_factory=list)
 
 
 class RequestBreakers:
-    """Requests that end replicas; requests are the same by function and input (the host's digest).
+    """Breakers of requests that end replicas; requests are equal by function and input (the host's digest).
 
-    Each replica that ends divides one blame among the requests that were in it; the breaker of a request that gathers
-    `replicas` of them within `window` ms opens.
+    The end of a replica is attributed in equal shares to the requests in it. The breaker of a request whose shares add
+    up to `replicas` within `window` ms opens.
     """
 
     def __init__(self, replicas: float, window: float, backoff: Backoff) -> None:
-        self.replicas, self.window, self.backoff = replicas, window, backoff
-        self.known: OrderedDict[tuple[str, bytes], FailureAttribution] = OrderedDict()
-        self.open_by_function: dict[str, int] = {}
+        self.replicas = replicas
+        self.window = window
+        self.backoff = backoff
+        self.tracked: OrderedDict[tuple[str, bytes], FailureAttribution] = OrderedDict()
+        self.open_by_function: dict[str, int] = {}  # open breakers of each function's requests
 
     def replica_ended(self, function: str, digest: bytes, requests_in_replica: int, now: float) -> float | None:
-        """A replica or worker ended with this request and others in it; the pause where that opens the breaker."""
-        blame = self._blame(function, digest)
-        recent = [(at, share) for at, share in blame.shares if at > now - self.window]
-        blame.shares = recent + [(now, 1 / max(1, requests_in_replica))]
-        breaker = blame.breaker
-        if breaker.is_open and breaker.trial is None:
+        """A replica ended with this request in it; returns the pause in ms if that opens the breaker, else None."""
+        attribution = self._track(function, digest)
+        recent = [end for end in attribution.replica_ends if end.ended_at > now - self.window]
+        attribution.replica_ends = [*recent, ReplicaEnd(now, 1 / max(1, requests_in_replica))]
+        breaker = attribution.breaker
+        if breaker.awaits_trial:
             return None
         if not breaker.is_open:
-            if sum(share for _, share in blame.shares) < self.replicas - ROUNDING:
+            if sum(end.share for end in attribution.replica_ends) < self.replicas - ROUNDING:
                 return None
             self.open_by_function[function] = self.open_by_function.get(function, 0) + 1
-        return self.backoff.trip(breaker, now)
+        return self.backoff.open(breaker, now)
 
-    def _blame(self, function: str, digest: bytes) -> FailureAttribution:
+    def _track(self, function: str, digest: bytes) -> FailureAttribution:
         key = function, digest
-        blame = self.known.setdefault(key, FailureAttribution())
-        self.known.move_to_end(key)
-        if len(self.known) > MAX_TRACKED:
-            oldest, dropped = self.known.popitem(last=False)
-            self._close(oldest, dropped)
-        return blame
+        attribution = self.tracked.setdefault(key, FailureAttribution())
+        self.tracked.move_to_end(key)
+        if len(self.tracked) > MAX_TRACKED:
+            (oldest_function, _), oldest = self.tracked.popitem(last=False)
+            self._forget(oldest_function, oldest)
+        return attribution
 
     def succeeded(self, function: str, digest: bytes) -> bool:
-        """It ran to an end that harmed nobody: forgotten. True where that closes the breaker."""
-        blame = self.known.pop((function, digest), None)
-        return blame is not None and self._close((function, digest), blame)
+        """The request ended without ending its replica; True if that closes its breaker."""
+        attribution = self.tracked.pop((function, digest), None)
+        return attribution is not None and self._forget(function, attribution)
 
-    def _close(self, key: tuple[str, bytes], blame: FailureAttribution) -> bool:
-        if not blame.breaker.is_open:
+    def _forget(self, function: str, attribution: FailureAttribution) -> bool:
+        """Updates the count for a request that is no longer tracked; True if its breaker was open."""
+        if not attribution.breaker.is_open:
             return False
-        function = key[0]
         self.open_by_function[function] -= 1
         if not self.open_by_function[function]:
             del self.open_by_function[function]
         return True
 
     def wait(self, function: str, digest: bytes, now: float) -> float | None:
-        """None where it may go, else ms until it is worth coming back.
+        """None where the request may pass, else ms until it may be retried.
 
-        Asked only where `open_by_function` has the function.
+        To be called only for functions in `open_by_function`, since a digest takes time.
         """
-        blame = self.known.get((function, digest))
-        return None if blame is None else self.backoff.wait(blame.breaker, now)
+        attribution = self.tracked.get((function, digest))
+        return None if attribution is None else self.backoff.wait(attribution.breaker, now)
 
     def is_open(self, function: str, digest: bytes) -> bool:
-        """Whether its breaker is open now, a trial or not."""
-        blame = self.known.get((function, digest))
-        return blame is not None and blame.breaker.is_open
+        """Whether the request's breaker is open, with or without a trial."""
+        attribution = self.tracked.get((function, digest))
+        return attribution is not None and attribution.breaker.is_open
--- a/wickdyke/cli/check.py
+++ b/wickdyke/cli/check.py
@@ -5,7 +5,7 @@
 
 import click
 
-from wickdyke.config import endpoint_file, gateway_config, route_config, sexpr, worker_config
+from wickdyke.config import endpoint_file, gateway_config, route_config, sexpr, store_config, worker_config
 from wickdyke.fault_injection import scenario
 from wickdyke.jsonrpc.service import ground
 from wickdyke.worker import package
@@ -13,15 +13,15 @@
 
 def _station(file: str) -> None:
     made = gateway_config.read(file)
-    if made.routes is not None:
-        route_config.read(made.routes, made.request_classes, ground(made))
+    if made.routes_path is not None:
+        route_config.read(made.routes_path, made.request_classes, ground(made))
 
 
 KINDS = {
     "workers": endpoint_file.read_endpoints,
     "script": scenario.read,
     "worker": worker_config.read,
-    "store": worker_config.read_store_config,
+    "store": store_config.read,
     "package": lambda file: package.from_folder(os.path.dirname(os.path.abspath(file))),
 }
 
--- a/wickdyke/cli/move.py
+++ b/wickdyke/cli/move.py
@@ -67,8 +67,8 @@
     """What no longer fits in the files that the new one names and that stay as they are."""
     told = []
     for name, read in (
-        (made.workers, lambda file: endpoint_file.read_endpoints(file, made.zones, made.kinds)),
-        (made.routes, lambda file: route_config.read(file, made.request_classes, ground(made))),
+        (made.endpoints_path, lambda file: endpoint_file.read_endpoints(file, made.zones, made.kinds)),
+        (made.routes_path, lambda file: route_config.read(file, made.request_classes, ground(made))),
     ):
         try:
             if name is not None:
--- a/wickdyke/cli/routes.py
+++ b/wickdyke/cli/routes.py
@@ -30,7 +30,7 @@
     """
     try:
         made = gateway_config.read(file)
-        found = route_config.read(made.routes, made.request_classes, ground(made)) if made.routes else None
+        found = route_config.read(made.routes_path, made.request_classes, ground(made)) if made.routes_path else None
     except InvalidConfigError as bad:
         print(bad, file=sys.stderr)
         raise SystemExit(2) from None
--- a/wickdyke/cli/serve.py
+++ b/wickdyke/cli/serve.py
@@ -39,9 +39,9 @@
     except InvalidConfigError as bad:
         _fail(str(bad))
     if tape:
-        made.tape = tape
+        made.recording_path = tape
     try:
-        sink = logs.opened(log_file or made.log)
+        sink = logs.opened(log_file or made.log_path)
     except OSError as bad:
         _fail(f"{bad.filename}: found no file to append to ({bad.strerror}), expected one")
     log, scribe = logs.logger(sink, as_json, debug, gateway=made.name)
--- a/wickdyke/cli/worker.py
+++ b/wickdyke/cli/worker.py
@@ -5,7 +5,7 @@
 
 import click
 
-from wickdyke.config import worker_config
+from wickdyke.config import store_config, worker_config
 from wickdyke.config.sexpr import InvalidConfigError
 from wickdyke.fault_injection.trace import TraceRecorder
 from wickdyke.gateway import log as logs
@@ -41,14 +41,14 @@
     except InvalidConfigError as bad:
         _fail(str(bad))
     try:
-        sink = logs.opened(log_file or shop.log)
+        sink = logs.opened(log_file or shop.log_path)
     except OSError as bad:
         _fail(f"{bad.filename}: found no file to append to ({bad.strerror}), expected one")
     log, scribe = logs.logger(sink, as_json, worker=shop.name)
-    trace = trace or shop.trace
+    trace = trace or shop.trace_path
     ended = termination.asked()
     try:
-        source = Folder(shop.folder) if shop.folder else StoreClient(shop.service)
+        source = Folder(shop.store_folder) if shop.store_folder else StoreClient(shop.store_address)
         made = Worker(shop, source, log, TraceRecorder(trace, shop.name) if trace else None, start)
         made.open()
     except AddressInUse as bad:
@@ -57,7 +57,7 @@
         _fail(f"{bad.filename or shop.listen}: {bad.strerror}")
     print(f"ready {shop.listen}", flush=True)
     termination.wait(ended)
-    made.drain(shop.run_time + 1000)
+    made.drain(shop.run_timeout + 1000)
     made.close()
     scribe.close()
     os._exit(0)  # threads may hang in a full pipe; all that is owed is done
@@ -95,7 +95,7 @@
         wickdyke store deploy/store.sexp
     """
     try:
-        depot = worker_config.read_store_config(file)
+        depot = store_config.read(file)
     except InvalidConfigError as bad:
         _fail(str(bad))
     try:
@@ -105,7 +105,7 @@
     log, scribe = logs.logger(sink, False, store=depot.listen)
     ended = termination.asked()
     try:
-        made = Store(depot.listen, depot.folder, depot.pace * (1 << 20), depot.readers, log)
+        made = Store(depot.listen, depot.folder, depot.bandwidth * (1 << 20), depot.readers, log)
     except AddressInUse as bad:
         _fail(str(bad))
     print(f"ready {depot.listen}", flush=True)
--- a/wickdyke/config/endpoint_file.py
+++ b/wickdyke/config/endpoint_file.py
@@ -1,16 +1,19 @@
-"""The worker list: a file of S-expressions, replaced whole by whoever writes it."""
+"""The endpoint file: a list of workers as S-expressions, which its writer replaces as a whole."""
 
 import os
 from dataclasses import dataclass, replace
 
 from wickdyke.config import address, schema, sexpr
-from wickdyke.config.schema import Diagnostics, Field, choice, count, number, record, text
-from wickdyke.config.sexpr import SourceLocation
+from wickdyke.config.schema import Diagnostics, Field, Located, choice, count, located, number, record, text, unlocated
+from wickdyke.config.sexpr import Expression
 
 
 @dataclass(slots=True, frozen=True)
 class EndpointRow:
-    """One worker as the list tells of it; `start` changes when it was started anew under the same name."""
+    """One worker in the list.
+
+    `start` changes when a worker was started again under the same name; `state` is ready, draining or gone.
+    """
 
     name: str
     address: str
@@ -22,12 +25,12 @@
     start: int
 
 
-def _row(location: SourceLocation, **values) -> tuple[EndpointRow, SourceLocation]:
-    return EndpointRow(**values), location
+def _rows(worker: list[Located[EndpointRow]]) -> list[Located[EndpointRow]]:
+    return worker
 
 
 WORKER = record(
-    _row,
+    located(EndpointRow),
     named=True,
     address=Field(address.read),
     zone=Field(text, None),
@@ -37,30 +40,38 @@
     state=Field(choice(ready="ready", draining="draining", gone="gone"), "ready"),
     start=Field(count(0, 2**53), 0),
 )
-WORKERS = record(lambda location, worker: worker, worker=Field(WORKER, None, many=True))
+WORKERS = record(unlocated(_rows), worker=Field(WORKER, None, many=True))
+
+
+def _check_name(
+    located_row: Located[EndpointRow], what: str, value: str | None, names: tuple[str, ...], diagnostics: Diagnostics
+) -> None:
+    """Reports a zone or kind that is not one of the gateway's, where it has any."""
+    if names and value not in names:
+        found = f'{what} "{value}"' if value else f"no {what}"
+        expected = f"one of {', '.join(names)}, as the gateway's file names them"
+        diagnostics.add(located_row.location, found, expected)
 
 
 def parse_endpoints(
-    forms: list, path: str, zones: tuple[str, ...] = (), kinds: tuple[str, ...] = ()
+    expressions: list[Expression], path: str, zones: tuple[str, ...] = (), kinds: tuple[str, ...] = ()
 ) -> list[EndpointRow]:
-    """The rows of a list, checked also against the zones and kinds that the gateway knows, where it names any."""
-    notes = Diagnostics()
-    form = schema.single_expression(forms, "workers", path, notes)
-    found = WORKERS(form, notes) if form is not None else None
-    for row, location in found or ():
-        for what, value, known in (("zone", row.zone, zones), ("kind", row.kind, kinds)):
-            if known and value not in known:
-                said = f'{what} "{value}"' if value else f"no {what}"
-                notes.add(location, said, f"one of {', '.join(known)}, as the gateway's file names them")
-    schema.check_unique(
-        [row.name for row, _ in found or ()], [location for _, location in found or ()], "worker", notes
-    )
-    notes.raise_if_any()
-    return [row for row, _ in found]
+    """The rows of a list; their zones and kinds must be among those given, if any are given.
+
+    Raises InvalidConfigError with all that is wrong.
+    """
+    diagnostics = Diagnostics()
+    rows = schema.read_single(expressions, "workers", path, WORKERS, diagnostics)
+    for row in rows or ():
+        _check_name(row, "zone", row.value.zone, zones, diagnostics)
+        _check_name(row, "kind", row.value.kind, kinds, diagnostics)
+    names = [row.value.name for row in rows or ()]
+    schema.check_unique(names, [row.location for row in rows or ()], "worker", diagnostics)
+    return [row.value for row in schema.required(rows, diagnostics)]
 
 
 def read_endpoints(path: str, zones: tuple[str, ...] = (), kinds: tuple[str, ...] = ()) -> list[EndpointRow]:
-    """The rows of a file; raises Unusable with all that is wrong. Paths of sockets hang on its folder."""
+    """The rows of a file; paths of sockets are relative to its folder. Raises InvalidConfigError."""
     folder = os.path.dirname(path)
     return [
         replace(row, address=address.beside(row.address, folder))
@@ -68,19 +79,16 @@
     ]
 
 
-def format_endpoints(rows_: list[EndpointRow]) -> str:
-    """The text of a list, as `read` takes it."""
+def _format_row(row: EndpointRow) -> str:
+    optional = "".join(
+        f" ({field} {sexpr.quote(value)})" for field, value in (("zone", row.zone), ("kind", row.kind)) if value
+    )
+    return (
+        f"  (worker {sexpr.quote(row.name)} (address {sexpr.quote(row.address)}){optional} (cell {row.cell})"
+        f" (cores {row.cores:g}) (state {row.state}) (start {row.start}))"
+    )
 
-    def quoted(value: str) -> str:
-        return '"' + value.replace("\\", "\\\\").replace('"', '\\"').replace("\n", "\\n") + '"'
 
-    lines = ["(workers"]
-    for row in rows_:
-        places = "".join(
-            f" ({what} {quoted(value)})" for what, value in (("zone", row.zone), ("kind", row.kind)) if value
-        )
-        lines.append(
-            f"  (worker {quoted(row.name)} (address {quoted(row.address)}){places} (cell {row.cell})"
-            f" (cores {row.cores:g}) (state {row.state}) (start {row.start}))"
-        )
-    return "\n".join(lines) + ")\n"
+def format_endpoints(rows: list[EndpointRow]) -> str:
+    """The text of a list, from which `parse_endpoints` reads the same rows."""
+    return "\n".join(["(workers", *map(_format_row, rows)]) + ")\n"
--- a/wickdyke/config/gateway_config.py
+++ b/wickdyke/config/gateway_config.py
@@ -1,14 +1,16 @@
-"""The settings file of a gateway, as checked values."""
+"""The settings file of a gateway, read into checked values."""
 
 import os
-from dataclasses import dataclass
+from collections.abc import Sequence
+from dataclasses import dataclass, replace
+from typing import TypeVar
 
 from wickdyke.circuit_breaker.breakers import BreakerSettings
 from wickdyke.config import address, schema, sexpr
-from wickdyke.config.schema import Diagnostics, Field, choice, count, flag, number, record, size, span, text, word_list
-from wickdyke.config.sexpr import SourceLocation
+from wickdyke.config.gateway_sections import GATEWAY, FunctionSettings, GatewaySection, ServerLimits
+from wickdyke.config.schema import Diagnostics, Located
 from wickdyke.protocol.worker_messages import REPORT_FIELDS
-from wickdyke.routing.model import RequestClass
+from wickdyke.routing.model import Effect, RequestClass
 from wickdyke.routing.settings import (
     AttemptLimits,
     CostWeights,
@@ -20,51 +22,29 @@
     TenantQuotas,
 )
 
-
-@dataclass(slots=True, frozen=True)
-class ServerLimits:
-    """What a gateway bounds: whoever goes past is turned away or hung up on (docs/protocol.md)."""
-
-    connections: int
-    open_rpcs: int
-    open_each: int
-    line: int
-    unread: int
-    events: int
-
-
-@dataclass(slots=True, frozen=True)
-class FunctionSettings:
-    """What a file states of programs whose name is `name`, or begins with it where it ends with a star."""
-
-    name: str
-    memory: float
-    lanes: int
-    load: float | None
-    location: SourceLocation
-
-    def fits(self, program: str) -> bool:
-        """Whether it speaks of that program."""
-        return program.startswith(self.name[:-1]) if self.name.endswith("*") else program == self.name
+T = TypeVar("T")
 
 
 @dataclass(slots=True)
 class GatewayConfig:
-    """All that a gateway's file states, each part for the part of the program that takes it."""
+    """All settings of a gateway. Times are ms; paths are relative to nothing but the working directory.
+
+    `answer_margin` is how long before a request's deadline its answer has to leave the gateway.
+    """
 
     name: str
     listen: str
-    workers: str
-    reread: float
-    routes: str | None
-    routes_reread: float
-    log: str | None
-    tape: str | None
+    endpoints_path: str
+    endpoints_poll_interval: float
+    routes_path: str | None
+    routes_poll_interval: float
+    log_path: str | None
+    recording_path: str | None
     seed: int | None
     zones: tuple[str, ...]
     kinds: tuple[str, ...]
     request_classes: list[RequestClass]
-    programs: list[FunctionSettings]
+    functions: list[FunctionSettings]
     instance: GatewayInstance
     attempt_limits: AttemptLimits
     function_cache: FunctionCache
@@ -73,304 +53,147 @@
     discovery: Discovery
     cost_weights: CostWeights
     bounds: ServerLimits
-    answer_way: float
-    probe_wait: float
-    isolation: BreakerSettings = BreakerSettings()
-    tenants: tuple[str, ...] = ()
-    tenant_quotas: TenantQuotas = TenantQuotas()
-
-    def stated(self, program: str) -> FunctionSettings | None:
-        """What is stated of a program: the exact name before the longest beginning."""
-        fits = [each for each in self.programs if each.fits(program)]
-        return max(fits, key=lambda each: (not each.name.endswith("*"), len(each.name)), default=None)
-
-
-def _part(record_type):
-    """Builds without the location, which most parts have no use for."""
-    return lambda location, **values: record_type(**values)
-
-
-def _method(
-    location: SourceLocation,
-    name: str,
-    effect: str,
-    scope: str,
-    window: float,
-    soft_deadline: float,
-    deadline: float,
-    soft_stretch: float,
-    gain: float,
-    late_gain: float,
-) -> tuple[RequestClass, SourceLocation]:
-    return RequestClass(name, effect, scope, window, soft_deadline, soft_stretch, deadline, gain, late_gain), location
-
-
-def _attempt_limits(
-    location: SourceLocation, most: int, overlap: bool, probe: bool, dial: float, idle_close: float, **rest
-):
-    return AttemptLimits(
-        attempts=most, hedging=overlap, health_checks=probe, connect_timeout=dial, idle_timeout=idle_close, **rest
-    )
+    answer_margin: float
+    health_check_timeout: float
+    breakers: BreakerSettings
+    tenants: tuple[str, ...]
+    tenant_quotas: TenantQuotas
 
+    def function_settings(self, function: str) -> FunctionSettings | None:
+        """The settings of a function: those of its exact name, else of the longest prefix; None if there are none."""
+        matching = [settings for settings in self.functions if settings.matches(function)]
+        return max(matching, key=lambda settings: (not settings.is_prefix, len(settings.name)), default=None)
 
-def _function_cache(
-    location: SourceLocation,
-    idle_life: float,
-    may_hold: bool,
-    loads_on_call: bool,
-    hold_wait: float,
-    tells_standing: bool,
-    tells_company: bool,
-) -> dict[str, object]:
-    return {
-        "idle_timeout": idle_life,
-        "may_prewarm": may_hold,
-        "loads_on_demand": loads_on_call,
-        "prewarm_timeout": hold_wait,
-        "reports_warmth": tells_standing,
-        "reports_concurrency": tells_company,
-    }
-
-
-def _cost_weights(location: SourceLocation, probe: float, crossing: float, **rest: float) -> CostWeights:
-    return CostWeights(health_check=probe, cross_zone=crossing, **rest)
-
-
-METHOD = record(
-    _method,
-    named=True,
-    effect=Field(choice(idempotent="idempotent", tokened="tokened", side_effecting="side-effecting")),
-    scope=Field(choice(all="all", zone="zone", cell="cell"), "all"),
-    window=Field(span(), 0.0),
-    soft_deadline=Field(span(1.0)),
-    deadline=Field(span(1.0)),
-    soft_stretch=Field(number(0, 1000), 0.0),
-    gain=Field(number(0, 1e6), 1.0),
-    late_gain=Field(number(0, 1), 0.0),
-)
-PROGRAM = record(
-    lambda location, name, memory, lanes, load: FunctionSettings(name, memory, lanes, load, location),
-    named=True,
-    memory=Field(size(0)),
-    lanes=Field(count(1, 4096), 1),
-    load=Field(span(), None),
-)
-KIND = record(lambda location, name, memory: (name, memory, location), named=True, memory=Field(size()))
-LISTEN = record(lambda location, json_rpc: json_rpc, json_rpc=Field(address.read))
-FOLLOWED = record(
-    lambda location, file, reread: (file, reread), file=Field(text), reread=Field(span(5.0, 60000.0), 100.0)
-)
-SEAT = record(
-    lambda location, number, of: (number, of, location), number=Field(count(0, 100000)), of=Field(count(1, 100000))
-)
-CALL_OUTS = record(
-    _attempt_limits,
-    most=Field(count(1, 100), 3),
-    overlap=Field(flag, False),
-    cancel=Field(flag, True),
-    probe=Field(flag, True),
-    retry_after=Field(span(), 0.0),
-    dial=Field(span(1.0, 60000.0), 250.0),
-    idle_close=Field(span(1.0), 15000.0),
-)
-TENANT = record(lambda location, name, quota: (name, quota, location), named=True, quota=Field(number(0.001, 1e9)))
-STOCK = record(
-    _function_cache,
-    idle_life=Field(span(1.0)),
-    may_hold=Field(flag, True),
-    loads_on_call=Field(flag, True),
-    hold_wait=Field(span(1.0), 10000.0),
-    tells_standing=Field(flag, True),
-    tells_company=Field(flag, True),
-)
-WARMUP = record(
-    _part(SlowStart),
-    start_share=Field(number(0.001, 1)),
-    ramp=Field(span()),
-    multiple=Field(number(1, 1000)),
-    window=Field(span(1.0)),
-)
-RATION = record(_part(PrewarmQuota), free=Field(number(0, 1e6)), share=Field(number(0, 1e6)), window=Field(span()))
-TARIFF = record(
-    _cost_weights,
-    **{name: Field(number(0, 100), 0.0) for name in ("waste", "late", "fetch", "probe", "crossing", "idle_memory")},
-)
-BOUNDS = record(
-    _part(ServerLimits),
-    connections=Field(count(1, 60000), 1024),
-    open_rpcs=Field(count(1, 10**7), 32768),
-    open_each=Field(count(1, 10**6), 4096),
-    line=Field(size(0.001, 1024), 16.0),
-    unread=Field(size(0.001, 4096), 32.0),
-    events=Field(count(10, 10**7), 100000),
-)
-LOADS = record(
-    _part(dict),
-    workers=Field(count(1, 1000), 2),
-    window=Field(span(1.0), 30000.0),
-    first=Field(span(1.0), 1000.0),
-    most=Field(span(1.0), 60000.0),
-)
-CALLS = record(
-    _part(dict),
-    copies=Field(number(1, 1000), 3.0),
-    window=Field(span(1.0), 60000.0),
-    first=Field(span(1.0), 10000.0),
-    most=Field(span(1.0), 600000.0),
-)
 
+# ---- checks of sections against each other ----
 
-def _isolation(location: SourceLocation, loads: dict, calls: dict) -> BreakerSettings:
-    return BreakerSettings(
-        loads["workers"],
-        loads["window"],
-        loads["first"],
-        loads["most"],
-        calls["copies"],
-        calls["window"],
-        calls["first"],
-        calls["most"],
-    )
 
+def _check_request_class(located: Located[RequestClass], answer_margin: float, diagnostics: Diagnostics) -> None:
+    request_class, location = located.value, located.location
+    if request_class.latency_objective >= request_class.deadline:
+        diagnostics.add(
+            location,
+            f"a soft deadline of {request_class.latency_objective:g} ms",
+            f"one before the deadline, {request_class.deadline:g} ms",
+        )
+    if request_class.deadline <= answer_margin:
+        diagnostics.add(
+            location, f"a deadline of {request_class.deadline:g} ms", f"more than answer-way, {answer_margin:g} ms"
+        )
+    if request_class.effect == Effect.KEYED and not request_class.dedupe_window:
+        diagnostics.add(location, f'method "{request_class.name}" tokened without a window', "(window TIME) in it")
+    if request_class.effect != Effect.KEYED and request_class.dedupe_window:
+        found = f'method "{request_class.name}" {request_class.effect} with a window'
+        diagnostics.add(location, found, "a window only where tokened")
 
-ISOLATION = record(
-    _isolation,
-    loads=Field(LOADS, {"workers": 2, "window": 30000.0, "first": 1000.0, "most": 60000.0}),
-    calls=Field(CALLS, {"copies": 3.0, "window": 60000.0, "first": 10000.0, "most": 600000.0}),
-)
-GATEWAY = record(
-    lambda location, **values: (location, values),
-    name=Field(text, "gateway"),
-    listen=Field(LISTEN),
-    workers=Field(FOLLOWED),
-    routes=Field(FOLLOWED, (None, 100.0)),
-    log=Field(text, None),
-    tape=Field(text, None),
-    seed=Field(count(0, 2**53), None),
-    zone=Field(record(lambda location, name: (name, location), named=True), None, many=True),
-    at=Field(text, None),
-    kind=Field(KIND, None, many=True),
-    method=Field(METHOD, many=True),
-    program=Field(PROGRAM, None, many=True),
-    seat=Field(SEAT, (0, 1, None)),
-    report=Field(word_list, ("busy", "held")),
-    by_work=Field(flag, False),
-    call_outs=Field(CALL_OUTS, AttemptLimits(3, False, True, True, 0.0, 250.0)),
-    stock=Field(STOCK),
-    warmup=Field(WARMUP),
-    ration=Field(RATION, PrewarmQuota(0.0, 0.0, 0.0)),
-    drain_grace=Field(span()),
-    tariff=Field(TARIFF, CostWeights(0, 0, 0, 0, 0, 0)),
-    bounds=Field(BOUNDS, ServerLimits(1024, 32768, 4096, 16.0, 32.0, 100000)),
-    answer_way=Field(span(0.0, 60000.0), 20.0),
-    probe_wait=Field(span(1.0, 60000.0), 250.0),
-    isolation=Field(ISOLATION, BreakerSettings()),
-    tenant=Field(TENANT, None, many=True),
-)
 
+def _check_names(section: GatewaySection, diagnostics: Diagnostics) -> None:
+    """Reports names that are stated twice."""
 
-def _contradictions(location: SourceLocation, got: dict, notes: Diagnostics) -> None:
-    way = got["answer_way"]
-    for method, at in got["method"]:
-        if method.latency_objective >= method.deadline:
-            notes.add(
-                at,
-                f"a soft deadline of {method.latency_objective:g} ms",
-                f"one before the deadline, {method.deadline:g} ms",
-            )
-        if method.deadline <= way:
-            notes.add(at, f"a deadline of {method.deadline:g} ms", f"more than answer-way, {way:g} ms")
-        if method.effect == "tokened" and not method.dedupe_window:
-            notes.add(at, f'method "{method.name}" tokened without a window', "(window TIME) in it")
-        if method.effect != "tokened" and method.dedupe_window:
-            notes.add(at, f'method "{method.name}" {method.effect} with a window', "a window only where tokened")
-    for what, names, locations in (
-        ("method", [m.name for m, _ in got["method"]], [at for _, at in got["method"]]),
-        ("program", [p.name for p in got["program"]], [p.location for p in got["program"]]),
-        ("kind", [k for k, _, _ in got["kind"]], [at for _, _, at in got["kind"]]),
-        ("tenant", [t for t, _, _ in got["tenant"]], [at for _, _, at in got["tenant"]]),
-        ("zone", [z for z, _ in got["zone"]], [at for _, at in got["zone"]]),
-    ):
-        schema.check_unique(names, locations, what, notes)
-    zones = [zone for zone, _ in got["zone"]]
-    if got["at"] is not None and got["at"] not in zones:
-        notes.add(location, f'(at "{got["at"]}")', "one of the zones" + "".join(f' "{z}"' for z in zones))
-    if got["at"] is None and len(zones) > 1:
-        notes.add(location, f"{len(zones)} zones and no (at ...)", '(at "ZONE"): where this gateway stands')
-    place, of, at = got["seat"]
-    if place >= of:
-        notes.add(at, f"number {place} of {of}", f"a number of 0 to {of - 1}")
-    if got["workers"][0] == got["listen"]:
-        notes.add(location, f'"{got["listen"]}" as socket and as list of workers', "two different files")
-    if got["bounds"].unread < got["bounds"].line:
-        notes.add(
-            location,
-            f"unread of {got['bounds'].unread:g} MB under line of {got['bounds'].line:g} MB",
-            "room for one line at least",
-        )
+    def check(what: str, names: Sequence[str], located: Sequence[Located[T]]) -> None:
+        schema.check_unique(names, [item.location for item in located], what, diagnostics)
+
+    check("method", [item.value.name for item in section.request_classes], section.request_classes)
+    functions = section.functions
+    schema.check_unique(
+        [function.name for function in functions], [function.location for function in functions], "program", diagnostics
+    )
+    check("kind", [item.value.name for item in section.kinds], section.kinds)
+    check("tenant", [item.value.name for item in section.tenants], section.tenants)
+    check("zone", [item.value for item in section.zones], section.zones)
+
+
+def _check_own_zone(section: GatewaySection, diagnostics: Diagnostics) -> None:
+    zones = [zone.value for zone in section.zones]
+    if section.own_zone is not None and section.own_zone not in zones:
+        expected = "one of the zones" + "".join(f' "{zone}"' for zone in zones)
+        diagnostics.add(section.location, f'(at "{section.own_zone}")', expected)
+    if section.own_zone is None and len(zones) > 1:
+        expected = '(at "ZONE"): where this gateway stands'
+        diagnostics.add(section.location, f"{len(zones)} zones and no (at ...)", expected)
+
+
+def _check_section(section: GatewaySection, diagnostics: Diagnostics) -> None:
+    """Reports what contradicts other parts of the file."""
+    for request_class in section.request_classes:
+        _check_request_class(request_class, section.answer_margin, diagnostics)
+    _check_names(section, diagnostics)
+    _check_own_zone(section, diagnostics)
+    instance = section.instance.value
+    if instance.index >= instance.count:
+        found = f"number {instance.index} of {instance.count}"
+        diagnostics.add(section.instance.location, found, f"a number of 0 to {instance.count - 1}")
+    if section.endpoints.path == section.listen:
+        found = f'"{section.listen}" as socket and as list of workers'
+        diagnostics.add(section.location, found, "two different files")
+    if section.limits.unread_size < section.limits.line_size:
+        found = f"unread of {section.limits.unread_size:g} MB under line of {section.limits.line_size:g} MB"
+        diagnostics.add(section.location, found, "room for one line at least")
+
+
+# ---- reading ----
 
 
 def read(path: str) -> GatewayConfig:
-    """Reads and checks a gateway's file; raises Unusable with all that is wrong. Paths in it hang on its folder."""
+    """Reads and checks a gateway's file; relative paths in it start from its folder.
+
+    Raises InvalidConfigError with all that is wrong.
+    """
     return build(sexpr.read(path), path)
 
 
-def build(forms: list[sexpr.Expression], path: str) -> GatewayConfig:
-    """The same of forms that stand, or are to stand, in the file of that path."""
-    notes = Diagnostics()
-    form = schema.single_expression(forms, "gateway", path, notes)
-    read_form = GATEWAY(form, notes) if form is not None else None
-    if read_form is not None:
-        _contradictions(*read_form, notes)
-    notes.raise_if_any()
-    _, got = read_form
-    base = os.path.dirname(path)
-
-    def beside(name: str | None) -> str | None:
-        return None if name is None else os.path.join(base, name)
-
-    listen = address.beside(got["listen"], base)
-    zones = tuple(zone for zone, _ in got["zone"])
-    number_, of, _ = got["seat"]
-    bounds = got["bounds"]
+def build(expressions: list[sexpr.Expression], path: str) -> GatewayConfig:
+    """The settings in the expressions of a file that has, or will have, that path; raises InvalidConfigError."""
+    diagnostics = Diagnostics()
+    section = schema.read_single(expressions, "gateway", path, GATEWAY, diagnostics)
+    if section is not None:
+        _check_section(section, diagnostics)
+    return _from_section(schema.required(section, diagnostics), os.path.dirname(path))
+
+
+def _instance(section: GatewaySection) -> GatewayInstance:
+    zones = [zone.value for zone in section.zones]
+    return GatewayInstance(
+        index=section.instance.value.index,
+        count=section.instance.value.count,
+        zone=zones.index(section.own_zone) if section.own_zone else 0,
+        report_fields=tuple(REPORT_FIELDS.get(word, word) for word in section.report_words),
+        weight_by_work=section.weight_by_work,
+    )
+
+
+def _join(folder: str, path: str | None) -> str | None:
+    return None if path is None else os.path.join(folder, path)
+
+
+def _from_section(section: GatewaySection, folder: str) -> GatewayConfig:
+    """The settings of a checked section, with paths that start from the folder."""
+    memory = tuple(kind.value.memory for kind in section.kinds)
     return GatewayConfig(
-        name=got["name"],
-        listen=listen,
-        workers=beside(got["workers"][0]),
-        reread=got["workers"][1],
-        routes=beside(got["routes"][0]),
-        routes_reread=got["routes"][1],
-        log=beside(got["log"]),
-        tape=beside(got["tape"]),
-        seed=got["seed"],
-        zones=zones,
-        kinds=tuple(kind for kind, _, _ in got["kind"]),
-        request_classes=[method for method, _ in got["method"]],
-        programs=got["program"],
-        instance=GatewayInstance(
-            number_,
-            of,
-            zones.index(got["at"]) if got["at"] else 0,
-            tuple(REPORT_FIELDS.get(word, word) for word in got["report"]),
-            got["by_work"],
-        ),
-        attempt_limits=got["call_outs"],
-        function_cache=FunctionCache(memory=tuple(memory for _, memory, _ in got["kind"]), **got["stock"]),
-        slow_start=got["warmup"],
-        prewarm_quota=got["ration"],
-        discovery=Discovery(True, 0.0, got["drain_grace"]),
-        cost_weights=got["tariff"],
-        bounds=ServerLimits(
-            bounds.connections,
-            bounds.open_rpcs,
-            bounds.open_each,
-            round(bounds.line * 2**20),
-            round(bounds.unread * 2**20),
-            bounds.events,
-        ),
-        answer_way=got["answer_way"],
-        probe_wait=got["probe_wait"],
-        isolation=got["isolation"],
-        tenants=tuple(tenant for tenant, _, _ in got["tenant"]),
-        tenant_quotas=TenantQuotas(tuple(quota for _, quota, _ in got["tenant"])),
+        name=section.name,
+        listen=address.beside(section.listen, folder),
+        endpoints_path=os.path.join(folder, section.endpoints.path or ""),
+        endpoints_poll_interval=section.endpoints.poll_interval,
+        routes_path=_join(folder, section.routes.path),
+        routes_poll_interval=section.routes.poll_interval,
+        log_path=_join(folder, section.log),
+        recording_path=_join(folder, section.recording),
+        seed=section.seed,
+        zones=tuple(zone.value for zone in section.zones),
+        kinds=tuple(kind.value.name for kind in section.kinds),
+        request_classes=[request_class.value for request_class in section.request_classes],
+        functions=section.functions,
+        instance=_instance(section),
+        attempt_limits=section.attempt_limits,
+        function_cache=replace(section.function_cache, memory=memory),
+        slow_start=section.slow_start,
+        prewarm_quota=section.prewarm_quota,
+        discovery=Discovery(pushed=True, poll_within=0.0, drain_grace=section.drain_grace),
+        cost_weights=section.cost_weights,
+        bounds=section.limits.limits(),
+        answer_margin=section.answer_margin,
+        health_check_timeout=section.health_check_timeout,
+        breakers=section.breakers,
+        tenants=tuple(tenant.value.name for tenant in section.tenants),
+        tenant_quotas=TenantQuotas(tuple(tenant.value.quota for tenant in section.tenants)),
     )
--- a/wickdyke/config/schema.py
+++ b/wickdyke/config/schema.py
@@ -1,37 +1,36 @@
-"""Checks of forms against tables of fields: what a form may hold, in which units, and what holds if it is absent.
+"""Typed readers of expressions: what a section of a file may hold, in which units, and its defaults.
 
-A reader takes the form of one field, notes each trouble and returns the value (or None where it is unusable).
+A reader takes the expression of one field, reports each error to the diagnostics and returns the value, or None where
+it is unusable. `record` combines the readers of a section's fields into a reader of the section.
 """
 
-from collections.abc import Callable
+from collections.abc import Callable, Sequence
 from dataclasses import dataclass, field
 from difflib import get_close_matches
-from typing import Any
+from typing import Any, Generic, TypeVar
 
-from wickdyke.config.sexpr import Atom, Diagnostic, Expression, InvalidConfigError, SourceLocation
+from wickdyke.config.sexpr import Atom, AtomKind, Diagnostic, Expression, InvalidConfigError, SourceLocation
 
-SPANS = {"us": 0.001, "ms": 1.0, "s": 1000.0, "min": 60000.0}
-SIZES = {"MB": 1.0, "GB": 1024.0, "KB": 1 / 1024}
-REQUIRED = object()
+T = TypeVar("T")
 
 
 @dataclass(slots=True)
 class Diagnostics:
-    """The troubles noted so far."""
+    """The errors found so far."""
 
     entries: list[Diagnostic] = field(default_factory=list)
 
     def add(self, location: SourceLocation, found: str, expected: str, fix: str = "") -> None:
-        """Notes one."""
+        """Reports one error."""
         self.entries.append(Diagnostic(location, found, expected, fix))
 
     def raise_if_any(self) -> None:
-        """Raises Unusable if there was any."""
+        """Raises InvalidConfigError with all errors, if there are any."""
         if self.entries:
             raise InvalidConfigError(self.entries)
 
 
-Reader = Callable[[Expression, Diagnostics], Any]
+Reader = Callable[[Expression, Diagnostics], T | None]
 
 
 def describe(item: Atom | Expression) -> str:
@@ -39,119 +38,160 @@
     return f"({item.name} ...)" if isinstance(item, Expression) else item.text
 
 
-def _only(form: Expression, notes: Diagnostics, kind: str, expected: str) -> Atom | None:
-    if len(form.items) == 1 and isinstance(form.items[0], Atom) and form.items[0].kind == kind:
-        return form.items[0]
-    found = " ".join(map(describe, form.items)) or "nothing"
-    fix = (
-        f'write "{form.items[0].text}"'
-        if kind == "string"
-        and len(form.items) == 1
-        and isinstance(form.items[0], Atom)
-        and form.items[0].kind == "word"
-        else ""
+def _describe_all(items: Sequence[Atom | Expression]) -> str:
+    return " ".join(map(describe, items))
+
+
+def _single_atom(expression: Expression, diagnostics: Diagnostics, kind: AtomKind, expected: str) -> Atom | None:
+    """The only item of the expression, if it is an atom of that kind; else None and an error."""
+    only = expression.items[0] if len(expression.items) == 1 else None
+    if isinstance(only, Atom) and only.kind == kind:
+        return only
+    found = f"({expression.name} {_describe_all(expression.items)})" if expression.items else f"({expression.name})"
+    unquoted = kind == AtomKind.STRING and isinstance(only, Atom) and only.kind == AtomKind.WORD
+    diagnostics.add(expression.location, found, expected, f'write "{describe(only)}"' if only and unquoted else "")
+    return None
+
+
+# ---- quantities ----
+
+
+@dataclass(slots=True, frozen=True)
+class Quantity:
+    """What is measured, as a message names it, and the size of each unit in the base unit (whose size is 1)."""
+
+    description: str
+    units: dict[str, float]
+
+    @property
+    def base_unit(self) -> str:
+        """The unit in which values are kept."""
+        return next(unit for unit, factor in self.units.items() if factor == 1.0)
+
+    @property
+    def unit_names(self) -> str:
+        """All units, as a message lists them."""
+        return ", ".join(self.units)
+
+
+TIME = Quantity("a time", {"us": 0.001, "ms": 1.0, "s": 1000.0, "min": 60000.0})
+SIZE = Quantity("a size", {"MB": 1.0, "GB": 1024.0, "KB": 1 / 1024})
+
+
+def _read_unit(quantity: Quantity, expression: Expression, amount: Atom, diagnostics: Diagnostics) -> str | None:
+    """The unit that follows the amount; None and an error where there is none that is known."""
+    items = expression.items
+    if len(items) == 1:
+        diagnostics.add(
+            amount.location,
+            f"{amount.text} without a unit",
+            f"{quantity.description} with its unit ({quantity.unit_names})",
+            f"write {amount.text} {quantity.base_unit} if that is what is meant",
+        )
+        return None
+    unit = items[1] if len(items) == 2 and isinstance(items[1], Atom) else None
+    if unit is not None and unit.text in quantity.units:
+        return unit.text
+    other_case = {name.lower(): name for name in quantity.units}.get(unit.text.lower() if unit else "")
+    diagnostics.add(
+        (unit or amount).location,
+        f"the unit {_describe_all(items[1:])}",
+        f"one of {quantity.unit_names}",
+        f"write {other_case}" if other_case else "",
     )
-    notes.add(form.location, f"({form.name} {found})" if form.items else f"({form.name})", expected, fix)
     return None
 
 
-def _quantity(units: dict[str, float], what: str, least: float, most: float) -> Reader:
-    listed = ", ".join(units)
+def _quantity(quantity: Quantity, minimum: float, maximum: float) -> Reader[float]:
+    """A reader of a number with its unit, in the base unit."""
 
-    def reader(form: Expression, notes: Diagnostics) -> float | None:
-        items = form.items
-        value = items[0] if items and isinstance(items[0], Atom) and items[0].kind == "number" else None
-        if value is None:
-            notes.add(form.location, f"({form.name} {' '.join(map(describe, items))})".replace(" )", ")"), what)
+    def reader(expression: Expression, diagnostics: Diagnostics) -> float | None:
+        first = expression.items[0] if expression.items else None
+        if not isinstance(first, Atom) or first.kind != AtomKind.NUMBER:
+            found = f"({expression.name} {_describe_all(expression.items)})".replace(" )", ")")
+            diagnostics.add(expression.location, found, quantity.description)
             return None
-        unit = items[1] if len(items) == 2 and isinstance(items[1], Atom) else None
-        if len(items) == 1:
-            notes.add(
-                value.location,
-                f"{value.text} without a unit",
-                f"{what} with its unit ({listed})",
-                f"write {value.text} {next(u for u, f in units.items() if f == 1.0)} if that is what is meant",
-            )
+        unit = _read_unit(quantity, expression, first, diagnostics)
+        if unit is None:
             return None
-        if unit is None or unit.text not in units:
-            close = {u.lower(): u for u in units}.get(str(getattr(unit, "text", "")).lower())
-            notes.add(
-                (unit or value).location,
-                f"the unit {' '.join(map(describe, items[1:]))}",
-                f"one of {listed}",
-                f"write {close}" if close else "",
-            )
-            return None
-        amount = value.value * units[unit.text]
-        if not least <= amount <= most:
-            notes.add(
-                value.location,
-                f"{value.text} {unit.text}",
-                f"{what} of {least:g} to {most:g} " + next(u for u, f in units.items() if f == 1.0),
-            )
+        amount = float(first.value) * quantity.units[unit]
+        if not minimum <= amount <= maximum:
+            expected = f"{quantity.description} of {minimum:g} to {maximum:g} {quantity.base_unit}"
+            diagnostics.add(first.location, f"{first.text} {unit}", expected)
             return None
         return amount
 
     return reader
 
 
-def span(least: float = 0.0, most: float = 3.6e6) -> Reader:
-    """A time, in ms."""
-    return _quantity(SPANS, "a time", least, most)
+def span(minimum: float = 0.0, maximum: float = 3.6e6) -> Reader[float]:
+    """A reader of a duration, in ms."""
+    return _quantity(TIME, minimum, maximum)
+
+
+def size(minimum: float = 0.0, maximum: float = 1e9) -> Reader[float]:
+    """A reader of a size of memory, in MB."""
+    return _quantity(SIZE, minimum, maximum)
 
 
-def size(least: float = 0.0, most: float = 1e9) -> Reader:
-    """A size, in MB."""
-    return _quantity(SIZES, "a size", least, most)
+# ---- plain values ----
 
 
-def number(least: float, most: float) -> Reader:
-    """A plain number."""
+def number(minimum: float, maximum: float) -> Reader[float]:
+    """A reader of a number without a unit."""
 
-    def reader(form: Expression, notes: Diagnostics) -> float | None:
-        atom = _only(form, notes, "number", f"one number of {least:g} to {most:g}")
-        if atom is not None and not least <= atom.value <= most:
-            notes.add(atom.location, atom.text, f"a number of {least:g} to {most:g}")
+    def reader(expression: Expression, diagnostics: Diagnostics) -> float | None:
+        expected = f"number of {minimum:g} to {maximum:g}"
+        atom = _single_atom(expression, diagnostics, AtomKind.NUMBER, f"one {expected}")
+        if atom is None:
+            return None
+        value = float(atom.value)
+        if not minimum <= value <= maximum:
+            diagnostics.add(atom.location, atom.text, f"a {expected}")
             return None
-        return None if atom is None else atom.value
+        return value
 
     return reader
 
 
-def count(least: int, most: int) -> Reader:
-    """A whole number."""
-    plain = number(least, most)
+def count(minimum: int, maximum: int) -> Reader[int]:
+    """A reader of an integer."""
+    read_number = number(minimum, maximum)
 
-    def reader(form: Expression, notes: Diagnostics) -> int | None:
-        value = plain(form, notes)
-        if value is not None and value != int(value):
-            notes.add(form.items[0].location, form.items[0].text, "a whole number", f"write {round(value)}")
+    def reader(expression: Expression, diagnostics: Diagnostics) -> int | None:
+        value = read_number(expression, diagnostics)
+        if value is None:
+            return None
+        if value != int(value):
+            item = expression.items[0]
+            diagnostics.add(item.location, describe(item), "a whole number", f"write {round(value)}")
             return None
-        return None if value is None else int(value)
+        return int(value)
 
     return reader
 
 
-def text(form: Expression, notes: Diagnostics) -> str | None:
-    """A string in double quotes that is not empty."""
-    atom = _only(form, notes, "string", "one string in double quotes")
+def text(expression: Expression, diagnostics: Diagnostics) -> str | None:
+    """Reads a string in double quotes that is not empty."""
+    atom = _single_atom(expression, diagnostics, AtomKind.STRING, "one string in double quotes")
     if atom is not None and not atom.value:
-        notes.add(atom.location, '""', "a string that is not empty")
+        diagnostics.add(atom.location, '""', "a string that is not empty")
         return None
     return None if atom is None else str(atom.value)
 
 
-def choice(**choices: Any) -> Reader:
-    """One word of a few (an underscore stands for a hyphen)."""
+def choice(**choices: T) -> Reader[T]:
+    """A reader of one of these words (an underscore stands for a hyphen), which returns the word's value."""
     table = {word.replace("_", "-"): value for word, value in choices.items()}
+    expected = "one of " + ", ".join(table)
 
-    def reader(form: Expression, notes: Diagnostics) -> Any:
-        atom = _only(form, notes, "word", "one of " + ", ".join(table))
+    def reader(expression: Expression, diagnostics: Diagnostics) -> T | None:
+        atom = _single_atom(expression, diagnostics, AtomKind.WORD, expected)
         if atom is None:
             return None
         if atom.text not in table:
-            near = get_close_matches(atom.text, table, 1)
-            notes.add(atom.location, atom.text, "one of " + ", ".join(table), f"write {near[0]}" if near else "")
+            similar = get_close_matches(atom.text, table, 1)
+            diagnostics.add(atom.location, atom.text, expected, f"write {similar[0]}" if similar else "")
             return None
         return table[atom.text]
 
@@ -161,106 +201,207 @@
 flag = choice(yes=True, no=False)
 
 
-def word_list(form: Expression, notes: Diagnostics) -> tuple[str, ...] | None:
-    """Plain words, each once."""
-    found: list[str] = []
-    for item in form.items:
-        if not isinstance(item, Atom) or item.kind != "word":
-            notes.add(item.location, describe(item), "a word")
-        elif item.text in found:
-            notes.add(item.location, f"{item.text} a second time", "each word once")
+def word_list(expression: Expression, diagnostics: Diagnostics) -> tuple[str, ...] | None:
+    """Reads words, each at most once; an error leaves the others."""
+    words: list[str] = []
+    for item in expression.items:
+        if not isinstance(item, Atom) or item.kind != AtomKind.WORD:
+            diagnostics.add(item.location, describe(item), "a word")
+        elif item.text in words:
+            diagnostics.add(item.location, f"{item.text} a second time", "each word once")
         else:
-            found.append(item.text)
-    return tuple(found)
+            words.append(item.text)
+    return tuple(words)
+
+
+# ---- sections ----
 
 
 @dataclass(slots=True, frozen=True)
-class Field:
-    """A field of a form: how it is read, what holds where it is absent, whether it may stand several times."""
+class Required:
+    """Marks a field that has no default."""
 
-    reader: Reader
-    absent: Any = REQUIRED
-    many: bool = False
+
+REQUIRED = Required()
 
 
-def record(build: Callable[..., Any], named: bool = False, **fields: Field) -> Reader:
-    """A form of fields; `named` if a string comes first, given to `build` as `name`.
+@dataclass(slots=True, frozen=True)
+class Field(Generic[T]):
+    """A field of a section: its reader, its value where it is absent, and whether it may be repeated.
 
-    All that is wrong is noted, each once; `build` is called only where nothing is.
+    The value of a field with `many` is a list, which is empty where it is absent; with `absent` None it may be.
+    `parameter` is the name under which the value is passed to the section's builder, if it is not the field's own.
     """
-    table = {name.replace("_", "-"): f for name, f in fields.items()}
-
-    def reader(form: Expression, notes: Diagnostics) -> Any:
-        before, items, values = len(notes.entries), list(form.items), {}
-        if named:
-            first = items.pop(0) if items and isinstance(items[0], Atom) else None
-            if first is None or first.kind != "string" or not first.value:
-                notes.add(form.location, f"({form.name} without a name", f'({form.name} "NAME" ...)')
-            else:
-                values["name"] = str(first.value)
-        seen: dict[str, SourceLocation] = {}
-        excused: set[str] = set()
+
+    reader: Reader[T]
+    absent: T | Required | None = REQUIRED
+    many: bool = False
+    parameter: str = ""
+
+    def default(self) -> T | Required | list[T] | None:
+        """The value where the field is absent."""
+        return [] if self.many and self.absent in (REQUIRED, None) else self.absent
+
+
+class _RecordReader(Generic[T]):
+    """The reader of a section; see `record`."""
+
+    def __init__(self, build: Callable[..., T], named: bool, fields: dict[str, Field[Any]]) -> None:
+        self.build = build
+        self.named = named
+        self.fields = fields
+
+    def __call__(self, expression: Expression, diagnostics: Diagnostics) -> T | None:
+        errors_before = len(diagnostics.entries)
+        values: dict[str, Any] = {}
+        items = list(expression.items)
+        if self.named:
+            self._read_name(expression, items, values, diagnostics)
+        first_locations: dict[str, SourceLocation] = {}
+        misspelt: set[str] = set()  # these are not also reported as missing
         for item in items:
             if isinstance(item, Atom) or not item.name:
-                notes.add(item.location, describe(item), f"a field of {form.name} in brackets")
-                excused.add(describe(item))  # else it would be said to be missing as well
-                continue
-            if item.name not in table:
-                near = get_close_matches(item.name, table, 1, 0.5)
-                notes.add(
-                    item.location,
-                    f"({item.name} ...)",
-                    f"a field of {form.name}",
-                    f"did you mean {near[0]}?" if near else "it knows " + ", ".join(table),
-                )
-                excused.update(near)
-                continue
-            known = table[item.name]
-            if item.name in seen and not known.many:
-                notes.add(
-                    item.location,
-                    f"({item.name} ...) a second time",
-                    "it once",
-                    f"the first stands in line {seen[item.name].line}",
-                )
-                continue
-            seen[item.name] = item.location
-            value = known.reader(item, notes)
-            if known.many:
-                values.setdefault(item.name, []).append(value)
+                diagnostics.add(item.location, describe(item), f"a field of {expression.name} in brackets")
+                misspelt.add(describe(item))
+            elif item.name not in self.fields:
+                misspelt.update(self._report_unknown(item, expression.name, diagnostics))
             else:
-                values[item.name] = value
-        for name, known in table.items():
-            if name not in seen:
-                if known.absent is REQUIRED and name not in excused:
-                    notes.add(form.location, f"({form.name} ...) without {name}", f"({name} ...) in it")
-                values[name] = [] if known.many and known.absent in (REQUIRED, None) else known.absent
-        if len(notes.entries) > before:
+                self._read_field(item, first_locations, values, diagnostics)
+        self._add_defaults(expression, values, misspelt, diagnostics)
+        if len(diagnostics.entries) > errors_before:
             return None
-        return build(location=form.location, **{name.replace("-", "_"): value for name, value in values.items()})
+        arguments = {self._parameter(name): value for name, value in values.items()}
+        return self.build(location=expression.location, **arguments)
+
+    def _parameter(self, name: str) -> str:
+        definition = self.fields.get(name)
+        return definition.parameter if definition and definition.parameter else name.replace("-", "_")
+
+    def _read_name(
+        self,
+        expression: Expression,
+        items: list[Atom | Expression],
+        values: dict[str, Any],
+        diagnostics: Diagnostics,
+    ) -> None:
+        """Takes the name from the items."""
+        first = items.pop(0) if items and isinstance(items[0], Atom) else None
+        if isinstance(first, Atom) and first.kind == AtomKind.STRING and first.value:
+            values["name"] = str(first.value)
+            return
+        diagnostics.add(expression.location, f"({expression.name} without a name", f'({expression.name} "NAME" ...)')
+
+    def _report_unknown(self, item: Expression, section: str, diagnostics: Diagnostics) -> list[str]:
+        """Reports a field that the section does not have; returns the name that is probably meant, if there is one."""
+        similar = get_close_matches(item.name, self.fields, 1, 0.5)
+        fix = f"did you mean {similar[0]}?" if similar else "it knows " + ", ".join(self.fields)
+        diagnostics.add(item.location, f"({item.name} ...)", f"a field of {section}", fix)
+        return similar
+
+    def _read_field(
+        self,
+        item: Expression,
+        first_locations: dict[str, SourceLocation],
+        values: dict[str, Any],
+        diagnostics: Diagnostics,
+    ) -> None:
+        definition = self.fields[item.name]
+        if item.name in first_locations and not definition.many:
+            fix = f"the first stands in line {first_locations[item.name].line}"
+            diagnostics.add(item.location, f"({item.name} ...) a second time", "it once", fix)
+            return
+        first_locations[item.name] = item.location
+        value = definition.reader(item, diagnostics)
+        if definition.many:
+            values.setdefault(item.name, []).append(value)
+        else:
+            values[item.name] = value
 
-    return reader
+    def _add_defaults(
+        self, expression: Expression, values: dict[str, Any], misspelt: set[str], diagnostics: Diagnostics
+    ) -> None:
+        for name, definition in self.fields.items():
+            if name in values:
+                continue
+            if definition.absent is REQUIRED and name not in misspelt:
+                diagnostics.add(expression.location, f"({expression.name} ...) without {name}", f"({name} ...) in it")
+            values[name] = definition.default()
+
+
+def record(build: Callable[..., T], named: bool = False, **fields: Field[Any]) -> Reader[T]:
+    """A reader of a section with these fields (an underscore stands for a hyphen).
+
+    `build` is called with the section's `location` and the value of each field, only where there is no error; with
+    `named` a string comes first in the section and is passed as `name`. All errors are reported, each once.
+    """
+    return _RecordReader(build, named, {name.replace("_", "-"): definition for name, definition in fields.items()})
+
+
+@dataclass(slots=True, frozen=True)
+class Located(Generic[T]):
+    """A value and the location of the section that states it."""
+
+    value: T
+    location: SourceLocation
+
+
+def located(build: Callable[..., T]) -> Callable[..., Located[T]]:
+    """A builder for `record` that keeps the location beside what `build` returns."""
+
+    def build_with_location(location: SourceLocation, **values: Any) -> Located[T]:
+        return Located(build(**values), location)
+
+    return build_with_location
+
+
+def unlocated(build: Callable[..., T]) -> Callable[..., T]:
+    """A builder for `record` that makes no use of the location."""
+
+    def build_without_location(location: SourceLocation, **values: Any) -> T:
+        return build(**values)
+
+    return build_without_location
+
+
+# ---- files ----
+
+
+def single_expression(
+    expressions: list[Expression], name: str, file: str, diagnostics: Diagnostics
+) -> Expression | None:
+    """The one expression of that name which a file has to hold; None and an error where there is none."""
+    matching = [expression for expression in expressions if expression.name == name]
+    for expression in expressions:
+        if expression.name != name:
+            diagnostics.add(expression.location, describe(expression), f"({name} ...)")
+    for expression in matching[1:]:
+        diagnostics.add(expression.location, f"a second ({name} ...)", "one")
+    if not matching and not diagnostics.entries:
+        diagnostics.add(SourceLocation(file, 1, 1), "nothing", f"({name} ...)")
+    return matching[0] if matching else None
+
+
+def read_single(
+    expressions: list[Expression], name: str, file: str, reader: Reader[T], diagnostics: Diagnostics
+) -> T | None:
+    """The value of the one expression of that name in a file; None and an error where there is none."""
+    expression = single_expression(expressions, name, file, diagnostics)
+    return None if expression is None else reader(expression, diagnostics)
+
+
+def required(value: T | None, diagnostics: Diagnostics) -> T:
+    """The value, if nothing is wrong with it; else raises InvalidConfigError with all errors."""
+    diagnostics.raise_if_any()
+    if value is None:
+        raise AssertionError("a reader returned no value and reported no error")
+    return value
 
 
-def single_expression(forms: list[Expression], name: str, file: str, notes: Diagnostics) -> Expression | None:
-    """The one form of that name that a file is to hold."""
-    right = [form for form in forms if form.name == name]
-    for form in forms:
-        if form.name != name:
-            notes.add(form.location, describe(form), f"({name} ...)")
-    for form in right[1:]:
-        notes.add(form.location, f"a second ({name} ...)", "one")
-    if not right and not notes.entries:
-        notes.add(SourceLocation(file, 1, 1), "nothing", f"({name} ...)")
-    return right[0] if right else None
-
-
-def check_unique(items: list, locations: list[SourceLocation], what: str, notes: Diagnostics) -> None:
-    """Notes each name that stands twice."""
-    first: dict[object, SourceLocation] = {}
-    for name, location in zip(items, locations, strict=True):
-        if name in first:
-            notes.add(
-                location, f"{what} {name} a second time", "each once", f"the first stands in line {first[name].line}"
-            )
-        first.setdefault(name, location)
+def check_unique(names: Sequence[object], locations: list[SourceLocation], what: str, diagnostics: Diagnostics) -> None:
+    """Reports each name that occurs again; `what` is what bears the names."""
+    first_locations: dict[object, SourceLocation] = {}
+    for name, location in zip(names, locations, strict=True):
+        if name in first_locations:
+            fix = f"the first stands in line {first_locations[name].line}"
+            diagnostics.add(location, f"{what} {name} a second time", "each once", fix)
+        first_locations.setdefault(name, location)
--- a/wickdyke/config/sexpr.py
+++ b/wickdyke/config/sexpr.py
@@ -1,15 +1,25 @@
-"""S-expressions read by a lark grammar that keeps line and column."""
+"""Parser of S-expressions: a lark grammar whose trees become expressions that know their line and column."""
 
 from dataclasses import dataclass, field
+from enum import StrEnum
 from importlib import resources
+from typing import Any
 
-from lark import Lark, Token
+from lark import Lark, Token, Tree
 from lark.exceptions import UnexpectedCharacters, UnexpectedEOF, UnexpectedInput, UnexpectedToken
 
 
+class AtomKind(StrEnum):
+    """What an atom is."""
+
+    NUMBER = "number"
+    STRING = "string"
+    WORD = "word"
+
+
 @dataclass(slots=True, frozen=True, order=True)
 class SourceLocation:
-    """A place in a file; lines and columns count from 1."""
+    """A position in a file; lines and columns count from 1."""
 
     file: str
     line: int
@@ -19,9 +29,12 @@
         return f"{self.file}:{self.line}:{self.column}"
 
 
+NOWHERE = SourceLocation("", 1, 1)  # of what no file holds
+
+
 @dataclass(slots=True, frozen=True)
 class Diagnostic:
-    """One thing that is wrong: where, what was found, what was expected, and the likely fix."""
+    """One error in a file: where it is, what was found, what was expected, and the likely fix (empty if unknown)."""
 
     location: SourceLocation
     found: str
@@ -29,26 +42,27 @@
     fix: str = ""
 
     def __str__(self) -> str:
-        return f"{self.location}: found {self.found}, expected {self.expected}" + (f"; {self.fix}" if self.fix else "")
+        message = f"{self.location}: found {self.found}, expected {self.expected}"
+        return f"{message}; {self.fix}" if self.fix else message
 
 
 class InvalidConfigError(Exception):
-    """A file that can't be used, with all that is wrong with it in the order of its lines."""
+    """A file that can't be used; `diagnostics` lists all its errors in the order of its lines."""
 
     def __init__(self, diagnostics: list[Diagnostic]) -> None:
-        self.diagnostics = sorted(diagnostics, key=lambda t: t.location)
+        self.diagnostics = sorted(diagnostics, key=lambda diagnostic: diagnostic.location)
         super().__init__("\n".join(map(str, self.diagnostics)))
 
 
 class IncompleteInputError(InvalidConfigError):
-    """A file that can't be used now and can be in a while, as it stands."""
+    """A file that can't be used now but will become usable without a change of it, as time passes."""
 
 
 @dataclass(slots=True, frozen=True)
 class Atom:
-    """A number, a string or a word."""
+    """A number, a string or a word. `value` is a float for a number; `text` is what the source holds."""
 
-    kind: str
+    kind: AtomKind
     value: str | float
     text: str
     location: SourceLocation
@@ -60,7 +74,7 @@
 
     name: str
     items: list["Atom | Expression"] = field(default_factory=list)
-    location: SourceLocation = SourceLocation("", 1, 1)
+    location: SourceLocation = NOWHERE
 
 
 _grammar = Lark(
@@ -72,101 +86,132 @@
 _ESCAPES = {'\\"': '"', "\\\\": "\\", "\\n": "\n"}
 
 
-def _string(text: str) -> str:
-    out, at, body = [], 0, text[1:-1]
-    while at < len(body):
-        step = 2 if body[at] == "\\" else 1
-        out.append(_ESCAPES.get(body[at : at + step], body[at : at + step]))
-        at += step
-    return "".join(out)
+def _unescape(text: str) -> str:
+    """The value of a string from its text in quotes."""
+    body = text[1:-1]
+    characters: list[str] = []
+    position = 0
+    while position < len(body):
+        length = 2 if body[position] == "\\" else 1
+        piece = body[position : position + length]
+        characters.append(_ESCAPES.get(piece, piece))
+        position += length
+    return "".join(characters)
+
+
+def quote(value: str) -> str:
+    """A string as text in double quotes that parses to the same value."""
+    return '"' + value.replace("\\", "\\\\").replace('"', '\\"').replace("\n", "\\n") + '"'
+
+
+def _location(token: Token, file: str) -> SourceLocation:
+    return SourceLocation(file, token.line or 1, token.column or 1)
 
 
 def _atom(token: Token, file: str) -> Atom:
-    location = SourceLocation(file, token.line, token.column)
+    location = _location(token, file)
     if token.type == "NUMBER":
-        return Atom("number", float(token), str(token), location)
+        return Atom(AtomKind.NUMBER, float(token), str(token), location)
     if token.type == "STRING":
-        return Atom("string", _string(token), str(token), location)
-    return Atom("word", str(token), str(token), location)
+        return Atom(AtomKind.STRING, _unescape(token), str(token), location)
+    return Atom(AtomKind.WORD, str(token), str(token), location)
 
 
-def _form(tree, file: str) -> Expression:
+def _expression(tree: Any, file: str) -> Expression:
     opening, *children = tree.children
-    items = [_atom(c, file) if isinstance(c, Token) else _form(c, file) for c in children]
-    location = SourceLocation(file, opening.line, opening.column)
-    if items and isinstance(items[0], Atom) and items[0].kind == "word":
+    items = [_atom(child, file) if isinstance(child, Token) else _expression(child, file) for child in children]
+    location = _location(opening, file)
+    if items and isinstance(items[0], Atom) and items[0].kind == AtomKind.WORD:
         return Expression(items[0].text, items[1:], location)
     return Expression("", items, location)
 
 
-def format_expression(form: Expression) -> str:
-    """A form as text that parses to the same."""
-    items = [format_expression(item) if isinstance(item, Expression) else item.text for item in form.items]
-    return "(" + " ".join([form.name, *items] if form.name else items) + ")"
+def format_expression(expression: Expression) -> str:
+    """An expression as text that parses to the same."""
+    items = [format_expression(item) if isinstance(item, Expression) else item.text for item in expression.items]
+    return "(" + " ".join([expression.name, *items] if expression.name else items) + ")"
 
 
-def _unclosed(text: str) -> tuple[int, int]:
-    """Line and column of the innermost bracket that is never closed."""
-    open_at: list[tuple[int, int]] = []
+def _brackets(text: str) -> list[tuple[str, int, int]]:
+    """(bracket, line, column) of each bracket outside of strings and comments."""
+    brackets: list[tuple[str, int, int]] = []
     for number, line in enumerate(text.split("\n"), 1):
-        quoted = skip = False
-        for column, char in enumerate(line, 1):
-            if skip:
-                skip = False
+        quoted = False
+        escaped = False
+        for column, character in enumerate(line, 1):
+            if escaped:
+                escaped = False
             elif quoted:
-                skip, quoted = char == "\\", char != '"'
-            elif char == ";":
+                escaped = character == "\\"
+                quoted = character != '"'
+            elif character == ";":
                 break
-            elif char == '"':
+            elif character == '"':
                 quoted = True
-            elif char == "(":
-                open_at.append((number, column))
-            elif char == ")" and open_at:
-                open_at.pop()
-    return open_at[-1] if open_at else (1, 1)
-
-
-def parse(text: str, file: str) -> list[Expression]:
-    """The forms of a text; raises Unusable with the one place where it stops being S-expressions."""
-    try:
-        return [_form(tree, file) for tree in _grammar.parse(text).children]
-    except (UnexpectedEOF, UnexpectedToken) as bad:
-        if isinstance(bad, UnexpectedEOF) or bad.token.type == "$END":
-            line, column = _unclosed(text)
-            raise InvalidConfigError(
-                [Diagnostic(SourceLocation(file, line, column), "a bracket that is never closed", "a ) for each (")]
-            ) from None
-        found = f"{str(bad.token)!r}"
-        expected = "( to open a form" if bad.token.type != "RPAR" else "no ) here: none is open"
-        raise InvalidConfigError([Diagnostic(SourceLocation(file, bad.line, bad.column), found, expected)]) from None
-    except UnexpectedCharacters as bad:
-        found = repr(text[bad.pos_in_stream : bad.pos_in_stream + 1])
-        what = (
+            elif character in "()":
+                brackets.append((character, number, column))
+    return brackets
+
+
+def _unclosed_bracket(text: str) -> tuple[int, int]:
+    """Line and column of the innermost bracket that is never closed; (1, 1) if there is none."""
+    open_brackets: list[tuple[int, int]] = []
+    for bracket, line, column in _brackets(text):
+        if bracket == "(":
+            open_brackets.append((line, column))
+        elif open_brackets:
+            open_brackets.pop()
+    return open_brackets[-1] if open_brackets else (1, 1)
+
+
+def _syntax_error(error: UnexpectedInput, text: str, file: str) -> Diagnostic:
+    """What the grammar's error means to the author of the text."""
+    if isinstance(error, UnexpectedEOF) or (isinstance(error, UnexpectedToken) and error.token.type == "$END"):
+        line, column = _unclosed_bracket(text)
+        return Diagnostic(SourceLocation(file, line, column), "a bracket that is never closed", "a ) for each (")
+    location = SourceLocation(file, error.line, error.column)
+    if isinstance(error, UnexpectedToken):
+        expected = "( to open a form" if error.token.type != "RPAR" else "no ) here: none is open"
+        return Diagnostic(location, f"{str(error.token)!r}", expected)
+    if isinstance(error, UnexpectedCharacters):
+        position = error.pos_in_stream or 0
+        found = repr(text[position : position + 1])
+        expected = (
             'a string that ends on its line, with \\" \\\\ and \\n as its only escapes'
             if found == "'\"'"
             else "( ) a number, a word or a string in double quotes"
         )
-        raise InvalidConfigError([Diagnostic(SourceLocation(file, bad.line, bad.column), found, what)]) from None
-    except UnexpectedInput as bad:
-        raise InvalidConfigError(
-            [Diagnostic(SourceLocation(file, bad.line, bad.column), "something else", "S-expressions")]
-        ) from None
+        return Diagnostic(location, found, expected)
+    return Diagnostic(location, "something else", "S-expressions")
+
+
+def parse(text: str, file: str) -> list[Expression]:
+    """The expressions of a text.
+
+    `file` is named in locations. Raises InvalidConfigError with the one location where it stops being S-expressions.
+    """
+    try:
+        return [_expression(tree, file) for tree in _parse_tree(text).children]
+    except UnexpectedInput as error:
+        raise InvalidConfigError([_syntax_error(error, text, file)]) from None
     except RecursionError:
-        raise InvalidConfigError(
-            [Diagnostic(SourceLocation(file, 1, 1), "forms nested too deep", "fewer than 100 levels")]
-        ) from None
+        raise _invalid_file(file, "forms nested too deep", "fewer than 100 levels") from None
+
+
+def _parse_tree(text: str) -> Tree[Token]:
+    return _grammar.parse(text)
+
+
+def _invalid_file(path: str, found: str, expected: str) -> InvalidConfigError:
+    return InvalidConfigError([Diagnostic(SourceLocation(path, 1, 1), found, expected)])
 
 
 def read(path: str) -> list[Expression]:
-    """The forms of a file; raises Unusable also where it can't be read."""
+    """The expressions of a file; raises InvalidConfigError, also where the file can't be read."""
     try:
         with open(path, encoding="utf-8") as source:
             return parse(source.read(), path)
     except UnicodeDecodeError:
-        raise InvalidConfigError(
-            [Diagnostic(SourceLocation(path, 1, 1), "bytes that are not text", "UTF-8 text")]
-        ) from None
-    except OSError as bad:
-        raise InvalidConfigError(
-            [Diagnostic(SourceLocation(path, 1, 1), f"no readable file ({bad.strerror})", "a file of S-expressions")]
-        ) from None
+        raise _invalid_file(path, "bytes that are not text", "UTF-8 text") from None
+    except OSError as error:
+        raise _invalid_file(path, f"no readable file ({error.strerror})", "a file of S-expressions") from None
--- /dev/null
+++ b/wickdyke/config/store_config.py
@@ -0,0 +1,38 @@
+"""The settings file of a package store, read into checked values."""
+
+import os
+from dataclasses import dataclass, replace
+
+from wickdyke.config import address, schema, sexpr
+from wickdyke.config.schema import Diagnostics, Field, count, record, size, text, unlocated
+
+
+@dataclass(slots=True, frozen=True)
+class StoreConfig:
+    """All settings of a store. `bandwidth` is MB a second for all readers together; `readers` is their maximum."""
+
+    listen: str
+    folder: str
+    bandwidth: float
+    readers: int
+
+
+STORE = record(
+    unlocated(StoreConfig),
+    listen=Field(address.read),
+    folder=Field(text),
+    pace=Field(size(0.001), 100.0, parameter="bandwidth"),
+    readers=Field(count(1, 10000), 64),
+)
+
+
+def read(path: str) -> StoreConfig:
+    """Reads and checks a store's file, `(store ...)`; relative paths in it start from its folder.
+
+    Raises InvalidConfigError with all that is wrong.
+    """
+    diagnostics = Diagnostics()
+    section = schema.read_single(sexpr.read(path), "store", path, STORE, diagnostics)
+    config = schema.required(section, diagnostics)
+    folder = os.path.dirname(os.path.abspath(path))
+    return replace(config, folder=os.path.join(folder, config.folder), listen=address.beside(config.listen, folder))
--- a/wickdyke/config/worker_config.py
+++ b/wickdyke/config/worker_config.py
@@ -1,122 +1,162 @@
-"""The settings file of a worker, as checked values."""
+"""The settings file of a worker, read into checked values."""
 
 import os
 from dataclasses import dataclass
 
 from wickdyke.config import address, schema, sexpr
-from wickdyke.config.schema import Diagnostics, Field, count, number, record, size, span, text
+from wickdyke.config.schema import Diagnostics, Field, count, number, record, size, span, text, unlocated
 from wickdyke.config.sexpr import SourceLocation
-from wickdyke.worker.ramp import Ramp
+
+REQUESTS_PER_CORE = 2  # concurrent requests where the file states no limit
+
+
+@dataclass(slots=True, frozen=True)
+class RampSettings:
+    """A slow start: at first `start_share` of the concurrent requests, all of them after `duration` ms (0: at once)."""
+
+    start_share: float = 0.25
+    duration: float = 0.0
+
+
+DEFAULT_RAMP = RampSettings()
+
+
+@dataclass(slots=True, frozen=True)
+class CacheSection:
+    """Where packages are cached and how much of them, in MB."""
+
+    folder: str
+    capacity: float
+
+
+@dataclass(slots=True, frozen=True)
+class StoreSection:
+    """Where packages come from: a folder or the address of a store."""
+
+    folder: str | None
+    address: str | None
 
 
 @dataclass(slots=True)
 class WorkerConfig:
-    """All that a worker's file states. Memory is MB, times are ms."""
+    """All settings of a worker. Memory and sizes are MB, times are ms; paths are absolute.
+
+    Packages come from `store_folder` or `store_address`: the other is None.
+    """
 
     name: str
     listen: str
-    folder: str | None
-    service: str | None
-    cache: str
-    cache_most: float
+    store_folder: str | None
+    store_address: str | None
+    cache_folder: str
+    cache_capacity: float
     memory: float
-    calls_at_once: int
-    loads_at_once: int
+    concurrency: int
+    load_concurrency: int
     queue: int
-    idle_life: float
-    run_time: float
-    stop_within: float
-    measure: float
-    ramp: Ramp
+    idle_timeout: float
+    run_timeout: float
+    stop_timeout: float
+    report_interval: float
+    ramp: RampSettings
+    log_path: str | None
+    trace_path: str | None
+
+
+@dataclass(slots=True, frozen=True)
+class WorkerSection:
+    """All that a worker's file states, with the paths as written. The keys of its fields stand at `WORKER`."""
+
+    location: SourceLocation
+    name: str
+    listen: str
+    store: StoreSection
+    cache: CacheSection
+    memory: float
+    concurrency: int
+    load_concurrency: int
+    queue: int
+    idle_timeout: float
+    run_timeout: float
+    stop_timeout: float
+    report_interval: float
+    ramp: RampSettings
     log: str | None
     trace: str | None
-    location: SourceLocation
 
 
 RAMP = record(
-    lambda location, **values: Ramp(**values), start_share=Field(number(0.001, 1), 0.25), ramp=Field(span(), 0.0)
+    unlocated(RampSettings),
+    start_share=Field(number(0.001, 1), DEFAULT_RAMP.start_share),
+    ramp=Field(span(), DEFAULT_RAMP.duration, parameter="duration"),
 )
 STORE = record(
-    lambda location, **values: (location, values), folder=Field(text, None), service=Field(address.read, None)
+    unlocated(StoreSection),
+    folder=Field(text, None),
+    service=Field(address.read, None, parameter="address"),
 )
-CACHE = record(lambda location, **values: values, folder=Field(text), most=Field(size(1), 1024.0))
-
-
-def _workshop(store: tuple, cache: dict, **values) -> WorkerConfig:
-    return WorkerConfig(
-        folder=store[1]["folder"],
-        service=store[1]["service"],
-        cache=cache["folder"],
-        cache_most=cache["most"],
-        **values,
-    )
-
-
-WORKSHOP = record(
-    _workshop,
+CACHE = record(
+    unlocated(CacheSection),
+    folder=Field(text),
+    most=Field(size(1), 1024.0, parameter="capacity"),
+)
+WORKER = record(
+    WorkerSection,
     name=Field(text),
     listen=Field(address.read),
     store=Field(STORE),
     cache=Field(CACHE),
     memory=Field(size(16)),
-    calls_at_once=Field(count(1, 4096), 2 * (os.cpu_count() or 1)),
-    loads_at_once=Field(count(1, 256), 4),
+    calls_at_once=Field(count(1, 4096), REQUESTS_PER_CORE * (os.cpu_count() or 1), parameter="concurrency"),
+    loads_at_once=Field(count(1, 256), 4, parameter="load_concurrency"),
     queue=Field(count(1, 10**6), 200),
-    idle_life=Field(span(10), 30000.0),
-    run_time=Field(span(1), 60000.0),
-    stop_within=Field(span(1), 1000.0),
-    measure=Field(span(10), 250.0),
-    ramp=Field(RAMP, Ramp()),
+    idle_life=Field(span(10), 30000.0, parameter="idle_timeout"),
+    run_time=Field(span(1), 60000.0, parameter="run_timeout"),
+    stop_within=Field(span(1), 1000.0, parameter="stop_timeout"),
+    measure=Field(span(10), 250.0, parameter="report_interval"),
+    ramp=Field(RAMP, DEFAULT_RAMP),
     log=Field(text, None),
     trace=Field(text, None),
 )
 
 
-@dataclass(slots=True)
-class StoreConfig:
-    """All that a store's file states. `pace` is MB a second for all readers together."""
-
-    listen: str
-    folder: str
-    pace: float
-    readers: int
+def read(path: str) -> WorkerConfig:
+    """Reads and checks a worker's file; relative paths in it start from its folder.
 
-
-DEPOT = record(
-    lambda location, **values: StoreConfig(**values),
-    listen=Field(address.read),
-    folder=Field(text),
-    pace=Field(size(0.001), 100.0),
-    readers=Field(count(1, 10000), 64),
-)
+    Raises InvalidConfigError with all that is wrong.
+    """
+    diagnostics = Diagnostics()
+    section = schema.read_single(sexpr.read(path), "worker", path, WORKER, diagnostics)
+    if section is not None and (section.store.folder is None) == (section.store.address is None):
+        found = "neither" if section.store.folder is None else "both"
+        expected = "either (folder PATH) or (service ADDRESS)"
+        diagnostics.add(section.location, f"(store ...) with {found}", expected)
+    return _from_section(schema.required(section, diagnostics), os.path.dirname(os.path.abspath(path)))
 
 
-def read_store_config(path: str) -> StoreConfig:
-    """Reads and checks a store's file, `(store ...)`; its paths are relative to where it stands."""
-    notes = Diagnostics()
-    form = schema.single_expression(sexpr.read(path), "store", path, notes)
-    made = DEPOT(form, notes) if form is not None else None
-    notes.raise_if_any()
-    base = os.path.dirname(os.path.abspath(path))
-    made.folder, made.listen = os.path.join(base, made.folder), address.beside(made.listen, base)
-    return made
+def _from_section(section: WorkerSection, folder: str) -> WorkerConfig:
+    """The settings of a checked section, with paths that start from the folder."""
 
+    def join(path: str | None) -> str | None:
+        return None if path is None else os.path.join(folder, path)
 
-def read(path: str) -> WorkerConfig:
-    """Reads and checks a file; its paths are relative to where it stands. Raises Unusable with all that is wrong."""
-    notes = Diagnostics()
-    form = schema.single_expression(sexpr.read(path), "worker", path, notes)
-    made = WORKSHOP(form, notes) if form is not None else None
-    if made is not None and (made.folder is None) == (made.service is None):
-        notes.add(
-            made.location,
-            "(store ...) with " + ("neither" if made.folder is None else "both"),
-            "either (folder PATH) or (service ADDRESS)",
-        )
-    notes.raise_if_any()
-    base = os.path.dirname(os.path.abspath(path))
-    made.cache = os.path.join(base, made.cache)
-    made.folder = made.folder and os.path.join(base, made.folder)
-    made.log, made.trace = (each and os.path.join(base, each) for each in (made.log, made.trace))
-    made.listen, made.service = (each and address.beside(each, base) for each in (made.listen, made.service))
-    return made
+    store = section.store
+    return WorkerConfig(
+        name=section.name,
+        listen=address.beside(section.listen, folder),
+        store_folder=join(store.folder),
+        store_address=None if store.address is None else address.beside(store.address, folder),
+        cache_folder=os.path.join(folder, section.cache.folder),
+        cache_capacity=section.cache.capacity,
+        memory=section.memory,
+        concurrency=section.concurrency,
+        load_concurrency=section.load_concurrency,
+        queue=section.queue,
+        idle_timeout=section.idle_timeout,
+        run_timeout=section.run_timeout,
+        stop_timeout=section.stop_timeout,
+        report_interval=section.report_interval,
+        ramp=section.ramp,
+        log_path=join(section.log),
+        trace_path=join(section.trace),
+    )
--- a/wickdyke/gateway/circuit_breaker.py
+++ b/wickdyke/gateway/circuit_breaker.py
@@ -27,15 +27,16 @@
 
     def __init__(self, isolation: BreakerSettings, gateways: int, log) -> None:
         self.log = log
+        functions, requests = isolation.functions, isolation.requests
         self.functions = FunctionBreakers(
-            isolation.workers,
-            isolation.loads_window,
-            Backoff(isolation.loads_first, isolation.loads_most, gateways),
+            functions.workers,
+            functions.window,
+            Backoff(functions.first_pause, functions.longest_pause, gateways),
         )
         self.requests = RequestBreakers(
-            isolation.copies,
-            isolation.calls_window,
-            Backoff(isolation.calls_first, isolation.calls_most, gateways),
+            requests.replicas,
+            requests.window,
+            Backoff(requests.first_pause, requests.longest_pause, gateways),
         )
         self.unsettled: dict[str, list[LostAttempt]] = {}  # by worker, until it is known whether that went down
 
@@ -62,7 +63,7 @@
                 "program barred",
                 program=function,
                 pause_ms=round(pause),
-                why="it loads nowhere: " + ", ".join(self.functions.known[function].failed),
+                why="it loads nowhere: " + ", ".join(self.functions.failed_workers(function)),
             )
 
     def succeeded(self, function: str, content) -> None:
--- a/wickdyke/gateway/coordinator.py
+++ b/wickdyke/gateway/coordinator.py
@@ -246,7 +246,7 @@
     def _health_check(self, decision: decisions.HealthCheck) -> None:
         name = decision.worker.endpoint.ident
         self.counts["health_checks"] += 1
-        self._send_to(name, self.protocol.health_check_command(name), self.config.probe_wait)
+        self._send_to(name, self.protocol.health_check_command(name), self.config.health_check_timeout)
 
     def _send_to(self, name: str, command: Command, timeout: float) -> None:
         client = self.workers.client(name)
--- a/wickdyke/gateway/pending_requests.py
+++ b/wickdyke/gateway/pending_requests.py
@@ -24,7 +24,7 @@
 
     def is_full(self) -> bool:
         """Whether no more may be open."""
-        return len(self.by_id) >= self.context.config.bounds.open_rpcs
+        return len(self.by_id) >= self.context.config.bounds.open_requests
 
     # ---- admission ----
 
@@ -47,7 +47,7 @@
         now = self.context.now()
         # What it waited for its turn here is no time that its client has left.
         waited = 0.0 if pending.received_at is None else now - pending.received_at
-        time_left = pending.time_left - waited - self.context.config.answer_way
+        time_left = pending.time_left - waited - self.context.config.answer_margin
         if time_left <= 0:
             pending.reject("no-time")
             return
--- a/wickdyke/jsonrpc/client_connection.py
+++ b/wickdyke/jsonrpc/client_connection.py
@@ -83,7 +83,7 @@
 
     def __init__(self, server: "ClientServer", sock: socket.socket, number: int) -> None:
         self.server, self.sock, self.number = server, sock, number
-        self.write_buffer = WriteBuffer(sock, server.bounds.unread, f"client-{number}-out")
+        self.write_buffer = WriteBuffer(sock, server.bounds.unread_bytes, f"client-{number}-out")
         self.pending: dict[jsonrpc.Ident, PendingRequest] = {}
         self.lock = threading.Lock()
 
@@ -143,7 +143,7 @@
 
     def read(self) -> None:
         """Reads requests until the client closes the connection."""
-        lines = LineReader(self.server.bounds.line)
+        lines = LineReader(self.server.bounds.line_bytes)
         try:
             while data := self.sock.recv(READ_SIZE):
                 for line in lines.feed(data):
--- a/wickdyke/jsonrpc/client_server.py
+++ b/wickdyke/jsonrpc/client_server.py
@@ -10,7 +10,8 @@
 from collections import Counter
 from collections.abc import Callable
 
-from wickdyke.config.gateway_config import GatewayConfig, ServerLimits
+from wickdyke.config.gateway_config import GatewayConfig
+from wickdyke.config.gateway_sections import ServerLimits
 from wickdyke.gateway.events import ClientClosed, Event
 from wickdyke.jsonrpc.client_connection import ClientConnection
 from wickdyke.jsonrpc.requests import RequestChecker
@@ -46,7 +47,7 @@
 
     def rejection_reason(self, client: ClientConnection) -> str:
         """Why a request of this client can't be taken now, in one word, or nothing."""
-        if len(client.pending) > self.bounds.open_each:
+        if len(client.pending) > self.bounds.open_requests_per_client:
             return "connection-full"
         return self.busy()
 
--- a/wickdyke/jsonrpc/requests.py
+++ b/wickdyke/jsonrpc/requests.py
@@ -26,7 +26,7 @@
 
     def __init__(self, config: GatewayConfig) -> None:
         self.request_classes = {each.name: each for each in config.request_classes}
-        self.stated, self.tenants = config.stated, config.tenants
+        self.stated, self.tenants = config.function_settings, config.tenants
         self.routes: Routes | None = None
 
     def cancelled_id(self, request: jsonrpc.Request) -> jsonrpc.Ident:
@@ -92,9 +92,9 @@
                 raise jsonrpc.MalformedRequestError(jsonrpc.INVALID_PARAMS, why, ident)
             call.memory_mb = stated.memory
         if call.concurrency is None:
-            call.concurrency = stated.lanes if stated else 1
+            call.concurrency = stated.concurrency if stated else 1
         if call.load_ms is None and stated:
-            call.load_ms = stated.load
+            call.load_ms = stated.load_time
 
     def _check_tenant(self, call: client_messages.CallRequest, ident: jsonrpc.Ident) -> None:
         if call.tenant and self.tenants and call.tenant not in self.tenants:
--- a/wickdyke/jsonrpc/service.py
+++ b/wickdyke/jsonrpc/service.py
@@ -35,7 +35,9 @@
 def ground(config: GatewayConfig) -> Environment:
     """What routes are checked against: the deployment's figures, and how often the router is advanced."""
     limits = config.attempt_limits
-    return Environment(limits.hedging, limits.cancel, limits.connect_timeout, config.answer_way, TICK, limits.attempts)
+    return Environment(
+        limits.hedging, limits.cancel, limits.connect_timeout, config.answer_margin, TICK, limits.attempts
+    )
 
 
 class Gateway:
@@ -46,7 +48,7 @@
         sys.setswitchinterval(SWITCH_INTERVAL)
         self.config, self.log = config, log
         seed = config.seed if config.seed is not None else random.SystemRandom().getrandbits(SEED_BITS)
-        self.recorder = DecisionRecorder(config.tape, log) if config.tape else None
+        self.recorder = DecisionRecorder(config.recording_path, log) if config.recording_path else None
         self.coordinator = Coordinator(
             config,
             seed,
@@ -54,18 +56,27 @@
             JsonRpcWorkerProtocol(config),
             EndpointList(config.zones, config.kinds),
             self.recorder,
-            BreakerIsolation(CircuitBreaker(config.isolation, config.instance.count, log)),
+            BreakerIsolation(CircuitBreaker(config.breakers, config.instance.count, log)),
         )
         self.client_server = ClientServer(config, self.coordinator.post, self.coordinator.busy, log.warning)
         self.succession = PolicyTransition()
         self.watchers = [
-            FileWatcher("list", config.workers, config.reread, self._read_endpoints, self._use_endpoints, log)
+            FileWatcher(
+                "list",
+                config.endpoints_path,
+                config.endpoints_poll_interval,
+                self._read_endpoints,
+                self._use_endpoints,
+                log,
+            )
         ]
-        if config.routes is not None:
+        if config.routes_path is not None:
             self.watchers.append(
-                FileWatcher("routes", config.routes, config.routes_reread, self._read_routes, self._use_routes, log)
+                FileWatcher(
+                    "routes", config.routes_path, config.routes_poll_interval, self._read_routes, self._use_routes, log
+                )
             )
-            self.client_server.checker.routes = self._read_routes(config.routes)  # there is no earlier one to keep
+            self.client_server.checker.routes = self._read_routes(config.routes_path)  # there is no earlier one to keep
 
     def _read_endpoints(self, path: str) -> list[endpoint_file.EndpointRow]:
         return endpoint_file.read_endpoints(path, self.config.zones, self.config.kinds)
--- a/wickdyke/jsonrpc/worker_protocol.py
+++ b/wickdyke/jsonrpc/worker_protocol.py
@@ -26,8 +26,8 @@
             self.config.name,
             notify,
             self.config.attempt_limits.connect_timeout,
-            bounds.line,
-            bounds.unread,
+            bounds.line_bytes,
+            bounds.unread_bytes,
         )
 
     def attempt_command(self, attempt: Attempt, pending: PendingRequest, time_left: float) -> Command:
--- a/wickdyke/platform/configuration.py
+++ b/wickdyke/platform/configuration.py
@@ -62,8 +62,8 @@
     cost_weights: CostWeights
     tenant_quotas: TenantQuotas
     bounds: SimpleNamespace
-    answer_way: float = ANSWER_WAY
-    probe_wait: float = PROBE_WAIT
+    answer_margin: float = ANSWER_WAY
+    health_check_timeout: float = PROBE_WAIT
 
 
 def address(text: object, place: str) -> tuple[str, int]:
@@ -147,7 +147,7 @@
         zones=pairs.names("zones"),
         kinds=pairs.names("flavors"),
         tenants=tuple(pairs.get(f"tenants.{index}.name", str) for index in tenants),
-        bounds=SimpleNamespace(open_rpcs=_open_requests(memory), events=EVENTS_MOST),
+        bounds=SimpleNamespace(open_requests=_open_requests(memory), events=EVENTS_MOST),
         **started,
     )
 
--- a/wickdyke/worker/runtime.py
+++ b/wickdyke/worker/runtime.py
@@ -13,6 +13,7 @@
 from wickdyke.worker.model import ScheduleLimits
 from wickdyke.worker.open_requests import OpenRequests, Recorder, answer_prewarm, reject_prewarm
 from wickdyke.worker.parent_client import ParentClient
+from wickdyke.worker.ramp import Ramp
 from wickdyke.worker.replica_loader import ReplicaLoader
 from wickdyke.worker.replica_supervisor import ReplicaSupervisor
 from wickdyke.worker.schedule import Schedule
@@ -34,7 +35,7 @@
         self.start = start or random.SystemRandom().getrandbits(START_BITS)
         self.started_at = monotonic_ms()
         self.closed = threading.Event()
-        self.cache = Cache(settings.cache, settings.cache_most)
+        self.cache = Cache(settings.cache_folder, settings.cache_capacity)
         self.schedule = Schedule(self.started_at, _limits(settings))
         self.runner = ScheduleRunner(self.schedule)
         self.load_reporter = LoadReporter(self.runner, settings.memory, self.cache)
@@ -67,8 +68,8 @@
         self.record(
             "started",
             start=self.start,
-            cold=self.settings.ramp.ramp > 0,
-            cores=self.settings.calls_at_once,
+            cold=self.settings.ramp.duration > 0,
+            cores=self.settings.concurrency,
             speed=1.0,
         )
         self.server.open(self.settings.listen)
@@ -111,7 +112,7 @@
             os._exit(PARENT_ENDED_EXIT)
 
     def _measure_often(self) -> None:
-        while not self.closed.wait(self.settings.measure / 1000):
+        while not self.closed.wait(self.settings.report_interval / 1000):
             self.measure()
             self.replicas.log_output()
 
@@ -119,11 +120,11 @@
 def _limits(settings: WorkerConfig) -> ScheduleLimits:
     return ScheduleLimits(
         memory=settings.memory,
-        concurrency=settings.calls_at_once,
-        load_concurrency=settings.loads_at_once,
+        concurrency=settings.concurrency,
+        load_concurrency=settings.load_concurrency,
         queue=settings.queue,
-        idle_timeout=settings.idle_life,
-        run_timeout=settings.run_time,
-        stop_timeout=settings.stop_within,
-        ramp=settings.ramp,
+        idle_timeout=settings.idle_timeout,
+        run_timeout=settings.run_timeout,
+        stop_timeout=settings.stop_timeout,
+        ramp=Ramp(settings.ramp.start_share, settings.ramp.duration),
     )
