--- a/wickdyke/config/deployment_settings.py
+++ b/wickdyke/config/deployment_settings.py
@@ -1,12 +1,13 @@
-"""The settings that a deployment gives a front end, as `path=value`: the words turned into the project's own.
+"""The settings that a deployment gives a front end, as `path=value` pairs in the deployment's own words.
 
 The simulator's first message brings them as pairs, the platform's configuration as one nested object; both are read
-here, by one table of words. Standard library only: the drill needs nothing else.
+here, by the same tables of words. Standard library only: the simulator adapter needs nothing else.
 """
 
-from collections.abc import Callable
+from collections.abc import Callable, Mapping
+from typing import Any, TypeVar
 
-from wickdyke.routing.model import RequestClass
+from wickdyke.routing.model import Effect, RequestClass
 from wickdyke.routing.settings import (
     AttemptLimits,
     CostWeights,
@@ -18,27 +19,38 @@
     TenantQuotas,
 )
 
+T = TypeVar("T")
+MICROSECONDS = 1000  # in a ms
+MAX_QUOTED = 40  # characters of a value that an error message repeats
+ABSENT_VALUE = "-"  # stands for a value that is left out
+DEFAULT_IDLE_TIMEOUT = 15000.0  # ms
+
 
 class InvalidInputError(Exception):
-    """What came in is not the wire's."""
+    """Input that is not what the wire or the deployment's settings allow."""
+
+
+# ---- readers of single values; they raise ValueError with what was expected ----
 
 
 def integer(text: str) -> int:
-    """A whole number."""
-    if not text.removeprefix("-").isascii() or not text.removeprefix("-").isdigit():
+    """Reads an integer."""
+    digits = text.removeprefix("-")
+    if not digits.isascii() or not digits.isdigit():
         raise ValueError("a whole number")
     return int(text)
 
 
 def count(text: str) -> int:
-    """A whole number that is not negative."""
-    if integer(text) < 0:
+    """Reads an integer that is not negative."""
+    value = integer(text)
+    if value < 0:
         raise ValueError("a whole number of at least 0")
-    return int(text)
+    return value
 
 
 def number(text: str) -> float:
-    """A number that is neither infinite nor undefined."""
+    """Reads a number that is neither infinite nor undefined."""
     try:
         value = float(text)
     except ValueError:
@@ -49,28 +61,28 @@
 
 
 def span(text: str) -> float:
-    """A time, in ms."""
-    return integer(text) / 1000
+    """Reads a duration, from microseconds to ms."""
+    return integer(text) / MICROSECONDS
 
 
 def flag(text: str) -> bool:
-    """1 or 0."""
+    """Reads 1 or 0."""
     if text not in ("0", "1"):
         raise ValueError("1 or 0")
     return text == "1"
 
 
 def word(text: str) -> str:
-    """A text that is not empty."""
-    if not text or text == "-":
+    """Reads a text that is not empty."""
+    if not text or text == ABSENT_VALUE:
         raise ValueError("a word")
     return text
 
 
-def one_of(table: dict) -> Callable[[str], object]:
-    """One word of a table."""
+def one_of(table: Mapping[str, T]) -> Callable[[str], T]:
+    """A reader of the words of a table, which returns the word's value."""
 
-    def read(text: str):
+    def read(text: str) -> T:
         if text not in table:
             raise ValueError("one of " + ", ".join(table))
         return table[text]
@@ -78,16 +90,22 @@
     return read
 
 
-def optional(read: Callable) -> Callable:
-    """What may be absent."""
+def optional(read: Callable[[str], T]) -> Callable[[str], T | None]:
+    """A reader that returns None for a value that is left out."""
 
-    def read_optional(text: str):
-        return None if text == "-" else read(text)
+    def read_optional(text: str) -> T | None:
+        return None if text == ABSENT_VALUE else read(text)
 
     return read_optional
 
 
-EFFECT_WORDS = {"pure": "idempotent", "token": "tokened", "side_effect": "side-effecting"}
+# ---- the deployment's words ----
+
+EFFECT_WORDS = {
+    "pure": Effect.IDEMPOTENT.value,
+    "token": Effect.KEYED.value,
+    "side_effect": Effect.SIDE_EFFECTING.value,
+}
 REPORTS = {
     "outstanding": "in_flight",
     "backlog": "queued",
@@ -98,28 +116,35 @@
     "x0": "pinned",
     "x1": "loads",
 }
+truth = one_of({"true": True, "false": False})
+effect = one_of(EFFECT_WORDS)
+scope = one_of({"all": "all", "zone": "zone", "cell": "cell"})
+weight_unit = one_of({"request": False, "work": True})
+action_without_replica = one_of({"load": True, "miss": False})
+discovery_mode = one_of({"automatic": True, "subscribe": False})
 
 
 class DeploymentSettings:
-    """The start-up pairs of one instance, read one by one so that a missing one can be named."""
+    """The pairs of one instance, read one by one so that an error names the setting; `place` begins the error."""
 
     def __init__(self, values: dict[str, str], place: str = "POWER_ON") -> None:
-        self.values, self.place = values, place
+        self.values = values
+        self.place = place
 
-    def get(self, name: str, read: Callable, absent: object = None):
-        """The value of one setting; named in the error where it is required and missing."""
+    def get(self, name: str, read: Callable[[str], T], default: T | None = None) -> T:
+        """The value of one setting. Raises InvalidInputError, also where it is missing and has no default."""
         text = self.values.get(name)
         if text is None:
-            if absent is None:
+            if default is None:
                 raise InvalidInputError(f"{self.place}: the setting {name} is missing")
-            return absent
+            return default
         try:
             return read(text)
-        except ValueError as bad:
-            raise InvalidInputError(f"{self.place}: {name} is {text[:40]!r}, expected {bad}") from None
+        except ValueError as error:
+            raise InvalidInputError(f"{self.place}: {name} is {text[:MAX_QUOTED]!r}, expected {error}") from None
 
     def names(self, name: str) -> tuple[str, ...]:
-        """A list of plain values."""
+        """A list of texts."""
         text = self.get(name, str)
         return tuple(text.split(",")) if text else ()
 
@@ -127,120 +152,164 @@
         """A list of numbers."""
         try:
             return tuple(number(part) for part in self.names(name))
-        except ValueError as bad:
-            raise InvalidInputError(f"{self.place}: {name}, expected {bad} in each place") from None
-
-
-truth = one_of({"true": True, "false": False})
-scope = one_of({"all": "all", "zone": "zone", "cell": "cell"})
+        except ValueError as error:
+            raise InvalidInputError(f"{self.place}: {name}, expected {error} in each place") from None
 
 
-def request_class(terms: DeploymentSettings, place: int) -> RequestClass:
-    """One of the methods."""
-
-    def at(name: str, read: Callable, absent: object = None):
-        return terms.get(f"lanes.{place}.{name}", read, absent)
-
-    return RequestClass(
-        name=at("name", str),
-        effect=at("repeat", one_of(EFFECT_WORDS)),
-        scope=at("key-scope", scope, "all"),
-        dedupe_window=at("window", span, 0.0),
-        latency_objective=at("aim", span),
-        objective_per_work=at("aim-stretch", number, 0.0),
-        deadline=at("deadline", span),
-        priority_weight=at("gain", number),
-        late_weight=at("late-worth", number, 0.0),
-    )
+# ---- forms of the settings ----
 
 
 def from_pairs(pairs: list[str]) -> DeploymentSettings:
-    """The terms in pairs of path=value."""
+    """The settings in pairs of path=value; raises InvalidInputError."""
     values: dict[str, str] = {}
     for pair in pairs:
         name, sign, value = pair.partition("=")
         if not sign:
-            raise InvalidInputError(f"POWER_ON: {pair[:40]!r}, expected path=value")
+            raise InvalidInputError(f"POWER_ON: {pair[:MAX_QUOTED]!r}, expected path=value")
         values[name] = value
     return DeploymentSettings(values)
 
 
-def from_nested(given: object, place: str) -> DeploymentSettings:
-    """The terms in nested objects: lists of plain values are one value, of objects a count and a path for each."""
+def from_nested(nested: object, place: str) -> DeploymentSettings:
+    """The settings in nested objects: a list of plain values is one value, one of objects a count and a path for each.
+
+    `place` begins the errors.
+    """
     values: dict[str, str] = {}
-    _flatten(given, "", values)
+    _flatten(nested, "", values)
     return DeploymentSettings(values, place)
 
 
-def _flatten(given: object, path: str, values: dict[str, str]) -> None:
-    if isinstance(given, dict):
-        for name, each in given.items():
-            _flatten(each, f"{path}.{name}" if path else str(name), values)
-    elif isinstance(given, list) and any(isinstance(each, dict | list) for each in given):
-        values[f"{path}.count"] = str(len(given))
-        for at, each in enumerate(given):
-            _flatten(each, f"{path}.{at}", values)
-    elif isinstance(given, list):
-        values[path] = ",".join(map(str, given))
-    elif given is not None:
-        values[path] = str(given).lower() if isinstance(given, bool) else str(given)
+def _flatten(nested: object, path: str, values: dict[str, str]) -> None:
+    if isinstance(nested, dict):
+        for name, value in nested.items():
+            _flatten(value, f"{path}.{name}" if path else str(name), values)
+    elif isinstance(nested, list) and any(isinstance(item, dict | list) for item in nested):
+        values[f"{path}.count"] = str(len(nested))
+        for index, item in enumerate(nested):
+            _flatten(item, f"{path}.{index}", values)
+    elif isinstance(nested, list):
+        values[path] = ",".join(map(str, nested))
+    elif nested is not None:
+        values[path] = str(nested).lower() if isinstance(nested, bool) else str(nested)
+
+
+# ---- the router's settings by section ----
+
+
+def request_class(settings: DeploymentSettings, index: int) -> RequestClass:
+    """One of the request classes."""
+    path = f"lanes.{index}"
+    return RequestClass(
+        name=settings.get(f"{path}.name", str),
+        effect=settings.get(f"{path}.repeat", effect),
+        scope=settings.get(f"{path}.key-scope", scope, "all"),
+        dedupe_window=settings.get(f"{path}.window", span, 0.0),
+        latency_objective=settings.get(f"{path}.aim", span),
+        objective_per_work=settings.get(f"{path}.aim-stretch", number, 0.0),
+        deadline=settings.get(f"{path}.deadline", span),
+        priority_weight=settings.get(f"{path}.gain", number),
+        late_weight=settings.get(f"{path}.late-worth", number, 0.0),
+    )
+
+
+def request_classes(settings: DeploymentSettings) -> list[RequestClass]:
+    """All request classes."""
+    return [request_class(settings, index) for index in range(settings.get("lanes.count", count))]
+
+
+def _instance(settings: DeploymentSettings) -> GatewayInstance:
+    return GatewayInstance(
+        index=settings.get("self-index", count),
+        count=settings.get("instances", count),
+        zone=settings.get("zone", count, 0),
+        report_fields=tuple(REPORTS.get(name, name) for name in settings.names("report.fields")),
+        weight_by_work=settings.get("value-by", weight_unit, False),
+    )
+
+
+def _attempt_limits(settings: DeploymentSettings) -> AttemptLimits:
+    return AttemptLimits(
+        attempts=settings.get("limits.send-cap", count),
+        hedging=settings.get("limits.second-copies", truth),
+        cancel=settings.get("limits.cancelling", truth),
+        health_checks=settings.get("limits.probing", truth),
+        retry_after=_longest_retry_after(settings),
+        connect_timeout=settings.get("limits.dial-timeout", span),
+        idle_timeout=settings.get("limits.idle-close", span, DEFAULT_IDLE_TIMEOUT),
+    )
+
+
+def _longest_retry_after(settings: DeploymentSettings) -> float:
+    """The longest time to retry after that an answer may state, in ms; 0 where answers state none."""
+    if not settings.get("limits.retry-after", truth, False):
+        return 0.0
+    return settings.get("limits.max-retry-after", span, 0.0)
+
+
+def _function_cache(settings: DeploymentSettings) -> FunctionCache:
+    return FunctionCache(
+        memory=settings.numbers("family-info.memory-mb-by-kind"),
+        idle_timeout=settings.get("family-info.idle-life", span),
+        may_prewarm=settings.get("family-info.may-load", truth),
+        loads_on_demand=settings.get("family-info.if-cold", action_without_replica),
+        prewarm_timeout=settings.get("family-info.load-wait", span),
+        reports_warmth=settings.get("family-info.warm-notes", truth),
+        reports_concurrency=settings.get("family-info.says-company", truth),
+    )
+
+
+def _slow_start(settings: DeploymentSettings) -> SlowStart:
+    return SlowStart(
+        start_share=settings.get("rules.cold-from", number),
+        ramp=settings.get("rules.ramp-time", span),
+        multiple=settings.get("rules.overload-factor", number),
+        window=settings.get("rules.tip-after", span),
+    )
+
+
+def _prewarm_quota(settings: DeploymentSettings) -> PrewarmQuota:
+    return PrewarmQuota(
+        free=settings.get("family-info.free-loads", number, 0.0),
+        share=settings.get("family-info.load-part", number, 0.0),
+        window=settings.get("family-info.load-window", span, 0.0),
+    )
+
+
+def _discovery(settings: DeploymentSettings) -> Discovery:
+    return Discovery(
+        pushed=settings.get("discovery", discovery_mode),
+        poll_within=settings.get("rules.ask-within", span, 0.0),
+        drain_grace=settings.get("rules.stop-sending-within", span),
+    )
+
+
+def _tenant_quotas(settings: DeploymentSettings) -> TenantQuotas:
+    tenants = range(settings.get("tenants.count", count, 0))
+    return TenantQuotas(tuple(settings.get(f"tenants.{index}.quota-rps", number) for index in tenants))
+
+
+def _cost_weights(settings: DeploymentSettings) -> CostWeights:
+    return CostWeights(
+        waste=settings.get("prices.waste", number, 0.0),
+        late=settings.get("prices.late-fail", number, 0.0),
+        fetch=settings.get("prices.origin", number, 0.0),
+        health_check=settings.get("prices.probe", number, 0.0),
+        cross_zone=settings.get("prices.cross-zone", number, 0.0),
+        idle_memory=settings.get("family-info.idle-memory-cost", number, 0.0),
+    )
 
 
-def router_settings(terms: DeploymentSettings) -> dict[str, object]:
-    """What a front end is given at its start."""
-    get = terms.get
+def router_settings(settings: DeploymentSettings) -> dict[str, Any]:
+    """The router's settings by the names of its parameters; raises InvalidInputError for the first that is invalid."""
     return {
-        "request_classes": [request_class(terms, place) for place in range(get("lanes.count", count))],
-        "instance": GatewayInstance(
-            index=get("self-index", count),
-            count=get("instances", count),
-            zone=get("zone", count, 0),
-            report_fields=tuple(REPORTS.get(name, name) for name in terms.names("report.fields")),
-            weight_by_work=get("value-by", one_of({"request": False, "work": True}), False),
-        ),
-        "attempt_limits": AttemptLimits(
-            attempts=get("limits.send-cap", count),
-            hedging=get("limits.second-copies", truth),
-            cancel=get("limits.cancelling", truth),
-            health_checks=get("limits.probing", truth),
-            retry_after=get("limits.max-retry-after", span, 0.0) if get("limits.retry-after", truth, False) else 0.0,
-            connect_timeout=get("limits.dial-timeout", span),
-            idle_timeout=get("limits.idle-close", span, 15000.0),
-        ),
-        "function_cache": FunctionCache(
-            memory=terms.numbers("family-info.memory-mb-by-kind"),
-            idle_timeout=get("family-info.idle-life", span),
-            may_prewarm=get("family-info.may-load", truth),
-            loads_on_demand=get("family-info.if-cold", one_of({"load": True, "miss": False})),
-            prewarm_timeout=get("family-info.load-wait", span),
-            reports_warmth=get("family-info.warm-notes", truth),
-            reports_concurrency=get("family-info.says-company", truth),
-        ),
-        "slow_start": SlowStart(
-            start_share=get("rules.cold-from", number),
-            ramp=get("rules.ramp-time", span),
-            multiple=get("rules.overload-factor", number),
-            window=get("rules.tip-after", span),
-        ),
-        "prewarm_quota": PrewarmQuota(
-            free=get("family-info.free-loads", number, 0.0),
-            share=get("family-info.load-part", number, 0.0),
-            window=get("family-info.load-window", span, 0.0),
-        ),
-        "discovery": Discovery(
-            pushed=get("discovery", one_of({"automatic": True, "subscribe": False})),
-            poll_within=get("rules.ask-within", span, 0.0),
-            drain_grace=get("rules.stop-sending-within", span),
-        ),
-        "tenant_quotas": TenantQuotas(
-            quotas=tuple(get(f"tenants.{place}.quota-rps", number) for place in range(get("tenants.count", count, 0)))
-        ),
-        "cost_weights": CostWeights(
-            waste=get("prices.waste", number, 0.0),
-            late=get("prices.late-fail", number, 0.0),
-            fetch=get("prices.origin", number, 0.0),
-            health_check=get("prices.probe", number, 0.0),
-            cross_zone=get("prices.cross-zone", number, 0.0),
-            idle_memory=get("family-info.idle-memory-cost", number, 0.0),
-        ),
+        "request_classes": request_classes(settings),
+        "instance": _instance(settings),
+        "attempt_limits": _attempt_limits(settings),
+        "function_cache": _function_cache(settings),
+        "slow_start": _slow_start(settings),
+        "prewarm_quota": _prewarm_quota(settings),
+        "discovery": _discovery(settings),
+        "tenant_quotas": _tenant_quotas(settings),
+        "cost_weights": _cost_weights(settings),
     }
