--- a/wickdyke/cli/__init__.py
+++ b/wickdyke/cli/__init__.py
@@ -1,4 +1,4 @@
-"""The `wickdyke` command: one file a subcommand or group of them."""
+"""The `wickdyke` command; each module holds one subcommand or a group of related ones."""
 
 import click
 
@@ -20,7 +20,7 @@
     prove.judge,
     prove.replay,
     routes.routes,
-    move.command,
+    move.move,
     worker.worker,
     worker.pack,
     worker.store,
--- a/wickdyke/cli/call.py
+++ b/wickdyke/cli/call.py
@@ -1,35 +1,34 @@
-"""call."""
-
-import sys
+"""The command call."""
 
 import click
 import msgspec
 
+from wickdyke.cli.common import fail
 from wickdyke.config import address
 from wickdyke.protocol import client_messages, jsonrpc
 
-CODES = {"ok": 0, "denied": 3, "aborted": 4}
+CONNECT_TIMEOUT = 1000  # ms
+MAX_QUOTED = 40  # characters of the input that an error message repeats
+EXIT_CODES = {"ok": 0, "denied": 3, "aborted": 4}  # by the final answer
+NO_ANSWER_EXIT_CODE = 5
+OPTIONAL_FIELDS = ("time_left_ms", "memory_mb", "lanes", "token")  # of a call on the wire, in its order
 
 
 @click.command()
 @click.argument("socket")
 @click.argument("method")
 @click.argument("program")
-@click.argument("input", default="null")
-@click.option("--time-left", type=float, help="Milliseconds until the client gives up (else the method's deadline).")
-@click.option("--memory", type=float, help="Memory of a copy in MB (else from the gateway's settings).")
+@click.argument("input_json", metavar="[INPUT]", default="null")
+@click.option(
+    "--time-left",
+    "time_left_ms",
+    type=float,
+    help="Milliseconds until the client gives up (else the method's deadline).",
+)
+@click.option("--memory", "memory_mb", type=float, help="Memory of a copy in MB (else from the gateway's settings).")
 @click.option("--lanes", type=int, help="RPCs that a copy runs at once.")
 @click.option("--token", help="The mark by which a repeat of a tokened RPC is known.")
-def call(
-    socket: str,
-    method: str,
-    program: str,
-    input: str,
-    time_left: float | None,
-    memory: float | None,
-    lanes: int | None,
-    token: str | None,
-) -> None:
+def call(socket: str, method: str, program: str, input_json: str, **options: float | str | None) -> None:
     """Send one RPC to the gateway at SOCKET and print its final answer.
 
     INPUT is JSON. Exit code 0: ok; 3: denied (it had no effect); 4: aborted (nothing is promised); 2: the
@@ -39,31 +38,41 @@
     Example:
         wickdyke call run/wickdyke.sock suggest-tags tags/agency-7 '{"photo": "a.jpg"}'
     """
+    params: dict[str, object] = {"method": method, "program": program, "input": _input(input_json)}
+    params |= {name: options[name] for name in OPTIONAL_FIELDS if options[name] is not None}
+    result, error = _exchange(socket, params)
+    final = client_messages.read_final_answer(result, error)
+    if final is None:
+        reason = bytes(error.data).decode() if error else "no answer of a gateway"
+        fail(f"{error.message if error else 'malformed'}: {reason}")
+    body = bytes(error.data) if error else result or b""
+    print(body.decode())
+    raise SystemExit(EXIT_CODES.get(final.answer, NO_ANSWER_EXIT_CODE))
+
+
+def _input(text: str) -> msgspec.Raw:
+    """The input as it goes on the wire; ends the command if it is not JSON."""
     try:
-        msgspec.json.decode(input.encode())
-    except (msgspec.DecodeError, UnicodeEncodeError) as bad:
-        print(f"INPUT: found {input[:40]!r}, expected JSON ({bad})", file=sys.stderr)
-        raise SystemExit(2) from None
-    said = {"method": method, "program": program, "input": msgspec.Raw(input.encode())}
-    said |= {
-        name: value
-        for name, value in (("time_left_ms", time_left), ("memory_mb", memory), ("lanes", lanes), ("token", token))
-        if value is not None
-    }
+        encoded = text.encode()
+        msgspec.json.decode(encoded)
+    except (msgspec.DecodeError, UnicodeEncodeError) as error:
+        fail(f"INPUT: found {text[:MAX_QUOTED]!r}, expected JSON ({error})")
+    return msgspec.Raw(encoded)
+
+
+def _exchange(socket: str, params: dict[str, object]) -> tuple[bytes | None, jsonrpc.ErrorObject | None]:
+    """The result and the error with which a gateway responds: one of them is None.
+
+    Ends the command if there is no response.
+    """
     try:
-        sock = address.connect(socket, 1000)
-        sock.sendall(jsonrpc.request_line("call", jsonrpc.encode(said), 1))
-        line = sock.makefile("rb").readline()
+        connection = address.connect(socket, CONNECT_TIMEOUT)
+        connection.sendall(jsonrpc.request_line("call", jsonrpc.encode(params), 1))
+        line = connection.makefile("rb").readline()
         if not line:
             raise ConnectionResetError(0, "hung up without an answer")
-        _, result, problem = jsonrpc.parse_response(line)
-    except (OSError, ValueError, jsonrpc.MalformedRequestError) as bad:
-        print(f"{socket}: {getattr(bad, 'strerror', None) or bad}, expected a gateway's answer", file=sys.stderr)
-        raise SystemExit(5) from None
-    final = client_messages.read_final_answer(result, problem)
-    if final is None:
-        said = bytes(problem.data).decode() if problem else "no answer of a gateway"
-        print(f"{problem.message if problem else 'malformed'}: {said}", file=sys.stderr)
-        raise SystemExit(2)
-    print((result if result is not None else bytes(problem.data)).decode())
-    raise SystemExit(CODES.get(final.answer, 5))
+        _, result, error = jsonrpc.parse_response(line)
+    except (OSError, ValueError, jsonrpc.MalformedRequestError) as problem:
+        reason = getattr(problem, "strerror", None) or problem
+        fail(f"{socket}: {reason}, expected a gateway's answer", NO_ANSWER_EXIT_CODE)
+    return result, error
--- a/wickdyke/cli/check.py
+++ b/wickdyke/cli/check.py
@@ -1,28 +1,35 @@
-"""check."""
+"""The command check."""
 
 import os
 import sys
+from collections.abc import Callable
 
 import click
 
+from wickdyke.cli.common import ExitCode
 from wickdyke.config import endpoint_file, gateway_config, route_config, sexpr, store_config, worker_config
 from wickdyke.fault_injection import scenario
 from wickdyke.jsonrpc.service import ground
 from wickdyke.worker import package
 
 
-def _station(file: str) -> None:
-    made = gateway_config.read(file)
-    if made.routes_path is not None:
-        route_config.read(made.routes_path, made.request_classes, ground(made))
+def _check_gateway(path: str) -> None:
+    config = gateway_config.read(path)
+    if config.routes_path is not None:
+        route_config.read(config.routes_path, config.request_classes, ground(config))
 
 
-KINDS = {
+def _check_package(path: str) -> None:
+    package.from_folder(os.path.dirname(os.path.abspath(path)))
+
+
+# by the name of the file's first expression; all others are taken for a gateway's
+CHECKS: dict[str, Callable[[str], object]] = {
     "workers": endpoint_file.read_endpoints,
     "script": scenario.read,
     "worker": worker_config.read,
     "store": store_config.read,
-    "package": lambda file: package.from_folder(os.path.dirname(os.path.abspath(file))),
+    "package": _check_package,
 }
 
 
@@ -36,14 +43,14 @@
     Example:
         wickdyke check deploy/gateway.sexp run/workers.sexp
     """
-    bad = False
-    for file in files:
+    all_valid = True
+    for path in files:
         try:
-            forms = sexpr.read(file)
-            kind = forms[0].name if forms else ""
-            KINDS.get(kind, _station)(file)
-            print(f"{file}: good")
-        except sexpr.InvalidConfigError as unusable:
-            bad = True
-            print(unusable, file=sys.stderr)
-    raise SystemExit(2 if bad else 0)
+            expressions = sexpr.read(path)
+            name = expressions[0].name if expressions else ""
+            CHECKS.get(name, _check_gateway)(path)
+            print(f"{path}: good")
+        except sexpr.InvalidConfigError as error:
+            all_valid = False
+            print(error, file=sys.stderr)
+    raise SystemExit(int(ExitCode.OK if all_valid else ExitCode.INVALID_INPUT))
--- /dev/null
+++ b/wickdyke/cli/common.py
@@ -0,0 +1,41 @@
+"""What the commands share: exit codes, the end on an error, reading of settings and the log file."""
+
+import sys
+from collections.abc import Callable
+from enum import IntEnum
+from typing import NoReturn, TextIO, TypeVar
+
+from wickdyke.config.sexpr import InvalidConfigError
+from wickdyke.gateway import log as logs
+
+T = TypeVar("T")
+
+
+class ExitCode(IntEnum):
+    """Exit codes that several commands have in common."""
+
+    OK = 0
+    INVALID_INPUT = 2
+    RIG_FAILED = 3  # a process of a scenario did not start, or did not end as expected
+
+
+def fail(message: object, exit_code: int = ExitCode.INVALID_INPUT) -> NoReturn:
+    """Prints the message to standard error and ends the command."""
+    print(message, file=sys.stderr)
+    raise SystemExit(int(exit_code))
+
+
+def read_or_fail(read: Callable[[str], T], path: str) -> T:
+    """What `read` returns for the file; ends the command if the file is invalid."""
+    try:
+        return read(path)
+    except InvalidConfigError as error:
+        fail(error)
+
+
+def open_log_or_fail(path: str | None) -> TextIO | None:
+    """The file that the log goes to (None: standard error); ends the command if it can't be opened."""
+    try:
+        return logs.opened(path)
+    except OSError as error:
+        fail(f"{error.filename}: found no file to append to ({error.strerror}), expected one")
--- a/wickdyke/cli/move.py
+++ b/wickdyke/cli/move.py
@@ -1,12 +1,15 @@
-"""move: a gateway's settings for another shape of deployment."""
+"""The command move: a gateway's settings for another shape of deployment."""
 
 import os
 import sys
+from collections.abc import Callable
 
 import click
 
+from wickdyke.cli.common import fail
 from wickdyke.config import endpoint_file, gateway_config, migration, route_config, schema, sexpr
-from wickdyke.config.sexpr import InvalidConfigError
+from wickdyke.config.gateway_config import GatewayConfig
+from wickdyke.config.sexpr import Expression, InvalidConfigError
 from wickdyke.jsonrpc.service import ground
 
 
@@ -15,7 +18,7 @@
 @click.argument("shape", type=click.Path())
 @click.argument("new", type=click.Path())
 @click.option("--dry-run", is_flag=True, help="Print what NEW would hold and what is lost; write nothing.")
-def command(old: str, shape: str, new: str, dry_run: bool) -> None:
+def move(old: str, shape: str, new: str, dry_run: bool) -> None:
     """Write to NEW the counterpart of the gateway's settings OLD for the deployment that SHAPE describes, and list
     what changed or could not be carried over. OLD stays as it is, and NEW must not be there yet. docs/migration.md
     tells the steps of a move. Exit code 2 if nothing usable comes out.
@@ -25,54 +28,68 @@
         wickdyke move --dry-run deploy/gateway.sexp deploy/shape.sexp run/gateway-new.sexp
     """
     try:
-        text, told = _moved(old, shape, new)
-    except InvalidConfigError as bad:
-        print(bad, file=sys.stderr)
-        raise SystemExit(2) from None
+        text, remarks = _migrate(old, shape, new)
+    except InvalidConfigError as error:
+        fail(error)
     if dry_run:
         print(text, end="")
     else:
-        try:
-            with open(new, "x") as sink:
-                sink.write(text)
-        except OSError as bad:
-            print(f"{new}: found {bad.strerror}, expected a new file", file=sys.stderr)
-            raise SystemExit(2) from None
-    for line in told:
-        print(line, file=sys.stderr)
-    print(f"{new}: {'would be ' if dry_run else ''}written; {len(told)} to look at", file=sys.stderr)
-
-
-def _moved(old: str, shape: str, new: str) -> tuple[str, list[str]]:
-    """The text of the new file, checked, and what there is to tell."""
+        _write_new(new, text)
+    for remark in remarks:
+        print(remark, file=sys.stderr)
+    print(f"{new}: {'would be ' if dry_run else ''}written; {len(remarks)} to look at", file=sys.stderr)
+
+
+def _write_new(path: str, text: str) -> None:
+    """Writes a file that must not exist."""
+    try:
+        with open(path, "x") as sink:
+            sink.write(text)
+    except OSError as error:
+        fail(f"{path}: found {error.strerror}, expected a new file")
+
+
+def _read_expressions(old: str, shape: str, diagnostics: schema.Diagnostics) -> tuple[Expression, Expression]:
+    """The gateway's expression and the shape's; raises InvalidConfigError."""
+    gateway = schema.single_expression(sexpr.read(old), "gateway", old, diagnostics)
+    new_shape = schema.single_expression(sexpr.read(shape), "shape", shape, diagnostics)
+    return schema.required(gateway, diagnostics), schema.required(new_shape, diagnostics)
+
+
+def _migrate(old: str, shape: str, new: str) -> tuple[str, list[str]]:
+    """The text of the new file, checked, and remarks on what the user has to look at; raises InvalidConfigError."""
     gateway_config.read(old)
-    notes = schema.Diagnostics()
-    forms = [
-        schema.single_expression(sexpr.read(file), name, file, notes)
-        for file, name in ((old, "gateway"), (shape, "shape"))
-    ]
-    notes.raise_if_any()
-    made, told = migration.migrate(*forms, notes)
-    notes.raise_if_any()
-    text, folder = migration.format_config(made), os.path.dirname(os.path.abspath(new))
+    diagnostics = schema.Diagnostics()
+    migrated, remarks = migration.migrate(*_read_expressions(old, shape, diagnostics), diagnostics)
+    diagnostics.raise_if_any()
+    text = migration.format_config(migrated)
     with open(old) as source:
-        lost = migration.count_comments(source.read())
-    told += [f"{old}: {lost} lines with comments: the comments are not carried over"] * (lost > 0)
-    if os.path.dirname(os.path.abspath(old)) != folder:
-        told.append(f"{old}: paths hang on the folder of the file that names them, and {new} stands in another")
-    return text, told + _beside(gateway_config.build(sexpr.parse(text, new), new))
-
-
-def _beside(made: gateway_config.GatewayConfig) -> list[str]:
-    """What no longer fits in the files that the new one names and that stay as they are."""
-    told = []
-    for name, read in (
-        (made.endpoints_path, lambda file: endpoint_file.read_endpoints(file, made.zones, made.kinds)),
-        (made.routes_path, lambda file: route_config.read(file, made.request_classes, ground(made))),
-    ):
+        comments = migration.count_comments(source.read())
+    if comments:
+        remarks.append(f"{old}: {comments} lines with comments: the comments are not carried over")
+    if os.path.dirname(os.path.abspath(old)) != os.path.dirname(os.path.abspath(new)):
+        remarks.append(f"{old}: paths hang on the folder of the file that names them, and {new} stands in another")
+    return text, remarks + _invalid_files(gateway_config.build(sexpr.parse(text, new), new))
+
+
+def _invalid_files(config: GatewayConfig) -> list[str]:
+    """What is invalid under the new settings in the files that they name, which stay as they are."""
+
+    def read_endpoints(path: str) -> object:
+        return endpoint_file.read_endpoints(path, config.zones, config.kinds)
+
+    def read_routes(path: str) -> object:
+        return route_config.read(path, config.request_classes, ground(config))
+
+    files: list[tuple[str | None, Callable[[str], object]]] = [
+        (config.endpoints_path, read_endpoints),
+        (config.routes_path, read_routes),
+    ]
+    remarks: list[str] = []
+    for path, read in files:
         try:
-            if name is not None:
-                read(name)
-        except InvalidConfigError as bad:
-            told += [f"no longer fits: {trouble}" for trouble in bad.diagnostics]
-    return told
+            if path is not None:
+                read(path)
+        except InvalidConfigError as error:
+            remarks += [f"no longer fits: {diagnostic}" for diagnostic in error.diagnostics]
+    return remarks
--- a/wickdyke/cli/serve.py
+++ b/wickdyke/cli/serve.py
@@ -1,4 +1,4 @@
-"""serve and up."""
+"""The commands serve and up."""
 
 import os
 import signal
@@ -7,6 +7,7 @@
 
 import click
 
+from wickdyke.cli.common import ExitCode, fail, open_log_or_fail, read_or_fail
 from wickdyke.config import gateway_config
 from wickdyke.config.sexpr import InvalidConfigError
 from wickdyke.fault_injection import scenario
@@ -15,8 +16,6 @@
 from wickdyke.jsonrpc.service import Gateway, until_signal
 from wickdyke.transport.line_server import AddressInUse
 
-BAD = 2  # exit code of input that can't be used
-
 
 @click.command()
 @click.argument("file", type=click.Path())
@@ -34,31 +33,25 @@
     Example:
         wickdyke serve deploy/gateway.sexp --log run/gateway.log
     """
-    try:
-        made = gateway_config.read(file)
-    except InvalidConfigError as bad:
-        _fail(str(bad))
+    config = read_or_fail(gateway_config.read, file)
     if tape:
-        made.recording_path = tape
-    try:
-        sink = logs.opened(log_file or made.log_path)
-    except OSError as bad:
-        _fail(f"{bad.filename}: found no file to append to ({bad.strerror}), expected one")
-    log, scribe = logs.logger(sink, as_json, debug, gateway=made.name)
+        config.recording_path = tape
+    sink = open_log_or_fail(log_file or config.log_path)
+    log, log_writer = logs.logger(sink, as_json, debug, gateway=config.name)
     try:
-        gateway = Gateway(made, log)
-    except (AddressInUse, InvalidConfigError) as bad:
-        _fail(str(bad))
-    except OSError as bad:
-        _fail(f"{bad.filename or made.listen}: {bad.strerror}")
+        gateway = Gateway(config, log)
+    except (AddressInUse, InvalidConfigError) as error:
+        fail(error)
+    except OSError as error:
+        fail(f"{error.filename or config.listen}: {error.strerror}")
 
-    def ready() -> None:
-        print(f"ready {made.listen}", flush=True)
+    def report_ready() -> None:
+        print(f"ready {config.listen}", flush=True)
 
-    code = until_signal(gateway, ready)
-    scribe.close()
+    exit_code = until_signal(gateway, report_ready)
+    log_writer.close()
     sys.stdout.flush()
-    os._exit(code)  # daemon threads may hang in a full pipe; all that is owed is done
+    os._exit(exit_code)  # daemon threads may be blocked in a full pipe; all answers are sent
 
 
 @click.command()
@@ -73,30 +66,28 @@
     Example:
         wickdyke up scripts/small.sexp
     """
-    try:
-        script = scenario.read(file)
-    except InvalidConfigError as bad:
-        _fail(str(bad))
-    with tempfile.TemporaryDirectory(prefix="wickdyke-") as made:
-        director = ScenarioRunner(script, folder or os.path.join(made, "up"))
-        ended: list[int] = []
-        for number in (signal.SIGTERM, signal.SIGINT):
-            signal.signal(number, lambda n, frame: ended.append(n))
+    script = read_or_fail(scenario.read, file)
+    with tempfile.TemporaryDirectory(prefix="wickdyke-") as temporary:
+        runner = ScenarioRunner(script, folder or os.path.join(temporary, "up"))
         try:
-            director.start(traffic=False)
-            print(f"ready {os.path.join(director.folder, 'g1.sock')}", flush=True)
-            while not ended:
-                director.step()
-            for child in director.gateways.values():
-                child.process.send_signal(signal.SIGTERM)
-            for child in director.gateways.values():
-                child.end()
-        except RigError as bad:
-            _fail(str(bad), 3)
+            _run_until_signal(runner)
+        except RigError as error:
+            fail(error, ExitCode.RIG_FAILED)
         finally:
-            director.close()
-
-
-def _fail(text: str, code: int = BAD) -> None:
-    print(text, file=sys.stderr)
-    raise SystemExit(code)
+            runner.close()
+
+
+def _run_until_signal(runner: ScenarioRunner) -> None:
+    """Runs the processes of a scenario without traffic; raises RigError."""
+    signals: list[int] = []
+    for number in (signal.SIGTERM, signal.SIGINT):
+        signal.signal(number, lambda number, frame: signals.append(number))
+    runner.start(traffic=False)
+    print(f"ready {os.path.join(runner.folder, 'g1.sock')}", flush=True)
+    while not signals:
+        runner.step()
+    gateways = runner.gateways.values()
+    for gateway in gateways:
+        gateway.process.send_signal(signal.SIGTERM)
+    for gateway in gateways:
+        gateway.end()
