--- a/tests/test_settings.py
+++ b/tests/test_config.py
@@ -1,4 +1,4 @@
-"""Settings: each broken file gets its one message, with place, found, expected and fix; all of them at once."""
+"""Tests of settings files, which report each error with its location, and of the line and JSON-RPC decoders."""
 
 import os
 import tempfile
@@ -26,35 +26,40 @@
   (drain-grace 1 s))"""
 
 
-class Settings(unittest.TestCase):
+class ConfigFiles(unittest.TestCase):
     def read(self, text, reader=gateway_config.read):
+        """What the reader returns for a file with that text."""
         with tempfile.TemporaryDirectory() as folder:
             path = os.path.join(folder, "f.sexp")
             with open(path, "wb") as sink:
                 sink.write(text if isinstance(text, bytes) else text.encode())
             return reader(path)
 
-    def test_good(self):
-        got = self.read(GOOD)
-        self.assertEqual((got.zones, got.kinds, got.instance.zone), (("a", "b"), ("quad", "duo"), 1))
-        self.assertEqual(got.function_cache.memory, (65536.0, 900.0))
+    def test_valid_file_is_read(self):
+        config = self.read(GOOD)
+        self.assertEqual((config.zones, config.kinds, config.instance.zone), (("a", "b"), ("quad", "duo"), 1))
+        self.assertEqual(config.function_cache.memory, (65536.0, 900.0))
         self.assertEqual(
-            (got.tenants, got.tenant_quotas, got.attempt_limits.idle_timeout), ((), TenantQuotas(()), 15000.0)
+            (config.tenants, config.tenant_quotas, config.attempt_limits.idle_timeout), ((), TenantQuotas(()), 15000.0)
+        )
+        config_with_tenants = self.read(
+            GOOD.replace("(stock", '(tenant "a" (quota 5)) (tenant "b" (quota 2.5)) (stock')
+        )
+        self.assertEqual(
+            (config_with_tenants.tenants, config_with_tenants.tenant_quotas), (("a", "b"), TenantQuotas((5.0, 2.5)))
         )
-        more = self.read(GOOD.replace("(stock", '(tenant "a" (quota 5)) (tenant "b" (quota 2.5)) (stock'))
-        self.assertEqual((more.tenants, more.tenant_quotas), (("a", "b"), TenantQuotas((5.0, 2.5))))
         self.assertEqual(
-            [(m.name, m.effect, m.dedupe_window, m.scope) for m in got.request_classes],
+            [(m.name, m.effect, m.dedupe_window, m.scope) for m in config.request_classes],
             [("m", "idempotent", 0.0, "all"), ("t", "tokened", 120000.0, "cell")],
         )
-        for program, memory in (("p/one", 100.0), ("p/two", 1024.0), ("q", None)):
-            stated = got.function_settings(program)
-            self.assertEqual(stated and stated.memory, memory)
-        self.assertTrue(got.listen.endswith("/run/w.sock") and os.path.isabs(got.listen))
-
-    def test_bad(self):
-        """(what is replaced, by what) -> line:column and words of the one message."""
-        for old, new, place, words in (
+        for function, memory in (("p/one", 100.0), ("p/two", 1024.0), ("q", None)):
+            function_settings = config.function_settings(function)
+            self.assertEqual(function_settings and function_settings.memory, memory)
+        self.assertTrue(config.listen.endswith("/run/w.sock") and os.path.isabs(config.listen))
+
+    def test_each_error_is_reported_once_with_its_location(self):
+        """(old text, new text) -> line:column and words of the one message."""
+        for old, new, position, words in (
             ("750 ms", "750", "6:50", ("without a unit", "750 ms")),
             ("750 ms", "750 sec", "6:54", ("sec", "us, ms, s, min")),
             ("750 ms", "750 MS", "6:54", ("MS", "write ms")),
@@ -98,31 +103,31 @@
             with self.subTest(old=old, new=new):
                 text = GOOD.replace(old, new, 1)
                 self.assertNotEqual(text, GOOD)
-                with self.assertRaises(InvalidConfigError) as bad:
+                with self.assertRaises(InvalidConfigError) as caught:
                     self.read(text)
-                said = str(bad.exception)
-                if "answer-way" in new:  # it holds for each method
-                    said = said.splitlines()[0]
-                self.assertEqual(said.count("\n"), 0, said)
-                self.assertIn(f"f.sexp:{place}: found ", said)
+                message = str(caught.exception)
+                if "answer-way" in new:  # each method is reported
+                    message = message.splitlines()[0]
+                self.assertEqual(message.count("\n"), 0, message)
+                self.assertIn(f"f.sexp:{position}: found ", message)
                 for word in words:
-                    self.assertIn(word, said)
+                    self.assertIn(word, message)
 
-    def test_all_at_once(self):
+    def test_all_errors_are_reported_together(self):
         text = GOOD.replace("750 ms", "750").replace("idempotent", "idem").replace("8 s", "8").replace("14 s", "14")
-        with self.assertRaises(InvalidConfigError) as bad:
+        with self.assertRaises(InvalidConfigError) as caught:
             self.read(text)
-        self.assertEqual([t.location.line for t in bad.exception.diagnostics], [6, 6, 9, 10])
+        self.assertEqual([diagnostic.location.line for diagnostic in caught.exception.diagnostics], [6, 6, 9, 10])
 
-    def test_no_file(self):
+    def test_unreadable_or_empty_file_is_rejected(self):
         for text, words in ((b"\xff(", "UTF-8"), ("", "nothing"), ("(" * 5000, "closed")):
             with self.subTest(text=text[:9]), self.assertRaisesRegex(InvalidConfigError, words):
                 self.read(text)
         with self.assertRaisesRegex(InvalidConfigError, "no readable file"):
             gateway_config.read("/nowhere/at.all")
 
-    def test_rolls(self):
-        """(list) -> words of the message; what is written reads back as it was."""
+    def test_endpoint_file_reads_back_and_reports_errors(self):
+        """A formatted list reads back as it was; (list) -> words of the message."""
         row = endpoint_file.EndpointRow('w "1"', "/run/w.sock", "a", "quad", 3, 2.5, "draining", 17)
         self.assertEqual(self.read(endpoint_file.format_endpoints([row]), endpoint_file.read_endpoints), [row])
         for text, words in (
@@ -136,8 +141,8 @@
             with self.subTest(text=text), self.assertRaisesRegex(InvalidConfigError, words):
                 endpoint_file.parse_endpoints(sexpr.parse(text, "f"), "f", ("a", "b"))
 
-    def test_addresses(self):
-        for text, good in (
+    def test_only_local_addresses_are_accepted(self):
+        for text, valid in (
             ("a/b", True),
             ("sock", True),
             ("127.0.0.1:80", True),
@@ -153,15 +158,15 @@
             with self.subTest(address=text):
                 try:
                     address.parse(text)
-                    got = True
+                    accepted = True
                 except ValueError:
-                    got = False
-                self.assertEqual(got, good)
+                    accepted = False
+                self.assertEqual(accepted, valid)
 
 
 class Framing(unittest.TestCase):
-    def test_lines(self):
-        """(pieces) -> lines, with a bound of 6 bytes."""
+    def test_lines_are_split_and_bounded(self):
+        """(pieces received) -> lines, of at most 6 bytes."""
         for pieces, lines in (
             ([b"ab\ncd\n"], [b"ab", b"cd"]),
             ([b"a", b"b", b"\n"], [b"ab"]),
@@ -178,11 +183,11 @@
                 for piece in pieces:
                     framing.feed(piece)
 
-    def test_answers(self):
-        """Lines that are no answers of JSON-RPC are told apart from those that are."""
+    def test_responses_are_distinguished_from_other_lines(self):
+        """A line that is no JSON-RPC response raises an error."""
         self.assertEqual(jsonrpc.parse_response(jsonrpc.result_response(7, b"[1]")), (7, b"[1]", None))
-        ident, result, problem = jsonrpc.parse_response(jsonrpc.error_response("x", -1, "no", b'{"a":1}'))
-        self.assertEqual((ident, result, problem.code, bytes(problem.data)), ("x", None, -1, b'{"a":1}'))
+        ident, result, error_object = jsonrpc.parse_response(jsonrpc.error_response("x", -1, "no", b'{"a":1}'))
+        self.assertEqual((ident, result, error_object.code, bytes(error_object.data)), ("x", None, -1, b'{"a":1}'))
         for line in (
             b"",
             b"[]",
@@ -201,8 +206,8 @@
     @given(
         st.one_of(st.binary(max_size=80), st.text(alphabet='{}[]":,0123456789eidrsultno', max_size=60).map(str.encode))
     )
-    def test_any_bytes(self, data):
-        """Whatever comes, a decoder gives a value or its own error."""
+    def test_any_bytes_give_a_value_or_the_decoders_error(self, data):
+        """A decoder returns a value or raises its own error for any input."""
         for read, error in (
             (jsonrpc.parse_response, jsonrpc.MalformedRequestError),
             (lambda d: list(jsonrpc.parse_requests(d)), ()),
@@ -213,8 +218,8 @@
             except error:
                 pass
 
-    def test_depth(self):
-        for text, deep in (
+    def test_nesting_is_bounded(self):
+        for text, too_deep in (
             (b"[" * 64 + b"]" * 64, False),
             (b"[" * 65 + b"]" * 65, True),
             (b"[]" * 1000, False),
@@ -223,7 +228,7 @@
             (b'{"a":' * 65 + b"1" + b"}" * 65, True),
         ):
             with self.subTest(text=text[:20]):
-                self.assertEqual(jsonrpc.too_deep(text), deep)
+                self.assertEqual(jsonrpc.too_deep(text), too_deep)
 
 
 if __name__ == "__main__":
--- a/tests/test_migration.py
+++ b/tests/test_migration.py
@@ -1,4 +1,4 @@
-"""A move to another shape of deployment: the file that comes out, what is told, and a gateway that runs on it."""
+"""Tests of the migration of a gateway's settings to another shape of deployment, by the command move."""
 
 import os
 import tempfile
@@ -26,13 +26,13 @@
     (soft-deadline 1 s) (deadline 4 s))
   (report held loads) (call-outs (most 4) (retry-after 1 s))
   (stock (loads-on-call no) (tells-company no)) (ration (free 3) (share 0.1) (window 5 s)))"""
-LIST = '(workers (worker "w1" (address "w1.sock") (zone "hall; a") (kind "new")))'
+ENDPOINTS = '(workers (worker "w1" (address "w1.sock") (zone "hall; a") (kind "new")))'
 
 
-class Move(unittest.TestCase):
+class Migration(unittest.TestCase):
     def setUp(self):
         self.folder = self.enterContext(tempfile.TemporaryDirectory())
-        for name, text in (("old", OLD), ("shape", SHAPE), ("workers", LIST)):
+        for name, text in (("old", OLD), ("shape", SHAPE), ("workers", ENDPOINTS)):
             self.write(name, text)
 
     def path(self, name):
@@ -45,9 +45,9 @@
     def move(self, *flags):
         return run("move", *flags, self.path("old"), self.path("shape"), self.path("new"))
 
-    def test_what_comes_out(self):
-        code, _, told = self.move()
-        self.assertEqual(code, 0, told)
+    def test_migrated_file_and_remarks(self):
+        code, _, remarks = self.move()
+        self.assertEqual(code, 0, remarks)
         old, new = gateway_config.read(self.path("old")), gateway_config.read(self.path("new"))
         self.assertEqual((new.kinds, new.tenants, new.tenant_quotas), (("new",), ("a",), TenantQuotas((50.0,))))
         self.assertEqual(
@@ -63,22 +63,22 @@
             "2 lines with comments",
             "(soft-deadline 750 ms) became (soft-deadline 600 ms)",
         ):
-            self.assertIn(words, told)
-        self.write("workers", LIST.replace('"new"', '"old"'))
+            self.assertIn(words, remarks)
+        self.write("workers", ENDPOINTS.replace('"new"', '"old"'))
         self.assertIn('workers.sexp:1:10: found kind "old", expected one of new', self.move("--dry-run")[2])
-        code, _, told = self.move()  # a file that is there is left
-        self.assertEqual((code, told.count("\n")), (2, 1), told)
+        code, _, remarks = self.move()  # an existing file is kept
+        self.assertEqual((code, remarks.count("\n")), (2, 1), remarks)
 
-    def test_dry_run_changes_nothing(self):
+    def test_dry_run_writes_nothing(self):
         before = sorted(os.listdir(self.folder))
-        code, out, told = self.move("--dry-run")
-        self.assertEqual((code, sorted(os.listdir(self.folder))), (0, before), told)
+        code, out, remarks = self.move("--dry-run")
+        self.assertEqual((code, sorted(os.listdir(self.folder))), (0, before), remarks)
         self.assertEqual(self.move()[0], 0)
         with open(self.path("new")) as source:
             self.assertEqual(source.read(), out)
 
-    def test_bad(self):
-        """(file, what is replaced, by what) -> one line, code 2, nothing written."""
+    def test_invalid_input_is_reported_and_nothing_written(self):
+        """(file, old text, new text) -> a message of one line, exit code 2, nothing written."""
         for name, text, old, new, words in (
             ("old", OLD, "750 ms", "750", "old.sexp:5:50: found 750 without a unit"),
             ("shape", SHAPE, "(shape", "(shapes", "shape.sexp:1:1: found (shapes ...), expected (shape ...)"),
@@ -88,44 +88,44 @@
         ):
             with self.subTest(new=new, words=words):
                 self.write(name, text.replace(old, new, 1))
-                code, _, told = self.move()
-                self.assertEqual((code, told.count("\n"), os.path.exists(self.path("new"))), (2, 1, False), told)
-                self.assertIn(words, told)
+                code, _, remarks = self.move()
+                self.assertEqual((code, remarks.count("\n"), os.path.exists(self.path("new"))), (2, 1, False), remarks)
+                self.assertIn(words, remarks)
                 self.write(name, text)
 
-    def test_a_gateway_of_the_new_shape(self):
-        """Where only a hold loads and a report tells no busy share: asked by a call-out, held after the miss, then
-        called; the next RPC spends no order. A tenant that the settings do not name is refused."""
-        seen = []
+    def test_gateway_runs_with_the_new_settings(self):
+        """Where only prewarms load and reports state no utilization, a missed attempt is followed by a prewarm and a
+        second attempt; the next request needs no prewarm. A tenant that the settings do not name is rejected."""
+        commands = []
 
-        def play(sock, number):
-            source, copies = lines_of(sock), 0
+        def worker(sock, number):
+            source, replicas = lines_of(sock), 0
             hello(sock, source)
-            for asked in source:
-                kind, ident = asked["method"], asked.get("id")
-                seen.append(kind)
-                if kind == "run" and not copies:
+            for request in source:
+                kind, ident = request["method"], request.get("id")
+                commands.append(kind)
+                if kind == "run" and not replicas:
                     sock.sendall(jsonrpc.error_response(ident, worker_messages.MISS, "miss", b"{}") + b"\n")
                 elif kind == "run":
                     sock.sendall(ok(ident))
                 elif kind == "hold":
-                    copies = max(copies, asked["params"]["copies"])
-                    sock.sendall(jsonrpc.result_response(ident, b'{"copies":%d}' % copies) + b"\n")
+                    replicas = max(replicas, request["params"]["copies"])
+                    sock.sendall(jsonrpc.result_response(ident, b'{"copies":%d}' % replicas) + b"\n")
                 elif kind == "probe":
                     sock.sendall(jsonrpc.result_response(ident, b'{"report":{"held":2,"loads":0}}') + b"\n")
 
         with Running(
-            (play,),
+            (worker,),
             stock="(loads-on-call no) (tells-company no)",
             more="""(report held loads)
                 (tenant "a" (quota 50)) (ration (free 3) (share 0.1) (window 5 s))""",
         ) as running:
             client = running.client()
-            for ident, call_outs in ((1, 2), (2, 1)):
+            for ident, attempts in ((1, 2), (2, 1)):
                 client.ask(ident, tenant="a")
                 result = client.answer()["result"]
-                self.assertEqual((result["answer"], result["call_outs"]), ("ok", call_outs))
-            self.assertEqual([kind for kind in seen if kind != "probe"][:3], ["run", "hold", "run"])
+                self.assertEqual((result["answer"], result["call_outs"]), ("ok", attempts))
+            self.assertEqual([kind for kind in commands if kind != "probe"][:3], ["run", "hold", "run"])
             self.assertEqual(running.coordinator.router.latency.promised_rate, 50.0)
             client.ask(3, tenant="b")
             self.assertIn("expected one of a", client.answer()["error"]["data"])
