--- a/wickdyke/fault_injection/fake_worker.py
+++ b/wickdyke/fault_injection/fake_worker.py
@@ -33,16 +33,16 @@
     speed: float = 1.0
     memory_mb: float = 16000.0
     idle_life: float = 8000.0
-    loads_at_once: int = 4
-    queue_most: int = 200
+    max_concurrent_loads: int = msgspec.field(default=4, name="loads_at_once")
+    queue_capacity: int = msgspec.field(default=200, name="queue_most")
     start_share: float = 0.25
     ramp: float = 8000.0
     multiple: float = 3.0
     window: float = 1500.0
-    fetch_part: float = 0.6
-    refresh: float = 200.0
-    loads_on_call: bool = True
-    cold: bool = True
+    fetch_fraction: float = msgspec.field(default=0.6, name="fetch_part")
+    report_interval: float = msgspec.field(default=200.0, name="refresh")
+    loads_on_demand: bool = msgspec.field(default=True, name="loads_on_call")
+    warming_up: bool = msgspec.field(default=True, name="cold")
 
 
 class Input(msgspec.Struct):
@@ -76,7 +76,7 @@
     """One worker. One lock guards all of it; one thread acts when something is due."""
 
     def __init__(self, build: FakeWorkerConfig) -> None:
-        self.build, self.born = build, clock() if build.cold else clock() - 10 * build.ramp
+        self.build, self.born = build, clock() if build.warming_up else clock() - 10 * build.ramp
         self.record, self.chance = TraceRecorder(build.trace, build.name), random.Random(build.seed)
         self.lock = threading.RLock()
         self.due = threading.Condition(self.lock)
@@ -96,7 +96,7 @@
         self.seen = {"call-out": 0, "load": 0}
         self.draining = False
         self.report: dict[str, float] = {}
-        self.record("started", start=build.start, cold=build.cold, cores=build.cores, speed=build.speed)
+        self.record("started", start=build.start, cold=build.warming_up, cores=build.cores, speed=build.speed)
         threading.Thread(target=self._beat, daemon=True).start()
         self._refresh()
         self.server = LineServer(build.socket, self._heard, self._gone)
@@ -143,7 +143,7 @@
                     copies.remove(copy)
             if not copies and not self.waiting.get(program):
                 del self.copies[program]
-        self._at(self.build.refresh, self._refresh)
+        self._at(self.build.report_interval, self._refresh)
 
     # ---- what comes in ----
 
@@ -216,7 +216,7 @@
             self._refuse(job, worker_messages.DRAINING, "draining")
         elif self.chance.random() < self.faults.get("fail", 0.0):
             self._refuse(job, worker_messages.FAILED, "failed")
-        elif sum(not each.ended for each in self.jobs.values()) > self.build.queue_most:
+        elif sum(not each.ended for each in self.jobs.values()) > self.build.queue_capacity:
             self._refuse(job, worker_messages.FULL, "queue full")
         else:
             self._place(job, run, asked, now)
@@ -236,7 +236,7 @@
     def _place(self, job: RunningAttempt, run: worker_messages.RunRequest, asked: Input, now: float) -> None:
         copies = self.copies.setdefault(run.function, [])
         if not copies:
-            if not self.build.loads_on_call:
+            if not self.build.loads_on_demand:
                 self._refuse(job, worker_messages.MISS, "not loaded")
                 return
             if not self._load(run.function, run.memory_mb, run.concurrency, asked.load_ms):
@@ -292,7 +292,7 @@
         return True
 
     def _fetches(self) -> None:
-        while self.loads and self.loading < self.build.loads_at_once:
+        while self.loads and self.loading < self.build.max_concurrent_loads:
             copy = self.loads.popleft()
             self.loading += 1
             threading.Thread(target=self._fetch, args=(copy,), daemon=True).start()
@@ -303,14 +303,14 @@
         try:
             with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as sock:
                 sock.connect(self.build.store)
-                asked = {"program": copy.program, "took_ms": copy.load * self.build.fetch_part}
+                asked = {"program": copy.program, "took_ms": copy.load * self.build.fetch_fraction}
                 sock.sendall(jsonrpc.request_line("fetch", jsonrpc.encode(asked), 1))
                 _, result, _ = jsonrpc.parse_response(sock.makefile("rb").readline())
                 good = result is not None
         except (OSError, jsonrpc.MalformedRequestError):
             pass
         if good:
-            self._at(copy.load * (1 - self.build.fetch_part), self._loaded, copy, True)
+            self._at(copy.load * (1 - self.build.fetch_fraction), self._loaded, copy, True)
         else:
             self._at(0.0, self._loaded, copy, False)
 
@@ -443,7 +443,7 @@
                 for copies in self.copies.values():
                     copies[:] = [copy for copy in copies if copy.busy or not copy.ready]
             elif name == "age":
-                self.faults["age"], self.faults["age_step"] = 0.0, value * self.build.refresh / max(1.0, lasts)
+                self.faults["age"], self.faults["age_step"] = 0.0, value * self.build.report_interval / max(1.0, lasts)
             else:
                 self.faults[name] = value
                 if lasts is not None:
--- a/wickdyke/fault_injection/scenario_runner.py
+++ b/wickdyke/fault_injection/scenario_runner.py
@@ -231,8 +231,8 @@
             script.speed,
             script.memory,
             script.idle_life,
-            queue_most=script.queue,
-            cold=cold,
+            queue_capacity=script.queue,
+            warming_up=cold,
             **script.warmup,
         )
         self.rows[name] = EndpointRow(
