--- a/wickdyke/fault_injection/fake_store.py
+++ b/wickdyke/fault_injection/fake_store.py
@@ -1,10 +1,11 @@
-"""A stand-in store that programs are fetched from: of limited pace, shared by all workers; it may stall."""
+"""A fake store that workers fetch functions from: its capacity is shared by all of them, and it may stall."""
 
 import heapq
 import itertools
 import os
 import sys
 import threading
+from dataclasses import dataclass, field
 
 import msgspec
 
@@ -12,65 +13,99 @@
 from wickdyke.protocol import jsonrpc
 from wickdyke.transport.line_server import LineConnection, LineServer
 
+OVERLOADED = -32010  # the error code of a fetch that is rejected
+
 
 class FakeStoreConfig(msgspec.Struct):
-    """`pace` fetches run at full speed at once, `most` at all; more are refused."""
+    """Settings of a fake store, as JSON in the first argument of its command line.
+
+    Attributes:
+        socket: path of the Unix socket that it listens on.
+        trace: path of the trace file.
+        full_speed_fetches: fetches that run at full speed at once.
+        max_fetches: fetches at once; more are rejected.
+    """
 
     socket: str
     trace: str
-    pace: int = 8
-    most: int = 60
+    full_speed_fetches: int = msgspec.field(default=8, name="pace")
+    max_fetches: int = msgspec.field(default=60, name="most")
+
+
+class FetchRequest(msgspec.Struct):
+    """The params of `fetch`: a function, and how long its fetch takes at full speed (ms)."""
+
+    function: str = msgspec.field(name="program")
+    duration_ms: float = msgspec.field(name="took_ms")
+
+
+class StallOrder(msgspec.Struct):
+    """A line of standard input: serve nothing for so long (ms)."""
+
+    duration_ms: float = msgspec.field(name="for")
+
+
+@dataclass(order=True, slots=True)
+class PendingFetch:
+    """A fetch and when it is answered (ms, monotonic); those due at once are answered in the order of arrival."""
+
+    due_at: float
+    number: int
+    connection: LineConnection = field(compare=False)
+    request_id: jsonrpc.Ident = field(compare=False)
 
 
 class FakeStore:
-    """Each fetch takes its time, longer when crowded."""
+    """Answers each fetch after its duration, later when many run at once."""
 
-    def __init__(self, build: FakeStoreConfig) -> None:
-        self.build, self.record = build, TraceRecorder(build.trace, "store")
+    def __init__(self, config: FakeStoreConfig) -> None:
+        """Listens from now on; raises AddressInUse, or OSError where the trace can't be opened."""
+        self.config = config
+        self.record = TraceRecorder(config.trace, "store")
         self.lock = threading.RLock()
-        self.due = threading.Condition(self.lock)
-        self.fetches: list[tuple[float, int, LineConnection, jsonrpc.Ident]] = []
-        self.turn = itertools.count()
-        self.stalled = 0.0
-        threading.Thread(target=self._beat, daemon=True).start()
-        self.server = LineServer(build.socket, self._heard, lambda wire: None)
-
-    def _heard(self, wire: LineConnection, request: jsonrpc.Request) -> None:
-        took = float(msgspec.json.decode(request.params)["took_ms"])
+        self.changed = threading.Condition(self.lock)
+        self.fetches: list[PendingFetch] = []  # a heap
+        self.numbers = itertools.count()
+        self.stalled_until = 0.0
+        threading.Thread(target=self._answer_due, daemon=True).start()
+        self.server = LineServer(config.socket, self._fetch_received, lambda connection: None)
+
+    def stall(self, duration_ms: float) -> None:
+        """Serves nothing for so long; fetches in flight are answered that much later."""
         with self.lock:
-            if len(self.fetches) >= self.build.most:
-                self.record("refused")
-                wire.say(jsonrpc.error_response(request.ident, -32010, "crowded"))
-                return
-            crowd = max(1.0, (len(self.fetches) + 1) / self.build.pace)
-            when = max(clock(), self.stalled) + took * crowd
-            heapq.heappush(self.fetches, (when, next(self.turn), wire, request.ident))
-            self.due.notify()
+            self.record("stalled", lasts=duration_ms)
+            self.stalled_until = clock() + duration_ms
+            for fetch in self.fetches:
+                fetch.due_at = max(fetch.due_at, clock()) + duration_ms
+            heapq.heapify(self.fetches)
 
-    def stall(self, ms: float) -> None:
-        """Nothing is served for so long."""
+    def _fetch_received(self, connection: LineConnection, request: jsonrpc.Request) -> None:
+        fetch = msgspec.json.decode(request.params, type=FetchRequest)
         with self.lock:
-            self.record("stalled", lasts=ms)
-            self.stalled = clock() + ms
-            self.fetches = [(max(when, clock()) + ms, *rest) for when, *rest in self.fetches]
-            heapq.heapify(self.fetches)
+            if len(self.fetches) >= self.config.max_fetches:
+                self.record("refused")
+                connection.say(jsonrpc.error_response(request.ident, OVERLOADED, "crowded"))
+                return
+            slowdown = max(1.0, (len(self.fetches) + 1) / self.config.full_speed_fetches)
+            due_at = max(clock(), self.stalled_until) + fetch.duration_ms * slowdown
+            heapq.heappush(self.fetches, PendingFetch(due_at, next(self.numbers), connection, request.ident))
+            self.changed.notify()
 
-    def _beat(self) -> None:
+    def _answer_due(self) -> None:
         while True:
             with self.lock:
-                while not self.fetches or self.fetches[0][0] > clock():
-                    self.due.wait((self.fetches[0][0] - clock()) / 1000 if self.fetches else None)
-                _, _, wire, ident = heapq.heappop(self.fetches)
-            wire.say(jsonrpc.result_response(ident, b"{}"))
+                while not self.fetches or self.fetches[0].due_at > clock():
+                    self.changed.wait((self.fetches[0].due_at - clock()) / 1000 if self.fetches else None)
+                fetch = heapq.heappop(self.fetches)
+            fetch.connection.say(jsonrpc.result_response(fetch.request_id, b"{}"))
 
 
 def main() -> None:
-    """Runs a store, built as the JSON in the first argument states, until its input ends."""
+    """Runs a store until standard input, which brings orders to stall, ends."""
     store = FakeStore(msgspec.json.decode(sys.argv[1], type=FakeStoreConfig))
     print("ready", flush=True)
     for line in sys.stdin:
-        told = msgspec.json.decode(line)
-        store.stall(float(told["for"]))
+        store.stall(msgspec.json.decode(line, type=StallOrder).duration_ms)
     os._exit(0)
 
 
--- /dev/null
+++ b/wickdyke/fault_injection/fake_worker/prewarms.py
@@ -0,0 +1,48 @@
+"""Prewarm requests that wait until their replicas are loaded."""
+
+from dataclasses import dataclass
+
+from wickdyke.fault_injection.fake_worker.replicas import ReplicaMemory
+from wickdyke.protocol import jsonrpc, worker_messages
+from wickdyke.transport.line_server import LineConnection
+
+
+@dataclass(frozen=True, slots=True)
+class PendingPrewarm:
+    """A gateway's order to have at least `replicas` of a function loaded."""
+
+    connection: LineConnection
+    request_id: jsonrpc.Ident
+    function: str
+    replicas: int
+
+
+class Prewarms:
+    """Answers each prewarm once its replicas are loaded, or once some of them can't be."""
+
+    def __init__(self, replicas: ReplicaMemory) -> None:
+        self.replicas = replicas
+        self.pending: list[PendingPrewarm] = []
+
+    def add(self, prewarm: PendingPrewarm) -> None:
+        """Answers a prewarm, now or later; its replicas are loaded or loading."""
+        self.pending.append(prewarm)
+        self.answer_finished()
+
+    def answer_finished(self) -> None:
+        """Answers those whose replicas are all loaded or fewer than ordered."""
+        for prewarm in list(self.pending):
+            ready = self.replicas.ready_count(prewarm.function)
+            if ready >= prewarm.replicas:
+                result = jsonrpc.encode(worker_messages.PrewarmResult(ready))
+                prewarm.connection.say(jsonrpc.result_response(prewarm.request_id, result))
+            elif len(self.replicas.replicas_of(prewarm.function)) < prewarm.replicas:
+                self.reject(prewarm, worker_messages.FAILED, "a load failed")
+            else:
+                continue
+            self.pending.remove(prewarm)
+
+    def reject(self, prewarm: PendingPrewarm, code: int, reason: str) -> None:
+        """Answers with an error whose data states how many replicas are loaded."""
+        result = jsonrpc.encode(worker_messages.PrewarmResult(self.replicas.ready_count(prewarm.function)))
+        prewarm.connection.say(jsonrpc.error_response(prewarm.request_id, code, reason, result))
