--- /dev/null
+++ b/wickdyke/fault_injection/rule_checker/observations.py
@@ -0,0 +1,145 @@
+"""What the trace shows of each request and each attempt."""
+
+from collections import defaultdict
+from collections.abc import Iterable
+from dataclasses import dataclass, field
+
+from wickdyke.fault_injection.rule_checker.run_settings import RunSettings, parse_settings
+from wickdyke.fault_injection.rule_checker.trace_events import (
+    AttemptCancelled,
+    AttemptEnded,
+    AttemptReceived,
+    AttemptResult,
+    Entry,
+    GatewayKilled,
+    RequestAnswered,
+    RequestLost,
+    RequestSent,
+    TraceEvent,
+    WorkerCrashed,
+    WorkerKilled,
+    parse_events,
+)
+
+
+@dataclass(slots=True)
+class ObservedAttempt:
+    """An attempt as its worker saw it.
+
+    Attributes:
+        received: its arrival.
+        ended_at: when the worker ended it (ms, monotonic), None where it did not.
+        result: what its end says.
+        released_at: when the gateway could know that it is over: by its answer or its own cancel.
+    """
+
+    received: AttemptReceived
+    ended_at: float | None = None
+    result: AttemptResult | None = None
+    released_at: float | None = None
+
+    @property
+    def worker(self) -> str:
+        """The worker that received it."""
+        return self.received.writer
+
+    def ended(self, event: AttemptEnded) -> None:
+        """Notes the end of the attempt; only the first one counts."""
+        if self.result is None:
+            self.ended_at = event.time_ms
+            self.result = event.result
+        if event.result is not AttemptResult.ANSWER_LOST:
+            self.released(event)
+
+    def released(self, event: TraceEvent) -> None:
+        """Notes that the gateway knows the attempt to be over; only the first time counts."""
+        if self.released_at is None:
+            self.released_at = event.time_ms
+
+
+@dataclass(slots=True)
+class ObservedRequest:
+    """A request as its client saw it."""
+
+    sent: RequestSent
+    answers: list[RequestAnswered] = field(default_factory=list)
+    lost: RequestLost | None = None
+
+
+@dataclass(slots=True)
+class ObservedRun:
+    """A run as its trace shows it: settings, events in the order of time, and what belongs together.
+
+    Attributes:
+        requests: by mark.
+        attempts: by mark of their request, in the order of their arrival.
+        unsolicited_answers: answers to no request.
+        gateway_kills: times (ms, monotonic) by gateway.
+        worker_deaths: times (ms, monotonic) by worker, killed or crashed.
+    """
+
+    settings: RunSettings
+    events: list[TraceEvent]
+    requests: dict[str, ObservedRequest] = field(default_factory=dict)
+    attempts: dict[str, list[ObservedAttempt]] = field(default_factory=lambda: defaultdict(list))
+    unsolicited_answers: list[RequestAnswered] = field(default_factory=list)
+    gateway_kills: dict[str, list[float]] = field(default_factory=lambda: defaultdict(list))
+    worker_deaths: dict[str, list[float]] = field(default_factory=lambda: defaultdict(list))
+
+
+@dataclass(slots=True, frozen=True)
+class _AttemptKey:
+    """What tells apart the attempts of a trace."""
+
+    # Danger: one request may be at a worker a second time, over another connection, before the cancel of the first
+    # attempt is noted there. Workers number their attempts, and an end or cancel belongs to its number.
+    worker: str
+    mark: str
+    number: int | None
+
+
+def _key(event: AttemptReceived | AttemptEnded | AttemptCancelled) -> _AttemptKey:
+    return _AttemptKey(event.writer, event.mark, event.number)
+
+
+def observe(entries: Iterable[Entry]) -> ObservedRun:
+    """What the lines of a trace, sorted by time, show; raises InvalidTraceError where they lack the run's settings."""
+    entries = list(entries)
+    run = ObservedRun(parse_settings(entries), list(parse_events(entries)))
+    latest_attempts: dict[_AttemptKey, ObservedAttempt] = {}
+    for event in run.events:
+        match event:
+            case RequestSent():
+                run.requests[event.mark] = ObservedRequest(event)
+            case RequestAnswered() if event.mark in run.requests:
+                run.requests[event.mark].answers.append(event)
+            case RequestAnswered():
+                run.unsolicited_answers.append(event)
+            case RequestLost() if event.mark in run.requests:
+                run.requests[event.mark].lost = event
+            case GatewayKilled():
+                run.gateway_kills[event.gateway].append(event.time_ms)
+            case WorkerKilled() | WorkerCrashed():
+                run.worker_deaths[event.worker].append(event.time_ms)
+            case AttemptReceived() | AttemptEnded() | AttemptCancelled():
+                _observe_attempt(run, latest_attempts, event)
+    return run
+
+
+def _observe_attempt(
+    run: ObservedRun,
+    latest_attempts: dict[_AttemptKey, ObservedAttempt],
+    event: AttemptReceived | AttemptEnded | AttemptCancelled,
+) -> None:
+    if isinstance(event, AttemptReceived):
+        attempt = ObservedAttempt(event)
+        run.attempts[event.mark].append(attempt)
+        latest_attempts[_key(event)] = attempt
+        return
+    latest = latest_attempts.get(_key(event))
+    if latest is None:
+        return
+    if isinstance(event, AttemptEnded):
+        latest.ended(event)
+    else:
+        latest.released(event)
