--- a/wickdyke/fault_injection/fake_worker/attempts.py
+++ b/wickdyke/fault_injection/fake_worker/attempts.py
@@ -3,21 +3,12 @@
 from dataclasses import dataclass
 from enum import StrEnum
 
-import msgspec
-
 from wickdyke.fault_injection.fake_worker.replicas import FakeReplica
+from wickdyke.fault_injection.request_input import RequestInput
 from wickdyke.protocol import jsonrpc, worker_messages
 from wickdyke.transport.line_server import LineConnection
 
 
-class AttemptInput(msgspec.Struct):
-    """The input of an attempt: the request's mark in traces, the work and the load time it costs (ms)."""
-
-    mark: str = ""
-    work_ms: float = 50.0
-    load_ms: float = 500.0
-
-
 class LoadNote(StrEnum):
     """What an attempt found of its function's replicas as it arrived; the values are the words on the wire."""
 
@@ -53,7 +44,7 @@
 
     key: AttemptKey
     request: worker_messages.RunRequest
-    input: AttemptInput
+    input: RequestInput
     concurrent: int
     number: int
     load_note: LoadNote = LoadNote.LOADED
--- a/wickdyke/fault_injection/fake_worker/worker.py
+++ b/wickdyke/fault_injection/fake_worker/worker.py
@@ -11,7 +11,6 @@
 from wickdyke.fault_injection.fake_worker.attempt_queue import AttemptQueue
 from wickdyke.fault_injection.fake_worker.attempts import (
     AttemptEnd,
-    AttemptInput,
     AttemptKey,
     LoadNote,
     RunningAttempt,
@@ -32,6 +31,7 @@
 from wickdyke.fault_injection.fake_worker.scheduler import Scheduler
 from wickdyke.fault_injection.fake_worker.slow_start import SlowStart
 from wickdyke.fault_injection.fake_worker.worker_trace import WorkerTrace
+from wickdyke.fault_injection.request_input import RequestInput
 from wickdyke.fault_injection.trace import clock
 from wickdyke.protocol import jsonrpc, worker_messages
 from wickdyke.transport.line_server import LineConnection
@@ -77,14 +77,14 @@
 
     def attempt_received(self, key: AttemptKey, run: worker_messages.RunRequest) -> None:
         """Queues or rejects an attempt, as the faults in force have it."""
-        attempt_input = msgspec.json.decode(run.input, type=AttemptInput)
+        request_input = msgspec.json.decode(run.input, type=RequestInput)
         received_at = clock()
         number = self.triggers.counts[TriggerEvent.ATTEMPT] + 1
-        attempt = RunningAttempt(key, run, attempt_input, self._in_flight(run.function), number)
+        attempt = RunningAttempt(key, run, request_input, self._in_flight(run.function), number)
         self.trace.attempt_received(attempt, received_at)
         self._count(TriggerEvent.ATTEMPT)
         self.attempts[key] = attempt
-        if self.slow_start.is_overloaded_by(received_at, attempt_input.work_ms):
+        if self.slow_start.is_overloaded_by(received_at, request_input.work_ms):
             self.trace.crashed()
             os._exit(CRASHED_EXIT_CODE)
         if self.faults.hanging:
