--- /dev/null
+++ b/tests/test_route_config.py
@@ -0,0 +1,114 @@
+"""Routes files: inheritance, text that reads back as the same routes, and large files."""
+
+import time
+import unittest
+
+from hypothesis import given, settings
+from hypothesis import strategies as st
+
+from tests.route_fixtures import read_routes
+from wickdyke.config import sexpr
+from wickdyke.config.route_format import format_routes
+from wickdyke.config.route_syntax import (
+    ATTRIBUTES,
+    AttemptField,
+    HedgeField,
+    Route,
+    RouteFields,
+    Stated,
+    parse_routes,
+)
+from wickdyke.config.sexpr import InvalidConfigError
+from wickdyke.route_policy.matching import Pattern
+from wickdyke.route_policy.policy import RETRYABLE_OUTCOMES, BackoffPolicy, RetryBudgetPolicy
+
+SPANS = st.floats(1, 5000).map(lambda ms: round(ms, 3))
+FIELDS = {
+    "attempt": st.builds(AttemptField, SPANS, st.none() | SPANS),
+    "attempts": st.integers(1, 5),
+    "queue": SPANS,
+    "deadline": SPANS,
+    "soft-deadline": SPANS,
+    "priority": st.integers(-9, 9),
+    "pause": st.builds(
+        BackoffPolicy, SPANS, st.integers(1, 4).map(float), st.just(float("inf")) | SPANS, st.floats(0, 2)
+    ),
+    "again": st.frozensets(st.sampled_from(RETRYABLE_OUTCOMES)),
+    "second": st.none() | st.builds(HedgeField, SPANS, st.none(), st.integers(2, 4), st.just(0.05)),
+    "budget": st.builds(RetryBudgetPolicy, SPANS, st.floats(0, 1), st.floats(0, 5)),
+}
+
+
+class RouteConfigTest(unittest.TestCase):
+    def test_inherited(self):
+        """What holds comes from the nearest that states it, the method last."""
+        got = read_routes(
+            '(route "base" (attempts 2) (attempt 1 s) (priority 1)) (route "mid" (like "base") '
+            '(takes (method "idem")) (priority 2)) (route "leaf" (like "mid") (takes (method "idem") '
+            '(program "p*")) (queue 30 ms) (deadline 3 s))'
+        )
+        effective = got.find("idem", "pq")
+        self.assertEqual(effective.route.name, "leaf")
+        self.assertEqual(
+            (
+                effective.policy.max_attempts,
+                effective.policy.priority,
+                effective.policy.queue_timeout,
+                effective.policy.deadline,
+                effective.policy.latency_objective,
+            ),
+            (2, 2, 30.0, 3000.0, 750.0),
+        )
+        self.assertEqual(sorted(effective.origins), ["attempt", "attempts", "deadline", "priority", "queue"])
+        self.assertEqual(got.find("tok", "pq").route.name, "base")
+
+    @settings(max_examples=200, deadline=None)
+    @given(
+        st.lists(
+            st.tuples(
+                st.sampled_from(["idem", "side", "tok", "i*", "*"]),
+                st.sampled_from(["p", "p*", "pq*", 'a "b"\\*', "*"]),
+                st.fixed_dictionaries({}, optional=FIELDS),
+            ),
+            min_size=1,
+            max_size=4,
+        )
+    )
+    def test_round_trip(self, drawn):
+        """Parsed, printed and parsed again it is the same."""
+        location = sexpr.SourceLocation("f", 1, 1)
+        made = [
+            Route(
+                f"r{at}",
+                location,
+                Pattern(method, function),
+                None,
+                RouteFields(**{ATTRIBUTES[key]: Stated(value, location) for key, value in fields.items()}),
+            )
+            for at, (method, function, fields) in enumerate(drawn)
+        ]
+        text = format_routes(made)
+        back = parse_routes(sexpr.parse(text, "f"), "f")
+        self.assertEqual(
+            [(r.name, r.pattern, {key: stated.value for key, stated in r.fields.stated().items()}) for r in back],
+            [(r.name, r.pattern, {key: stated.value for key, stated in r.fields.stated().items()}) for r in made],
+        )
+        self.assertEqual(format_routes(back), text)
+
+    def test_two_thousand(self):
+        """A file of 2,000 routes is checked within seconds, and each trouble in it is found."""
+        lines = [
+            f'(route "r{at}" (takes (method "idem") (program "p{at}/*")) (attempts 2) (attempt 1 s))'
+            for at in range(2000)
+        ]
+        lines[777] = lines[777].replace("1 s", "2 s")
+        lines[1500] = lines[1500].replace("p1500", "p1499")
+        began = time.monotonic()
+        with self.assertRaises(InvalidConfigError) as bad:
+            read_routes(" ".join(lines))
+        self.assertEqual(len(bad.exception.diagnostics), 2)
+        self.assertLess(time.monotonic() - began, 60)
+
+
+if __name__ == "__main__":
+    unittest.main()
--- /dev/null
+++ b/tests/test_route_matching.py
@@ -0,0 +1,67 @@
+"""Which route a request goes by, and which routes are ambiguous."""
+
+import unittest
+
+from wickdyke.route_policy.matching import Pattern, RouteTable, find_ambiguities
+
+
+class MatchingTest(unittest.TestCase):
+    def test_most_specific(self):
+        table = RouteTable(
+            [
+                (pattern, pattern)
+                for pattern in (
+                    Pattern(),
+                    Pattern("m"),
+                    Pattern("m", "p*"),
+                    Pattern("m", "pq*"),
+                    Pattern("m", "pqr"),
+                    Pattern("m", "pqr", "t"),
+                    Pattern(function="z*"),
+                    Pattern("m", "z*"),
+                )
+            ]
+        )
+        for request, expected in (
+            (("x", "x"), Pattern()),
+            (("m", "x"), Pattern("m")),
+            (("m", "p"), Pattern("m", "p*")),
+            (("m", "pqx"), Pattern("m", "pq*")),
+            (("m", "pqr"), Pattern("m", "pqr")),
+            (("m", "pqr", "t"), Pattern("m", "pqr", "t")),
+            (("m", "pqr", "u"), Pattern("m", "pqr")),
+            (("x", "zz"), Pattern(function="z*")),
+            (("m", "zz"), Pattern("m", "z*")),
+        ):
+            with self.subTest(request=request):
+                self.assertEqual(table.find(*request), expected)
+        self.assertIsNone(RouteTable([]).find("m", "p"))
+
+    def test_ties(self):
+        for patterns, count in (
+            ([Pattern("m"), Pattern(function="p")], 1),
+            ([Pattern("m"), Pattern("m", "p")], 0),
+            ([Pattern("m"), Pattern(function="p"), Pattern("m", "p")], 0),
+            ([Pattern(), Pattern()], 1),
+            ([Pattern("m"), Pattern("n")], 0),
+            ([Pattern("a*", "p"), Pattern("ab", "p*")], 1),
+            ([Pattern(function="p*"), Pattern(function="pq*")], 0),
+            ([Pattern("m", "p*"), Pattern("m", tenant="t"), Pattern(function="p*", tenant="t")], 3),
+            ([Pattern("m", "p*"), Pattern("m", tenant="t"), Pattern("m", "p*", "t")], 0),
+        ):
+            with self.subTest(patterns=patterns):
+                self.assertEqual(len(find_ambiguities(patterns)), count)
+
+    def test_looks_do_not_grow(self):
+        """The looks of a search hang on names, not on how many routes there are; found is what a plain search finds."""
+        looks = []
+        for many in (10, 1000, 10000):
+            patterns = [Pattern("m", f"p{at}/*") for at in range(many - 1)] + [Pattern("m")]
+            table = RouteTable([(pattern, pattern) for pattern in patterns])
+            self.assertEqual(table.find("m", "p7/x"), Pattern("m", "p7/*"))
+            looks.append(table.lookups)
+        self.assertLessEqual(max(looks), looks[0] + 4, looks)  # one for each length of a name's number
+
+
+if __name__ == "__main__":
+    unittest.main()
--- a/wickdyke/cli/routes.py
+++ b/wickdyke/cli/routes.py
@@ -1,14 +1,22 @@
-"""routes: what holds for an RPC."""
+"""The routes command: which policy holds for a request."""
 
 import sys
 
 import click
 
 from wickdyke.config import gateway_config, route_config
+from wickdyke.config.effective_policy import EffectivePolicy
+from wickdyke.config.gateway_config import GatewayConfig
+from wickdyke.config.route_format import format_values
+from wickdyke.config.route_syntax import ATTRIBUTES
 from wickdyke.config.sexpr import InvalidConfigError
 from wickdyke.fault_injection.report import table
 from wickdyke.jsonrpc.service import ground
-from wickdyke.route_policy.policy import format_schedule, worst_case_schedule
+from wickdyke.route_policy.policy import Environment, format_sum, worst_case_components
+from wickdyke.routing.model import RequestClass
+
+EXIT_INVALID = 2
+DEADLINES = ("soft-deadline", "deadline")
 
 
 @click.group()
@@ -29,49 +37,57 @@
         wickdyke routes show deploy/gateway.sexp suggest-tags tags/agency-7
     """
     try:
-        made = gateway_config.read(file)
-        found = route_config.read(made.routes, made.request_classes, ground(made)) if made.routes else None
-    except InvalidConfigError as bad:
-        print(bad, file=sys.stderr)
-        raise SystemExit(2) from None
-    known = next((each for each in made.request_classes if each.name == method), None)
-    if known is None:
-        print(
-            f"METHOD: found {method}, expected one of {', '.join(m.name for m in made.request_classes)}",
-            file=sys.stderr,
-        )
-        raise SystemExit(2)
-    held = found.find(method, program, tenant) if found else None
-    if held is None:
+        config = gateway_config.read(file)
+        environment = ground(config)
+        loaded = route_config.read(config.routes, config.request_classes, environment) if config.routes else None
+    except InvalidConfigError as error:
+        print(error, file=sys.stderr)
+        raise SystemExit(EXIT_INVALID) from None
+    request_class = _request_class(config, method)
+    effective = loaded.find(method, program, tenant) if loaded else None
+    if effective is None:
         print(
-            f"no route takes it: soft deadline {known.soft:g} ms, deadline {known.deadline:g} ms; "
-            "the module goes by its own lights"
+            f"no route takes it: soft deadline {request_class.latency_objective:g} ms, "
+            f"deadline {request_class.deadline:g} ms; the module goes by its own lights"
         )
         return
-    print(f'route "{held.route.name}", {held.route.spot}')
-    rows = []
-    for name, value in _values(held).items():
-        spot = held.origins.get(name)
-        rows.append([name, value, str(spot) if spot else f'method "{method}"' if "deadline" in name else "not stated"])
+    _print_policy(effective, method, environment)
+
+
+def _request_class(config: GatewayConfig, name: str) -> RequestClass:
+    """The request class of that name; exits if there is none."""
+    for request_class in config.request_classes:
+        if request_class.name == name:
+            return request_class
+    known = ", ".join(request_class.name for request_class in config.request_classes)
+    print(f"METHOD: found {name}, expected one of {known}", file=sys.stderr)
+    raise SystemExit(EXIT_INVALID)
+
+
+def _print_policy(effective: EffectivePolicy, method: str, environment: Environment) -> None:
+    print(f'route "{effective.route.name}", {effective.route.location}')
+    rows = [[key, value, _describe_origin(effective, key, method)] for key, value in _values(effective).items()]
     print(table(("field", "holds", "from"), rows))
-    schedule = format_schedule(worst_case_schedule(held.terms, ground(made)))
-    print(f"longest course: {schedule} of {held.terms.deadline:g} ms")
-
-
-def _values(held: route_config.EffectivePolicy) -> dict[str, str]:
-    values = {}
-    for name in route_config.READERS:
-        stated = held.route.holds(name)
-        if stated is not None:
-            text = route_config.field_text(name, stated[0])
-            values[name] = text[len(name) + 2 : -1]
-        else:
-            own = {
-                "soft-deadline": f"{held.terms.soft:g} ms",
-                "deadline": f"{held.terms.deadline:g} ms",
-                "attempts": str(held.terms.attempts),
-                "again": " ".join(sorted(held.terms.again)),
-                "priority": str(held.terms.priority),
-            }
-            values[name] = own.get(name, "-")
-    return values
+    longest = format_sum(worst_case_components(effective.policy, environment))
+    print(f"longest course: {longest} of {effective.policy.deadline:g} ms")
+
+
+def _describe_origin(effective: EffectivePolicy, key: str, method: str) -> str:
+    location = effective.origins.get(key)
+    if location is not None:
+        return str(location)
+    return f'method "{method}"' if key in DEADLINES else "not stated"
+
+
+def _values(effective: EffectivePolicy) -> dict[str, str]:
+    """The value of each field, by its key in the file: as stated, else the default, else a dash."""
+    policy = effective.policy
+    defaults = {
+        "soft-deadline": f"{policy.latency_objective:g} ms",
+        "deadline": f"{policy.deadline:g} ms",
+        "attempts": str(policy.max_attempts),
+        "again": " ".join(sorted(policy.retryable)),
+        "priority": str(policy.priority),
+    }
+    stated = format_values(effective.fields)
+    return {key: stated.get(key, defaults.get(key, "-")) for key in ATTRIBUTES}
--- /dev/null
+++ b/wickdyke/config/effective_policy.py
@@ -0,0 +1,94 @@
+"""What holds for the requests of one route and request class: what the route states or inherits, else the class."""
+
+from dataclasses import dataclass
+from typing import TypeVar
+
+from wickdyke.config.route_syntax import HedgeField, Route, RouteFields, Stated
+from wickdyke.config.schema import Diagnostics
+from wickdyke.config.sexpr import SourceLocation
+from wickdyke.route_policy.policy import NEVER_RAN, BackoffPolicy, HedgePolicy, Policy
+from wickdyke.routing.model import RequestClass, RoutePolicy
+
+T = TypeVar("T")
+
+
+@dataclass(slots=True, frozen=True)
+class EffectivePolicy:
+    """What holds for the requests of one route and request class, and the fields that state it."""
+
+    route: Route
+    policy: Policy
+    fields: RouteFields
+    router_policy: RoutePolicy
+
+    @property
+    def origins(self) -> dict[str, SourceLocation]:
+        """Where each stated field is stated, by its key in the file."""
+        return {key: stated.location for key, stated in self.fields.stated().items()}
+
+
+def effective_policy(
+    route: Route, route_fields: RouteFields, request_class: RequestClass, diagnostics: Diagnostics
+) -> EffectivePolicy:
+    """What holds for a route with these fields, its own and inherited ones; adds a diagnostic for a bad hedge."""
+    latency_objective = _value(route_fields.latency_objective, request_class.latency_objective)
+    attempt = _optional(route_fields.attempt)
+    policy = Policy(
+        latency_objective=latency_objective,
+        deadline=_value(route_fields.deadline, request_class.deadline),
+        attempt_timeout=None if attempt is None else attempt.timeout,
+        linger=None if attempt is None else attempt.linger,
+        max_attempts=_value(route_fields.max_attempts, 1),
+        backoff=_value(route_fields.backoff, BackoffPolicy()),
+        retryable=_value(route_fields.retryable, NEVER_RAN),
+        hedge=_hedge_policy(route_fields.hedge, latency_objective, diagnostics),
+        retry_budget=_optional(route_fields.retry_budget),
+        queue_timeout=_optional(route_fields.queue_timeout),
+        priority=_value(route_fields.priority, 0),
+    )
+    return EffectivePolicy(route, policy, route_fields, router_policy(policy, route.name))
+
+
+def _value(stated: Stated[T] | None, default: T) -> T:
+    return default if stated is None else stated.value
+
+
+def _optional(stated: Stated[T] | None) -> T | None:
+    return None if stated is None else stated.value
+
+
+def _hedge_policy(
+    stated: Stated[HedgeField | None] | None, latency_objective: float, diagnostics: Diagnostics
+) -> HedgePolicy | None:
+    if stated is None or stated.value is None:
+        return None
+    hedge = stated.value
+    if (hedge.after is None) == (hedge.after_share is None):
+        found = "(second ...) with " + ("neither" if hedge.after is None else "both")
+        diagnostics.add(stated.location, found, "either (after TIME) or (after-share SHARE)")
+    after = hedge.after if hedge.after is not None else latency_objective * (hedge.after_share or 0.0)
+    return HedgePolicy(after, hedge.max_concurrent, hedge.request_share)
+
+
+def router_policy(policy: Policy, budget_key: str) -> RoutePolicy:
+    """The policy as the router takes it.
+
+    The retry budget is kept by `budget_key`, the route's name: it goes on when the file is read again, also for
+    requests that were received under the earlier file.
+    """
+    backoff = policy.backoff
+    hedge = policy.hedge
+    budget = policy.retry_budget
+    longest_backoff = min(backoff.maximum, policy.deadline)  # recordings have no infinity; a longer one never ends
+    return RoutePolicy(
+        policy.latency_objective,
+        policy.attempt_timeout,
+        policy.max_attempts,
+        (backoff.initial, backoff.growth, longest_backoff, backoff.jitter),
+        policy.retryable,
+        (hedge.after, hedge.max_concurrent, hedge.request_share) if hedge else None,
+        (budget.window, budget.share, budget.floor) if budget else None,
+        policy.queue_timeout,
+        policy.priority,
+        budget_key,
+    )
--- a/wickdyke/jsonrpc/requests.py
+++ b/wickdyke/jsonrpc/requests.py
@@ -3,7 +3,8 @@
 from dataclasses import dataclass
 
 from wickdyke.config.gateway_config import GatewayConfig
-from wickdyke.config.route_config import EffectivePolicy, Routes
+from wickdyke.config.effective_policy import EffectivePolicy
+from wickdyke.config.route_config import Routes
 from wickdyke.protocol import client_messages, jsonrpc
 from wickdyke.routing.model import Effect, RequestClass, RoutePolicy
 
@@ -54,7 +55,7 @@
         self._fill_in(call, ident)
         self._check_tenant(call, ident)
         route = self._route(call)
-        most = route.terms.deadline if route else request_class.deadline
+        most = route.policy.deadline if route else request_class.deadline
         time_left = min(call.time_left_ms or most, most, time_left_most or most)
         return CheckedRequest(ident, request_class, call, time_left, route.router_policy if route else None)
 
@@ -71,7 +72,7 @@
         if request_class is None:
             return min(call.time_left_ms or most, most)
         route = self._route(call)
-        return min(call.time_left_ms or most, route.terms.deadline if route else request_class.deadline)
+        return min(call.time_left_ms or most, route.policy.deadline if route else request_class.deadline)
 
     def _request_class(self, call: client_messages.CallRequest, ident: jsonrpc.Ident) -> RequestClass:
         request_class = self.request_classes.get(call.method)
--- a/wickdyke/jsonrpc/service.py
+++ b/wickdyke/jsonrpc/service.py
@@ -6,7 +6,7 @@
 import threading
 from collections.abc import Callable
 
-from wickdyke.config import endpoint_file, route_config
+from wickdyke.config import endpoint_file, route_config, route_transition
 from wickdyke.config.gateway_config import GatewayConfig
 from wickdyke.gateway.circuit_breaker import CircuitBreaker
 from wickdyke.gateway.context import clock
@@ -76,12 +76,12 @@
 
     def _read_routes(self, path: str) -> route_config.Routes:
         found = route_config.read(path, self.config.request_classes, ground(self.config))
-        route_config.check_transition(found, path, self.succession, clock())
+        route_transition.check_transition(found, path, self.succession, clock())
         return found
 
     def _use_routes(self, found: route_config.Routes) -> dict:
         self.client_server.checker.routes = found
-        self.succession.follow(found.payers(), clock())
+        self.succession.activate(found.retry_budget_users(), clock())
         return {"routes": len(found.routes)}
 
     def open(self) -> None:
--- a/wickdyke/route_policy/__init__.py
+++ b/wickdyke/route_policy/__init__.py
@@ -1,1 +1,1 @@
-"""The arithmetic of deadlines, attempts and second copies of a route. Pure: no I/O, no clock."""
+"""Route policies: the arithmetic of deadlines, attempts, retries and hedges. Pure: no I/O, no clock."""
--- a/wickdyke/route_policy/matching.py
+++ b/wickdyke/route_policy/matching.py
@@ -1,109 +1,157 @@
-"""Which route takes an RPC: the most specific, found in a number of looks that hangs on names, not on routes."""
+"""Which route a request goes by: the most specific that matches it.
 
+The number of table lookups depends on the length of the names, not on the number of routes.
+"""
+
+from collections.abc import Collection, Iterator
 from dataclasses import dataclass
-from typing import Any
+from typing import Generic, NamedTuple, TypeVar
+
+WILDCARD = "*"
 
-ANY = "*"
+RouteT = TypeVar("RouteT")
 
 
-def covers(wide: str, narrow: str) -> bool:
-    """Whether all that `narrow` takes is also taken by `wide`. A pattern is a name, or a beginning and a star."""
-    if wide.endswith(ANY):
-        return narrow.startswith(wide[:-1])
-    return wide == narrow
+def pattern_covers(wider: str, narrower: str) -> bool:
+    """Whether `wider` matches all that `narrower` matches. A pattern is a name, or a prefix and a star."""
+    if wider.endswith(WILDCARD):
+        return narrower.startswith(wider[:-1])
+    return wider == narrower
 
 
-def takes(pattern: str, name: str) -> bool:
-    """Whether a name fits a pattern."""
-    return name.startswith(pattern[:-1]) if pattern.endswith(ANY) else pattern == name
+class PatternParts(NamedTuple):
+    """The parts of a pattern in the order in which the specific one takes precedence."""
+
+    function: str
+    method: str
+    tenant: str
 
 
 @dataclass(slots=True, frozen=True)
 class Pattern:
-    """What a route takes."""
+    """The requests that a route matches: each part is a name, or a prefix and a star."""
 
-    method: str = ANY
-    program: str = ANY
-    tenant: str = ANY
+    method: str = WILDCARD
+    function: str = WILDCARD
+    tenant: str = WILDCARD
 
     @property
-    def parts(self) -> tuple[str, str, str]:
-        """In the order in which the specific goes first."""
-        return self.program, self.method, self.tenant
+    def parts(self) -> PatternParts:
+        """The parts by precedence."""
+        return PatternParts(self.function, self.method, self.tenant)
 
     def covers(self, other: "Pattern") -> bool:
-        """Whether it takes all that the other takes."""
-        return all(covers(mine, its) for mine, its in zip(self.parts, other.parts, strict=True))
+        """Whether it matches all that the other matches."""
+        return all(pattern_covers(own, others) for own, others in zip(self.parts, other.parts, strict=True))
 
-    def meets(self, other: "Pattern") -> "Pattern | None":
-        """What both take, or None."""
+    def intersection(self, other: "Pattern") -> "Pattern | None":
+        """The pattern of what both match, or None."""
         parts = []
-        for mine, its in zip(self.parts, other.parts, strict=True):
-            if not covers(mine, its) and not covers(its, mine):
+        for own, others in zip(self.parts, other.parts, strict=True):
+            if pattern_covers(own, others):
+                parts.append(others)
+            elif pattern_covers(others, own):
+                parts.append(own)
+            else:
                 return None
-            parts.append(its if covers(mine, its) else mine)
-        program, method, tenant = parts
-        return Pattern(method, program, tenant)
-
-
-def find_ties(patterns: list[Pattern]) -> list[tuple[int, int, Pattern]]:
-    """Pairs of which neither is the more specific, though both take some RPC, and what both take; not those for which
-    a third route takes just that. Looked for by program, so that thousands of programs do not meet each other."""
-    known = set(patterns)
-    buckets: dict[str, list[int]] = {}
-    for at, pattern in enumerate(patterns):
-        buckets.setdefault(pattern.program, []).append(at)
-    found = []
-    for at, pattern in enumerate(patterns):
-        for program in beginnings(pattern.program, buckets):
-            for other in buckets[program]:
-                if other == at or program == pattern.program and other < at:
-                    continue
-                rival = patterns[other]
-                if rival.covers(pattern) and rival != pattern or pattern.covers(rival) and rival != pattern:
+        function, method, tenant = parts
+        return Pattern(method, function, tenant)
+
+
+@dataclass(slots=True, frozen=True)
+class Ambiguity:
+    """Two patterns, by their index, neither of which is the more specific, and what both match."""
+
+    first: int
+    second: int
+    overlap: Pattern
+
+
+def find_ambiguities(patterns: list[Pattern]) -> list[Ambiguity]:
+    """Pairs of patterns that match the same requests though neither is the more specific, in order of their index.
+
+    A pair is left out if a third pattern is exactly what both match.
+    """
+    declared = set(patterns)
+    ambiguities = []
+    for first, second in _pairs_by_function(patterns):
+        pattern, rival = patterns[first], patterns[second]
+        if pattern != rival and (rival.covers(pattern) or pattern.covers(rival)):
+            continue
+        overlap = pattern.intersection(rival)
+        if overlap is not None and (rival == pattern or overlap not in declared):
+            ambiguities.append(Ambiguity(min(first, second), max(first, second), overlap))
+    return sorted(ambiguities, key=lambda ambiguity: (ambiguity.first, ambiguity.second))
+
+
+def _pairs_by_function(patterns: list[Pattern]) -> Iterator[tuple[int, int]]:
+    """Each pair of which one function pattern covers the other, once; thousands of functions are not all compared."""
+    by_function: dict[str, list[int]] = {}
+    for index, pattern in enumerate(patterns):
+        by_function.setdefault(pattern.function, []).append(index)
+    for index, pattern in enumerate(patterns):
+        for function in covering_patterns(pattern.function, by_function):
+            for other in by_function[function]:
+                if other == index or (function == pattern.function and other < index):
                     continue
-                both = pattern.meets(rival)
-                if both is not None and (rival == pattern or both not in known):
-                    found.append((min(at, other), max(at, other), both))
-    return sorted(found, key=lambda tie: tie[:2])
+                yield index, other
 
 
-def beginnings(pattern: str, known) -> list[str]:
-    """The known patterns that cover this one, the longest first, itself included."""
-    stem = pattern.removesuffix(ANY)
-    whole = [pattern] if pattern in known else []
-    return whole + [wide for end in range(len(stem), -1, -1) if (wide := stem[:end] + ANY) in known and wide != pattern]
+def covering_patterns(pattern: str, declared: Collection[str]) -> list[str]:
+    """The declared patterns that cover this one, the longest first, itself included."""
+    stem = pattern.removesuffix(WILDCARD)
+    covering = [pattern] if pattern in declared else []
+    for end in range(len(stem), -1, -1):
+        wider = stem[:end] + WILDCARD
+        if wider in declared and wider != pattern:
+            covering.append(wider)
+    return covering
+
+
+class _PartIndex:
+    """The declared patterns of one part (function, method or tenant)."""
+
+    def __init__(self, declared: set[str]) -> None:
+        self.declared = declared
+        wildcards = (pattern for pattern in declared if pattern.endswith(WILDCARD))
+        self.prefix_lengths = sorted({len(pattern) - 1 for pattern in wildcards}, reverse=True)
+
+    @property
+    def lookups(self) -> int:
+        """How many lookups one search takes."""
+        return 1 + len(self.prefix_lengths)
+
+    def matching(self, name: str) -> list[str]:
+        """The declared patterns that match a name, the most specific first."""
+        matches = [name] if name in self.declared else []
+        for length in self.prefix_lengths:
+            pattern = name[:length] + WILDCARD
+            if length <= len(name) and pattern in self.declared:
+                matches.append(pattern)
+        return matches
 
 
-class RouteTable:
-    """Routes by what they take. `looks` counts the looks of the last search."""
+class RouteTable(Generic[RouteT]):
+    """Routes by their patterns. `lookups` counts the table lookups of the last search."""
 
-    def __init__(self, routes: list[tuple[Pattern, Any]]) -> None:
+    def __init__(self, routes: list[tuple[Pattern, RouteT]]) -> None:
         self.routes = {pattern.parts: route for pattern, route in routes}
-        self.known = [{parts[at] for parts in self.routes} for at in range(3)]
-        self.ends = [
-            sorted({len(each) - 1 for each in known if each.endswith(ANY)}, reverse=True) for known in self.known
-        ]
-        self.looks = 0
-
-    def _fits(self, at: int, name: str) -> list[str]:
-        known = self.known[at]
-        fits = [name] if name in known else []
-        for end in self.ends[at]:
-            if end <= len(name) and (pattern := name[:end] + ANY) in known:
-                fits.append(pattern)
-        self.looks += 1 + len(self.ends[at])
-        return fits
-
-    def find(self, method: str, program: str, tenant: str = "") -> Any:
-        """The most specific route that takes the RPC, or None. Where no two tie it is the first found so."""
-        self.looks = 0
-        methods, tenants = self._fits(1, method), self._fits(2, tenant)
-        for program_part in self._fits(0, program):
-            for method_part in methods:
-                for tenant_part in tenants:
-                    self.looks += 1
-                    route = self.routes.get((program_part, method_part, tenant_part))
+        self.functions = _PartIndex({parts.function for parts in self.routes})
+        self.methods = _PartIndex({parts.method for parts in self.routes})
+        self.tenants = _PartIndex({parts.tenant for parts in self.routes})
+        self.lookups = 0
+
+    def find(self, method: str, function: str, tenant: str = "") -> RouteT | None:
+        """The most specific route that matches a request, or None. The first if several are equally specific."""
+        methods = self.methods.matching(method)
+        tenants = self.tenants.matching(tenant)
+        functions = self.functions.matching(function)
+        self.lookups = self.methods.lookups + self.tenants.lookups + self.functions.lookups
+        for function_pattern in functions:
+            for method_pattern in methods:
+                for tenant_pattern in tenants:
+                    self.lookups += 1
+                    route = self.routes.get(PatternParts(function_pattern, method_pattern, tenant_pattern))
                     if route is not None:
                         return route
         return None
--- a/wickdyke/route_policy/policy.py
+++ b/wickdyke/route_policy/policy.py
@@ -1,43 +1,60 @@
-"""What a route states of an RPC's timing, and the figures of the deployment that it is checked against."""
+"""What a route states of the timing of its requests, and the longest time that such a request can take."""
 
 from dataclasses import dataclass, replace
 
-OUTCOMES = ("full", "miss", "unreached", "unsent", "error", "cut", "timeout")  # an attempt can end so, and not ok
-NEVER_RAN = frozenset({"full", "miss", "unreached", "unsent"})
+from wickdyke.routing.model import Outcome
+
+# Outcomes of an attempt after which its request may be retried, in the order in which messages list them.
+RETRYABLE_OUTCOMES = (
+    Outcome.FULL,
+    Outcome.MISS,
+    Outcome.UNREACHED,
+    Outcome.UNSENT,
+    Outcome.ERROR,
+    Outcome.CONNECTION_LOST,
+    Outcome.TIMEOUT,
+)
+# Outcomes after which the function has certainly not run.
+NEVER_RAN = frozenset({Outcome.FULL, Outcome.MISS, Outcome.UNREACHED, Outcome.UNSENT})
 
 
 @dataclass(slots=True, frozen=True)
 class BackoffPolicy:
-    """The wait before a further attempt: `first` ms, times `growth` for each one more, `most` at most; then up to
-    `spread` of it is added by chance."""
+    """The wait before a retry, in ms.
+
+    The first retry waits `initial`, each further one `growth` times as long, up to `maximum`. A random part of up to
+    `jitter` times that wait is added.
+    """
 
-    first: float = 0.0
+    initial: float = 0.0
     growth: float = 1.0
-    most: float = float("inf")
-    spread: float = 0.0
+    maximum: float = float("inf")
+    jitter: float = 0.0
 
-    def least(self, nth: int) -> float:
-        """The shortest wait before the nth further attempt, from 1."""
-        return min(self.most, self.first * self.growth ** (nth - 1))
+    def shortest_wait(self, retry: int) -> float:
+        """The shortest wait (ms) before a retry; the first retry is number 1."""
+        return min(self.maximum, self.initial * self.growth ** (retry - 1))
 
-    def greatest(self, nth: int) -> float:
-        """The longest."""
-        return self.least(nth) * (1 + self.spread)
+    def longest_wait(self, retry: int) -> float:
+        """The longest wait (ms) before a retry; the first retry is number 1."""
+        return self.shortest_wait(retry) * (1 + self.jitter)
 
 
 @dataclass(slots=True, frozen=True)
 class HedgePolicy:
-    """Second copies: one more call-out beside the first `after` so many ms without an answer (or after that share
-    of the soft deadline by which the usual latency is past), `at_once` at most, for a `share` of the RPCs."""
+    """Hedging: another attempt is sent beside one that has had no answer `after` ms.
+
+    At most `max_concurrent` attempts of a request are out at once; `request_share` of the requests may be hedged.
+    """
 
     after: float
-    at_once: int = 2
-    share: float = 0.05
+    max_concurrent: int = 2
+    request_share: float = 0.05
 
 
 @dataclass(slots=True, frozen=True)
 class RetryBudgetPolicy:
-    """Further attempts are paid from a budget: within `window` ms at most `floor` plus `share` of the RPCs."""
+    """Within `window` ms a route may send `floor` retries, and `share` for each of its requests."""
 
     window: float
     share: float
@@ -46,100 +63,106 @@
 
 @dataclass(slots=True, frozen=True)
 class Policy:
-    """All that holds for an RPC of a route. Times are ms. Without `attempt` one lasts as long as the RPC. `linger` is
-    how long a worker may still be at it past that time where time-outs do not cancel; None where nobody knows."""
+    """All that holds for a request of a route. Times are ms.
+
+    Without `attempt_timeout` an attempt may last as long as the request. `linger` is how long a worker may go on after
+    a timeout that does not cancel, None if that is unknown. Without `queue_timeout` a request waits for its first
+    attempt until it would be late.
+    """
 
-    soft: float
+    latency_objective: float
     deadline: float
-    attempt: float | None = None
+    attempt_timeout: float | None = None
     linger: float | None = None
-    attempts: int = 1
-    pause: BackoffPolicy = BackoffPolicy()
-    again: frozenset[str] = NEVER_RAN
-    second: HedgePolicy | None = None
-    budget: RetryBudgetPolicy | None = None
-    queue: float | None = None
+    max_attempts: int = 1
+    backoff: BackoffPolicy = BackoffPolicy()
+    retryable: frozenset[Outcome] = NEVER_RAN
+    hedge: HedgePolicy | None = None
+    retry_budget: RetryBudgetPolicy | None = None
+    queue_timeout: float | None = None
     priority: int = 0
 
 
 @dataclass(slots=True, frozen=True)
 class Environment:
-    """What the deployment gives: whether two call-outs may be out at once, whether a time-out cancels, the time to
-    dial (in which a cancel that can't be written is made good by a cut), the answer's way and the desk's tick."""
-
-    overlap: bool
-    cancel: bool
-    dial: float
-    answer_way: float
-    tick: float
-    call_outs: int
-
+    """The figures of the deployment that policies are checked against. Times are ms.
 
-@dataclass(slots=True, frozen=True)
-class MethodTerms:
-    """What the check needs of a method."""
+    `allows_overlap`: two attempts of a request may be out at once. `timeout_cancels`: an attempt that times out is
+    cancelled; a worker that does not read has its connection closed after `connect_timeout`. `answer_transit` is the
+    time an answer takes to the client, `tick` the interval at which waiting requests are looked at.
+    """
 
-    name: str
-    effect: str
-    scope: str
-    window: float
+    allows_overlap: bool
+    timeout_cancels: bool
+    connect_timeout: float
+    answer_transit: float
+    tick: float
+    max_attempts: int
 
 
 @dataclass(slots=True, frozen=True)
 class TimeComponent:
-    """One addend of a sum, named as the operator wrote it."""
+    """One addend of a worst-case time: `count` times `duration` ms, named as in the routes file."""
 
     name: str
-    each: float
-    times: int = 1
+    duration: float
+    count: int = 1
 
     @property
-    def whole(self) -> float:
-        """Its part of the sum."""
-        return self.each * self.times
+    def total(self) -> float:
+        """What it adds to the sum, in ms."""
+        return self.duration * self.count
 
 
-def worst_case_schedule(terms: Policy, ground: Environment, attempts: int | None = None) -> list[TimeComponent]:
-    """The longest that an RPC with so many attempts can take, from when it is taken to when its answer is there.
+def worst_case_components(policy: Policy, environment: Environment, attempts: int | None = None) -> list[TimeComponent]:
+    """The longest time from the arrival of a request to its answer at the client, as a list of addends.
 
-    It may wait its whole queueing time for a first place, and is looked at a tick later. Each attempt may take all of
-    its time, and where its cancel can't be written it ends a time to dial later, by a cut. Each further attempt
-    waits its pause with all its spread, and is looked at a tick after that.
+    The request waits its whole queue timeout and is looked at a tick later. Each attempt takes its whole timeout, and
+    the connect timeout more where it can't be cancelled and its connection is closed instead. Each retry waits its
+    backoff with all its jitter, and is looked at a tick after that. `attempts` replaces those of the policy.
     """
-    many = terms.attempts if attempts is None else attempts
-    parts = [TimeComponent("queue", 0.0 if terms.queue is None else terms.queue), TimeComponent("tick", ground.tick)]
-    if terms.attempt is not None:
-        parts += [TimeComponent("attempt", terms.attempt, many), TimeComponent("dial", ground.dial, many)]
-    pauses = sum(terms.pause.greatest(nth) for nth in range(1, many))
-    if many > 1:
-        parts += [TimeComponent("pauses with their spread", pauses), TimeComponent("tick", ground.tick, many - 1)]
-    return [*parts, TimeComponent("answer-way", ground.answer_way)]
+    count = policy.max_attempts if attempts is None else attempts
+    components = [
+        TimeComponent("queue", 0.0 if policy.queue_timeout is None else policy.queue_timeout),
+        TimeComponent("tick", environment.tick),
+    ]
+    if policy.attempt_timeout is not None:
+        components.append(TimeComponent("attempt", policy.attempt_timeout, count))
+        components.append(TimeComponent("dial", environment.connect_timeout, count))
+    if count > 1:
+        backoff = sum(policy.backoff.longest_wait(retry) for retry in range(1, count))
+        components.append(TimeComponent("pauses with their spread", backoff))
+        components.append(TimeComponent("tick", environment.tick, count - 1))
+    components.append(TimeComponent("answer-way", environment.answer_transit))
+    return components
 
 
-def total(parts: list[TimeComponent]) -> float:
-    """The sum."""
-    return sum(part.whole for part in parts)
+def total_time(components: list[TimeComponent]) -> float:
+    """The sum of the addends, in ms."""
+    return sum(component.total for component in components)
 
 
-def format_schedule(parts: list[TimeComponent]) -> str:
-    """The sum as a person checks it."""
+def format_sum(components: list[TimeComponent]) -> str:
+    """The sum and its addends as text; addends of 0 are left out."""
     addends = [
-        f"{part.name} {part.times} x {part.each:g}" if part.times > 1 else f"{part.name} {part.each:g}"
-        for part in parts
-        if part.whole
+        f"{component.name} {component.count} x {component.duration:g}"
+        if component.count > 1
+        else f"{component.name} {component.duration:g}"
+        for component in components
+        if component.total
     ]
-    return " + ".join(addends) + f" = {total(parts):g} ms"
+    return " + ".join(addends) + f" = {total_time(components):g} ms"
 
 
-def attempts_that_fit(terms: Policy, ground: Environment) -> int:
-    """The most attempts whose longest course ends by the deadline; 0 if not even one does."""
-    return max(
-        (n for n in range(1, terms.attempts + 1) if total(worst_case_schedule(terms, ground, n)) <= terms.deadline),
-        default=0,
-    )
+def max_attempts_within_deadline(policy: Policy, environment: Environment) -> int:
+    """The largest number of attempts whose worst case ends by the deadline; 0 if not even one does."""
+    for attempts in range(policy.max_attempts, 0, -1):
+        if total_time(worst_case_components(policy, environment, attempts)) <= policy.deadline:
+            return attempts
+    return 0
 
 
-def longest_attempt_that_fits(terms: Policy, ground: Environment) -> float:
-    """The longest time for one attempt with which all attempts fit; below 0 if none does."""
-    rest = total(worst_case_schedule(replace(terms, attempt=0.0), ground))
-    return (terms.deadline - rest) / terms.attempts
+def max_attempt_timeout_within_deadline(policy: Policy, environment: Environment) -> float:
+    """The longest attempt timeout (ms) with which all attempts end by the deadline; below 0 if there is none."""
+    other = total_time(worst_case_components(replace(policy, attempt_timeout=0.0), environment))
+    return (policy.deadline - other) / policy.max_attempts
--- a/wickdyke/route_policy/transition.py
+++ b/wickdyke/route_policy/transition.py
@@ -1,8 +1,8 @@
-"""Whether a new routes file would strand RPCs that were taken under an earlier one.
+"""Whether a new routes file would strand requests that were received under an earlier one.
 
-An RPC keeps the terms it was taken with, so only one thing it hangs on can be taken away: what other RPCs of its route
-pay into the budget for further attempts. A budget with a floor of an attempt or more can always pay one; one that lives
-by its share alone can pay none once no RPC of the route comes any more. Pure: times are ms of the caller's clock.
+A request keeps the policy it was received with. Only its retry budget depends on later requests of its route. A budget
+with a floor of one retry or more can always pay one; one that lives by its share alone can pay none once no more
+requests of the route arrive. Pure: times are ms of the caller's clock.
 """
 
 from dataclasses import dataclass
@@ -13,73 +13,93 @@
 
 @dataclass(slots=True, frozen=True)
 class RetryBudgetUser:
-    """A route as far as its budget goes. `lives` is how long an RPC of it may take, in ms."""
+    """A route as far as its retry budget goes. `request_lifetime` is how long its requests may be open, in ms."""
 
     name: str
-    takes: Pattern
-    budget: RetryBudgetPolicy | None
-    attempts: int
-    lives: float
+    pattern: Pattern
+    retry_budget: RetryBudgetPolicy | None
+    max_attempts: int
+    request_lifetime: float
 
     @property
-    def hangs(self) -> bool:
-        """Whether its RPCs in flight need others to pay for their further attempts."""
-        return self.attempts > 1 and self.budget is not None and self.budget.floor < 1
+    def share_only_budget(self) -> RetryBudgetPolicy | None:
+        """Its retry budget, if retries of open requests depend on later requests; else None."""
+        budget = self.retry_budget
+        return budget if self.max_attempts > 1 and budget is not None and budget.floor < 1 else None
 
 
 @dataclass(slots=True, frozen=True)
-class StrandedRequest:
-    """Whose RPCs would be stranded and why; `until` is when the last of them is answered, None while more come."""
+class StrandedRequests:
+    """Requests of a route that would be stranded, why, and when the last is answered (None while more arrive)."""
 
-    payer: RetryBudgetUser
-    why: str
+    route_name: str
+    budget: RetryBudgetPolicy
+    request_lifetime: float
+    reason: str
     until: float | None
 
 
+@dataclass(slots=True, frozen=True)
+class _EarlierRoute:
+    """A route that was replaced, whose requests may be open until then."""
+
+    until: float
+    route: RetryBudgetUser
+
+
 class PolicyTransition:
-    """The routes in force, and those of earlier files whose RPCs may be in flight still."""
+    """The routes in force, and those of earlier files whose requests may still be open."""
 
     def __init__(self) -> None:
-        self.now_held: list[RetryBudgetUser] = []
-        self.earlier: list[tuple[float, RetryBudgetUser]] = []
+        self.current: list[RetryBudgetUser] = []
+        self.earlier: list[_EarlierRoute] = []
 
-    def strands(self, new: list[RetryBudgetUser], now: float) -> list[StrandedRequest]:
+    def stranded_requests(self, new: list[RetryBudgetUser], now: float) -> list[StrandedRequests]:
         """What would be stranded if `new` came into force now."""
-        named = {payer.name: payer for payer in new}
-        found = [
-            StrandedRequest(payer, why, until)
-            for payer, until in [
-                *((payer, None) for payer in self.now_held),
-                *((payer, until) for until, payer in self.earlier if until > now),
-            ]
-            if payer.hangs and (why := _cut_off(payer, named.get(payer.name), new))
+        by_name = {route.name: route for route in new}
+        candidates: list[tuple[RetryBudgetUser, float | None]] = [(route, None) for route in self.current]
+        candidates += [(earlier.route, earlier.until) for earlier in self.earlier if earlier.until > now]
+        stranded: dict[tuple[RetryBudgetUser, float | None], StrandedRequests] = {}
+        for route, until in candidates:
+            budget = route.share_only_budget
+            if budget is None:
+                continue
+            reason = _reason_stranded(route, budget, by_name.get(route.name), new)
+            if reason:
+                stranded[route, until] = StrandedRequests(route.name, budget, route.request_lifetime, reason, until)
+        return list(stranded.values())
+
+    def activate(self, new: list[RetryBudgetUser], now: float) -> None:
+        """Puts `new` into force from now on."""
+        self.earlier = [earlier for earlier in self.earlier if earlier.until > now]
+        self.earlier += [
+            _EarlierRoute(now + route.request_lifetime, route)
+            for route in self.current
+            if route.share_only_budget is not None and route not in new
         ]
-        return list({(each.payer, each.until): each for each in found}.values())
+        self.current = list(new)
 
-    def follow(self, new: list[RetryBudgetUser], now: float) -> None:
-        """`new` is in force from now on."""
-        self.earlier = [(until, payer) for until, payer in self.earlier if until > now]
-        self.earlier += [(now + payer.lives, payer) for payer in self.now_held if payer.hangs and payer not in new]
-        self.now_held = list(new)
 
-
-def _cut_off(old: RetryBudgetUser, heir: RetryBudgetUser | None, new: list[RetryBudgetUser]) -> str:
-    """Why nothing would be paid in for the old route's RPCs any more; empty where something still is."""
-    if heir is None:
+def _reason_stranded(
+    old: RetryBudgetUser, budget: RetryBudgetPolicy, successor: RetryBudgetUser | None, new: list[RetryBudgetUser]
+) -> str:
+    """Why no later request would add to the old route's budget; empty if some would."""
+    if successor is None:
         return "is gone"
-    if heir.budget is None or heir.attempts < 2:
+    if successor.retry_budget is None or successor.max_attempts < 2:
         return "has a budget no more"
-    if heir.budget.window != old.budget.window:
-        return f"counts its budget over {heir.budget.window:g} ms instead of {old.budget.window:g} ms"
-    both = old.takes.meets(heir.takes)
-    if both is None:
+    if successor.retry_budget.window != budget.window:
+        return f"counts its budget over {successor.retry_budget.window:g} ms instead of {budget.window:g} ms"
+    common = old.pattern.intersection(successor.pattern)
+    if common is None:
         return "takes none of the RPCs it took"
-    if any(
-        payer.name != old.name
-        and payer.takes.covers(both)
-        and heir.takes.covers(payer.takes)
-        and payer.takes != heir.takes
-        for payer in new
-    ):
+    if any(_takes_over(route, successor, common) for route in new if route.name != old.name):
         return "leaves all the RPCs it took to others"
     return ""
+
+
+def _takes_over(route: RetryBudgetUser, successor: RetryBudgetUser, common: Pattern) -> bool:
+    """Whether a more specific route than the successor matches all requests of a pattern."""
+    return (
+        route.pattern.covers(common) and successor.pattern.covers(route.pattern) and route.pattern != successor.pattern
+    )
--- a/wickdyke/route_policy/validation.py
+++ b/wickdyke/route_policy/validation.py
@@ -1,248 +1,269 @@
-"""Whether a route's terms can break a rule: each refusal with the sum that shows it and the nearest terms that pass.
-
-A refusal's `schedule` is a course of events, in ms from when the RPC is taken, that ends where it must not.
+"""Whether a route's policy can break a rule: each violation with the sum that shows it and the nearest policy that
+passes.
 """
 
+import math
+from collections.abc import Iterator
 from dataclasses import dataclass
 
 from wickdyke.route_policy.policy import (
     NEVER_RAN,
     Environment,
-    MethodTerms,
+    HedgePolicy,
     Policy,
-    attempts_that_fit,
-    format_schedule,
-    longest_attempt_that_fits,
-    total,
-    worst_case_schedule,
+    format_sum,
+    max_attempt_timeout_within_deadline,
+    max_attempts_within_deadline,
+    total_time,
+    worst_case_components,
 )
+from wickdyke.routing.model import Effect, Outcome, RequestClass
+
+
+@dataclass(slots=True, frozen=True)
+class TimelineEvent:
+    """What happens to a request `at` ms after it was received."""
+
+    at: float
+    description: str
+
+
+Timeline = tuple[TimelineEvent, ...]
 
 
 @dataclass(slots=True, frozen=True)
 class Violation:
-    """Why terms are refused: the field at fault, what was found, what was expected, the nearest that passes, and a
-    schedule that shows the harm (empty where the harm is no matter of time)."""
+    """Why a policy is rejected: the field at fault as the routes file calls it, what was found, what was expected.
+
+    `suggestion` is the nearest that passes, `timeline` a course of events that shows the harm; either may be empty.
+    """
 
     field: str
     found: str
     expected: str
-    nearest: str = ""
-    schedule: tuple[tuple[float, str], ...] = ()
-
-
-def worst_case_course(terms: Policy, ground: Environment) -> tuple[tuple[float, str], ...]:
-    """The longest course an RPC can take under these terms."""
-    at, events = 0.0, [(0.0, "taken")]
-    at += (0.0 if terms.queue is None else terms.queue) + ground.tick
-    for nth in range(1, terms.attempts + 1):
-        if nth > 1:
-            at += terms.pause.greatest(nth - 1) + ground.tick
-        events.append((at, f"attempt {nth} is sent"))
-        if terms.attempt is not None:
-            at += terms.attempt + ground.dial
-            events.append((at, f"attempt {nth} is over: its time is up, and its link cut for want of a cancel"))
-    return (*events, (at + ground.answer_way, "the answer is there"))
-
-
-def validate(terms: Policy, method: MethodTerms, ground: Environment) -> list[Violation]:
-    """All that is wrong with the terms of one route for one method, each once."""
-    found: list[Violation] = []
-    _deadlines(terms, ground, found)
-    _counts(terms, ground, found)
-    _at_once(terms, ground, found)
-    _effects(terms, method, ground, found)
-    _budget(terms, found)
-    return found
-
-
-def _deadlines(terms: Policy, ground: Environment, found: list[Violation]) -> None:
-    if terms.soft >= terms.deadline:
-        found.append(
-            Violation(
-                "soft-deadline",
-                f"a soft deadline of {terms.soft:g} ms",
-                f"one before the deadline, {terms.deadline:g} ms",
-            )
+    suggestion: str = ""
+    timeline: Timeline = ()
+
+
+def worst_case_timeline(policy: Policy, environment: Environment) -> Timeline:
+    """The longest course that a request can take under this policy."""
+    events = [TimelineEvent(0.0, "taken")]
+    at = (0.0 if policy.queue_timeout is None else policy.queue_timeout) + environment.tick
+    for attempt in range(1, policy.max_attempts + 1):
+        if attempt > 1:
+            at += policy.backoff.longest_wait(attempt - 1) + environment.tick
+        events.append(TimelineEvent(at, f"attempt {attempt} is sent"))
+        if policy.attempt_timeout is not None:
+            at += policy.attempt_timeout + environment.connect_timeout
+            ended = f"attempt {attempt} is over: its time is up, and its link cut for want of a cancel"
+            events.append(TimelineEvent(at, ended))
+    events.append(TimelineEvent(at + environment.answer_transit, "the answer is there"))
+    return tuple(events)
+
+
+def validate(policy: Policy, request_class: RequestClass, environment: Environment) -> list[Violation]:
+    """All violations of a route's policy for one class of requests, each once."""
+    return [
+        *_deadline_violations(policy, environment),
+        *_count_violations(policy, environment),
+        *_hedge_violations(policy, environment),
+        *_lingering_attempt_violations(policy, environment),
+        *_effect_violations(policy, request_class, environment),
+        *_retry_budget_violations(policy),
+    ]
+
+
+def _deadline_violations(policy: Policy, environment: Environment) -> Iterator[Violation]:
+    if policy.latency_objective >= policy.deadline:
+        yield Violation(
+            "soft-deadline",
+            f"a soft deadline of {policy.latency_objective:g} ms",
+            f"one before the deadline, {policy.deadline:g} ms",
         )
         return
-    parts = worst_case_schedule(terms, ground)
-    if total(parts) <= terms.deadline:
-        return
-    many, long = attempts_that_fit(terms, ground), longest_attempt_that_fits(terms, ground)
-    near = [f"(attempts {many})"] if many and many < terms.attempts else []
-    near += [f"(attempt {int(long)} ms)"] if terms.attempt is not None and long >= 1 else []
-    rest = terms.deadline - total(parts) + (terms.queue or 0.0)
-    near += [f"(queue {int(rest)} ms)"] if terms.queue and rest >= 0 else []
-    near = near or [f"(deadline {int(-(-total(parts) // 1))} ms)"]
-    found.append(
-        Violation(
-            "attempts" if terms.attempts > 1 else "deadline",
-            f"{terms.attempts} attempts that can take {format_schedule(parts)}",
-            f"at most the deadline, {terms.deadline:g} ms",
-            " or ".join(near),
-            worst_case_course(terms, ground),
+    components = worst_case_components(policy, environment)
+    if total_time(components) > policy.deadline:
+        yield Violation(
+            "attempts" if policy.max_attempts > 1 else "deadline",
+            f"{policy.max_attempts} attempts that can take {format_sum(components)}",
+            f"at most the deadline, {policy.deadline:g} ms",
+            _suggest_within_deadline(policy, environment),
+            worst_case_timeline(policy, environment),
         )
-    )
 
 
-def _counts(terms: Policy, ground: Environment, found: list[Violation]) -> None:
-    if terms.attempts > ground.call_outs:
-        found.append(
-            Violation(
-                "attempts",
-                f"{terms.attempts} attempts",
-                f"at most the {ground.call_outs} call-outs of (call-outs (most ...))",
-                f"(attempts {ground.call_outs})",
-            )
+def _suggest_within_deadline(policy: Policy, environment: Environment) -> str:
+    """Fewer attempts, a shorter attempt or a shorter queue that meet the deadline; a longer deadline if none does."""
+    worst_case = total_time(worst_case_components(policy, environment))
+    suggestions = []
+    attempts = max_attempts_within_deadline(policy, environment)
+    if 0 < attempts < policy.max_attempts:
+        suggestions.append(f"(attempts {attempts})")
+    attempt_timeout = max_attempt_timeout_within_deadline(policy, environment)
+    if policy.attempt_timeout is not None and attempt_timeout >= 1:
+        suggestions.append(f"(attempt {int(attempt_timeout)} ms)")
+    queue_timeout = policy.deadline - worst_case + (policy.queue_timeout or 0.0)
+    if policy.queue_timeout and queue_timeout >= 0:
+        suggestions.append(f"(queue {int(queue_timeout)} ms)")
+    return " or ".join(suggestions) or f"(deadline {math.ceil(worst_case)} ms)"
+
+
+def _count_violations(policy: Policy, environment: Environment) -> Iterator[Violation]:
+    if policy.max_attempts > environment.max_attempts:
+        yield Violation(
+            "attempts",
+            f"{policy.max_attempts} attempts",
+            f"at most the {environment.max_attempts} call-outs of (call-outs (most ...))",
+            f"(attempts {environment.max_attempts})",
         )
-    if terms.pause.most < terms.pause.first:
-        found.append(
-            Violation(
-                "pause",
-                f"a first pause of {terms.pause.first:g} ms over the most of {terms.pause.most:g} ms",
-                "the first at most the most",
-                f"(first {terms.pause.most:g} ms)",
-            )
+    if policy.backoff.maximum < policy.backoff.initial:
+        yield Violation(
+            "pause",
+            f"a first pause of {policy.backoff.initial:g} ms over the most of {policy.backoff.maximum:g} ms",
+            "the first at most the most",
+            f"(first {policy.backoff.maximum:g} ms)",
         )
-    if "timeout" in terms.again and terms.attempt is None and terms.attempts > 1:
-        found.append(
-            Violation(
-                "again",
-                "timeout tried again, and no time for one attempt",
-                "(attempt TIME): without it the time-out is the RPC's own end",
-            )
+    if Outcome.TIMEOUT in policy.retryable and policy.attempt_timeout is None and policy.max_attempts > 1:
+        yield Violation(
+            "again",
+            "timeout tried again, and no time for one attempt",
+            "(attempt TIME): without it the time-out is the RPC's own end",
         )
 
 
-def _at_once(terms: Policy, ground: Environment, found: list[Violation]) -> None:
-    second = terms.second
-    if second is not None:
-        if not ground.overlap:
-            found.append(
-                Violation(
-                    "second",
-                    f"a second copy after {second.after:g} ms",
-                    "none: this deployment forbids two call-outs at once",
-                    "leave (second ...) out",
-                    ((0.0, "taken, sent"), (second.after, "a second copy is sent beside the first")),
-                )
-            )
-        elif terms.attempts < second.at_once:
-            found.append(
-                Violation(
-                    "second",
-                    f"{second.at_once} at once of {terms.attempts} attempts in all",
-                    "an attempt for each copy",
-                    f"(attempts {second.at_once})",
-                )
-            )
-        elif terms.attempt is not None and second.after >= terms.attempt:
-            found.append(
-                Violation(
-                    "second",
-                    f"a second copy after {second.after:g} ms",
-                    f"one before the attempt's time is up, {terms.attempt:g} ms",
-                    f"(after {terms.attempt - 1:g} ms)",
-                )
-            )
-        elif second.after >= terms.deadline - ground.answer_way:
-            found.append(
-                Violation(
-                    "second",
-                    f"a second copy after {second.after:g} ms",
-                    f"one before the client gives up, {terms.deadline:g} ms",
-                )
-            )
-    tried = terms.attempts > 1 and "timeout" in terms.again and terms.attempt is not None
-    if ground.overlap or ground.cancel or not tried:
+def _hedge_violations(policy: Policy, environment: Environment) -> Iterator[Violation]:
+    hedge = policy.hedge
+    if hedge is None:
         return
-    least = min(terms.pause.least(nth) for nth in range(1, terms.attempts))
-    if terms.linger is None or least < terms.linger:
-        rest = "for as long as its worker likes" if terms.linger is None else f"for {terms.linger:g} ms more"
-        sent = terms.attempt + least
-        found.append(
-            Violation(
-                "pause",
-                f"a pause of {least:g} ms after a time-out that does not cancel, its call-out out {rest}",
-                "no two call-outs at once",
-                f"(pause (first {terms.linger:g} ms))"
-                if terms.linger is not None
-                else "(linger TIME) of the attempt and a pause as long, or (cancel yes)",
-                (
-                    (0.0, "attempt 1 is sent"),
-                    (terms.attempt, "its time is up; it is still out"),
-                    (sent, "attempt 2 is sent beside it"),
-                ),
-            )
+    if not environment.allows_overlap:
+        yield Violation(
+            "second",
+            _describe_hedge(hedge),
+            "none: this deployment forbids two call-outs at once",
+            "leave (second ...) out",
+            (
+                TimelineEvent(0.0, "taken, sent"),
+                TimelineEvent(hedge.after, "a second copy is sent beside the first"),
+            ),
+        )
+    elif policy.max_attempts < hedge.max_concurrent:
+        yield Violation(
+            "second",
+            f"{hedge.max_concurrent} at once of {policy.max_attempts} attempts in all",
+            "an attempt for each copy",
+            f"(attempts {hedge.max_concurrent})",
+        )
+    elif policy.attempt_timeout is not None and hedge.after >= policy.attempt_timeout:
+        yield Violation(
+            "second",
+            _describe_hedge(hedge),
+            f"one before the attempt's time is up, {policy.attempt_timeout:g} ms",
+            f"(after {policy.attempt_timeout - 1:g} ms)",
+        )
+    elif hedge.after >= policy.deadline - environment.answer_transit:
+        yield Violation("second", _describe_hedge(hedge), f"one before the client gives up, {policy.deadline:g} ms")
+
+
+def _describe_hedge(hedge: HedgePolicy) -> str:
+    return f"a second copy after {hedge.after:g} ms"
+
+
+def _lingering_attempt_violations(policy: Policy, environment: Environment) -> Iterator[Violation]:
+    """A retry that can be sent while the worker is still at an attempt that timed out and was not cancelled."""
+    if environment.allows_overlap or environment.timeout_cancels:
+        return
+    if policy.attempt_timeout is None or policy.max_attempts < 2 or Outcome.TIMEOUT not in policy.retryable:
+        return
+    shortest_wait = min(policy.backoff.shortest_wait(retry) for retry in range(1, policy.max_attempts))
+    if policy.linger is None:
+        lingers = "for as long as its worker likes"
+        suggestion = "(linger TIME) of the attempt and a pause as long, or (cancel yes)"
+    elif shortest_wait < policy.linger:
+        lingers = f"for {policy.linger:g} ms more"
+        suggestion = f"(pause (first {policy.linger:g} ms))"
+    else:
+        return
+    yield Violation(
+        "pause",
+        f"a pause of {shortest_wait:g} ms after a time-out that does not cancel, its call-out out {lingers}",
+        "no two call-outs at once",
+        suggestion,
+        (
+            TimelineEvent(0.0, "attempt 1 is sent"),
+            TimelineEvent(policy.attempt_timeout, "its time is up; it is still out"),
+            TimelineEvent(policy.attempt_timeout + shortest_wait, "attempt 2 is sent beside it"),
+        ),
+    )
+
+
+def _effect_violations(policy: Policy, request_class: RequestClass, environment: Environment) -> Iterator[Violation]:
+    if request_class.effect == Effect.SIDE_EFFECTING:
+        yield from _side_effect_violations(policy, request_class)
+    elif request_class.effect == Effect.KEYED:
+        yield from _deduplication_violations(policy, request_class, environment)
+
+
+def _side_effect_violations(policy: Policy, request_class: RequestClass) -> Iterator[Violation]:
+    if policy.hedge is not None:
+        yield Violation(
+            "second",
+            f'a second copy of "{request_class.name}"',
+            "none: it is side-effecting",
+            "leave (second ...) out",
+        )
+    may_have_run = sorted(policy.retryable - NEVER_RAN)
+    if may_have_run and policy.max_attempts > 1:
+        yield Violation(
+            "again",
+            f'"{request_class.name}" tried again after {", ".join(may_have_run)}',
+            "only what never ran: it is side-effecting",
+            f"(again {' '.join(sorted(policy.retryable & NEVER_RAN)) or 'full'})",
+            (
+                TimelineEvent(0.0, "attempt 1 is sent and runs"),
+                TimelineEvent(1.0, f"it ends as {may_have_run[0]}"),
+                TimelineEvent(2.0 + policy.backoff.shortest_wait(1), "attempt 2 is sent and runs again"),
+            ),
+        )
+
+
+def _deduplication_violations(
+    policy: Policy, request_class: RequestClass, environment: Environment
+) -> Iterator[Violation]:
+    """A retry that can be sent after the window in which workers know the idempotency key."""
+    retries_what_may_have_run = policy.max_attempts > 1 and bool(policy.retryable - NEVER_RAN)
+    if not retries_what_may_have_run or policy.attempt_timeout is None:
+        return  # without an attempt timeout the router itself sends no retry past the window
+    attempts_and_waits = worst_case_components(policy, environment)[2:-1]  # without queue, first tick and answer-way
+    last_sent = total_time(attempts_and_waits) - policy.attempt_timeout - environment.connect_timeout
+    if last_sent > request_class.dedupe_window:
+        yield Violation(
+            "attempts",
+            f'"{request_class.name}" sent again up to {last_sent:g} ms after its first attempt',
+            f"at most its window, {request_class.dedupe_window:g} ms",
+            timeline=(
+                TimelineEvent(0.0, "attempt 1 is sent and runs"),
+                TimelineEvent(last_sent, f"attempt {policy.max_attempts} is sent past the window"),
+            ),
         )
 
 
-def _effects(terms: Policy, method: MethodTerms, ground: Environment, found: list[Violation]) -> None:
-    may_have_run = sorted(terms.again - NEVER_RAN)
-    if method.effect == "side-effecting":
-        if terms.second is not None:
-            found.append(
-                Violation(
-                    "second",
-                    f'a second copy of "{method.name}"',
-                    "none: it is side-effecting",
-                    "leave (second ...) out",
-                )
-            )
-        if may_have_run and terms.attempts > 1:
-            found.append(
-                Violation(
-                    "again",
-                    f'"{method.name}" tried again after {", ".join(may_have_run)}',
-                    "only what never ran: it is side-effecting",
-                    f"(again {' '.join(sorted(terms.again & NEVER_RAN)) or 'full'})",
-                    (
-                        (0.0, "attempt 1 is sent and runs"),
-                        (1.0, f"it ends as {may_have_run[0]}"),
-                        (2.0 + terms.pause.least(1), "attempt 2 is sent and runs again"),
-                    ),
-                )
-            )
-    elif method.effect == "tokened" and may_have_run and terms.attempts > 1:
-        if terms.attempt is None:
-            return  # the module sends none past the window; the course is as long as the RPC
-        parts = [part for part in worst_case_schedule(terms, ground) if part.name not in ("queue", "answer-way")][1:]
-        span = total(parts) - terms.attempt - ground.dial
-        if span > method.window:
-            found.append(
-                Violation(
-                    "attempts",
-                    f'"{method.name}" sent again up to {span:g} ms after its first attempt',
-                    f"at most its window, {method.window:g} ms",
-                    schedule=(
-                        (0.0, "attempt 1 is sent and runs"),
-                        (span, f"attempt {terms.attempts} is sent past the window"),
-                    ),
-                )
-            )
-
-
-def _budget(terms: Policy, found: list[Violation]) -> None:
-    budget = terms.budget
+def _retry_budget_violations(policy: Policy) -> Iterator[Violation]:
+    budget = policy.retry_budget
     if budget is None:
         return
     if not budget.window:
-        found.append(Violation("budget", "a budget over a window of 0 ms", "a window", "(window 10 s)"))
+        yield Violation("budget", "a budget over a window of 0 ms", "a window", "(window 10 s)")
     elif budget.floor < 1 and not budget.share:
-        found.append(
-            Violation(
-                "budget",
-                f"a floor of {budget.floor:g} and no share",
-                "a budget that can pay one further attempt",
-                "(floor 1)",
-            )
+        yield Violation(
+            "budget",
+            f"a floor of {budget.floor:g} and no share",
+            "a budget that can pay one further attempt",
+            "(floor 1)",
         )
-    elif terms.attempts == 1 and terms.second is None:
-        found.append(
-            Violation(
-                "budget",
-                "a budget and one attempt in all",
-                "further attempts that it could pay",
-                "(attempts 2), or leave (budget ...) out",
-            )
+    elif policy.max_attempts == 1 and policy.hedge is None:
+        yield Violation(
+            "budget",
+            "a budget and one attempt in all",
+            "further attempts that it could pay",
+            "(attempts 2), or leave (budget ...) out",
         )
