--- a/tests/test_route_config.py
+++ b/tests/test_route_config.py
@@ -15,9 +15,9 @@
     HedgeField,
     Route,
     RouteFields,
-    Stated,
     parse_routes,
 )
+from wickdyke.config.schema import Located
 from wickdyke.config.sexpr import InvalidConfigError
 from wickdyke.route_policy.matching import Pattern
 from wickdyke.route_policy.policy import RETRYABLE_OUTCOMES, BackoffPolicy, RetryBudgetPolicy
@@ -83,7 +83,7 @@
                 location,
                 Pattern(method, function),
                 None,
-                RouteFields(**{ATTRIBUTES[key]: Stated(value, location) for key, value in fields.items()}),
+                RouteFields(**{ATTRIBUTES[key]: Located(value, location) for key, value in fields.items()}),
             )
             for at, (method, function, fields) in enumerate(drawn)
         ]
--- a/wickdyke/cli/routes.py
+++ b/wickdyke/cli/routes.py
@@ -7,6 +7,7 @@
 from wickdyke.config import gateway_config, route_config
 from wickdyke.config.effective_policy import EffectivePolicy
 from wickdyke.config.gateway_config import GatewayConfig
+from wickdyke.config.route_config import Routes
 from wickdyke.config.route_format import format_values
 from wickdyke.config.route_syntax import ATTRIBUTES
 from wickdyke.config.sexpr import InvalidConfigError
@@ -39,7 +40,7 @@
     try:
         config = gateway_config.read(file)
         environment = ground(config)
-        loaded = route_config.read(config.routes, config.request_classes, environment) if config.routes else None
+        loaded = _read_routes(config, environment)
     except InvalidConfigError as error:
         print(error, file=sys.stderr)
         raise SystemExit(EXIT_INVALID) from None
@@ -54,6 +55,13 @@
     _print_policy(effective, method, environment)
 
 
+def _read_routes(config: GatewayConfig, environment: Environment) -> Routes | None:
+    """The routes that the settings name, if any."""
+    if config.routes_path is None:
+        return None
+    return route_config.read(config.routes_path, config.request_classes, environment)
+
+
 def _request_class(config: GatewayConfig, name: str) -> RequestClass:
     """The request class of that name; exits if there is none."""
     for request_class in config.request_classes:
--- a/wickdyke/config/effective_policy.py
+++ b/wickdyke/config/effective_policy.py
@@ -3,8 +3,8 @@
 from dataclasses import dataclass
 from typing import TypeVar
 
-from wickdyke.config.route_syntax import HedgeField, Route, RouteFields, Stated
-from wickdyke.config.schema import Diagnostics
+from wickdyke.config.route_syntax import HedgeField, Route, RouteFields
+from wickdyke.config.schema import Diagnostics, Located
 from wickdyke.config.sexpr import SourceLocation
 from wickdyke.route_policy.policy import NEVER_RAN, BackoffPolicy, HedgePolicy, Policy
 from wickdyke.routing.model import RequestClass, RoutePolicy
@@ -49,16 +49,16 @@
     return EffectivePolicy(route, policy, route_fields, router_policy(policy, route.name))
 
 
-def _value(stated: Stated[T] | None, default: T) -> T:
+def _value(stated: Located[T] | None, default: T) -> T:
     return default if stated is None else stated.value
 
 
-def _optional(stated: Stated[T] | None) -> T | None:
+def _optional(stated: Located[T] | None) -> T | None:
     return None if stated is None else stated.value
 
 
 def _hedge_policy(
-    stated: Stated[HedgeField | None] | None, latency_objective: float, diagnostics: Diagnostics
+    stated: Located[HedgeField | None] | None, latency_objective: float, diagnostics: Diagnostics
 ) -> HedgePolicy | None:
     if stated is None or stated.value is None:
         return None
--- a/wickdyke/config/route_syntax.py
+++ b/wickdyke/config/route_syntax.py
@@ -2,10 +2,22 @@
 
 from collections.abc import Callable
 from dataclasses import dataclass, fields
-from typing import Generic, TypeVar
+from typing import Any, TypeVar
 
 from wickdyke.config import schema
-from wickdyke.config.schema import Diagnostics, Field, choice, count, number, record, span, text
+from wickdyke.config.schema import (
+    Diagnostics,
+    Field,
+    Located,
+    Reader,
+    choice,
+    count,
+    number,
+    record,
+    span,
+    text,
+    unlocated,
+)
 from wickdyke.config.sexpr import Atom, Expression, SourceLocation
 from wickdyke.route_policy.matching import WILDCARD, Pattern
 from wickdyke.route_policy.policy import RETRYABLE_OUTCOMES, BackoffPolicy, RetryBudgetPolicy
@@ -16,14 +28,6 @@
 T = TypeVar("T")
 
 
-@dataclass(slots=True, frozen=True)
-class Stated(Generic[T]):
-    """The value of a field, and where the file states it."""
-
-    value: T
-    location: SourceLocation
-
-
 @dataclass(slots=True, frozen=True)
 class AttemptField:
     """`(attempt TIME (linger TIME))`, in ms: the timeout of an attempt, and how long a worker may go on after it."""
@@ -46,38 +50,23 @@
 class RouteFields:
     """The fields that a route states, None where it does not. A hedge of the value None is `(second never)`."""
 
-    latency_objective: Stated[float] | None = None
-    deadline: Stated[float] | None = None
-    attempt: Stated[AttemptField] | None = None
-    max_attempts: Stated[int] | None = None
-    backoff: Stated[BackoffPolicy] | None = None
-    retryable: Stated[frozenset[Outcome]] | None = None
-    hedge: Stated[HedgeField | None] | None = None
-    retry_budget: Stated[RetryBudgetPolicy] | None = None
-    queue_timeout: Stated[float] | None = None
-    priority: Stated[int] | None = None
-
-    def stated(self) -> dict[str, Stated[object]]:
+    latency_objective: Located[float] | None = None
+    deadline: Located[float] | None = None
+    attempt: Located[AttemptField] | None = None
+    max_attempts: Located[int] | None = None
+    backoff: Located[BackoffPolicy] | None = None
+    retryable: Located[frozenset[Outcome]] | None = None
+    hedge: Located[HedgeField | None] | None = None
+    retry_budget: Located[RetryBudgetPolicy] | None = None
+    queue_timeout: Located[float] | None = None
+    priority: Located[int] | None = None
+
+    def stated(self) -> dict[str, Located[object]]:
         """The fields that are stated, by their key in the file."""
         values = {key: getattr(self, attribute) for key, attribute in ATTRIBUTES.items()}
         return {key: value for key, value in values.items() if value is not None}
 
 
-# The attribute of RouteFields for each key of the file, in the order in which fields are listed.
-ATTRIBUTES = {
-    "soft-deadline": "latency_objective",
-    "deadline": "deadline",
-    "attempt": "attempt",
-    "attempts": "max_attempts",
-    "pause": "backoff",
-    "again": "retryable",
-    "second": "hedge",
-    "budget": "retry_budget",
-    "queue": "queue_timeout",
-    "priority": "priority",
-}
-
-
 @dataclass(slots=True, frozen=True)
 class Route:
     """One route as the file states it. `like` names the route whose fields it inherits."""
@@ -127,18 +116,12 @@
     return frozenset(outcome for outcome in RETRYABLE_OUTCOMES if outcome in words)
 
 
-def _hedge(
-    location: SourceLocation, after: float | None, after_share: float | None, at_once: int, part: float
-) -> HedgeField:
-    return HedgeField(after, after_share, at_once, part)
-
-
 _read_hedge_record = record(
-    _hedge,
+    unlocated(HedgeField),
     after=Field(span(1.0), None),
     after_share=Field(number(0.01, 10), None),
-    at_once=Field(count(2, 10), 2),
-    part=Field(number(0.0001, 1), 0.05),
+    at_once=Field(count(2, 10), 2, parameter="max_concurrent"),
+    part=Field(number(0.0001, 1), 0.05, parameter="request_share"),
 )
 
 
@@ -147,88 +130,81 @@
     if len(form.items) == 1 and isinstance(form.items[0], Atom):
         choice(never=None)(form, diagnostics)
         return None
-    hedge: HedgeField | None = _read_hedge_record(form, diagnostics)
-    return hedge
-
-
-def _backoff(location: SourceLocation, first: float, growth: float, most: float, spread: float) -> BackoffPolicy:
-    return BackoffPolicy(first, growth, most, spread)
-
-
-def _retry_budget(location: SourceLocation, window: float, share: float, floor: float) -> RetryBudgetPolicy:
-    return RetryBudgetPolicy(window, share, floor)
-
-
-def _pattern(location: SourceLocation, method: str, program: str, tenant: str) -> Pattern:
-    return Pattern(method, program, tenant)
+    return _read_hedge_record(form, diagnostics)
 
 
 _read_backoff = record(
-    _backoff,
-    first=Field(span()),
+    unlocated(BackoffPolicy),
+    first=Field(span(), parameter="initial"),
     growth=Field(number(1, 100), 1.0),
-    most=Field(span(), float("inf")),
-    spread=Field(number(0, 10), 0.0),
+    most=Field(span(), float("inf"), parameter="maximum"),
+    spread=Field(number(0, 10), 0.0, parameter="jitter"),
 )
 _read_retry_budget = record(
-    _retry_budget,
+    unlocated(RetryBudgetPolicy),
     window=Field(span()),
     share=Field(number(0, 100), 0.0),
     floor=Field(number(0, 1e6), 0.0),
 )
 _read_pattern = record(
-    _pattern,
+    unlocated(Pattern),
     method=Field(text, WILDCARD),
-    program=Field(text, WILDCARD),
+    program=Field(text, WILDCARD, parameter="function"),
     tenant=Field(text, WILDCARD),
 )
 
 
-def _stated(reader: Callable[[Expression, Diagnostics], T]) -> Callable[[Expression, Diagnostics], Stated[T]]:
-    """A reader that keeps the place of what it reads."""
+def _located(reader: Callable[[Expression, Diagnostics], T]) -> Reader[Located[T]]:
+    """A reader that keeps the place of what it reads, also where that is None."""
 
-    def read(form: Expression, diagnostics: Diagnostics) -> Stated[T]:
-        return Stated(reader(form, diagnostics), form.location)
+    def read(form: Expression, diagnostics: Diagnostics) -> Located[T]:
+        return Located(reader(form, diagnostics), form.location)
 
     return read
 
 
+# How each field of a route is read, by its key in the file, and the attribute of RouteFields that it becomes. This is
+# the order in which fields are listed.
+_FIELDS: dict[str, Field[Any]] = {
+    "soft-deadline": Field(_located(span(1.0)), None, parameter="latency_objective"),
+    "deadline": Field(_located(span(1.0)), None, parameter="deadline"),
+    "attempt": Field(_located(_read_attempt), None, parameter="attempt"),
+    "attempts": Field(_located(count(1, 100)), None, parameter="max_attempts"),
+    "pause": Field(_located(_read_backoff), None, parameter="backoff"),
+    "again": Field(_located(_read_retryable), None, parameter="retryable"),
+    "second": Field(_located(_read_hedge), None, parameter="hedge"),
+    "budget": Field(_located(_read_retry_budget), None, parameter="retry_budget"),
+    "queue": Field(_located(span()), None, parameter="queue_timeout"),
+    "priority": Field(_located(count(-1000, 1000)), None, parameter="priority"),
+}
+# The attribute of RouteFields for each key of the file.
+ATTRIBUTES = {key: field.parameter for key, field in _FIELDS.items()}
+
+
 def _route(
-    location: SourceLocation, name: str, takes: Pattern, like: str | None, **stated: Stated[object] | None
+    location: SourceLocation, name: str, pattern: Pattern, like: str | None, **stated: Located[Any] | None
 ) -> Route:
-    values = {ATTRIBUTES[key.replace("_", "-")]: value for key, value in stated.items()}
-    return Route(name, location, takes, like, RouteFields(**values))  # type: ignore[arg-type]  # typed by its reader
+    return Route(name, location, pattern, like, RouteFields(**stated))
 
 
 _read_route = record(
     _route,
     named=True,
-    takes=Field(_read_pattern, Pattern()),
+    takes=Field(_read_pattern, Pattern(), parameter="pattern"),
     like=Field(text, None),
-    soft_deadline=Field(_stated(span(1.0)), None),
-    deadline=Field(_stated(span(1.0)), None),
-    attempt=Field(_stated(_read_attempt), None),
-    attempts=Field(_stated(count(1, 100)), None),
-    pause=Field(_stated(_read_backoff), None),
-    again=Field(_stated(_read_retryable), None),
-    second=Field(_stated(_read_hedge), None),
-    budget=Field(_stated(_read_retry_budget), None),
-    queue=Field(_stated(span()), None),
-    priority=Field(_stated(count(-1000, 1000)), None),
+    **{key.replace("-", "_"): field for key, field in _FIELDS.items()},
 )
 
 
-def _routes(location: SourceLocation, route: list[Route]) -> list[Route]:
+def _routes(route: list[Route]) -> list[Route]:
     return route
 
 
-_read_routes = record(_routes, route=Field(_read_route, None, many=True))
+_read_routes = record(unlocated(_routes), route=Field(_read_route, None, many=True))
 
 
 def parse_routes(forms: list[Expression], path: str) -> list[Route]:
     """The routes of a file's expressions; raises InvalidConfigError with all that is wrong with their form."""
     diagnostics = Diagnostics()
-    form = schema.single_expression(forms, "routes", path, diagnostics)
-    routes: list[Route] | None = _read_routes(form, diagnostics) if form is not None else None
-    diagnostics.raise_if_any()
-    return routes or []
+    routes = schema.read_single(forms, "routes", path, _read_routes, diagnostics)
+    return schema.required(routes, diagnostics)
