--- a/tests/test_coordinator.py
+++ b/tests/test_coordinator.py
@@ -337,7 +337,9 @@
             self.assertIn('route \\"r\\" is gone', running.said.getvalue())
             running.route(bare % " (floor 1)")
             self.assertTrue(
-                until(lambda: running.gateway.client_server.checker.routes.routes[0].fields.retry_budget.value.floor == 1)
+                until(
+                    lambda: running.gateway.client_server.checker.routes.routes[0].fields.retry_budget.value.floor == 1
+                )
             )
             running.route(other)
             self.assertTrue(until(lambda: named() == ["s"]))
--- a/wickdyke/jsonrpc/requests.py
+++ b/wickdyke/jsonrpc/requests.py
@@ -2,8 +2,8 @@
 
 from dataclasses import dataclass
 
-from wickdyke.config.gateway_config import GatewayConfig
 from wickdyke.config.effective_policy import EffectivePolicy
+from wickdyke.config.gateway_config import GatewayConfig
 from wickdyke.config.route_config import Routes
 from wickdyke.protocol import client_messages, jsonrpc
 from wickdyke.routing.model import Effect, RequestClass, RoutePolicy
