--- a/tests/test_fault_injection.py
+++ b/tests/test_fault_injection.py
@@ -136,7 +136,7 @@
                 sink.flush()
                 with self.assertRaises(InvalidConfigError) as raised:
                     scenario.read(sink.name)
-                self.assertEqual(len(raised.exception.troubles), 1, raised.exception)
+                self.assertEqual(len(raised.exception.diagnostics), 1, raised.exception)
                 for word in words:
                     self.assertIn(word, str(raised.exception))
 
--- a/wickdyke/fault_injection/faults.py
+++ b/wickdyke/fault_injection/faults.py
@@ -9,7 +9,7 @@
 
 from wickdyke.config import schema, sexpr
 from wickdyke.config.schema import Diagnostics, Reader, count, number, span
-from wickdyke.config.sexpr import Atom, Expression, SourceLocation
+from wickdyke.config.sexpr import Atom, AtomKind, Expression, SourceLocation
 
 
 class FaultKind(Enum):
@@ -81,7 +81,7 @@
 class FaultParameter:
     """A value of a fault: how it is read, and what it is where it is left out."""
 
-    reader: Reader
+    reader: Reader[float]
     default: float
 
 
@@ -223,9 +223,9 @@
     """Read (at TIME (FAULT ...)), as in `(at 5 s (die "w3"))`; None where it is invalid."""
     items = expression.items
     if not items or not isinstance(items[-1], Expression):
-        diagnostics.add(expression.spot, "(at ...) without a trouble", "(at TIME (TROUBLE ...))")
+        diagnostics.add(expression.location, "(at ...) without a trouble", "(at TIME (TROUBLE ...))")
         return None
-    at = span()(Expression("at", items[:-1], expression.spot), diagnostics)
+    at = span()(Expression("at", items[:-1], expression.location), diagnostics)
     return _read_fault(items[-1], diagnostics, at=at)
 
 
@@ -233,7 +233,9 @@
     """Read (on (EVENT WORKER NTH) (FAULT ...)), as in `(on (call-out "w2" 20) (die "w2"))`; None where invalid."""
     parts = [item for item in expression.items if isinstance(item, Expression)]
     if len(expression.items) != 2 or len(parts) != 2:
-        diagnostics.add(expression.spot, "(on ...) with other items", '(on (call-out|load "WORKER" NTH) (TROUBLE ...))')
+        diagnostics.add(
+            expression.location, "(on ...) with other items", '(on (call-out|load "WORKER" NTH) (TROUBLE ...))'
+        )
         return None
     event, fault_expression = parts
     if not _check_trigger(event, diagnostics):
@@ -242,14 +244,14 @@
     if kind is None or not FAULT_SPECIFICATIONS[kind].on_event:
         allowed = [kind.value for kind, specification in FAULT_SPECIFICATIONS.items() if specification.on_event]
         diagnostics.add(
-            fault_expression.spot, schema.describe(fault_expression), "on an event one of " + ", ".join(allowed)
+            fault_expression.location, schema.describe(fault_expression), "on an event one of " + ", ".join(allowed)
         )
         return None
     trigger = _build_trigger(event)
     fault = _read_fault(fault_expression, diagnostics, trigger=trigger)
     if fault is not None and fault.targets != (trigger.worker,):
         diagnostics.add(
-            fault_expression.spot,
+            fault_expression.location,
             f"trouble at {', '.join(fault.targets)}",
             f"the worker of the event, {trigger.worker}",
         )
@@ -259,9 +261,9 @@
 def _check_trigger(event: Expression, diagnostics: Diagnostics) -> bool:
     atom_kinds = [item.kind for item in event.items if isinstance(item, Atom)]
     known_events = [known.value for known in TriggerEvent]
-    if event.name in known_events and atom_kinds == ["string", "number"]:
+    if event.name in known_events and atom_kinds == [AtomKind.STRING, AtomKind.NUMBER]:
         return True
-    diagnostics.add(event.spot, schema.describe(event), '(call-out "WORKER" NTH) or (load "WORKER" NTH)')
+    diagnostics.add(event.location, schema.describe(event), '(call-out "WORKER" NTH) or (load "WORKER" NTH)')
     return False
 
 
@@ -277,14 +279,14 @@
 ) -> Fault | None:
     kind = NAMES.get(expression.name)
     if kind is None:
-        diagnostics.add(expression.spot, f"({expression.name} ...)", "a trouble: " + ", ".join(NAMES))
+        diagnostics.add(expression.location, f"({expression.name} ...)", "a trouble: " + ", ".join(NAMES))
         return None
     specification = FAULT_SPECIFICATIONS[kind]
     if specification.target is FaultTarget.ROUTES:  # any text: a scenario may also put in an invalid route file
-        return Fault(kind, (), {}, expression.spot, at, trigger, _text_of_items(expression))
+        return Fault(kind, (), {}, expression.location, at, trigger, _text_of_items(expression))
     targets = _read_targets(expression, specification, diagnostics)
     values = _read_values(expression, specification, diagnostics)
-    return Fault(kind, targets, values, expression.spot, at, trigger)
+    return Fault(kind, targets, values, expression.location, at, trigger)
 
 
 def _text_of_items(expression: Expression) -> str:
@@ -296,12 +298,14 @@
 def _read_targets(
     expression: Expression, specification: FaultSpecification, diagnostics: Diagnostics
 ) -> tuple[str, ...]:
-    targets = tuple(str(item.value) for item in expression.items if isinstance(item, Atom) and item.kind == "string")
+    targets = tuple(
+        str(item.value) for item in expression.items if isinstance(item, Atom) and item.kind is AtomKind.STRING
+    )
     takes_none = specification.target is FaultTarget.NONE
     if takes_none != (not targets):
         target = specification.target.value.removesuffix("s")
         diagnostics.add(
-            expression.spot,
+            expression.location,
             f"({expression.name} with {len(targets)} names)",
             "none" if takes_none else f"at least one {target} in double quotes",
         )
@@ -317,7 +321,7 @@
         if isinstance(item, Expression) and item.name in parameters:
             key = FaultValue(item.name)
             values[key] = parameters[key].reader(item, diagnostics)
-        elif isinstance(item, Expression) or item.kind != "string":
+        elif isinstance(item, Expression) or item.kind is not AtomKind.STRING:
             allowed = ", ".join(f"({key} ...)" for key in parameters) or "nothing else"
-            diagnostics.add(item.spot, schema.describe(item), f"names, and {allowed}")
+            diagnostics.add(item.location, schema.describe(item), f"names, and {allowed}")
     return values
--- a/wickdyke/fault_injection/rig_processes.py
+++ b/wickdyke/fault_injection/rig_processes.py
@@ -96,8 +96,8 @@
             speed=scenario.speed,
             memory_mb=scenario.worker_memory_mb,
             idle_life=scenario.idle_lifetime_ms,
-            queue_most=scenario.queue_limit,
-            cold=warming_up,
+            queue_capacity=scenario.queue_limit,
+            warming_up=warming_up,
             start_share=scenario.slow_start.start_share,
             ramp=scenario.slow_start.ramp_ms,
             multiple=scenario.slow_start.overload_multiple,
@@ -131,7 +131,11 @@
             arguments = self._real_store_arguments()
         else:
             trace_path = self._folder.trace_file("store")
-            config = FakeStoreConfig(self._folder.file("store.sock"), trace_path, self._scenario.store_concurrency)
+            config = FakeStoreConfig(
+                socket=self._folder.file("store.sock"),
+                trace=trace_path,
+                full_speed_fetches=self._scenario.store_concurrency,
+            )
             arguments = _module_arguments("fake_store", config)
         self._store = self._spawn("store", arguments, wait_until_ready=True)
 
@@ -151,14 +155,14 @@
         kinds = [
             RequestKind(
                 method=request_class.name,
-                part=request_class.weight,
-                deadline=request_class.deadline_ms,
+                weight=request_class.weight,
+                deadline_ms=request_class.deadline_ms,
                 work_ms=request_class.work_ms,
-                programs=request_class.function_count,
+                functions=request_class.function_count,
                 memory_mb=request_class.memory_mb,
-                lanes=request_class.concurrency,
+                concurrency=request_class.concurrency,
                 load_ms=request_class.load_ms,
-                tokened=request_class.effect is Effect.TOKENED,
+                has_idempotency_key=request_class.effect is Effect.TOKENED,
             )
             for request_class in scenario.request_classes
         ]
@@ -168,10 +172,10 @@
             gateways={name: self._folder.file(f"{name}.sock") for name in gateway_names(scenario)},
             kinds=kinds,
             rate=scenario.request_rate,
-            length=scenario.duration_ms,
+            duration_ms=scenario.duration_ms,
             seed=scenario.seed,
             connections=scenario.connections,
-            most=scenario.max_requests,
+            max_requests=scenario.max_requests,
         )
 
     def close(self) -> None:
--- a/wickdyke/fault_injection/scenario.py
+++ b/wickdyke/fault_injection/scenario.py
@@ -1,6 +1,7 @@
 """Scenarios: files of S-expressions that state which processes run, their traffic, and which faults come when.
 
-The keys of scenario files are the names of the fields in the tables below; the builders map them to the records.
+The keys of scenario files are the names of the fields in the tables below; where the name in the record is another,
+`parameter` gives it.
 """
 
 from dataclasses import dataclass, field
@@ -8,8 +9,8 @@
 from typing import Any
 
 from wickdyke.config import schema, sexpr
-from wickdyke.config.schema import Diagnostics, Field, choice, count, flag, number, record, size, span
-from wickdyke.config.sexpr import Expression
+from wickdyke.config.schema import Diagnostics, Field, choice, count, flag, number, record, size, span, unlocated
+from wickdyke.config.sexpr import Expression, SourceLocation
 from wickdyke.fault_injection.faults import (
     FAULT_SPECIFICATIONS,
     Fault,
@@ -118,133 +119,80 @@
     faults: list[Fault] = field(default_factory=list)
 
 
-def _build_request_class(**values: Any) -> RequestClassTraffic:
-    return RequestClassTraffic(
-        name=values["name"],
-        effect=values["effect"],
-        scope=values["scope"],
-        key_window_ms=values["window"],
-        soft_deadline_ms=values["soft_deadline"],
-        deadline_ms=values["deadline"],
-        gain=values["gain"],
-        late_gain=values["late_gain"],
-        weight=values["part"],
-        work_ms=values["work"],
-        function_count=values["programs"],
-        memory_mb=values["memory"],
-        concurrency=values["lanes"],
-        load_ms=values["load"],
-    )
-
-
-def _build_slow_start(**values: Any) -> SlowStart:
-    return SlowStart(values["start_share"], values["ramp"], values["multiple"], values["window"])
-
-
-def _build_prewarm_quota(**values: Any) -> PrewarmQuota:
-    return PrewarmQuota(values["free"], values["share"], values["window"])
-
-
-def _build_scenario(**values: Any) -> Scenario:
-    return Scenario(
-        name=values["name"],
-        seed=values["seed"],
-        duration_ms=values["length"],
-        gateway_count=values["gateways"],
-        worker_count=values["workers"],
-        zone_count=values["zones"],
-        cores=values["cores"],
-        speed=values["speed"],
-        worker_memory_mb=values["memory"],
-        queue_limit=values["queue"],
-        idle_lifetime_ms=values["idle_life"],
-        request_rate=values["rate"],
-        connections=values["connections"],
-        max_requests=values["most"],
-        max_attempts=values["call_outs"],
-        overlap=values["overlap"],
-        drain_grace_ms=values["drain_grace"],
-        endpoint_lag_ms=values["list_lag"],
-        response_transit_ms=values["answer_way"],
-        transit_ms=values["transit"],
-        store_concurrency=values["store_pace"],
-        slow_start=values["warmup"],
-        prewarm_quota=values["ration"],
-        request_classes=values["method"],
-        cancel_supported=values["cancel"],
-        real_workers=values["runtime"],
-        prewarming=values["holds"],
-        routes=" ".join(values["route"]),
-        faults=[*values["at"], *values["on"]],
-    )
-
-
 def _route_text(expression: Expression, diagnostics: Diagnostics) -> str:
     return sexpr.format_expression(expression)
 
 
 REQUEST_CLASS = record(
-    _build_request_class,
+    unlocated(RequestClassTraffic),
     named=True,
     effect=Field(choice(idempotent=Effect.IDEMPOTENT, tokened=Effect.TOKENED, side_effecting=Effect.SIDE_EFFECTING)),
     scope=Field(choice(all=EffectScope.ALL, zone=EffectScope.ZONE, cell=EffectScope.CELL), EffectScope.ALL),
-    window=Field(span(), 0.0),
-    soft_deadline=Field(span(1)),
-    deadline=Field(span(1)),
+    window=Field(span(), 0.0, parameter="key_window_ms"),
+    soft_deadline=Field(span(1), parameter="soft_deadline_ms"),
+    deadline=Field(span(1), parameter="deadline_ms"),
     gain=Field(number(0, 1e6), 1.0),
     late_gain=Field(number(0, 1), 0.2),
-    part=Field(number(0, 1e6), 1.0),
-    work=Field(span(0.01)),
-    programs=Field(count(1, 10000), 20),
-    memory=Field(size(), 2000.0),
-    lanes=Field(count(1, 1000), 4),
-    load=Field(span(), 500.0),
+    part=Field(number(0, 1e6), 1.0, parameter="weight"),
+    work=Field(span(0.01), parameter="work_ms"),
+    programs=Field(count(1, 10000), 20, parameter="function_count"),
+    memory=Field(size(), 2000.0, parameter="memory_mb"),
+    lanes=Field(count(1, 1000), 4, parameter="concurrency"),
+    load=Field(span(), 500.0, parameter="load_ms"),
 )
 SLOW_START = record(
-    _build_slow_start,
+    unlocated(SlowStart),
     start_share=Field(number(0.001, 1), 0.25),
-    ramp=Field(span(), 6000.0),
-    multiple=Field(number(1, 1000), 3.0),
-    window=Field(span(1), 1500.0),
+    ramp=Field(span(), 6000.0, parameter="ramp_ms"),
+    multiple=Field(number(1, 1000), 3.0, parameter="overload_multiple"),
+    window=Field(span(1), 1500.0, parameter="window_ms"),
 )
 PREWARM_QUOTA = record(
-    _build_prewarm_quota,
+    unlocated(PrewarmQuota),
     free=Field(number(0, 1e6), 0.0),
     share=Field(number(0, 1e6), 0.0),
-    window=Field(span(), 0.0),
+    window=Field(span(), 0.0, parameter="window_ms"),
 )
+
+
+def _build_scenario(
+    route: list[str], timed_faults: list[Fault], triggered_faults: list[Fault], **values: Any
+) -> Scenario:
+    return Scenario(routes=" ".join(route), faults=[*timed_faults, *triggered_faults], **values)
+
+
 SCENARIO = record(
-    _build_scenario,
+    unlocated(_build_scenario),
     named=True,
     route=Field(_route_text, None, many=True),
-    cancel=Field(flag, True),
-    runtime=Field(flag, False),
-    holds=Field(flag, True),
+    cancel=Field(flag, True, parameter="cancel_supported"),
+    runtime=Field(flag, False, parameter="real_workers"),
+    holds=Field(flag, True, parameter="prewarming"),
     seed=Field(count(0, 2**31), 1),
-    length=Field(span(100)),
-    gateways=Field(count(1, 64), 2),
-    workers=Field(count(1, 200), 6),
-    zones=Field(count(1, 20), 1),
+    length=Field(span(100), parameter="duration_ms"),
+    gateways=Field(count(1, 64), 2, parameter="gateway_count"),
+    workers=Field(count(1, 200), 6, parameter="worker_count"),
+    zones=Field(count(1, 20), 1, parameter="zone_count"),
     cores=Field(count(1, 1000), 4),
     speed=Field(number(0.01, 100), 1.0),
-    memory=Field(size(1), 24000.0),
-    queue=Field(count(1, 10**6), 200),
-    idle_life=Field(span(100), 6000.0),
-    rate=Field(number(0.1, 100000), 100.0),
+    memory=Field(size(1), 24000.0, parameter="worker_memory_mb"),
+    queue=Field(count(1, 10**6), 200, parameter="queue_limit"),
+    idle_life=Field(span(100), 6000.0, parameter="idle_lifetime_ms"),
+    rate=Field(number(0.1, 100000), 100.0, parameter="request_rate"),
     connections=Field(count(1, 1000), 2),
-    most=Field(count(0, 10**7), 0),
-    call_outs=Field(count(1, 100), 3),
+    most=Field(count(0, 10**7), 0, parameter="max_requests"),
+    call_outs=Field(count(1, 100), 3, parameter="max_attempts"),
     overlap=Field(flag, False),
-    drain_grace=Field(span(), 1000.0),
-    list_lag=Field(span(), 500.0),
-    answer_way=Field(span(), 150.0),
-    transit=Field(span(), 250.0),
-    store_pace=Field(count(1, 10000), 8),
-    warmup=Field(SLOW_START, SlowStart()),
-    ration=Field(PREWARM_QUOTA, PrewarmQuota()),
-    method=Field(REQUEST_CLASS, many=True),
-    at=Field(read_timed_fault, None, many=True),
-    on=Field(read_triggered_fault, None, many=True),
+    drain_grace=Field(span(), 1000.0, parameter="drain_grace_ms"),
+    list_lag=Field(span(), 500.0, parameter="endpoint_lag_ms"),
+    answer_way=Field(span(), 150.0, parameter="response_transit_ms"),
+    transit=Field(span(), 250.0, parameter="transit_ms"),
+    store_pace=Field(count(1, 10000), 8, parameter="store_concurrency"),
+    warmup=Field(SLOW_START, SlowStart(), parameter="slow_start"),
+    ration=Field(PREWARM_QUOTA, PrewarmQuota(), parameter="prewarm_quota"),
+    method=Field(REQUEST_CLASS, many=True, parameter="request_classes"),
+    at=Field(read_timed_fault, None, many=True, parameter="timed_faults"),
+    on=Field(read_triggered_fault, None, many=True, parameter="triggered_faults"),
 )
 
 
@@ -275,15 +223,13 @@
     """Read and check a scenario file; raises InvalidConfigError with all that is wrong in it."""
     diagnostics = Diagnostics()
     expression = schema.single_expression(sexpr.read(path), "script", path, diagnostics)
-    scenario: Scenario | None = SCENARIO(expression, diagnostics) if expression is not None else None
+    scenario = None if expression is None else SCENARIO(expression, diagnostics)
     if expression is not None and scenario is not None:
         for fault in scenario.faults:
             _check_targets(scenario, fault, diagnostics)
             _check_support(scenario, fault, diagnostics)
-        _check_deadlines(scenario, expression, diagnostics)
-    diagnostics.done()
-    assert scenario is not None  # else there was a diagnostic
-    return scenario
+        _check_deadlines(scenario, expression.location, diagnostics)
+    return schema.required(scenario, diagnostics)
 
 
 def _check_targets(scenario: Scenario, fault: Fault, diagnostics: Diagnostics) -> None:
@@ -311,11 +257,11 @@
         diagnostics.add(fault.location, shown, "it with (runtime yes): stand-ins have no such thing")
 
 
-def _check_deadlines(scenario: Scenario, expression: Expression, diagnostics: Diagnostics) -> None:
+def _check_deadlines(scenario: Scenario, location: SourceLocation, diagnostics: Diagnostics) -> None:
     for request_class in scenario.request_classes:
         if request_class.soft_deadline_ms >= request_class.deadline_ms:
             diagnostics.add(
-                expression.spot,
+                location,
                 f'method "{request_class.name}" with a soft deadline of {request_class.soft_deadline_ms:g} ms',
                 f"one before its deadline, {request_class.deadline_ms:g} ms",
             )
--- a/wickdyke/jsonrpc/requests.py
+++ b/wickdyke/jsonrpc/requests.py
@@ -2,8 +2,9 @@
 
 from dataclasses import dataclass
 
+from wickdyke.config.effective_policy import EffectivePolicy
 from wickdyke.config.gateway_config import GatewayConfig
-from wickdyke.config.route_config import EffectivePolicy, Routes
+from wickdyke.config.route_config import Routes
 from wickdyke.protocol import client_messages, jsonrpc
 from wickdyke.routing.model import Effect, RequestClass, RoutePolicy
 
@@ -26,7 +27,7 @@
 
     def __init__(self, config: GatewayConfig) -> None:
         self.request_classes = {each.name: each for each in config.request_classes}
-        self.stated, self.tenants = config.stated, config.tenants
+        self.stated, self.tenants = config.function_settings, config.tenants
         self.routes: Routes | None = None
 
     def cancelled_id(self, request: jsonrpc.Request) -> jsonrpc.Ident:
@@ -54,7 +55,7 @@
         self._fill_in(call, ident)
         self._check_tenant(call, ident)
         route = self._route(call)
-        most = route.terms.deadline if route else request_class.deadline
+        most = route.policy.deadline if route else request_class.deadline
         time_left = min(call.time_left_ms or most, most, time_left_most or most)
         return CheckedRequest(ident, request_class, call, time_left, route.router_policy if route else None)
 
@@ -71,7 +72,7 @@
         if request_class is None:
             return min(call.time_left_ms or most, most)
         route = self._route(call)
-        return min(call.time_left_ms or most, route.terms.deadline if route else request_class.deadline)
+        return min(call.time_left_ms or most, route.policy.deadline if route else request_class.deadline)
 
     def _request_class(self, call: client_messages.CallRequest, ident: jsonrpc.Ident) -> RequestClass:
         request_class = self.request_classes.get(call.method)
@@ -92,9 +93,9 @@
                 raise jsonrpc.MalformedRequestError(jsonrpc.INVALID_PARAMS, why, ident)
             call.memory_mb = stated.memory
         if call.concurrency is None:
-            call.concurrency = stated.lanes if stated else 1
+            call.concurrency = stated.concurrency if stated else 1
         if call.load_ms is None and stated:
-            call.load_ms = stated.load
+            call.load_ms = stated.load_time
 
     def _check_tenant(self, call: client_messages.CallRequest, ident: jsonrpc.Ident) -> None:
         if call.tenant and self.tenants and call.tenant not in self.tenants:
