--- a/wickdyke/fault_injection/child_process.py
+++ b/wickdyke/fault_injection/child_process.py
@@ -44,8 +44,8 @@
             self.kill()
             raise RigError(f"{label}: did not become ready; see {self.error_log.name}")
 
-    def send(self, command: dict[str, object]) -> None:
-        """Send one command; a process that has ended does not get it, and this is no error."""
+    def send(self, command: msgspec.Struct) -> None:
+        """Send one command, as a line of JSON; a process that has ended does not get it, and this is no error."""
         with contextlib.suppress(OSError):
             self._stdin.write(msgspec.json.encode(command) + b"\n")
             self._stdin.flush()
--- a/wickdyke/fault_injection/fault_injector.py
+++ b/wickdyke/fault_injection/fault_injector.py
@@ -6,7 +6,12 @@
 import psutil  # type: ignore[import-untyped]  # the package has no types
 
 from wickdyke.fault_injection.endpoint_publisher import EndpointPublisher
+from wickdyke.fault_injection.fake_store import StallOrder
+from wickdyke.fault_injection.fake_worker.faults import FaultKind as WorkerFaultKind
+from wickdyke.fault_injection.fake_worker.faults import FaultOrder
+from wickdyke.fault_injection.fake_worker.faults import FaultTrigger as WorkerFaultTrigger
 from wickdyke.fault_injection.faults import Fault, FaultKind, FaultValue
+from wickdyke.fault_injection.load_client.plan import TrafficChange
 from wickdyke.fault_injection.rig_processes import RigProcesses
 from wickdyke.fault_injection.run_folder import RunFolder
 from wickdyke.fault_injection.scenario import Scenario
@@ -14,12 +19,13 @@
 from wickdyke.fault_injection.worker_lifecycle import WorkerLifecycle
 
 ROUTE_FILE = "routes.sexp"
+NO_HOT_FUNCTIONS = (1, 0.0)  # one hot function, called by none of the requests
 DEPLOY_DRAIN_SHARE = 0.8  # of the time between the workers of a deploy
-COMMAND_VALUES = (
+ORDER_VALUES = (
     FaultValue.FACTOR,
     FaultValue.SHARE,
     FaultValue.LATENESS,
-)  # a fault that a fake worker is sent has at most one of them
+)  # an order to a fake worker has at most one of them
 
 
 def write_routes(folder: RunFolder, routes: str) -> None:
@@ -27,15 +33,13 @@
     folder.replace(ROUTE_FILE, f"(routes {routes})\n")
 
 
-def worker_command(fault: Fault) -> dict[str, object]:
-    """The command that starts a fault in a fake worker."""
-    command: dict[str, object] = {"fault": fault.kind.value}
-    if FaultValue.DURATION in fault.values:
-        command["for"] = fault.duration
-    for key in COMMAND_VALUES:
+def worker_order(fault: Fault) -> FaultOrder:
+    """The order that starts a fault in a fake worker."""
+    order = FaultOrder(WorkerFaultKind(fault.kind.value), duration_ms=fault.values.get(FaultValue.DURATION))
+    for key in ORDER_VALUES:
         if key in fault.values:
-            command["value"] = fault.values[key]
-    return command
+            order.value = fault.values[key]
+    return order
 
 
 class FaultInjector:
@@ -71,8 +75,8 @@
             FaultKind.STORE_DOWN: self._kill_store,
             FaultKind.BURST: self._change_rate,
             FaultKind.HOT: self._call_few_functions,
-            FaultKind.ONCE: self._change_share,
-            FaultKind.SHORT: self._change_share,
+            FaultKind.ONCE: self._call_functions_once,
+            FaultKind.SHORT: self._shorten_deadlines,
         }
 
     def inject(self, fault: Fault) -> None:
@@ -85,14 +89,14 @@
             raise ValueError(f"{fault.location}: a fault without a trigger")
         trigger = fault.trigger
         self._processes.workers[trigger.worker].send(
-            {"on": trigger.event.value, "nth": trigger.nth, "fault": worker_command(fault)}
+            WorkerFaultTrigger(trigger.event, trigger.nth, worker_order(fault))
         )
 
     # ---- workers ----
 
     def _send_to_workers(self, fault: Fault) -> None:
         for name in fault.targets:
-            self._processes.workers[name].send(worker_command(fault))
+            self._processes.workers[name].send(worker_order(fault))
 
     def _kill_workers(self, fault: Fault) -> None:
         for name in fault.targets:
@@ -113,12 +117,12 @@
 
     def _age_workers(self, fault: Fault) -> None:
         for name in fault.targets:
-            self._processes.workers[name].send(worker_command(fault))
+            self._processes.workers[name].send(worker_order(fault))
             self._timeline.schedule(fault.duration, self._workers.kill, name, fault.restart_delay)
 
     def _release(self, fault: Fault) -> None:
         for child in self._processes.workers.values():
-            child.send(worker_command(fault))
+            child.send(worker_order(fault))
 
     def _kill_replicas(self, fault: Fault) -> None:
         for name in fault.targets:
@@ -148,7 +152,7 @@
             store.send_signal(signal.SIGSTOP)
             self._timeline.schedule(fault.duration, store.send_signal, signal.SIGCONT)
         else:
-            store.send({"for": fault.duration})
+            store.send(StallOrder(fault.duration))
 
     def _kill_store(self, fault: Fault) -> None:
         self._processes.store.kill()
@@ -157,16 +161,23 @@
     # ---- traffic ----
 
     def _change_rate(self, fault: Fault) -> None:
-        self._change_traffic(fault, fault.values[FaultValue.FACTOR], 1.0)
-
-    def _change_share(self, fault: Fault) -> None:
-        self._change_traffic(fault, fault.values[FaultValue.SHARE], 0.0)
+        factor = fault.values[FaultValue.FACTOR]
+        self._change_traffic(fault, TrafficChange(rate_factor=factor), TrafficChange(rate_factor=1.0))
 
     def _call_few_functions(self, fault: Fault) -> None:
-        self._change_traffic(fault, [fault.values[FaultValue.FUNCTION_COUNT], fault.values[FaultValue.SHARE]], [1, 0.0])
+        functions = int(fault.values[FaultValue.FUNCTION_COUNT])
+        share = fault.values[FaultValue.SHARE]
+        self._change_traffic(fault, TrafficChange(hot=(functions, share)), TrafficChange(hot=NO_HOT_FUNCTIONS))
+
+    def _call_functions_once(self, fault: Fault) -> None:
+        share = fault.values[FaultValue.SHARE]
+        self._change_traffic(fault, TrafficChange(one_time_share=share), TrafficChange(one_time_share=0.0))
+
+    def _shorten_deadlines(self, fault: Fault) -> None:
+        share = fault.values[FaultValue.SHARE]
+        self._change_traffic(fault, TrafficChange(short_deadline_share=share), TrafficChange(short_deadline_share=0.0))
 
-    def _change_traffic(self, fault: Fault, value: object, normal_value: object) -> None:
-        key = fault.kind.value
+    def _change_traffic(self, fault: Fault, change: TrafficChange, reversal: TrafficChange) -> None:
         for client in self._processes.load_clients:
-            client.send({key: value})
-            self._timeline.schedule(fault.duration, client.send, {key: normal_value})
+            client.send(change)
+            self._timeline.schedule(fault.duration, client.send, reversal)
--- a/wickdyke/fault_injection/faults.py
+++ b/wickdyke/fault_injection/faults.py
@@ -10,6 +10,7 @@
 from wickdyke.config import schema, sexpr
 from wickdyke.config.schema import Diagnostics, Reader, count, number, span
 from wickdyke.config.sexpr import Atom, AtomKind, Expression, SourceLocation
+from wickdyke.fault_injection.fake_worker.faults import TriggerEvent
 
 
 class FaultKind(Enum):
@@ -70,13 +71,6 @@
     REAL_ONLY = "real only"
 
 
-class TriggerEvent(Enum):
-    """What a worker counts until a fault starts; the value is the name in scenario files."""
-
-    ATTEMPT = "call-out"
-    LOAD = "load"
-
-
 @dataclass(slots=True, frozen=True)
 class FaultParameter:
     """A value of a fault: how it is read, and what it is where it is left out."""
