--- a/tests/handmade_trace.py
+++ b/tests/handmade_trace.py
@@ -88,6 +88,11 @@
     return time_ms, worker, "started", {"start": 2, "cold": warming_up}
 
 
+def worker_crashed(time_ms, worker="w1"):
+    """A worker in slow start crashes."""
+    return time_ms, worker, "fell", {}
+
+
 def gateway_started(time_ms, gateway="g1"):
     """A gateway starts."""
     return time_ms, "director", "gateway-started", {"gateway": gateway}
--- a/tests/test_rule_checker.py
+++ b/tests/test_rule_checker.py
@@ -14,6 +14,7 @@
     received,
     sent,
     trace,
+    worker_crashed,
     worker_killed,
     worker_started,
 )
@@ -245,7 +246,7 @@
                 ("the fifth when the first is out of the window", requests(1000, 1100, 1200, 1300, 2000), []),
                 ("the fifth a millisecond before", requests(1000, 1100, 1200, 1300, 1301), [4]),
                 ("after the ramp", requests(*[11000 + number for number in range(30)]), []),
-                ("crashed", [worker_started(1000), (1500, "w1", "fell", {})], [4]),
+                ("crashed", [worker_started(1000), worker_crashed(1500)], [4]),
                 (
                     "started without a slow start",
                     [worker_started(1000, warming_up=False), *requests(1000, 1001, 1002, 1003, 1004)[1:]],
--- a/wickdyke/fault_injection/fake_worker/attempts.py
+++ b/wickdyke/fault_injection/fake_worker/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts as a fake worker holds them."""
+"""The attempts of a fake worker."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -10,7 +10,7 @@
 
 
 class LoadNote(StrEnum):
-    """What an attempt found of its function's replicas as it arrived; the values are the words on the wire."""
+    """The state of a function's replicas as an attempt arrived; the values are the words on the wire."""
 
     LOADED = "stood"
     LOAD_STARTED = "began"
@@ -36,10 +36,10 @@
 
 @dataclass(slots=True, eq=False)
 class RunningAttempt:
-    """An attempt that the worker holds.
+    """An attempt that the worker keeps track of.
 
     `concurrent` counts the other attempts of the function as it arrived, `number` the worker's attempts so far.
-    An attempt that has ended may stay held: the gateway has no answer to it.
+    An attempt that has ended is kept while the gateway has no answer to it.
     """
 
     key: AttemptKey
--- a/wickdyke/fault_injection/fake_worker/config.py
+++ b/wickdyke/fault_injection/fake_worker/config.py
@@ -18,10 +18,10 @@
         memory_mb: memory for replicas.
         idle_life: time after which an idle replica is unloaded.
         max_concurrent_loads: replicas that load at once; more wait.
-        queue_capacity: attempts held at once; more are rejected.
+        queue_capacity: attempts accepted at once; more are rejected.
         start_share: part of full capacity at the start of the slow start.
         ramp: duration of the slow start.
-        multiple: how many times its capacity a worker in slow start stands within `window` before it crashes.
+        multiple: a worker in slow start crashes when sent more than this many times its capacity within `window`.
         window: time over which received work is summed up for that.
         fetch_fraction: part of a load that is spent on the fetch from the store.
         report_interval: time between two samples of the load report.
--- a/wickdyke/fault_injection/fake_worker/faults.py
+++ b/wickdyke/fault_injection/fake_worker/faults.py
@@ -36,7 +36,7 @@
 
 
 class FaultTrigger(msgspec.Struct):
-    """An order that holds from the `nth` event of a kind on."""
+    """An order that takes effect at the `nth` event of a kind."""
 
     event: TriggerEvent = msgspec.field(name="on")
     nth: int
--- a/wickdyke/fault_injection/fake_worker/slow_start.py
+++ b/wickdyke/fault_injection/fake_worker/slow_start.py
@@ -30,7 +30,7 @@
         return min(1.0, start_share + (1 - start_share) * age / max(1.0, self.config.ramp))
 
     def is_overloaded_by(self, now: float, work_ms: float) -> bool:
-        """Notes work received at `now`; whether that is more than a worker in slow start stands.
+        """Notes work received at `now`; whether that is more than a worker in slow start withstands.
 
         All work sent within the window counts, also that of attempts that are rejected.
         """
--- a/wickdyke/fault_injection/fake_worker/worker.py
+++ b/wickdyke/fault_injection/fake_worker/worker.py
@@ -43,7 +43,7 @@
 
 
 class FakeWorker:
-    """One fake worker. `lock` guards all of it: callers hold it, the scheduler takes it itself."""
+    """One fake worker. `lock` guards all of it: callers acquire it, the scheduler does so itself."""
 
     def __init__(self, config: FakeWorkerConfig) -> None:
         """Raises OSError where the trace can't be opened."""
@@ -55,7 +55,7 @@
         self.faults = ActiveFaults()
         self.triggers = FaultTriggers()
         self.draining = False
-        self.attempts: dict[AttemptKey, RunningAttempt] = {}  # held, among them some that have ended
+        self.attempts: dict[AttemptKey, RunningAttempt] = {}  # among them ended ones without an answer
         self.slow_start = SlowStart(config, self.started_at)
         self.replicas = ReplicaMemory(config.memory_mb)
         self.prewarms = Prewarms(self.replicas)
@@ -96,7 +96,7 @@
         self._admit(attempt)
 
     def attempt_cancelled(self, key: AttemptKey) -> None:
-        """Ends an attempt, if it is held."""
+        """Ends an attempt, if there is one of that key."""
         attempt = self.attempts.get(key)
         if attempt is None:
             return
@@ -110,8 +110,8 @@
         """Ends all attempts of the connection."""
         if connection.who:
             self.trace.connection_closed(connection.who)
-        attempts = self.attempts.values()
-        for attempt in [held for held in attempts if held.key.connection is connection and not held.ended]:
+        attempts = [attempt for attempt in self.attempts.values() if attempt.key.connection is connection]
+        for attempt in [attempt for attempt in attempts if not attempt.ended]:
             self._end(attempt, AttemptEnd.CONNECTION_CLOSED)
 
     def _in_flight(self, function: str | None = None) -> int:
@@ -170,7 +170,7 @@
         responses.send_attempt_error(attempt, code, reason, self.report, self.draining)
 
     def _end(self, attempt: RunningAttempt, result: str, keep: bool = False) -> None:
-        """Frees the attempt's place; with `keep` it stays held until the gateway cancels it."""
+        """Frees the attempt's place; with `keep` it stays entered until the gateway cancels it."""
         self.trace.attempt_ended(attempt, result)
         attempt.ended = True
         if not keep:
@@ -269,6 +269,6 @@
         self.faults.clear(kind)
         if kind is FaultKind.HANG:
             # What has no replica by now is never answered, also where the end of another frees one for it.
-            attempts = self.attempts.values()
-            for attempt in [held for held in attempts if not held.ended and held.replica is None]:
+            attempts = [attempt for attempt in self.attempts.values() if not attempt.ended]
+            for attempt in [attempt for attempt in attempts if attempt.replica is None]:
                 self._end(attempt, AttemptEnd.ANSWER_LOST, keep=True)
--- a/wickdyke/fault_injection/fake_worker/worker_trace.py
+++ b/wickdyke/fault_injection/fake_worker/worker_trace.py
@@ -50,7 +50,7 @@
         self.record("end", mark=attempt.input.mark, gateway=attempt.key.connection.who, how=result, job=attempt.number)
 
     def prewarm_received(self, gateway: str, prewarm: worker_messages.PrewarmRequest) -> None:
-        """A gateway ordered replicas, or asked how many are loaded."""
+        """A gateway ordered replicas, or queried how many are loaded."""
         self.record("hold", gateway=gateway, program=prewarm.function, copies=prewarm.replicas, start=self.config.start)
 
     def load_finished(self, function: str, succeeded: bool) -> None:
@@ -62,5 +62,5 @@
         self.record("fault", fault=order.kind, value=order.value, lasts=order.duration_ms)
 
     def crashed(self) -> None:
-        """The worker was sent more than it stands in slow start, and ends."""
+        """The worker was sent more than it withstands in slow start, and ends."""
         self.record("fell", start=self.config.start)
--- a/wickdyke/fault_injection/rule_checker/double_effects.py
+++ b/wickdyke/fault_injection/rule_checker/double_effects.py
@@ -70,7 +70,7 @@
 def _check_idempotency_key(
     run: ObservedRun, method: MethodSettings, earlier: ObservedAttempt, attempt: ObservedAttempt
 ) -> Iterator[Finding]:
-    """Whether the earlier attempt's idempotency key still held at the worker of a later one."""
+    """Whether the earlier attempt's idempotency key was still valid at the worker of a later one."""
     received = attempt.received
     late_ms = received.time_ms - earlier.received.time_ms - method.key_lifetime_ms
     if late_ms > run.settings.transit_ms:
--- a/wickdyke/fault_injection/rule_checker/run_settings.py
+++ b/wickdyke/fault_injection/rule_checker/run_settings.py
@@ -26,7 +26,7 @@
 
 
 class MethodSettings(msgspec.Struct):
-    """A method: its effect, where and how long (ms) its idempotency key holds, its soft deadline (ms)."""
+    """A method: its effect, where and how long (ms) its idempotency key is valid, its soft deadline (ms)."""
 
     effect: Effect
     scope: Scope
@@ -56,7 +56,7 @@
 
 
 class SlowStartSettings(msgspec.Struct):
-    """Capacity grows from `start_share` to all within `ramp_ms`; a worker stands `multiple` of it in `window_ms`."""
+    """Capacity grows from `start_share` to 1 within `ramp_ms`; a worker withstands `multiple` of it in `window_ms`."""
 
     start_share: float
     ramp_ms: float = msgspec.field(name="ramp")
@@ -83,7 +83,7 @@
     Attributes:
         overlap_allowed: whether a request may be at two workers at once.
         drain_grace_ms: how long after it was published a drain need not be kept yet.
-        slow_start: what workers in slow start stand.
+        slow_start: what workers in slow start withstand.
         prewarm_quota: how many prewarms a gateway may order.
         methods: by name.
         workers: by name.
@@ -106,5 +106,5 @@
             try:
                 return msgspec.convert(entry, type=RunSettings)
             except msgspec.ValidationError as error:
-                raise InvalidTraceError(f"found settings of the run that can't be used: {error}") from None
+                raise InvalidTraceError(f"found unusable settings of the run: {error}") from None
     raise InvalidTraceError("found no terms in the trace, expected the line that states them")
--- a/wickdyke/fault_injection/rule_checker/slow_start.py
+++ b/wickdyke/fault_injection/rule_checker/slow_start.py
@@ -1,4 +1,4 @@
-"""Rule 4: a worker in slow start is not sent more work than it stands, by all gateways together."""
+"""Rule 4: a worker in slow start is not sent more work than it withstands, by all gateways together."""
 
 from collections import defaultdict
 from collections.abc import Iterator
--- a/wickdyke/fault_injection/rule_checker/trace_events.py
+++ b/wickdyke/fault_injection/rule_checker/trace_events.py
@@ -124,14 +124,14 @@
 
 @dataclass(slots=True, frozen=True)
 class WorkerCrashed(TraceEvent):
-    """A worker in slow start was sent more than it stands, and crashed."""
+    """A worker in slow start was sent more than it withstands, and crashed."""
 
     worker: str
 
 
 @dataclass(slots=True, frozen=True)
 class EndpointPublished(TraceEvent):
-    """The endpoint list told gateways whether a worker is ready (else it drains or is gone)."""
+    """The endpoint list published whether a worker is ready (else it drains or is gone)."""
 
     worker: str
     ready: bool
