--- a/tests/test_coordinator.py
+++ b/tests/test_coordinator.py
@@ -302,10 +302,10 @@
                 said = running.said.getvalue().count("routes unusable")
                 running.route(bad)
                 self.assertTrue(until(lambda said=said: running.said.getvalue().count("routes unusable") == said + 1))
-            self.assertEqual(running.gateway.client_server.checker.routes.find("idem", "p").terms.deadline, 9000)
+            self.assertEqual(running.gateway.client_server.checker.routes.find("idem", "p").policy.deadline, 9000)
             running.route(self.ROUTE % (7000, 2))
             self.assertTrue(
-                until(lambda: running.gateway.client_server.checker.routes.find("idem", "p").terms.deadline == 7000)
+                until(lambda: running.gateway.client_server.checker.routes.find("idem", "p").policy.deadline == 7000)
             )
             client.ask(2, program="pb")
             answers = {each["id"]: each["error"]["data"]["why"] for each in (client.answer(), client.answer())}
@@ -313,7 +313,7 @@
             self.assertEqual((before.attempts, _ended(running)), (1, 3))
             client.close()
             running.gateway.recorder.close()
-            with open(running.config.tape, "rb") as source:
+            with open(running.config.recording_path, "rb") as source:
                 self.assertIsNone(recording.replay(source)[1])
 
     def test_change_that_strands(self):
@@ -337,7 +337,9 @@
             self.assertIn('route \\"r\\" is gone', running.said.getvalue())
             running.route(bare % " (floor 1)")
             self.assertTrue(
-                until(lambda: running.gateway.client_server.checker.routes.routes[0].stated["budget"][0].floor == 1)
+                until(
+                    lambda: running.gateway.client_server.checker.routes.routes[0].fields.retry_budget.value.floor == 1
+                )
             )
             running.route(other)
             self.assertTrue(until(lambda: named() == ["s"]))
@@ -483,7 +485,7 @@
             running.gateway.client_server.shut()
             running.coordinator.end()
             running.gateway.recorder.close()
-            with open(running.config.tape, "rb") as source:
+            with open(running.config.recording_path, "rb") as source:
                 lines = source.readlines()
             running.coordinator.events.put(None)
             alike, differs = recording.replay(lines)
@@ -500,14 +502,14 @@
         """A recording that can't be written as fast stops and says so; nobody waits for it."""
         with (
             tempfile.TemporaryDirectory(prefix="wd-") as folder,
-            unittest.mock.patch.object(recording, "QUEUED_MOST", 50),
+            unittest.mock.patch.object(recording, "MAX_QUEUED", 50),
         ):
             path = os.path.join(folder, "fifo")
             os.mkfifo(path)
             reader = os.open(path, os.O_RDONLY | os.O_NONBLOCK)
             made = recording.DecisionRecorder(path)
             for at in range(100000):
-                made.heard(float(at), "left", ("x" * 100,))
+                made.record_input(float(at), "left", ("x" * 100,))
                 if made.broken:
                     break
             self.assertTrue(made.broken)
--- a/wickdyke/gateway/pending_requests.py
+++ b/wickdyke/gateway/pending_requests.py
@@ -7,6 +7,7 @@
 from wickdyke.gateway.events import AttemptWithdrawn
 from wickdyke.gateway.interfaces import PendingRequest
 from wickdyke.gateway.isolation import Isolation
+from wickdyke.routing.inputs import RequestReceived
 from wickdyke.routing.model import Outcome
 
 
@@ -24,7 +25,7 @@
 
     def is_full(self) -> bool:
         """Whether no more may be open."""
-        return len(self.by_id) >= self.context.config.bounds.open_rpcs
+        return len(self.by_id) >= self.context.config.bounds.open_requests
 
     # ---- admission ----
 
@@ -47,7 +48,7 @@
         now = self.context.now()
         # What it waited for its turn here is no time that its client has left.
         waited = 0.0 if pending.received_at is None else now - pending.received_at
-        time_left = pending.time_left - waited - self.context.config.answer_way
+        time_left = pending.time_left - waited - self.context.config.answer_margin
         if time_left <= 0:
             pending.reject("no-time")
             return
@@ -67,16 +68,18 @@
         heapq.heappush(self.deadlines, (self.context.now() + time_left, self.last_id))
         self.context.inform(
             "request_received",
-            self.last_id,
-            time_left,
-            pending.request_class,
-            call.function,
-            call.memory_mb,
-            call.concurrency,
-            call.load_ms,
-            call.work_ms,
-            call.is_repeat,
-            pending.route_policy,
+            RequestReceived(
+                self.last_id,
+                time_left,
+                pending.request_class,
+                call.function,
+                call.memory_mb,
+                call.concurrency,
+                call.load_ms,
+                call.work_ms,
+                call.is_repeat,
+                pending.route_policy,
+            ),
         )
 
     # ---- deadlines ----
