--- a/wickdyke/cli/routes.py
+++ b/wickdyke/cli/routes.py
@@ -1,9 +1,8 @@
 """The routes command: which policy holds for a request."""
 
-import sys
-
 import click
 
+from wickdyke.cli.common import fail
 from wickdyke.config import gateway_config, route_config
 from wickdyke.config.effective_policy import EffectivePolicy
 from wickdyke.config.gateway_config import GatewayConfig
@@ -16,22 +15,21 @@
 from wickdyke.route_policy.policy import Environment, format_sum, worst_case_components
 from wickdyke.routing.model import RequestClass
 
-EXIT_INVALID = 2
 DEADLINES = ("soft-deadline", "deadline")
 
 
 @click.group()
 def routes() -> None:
-    """What the routes of a gateway state."""
+    """Show the routes of a gateway."""
 
 
 @routes.command()
 @click.argument("file", type=click.Path())
 @click.argument("method")
 @click.argument("program")
-@click.option("--tenant", default="", help="The tenant of the RPC.")
+@click.option("--tenant", default="", help="The tenant of the request.")
 def show(file: str, method: str, program: str, tenant: str) -> None:
-    """Print what holds for an RPC under the gateway's settings FILE, and the line that each value comes from.
+    """Print the policy in force for a request under the gateway's settings FILE, and the line of each value.
 
     \b
     Example:
@@ -42,14 +40,13 @@
         environment = ground(config)
         loaded = _read_routes(config, environment)
     except InvalidConfigError as error:
-        print(error, file=sys.stderr)
-        raise SystemExit(EXIT_INVALID) from None
+        fail(error)
     request_class = _request_class(config, method)
     effective = loaded.find(method, program, tenant) if loaded else None
     if effective is None:
         print(
             f"no route takes it: soft deadline {request_class.latency_objective:g} ms, "
-            f"deadline {request_class.deadline:g} ms; the module goes by its own lights"
+            f"deadline {request_class.deadline:g} ms; the router decides without one"
         )
         return
     _print_policy(effective, method, environment)
@@ -64,12 +61,10 @@
 
 def _request_class(config: GatewayConfig, name: str) -> RequestClass:
     """The request class of that name; exits if there is none."""
-    for request_class in config.request_classes:
-        if request_class.name == name:
-            return request_class
-    known = ", ".join(request_class.name for request_class in config.request_classes)
-    print(f"METHOD: found {name}, expected one of {known}", file=sys.stderr)
-    raise SystemExit(EXIT_INVALID)
+    by_name = {request_class.name: request_class for request_class in config.request_classes}
+    if name not in by_name:
+        fail(f"METHOD: found {name}, expected one of {', '.join(by_name)}")
+    return by_name[name]
 
 
 def _print_policy(effective: EffectivePolicy, method: str, environment: Environment) -> None:
