--- a/wickdyke/config/effective_policy.py
+++ b/wickdyke/config/effective_policy.py
@@ -7,7 +7,7 @@
 from wickdyke.config.schema import Diagnostics, Located
 from wickdyke.config.sexpr import SourceLocation
 from wickdyke.route_policy.policy import NEVER_RAN, BackoffPolicy, HedgePolicy, Policy
-from wickdyke.routing.model import RequestClass, RoutePolicy
+from wickdyke.routing.model import Backoff, Hedging, RequestClass, RetryBudgetTerms, RoutePolicy
 
 T = TypeVar("T")
 
@@ -84,10 +84,10 @@
         policy.latency_objective,
         policy.attempt_timeout,
         policy.max_attempts,
-        (backoff.initial, backoff.growth, longest_backoff, backoff.jitter),
+        Backoff(backoff.initial, backoff.growth, longest_backoff, backoff.jitter),
         policy.retryable,
-        (hedge.after, hedge.max_concurrent, hedge.request_share) if hedge else None,
-        (budget.window, budget.share, budget.floor) if budget else None,
+        Hedging(hedge.after, hedge.max_concurrent, hedge.request_share) if hedge else None,
+        RetryBudgetTerms(budget.window, budget.share, budget.floor) if budget else None,
         policy.queue_timeout,
         policy.priority,
         budget_key,
