--- a/wickdyke/cli/prove.py
+++ b/wickdyke/cli/prove.py
@@ -2,13 +2,12 @@
 
 import os
 import shutil
-import sys
 import tempfile
 from collections.abc import Callable
 
 import click
 
-from wickdyke.config.sexpr import InvalidConfigError
+from wickdyke.cli.common import ExitCode, fail, read_or_fail
 from wickdyke.fault_injection import report, scenario, trace
 from wickdyke.fault_injection.child_process import RigError
 from wickdyke.fault_injection.rule_checker import RuleChecker
@@ -17,8 +16,7 @@
 from wickdyke.gateway import recording as recordings
 
 EXIT_RULE_BROKEN = 1
-EXIT_INVALID_INPUT = 2
-EXIT_RIG_FAILED = 3
+EXIT_DECISIONS_DIFFER = 1
 MAX_FINDINGS = 20  # of a rule, shown by judge
 
 
@@ -36,11 +34,7 @@
     Example:
         wickdyke prove scripts/bad-day.sexp
     """
-    try:
-        scenarios = [scenario.read(file) for file in files]
-    except InvalidConfigError as error:
-        print(error, file=sys.stderr)
-        raise SystemExit(EXIT_INVALID_INPUT) from None
+    scenarios = [read_or_fail(scenario.read, file) for file in files]
     any_broken = False
     for current in scenarios:
         first_seed = current.seed
@@ -48,7 +42,7 @@
             current.seed = first_seed + step
             folder = os.path.join(keep, f"{current.name.replace(' ', '-')}-{current.seed}") if keep else None
             any_broken |= _run(current, folder, brief)
-    raise SystemExit(EXIT_RULE_BROKEN if any_broken else 0)
+    raise SystemExit(EXIT_RULE_BROKEN if any_broken else ExitCode.OK)
 
 
 def _run(current: Scenario, kept_folder: str | None, brief: bool) -> bool:
@@ -63,8 +57,7 @@
     try:
         checker = RuleChecker(trace.read(runner.run()))
     except (RigError, trace.InvalidTraceError) as error:
-        print(f"{current.name}, seed {current.seed}: {error}", file=sys.stderr)
-        raise SystemExit(EXIT_RIG_FAILED) from None
+        fail(f"{current.name}, seed {current.seed}: {error}", ExitCode.RIG_FAILED)
     if brief:
         print(_brief_line(current, checker), flush=True)
     else:
@@ -98,10 +91,9 @@
     try:
         checker = RuleChecker(trace.read(_trace_files(traces)))
     except (trace.InvalidTraceError, ValueError) as error:
-        print(error, file=sys.stderr)
-        raise SystemExit(EXIT_INVALID_INPUT) from None
+        fail(error)
     print(report.verdict(checker, MAX_FINDINGS))
-    raise SystemExit(EXIT_RULE_BROKEN if checker.findings else 0)
+    raise SystemExit(EXIT_RULE_BROKEN if checker.findings else ExitCode.OK)
 
 
 def _trace_files(paths: tuple[str, ...]) -> list[str]:
@@ -131,7 +123,6 @@
         with open(recording, "rb") as source:
             equal_count, difference = recordings.replay(source)
     except (OSError, ValueError, KeyError, TypeError) as error:
-        print(f"{recording}: found {error}, expected a recording", file=sys.stderr)
-        raise SystemExit(EXIT_INVALID_INPUT) from None
+        fail(f"{recording}: found {error}, expected a recording")
     print(f"{equal_count} decisions alike" + (f"; then: {difference}" if difference else ""))
-    raise SystemExit(EXIT_RULE_BROKEN if difference else 0)
+    raise SystemExit(EXIT_DECISIONS_DIFFER if difference else ExitCode.OK)
