--- a/wickdyke/cli/__main__.py
+++ b/wickdyke/cli/__main__.py
@@ -1,4 +1,4 @@
-"""python -m wickdyke.cli"""
+"""The entry point of `python -m wickdyke.cli`."""
 
 from wickdyke.cli import main
 
--- a/wickdyke/cli/call.py
+++ b/wickdyke/cli/call.py
@@ -17,7 +17,7 @@
 @click.command()
 @click.argument("socket")
 @click.argument("method")
-@click.argument("program")
+@click.argument("function", metavar="PROGRAM")
 @click.argument("input_json", metavar="[INPUT]", default="null")
 @click.option(
     "--time-left",
@@ -28,7 +28,7 @@
 @click.option("--memory", "memory_mb", type=float, help="Memory of a copy in MB (else from the gateway's settings).")
 @click.option("--lanes", type=int, help="RPCs that a copy runs at once.")
 @click.option("--token", help="The mark by which a repeat of a tokened RPC is known.")
-def call(socket: str, method: str, program: str, input_json: str, **options: float | str | None) -> None:
+def call(socket: str, method: str, function: str, input_json: str, **options: float | str | None) -> None:
     """Send one RPC to the gateway at SOCKET and print its final answer.
 
     INPUT is JSON. Exit code 0: ok; 3: denied (it had no effect); 4: aborted (nothing is promised); 2: the
@@ -38,7 +38,7 @@
     Example:
         wickdyke call run/wickdyke.sock suggest-tags tags/agency-7 '{"photo": "a.jpg"}'
     """
-    params: dict[str, object] = {"method": method, "program": program, "input": _input(input_json)}
+    params: dict[str, object] = {"method": method, "program": function, "input": _input(input_json)}
     params |= {name: options[name] for name in OPTIONAL_FIELDS if options[name] is not None}
     result, error = _exchange(socket, params)
     final = client_messages.read_final_answer(result, error)
--- a/wickdyke/cli/serve.py
+++ b/wickdyke/cli/serve.py
@@ -22,8 +22,10 @@
 @click.option("--log", "log_file", type=click.Path(), help="Append the log to this file (else standard error).")
 @click.option("--json", "as_json", is_flag=True, help="Log JSON lines instead of logfmt.")
 @click.option("--debug", is_flag=True, help="Also log each call-out that ends and each answer, by rpc.")
-@click.option("--tape", type=click.Path(), help="Record what the module is told and decides (see replay).")
-def serve(file: str, log_file: str | None, as_json: bool, debug: bool, tape: str | None) -> None:
+@click.option(
+    "--tape", "recording_path", type=click.Path(), help="Record what the module is told and decides (see replay)."
+)
+def serve(file: str, log_file: str | None, as_json: bool, debug: bool, recording_path: str | None) -> None:
     """Run a gateway as FILE states, until SIGTERM.
 
     The first line on standard output is `ready` and the socket's path. On SIGTERM or SIGINT no new RPC is taken,
@@ -34,8 +36,8 @@
         wickdyke serve deploy/gateway.sexp --log run/gateway.log
     """
     config = read_or_fail(gateway_config.read, file)
-    if tape:
-        config.recording_path = tape
+    if recording_path:
+        config.recording_path = recording_path
     sink = open_log_or_fail(log_file or config.log_path)
     log, log_writer = logs.logger(sink, as_json, debug, gateway=config.name)
     try:
--- a/wickdyke/config/__init__.py
+++ b/wickdyke/config/__init__.py
@@ -1,1 +1,1 @@
-"""S-expressions to checked values; each message tells place, what was found and what was expected."""
+"""Settings files read into checked values; each error is reported with its location, what was found and expected."""
--- a/wickdyke/config/deployment_settings.py
+++ b/wickdyke/config/deployment_settings.py
@@ -171,7 +171,7 @@
 
 
 def from_nested(nested: object, place: str) -> DeploymentSettings:
-    """The settings in nested objects: a list of plain values is one value, one of objects a count and a path for each.
+    """The settings in nested objects: a list of plain values is one value, one a list of objects a count and paths.
 
     `place` begins the errors.
     """
--- a/wickdyke/config/endpoint_file.py
+++ b/wickdyke/config/endpoint_file.py
@@ -4,7 +4,8 @@
 from dataclasses import dataclass, replace
 
 from wickdyke.config import address, schema, sexpr
-from wickdyke.config.schema import Diagnostics, Field, Located, choice, count, located, number, record, text, unlocated
+from wickdyke.config.builders import Located, located, unlocated
+from wickdyke.config.schema import Diagnostics, Field, choice, count, number, record, text
 from wickdyke.config.sexpr import Expression
 
 
@@ -48,9 +49,9 @@
 ) -> None:
     """Reports a zone or kind that is not one of the gateway's, where it has any."""
     if names and value not in names:
-        found = f'{what} "{value}"' if value else f"no {what}"
+        actual = f'{what} "{value}"' if value else f"no {what}"
         expected = f"one of {', '.join(names)}, as the gateway's file names them"
-        diagnostics.add(located_row.location, found, expected)
+        diagnostics.add(located_row.location, actual, expected)
 
 
 def parse_endpoints(
--- a/wickdyke/config/gateway_config.py
+++ b/wickdyke/config/gateway_config.py
@@ -7,8 +7,9 @@
 
 from wickdyke.circuit_breaker.breakers import BreakerSettings
 from wickdyke.config import address, schema, sexpr
+from wickdyke.config.builders import Located
 from wickdyke.config.gateway_sections import GATEWAY, FunctionSettings, GatewaySection, ServerLimits
-from wickdyke.config.schema import Diagnostics, Located
+from wickdyke.config.schema import Diagnostics
 from wickdyke.protocol.worker_messages import REPORT_FIELDS
 from wickdyke.routing.model import Effect, RequestClass
 from wickdyke.routing.settings import (
@@ -27,9 +28,9 @@
 
 @dataclass(slots=True)
 class GatewayConfig:
-    """All settings of a gateway. Times are ms; paths are relative to nothing but the working directory.
+    """All settings of a gateway. Times are ms; paths start from the folder of the settings file.
 
-    `answer_margin` is how long before a request's deadline its answer has to leave the gateway.
+    `answer_margin` is reserved at the end of a request's time for its answer to reach the client.
     """
 
     name: str
@@ -83,8 +84,8 @@
     if request_class.effect == Effect.KEYED and not request_class.dedupe_window:
         diagnostics.add(location, f'method "{request_class.name}" tokened without a window', "(window TIME) in it")
     if request_class.effect != Effect.KEYED and request_class.dedupe_window:
-        found = f'method "{request_class.name}" {request_class.effect} with a window'
-        diagnostics.add(location, found, "a window only where tokened")
+        actual = f'method "{request_class.name}" {request_class.effect} with a window'
+        diagnostics.add(location, actual, "a window only where tokened")
 
 
 def _check_names(section: GatewaySection, diagnostics: Diagnostics) -> None:
@@ -121,14 +122,14 @@
     _check_own_zone(section, diagnostics)
     instance = section.instance.value
     if instance.index >= instance.count:
-        found = f"number {instance.index} of {instance.count}"
-        diagnostics.add(section.instance.location, found, f"a number of 0 to {instance.count - 1}")
+        actual = f"number {instance.index} of {instance.count}"
+        diagnostics.add(section.instance.location, actual, f"a number of 0 to {instance.count - 1}")
     if section.endpoints.path == section.listen:
-        found = f'"{section.listen}" as socket and as list of workers'
-        diagnostics.add(section.location, found, "two different files")
+        actual = f'"{section.listen}" as socket and as list of workers'
+        diagnostics.add(section.location, actual, "two different files")
     if section.limits.unread_size < section.limits.line_size:
-        found = f"unread of {section.limits.unread_size:g} MB under line of {section.limits.line_size:g} MB"
-        diagnostics.add(section.location, found, "room for one line at least")
+        actual = f"unread of {section.limits.unread_size:g} MB under line of {section.limits.line_size:g} MB"
+        diagnostics.add(section.location, actual, "room for one line at least")
 
 
 # ---- reading ----
--- a/wickdyke/config/gateway_sections.py
+++ b/wickdyke/config/gateway_sections.py
@@ -7,19 +7,17 @@
 
 from wickdyke.circuit_breaker.breakers import BreakerSettings, FunctionBreakerSettings, RequestBreakerSettings
 from wickdyke.config import address
+from wickdyke.config.builders import Located, located, unlocated
 from wickdyke.config.schema import (
     Field,
-    Located,
     choice,
     count,
     flag,
-    located,
     number,
     record,
     size,
     span,
     text,
-    unlocated,
     word_list,
 )
 from wickdyke.config.sexpr import NOWHERE, SourceLocation
--- a/wickdyke/config/schema.py
+++ b/wickdyke/config/schema.py
@@ -16,13 +16,13 @@
 
 @dataclass(slots=True)
 class Diagnostics:
-    """The errors found so far."""
+    """The errors of a file so far."""
 
     entries: list[Diagnostic] = field(default_factory=list)
 
-    def add(self, location: SourceLocation, found: str, expected: str, fix: str = "") -> None:
+    def add(self, location: SourceLocation, actual: str, expected: str, fix: str = "") -> None:
         """Reports one error."""
-        self.entries.append(Diagnostic(location, found, expected, fix))
+        self.entries.append(Diagnostic(location, actual, expected, fix))
 
     def raise_if_any(self) -> None:
         """Raises InvalidConfigError with all errors, if there are any."""
@@ -47,9 +47,9 @@
     only = expression.items[0] if len(expression.items) == 1 else None
     if isinstance(only, Atom) and only.kind == kind:
         return only
-    found = f"({expression.name} {_describe_all(expression.items)})" if expression.items else f"({expression.name})"
+    actual = f"({expression.name} {_describe_all(expression.items)})" if expression.items else f"({expression.name})"
     unquoted = kind == AtomKind.STRING and isinstance(only, Atom) and only.kind == AtomKind.WORD
-    diagnostics.add(expression.location, found, expected, f'write "{describe(only)}"' if only and unquoted else "")
+    diagnostics.add(expression.location, actual, expected, f'write "{describe(only)}"' if only and unquoted else "")
     return None
 
 
@@ -79,7 +79,7 @@
 
 
 def _read_unit(quantity: Quantity, expression: Expression, amount: Atom, diagnostics: Diagnostics) -> str | None:
-    """The unit that follows the amount; None and an error where there is none that is known."""
+    """The unit that follows the amount; None and an error where it is missing or unknown."""
     items = expression.items
     if len(items) == 1:
         diagnostics.add(
@@ -108,8 +108,8 @@
     def reader(expression: Expression, diagnostics: Diagnostics) -> float | None:
         first = expression.items[0] if expression.items else None
         if not isinstance(first, Atom) or first.kind != AtomKind.NUMBER:
-            found = f"({expression.name} {_describe_all(expression.items)})".replace(" )", ")")
-            diagnostics.add(expression.location, found, quantity.description)
+            actual = f"({expression.name} {_describe_all(expression.items)})".replace(" )", ")")
+            diagnostics.add(expression.location, actual, quantity.description)
             return None
         unit = _read_unit(quantity, expression, first, diagnostics)
         if unit is None:
@@ -337,32 +337,6 @@
     return _RecordReader(build, named, {name.replace("_", "-"): definition for name, definition in fields.items()})
 
 
-@dataclass(slots=True, frozen=True)
-class Located(Generic[T]):
-    """A value and the location of the section that states it."""
-
-    value: T
-    location: SourceLocation
-
-
-def located(build: Callable[..., T]) -> Callable[..., Located[T]]:
-    """A builder for `record` that keeps the location beside what `build` returns."""
-
-    def build_with_location(location: SourceLocation, **values: Any) -> Located[T]:
-        return Located(build(**values), location)
-
-    return build_with_location
-
-
-def unlocated(build: Callable[..., T]) -> Callable[..., T]:
-    """A builder for `record` that makes no use of the location."""
-
-    def build_without_location(location: SourceLocation, **values: Any) -> T:
-        return build(**values)
-
-    return build_without_location
-
-
 # ---- files ----
 
 
--- a/wickdyke/config/sexpr.py
+++ b/wickdyke/config/sexpr.py
@@ -34,15 +34,15 @@
 
 @dataclass(slots=True, frozen=True)
 class Diagnostic:
-    """One error in a file: where it is, what was found, what was expected, and the likely fix (empty if unknown)."""
+    """One error in a file: its location, what is there and what was expected, in words, and the likely fix or ""."""
 
     location: SourceLocation
-    found: str
+    actual: str
     expected: str
     fix: str = ""
 
     def __str__(self) -> str:
-        message = f"{self.location}: found {self.found}, expected {self.expected}"
+        message = f"{self.location}: found {self.actual}, expected {self.expected}"
         return f"{message}; {self.fix}" if self.fix else message
 
 
@@ -175,13 +175,13 @@
         return Diagnostic(location, f"{str(error.token)!r}", expected)
     if isinstance(error, UnexpectedCharacters):
         position = error.pos_in_stream or 0
-        found = repr(text[position : position + 1])
+        actual = repr(text[position : position + 1])
         expected = (
             'a string that ends on its line, with \\" \\\\ and \\n as its only escapes'
-            if found == "'\"'"
+            if actual == "'\"'"
             else "( ) a number, a word or a string in double quotes"
         )
-        return Diagnostic(location, found, expected)
+        return Diagnostic(location, actual, expected)
     return Diagnostic(location, "something else", "S-expressions")
 
 
@@ -202,8 +202,8 @@
     return _grammar.parse(text)
 
 
-def _invalid_file(path: str, found: str, expected: str) -> InvalidConfigError:
-    return InvalidConfigError([Diagnostic(SourceLocation(path, 1, 1), found, expected)])
+def _invalid_file(path: str, actual: str, expected: str) -> InvalidConfigError:
+    return InvalidConfigError([Diagnostic(SourceLocation(path, 1, 1), actual, expected)])
 
 
 def read(path: str) -> list[Expression]:
--- a/wickdyke/config/store_config.py
+++ b/wickdyke/config/store_config.py
@@ -4,7 +4,8 @@
 from dataclasses import dataclass, replace
 
 from wickdyke.config import address, schema, sexpr
-from wickdyke.config.schema import Diagnostics, Field, count, record, size, text, unlocated
+from wickdyke.config.builders import unlocated
+from wickdyke.config.schema import Diagnostics, Field, count, record, size, text
 
 
 @dataclass(slots=True, frozen=True)
--- a/wickdyke/config/worker_config.py
+++ b/wickdyke/config/worker_config.py
@@ -4,7 +4,8 @@
 from dataclasses import dataclass
 
 from wickdyke.config import address, schema, sexpr
-from wickdyke.config.schema import Diagnostics, Field, count, number, record, size, span, text, unlocated
+from wickdyke.config.builders import unlocated
+from wickdyke.config.schema import Diagnostics, Field, count, number, record, size, span, text
 from wickdyke.config.sexpr import SourceLocation
 
 REQUESTS_PER_CORE = 2  # concurrent requests where the file states no limit
@@ -128,9 +129,9 @@
     diagnostics = Diagnostics()
     section = schema.read_single(sexpr.read(path), "worker", path, WORKER, diagnostics)
     if section is not None and (section.store.folder is None) == (section.store.address is None):
-        found = "neither" if section.store.folder is None else "both"
+        actual = "neither" if section.store.folder is None else "both"
         expected = "either (folder PATH) or (service ADDRESS)"
-        diagnostics.add(section.location, f"(store ...) with {found}", expected)
+        diagnostics.add(section.location, f"(store ...) with {actual}", expected)
     return _from_section(schema.required(section, diagnostics), os.path.dirname(os.path.abspath(path)))
 
 
