--- a/wickdyke/routing/latency.py
+++ b/wickdyke/routing/latency.py
@@ -3,25 +3,27 @@
 from collections import deque
 
 from wickdyke.routing.cells import Cell
+from wickdyke.routing.inputs import WorkerLoad
 from wickdyke.routing.model import (
     Attempt,
     Function,
     LatencySample,
     LoadReport,
     Outcome,
+    RecordLengths,
     Replica,
     Request,
     Worker,
 )
 from wickdyke.routing.samples import mean, sum_by_key
-from wickdyke.routing.settings import FunctionCache, GatewayInstance, TenantQuotas
+from wickdyke.routing.settings import FunctionCache, TenantQuotas
 
 SAMPLE_AGE = 15000.0  # ms for which a latency sample counts
 LATENCY_SAMPLES_KEPT = 40  # of a worker
 RESULTS_KEPT = 8  # of a worker
 REPORTS_KEPT = 8  # of a worker
 OBJECTIVE_SHARES_KEPT = 8  # of a worker; also how many tell whether its limit has to change
-WORKER_RECORDS = LATENCY_SAMPLES_KEPT, RESULTS_KEPT, REPORTS_KEPT, OBJECTIVE_SHARES_KEPT
+WORKER_RECORDS = RecordLengths(LATENCY_SAMPLES_KEPT, RESULTS_KEPT, REPORTS_KEPT, OBJECTIVE_SHARES_KEPT)
 DURATIONS_KEPT = 16  # of a function, of a request class, of loads
 PRIOR_ANSWERS = 6.0  # answers by which a worker's pace is drawn towards that of its kind
 REPORT_AGE = 4000.0  # ms over which a load report fades
@@ -35,7 +37,9 @@
 CORE_SAMPLES_LEAST = 16  # before they count
 CORES_GUESS = 4.0  # requests that a worker runs at once while nothing tells
 CORES_QUANTILE = 0.1  # low: waiting for concurrency or loads holds requests but no core
-UTILIZATION_TELLING = 0.15, 0.85  # between these a report tells of cores; else queues and noise say little
+# Cores are estimated from reports between these utilizations: below noise prevails, above queues do.
+MIN_UTILIZATION_FOR_CORES = 0.15
+MAX_UTILIZATION_FOR_CORES = 0.85
 CLOCK_READING = 0.001  # ms: times are told in microseconds, and an answer within one reading took part of it
 PROMISED_UTILIZATION = 0.8  # of what a fleet can do, promised to tenants
 OVERDUE_FACTOR = 3.0  # a silent attempt is evidence after so many times its expected latency
@@ -54,9 +58,8 @@
     A worker's pace is round trip plus run time as measured, over what its requests take on the average worker.
     """
 
-    def __init__(self, cache: FunctionCache, instance: GatewayInstance, quotas: TenantQuotas) -> None:
+    def __init__(self, cache: FunctionCache, quotas: TenantQuotas) -> None:
         self.idle_timeout = cache.idle_timeout
-        self.report_fields = instance.report_fields
         self.promised_rate = sum(quotas.quotas)
         self.average_pace = 1.0
         self.pace_by_kind: dict[int, float] = {}
@@ -129,25 +132,22 @@
             cores = (promised or CORES_GUESS) / size
         self.cores_per_size = cores
 
-    def record_report(self, worker: Worker, values: tuple[float, ...] | None, now: float) -> None:
-        """Enters a load report, its values in the order of the settings' fields.
+    def record_report(self, worker: Worker, load: WorkerLoad | None, now: float) -> None:
+        """Enters a load report.
 
         Of utilization and requests in flight each stands in for the other where only one is given.
         """
-        fields = dict(zip(self.report_fields, values or (), strict=False))
-        if not fields:
+        if load is None:
             return
-        utilization, in_flight = fields.get("utilization"), fields.get("in_flight")
+        utilization, in_flight, queued, pinned, _ = load
         if in_flight is not None:
-            low, high = UTILIZATION_TELLING
-            if utilization is not None and low < utilization < high:
+            if utilization is not None and MIN_UTILIZATION_FOR_CORES < utilization < MAX_UTILIZATION_FOR_CORES:
                 self.core_samples.append(max(1.0, in_flight) / (utilization * worker.endpoint.size))
             if utilization is None:
                 utilization = min(1.0, in_flight / self.cores(worker))
         elif utilization is not None:
-            in_flight = utilization * self.cores(worker) + fields.get("queued", 0.0)
+            in_flight = utilization * self.cores(worker) + queued
         worker.open_records(WORKER_RECORDS)
-        pinned = fields.get("pinned", 0.0)
         worker.load_reports.append(LoadReport(now, utilization, in_flight, pinned, len(worker.in_flight)))
         shares = [report.utilization for report in worker.load_reports if report.utilization is not None]
         worker.utilization = mean(shares, 0.0)
@@ -192,7 +192,7 @@
         crowding = 1 + (len(worker.in_flight) + others) / self.cores(worker)
         return self.expected_work(request) * self.pace(worker) * crowding + self._load_left(replica, now)
 
-    def record_attempt(self, attempt: Attempt, outcome: str, now: float) -> None:
+    def record_attempt(self, attempt: Attempt, outcome: Outcome, now: float) -> None:
         """Enters how long an attempt at a loaded replica took.
 
         One that was given up after its expected latency counts as having taken at least that long: a worker that grows
