--- a/tests/test_route_config.py
+++ b/tests/test_route_config.py
@@ -8,6 +8,7 @@
 
 from tests.route_fixtures import read_routes
 from wickdyke.config import sexpr
+from wickdyke.config.builders import Located
 from wickdyke.config.route_format import format_routes
 from wickdyke.config.route_syntax import (
     ATTRIBUTES,
@@ -17,7 +18,6 @@
     RouteFields,
     parse_routes,
 )
-from wickdyke.config.schema import Located
 from wickdyke.config.sexpr import InvalidConfigError
 from wickdyke.route_policy.matching import Pattern
 from wickdyke.route_policy.policy import RETRYABLE_OUTCOMES, BackoffPolicy, RetryBudgetPolicy
--- a/wickdyke/config/deployment_settings.py
+++ b/wickdyke/config/deployment_settings.py
@@ -5,9 +5,9 @@
 """
 
 from collections.abc import Callable, Mapping
-from typing import Any, TypeVar
+from typing import TypeVar
 
-from wickdyke.routing.model import Effect, RequestClass
+from wickdyke.routing.model import Effect, RequestClass, Scope
 from wickdyke.routing.settings import (
     AttemptLimits,
     CostWeights,
@@ -15,6 +15,7 @@
     FunctionCache,
     GatewayInstance,
     PrewarmQuota,
+    RouterSettings,
     SlowStart,
     TenantQuotas,
 )
@@ -102,9 +103,9 @@
 # ---- the deployment's words ----
 
 EFFECT_WORDS = {
-    "pure": Effect.IDEMPOTENT.value,
-    "token": Effect.KEYED.value,
-    "side_effect": Effect.SIDE_EFFECTING.value,
+    "pure": Effect.IDEMPOTENT,
+    "token": Effect.KEYED,
+    "side_effect": Effect.SIDE_EFFECTING,
 }
 REPORTS = {
     "outstanding": "in_flight",
@@ -118,7 +119,7 @@
 }
 truth = one_of({"true": True, "false": False})
 effect = one_of(EFFECT_WORDS)
-scope = one_of({"all": "all", "zone": "zone", "cell": "cell"})
+scope = one_of({"all": Scope.ALL, "zone": Scope.ZONE, "cell": Scope.CELL})
 weight_unit = one_of({"request": False, "work": True})
 action_without_replica = one_of({"load": True, "miss": False})
 discovery_mode = one_of({"automatic": True, "subscribe": False})
@@ -203,7 +204,7 @@
     return RequestClass(
         name=settings.get(f"{path}.name", str),
         effect=settings.get(f"{path}.repeat", effect),
-        scope=settings.get(f"{path}.key-scope", scope, "all"),
+        scope=settings.get(f"{path}.key-scope", scope, Scope.ALL),
         dedupe_window=settings.get(f"{path}.window", span, 0.0),
         latency_objective=settings.get(f"{path}.aim", span),
         objective_per_work=settings.get(f"{path}.aim-stretch", number, 0.0),
@@ -214,7 +215,7 @@
 
 
 def request_classes(settings: DeploymentSettings) -> list[RequestClass]:
-    """All request classes."""
+    """All request classes; raises InvalidInputError."""
     return [request_class(settings, index) for index in range(settings.get("lanes.count", count))]
 
 
@@ -300,16 +301,15 @@
     )
 
 
-def router_settings(settings: DeploymentSettings) -> dict[str, Any]:
-    """The router's settings by the names of its parameters; raises InvalidInputError for the first that is invalid."""
-    return {
-        "request_classes": request_classes(settings),
-        "instance": _instance(settings),
-        "attempt_limits": _attempt_limits(settings),
-        "function_cache": _function_cache(settings),
-        "slow_start": _slow_start(settings),
-        "prewarm_quota": _prewarm_quota(settings),
-        "discovery": _discovery(settings),
-        "tenant_quotas": _tenant_quotas(settings),
-        "cost_weights": _cost_weights(settings),
-    }
+def router_settings(settings: DeploymentSettings) -> RouterSettings:
+    """The router's settings but its request classes; raises InvalidInputError for the first that is invalid."""
+    return RouterSettings(
+        instance=_instance(settings),
+        attempt_limits=_attempt_limits(settings),
+        function_cache=_function_cache(settings),
+        slow_start=_slow_start(settings),
+        prewarm_quota=_prewarm_quota(settings),
+        discovery=_discovery(settings),
+        tenant_quotas=_tenant_quotas(settings),
+        cost_weights=_cost_weights(settings),
+    )
--- a/wickdyke/config/effective_policy.py
+++ b/wickdyke/config/effective_policy.py
@@ -3,8 +3,9 @@
 from dataclasses import dataclass
 from typing import TypeVar
 
+from wickdyke.config.builders import Located
 from wickdyke.config.route_syntax import HedgeField, Route, RouteFields
-from wickdyke.config.schema import Diagnostics, Located
+from wickdyke.config.schema import Diagnostics
 from wickdyke.config.sexpr import SourceLocation
 from wickdyke.route_policy.policy import NEVER_RAN, BackoffPolicy, HedgePolicy, Policy
 from wickdyke.routing.model import Backoff, Hedging, RequestClass, RetryBudgetTerms, RoutePolicy
--- a/wickdyke/config/gateway_sections.py
+++ b/wickdyke/config/gateway_sections.py
@@ -21,7 +21,7 @@
     word_list,
 )
 from wickdyke.config.sexpr import NOWHERE, SourceLocation
-from wickdyke.routing.model import Effect, RequestClass
+from wickdyke.routing.model import Effect, RequestClass, Scope
 from wickdyke.routing.settings import AttemptLimits, CostWeights, FunctionCache, PrewarmQuota, SlowStart
 
 BYTES_PER_MB = 2**20
@@ -182,12 +182,8 @@
 REQUEST_CLASS = record(
     located(RequestClass),
     named=True,
-    effect=Field(
-        choice(
-            idempotent=Effect.IDEMPOTENT.value, tokened=Effect.KEYED.value, side_effecting=Effect.SIDE_EFFECTING.value
-        )
-    ),
-    scope=Field(choice(all="all", zone="zone", cell="cell"), "all"),
+    effect=Field(choice(idempotent=Effect.IDEMPOTENT, tokened=Effect.KEYED, side_effecting=Effect.SIDE_EFFECTING)),
+    scope=Field(choice(all=Scope.ALL, zone=Scope.ZONE, cell=Scope.CELL), Scope.ALL),
     window=Field(span(), 0.0, parameter="dedupe_window"),
     soft_deadline=Field(span(1.0), parameter="latency_objective"),
     deadline=Field(span(1.0)),
--- a/wickdyke/config/route_syntax.py
+++ b/wickdyke/config/route_syntax.py
@@ -5,10 +5,10 @@
 from typing import Any, TypeVar
 
 from wickdyke.config import schema
+from wickdyke.config.builders import Located, unlocated
 from wickdyke.config.schema import (
     Diagnostics,
     Field,
-    Located,
     Reader,
     choice,
     count,
@@ -16,7 +16,6 @@
     record,
     span,
     text,
-    unlocated,
 )
 from wickdyke.config.sexpr import Atom, Expression, SourceLocation
 from wickdyke.route_policy.matching import WILDCARD, Pattern
--- a/wickdyke/platform/configuration.py
+++ b/wickdyke/platform/configuration.py
@@ -2,7 +2,7 @@
 
 import json
 import os
-from dataclasses import dataclass
+from dataclasses import dataclass, fields
 from types import SimpleNamespace
 
 from wickdyke.config import deployment_settings
@@ -126,13 +126,14 @@
     batch = _known_batch(given, path)
     pairs = deployment_settings.from_nested(settings, f"{path}: settings")
     try:
-        started = deployment_settings.router_settings(pairs)
+        request_classes = deployment_settings.request_classes(pairs)
+        router_settings = deployment_settings.router_settings(pairs)
         events = [change(json.dumps(event)) for event in batch]
     except deployment_settings.InvalidInputError as error:
         raise ConfigurationError(str(error)) from None
     except Unusable as error:
         raise ConfigurationError(f"{path}: known.batch has {error}") from None
-    if not started["request_classes"]:
+    if not request_classes:
         raise ConfigurationError(f"{path}: settings has no classes, expected one at least")
     memory = _limit(given, path, "memory_mb", MEMORY_LEAST)
     tenants = range(pairs.get("tenants.count", deployment_settings.count, 0))
@@ -148,7 +149,8 @@
         kinds=pairs.names("flavors"),
         tenants=tuple(pairs.get(f"tenants.{index}.name", str) for index in tenants),
         bounds=SimpleNamespace(open_requests=_open_requests(memory), events=EVENTS_MOST),
-        **started,
+        request_classes=request_classes,
+        **{field.name: getattr(router_settings, field.name) for field in fields(router_settings)},
     )
 
 
--- a/wickdyke/simulator/host.py
+++ b/wickdyke/simulator/host.py
@@ -5,11 +5,17 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from wickdyke.config.deployment_settings import InvalidInputError, count, from_pairs, router_settings, span
+from wickdyke.config.deployment_settings import (
+    InvalidInputError,
+    count,
+    from_pairs,
+    request_classes,
+    router_settings,
+    span,
+)
 from wickdyke.routing.inputs import AttemptFinished, RequestReceived, WorkerLoad
 from wickdyke.routing.model import Endpoint
 from wickdyke.routing.router import Router
-from wickdyke.routing.settings import RouterSettings
 from wickdyke.simulator import codec
 
 Lines = Iterator[tuple[int, list[str]]]
@@ -145,10 +151,10 @@
         if len(values) < 2:
             raise InvalidInputError("POWER_ON: expected an instance, a seed and the settings")
         ident, seed = codec.read_values("POWER_ON", values[:2], (("instance", count), ("seed", count)))
-        settings: dict[str, Any] = router_settings(from_pairs(values[2:]))
-        request_classes = settings.pop("request_classes")
+        settings = from_pairs(values[2:])
+        router = Router(self.now, seed, request_classes(settings), router_settings(settings))
         batch.touched[ident] = None
-        self.instances[ident] = Instance(Router(self.now, seed, request_classes, RouterSettings(**settings)))
+        self.instances[ident] = Instance(router)
 
     def _endpoints(self, lines: Lines, entries: int) -> list[Endpoint]:
         endpoints = []
