--- a/tests/test_route_config.py
+++ b/tests/test_route_config.py
@@ -41,7 +41,7 @@
 
 class RouteConfigTest(unittest.TestCase):
     def test_inherited(self):
-        """What holds comes from the nearest that states it, the method last."""
+        """A value is that of the nearest route that states it; the method's comes last."""
         got = read_routes(
             '(route "base" (attempts 2) (attempt 1 s) (priority 1)) (route "mid" (like "base") '
             '(takes (method "idem")) (priority 2)) (route "leaf" (like "mid") (takes (method "idem") '
@@ -75,7 +75,7 @@
         )
     )
     def test_round_trip(self, drawn):
-        """Parsed, printed and parsed again it is the same."""
+        """Routes that are formatted and parsed are the same."""
         location = sexpr.SourceLocation("f", 1, 1)
         made = [
             Route(
@@ -96,7 +96,7 @@
         self.assertEqual(format_routes(back), text)
 
     def test_two_thousand(self):
-        """A file of 2,000 routes is checked within seconds, and each trouble in it is found."""
+        """A file of 2,000 routes is checked within seconds, and each error in it is reported."""
         lines = [
             f'(route "r{at}" (takes (method "idem") (program "p{at}/*")) (attempts 2) (attempt 1 s))'
             for at in range(2000)
@@ -104,9 +104,9 @@
         lines[777] = lines[777].replace("1 s", "2 s")
         lines[1500] = lines[1500].replace("p1500", "p1499")
         began = time.monotonic()
-        with self.assertRaises(InvalidConfigError) as bad:
+        with self.assertRaises(InvalidConfigError) as raised:
             read_routes(" ".join(lines))
-        self.assertEqual(len(bad.exception.diagnostics), 2)
+        self.assertEqual(len(raised.exception.diagnostics), 2)
         self.assertLess(time.monotonic() - began, 60)
 
 
--- a/tests/test_route_matching.py
+++ b/tests/test_route_matching.py
@@ -37,7 +37,7 @@
                 self.assertEqual(table.find(*request), expected)
         self.assertIsNone(RouteTable([]).find("m", "p"))
 
-    def test_ties(self):
+    def test_ambiguities(self):
         for patterns, count in (
             ([Pattern("m"), Pattern(function="p")], 1),
             ([Pattern("m"), Pattern("m", "p")], 0),
@@ -52,15 +52,15 @@
             with self.subTest(patterns=patterns):
                 self.assertEqual(len(find_ambiguities(patterns)), count)
 
-    def test_looks_do_not_grow(self):
-        """The looks of a search hang on names, not on how many routes there are; found is what a plain search finds."""
-        looks = []
-        for many in (10, 1000, 10000):
-            patterns = [Pattern("m", f"p{at}/*") for at in range(many - 1)] + [Pattern("m")]
+    def test_lookups_do_not_grow(self):
+        """The lookups of a search depend on the lengths of names, not on the number of routes."""
+        lookups = []
+        for count in (10, 1000, 10000):
+            patterns = [Pattern("m", f"p{at}/*") for at in range(count - 1)] + [Pattern("m")]
             table = RouteTable([(pattern, pattern) for pattern in patterns])
             self.assertEqual(table.find("m", "p7/x"), Pattern("m", "p7/*"))
-            looks.append(table.lookups)
-        self.assertLessEqual(max(looks), looks[0] + 4, looks)  # one for each length of a name's number
+            lookups.append(table.lookups)
+        self.assertLessEqual(max(lookups), lookups[0] + 4, lookups)  # one for each length of a name's number
 
 
 if __name__ == "__main__":
--- a/tests/test_route_proof.py
+++ b/tests/test_route_proof.py
@@ -17,14 +17,14 @@
                     self.assertIsNone(proof.accepted_but_late(attempts, growth))
                     self.assertIsNone(proof.rejected_but_in_time(attempts, growth))
 
-    def test_two_at_once(self):
+    def test_overlapping_attempts(self):
         for attempts in (2, 3):
             with self.subTest(attempts=attempts):
                 self.assertIsNone(proof.accepted_but_overlapping(attempts, 2))
         self.assertIn("linger", proof.accepted_but_overlapping(2, 2, slack=1) or "")
 
     def test_mistakes_are_found(self):
-        """(a sum made wrong) -> a course past the deadline that it would let through, or a violation without need."""
+        """(a wrong sum) -> a late course that it would accept, or a policy that it would reject without need."""
 
         def without(name):
             return lambda policy, environment: [
@@ -56,8 +56,8 @@
         )
         self.assertIn("deadline", one_more or "")
 
-    def test_courses(self):
-        """The course shown with a violation takes the sum, to the ms."""
+    def test_worst_case_timeline(self):
+        """The timeline of a violation ends at the sum."""
         for attempts in (1, 2, 3):
             policy = Policy(
                 10.0, 4000.0, 900.0, None, attempts, BackoffPolicy(40.0, 2.0, 60.0, 0.5), queue_timeout=70.0
--- a/tests/test_route_transition.py
+++ b/tests/test_route_transition.py
@@ -14,7 +14,7 @@
     OLD = f'(route "r" (takes (method "idem")) (attempts 2) (attempt 1 s) {BARE})'
 
     def test_one_change(self):
-        """(file in force, new file) -> words of the diagnostic; none where it may be activated."""
+        """(file in force, new file) -> words of the diagnostic; none where it may come into force."""
         old, bare = self.OLD, self.BARE
         other = '(route "s" (takes (method "idem")) (attempts 2) (attempt 1 s))'
         for was, new, words in (
@@ -63,7 +63,7 @@
                     self.assertIn(word, found[0])
 
     def test_two_changes(self):
-        """In two steps a budget may go; the second waits for those taken before the first, to the moment."""
+        """A budget may go in two steps; the second waits for requests received before the first, to the moment."""
         floor = self.OLD.replace("(share 0.1)", "(share 0.1) (floor 1)")
         other = '(route "s" (takes (method "idem")) (attempts 2) (attempt 1 s))'
         transition = PolicyTransition()
--- a/tests/test_route_validation.py
+++ b/tests/test_route_validation.py
@@ -14,8 +14,8 @@
 
 
 class RouteValidationTest(unittest.TestCase):
-    def test_bad(self):
-        """(what a route states, environment) -> words of the one message."""
+    def test_rejected(self):
+        """(fields of a route, environment) -> words of the one diagnostic."""
         side, tok = (f'(route "r" (takes (method "{name}")) ' for name in ("side", "tok"))
         for text, environment, words in (
             # past the deadline: queue + tick + n x (attempt + dial) + pauses + (n - 1) x tick + answer-way
@@ -116,16 +116,16 @@
             ('(takes (method "tok"))', STRICT, ("a second time",)),
         ):
             with self.subTest(text=text):
-                with self.assertRaises(InvalidConfigError) as bad:
+                with self.assertRaises(InvalidConfigError) as raised:
                     read_routes(text, environment)
-                said = str(bad.exception)
+                message = str(raised.exception)
                 if not text.startswith("(pause 30"):
-                    self.assertEqual(len(bad.exception.diagnostics), 1, said)
+                    self.assertEqual(len(raised.exception.diagnostics), 1, message)
                 for word in words:
-                    self.assertIn(word, said)
+                    self.assertIn(word, message)
 
-    def test_good(self):
-        """(what a route states, environment): the near misses of the above, and plain ones."""
+    def test_accepted(self):
+        """(fields of a route, environment): the near misses of the above, and plain ones."""
         side, tok = (f'(route "r" (takes (method "{name}")) ' for name in ("side", "tok"))
         for text, environment in (
             ("", STRICT),
@@ -173,7 +173,7 @@
 
 class PolicyValidationTest(unittest.TestCase):
     def test_nearest_passes(self):
-        """The policy that a violation names are accepted, and their neighbours are not."""
+        """The policies that a violation suggests are accepted, and their neighbours are not."""
         chance = random.Random(5)
         tried = 0
         for _ in range(3000):
@@ -227,7 +227,7 @@
         st.randoms(use_true_random=False),
     )
     def test_accepted_keep_the_rules(self, fields, environment, name, chance):
-        """Accepted policy, played under scripted worst cases, end in time, never two at once, never a second effect."""
+        """Accepted policies, played under worst cases, end in time, without two attempts at once or a second effect."""
         policy, method = Policy(10.0, 4000.0, linger=None, **fields), request_class(name)
         if validation.validate(policy, method, environment):
             return
