--- a/tests/test_client_connection_faults.py
+++ b/tests/test_client_connection_faults.py
@@ -498,7 +498,7 @@
     def test_the_desk_breaks_before_it_has_taken_it(self):
         serving = self.front_end(self.worker())
         client = self.idle_client()
-        serving.coordinator.requests.isolation = Mock(turned_away=Mock(side_effect=ZeroDivisionError))
+        serving.coordinator.requests.isolation = Mock(rejection=Mock(side_effect=ZeroDivisionError))
         self.send(client, rig.dispatch(2, rig.fields(A), b"a"))
         self.assertEqual(self.answer(client)[1], "shed")
         self.assertEqual(
--- a/tests/test_coordinator.py
+++ b/tests/test_coordinator.py
@@ -402,7 +402,7 @@
                 return "result" in client.answer()
 
             self.assertTrue(until(back_again))
-            self.assertTrue(until(lambda: "program back" in running.said.getvalue()))  # said beside the answer
+            self.assertTrue(until(lambda: "function breaker closed" in running.said.getvalue()))  # said beside the answer
             client.close()
 
     def test_call(self):
@@ -529,7 +529,7 @@
         out, into = os.pipe()
         sink = os.fdopen(into, "w")
         with Running(sink=sink) as running:
-            for at in range(logs.QUEUED_MOST + 5000):
+            for at in range(logs.MAX_QUEUED_LINES + 5000):
                 running.log.info("filler", at=at, more="x" * 100)
             self.assertTrue(until(lambda: running.scribe.lost > 0))
             client = running.client()
@@ -563,7 +563,7 @@
             ),
             ("something else", "something else", {}),
         ):
-            self.assertEqual(logs.keys(note), (event, keys))
+            self.assertEqual(logs.parse_note(note), (event, keys))
 
 
 class Stopping(unittest.TestCase):
--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -16,6 +16,7 @@
 from tests.test_fleet import ASCII_A, ASCII_B, Full
 from tests.test_platform import Turned
 from wickdyke.jsonrpc import worker_client as rpc_link
+from wickdyke.jsonrpc import worker_command as rpc_command
 from wickdyke.jsonrpc import worker_protocol as rpc_speech
 from wickdyke.platform import connection_pool, worker_client, worker_command, worker_connection, worker_protocol
 from wickdyke.routing.model import RequestClass
@@ -48,7 +49,7 @@
 
 def ask(ident=ASCII_A, body=b"x"):
     """What a client asked."""
-    return SimpleNamespace(call=SimpleNamespace(ident=ident, token="", input=body, load_ms=None))
+    return SimpleNamespace(params=SimpleNamespace(ident=ident, token="", input=body, load_ms=None))
 
 
 def told_left(parts):
@@ -326,7 +327,7 @@
     def setUp(self):
         made = tempfile.TemporaryDirectory(prefix="wd-")
         self.addCleanup(made.cleanup)
-        self.clock, self.folder = Clock(self, rpc_link, rpc_speech), made.name
+        self.clock, self.folder = Clock(self, rpc_command, rpc_speech), made.name
         self.speech = rpc_speech.JsonRpcWorkerProtocol(
             SimpleNamespace(name="g", instance=SimpleNamespace(report_fields=()))
         )
@@ -342,7 +343,9 @@
                 sock.sendall(ok(asked["id"]))
 
         peer, told = Peer(self.folder, "w", play), Told()
-        link = rpc_link.WorkerClient("w", peer.path, "g", told, 20000.0, 16 << 20, 32 << 20)
+        link = rpc_link.WorkerClient(
+            "w", peer.path, rpc_link.WorkerClientSettings("g", 20000.0, 16 << 20, 32 << 20), told
+        )
         self.addCleanup(link.close)
         self.addCleanup(peer.close)
         return link, told
@@ -380,7 +383,7 @@
         with patch.object(link.write_buffer, "put", behind):
             link.send(order)
         self.clock.now += 900.0
-        link.draining = True
+        link.state = rpc_link.ClientState.DRAINING
         put(OutgoingMessage(b"\n"))  # wakes the thread
         self.assertEqual(told.next("finished")[2:4], (order, "unsent"))
         link.thread.join(20)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -22,6 +22,7 @@
 
 from tests import platform_rig as rig
 from tests.test_platform import Turned
+from wickdyke.gateway.answers import Success
 from wickdyke.gateway.events import ClientClosed, EndpointsReceived
 from wickdyke.gateway.interfaces import CommandKind
 from wickdyke.platform import (
@@ -650,7 +651,7 @@
         self.front_end(self.worker().address)
         ask = Mock(commands={"one": order}, router_id=None)
         ask.succeed.__name__ = "succeed"
-        self.serving.coordinator.requests.answer(ask, ask.succeed, b"", 1)
+        self.serving.coordinator.requests.answer(ask, Success(b"", 1))
         order.worker_client.withdraw_unsent.assert_called_once_with(order)
 
 
--- a/tests/test_log_faults.py
+++ b/tests/test_log_faults.py
@@ -116,7 +116,7 @@
         for error in (errno.ENOSPC, errno.EIO):
             broken = mock.Mock(side_effect=OSError(error, os.strerror(error)))
             with mock.patch.object(logs, "open", broken, create=True):
-                scribe = logs.LogWriter(logs.opened(self.path("log")))
+                scribe = logs.LogWriter(logs.open_sink(self.path("log")))
                 scribe.msg("<one>")
                 self.assertTrue(until(lambda scribe=scribe: scribe.lost == 1))
             scribe.msg("<two>")
@@ -124,7 +124,7 @@
             scribe.sink.close()
             self.assertEqual(self.lines(), ['event="log lines lost" lines=1', "<two>", ""])
             os.unlink(self.path("log"))
-        self.assertRaises(OSError, logs.opened, self.path("none", "log"))
+        self.assertRaises(OSError, logs.open_sink, self.path("none", "log"))
 
     def test_a_pipe_whose_reader_is_gone(self):
         """Requests have their answers, and the lines are counted."""
@@ -142,7 +142,7 @@
         """It takes its time in all, not once for each of its steps."""
         out, into = os.pipe()
         real, steps = threading.Thread.join, []
-        with mock.patch.object(logs, "QUEUED_MOST", 10):
+        with mock.patch.object(logs, "MAX_QUEUED_LINES", 10):
             scribe = logs.LogWriter(os.fdopen(into, "w"))
         scribe.msg("x" * (1 << 20))
         self.assertTrue(until(scribe.lines.empty))
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -474,7 +474,7 @@
         self.until(lambda: self.told)
         (received,) = self.told
         ask = received.pending
-        call = ask.call
+        call = ask.params
         self.assertEqual(
             (
                 call.ident,
--- a/tests/test_worker_client.py
+++ b/tests/test_worker_client.py
@@ -9,7 +9,8 @@
 
 from tests.rig import Peer, Told, hello, lines_of, ok, until
 from wickdyke.gateway.interfaces import CommandKind
-from wickdyke.jsonrpc.worker_client import Command, WorkerClient
+from wickdyke.jsonrpc.worker_client import WorkerClient, WorkerClientSettings
+from wickdyke.jsonrpc.worker_command import Command
 from wickdyke.protocol import jsonrpc, worker_messages
 from wickdyke.transport.write_buffer import OutgoingMessage, PeerTooSlow, WriteBuffer
 
@@ -95,7 +96,7 @@
         self.count += 1
         peer = Peer(self.folder, f"w{self.count}", play)
         told = Told()
-        link = WorkerClient("w", peer.path, "g", told, dial, line, 32 << 20)
+        link = WorkerClient("w", peer.path, WorkerClientSettings("g", dial, line, 32 << 20), told)
         self.addCleanup(link.close)
         self.addCleanup(peer.close)
         return link, told, peer
@@ -156,7 +157,8 @@
         ):
             with self.subTest(case=name):
                 self.assertEqual(self.run_once(play, dial=150.0)[1], "unreached")
-        link = WorkerClient("w", os.path.join(self.folder, "nobody"), "g", told := Told(), 1000.0, 1 << 20, 1 << 20)
+        settings = WorkerClientSettings("g", 1000.0, 1 << 20, 1 << 20)
+        link = WorkerClient("w", os.path.join(self.folder, "nobody"), settings, told := Told())
         self.addCleanup(link.close)
         link.send(Command(CommandKind.ATTEMPT, None, "run", b"{}"))
         self.assertEqual(told.next("finished")[3], "unreached")
@@ -209,7 +211,7 @@
             link.send(order)  # must not wait
         self.assertTrue(until(lambda: orders[0].message.begun))
         self.assertEqual(link.cancel(orders[2], lambda: None), "unsent")
-        self.assertIsNone(link.cancel(orders[0], lambda: None))
+        self.assertEqual(link.cancel(orders[0], lambda: None), "pending")
         link.disconnect()
         got = {event[2].key: event[3] for event in (told.next("finished"), told.next("finished"))}
         self.assertEqual(got, {0: "cut", 1: "unsent"})
@@ -267,7 +269,7 @@
 
         link, told, _ = self.link(play)
         link.send(Command(CommandKind.ATTEMPT, 1, "run", b"{}"))
-        self.assertTrue(until(lambda: link.in_flight))
+        self.assertTrue(until(lambda: link.commands.in_flight))
         link.drain()
         answer.set()
         self.assertEqual(told.next("finished")[3], "ok")
--- a/tests/test_worker_connection_faults.py
+++ b/tests/test_worker_connection_faults.py
@@ -386,7 +386,9 @@
         self.made += 1
         peer, told = Peer(self.folder, f"w{self.made}", willing), Told()
         self.addCleanup(peer.close)
-        link = rpc_link.WorkerClient("w", peer.path, "g", told, 20000.0, 16 << 20, 32 << 20)
+        link = rpc_link.WorkerClient(
+            "w", peer.path, rpc_link.WorkerClientSettings("g", 20000.0, 16 << 20, 32 << 20), told
+        )
         self.addCleanup(link.close)
         return link, told
 
--- a/wickdyke/cli/check.py
+++ b/wickdyke/cli/check.py
@@ -7,14 +7,14 @@
 
 from wickdyke.config import endpoint_file, gateway_config, route_config, sexpr, worker_config
 from wickdyke.fault_injection import scenario
-from wickdyke.jsonrpc.service import ground
+from wickdyke.jsonrpc.service import policy_environment
 from wickdyke.worker import package
 
 
 def _station(file: str) -> None:
     made = gateway_config.read(file)
     if made.routes is not None:
-        route_config.read(made.routes, made.request_classes, ground(made))
+        route_config.read(made.routes, made.request_classes, policy_environment(made))
 
 
 KINDS = {
--- a/wickdyke/cli/move.py
+++ b/wickdyke/cli/move.py
@@ -7,7 +7,7 @@
 
 from wickdyke.config import endpoint_file, gateway_config, migration, route_config, schema, sexpr
 from wickdyke.config.sexpr import InvalidConfigError
-from wickdyke.jsonrpc.service import ground
+from wickdyke.jsonrpc.service import policy_environment
 
 
 @click.command("move")
@@ -68,7 +68,7 @@
     told = []
     for name, read in (
         (made.workers, lambda file: endpoint_file.read_endpoints(file, made.zones, made.kinds)),
-        (made.routes, lambda file: route_config.read(file, made.request_classes, ground(made))),
+        (made.routes, lambda file: route_config.read(file, made.request_classes, policy_environment(made))),
     ):
         try:
             if name is not None:
--- a/wickdyke/cli/routes.py
+++ b/wickdyke/cli/routes.py
@@ -7,7 +7,7 @@
 from wickdyke.config import gateway_config, route_config
 from wickdyke.config.sexpr import InvalidConfigError
 from wickdyke.fault_injection.report import table
-from wickdyke.jsonrpc.service import ground
+from wickdyke.jsonrpc.service import policy_environment
 from wickdyke.route_policy.policy import format_schedule, worst_case_schedule
 
 
@@ -30,7 +30,7 @@
     """
     try:
         made = gateway_config.read(file)
-        found = route_config.read(made.routes, made.request_classes, ground(made)) if made.routes else None
+        found = route_config.read(made.routes, made.request_classes, policy_environment(made)) if made.routes else None
     except InvalidConfigError as bad:
         print(bad, file=sys.stderr)
         raise SystemExit(2) from None
@@ -54,7 +54,7 @@
         spot = held.origins.get(name)
         rows.append([name, value, str(spot) if spot else f'method "{method}"' if "deadline" in name else "not stated"])
     print(table(("field", "holds", "from"), rows))
-    schedule = format_schedule(worst_case_schedule(held.terms, ground(made)))
+    schedule = format_schedule(worst_case_schedule(held.terms, policy_environment(made)))
     print(f"longest course: {schedule} of {held.terms.deadline:g} ms")
 
 
--- a/wickdyke/cli/serve.py
+++ b/wickdyke/cli/serve.py
@@ -41,7 +41,7 @@
     if tape:
         made.tape = tape
     try:
-        sink = logs.opened(log_file or made.log)
+        sink = logs.open_sink(log_file or made.log)
     except OSError as bad:
         _fail(f"{bad.filename}: found no file to append to ({bad.strerror}), expected one")
     log, scribe = logs.logger(sink, as_json, debug, gateway=made.name)
--- a/wickdyke/cli/worker.py
+++ b/wickdyke/cli/worker.py
@@ -41,7 +41,7 @@
     except InvalidConfigError as bad:
         _fail(str(bad))
     try:
-        sink = logs.opened(log_file or shop.log)
+        sink = logs.open_sink(log_file or shop.log)
     except OSError as bad:
         _fail(f"{bad.filename}: found no file to append to ({bad.strerror}), expected one")
     log, scribe = logs.logger(sink, as_json, worker=shop.name)
@@ -99,7 +99,7 @@
     except InvalidConfigError as bad:
         _fail(str(bad))
     try:
-        sink = logs.opened(log_file)
+        sink = logs.open_sink(log_file)
     except OSError as bad:
         _fail(f"{bad.filename}: found no file to append to ({bad.strerror}), expected one")
     log, scribe = logs.logger(sink, False, store=depot.listen)
--- a/wickdyke/gateway/attempts.py
+++ b/wickdyke/gateway/attempts.py
@@ -1,42 +1,56 @@
 """The attempts of pending requests: sent to workers, withdrawn, timed out, and ended."""
 
+from wickdyke.gateway.answers import Success
 from wickdyke.gateway.context import Context
 from wickdyke.gateway.events import AttemptWithdrawn, CommandFinished
-from wickdyke.gateway.interfaces import Command, CommandResult, PendingRequest, WorkerClient, WorkerProtocol
+from wickdyke.gateway.interfaces import (
+    AnyWorkerClient,
+    Command,
+    CommandResult,
+    PendingRequest,
+    Withdrawal,
+)
 from wickdyke.gateway.isolation import Isolation
 from wickdyke.gateway.pending_requests import PendingRequests
+from wickdyke.gateway.worker_protocol import AnyWorkerProtocol
 from wickdyke.gateway.worker_registry import WorkerRegistry
 from wickdyke.routing.decisions import Cancel, Forward
 from wickdyke.routing.model import Attempt, Outcome
 
 
 class Attempts:
-    """Sends attempts and tells the router how each ended."""
+    """Sends attempts, and informs the router of how each ended."""
 
     def __init__(
         self,
         context: Context,
-        protocol: WorkerProtocol,
+        protocol: AnyWorkerProtocol,
         requests: PendingRequests,
         workers: WorkerRegistry,
         isolation: Isolation,
     ) -> None:
-        self.context, self.protocol, self.requests = context, protocol, requests
-        self.workers, self.isolation = workers, isolation
+        self.context = context
+        self.protocol = protocol
+        self.requests = requests
+        self.workers = workers
+        self.isolation = isolation
 
     def forward(self, decision: Forward) -> None:
         """Sends the next attempt of a request."""
-        request, timeout = decision.request, decision.timeout
+        request = decision.request
+        timeout = decision.timeout
         pending = self.requests.by_id[request.ident]
         pending.request = request
         attempt = request.attempts[pending.attempts_sent]
         pending.attempts_sent += 1
         now = self.context.now()
         time_left = max(0.0, min(request.deadline - now, request.deadline if timeout is None else timeout))
-        command = pending.commands[attempt] = self.protocol.attempt_command(attempt, pending, time_left)
+        command = self.protocol.attempt_command(attempt, pending, time_left)
+        pending.commands[attempt] = command
         # The client may have left since it was decided: nothing begins for it.
         wanted = not pending.closed and pending.still_wanted()
-        client = command.worker_client = self.workers.client(decision.worker.endpoint.ident) if wanted else None
+        client = self.workers.client(decision.worker.endpoint.ident) if wanted else None
+        command.worker_client = client
         if client is None:
             self.context.post(CommandFinished(None, command, Outcome.UNSENT))
             return
@@ -58,7 +72,7 @@
             self._ended(pending, attempt, CommandResult(Outcome.TIMEOUT))
 
     def cancel(self, decision: Cancel) -> None:
-        """Withdraws an attempt that the router no longer wants."""
+        """Withdraws an attempt that the router has cancelled."""
         attempt = decision.attempt
         pending = self.requests.by_id.get(attempt.request.ident)
         if pending is not None and attempt in pending.commands:
@@ -73,19 +87,21 @@
         def done() -> None:
             self.context.post(AttemptWithdrawn(pending, attempt, outcome))
 
-        state = client.cancel(command, done) if client is not None else "ended"
-        if state == Outcome.UNSENT:
-            self.context.post(AttemptWithdrawn(pending, attempt, Outcome.UNSENT))
-        elif state == Outcome.CANCELLED:
-            done()
-        elif state is None:
-            wait = self.context.config.attempt_limits.connect_timeout
-            self.context.timers.at(self.context.now() + wait, self._disconnect, pending, attempt, client)
-
-    def _disconnect(self, pending: PendingRequest, attempt: Attempt, client: WorkerClient) -> None:
+        if client is None:
+            return
+        match client.cancel(command, done):
+            case Withdrawal.UNSENT:
+                self.context.post(AttemptWithdrawn(pending, attempt, Outcome.UNSENT))
+            case Withdrawal.CANCELLED:
+                done()
+            case Withdrawal.PENDING:
+                timeout = self.context.config.attempt_limits.connect_timeout
+                self.context.timers.at(self.context.now() + timeout, self._disconnect, pending, attempt, client)
+
+    def _disconnect(self, pending: PendingRequest, attempt: Attempt, client: AnyWorkerClient) -> None:
         if attempt in pending.commands:
-            why = "it does not read, and an attempt is to end"
-            self.context.log.warning("worker disconnected", worker=client.name, why=why)
+            reason = "it does not read, and an attempt is to end"
+            self.context.log.warning("worker disconnected", worker=client.name, reason=reason)
             client.disconnect()
 
     def withdrawn(self, event: AttemptWithdrawn) -> None:
@@ -95,8 +111,8 @@
 
     # ---- deadlines ----
 
-    def time_up(self, router_id: int) -> None:
-        """The time of a request is up: nothing is waited for any more.
+    def deadline_passed(self, router_id: int) -> None:
+        """The deadline of a request has passed: nothing is waited for any more.
 
         For the router the client's time is up at the same moment, so what it decides on these outcomes is final. Of a
         request that is answered, only attempts are left that could not be cancelled and may never end.
@@ -123,23 +139,22 @@
 
     # ---- ends ----
 
-    def finished(self, command: Command, result: CommandResult) -> None:
+    def finished(self, attempt: Attempt, result: CommandResult) -> None:
         """The command of an attempt ended."""
-        attempt: Attempt = command.key
         pending = self.requests.by_id.get(attempt.request.ident)
         if pending is None or attempt not in pending.commands:
             self.context.counts["late"] += 1
             return
         if result.outcome != Outcome.OK:
             self._ended(pending, attempt, result)
-            retry_after = self.isolation.attempt_failed(pending, attempt, result)
-            if retry_after is not None:
-                self.requests.answer_undecided(pending, pending.reject, "poison", retry_after)
+            rejection = self.isolation.attempt_failed(pending, attempt, result)
+            if rejection is not None:
+                self.requests.answer_undecided(pending, rejection)
             return
         answered = pending.closed
-        self.isolation.served(attempt, None if answered else pending.call.input)
+        self.isolation.served(attempt, None if answered else pending.params.input)
         if not answered:
-            self.requests.answer(pending, pending.succeed, result.output, len(attempt.request.attempts))
+            self.requests.answer(pending, Success(result.output, len(attempt.request.attempts)))
         self._ended(pending, attempt, result)
 
     def _ended(self, pending: PendingRequest, attempt: Attempt, result: CommandResult) -> None:
@@ -151,7 +166,7 @@
             attempt=attempt.number,
             outcome=str(result.outcome),
             worker=attempt.replica.worker.endpoint.ident,
-            took_ms=round(self.context.now() - attempt.sent_at, 1),
+            elapsed_ms=round(self.context.now() - attempt.sent_at, 1),
         )
         try:
             self.context.inform(
--- a/wickdyke/gateway/circuit_breaker.py
+++ b/wickdyke/gateway/circuit_breaker.py
@@ -4,6 +4,10 @@
 from dataclasses import dataclass
 
 from wickdyke.circuit_breaker.breakers import Backoff, BreakerSettings, FunctionBreakers, RequestBreakers
+from wickdyke.gateway.answers import Rejection
+from wickdyke.gateway.interfaces import Log, RejectionReason
+
+DIGEST_SIZE = 16  # bytes
 
 
 @dataclass(slots=True)
@@ -15,17 +19,17 @@
     start: int
 
 
-def digest(content: bytes | memoryview) -> bytes:
+def input_digest(request_input: bytes) -> bytes:
     """The digest by which inputs of requests are distinguished."""
-    return hashlib.blake2b(content, digest_size=16).digest()
+    return hashlib.blake2b(request_input, digest_size=DIGEST_SIZE).digest()
 
 
 class CircuitBreaker:
     """Functions that do not load and requests that end replicas, for one gateway."""
 
-    digest = staticmethod(digest)
+    digest = staticmethod(input_digest)
 
-    def __init__(self, isolation: BreakerSettings, gateways: int, log) -> None:
+    def __init__(self, isolation: BreakerSettings, gateways: int, log: Log) -> None:
         self.log = log
         self.functions = FunctionBreakers(
             isolation.workers,
@@ -39,47 +43,49 @@
         )
         self.unsettled: dict[str, list[LostAttempt]] = {}  # by worker, until it is known whether that went down
 
-    def turned_away(self, function: str, content, now: float) -> tuple[str, float] | None:
-        """(why, ms until it is worth coming back) of a request that is not to be tried now."""
+    def rejection(self, function: str, request_input: bytes | None, now: float) -> Rejection | None:
+        """The answer to a request that is not to be tried now; None where it may be."""
         if (wait := self.functions.wait(function, now)) is not None:
-            return "load-failed", wait
-        if function not in self.requests.open_by_function:
+            return Rejection(RejectionReason.LOAD_FAILED, wait)
+        if request_input is None or function not in self.requests.open_by_function:
             return None  # the digest of a large input takes time: only where it may be needed
-        if (wait := self.requests.wait(function, digest(content), now)) is not None:
-            return "poison", wait
+        if (wait := self.requests.wait(function, input_digest(request_input), now)) is not None:
+            return Rejection(RejectionReason.POISON, wait)
         return None
 
     def loaded(self, function: str) -> None:
-        """It is loaded somewhere."""
+        """The function is loaded somewhere."""
         if self.functions.loaded(function):
-            self.log.info("program back", program=function)
+            self.log.info("function breaker closed", function=function)
 
     def load_failed(self, function: str, worker: str, now: float) -> None:
-        """A load of it failed there."""
+        """A load of the function failed at that worker."""
         pause = self.functions.failed(function, worker, now)
         if pause is not None:
             self.log.warning(
-                "program barred",
-                program=function,
+                "function breaker opened",
+                function=function,
                 pause_ms=round(pause),
-                why="it loads nowhere: " + ", ".join(self.functions.known[function].failed),
+                reason="it loads nowhere: " + ", ".join(self.functions.known[function].failed),
             )
 
-    def succeeded(self, function: str, content) -> None:
-        """A request for it ended without harm."""
-        if function in self.requests.open_by_function and self.requests.succeeded(function, digest(content)):
-            self.log.info("call back", program=function)
+    def succeeded(self, function: str, request_input: bytes) -> None:
+        """A request for the function ended without harm."""
+        if function in self.requests.open_by_function and self.requests.succeeded(
+            function, input_digest(request_input)
+        ):
+            self.log.info("request breaker closed", function=function)
 
     def replica_ended(self, function: str, request_digest: bytes, requests_in_replica: int, now: float) -> None:
         """The replica that a request was in ended, with so many requests in it."""
         pause = self.requests.replica_ended(function, request_digest, requests_in_replica, now)
         if pause is not None:
             self.log.warning(
-                "call barred",
-                program=function,
+                "request breaker opened",
+                function=function,
                 digest=request_digest.hex(),
                 pause_ms=round(pause),
-                why="copies end under it",
+                reason="replicas end under it",
             )
 
     def connection_lost(self, worker: str, start: int, function: str, request_digest: bytes) -> bool:
--- a/wickdyke/gateway/events.py
+++ b/wickdyke/gateway/events.py
@@ -1,15 +1,15 @@
 """What happens around the coordinator: posted to its queue by client connections, worker clients and discovery."""
 
+from collections.abc import Sequence
 from dataclasses import dataclass
-from typing import Any
 
-from wickdyke.gateway.interfaces import Command, PendingRequest, WorkerClient
-from wickdyke.routing.model import Attempt
+from wickdyke.gateway.interfaces import AnyWorkerClient, Command, PendingRequest, WorkerHello
+from wickdyke.routing.model import Attempt, Outcome
 
 
 @dataclass(slots=True, frozen=True, eq=False)
 class RequestReceived:
-    """A client asked, and what it asked was checked."""
+    """A client sent a request, which was checked."""
 
     pending: PendingRequest
 
@@ -25,56 +25,60 @@
 class ClientClosed:
     """A client's connection ended with these requests open."""
 
-    pending: list[PendingRequest]
+    pending: Sequence[PendingRequest]
 
 
 @dataclass(slots=True, frozen=True, eq=False)
 class EndpointsReceived:
-    """Entries of the endpoint list came, as the list's own records."""
+    """Entries of the endpoint list were received, as the list's own records."""
 
-    entries: list
+    entries: Sequence[object]
 
 
 @dataclass(slots=True, frozen=True, eq=False)
 class WorkerConnected:
-    """A worker said who it is and since when it is up."""
+    """A worker was connected to, and sent its hello."""
 
-    worker_client: WorkerClient
-    standing: Any
+    worker_client: AnyWorkerClient
+    hello: WorkerHello
 
 
 @dataclass(slots=True, frozen=True, eq=False)
 class WorkerUnreachable:
     """No connection to a worker could be made."""
 
-    worker_client: WorkerClient
-    why: str
+    worker_client: AnyWorkerClient
+    reason: str
 
 
 @dataclass(slots=True, frozen=True, eq=False)
 class WorkerConnectionLost:
     """The connection to a worker ended."""
 
-    worker_client: WorkerClient
-    why: str
+    worker_client: AnyWorkerClient
+    reason: str
 
 
 @dataclass(slots=True, frozen=True, eq=False)
 class WorkerDraining:
-    """A worker said itself that it drains."""
+    """A worker reported that it drains."""
 
-    worker_client: WorkerClient
+    worker_client: AnyWorkerClient
 
 
 @dataclass(slots=True, frozen=True, eq=False)
 class CommandFinished:
-    """A command to a worker ended; `answer` and `data` are what came, as the worker protocol reads them."""
+    """A command to a worker ended.
 
-    worker_client: WorkerClient | None
+    `answer` and `data` are what was received, as the worker protocol reads them. `worker_client` is None where the
+    command was sent to none.
+    """
+
+    worker_client: AnyWorkerClient | None
     command: Command
-    outcome: str
-    answer: Any = None
-    data: Any = None
+    outcome: Outcome
+    answer: object = None
+    data: bytes | None = None
 
 
 @dataclass(slots=True, frozen=True, eq=False)
@@ -83,7 +87,7 @@
 
     pending: PendingRequest
     attempt: Attempt
-    outcome: str
+    outcome: Outcome
 
 
 Event = (
--- a/wickdyke/gateway/file_watcher.py
+++ b/wickdyke/gateway/file_watcher.py
@@ -3,37 +3,66 @@
 import os
 import threading
 from collections.abc import Callable
-from typing import Any
+from dataclasses import dataclass
+from enum import Enum
+from typing import Generic, TypeVar
 
 from wickdyke.config.sexpr import IncompleteInputError, InvalidConfigError
+from wickdyke.gateway.interfaces import Log
 
+MS_PER_SECOND = 1000
+ContentT = TypeVar("ContentT")
 
-class FileWatcher:
+
+@dataclass(slots=True, frozen=True)
+class FileVersion:
+    """What changes with a file; replaced by another, it has another inode."""
+
+    modified_ns: int
+    inode: int
+    size: int
+
+
+class _Marker(Enum):
+    """What stands in the place of a file's version."""
+
+    UNKNOWN = "unknown"  # not read yet, or to be read again in any case
+    MISSING = "missing"  # there is no file
+
+
+Version = FileVersion | _Marker
+
+
+class FileWatcher(Generic[ContentT]):
     """Reads a file whenever it changes. What can't be used is logged once and leaves the last good one in force.
 
-    `read(path)` returns what it holds or raises Unusable; `use(content)` puts that in force and returns figures for
-    the log. `what` names the file's content in the log.
+    `read(path)` returns its content or raises InvalidConfigError; `use(content)` puts that in force and returns fields
+    for the log. `subject` names the file's content in the log. The file is looked at each `interval` ms.
     """
 
     def __init__(
         self,
-        what: str,
+        subject: str,
         path: str,
         interval: float,
-        read: Callable[[str], Any],
-        use: Callable[[Any], dict],
-        log,
+        read: Callable[[str], ContentT],
+        use: Callable[[ContentT], dict[str, int]],
+        log: Log,
     ) -> None:
-        self.what, self.path, self.interval = what, path, interval
-        self.read, self.use, self.log = read, use, log
-        self.mark: tuple[int, int, int] | tuple[()] | None = ()  # of the file as last looked at; None: there is none
-        self.logged_mark: tuple[int, int, int] | tuple[()] | None = ()  # of the unusable file last logged
+        self.subject = subject
+        self.path = path
+        self.interval = interval
+        self.read = read
+        self.use = use
+        self.log = log
+        self.version: Version = _Marker.UNKNOWN  # of the file as last read
+        self.logged_version: Version = _Marker.UNKNOWN  # of the unusable file last logged
         self.ended = threading.Event()
-        self.thread = threading.Thread(target=self._watch, name=what, daemon=True)
+        self.thread = threading.Thread(target=self._watch, name=subject, daemon=True)
 
     def open(self) -> None:
         """Reads it once, then follows it."""
-        self.look()
+        self.check()
         self.thread.start()
 
     def close(self) -> None:
@@ -41,39 +70,38 @@
         self.ended.set()
         self.thread.join()
 
-    def look(self) -> None:
-        """Looks once."""
-        mark = self._current_mark()
-        if mark == self.mark:
+    def check(self) -> None:
+        """Reads the file, if it has changed."""
+        version = self._current_version()
+        if version == self.version:
             return
-        self.mark = mark
+        self.version = version
         try:
             content = self.read(self.path)
         except InvalidConfigError as error:
-            if isinstance(
-                error, IncompleteInputError
-            ):  # it will be usable later, as it is: looked at again, logged once
-                self.mark = ()
-            if self.logged_mark != mark:
-                self.logged_mark = mark
+            if isinstance(error, IncompleteInputError):  # it may be usable later, unchanged: read again, logged once
+                self.version = _Marker.UNKNOWN
+            if self.logged_version != version:
+                self.logged_version = version
                 self._log_unusable(error)
             return
-        self.logged_mark = ()
-        self.log.info(f"{self.what} read", **self.use(content))
+        self.logged_version = _Marker.UNKNOWN
+        self.log.info(f"{self.subject} read", **self.use(content))
 
-    def _current_mark(self) -> tuple[int, int, int] | None:
+    def _current_version(self) -> Version:
         try:
-            found = os.stat(self.path)
+            status = os.stat(self.path)
         except OSError:
-            return None
-        return found.st_mtime_ns, found.st_ino, found.st_size
+            return _Marker.MISSING
+        return FileVersion(status.st_mtime_ns, status.st_ino, status.st_size)
 
     def _log_unusable(self, error: InvalidConfigError) -> None:
-        why, more = str(error.troubles[0]), len(error.troubles) - 1
+        reason = str(error.troubles[0])
+        more = len(error.troubles) - 1
         if more:
-            why += f" (and {more} more)"
-        self.log.warning(f"{self.what} unusable", why=why, kept="the last good one")
+            reason += f" (and {more} more)"
+        self.log.warning(f"{self.subject} unusable", reason=reason, in_force="the last good one")
 
     def _watch(self) -> None:
-        while not self.ended.wait(self.interval / 1000):
-            self.look()
+        while not self.ended.wait(self.interval / MS_PER_SECOND):
+            self.check()
--- a/wickdyke/gateway/interfaces.py
+++ b/wickdyke/gateway/interfaces.py
@@ -1,101 +1,204 @@
 """What the coordinator uses of its surroundings: pending requests, worker clients, their commands, the endpoint list.
 
-The JSON-RPC gateway (client_server, worker_client, worker_protocol, endpoint_list beside this) is one implementation,
-`wickdyke/platform` the other.
+The JSON-RPC gateway (`wickdyke/jsonrpc`) is one implementation, the platform's front end (`wickdyke/platform`) the
+other.
 """
 
+from collections.abc import Callable, Sequence
 from dataclasses import dataclass
 from enum import StrEnum
-from typing import Any, Protocol
+from typing import Any, Protocol, TypeVar, runtime_checkable
 
-from wickdyke.routing.model import Attempt, Endpoint, Function, Request, RequestClass, RoutePolicy
+from wickdyke.routing.model import Attempt, Endpoint, Outcome, Request, RequestClass, RoutePolicy
+
+ClientRequestId = str | int | float | None  # the id that a client gave its request
+EntryT_contra = TypeVar("EntryT_contra", contravariant=True)
+
+
+class RejectionReason(StrEnum):
+    """Why the gateway itself rejects or fails a request: the word that the client reads in its answer."""
+
+    STOPPING = "stopping"  # the process ends
+    GATEWAY_FULL = "gateway-full"  # as many requests are open as may be
+    CONNECTION_FULL = "connection-full"  # as many requests are open on the client's connection as may be
+    TOO_MANY_CONNECTIONS = "too-many-connections"  # as many clients are connected as may be
+    OVERRUN = "overrun"  # too many events wait for the coordinator
+    NO_TIME = "no-time"  # its deadline has passed
+    NO_PLACE = "no-place"  # no worker could be chosen
+    LOAD_FAILED = "load-failed"  # the circuit breaker of its function is open
+    POISON = "poison"  # the circuit breaker of its input is open
+    FAULT = "fault"  # handling it raised an exception
+    LEFT_OPEN = "left-open"  # the router left it open past its deadline
+
+
+AnswerReason = RejectionReason | Outcome  # an outcome: how the last attempt ended
+
+
+class Log(Protocol):
+    """A structured log: each line is an event and its fields. Never raises and never blocks."""
+
+    def bind(self, **fields: object) -> "Log":
+        """A log of the same lines, with these fields in each."""
+
+    def debug(self, event: str, /, **fields: object) -> object:
+        """Logs a step of one request."""
+
+    def info(self, event: str, /, **fields: object) -> object:
+        """Logs what is normal."""
+
+    def warning(self, event: str, /, **fields: object) -> object:
+        """Logs what an operator should look at."""
+
+    def error(self, event: str, /, **fields: object) -> object:
+        """Logs a fault."""
+
+
+class Client(Protocol):
+    """The connection that a request was received on; `number` is that of the connection, for the log."""
+
+    number: int
+
+
+class RequestParams(Protocol):
+    """What a client's request states, or the settings for it. Times are ms, memory is MB.
+
+    `input` becomes None once the request is answered, as it may be of megabytes.
+    """
+
+    input: bytes | None
+
+    @property
+    def function(self) -> str:
+        """The function that is to run."""
+
+    @property
+    def memory_mb(self) -> float:
+        """The memory of one replica of it."""
+
+    @property
+    def concurrency(self) -> int:
+        """How many requests one replica runs at once."""
+
+    @property
+    def load_ms(self) -> float | None:
+        """The expected time to load a replica."""
+
+    @property
+    def work_ms(self) -> float | None:
+        """The expected time that the request itself takes."""
+
+    @property
+    def is_repeat(self) -> bool:
+        """Whether the client has sent it before."""
+
+    @property
+    def idempotency_key(self) -> str | None:
+        """The key by which a worker recognizes a request that it has carried out."""
 
 
 class PendingRequest:
     """One checked request of a client. The coordinator answers it once, or drops it when the client has left.
 
-    `call` has the program, its figures (memory_mb, lanes, load_ms, work_ms), repeat, token and input. `time_left` (ms)
-    counts from `received_at` (monotonic ms). `closed` once it has its answer, or the client has left.
+    `time_left` (ms) counts from `received_at` (monotonic ms). `closed` once it has its answer, or the client has left.
     """
 
     __slots__ = (
+        "attempts_sent",
         "client",
+        "closed",
+        "commands",
         "ident",
+        "params",
+        "received_at",
+        "request",
         "request_class",
-        "call",
-        "time_left",
         "route_policy",
-        "request",
-        "attempts_sent",
-        "closed",
-        "commands",
         "router_id",
-        "received_at",
+        "time_left",
     )
 
     def __init__(
         self,
-        client: Any,
-        ident: Any,
+        client: Client,
+        ident: ClientRequestId,
         request_class: RequestClass,
-        call: Any,
+        params: RequestParams,
         time_left: float,
         route_policy: RoutePolicy | None = None,
     ) -> None:
-        self.client, self.ident, self.call = client, ident, call
-        self.request_class, self.time_left = request_class, time_left
+        self.client = client
+        self.ident = ident
+        self.request_class = request_class
+        self.params = params
+        self.time_left = time_left
         self.route_policy = route_policy  # as the routes are now; a file read later is for requests that come later
         self.request: Request | None = None  # the router's record, once it was forwarded
-        self.router_id: int | None = None  # under which the router knows it
+        self.router_id: int | None = None  # under which the router has it
         self.attempts_sent = 0
         self.commands: dict[Attempt, Command] = {}  # of its attempts in flight
         self.closed = False
         self.received_at: float | None = None
 
     def still_wanted(self) -> bool:
-        """Whether its client still waits for an answer, as far as can be known now."""
+        """Whether its client still waits for an answer, as far as can be determined now."""
         return True
 
     def succeed(self, output: bytes, attempts: int) -> None:
-        """Sends its final answer, with what the worker gave."""
+        """Sends its final answer: the output of the worker, after so many attempts."""
         raise NotImplementedError
 
     def reject(self, why: str, retry_after: float | None = None) -> None:
-        """Sends its final answer: nothing was done; worth asking again after `retry_after` ms."""
+        """Sends its final answer: it had no effect, and may be retried after `retry_after` ms."""
         raise NotImplementedError
 
     def fail(self, why: str) -> None:
-        """Sends its final answer: nothing is promised."""
+        """Sends its final answer: it may have had an effect or not."""
         raise NotImplementedError
 
 
 class CommandKind(StrEnum):
-    """What a worker is asked for."""
+    """What a worker is sent."""
 
     ATTEMPT = "attempt"
     PREWARM = "prewarm"
     HEALTH_CHECK = "health_check"
 
 
+@dataclass(slots=True, frozen=True)
+class PrewarmKey:
+    """Identifies a prewarm: the worker, the function and when it was sent (monotonic ms)."""
+
+    worker: str
+    function: str
+    sent_at: float
+
+
+CommandKey = Attempt | PrewarmKey | str  # of an attempt, a prewarm, a health check (the worker's name)
+
+
 class Command:
     """One message to a worker that is owed an answer. `key` is the coordinator's."""
 
-    __slots__ = ("kind", "key", "worker_client")
+    __slots__ = ("key", "kind", "worker_client")
+
+    def __init__(self, kind: CommandKind, key: CommandKey) -> None:
+        self.kind = kind
+        self.key = key
+        self.worker_client: AnyWorkerClient | None = None
 
-    def __init__(self, kind: CommandKind, key: Any) -> None:
-        self.kind, self.key = kind, key
-        self.worker_client: WorkerClient | None = None
+
+CommandT_contra = TypeVar("CommandT_contra", bound=Command, contravariant=True)
 
 
 @dataclass(slots=True, frozen=True)
 class CommandResult:
-    """How a command ended, and what came with it.
+    """How a command ended, and what the worker reported with it.
 
     `concurrent`: requests of the function in flight at the worker as the attempt came; `requests_in_replica`: how many
     were in a replica that ended.
     """
 
-    outcome: str
+    outcome: Outcome
     output: bytes = b""
     load_note: str | None = None
     concurrent: int = 0
@@ -104,55 +207,56 @@
     requests_in_replica: int = 0
 
 
-class WorkerClient(Protocol):
-    """The way to one worker. It posts one `CommandFinished` for each command."""
+class Withdrawal(StrEnum):
+    """What became of an attempt that was to be withdrawn."""
+
+    UNSENT = "unsent"  # no byte of it was sent: it never ran, and gets no answer
+    CANCELLED = "cancelled"  # the cancel is with the kernel: it may have run, and gets no answer
+    ENDED = "ended"  # it had ended before
+    PENDING = "pending"  # the cancel waits to be written
+
+
+class WorkerClient(Protocol[CommandT_contra]):
+    """The connections to one worker. It posts one `CommandFinished` for each command."""
 
     name: str
 
-    def send(self, command: Command) -> None:
+    def send(self, command: CommandT_contra, /) -> None:
         """Sends it, or has it sent once connected."""
 
-    def cancel(self, command: Command, done: Any) -> str | None:
-        """Withdraws an attempt; see wickdyke/jsonrpc/worker_client.py for what it returns."""
+    def cancel(self, command: CommandT_contra, done: Callable[[], None], /) -> Withdrawal:
+        """Withdraws an attempt; `done` is called once a cancel that is PENDING is with the kernel."""
 
-    def withdraw_unsent(self, command: Command) -> bool:
+    def withdraw_unsent(self, command: CommandT_contra, /) -> bool:
         """Takes back what has not begun to go out; True where it was so, and it has ended."""
 
     def withdraw_all_unsent(self) -> None:
-        """Nothing new goes there: what has not begun to go out ends as unsent."""
+        """Takes back all that has not begun to go out: it ends as unsent."""
 
-    def abandon(self, command: Command) -> bool:
-        """No answer is waited for any more; False where it has ended already."""
+    def abandon(self, command: CommandT_contra, /) -> bool:
+        """Stops waiting for an answer; False where the command has ended already."""
 
     def disconnect(self) -> None:
         """Ends its connections."""
 
     def drain(self) -> None:
-        """No more is to be sent; it ends with the last of what is in flight."""
+        """Sends no more; it ends with the last of what is in flight."""
 
     def close(self) -> None:
         """Ends it at once."""
 
 
-class WorkerProtocol(Protocol):
-    """How workers are spoken to; `connects_at_once` where a client is made as soon as its worker is listed."""
+@runtime_checkable
+class ConnectionState(Protocol):
+    """A worker client of one connection, which is made anew whenever it is lost."""
 
-    connects_at_once: bool
+    @property
+    def up(self) -> bool:
+        """Whether there is a connection."""
 
-    def client_for(self, name: str, address: str, notify: Any) -> WorkerClient:
-        """The client of one worker."""
 
-    def attempt_command(self, attempt: Attempt, pending: PendingRequest, time_left: float) -> Command:
-        """An attempt, to be waited for so many ms."""
-
-    def prewarm_command(self, key: tuple, function: Function, replicas: int) -> Command:
-        """A prewarm of so many replicas."""
-
-    def health_check_command(self, key: str) -> Command:
-        """A question for a load report."""
-
-    def result_of(self, command: Command, outcome: str, answer: object, data: object) -> CommandResult:
-        """The result of a command, from what its worker client reported."""
+# The coordinator passes a command only to the clients of the protocol that made it, whatever its own type.
+AnyWorkerClient = WorkerClient[Any]
 
 
 @dataclass(slots=True, frozen=True)
@@ -163,14 +267,50 @@
     addresses: dict[str, str | None]
 
 
-class EndpointList(Protocol):
-    """The merged view of who is there."""
+class EndpointList(Protocol[EntryT_contra]):
+    """The merged view of the listed workers."""
 
-    def apply(self, entries: list, now: float) -> EndpointListChange:
-        """Takes entries, and returns what they changed."""
+    def apply(self, entries: Sequence[EntryT_contra], now: float, /) -> EndpointListChange:
+        """Merges entries, and returns what they changed; `now` is monotonic ms."""
 
     def address(self, name: str) -> str | None:
         """Where a listed worker is."""
 
     def __len__(self) -> int:
         """How many workers are listed."""
+
+
+AnyEndpointList = EndpointList[Any]  # its entries are passed on as they were received
+
+
+class WorkerHello(Protocol):
+    """What a worker reports as it is connected to: its present start, the time since then (ms), whether it drains."""
+
+    @property
+    def start(self) -> int:
+        """The number of its present start."""
+
+    @property
+    def up_ms(self) -> float:
+        """The time since that start."""
+
+    @property
+    def draining(self) -> bool:
+        """Whether it takes no more requests."""
+
+
+@runtime_checkable
+class HelloEndpointList(Protocol):
+    """An endpoint list that merges what the workers themselves report; each method returns the endpoints it changed."""
+
+    def hello(self, name: str, hello: WorkerHello, now: float) -> list[Endpoint]:
+        """A worker was connected to."""
+
+    def unreachable(self, name: str, now: float) -> list[Endpoint]:
+        """No connection to a worker could be made."""
+
+    def draining(self, name: str) -> list[Endpoint]:
+        """A worker reported that it drains."""
+
+    def start_of(self, name: str) -> int | None:
+        """The number of a listed worker's present start."""
--- a/wickdyke/gateway/isolation.py
+++ b/wickdyke/gateway/isolation.py
@@ -1,14 +1,21 @@
 """Keeps functions that load nowhere, and requests that end replicas, from being tried: the coordinator's observer.
 
-It is told how attempts and prewarms ended, and says which requests are not to be tried.
-`CircuitBreaker` keeps the state.
+It observes how attempts and prewarms ended, and decides which requests are not to be tried. `CircuitBreaker` keeps the
+state.
 """
 
 from typing import Protocol
 
+from wickdyke.gateway.answers import Rejection
 from wickdyke.gateway.circuit_breaker import CircuitBreaker
 from wickdyke.gateway.context import Context
-from wickdyke.gateway.interfaces import CommandResult, PendingRequest
+from wickdyke.gateway.interfaces import (
+    CommandResult,
+    ConnectionState,
+    HelloEndpointList,
+    PendingRequest,
+    RejectionReason,
+)
 from wickdyke.gateway.worker_registry import WorkerRegistry
 from wickdyke.routing.model import Attempt, Effect, Outcome
 
@@ -16,19 +23,19 @@
 
 
 class Isolation(Protocol):
-    """What the coordinator tells an observer of failures."""
+    """An observer of failures, which may have requests rejected."""
 
     def attach(self, context: Context, workers: WorkerRegistry) -> None:
         """Gives it the coordinator's parts that it uses; called once, before all else."""
 
-    def turned_away(self, function: str, content, now: float) -> tuple[str, float] | None:
-        """(why, ms until it is worth coming back) of a request that is not to be tried now."""
+    def rejection(self, function: str, request_input: bytes | None, now: float) -> Rejection | None:
+        """The answer to a request that is not to be tried now; None where it may be."""
 
-    def served(self, attempt: Attempt, content) -> None:
-        """An attempt was answered ok; `content` is None where another answered before."""
+    def served(self, attempt: Attempt, request_input: bytes | None) -> None:
+        """An attempt succeeded; `request_input` is None where another had succeeded before."""
 
-    def attempt_failed(self, pending: PendingRequest, attempt: Attempt, result: CommandResult) -> float | None:
-        """An attempt did not come to its answer. Returns ms where its request is to be rejected: retry after those."""
+    def attempt_failed(self, pending: PendingRequest, attempt: Attempt, result: CommandResult) -> Rejection | None:
+        """An attempt did not succeed. Returns an answer where its request is to be rejected for that."""
 
     def prewarmed(self, worker: str, function: str, result: CommandResult) -> None:
         """A prewarm ended."""
@@ -40,14 +47,14 @@
     def attach(self, context: Context, workers: WorkerRegistry) -> None:
         """Nothing to do."""
 
-    def turned_away(self, function: str, content, now: float) -> tuple[str, float] | None:
-        """Nothing is turned away."""
+    def rejection(self, function: str, request_input: bytes | None, now: float) -> Rejection | None:
+        """Nothing is rejected."""
         return None
 
-    def served(self, attempt: Attempt, content) -> None:
+    def served(self, attempt: Attempt, request_input: bytes | None) -> None:
         """Nothing to do."""
 
-    def attempt_failed(self, pending: PendingRequest, attempt: Attempt, result: CommandResult) -> float | None:
+    def attempt_failed(self, pending: PendingRequest, attempt: Attempt, result: CommandResult) -> Rejection | None:
         """Nothing is rejected."""
         return None
 
@@ -60,23 +67,24 @@
 
     def __init__(self, breaker: CircuitBreaker) -> None:
         self.breaker = breaker
-        self.context: Context | None = None
-        self.workers: WorkerRegistry | None = None
+        self.context: Context
+        self.workers: WorkerRegistry
 
     def attach(self, context: Context, workers: WorkerRegistry) -> None:
         """Gives it the coordinator's parts that it uses; called once, before all else."""
-        self.context, self.workers = context, workers
+        self.context = context
+        self.workers = workers
 
-    def turned_away(self, function: str, content, now: float) -> tuple[str, float] | None:
-        """(why, ms until it is worth coming back) of a request that is not to be tried now."""
-        return self.breaker.turned_away(function, content, now)
+    def rejection(self, function: str, request_input: bytes | None, now: float) -> Rejection | None:
+        """The answer to a request that is not to be tried now; None where it may be."""
+        return self.breaker.rejection(function, request_input, now)
 
-    def served(self, attempt: Attempt, content) -> None:
-        """The function is loaded somewhere; a request with that content does no harm."""
+    def served(self, attempt: Attempt, request_input: bytes | None) -> None:
+        """The function is loaded somewhere; a request with that input does no harm."""
         function = attempt.request.function.name
         self.breaker.loaded(function)
-        if content is not None:
-            self.breaker.succeeded(function, content)
+        if request_input is not None:
+            self.breaker.succeeded(function, request_input)
 
     def prewarmed(self, worker: str, function: str, result: CommandResult) -> None:
         """A load failed there, or the function is loaded."""
@@ -85,35 +93,43 @@
         elif result.outcome == Outcome.OK and result.replicas:
             self.breaker.loaded(function)
 
-    def attempt_failed(self, pending: PendingRequest, attempt: Attempt, result: CommandResult) -> float | None:
-        """Notes what the failure tells of the function, or of the request."""
-        function, worker = attempt.request.function.name, attempt.replica.worker.endpoint.ident
+    def attempt_failed(self, pending: PendingRequest, attempt: Attempt, result: CommandResult) -> Rejection | None:
+        """Counts the failure against the function, or against the request."""
+        function = attempt.request.function.name
+        worker = attempt.replica.worker.endpoint.ident
         if result.outcome == Outcome.MISS and self.context.config.function_cache.loads_on_demand:
             self.breaker.load_failed(function, worker, self.context.now())
         lost = result.outcome == Outcome.CONNECTION_LOST
         if pending.closed or not (result.requests_in_replica or lost):
             return None
-        digest = self.breaker.digest(pending.call.input)
+        # It is open: its input is dropped only once it is answered.
+        digest = self.breaker.digest(pending.params.input or b"")
         if result.requests_in_replica:
             self.breaker.replica_ended(function, digest, result.requests_in_replica, self.context.now())
         else:
             self._connection_lost(worker, function, digest)
-        return self._retry_after(attempt, function, digest)
+        return self._rejection_in_flight(attempt, function, digest)
 
     def _connection_lost(self, worker: str, function: str, digest: bytes) -> None:
-        start = self.workers.endpoints.start_of(worker) or 0
+        start = self._start_of(worker) or 0
         if self.breaker.connection_lost(worker, start, function, digest):
             self.context.timers.at(self.context.now() + RESTART_TIME, self._settle, worker)
 
     def _settle(self, worker: str) -> None:
         client = self.workers.clients.get(worker)
-        start = self.workers.endpoints.start_of(worker) if client is not None and client.up else None
-        self.breaker.settle(worker, start, self.context.now())
+        is_connected = isinstance(client, ConnectionState) and client.up
+        self.breaker.settle(worker, self._start_of(worker) if is_connected else None, self.context.now())
 
-    def _retry_after(self, attempt: Attempt, function: str, digest: bytes) -> float | None:
+    def _start_of(self, worker: str) -> int | None:
+        endpoints = self.workers.endpoints
+        return endpoints.start_of(worker) if isinstance(endpoints, HelloEndpointList) else None
+
+    def _rejection_in_flight(self, attempt: Attempt, function: str, digest: bytes) -> Rejection | None:
         # Admitted before the breaker opened, it would go on from replica to replica by its attempts. Only an
         # idempotent one may be rejected: there it is as good as to fail it.
         request = attempt.request
         if request.closed or request.request_class.effect != Effect.IDEMPOTENT:
             return None
-        return self.breaker.requests.backoff.first if self.breaker.is_open(function, digest) else None
+        if not self.breaker.is_open(function, digest):
+            return None
+        return Rejection(RejectionReason.POISON, self.breaker.requests.backoff.first)
--- a/wickdyke/gateway/log.py
+++ b/wickdyke/gateway/log.py
@@ -1,4 +1,4 @@
-"""Structured logs that never hold anybody up: lines wait in a bounded queue for a thread that writes them."""
+"""Structured logs that never block their callers: lines wait in a bounded queue for a thread that writes them."""
 
 import bisect
 import errno
@@ -11,23 +11,27 @@
 import sys
 import threading
 import time
-from typing import TextIO
+from typing import NamedTuple, TextIO
 
 import structlog
 
-QUEUED_MOST = 10000  # lines; more are counted instead, and the count is written when there is room again
-TEMPORARY = (errno.ENOSPC, errno.EDQUOT, errno.EIO)  # of a file that may be opened later
-LINES_AT_ONCE = 200  # in one write
+from wickdyke.gateway.interfaces import Log
+
+MAX_QUEUED_LINES = 10000  # more are counted instead, and the count is written when there is room again
+TEMPORARY_ERRORS = (errno.ENOSPC, errno.EDQUOT, errno.EIO)  # of a file that may be opened later
+MAX_LINES_PER_WRITE = 200
+CLOSE_TIMEOUT = 1.0  # s that writing the last lines may take
 
 
 class DeferredFile(io.TextIOBase):
-    """The end of a file that could not be opened at first; for a LogWriter, which writes to its descriptor.
+    """Appends to a file that could not be opened at first; for a LogWriter, which writes to its descriptor.
 
     Each use of it tries again, and raises OSError until the file is open.
     """
 
     def __init__(self, path: str) -> None:
-        self.path, self.file = path, None
+        self.path = path
+        self.file: TextIO | None = None
 
     def fileno(self) -> int:
         """The file's descriptor; raises OSError."""
@@ -42,22 +46,27 @@
         super().close()
 
 
+LogSink = TextIO | DeferredFile
+
+
 class LogWriter:
-    """Takes finished lines; a thread writes them. A full pipe or disk, or a closed pipe, loses lines and delays nobody.
+    """Accepts finished lines; a thread writes them. A full pipe or disk, or a closed pipe, loses lines, never blocks.
 
     Lines that were not written whole are counted in `lost`; the count is written as soon as something can be.
     """
 
-    def __init__(self, sink: TextIO | None) -> None:
+    def __init__(self, sink: LogSink | None) -> None:
         """A sink of None (a process without standard error) loses all lines."""
-        self.sink, self.lines, self.lost = sink, queue.Queue(QUEUED_MOST), 0
+        self.sink = sink
+        self.lines: queue.Queue[str | None] = queue.Queue(MAX_QUEUED_LINES)
+        self.lost = 0
         self.lock = threading.Lock()  # guards `lost`
         self.torn = False  # whether the last line was written in part
         self.thread = threading.Thread(target=self._write, name="log", daemon=True)
         self.thread.start()
 
     def msg(self, line: str) -> None:
-        """Takes one line."""
+        """Accepts one line."""
         try:
             self.lines.put_nowait(line)
         except queue.Full:
@@ -65,14 +74,14 @@
 
     debug = info = warning = error = critical = msg
 
-    def close(self, within: float = 1.0) -> None:
-        """Writes what waits, for so many seconds at most."""
-        ends = time.monotonic() + within
+    def close(self, timeout: float = CLOSE_TIMEOUT) -> None:
+        """Writes the lines that wait, for at most `timeout` s."""
+        deadline = time.monotonic() + timeout
         try:
-            self.lines.put(None, timeout=within)
+            self.lines.put(None, timeout=timeout)
         except queue.Full:
             return
-        self.thread.join(max(0.0, ends - time.monotonic()))
+        self.thread.join(max(0.0, deadline - time.monotonic()))
 
     def _lose(self, lines: int) -> None:
         with self.lock:
@@ -83,21 +92,22 @@
         while more:
             lines, more = self._queued()
             with self.lock:
-                lost, self.lost = self.lost, 0
+                lost = self.lost
+                self.lost = 0
             if lost:
                 lines.insert(0, f'event="log lines lost" lines={lost}')
-            # The line that tells of lost ones counts as those: where it is not written, they are counted again.
+            # The line that reports lost ones counts as those: where it is not written, they are counted again.
             weights = [lost or 1, *[1] * (len(lines) - 1)]
             written = self._put(lines)
             self._lose(sum(weights[written:]))
 
     def _queued(self) -> tuple[list[str], bool]:
-        """Returns the lines that wait, LINES_AT_ONCE at most, and whether more may follow. Waits for the first."""
+        """Returns at most MAX_LINES_PER_WRITE lines, and whether more may follow. Waits for the first."""
         lines: list[str] = []
         line = self.lines.get()
         while line is not None:
             lines.append(line)
-            if len(lines) == LINES_AT_ONCE:
+            if len(lines) == MAX_LINES_PER_WRITE:
                 return lines, True
             try:
                 line = self.lines.get_nowait()
@@ -110,12 +120,13 @@
         pieces = [(line + "\n").encode("utf-8", "backslashreplace") for line in lines]
         if self.torn and pieces:
             pieces[0] = b"\n" + pieces[0]
-        data, done = memoryview(b"".join(pieces)), 0
+        data = memoryview(b"".join(pieces))
+        done = 0
         try:
             while done < len(data):
                 done += self._write_some(data[done:])
-        except Exception:
-            pass  # the lines are counted, and there is nowhere to report more
+        except Exception:  # noqa: BLE001 - the lines are counted, and there is nowhere to report more
+            pass
         ends = list(itertools.accumulate(map(len, pieces)))
         written = bisect.bisect_right(ends, done)
         if done:
@@ -126,8 +137,10 @@
         """Writes some of it; returns how many bytes.
 
         Files are written past their buffers, which after an error would hold lines that are counted as lost. Raises
-        OSError, ValueError, or AttributeError where there is no sink.
+        OSError, also where there is no sink, or ValueError.
         """
+        if self.sink is None:
+            raise OSError(errno.EBADF, os.strerror(errno.EBADF))
         try:
             descriptor = self.sink.fileno()
         except io.UnsupportedOperation:
@@ -137,8 +150,8 @@
         return os.write(descriptor, data)
 
 
-def logger(sink: TextIO | None, json: bool, debug: bool = False, **bound: object):
-    """Returns a logger and its writer: logfmt or JSON lines with time, level and the bound keys.
+def logger(sink: LogSink | None, json: bool, debug: bool = False, **bound: object) -> tuple[Log, LogWriter]:
+    """Returns a log and its writer: logfmt or JSON lines with time, level and the bound fields.
 
     With `debug` each attempt is logged too.
     """
@@ -148,7 +161,7 @@
         if json
         else structlog.processors.LogfmtRenderer(key_order=["timestamp", "level", "event"], drop_missing=True)
     )
-    log = structlog.wrap_logger(
+    log: Log = structlog.wrap_logger(
         writer,
         processors=[
             structlog.processors.add_log_level,
@@ -160,26 +173,34 @@
     return log.bind(**bound), writer
 
 
-_NOTE = re.compile(r"worker (\S+) (.*)", re.DOTALL)
+_WORKER_NOTE = re.compile(r"worker (\S+) (.*)", re.DOTALL)
+
+
+class Note(NamedTuple):
+    """A log note of the router as a line of the log."""
+
+    event: str
+    fields: dict[str, str]
 
 
-def keys(note: str) -> tuple[str, dict[str, str]]:
-    """A log note of the router as (event, keys): the worker it names becomes a key."""
-    found = _NOTE.fullmatch(note)
-    return (f"worker {found[2]}", {"worker": found[1]}) if found else (note, {})
+def parse_note(text: str) -> Note:
+    """Takes the worker that a log note names out of its text, as a field."""
+    match = _WORKER_NOTE.fullmatch(text)
+    if match is None:
+        return Note(text, {})
+    return Note(f"worker {match[2]}", {"worker": match[1]})
 
 
-def opened(path: str | None) -> TextIO | None:
-    """Opens what logs go to: the end of a file, or standard error; never standard output. Raises OSError.
+def open_sink(path: str | None) -> LogSink | None:
+    """Opens the sink of a log: the end of a file, or standard error; never standard output. Raises OSError.
 
-    A file that can't be opened for now is opened by a later line, so that a full disk does not keep a process from
-    serving.
+    A file that can't be opened for now is opened by a later line, so that a full disk does not prevent a start.
     """
     if not path:
         return sys.stderr
     try:
         return open(path, "a", encoding="utf-8")
     except OSError as error:
-        if error.errno not in TEMPORARY:
+        if error.errno not in TEMPORARY_ERRORS:
             raise
         return DeferredFile(path)
--- a/wickdyke/gateway/pending_requests.py
+++ b/wickdyke/gateway/pending_requests.py
@@ -1,11 +1,11 @@
 """The requests that are open: admitted, answered once, and forgotten with the last of their attempts."""
 
 import heapq
-from collections.abc import Callable
 
+from wickdyke.gateway.answers import Failure, FinalAnswer, Rejection
 from wickdyke.gateway.context import Context
 from wickdyke.gateway.events import AttemptWithdrawn
-from wickdyke.gateway.interfaces import PendingRequest
+from wickdyke.gateway.interfaces import PendingRequest, RejectionReason
 from wickdyke.gateway.isolation import Isolation
 from wickdyke.routing.model import Outcome
 
@@ -14,7 +14,8 @@
     """Owns the pending requests, by the router's id."""
 
     def __init__(self, context: Context, isolation: Isolation) -> None:
-        self.context, self.isolation = context, isolation
+        self.context = context
+        self.isolation = isolation
         self.by_id: dict[int, PendingRequest] = {}
         self.last_id = 0
         self.stopping = False
@@ -29,39 +30,39 @@
     # ---- admission ----
 
     def received(self, pending: PendingRequest) -> None:
-        """A client asked."""
+        """A client's request was received."""
         try:
             self._admit(pending)
         except Exception:
             if pending.router_id is None and not pending.closed:  # nothing else would answer it
                 pending.closed = True
-                pending.reject("fault")
+                pending.reject(RejectionReason.FAULT)
             raise
 
     def _admit(self, pending: PendingRequest) -> None:
-        if pending.closed:  # cancelled before its turn: it is no load, and the router need not hear of it
+        if pending.closed:  # cancelled before it was handled: it is no load, and the router is not informed of it
             return
         if self.stopping or self.is_full():
-            pending.reject("stopping" if self.stopping else "gateway-full")
+            pending.reject(RejectionReason.STOPPING if self.stopping else RejectionReason.GATEWAY_FULL)
             return
         now = self.context.now()
-        # What it waited for its turn here is no time that its client has left.
+        # The time that it waited to be handled is no time that its client has left.
         waited = 0.0 if pending.received_at is None else now - pending.received_at
         time_left = pending.time_left - waited - self.context.config.answer_way
         if time_left <= 0:
-            pending.reject("no-time")
+            pending.reject(RejectionReason.NO_TIME)
             return
-        refusal = self.isolation.turned_away(pending.call.function, pending.call.input, now)
-        if refusal is not None:
-            why, wait = refusal
-            self.context.counts[f"turned_away_{why}"] += 1
-            pending.reject(why, wait)
+        rejection = self.isolation.rejection(pending.params.function, pending.params.input, now)
+        if rejection is not None:
+            self.context.counts[f"turned_away_{rejection.reason}"] += 1
+            rejection.send(pending)
             return
         self._open(pending, time_left)
 
     def _open(self, pending: PendingRequest, time_left: float) -> None:
         self.last_id += 1
-        pending.router_id, call = self.last_id, pending.call
+        pending.router_id = self.last_id
+        params = pending.params
         self.by_id[self.last_id] = pending
         self.context.counts["requests"] += 1
         heapq.heappush(self.deadlines, (self.context.now() + time_left, self.last_id))
@@ -70,70 +71,72 @@
             self.last_id,
             time_left,
             pending.request_class,
-            call.function,
-            call.memory_mb,
-            call.concurrency,
-            call.load_ms,
-            call.work_ms,
-            call.is_repeat,
+            params.function,
+            params.memory_mb,
+            params.concurrency,
+            params.load_ms,
+            params.work_ms,
+            params.is_repeat,
             pending.route_policy,
         )
 
     # ---- deadlines ----
 
     def next_deadline(self) -> float:
-        """When the time of the next one is up (ms)."""
+        """The next deadline of an open request (monotonic ms)."""
         while self.deadlines and self.deadlines[0][1] not in self.by_id:
             heapq.heappop(self.deadlines)
         return self.deadlines[0][0] if self.deadlines else float("inf")
 
-    def take_overdue(self, now: float) -> int | None:
-        """The id of one whose time is up by then, once; None where there is none."""
+    def pop_overdue(self, now: float) -> int | None:
+        """The id of one whose deadline has passed by then, once; None where there is none."""
         if not self.deadlines or self.deadlines[0][0] > now:
             return None
         return heapq.heappop(self.deadlines)[1]
 
     # ---- answers ----
 
-    def answer(self, pending: PendingRequest, answer: Callable, *args: object) -> None:
-        """Gives the final answer: one of the request's own methods, with its arguments."""
+    def answer(self, pending: PendingRequest, answer: FinalAnswer) -> None:
+        """Sends the final answer."""
         pending.closed = True
-        kind = answer.__name__
-        self.context.counts[f"answers_{kind}"] += 1
+        self.context.counts[answer.count_name] += 1
         try:
             self.withdraw_unsent(pending)
         finally:
-            answer(*args)
-        self.context.log.debug("answered", request=pending.router_id, answer=kind, client=pending.client.number)
-        pending.call.input = None  # of megabytes, maybe, while an attempt that was given up ends
+            answer.send(pending)
+        self.context.log.debug(
+            "answered", request=pending.router_id, answer=type(answer).__name__, client=pending.client.number
+        )
+        # It may be of megabytes, and an attempt that was withdrawn may take long to end.
+        pending.params.input = None
 
-    def answer_undecided(self, pending: PendingRequest, answer: Callable, *args: object) -> None:
-        """Gives a final answer that the router did not decide."""
+    def answer_undecided(self, pending: PendingRequest, answer: FinalAnswer) -> None:
+        """Sends a final answer that the router did not decide."""
         try:
-            self.answer(pending, answer, *args)
+            self.answer(pending, answer)
         finally:
             try:
                 self.context.inform("client_gone", pending.router_id)
             finally:
                 self.forget(pending)
 
-    def answer_all(self, why: str) -> None:
-        """The process ends, so all that is open gets its final answer now.
+    def answer_all(self, reason: RejectionReason) -> None:
+        """Sends all open requests their final answer, as the process ends.
 
         A request is rejected where no attempt was sent, else it has failed.
         """
         for pending in list(self.by_id.values()):
             if not pending.closed:
-                answer = pending.fail if pending.attempts_sent else pending.reject
-                self.context.guarded(self.answer_undecided, pending, answer, why)
+                answer = Failure(reason) if pending.attempts_sent else Rejection(reason)
+                self.context.guarded(self.answer_undecided, pending, answer)
 
     def left_open(self, router_id: int) -> None:
-        """Answers a request that the router left open past its deadline. Nothing known leads here; it is logged."""
+        """Answers a request that the router left open past its deadline: a fault, which is logged."""
         pending = self.by_id.get(router_id)
         if pending is not None and not pending.closed:
             self.context.counts["unanswered"] += 1
             self.context.log.error("request left open at its deadline", request=router_id)
-            self.answer_undecided(pending, pending.fail, "left-open")
+            self.answer_undecided(pending, Failure(RejectionReason.LEFT_OPEN))
 
     def client_gone(self, pending: PendingRequest) -> None:
         """Its client cancelled it, or closed its connection."""
@@ -158,6 +161,7 @@
     def forget(self, pending: PendingRequest) -> None:
         """Drops it, if it is answered and has no attempt in flight."""
         if pending.closed and not pending.commands:
-            self.by_id.pop(pending.router_id, None)
+            if pending.router_id is not None:
+                self.by_id.pop(pending.router_id, None)
             if pending.request is not None:  # closed: without the reference cycle it is freed at once
                 pending.request.attempts.clear()
--- a/wickdyke/gateway/worker_registry.py
+++ b/wickdyke/gateway/worker_registry.py
@@ -1,10 +1,11 @@
 """The listed workers and the clients that speak to them."""
 
 from collections import Counter
-from collections.abc import Callable
+from collections.abc import Callable, Sequence
 
 from wickdyke.gateway.events import Event
-from wickdyke.gateway.interfaces import EndpointList, WorkerClient, WorkerProtocol
+from wickdyke.gateway.interfaces import AnyEndpointList, AnyWorkerClient, Log
+from wickdyke.gateway.worker_protocol import AnyWorkerProtocol
 from wickdyke.routing.model import Endpoint, EndpointState
 
 LOGGED_ONE_BY_ONE = 32  # changes of the endpoint list; more are counted in one line
@@ -15,27 +16,31 @@
 
     def __init__(
         self,
-        protocol: WorkerProtocol,
-        endpoints: EndpointList,
+        protocol: AnyWorkerProtocol,
+        endpoints: AnyEndpointList,
         notify: Callable[[Event], None],
         changed: Callable[[list[Endpoint]], None],
-        log,
+        log: Log,
     ) -> None:
-        self.protocol, self.endpoints, self.notify, self.changed, self.log = protocol, endpoints, notify, changed, log
-        self.clients: dict[str, WorkerClient] = {}
+        self.protocol = protocol
+        self.endpoints = endpoints
+        self.notify = notify
+        self.changed = changed
+        self.log = log
+        self.clients: dict[str, AnyWorkerClient] = {}
 
-    def client(self, name: str) -> WorkerClient | None:
+    def client(self, name: str) -> AnyWorkerClient | None:
         """The client of a listed worker, made when it is first needed: most workers of a large fleet never are."""
         if name not in self.clients and (address := self.endpoints.address(name)) is not None:
             self.clients[name] = self.protocol.client_for(name, address, self.notify)
         return self.clients.get(name)
 
-    def is_current(self, worker_client: WorkerClient) -> bool:
-        """Whether that client is the one its worker is spoken to by."""
+    def is_current(self, worker_client: AnyWorkerClient) -> bool:
+        """Whether that client is the present one of its worker."""
         return self.clients.get(worker_client.name) is worker_client
 
-    def apply(self, entries: list, now: float) -> None:
-        """Entries of the endpoint list came."""
+    def apply(self, entries: Sequence[object], now: float) -> None:
+        """Merges entries of the endpoint list."""
         change = self.endpoints.apply(entries, now)
         for name, address in change.addresses.items():
             if name in self.clients:
@@ -49,8 +54,8 @@
         if not endpoints:
             return
         for endpoint in endpoints:
-            # What waits for a connection, or for a worker to read, would go out after the time for a drain. It never
-            # ran, and goes elsewhere.
+            # What waits for a connection, or for a worker to read, would be sent after the time for a drain. It never
+            # ran, and is tried elsewhere.
             if endpoint.state != EndpointState.READY and endpoint.ident in self.clients:
                 self.clients[endpoint.ident].withdraw_all_unsent()
         self._log(endpoints, now)
--- a/wickdyke/jsonrpc/client_connection.py
+++ b/wickdyke/jsonrpc/client_connection.py
@@ -1,4 +1,4 @@
-"""One connection of a client: a reader thread takes requests off it, answers go out by its write buffer.
+"""One connection of a client: a thread reads requests from it, answers are sent by its write buffer.
 
 JSON-RPC 2.0, one object or batch a line (docs/protocol.md). Requests are checked here, and owned by the coordinator
 from then on.
@@ -7,37 +7,56 @@
 import socket
 import threading
 import time
-from typing import TYPE_CHECKING
+from collections import Counter
+from collections.abc import Callable
+from typing import Protocol
 
+from wickdyke.config.gateway_config import ServerLimits
 from wickdyke.gateway import interfaces
-from wickdyke.gateway.events import RequestCancelled, RequestReceived
-from wickdyke.jsonrpc.requests import CheckedRequest
+from wickdyke.gateway.events import Event, RequestCancelled, RequestReceived
+from wickdyke.gateway.interfaces import RejectionReason
+from wickdyke.jsonrpc.requests import CheckedRequest, RequestChecker
 from wickdyke.protocol import client_messages, jsonrpc
 from wickdyke.protocol.framing import LineReader, LineTooLongError
 from wickdyke.transport.write_buffer import OutgoingMessage, PeerTooSlow, WriteBuffer
 
-if TYPE_CHECKING:
-    from wickdyke.jsonrpc.client_server import ClientServer
-
 READ_SIZE = 1 << 18  # bytes read at a time
-STACK_SIZE = 512 * 1024  # bytes of a thread's stack: the decoder's greatest nesting was tried in it
+STACK_SIZE = 512 * 1024  # bytes of a thread's stack: enough for the decoder's greatest nesting, as measured
+MS_PER_SECOND = 1000
+
+
+class ConnectionOwner(Protocol):
+    """What a client connection uses of the server that it belongs to."""
+
+    bounds: ServerLimits
+    checker: RequestChecker
+    counts: Counter[str]
+    post: Callable[[Event], None]
+    warn: Callable[..., object]
+
+    def rejection_reason(self, client: "ClientConnection") -> RejectionReason | None:
+        """Why a request of this connection can't be accepted now; None where it can."""
+
+    def client_closed(self, client: "ClientConnection") -> None:
+        """The connection has ended: its open requests are to be dropped."""
 
 
 class Batch:
-    """The answers of one batch, sent together once all are there."""
+    """The answers to one batch of so many requests, sent together with the last."""
 
-    def __init__(self, client: "ClientConnection", owed: int) -> None:
-        self.client, self.owed = client, owed
+    def __init__(self, client: "ClientConnection", requests: int) -> None:
+        self.client = client
+        self.unanswered = requests
         self.bodies: list[bytes] = []
         self.lock = threading.Lock()
 
     def answer(self, body: bytes | None) -> None:
-        """Takes one answer (None for what gets none)."""
+        """Adds one answer (None for a request that gets none)."""
         with self.lock:
             if body is not None:
                 self.bodies.append(body)
-            self.owed -= 1
-            if self.owed or not self.bodies:
+            self.unanswered -= 1
+            if self.unanswered or not self.bodies:
                 return
         self.client.write(b"[" + b",".join(self.bodies) + b"]\n")
 
@@ -47,33 +66,35 @@
 
     __slots__ = ("batch",)
 
+    client: "ClientConnection"
+
     def __init__(self, client: "ClientConnection", checked: CheckedRequest, batch: Batch | None) -> None:
         super().__init__(
             client,
             checked.ident,
             checked.request_class,
-            checked.call,
+            checked.params,
             checked.time_left,
             checked.route_policy,
         )
         self.batch = batch
-        self.received_at = time.monotonic() * 1000
+        self.received_at = time.monotonic() * MS_PER_SECOND
 
     def succeed(self, output: bytes, attempts: int) -> None:
-        """Sends its final answer, with what the worker gave."""
+        """Sends its final answer: the output of the worker, after so many attempts."""
         self.answer(client_messages.success_response(self.ident, output, attempts))
 
-    def reject(self, why: str, retry_after: float | None = None) -> None:
-        """Sends its final answer: nothing was done; worth asking again after `retry_after` ms."""
-        self.answer(client_messages.rejection_response(self.ident, why, retry_after))
+    def reject(self, reason: str, retry_after: float | None = None) -> None:
+        """Sends its final answer: it had no effect, and may be retried after `retry_after` ms."""
+        self.answer(client_messages.rejection_response(self.ident, reason, retry_after))
 
-    def fail(self, why: str) -> None:
-        """Sends its final answer: nothing is promised."""
-        self.answer(client_messages.failure_response(self.ident, why))
+    def fail(self, reason: str) -> None:
+        """Sends its final answer: it may have had an effect or not."""
+        self.answer(client_messages.failure_response(self.ident, reason))
 
     def answer(self, body: bytes) -> None:
         """Sends the final answer, unless its client has cancelled it."""
-        # A cancel read while the answer was on its way has freed the id, which may be another request's by now.
+        # A cancel that was read meanwhile has freed the id, which may be another request's by now.
         if self.client.release(self):
             self.client.answer(body, self.batch)
 
@@ -81,16 +102,18 @@
 class ClientConnection:
     """One connection of a client; `pending` has its open requests by their ids."""
 
-    def __init__(self, server: "ClientServer", sock: socket.socket, number: int) -> None:
-        self.server, self.sock, self.number = server, sock, number
-        self.write_buffer = WriteBuffer(sock, server.bounds.unread, f"client-{number}-out")
+    def __init__(self, owner: ConnectionOwner, sock: socket.socket, number: int) -> None:
+        self.owner = owner
+        self.sock = sock
+        self.number = number
+        self.write_buffer = WriteBuffer(sock, owner.bounds.unread, f"client-{number}-out")
         self.pending: dict[jsonrpc.Ident, PendingRequest] = {}
-        self.lock = threading.Lock()
+        self.lock = threading.Lock()  # guards `pending`
 
     # ---- writing ----
 
     def answer(self, body: bytes | None, batch: Batch | None) -> None:
-        """Sends an answer, or enters it in its batch; None for what gets none."""
+        """Sends an answer, or adds it to its batch; None for a request that gets none."""
         if batch is not None:
             batch.answer(body)
         elif body is not None:
@@ -102,7 +125,7 @@
             self.write_buffer.put(OutgoingMessage(line))
         except PeerTooSlow as error:
             self._log_disconnected(f"does not read: {error}")
-            self.server.counts["unread"] += 1
+            self.owner.counts["unread"] += 1
             self.write_buffer.close()
         except OSError:
             self.write_buffer.close()
@@ -110,8 +133,8 @@
             self._log_disconnected(str(error))
             self.write_buffer.close()
 
-    def _log_disconnected(self, why: str) -> None:
-        self.server.warn("client disconnected", client=self.number, why=why)
+    def _log_disconnected(self, reason: str) -> None:
+        self.owner.warn("client disconnected", client=self.number, reason=reason)
 
     # ---- open ids ----
 
@@ -126,7 +149,8 @@
     def release_all(self) -> list[PendingRequest]:
         """Frees the ids of all open requests, and returns these."""
         with self.lock:
-            pending_requests, self.pending = list(self.pending.values()), {}
+            pending_requests = list(self.pending.values())
+            self.pending = {}
         return pending_requests
 
     def _register(self, pending: PendingRequest) -> None:
@@ -143,24 +167,22 @@
 
     def read(self) -> None:
         """Reads requests until the client closes the connection."""
-        lines = LineReader(self.server.bounds.line)
+        lines = LineReader(self.owner.bounds.line)
         try:
             while data := self.sock.recv(READ_SIZE):
                 for line in lines.feed(data):
                     self._line(line)
         except LineTooLongError as error:
-            self.server.counts["malformed"] += 1
-            self.write(
-                jsonrpc.malformed_request_response(jsonrpc.MalformedRequestError(jsonrpc.INVALID_REQUEST, str(error)))
-                + b"\n"
-            )
+            self.owner.counts["malformed"] += 1
+            malformed = jsonrpc.MalformedRequestError(jsonrpc.INVALID_REQUEST, str(error))
+            self.write(jsonrpc.malformed_request_response(malformed) + b"\n")
             self._log_disconnected(str(error))
         except OSError:
             pass
         finally:
             # What is written already reaches a client that still reads.
             self.write_buffer.close()
-            self.server.client_closed(self)
+            self.owner.client_closed(self)
             self.sock.close()
 
     def _line(self, line: bytes) -> None:
@@ -169,39 +191,39 @@
             for request in requests:
                 self._request(request, None, None)
             return
-        # One array answers all, so the first whose time is up would be answered late: all have the least time left.
-        least = min((self.server.checker.time_left(request) for request in requests), default=None)
+        # One array answers all, and the first deadline of any would be missed: all have the shortest time.
+        max_time_left = self.owner.checker.shortest_time_left(requests)
         batch = Batch(self, len(requests))
         for request in requests:
-            self._request(request, batch, least)
+            self._request(request, batch, max_time_left)
 
     def _request(
-        self, request: jsonrpc.Request | jsonrpc.MalformedRequestError, batch: Batch | None, least: float | None
+        self, request: jsonrpc.Request | jsonrpc.MalformedRequestError, batch: Batch | None, max_time_left: float | None
     ) -> None:
         try:
             if isinstance(request, jsonrpc.MalformedRequestError):
                 raise request
             if request.method == "cancel":
-                self._cancel(self.server.checker.cancelled_id(request))
+                self._cancel(self.owner.checker.cancelled_id(request))
                 self.answer(None, batch)
                 return
-            pending = PendingRequest(self, self.server.checker.check(request, least), batch)
+            pending = PendingRequest(self, self.owner.checker.check(request, max_time_left), batch)
             self._register(pending)
-        except jsonrpc.MalformedRequestError as fault:
-            self.server.counts["malformed"] += 1
-            is_notification = isinstance(request, jsonrpc.Request) and request.told
-            self.answer(None if is_notification else jsonrpc.malformed_request_response(fault), batch)
+        except jsonrpc.MalformedRequestError as error:
+            self.owner.counts["malformed"] += 1
+            is_notification = isinstance(request, jsonrpc.Request) and request.is_notification
+            self.answer(None if is_notification else jsonrpc.malformed_request_response(error), batch)
             return
         self._submit(pending)
 
     def _submit(self, pending: PendingRequest) -> None:
-        why = self.server.rejection_reason(self)
-        if not why:
-            self.server.post(RequestReceived(pending))
+        reason = self.owner.rejection_reason(self)
+        if reason is None:
+            self.owner.post(RequestReceived(pending))
             return
         self.release(pending)
-        self.server.counts["refused"] += 1
-        self.answer(client_messages.rejection_response(pending.ident, why), pending.batch)
+        self.owner.counts["refused"] += 1
+        self.answer(client_messages.rejection_response(pending.ident, reason), pending.batch)
 
     def _cancel(self, ident: jsonrpc.Ident) -> None:
         with self.lock:
@@ -210,9 +232,9 @@
             return
         if pending.batch is not None:
             pending.batch.answer(None)
-        self.server.post(RequestCancelled(pending))
+        self.owner.post(RequestCancelled(pending))
 
 
 def _is_unreadable(requests: list[jsonrpc.Request | jsonrpc.MalformedRequestError]) -> bool:
-    """Whether a batch came to one fault without an id, which is answered by an object alone."""
+    """Whether a batch could not be parsed: that is one error without an id, which is answered by one object."""
     return len(requests) == 1 and isinstance(requests[0], jsonrpc.MalformedRequestError) and requests[0].ident is None
--- a/wickdyke/jsonrpc/client_server.py
+++ b/wickdyke/jsonrpc/client_server.py
@@ -1,9 +1,10 @@
 """The client server: a listener and its client connections, with one reader thread each.
 
-The threads share nothing but the coordinator's queue. What is posted there is well formed, names a known request class,
-and has all its figures.
+The threads share nothing but the coordinator's queue. A request that is posted there is well formed, names a request
+class of the settings, and has all its figures.
 """
 
+import contextlib
 import os
 import socket
 import threading
@@ -12,6 +13,7 @@
 
 from wickdyke.config.gateway_config import GatewayConfig, ServerLimits
 from wickdyke.gateway.events import ClientClosed, Event
+from wickdyke.gateway.interfaces import RejectionReason
 from wickdyke.jsonrpc.client_connection import ClientConnection
 from wickdyke.jsonrpc.requests import RequestChecker
 from wickdyke.protocol import client_messages
@@ -22,43 +24,49 @@
 class ClientServer:
     """The listener on one Unix socket or loopback address.
 
-    `post` takes events; `busy` returns in one word why no more can be taken, or nothing; `warn` logs.
+    `post` accepts events; `busy` returns why no request can be accepted, or None; `warn` logs a line of level warning.
     """
 
     def __init__(
-        self, config: GatewayConfig, post: Callable[[Event], None], busy: Callable[[], str], warn: Callable[..., None]
+        self,
+        config: GatewayConfig,
+        post: Callable[[Event], None],
+        busy: Callable[[], RejectionReason | None],
+        warn: Callable[..., object],
     ) -> None:
         self.bounds: ServerLimits = config.bounds
-        self.post, self.busy, self.warn = post, busy, warn
+        self.post = post
+        self.busy = busy
+        self.warn = warn
         self.checker = RequestChecker(config)
         self.counts: Counter[str] = Counter()
         self.clients: set[ClientConnection] = set()
         self.lock = threading.Lock()
         self.last_number = 0
         self.address = config.listen
-        self.sock, self.held = listener(config.listen)
-        self.acceptor = Acceptor(self.sock, self._take, lambda error: self.warn("connection not taken", why=str(error)))
+        self.sock, self.lock_file = listener(config.listen)
+        self.acceptor = Acceptor(self.sock, self._accept, self._log_not_accepted)
         self.thread = threading.Thread(target=self.acceptor.run, name="client-server", daemon=True)
 
     def open(self) -> None:
-        """Begins to take connections."""
+        """Begins to accept connections."""
         self.thread.start()
 
-    def rejection_reason(self, client: ClientConnection) -> str:
-        """Why a request of this client can't be taken now, in one word, or nothing."""
+    def rejection_reason(self, client: ClientConnection) -> RejectionReason | None:
+        """Why a request of this connection can't be accepted now; None where it can."""
         if len(client.pending) > self.bounds.open_each:
-            return "connection-full"
+            return RejectionReason.CONNECTION_FULL
         return self.busy()
 
     def client_closed(self, client: ClientConnection) -> None:
-        """A client closed its connection, so it waits for none of its open requests."""
+        """The connection has ended: its open requests are dropped."""
         with self.lock:
             self.clients.discard(client)
         if pending_requests := client.release_all():
             self.post(ClientClosed(pending_requests))
 
-    def _take(self, sock: socket.socket) -> None:
-        """Serves an accepted connection, or tells its client that it can't be served."""
+    def _accept(self, sock: socket.socket) -> None:
+        """Serves an accepted connection, or sends a rejection and closes it."""
         with self.lock:
             self.last_number += 1
             client = ClientConnection(self, sock, self.last_number)
@@ -67,30 +75,31 @@
                 self.clients.add(client)
         if full:
             self.counts["turned_away"] += 1
-            self._turn_away(client)
+            self._reject(client)
             return
         try:
             threading.Thread(target=client.read, name=f"client-{client.number}", daemon=True).start()
         except RuntimeError as error:  # no thread to be had
-            self.warn("connection not taken", why=str(error))
+            self._log_not_accepted(error)
             self.client_closed(client)
-            self._turn_away(client)
+            self._reject(client)
 
-    def _turn_away(self, client: ClientConnection) -> None:
-        client.write(client_messages.rejection_response(None, "too-many-connections") + b"\n")
+    def _log_not_accepted(self, error: Exception) -> None:
+        self.warn("connection not accepted", reason=str(error))
+
+    def _reject(self, client: ClientConnection) -> None:
+        client.write(client_messages.rejection_response(None, RejectionReason.TOO_MANY_CONNECTIONS) + b"\n")
         client.write_buffer.close()
         client.sock.close()
 
     def shut(self) -> None:
-        """Takes no more connections; those that are open stay."""
+        """Accepts no more connections; those that are open stay."""
         self.acceptor.close()
         if ":" not in self.address or "/" in self.address:
-            try:
+            with contextlib.suppress(OSError):
                 os.unlink(self.address)
-            except OSError:
-                pass
-        if self.held is not None:
-            self.held.close()
+        if self.lock_file is not None:
+            self.lock_file.close()
 
     def flushed(self) -> bool:
         """Whether all answers are with the kernel."""
--- a/wickdyke/jsonrpc/endpoint_list.py
+++ b/wickdyke/jsonrpc/endpoint_list.py
@@ -1,25 +1,28 @@
-"""The endpoint list: the rows of its file and what the workers' own hellos tell, merged. Pure: no I/O, no clock.
+"""The endpoint list: the rows of its file and the hellos of the workers, merged. Pure: no I/O, no clock.
 
-A worker is reported once its hello is in, so that its age is known before anything is sent to it. One that can't be
-reached is reported as just started: the router then spares it as one that warms up, and finds out the rest.
+A worker is reported to the router once its hello was received, so that its age is known before a request is sent to it.
+One that can't be reached is reported as just started: the router then sends it little, as to one that warms up.
 """
 
+from collections.abc import Sequence
 from dataclasses import dataclass, field, replace
 
 from wickdyke.config.endpoint_file import EndpointRow
-from wickdyke.gateway.interfaces import EndpointListChange
-from wickdyke.protocol.worker_messages import WorkerHello
+from wickdyke.gateway.interfaces import EndpointListChange, WorkerHello
 from wickdyke.routing.model import Endpoint, EndpointState
 
 
 @dataclass(slots=True)
 class ListedWorker:
-    """One worker: its row, the number of its present start and when that was; `past_starts` are the numbers before."""
+    """One worker: its row, the number of its present start (0: unknown) and when that was (monotonic ms).
+
+    `past_starts` are the numbers of earlier ones. `is_reported` once its age is known, or was assumed.
+    """
 
     row: EndpointRow
     start: int = 0
     started_at: float | None = None
-    known: bool = False
+    is_reported: bool = False
     draining: bool = False
     past_starts: set[int] = field(default_factory=set)
 
@@ -28,15 +31,16 @@
     """The merged view. Each input returns the endpoints that changed, for the router's `endpoints_changed`."""
 
     def __init__(self, zones: tuple[str, ...], kinds: tuple[str, ...]) -> None:
-        self.zones, self.kinds = zones, kinds
+        self.zones = zones
+        self.kinds = kinds
         self.workers: dict[str, ListedWorker] = {}
         self.reported: dict[str, Endpoint] = {}
 
     def __len__(self) -> int:
         return len(self.workers)
 
-    def apply(self, entries: list[EndpointRow], now: float) -> EndpointListChange:
-        """A whole list came. Who is not on it is gone."""
+    def apply(self, entries: Sequence[EndpointRow], now: float) -> EndpointListChange:
+        """Replaces the rows; a worker that has none any more is gone. `now` is monotonic ms."""
         before = {name: worker.row.address for name, worker in self.workers.items()}
         endpoints = self._remove_unlisted(entries)
         for row in entries:
@@ -46,7 +50,7 @@
         moved = {name: address for name, address in after.items() if before.get(name) != address}
         return EndpointListChange(endpoints, moved)
 
-    def _remove_unlisted(self, rows: list[EndpointRow]) -> list[Endpoint]:
+    def _remove_unlisted(self, rows: Sequence[EndpointRow]) -> list[Endpoint]:
         changes = []
         row_of = {row.name: row for row in rows}
         for name, worker in list(self.workers.items()):
@@ -62,11 +66,12 @@
     def _apply_row(self, row: EndpointRow, now: float) -> list[Endpoint]:
         worker = self.workers.setdefault(row.name, ListedWorker(row))
         worker.row = row
-        # A number from before the present start means that the list lags.
+        # The number of a past start means that the list lags behind the hellos.
         if row.start and row.start != worker.start and row.start not in worker.past_starts:
             if worker.start:
                 worker.past_starts.add(worker.start)
-                worker.started_at, worker.draining = now, False
+                worker.started_at = now
+                worker.draining = False
             worker.start = row.start
         return self._changed(row.name)
 
@@ -78,28 +83,31 @@
         """The number of a listed worker's present start."""
         return self.workers[name].start if name in self.workers else None
 
-    def hello(self, name: str, standing: WorkerHello, now: float) -> list[Endpoint]:
-        """A worker was connected to and said who it is."""
+    def hello(self, name: str, hello: WorkerHello, now: float) -> list[Endpoint]:
+        """A worker was connected to, and sent its hello."""
         worker = self.workers.get(name)
         if worker is None:
             return []
-        if standing.start != worker.start or not worker.known:
-            if worker.start not in (0, standing.start):
+        if hello.start != worker.start or not worker.is_reported:
+            if worker.start not in (0, hello.start):
                 worker.past_starts.add(worker.start)
-            worker.start, worker.started_at = standing.start, now - max(0.0, standing.up_ms)
-        worker.known, worker.draining = True, standing.draining
+            worker.start = hello.start
+            worker.started_at = now - max(0.0, hello.up_ms)
+        worker.is_reported = True
+        worker.draining = hello.draining
         return self._changed(name)
 
     def unreachable(self, name: str, now: float) -> list[Endpoint]:
-        """No connection could be made. One never heard from counts as just started."""
+        """No connection could be made. A worker that never sent a hello counts as just started."""
         worker = self.workers.get(name)
-        if worker is None or worker.known:
+        if worker is None or worker.is_reported:
             return []
-        worker.known, worker.started_at = True, now
+        worker.is_reported = True
+        worker.started_at = now
         return self._changed(name)
 
     def draining(self, name: str) -> list[Endpoint]:
-        """A worker said itself that it drains: believed at once, whatever the list says."""
+        """A worker reported that it drains: it counts as draining whatever the list says."""
         worker = self.workers.get(name)
         if worker is None:
             return []
@@ -108,7 +116,7 @@
 
     def _changed(self, name: str) -> list[Endpoint]:
         worker = self.workers[name]
-        if not worker.known:
+        if not worker.is_reported:
             return []
         endpoint = self._endpoint(name, worker)
         if self.reported.get(name) == endpoint:
--- a/wickdyke/jsonrpc/requests.py
+++ b/wickdyke/jsonrpc/requests.py
@@ -1,106 +1,145 @@
-"""Checks what clients send: a call becomes a request with all its figures, or a fault that says what is wrong."""
+"""Checks what clients send: a `call` becomes a request with all its figures, or an error that says what is wrong."""
 
+from collections.abc import Iterable
 from dataclasses import dataclass
 
 from wickdyke.config.gateway_config import GatewayConfig
 from wickdyke.config.route_config import EffectivePolicy, Routes
 from wickdyke.protocol import client_messages, jsonrpc
+from wickdyke.protocol.client_messages import CallRequest
 from wickdyke.routing.model import Effect, RequestClass, RoutePolicy
 
-WORD_SHOWN = 60  # characters of a client's word that an error message repeats
+MAX_QUOTED = 60  # characters of a client's value that an error message repeats
+
+
+@dataclass(slots=True)
+class RequestParams:
+    """What a `call` states, or the settings for it. Times are ms, memory is MB.
+
+    `input` is JSON; it becomes None once the request is answered.
+    """
+
+    function: str
+    input: bytes | None
+    memory_mb: float
+    concurrency: int
+    load_ms: float | None
+    work_ms: float | None
+    is_repeat: bool
+    idempotency_key: str | None
 
 
 @dataclass(slots=True, frozen=True)
 class CheckedRequest:
-    """A call that names a known request class and has all its figures; `time_left` is ms."""
+    """A `call` that names a known request class and has all its figures; `time_left` is ms."""
 
     ident: jsonrpc.Ident
     request_class: RequestClass
-    call: client_messages.CallRequest
+    params: RequestParams
     time_left: float
     route_policy: RoutePolicy | None
 
 
 class RequestChecker:
-    """Checks requests against the settings, and against the routes in force. Faults are raised as jsonrpc.Fault."""
+    """Checks requests against the settings, and against the routes in force."""
 
     def __init__(self, config: GatewayConfig) -> None:
-        self.request_classes = {each.name: each for each in config.request_classes}
-        self.stated, self.tenants = config.stated, config.tenants
+        self.config = config
+        self.request_classes = {request_class.name: request_class for request_class in config.request_classes}
+        self.tenants = config.tenants
         self.routes: Routes | None = None
 
     def cancelled_id(self, request: jsonrpc.Request) -> jsonrpc.Ident:
-        """The id that a `cancel` is about."""
+        """The id that a `cancel` is about. Raises MalformedRequestError."""
         cancel = jsonrpc.parse_params(client_messages.CancelRequest, request.params, request.ident)
-        if not request.told:
+        if not request.is_notification:
             raise jsonrpc.MalformedRequestError(
                 jsonrpc.INVALID_REQUEST, "cancel: expected a notification, without an id", request.ident
             )
         return cancel.id
 
-    def check(self, request: jsonrpc.Request, time_left_most: float | None) -> CheckedRequest:
-        """A `call`, with what it leaves out taken from the settings; `time_left_most` (ms) bounds its time."""
+    def check(self, request: jsonrpc.Request, max_time_left: float | None) -> CheckedRequest:
+        """Checks a `call`; what it leaves out is from the settings, and `max_time_left` (ms) bounds its time.
+
+        Raises MalformedRequestError.
+        """
         ident = request.ident
         if request.method != "call":
             raise jsonrpc.MalformedRequestError(
-                jsonrpc.METHOD_NOT_FOUND, f"{request.method[:WORD_SHOWN]}: expected call or cancel", ident
+                jsonrpc.METHOD_NOT_FOUND, f"{request.method[:MAX_QUOTED]}: expected call or cancel", ident
             )
-        if request.told or ident is None:
+        if request.is_notification or ident is None:
             raise jsonrpc.MalformedRequestError(
                 jsonrpc.INVALID_REQUEST, "call: expected an id that is a string or a number", ident
             )
-        call = jsonrpc.parse_params(client_messages.CallRequest, request.params, ident)
+        call = jsonrpc.parse_params(CallRequest, request.params, ident)
         request_class = self._request_class(call, ident)
-        self._fill_in(call, ident)
+        params = self._params(call, ident)
         self._check_tenant(call, ident)
-        route = self._route(call)
-        most = route.terms.deadline if route else request_class.deadline
-        time_left = min(call.time_left_ms or most, most, time_left_most or most)
-        return CheckedRequest(ident, request_class, call, time_left, route.router_policy if route else None)
-
-    def time_left(self, request: jsonrpc.Request | jsonrpc.MalformedRequestError) -> float:
-        """The time stated in a request (ms), as far as it can be read; else the greatest."""
-        most = max((each.deadline for each in self.request_classes.values()), default=0.0)
+        policy = self._policy(call)
+        deadline = policy.terms.deadline if policy else request_class.deadline
+        time_left = min(call.time_left_ms or deadline, deadline, max_time_left or deadline)
+        return CheckedRequest(ident, request_class, params, time_left, policy.router_policy if policy else None)
+
+    def shortest_time_left(self, requests: Iterable[jsonrpc.Request | jsonrpc.MalformedRequestError]) -> float | None:
+        """The least time that any of the requests leaves (ms), as far as they can be read; None where there is none."""
+        return min(map(self._time_left, requests), default=None)
+
+    def _time_left(self, request: jsonrpc.Request | jsonrpc.MalformedRequestError) -> float:
+        longest = max((request_class.deadline for request_class in self.request_classes.values()), default=0.0)
         if isinstance(request, jsonrpc.MalformedRequestError) or request.method != "call":
-            return most
+            return longest
         try:
-            call = jsonrpc.parse_params(client_messages.CallRequest, request.params, None)
+            call = jsonrpc.parse_params(CallRequest, request.params, None)
         except jsonrpc.MalformedRequestError:
-            return most
+            return longest
         request_class = self.request_classes.get(call.method)
         if request_class is None:
-            return min(call.time_left_ms or most, most)
-        route = self._route(call)
-        return min(call.time_left_ms or most, route.terms.deadline if route else request_class.deadline)
+            return min(call.time_left_ms or longest, longest)
+        policy = self._policy(call)
+        return min(call.time_left_ms or longest, policy.terms.deadline if policy else request_class.deadline)
 
-    def _request_class(self, call: client_messages.CallRequest, ident: jsonrpc.Ident) -> RequestClass:
+    def _request_class(self, call: CallRequest, ident: jsonrpc.Ident) -> RequestClass:
         request_class = self.request_classes.get(call.method)
         if request_class is None:
-            known = ", ".join(self.request_classes)
-            why = f"method: {call.method[:WORD_SHOWN]}, expected one of {known}"
-            raise jsonrpc.MalformedRequestError(jsonrpc.INVALID_PARAMS, why, ident)
+            expected = ", ".join(self.request_classes)
+            reason = f"method: {call.method[:MAX_QUOTED]}, expected one of {expected}"
+            raise jsonrpc.MalformedRequestError(jsonrpc.INVALID_PARAMS, reason, ident)
         if request_class.effect == Effect.KEYED and not call.idempotency_key:
-            why = f"token: missing, and {request_class.name} is tokened"
-            raise jsonrpc.MalformedRequestError(jsonrpc.INVALID_PARAMS, why, ident)
+            reason = f"token: missing, and {request_class.name} is tokened"
+            raise jsonrpc.MalformedRequestError(jsonrpc.INVALID_PARAMS, reason, ident)
         return request_class
 
-    def _fill_in(self, call: client_messages.CallRequest, ident: jsonrpc.Ident) -> None:
-        stated = self.stated(call.function)
-        if call.memory_mb is None:
-            if stated is None:
-                why = f"memory_mb: missing, and the settings state none for {call.function[:WORD_SHOWN]}"
-                raise jsonrpc.MalformedRequestError(jsonrpc.INVALID_PARAMS, why, ident)
-            call.memory_mb = stated.memory
-        if call.concurrency is None:
-            call.concurrency = stated.lanes if stated else 1
-        if call.load_ms is None and stated:
-            call.load_ms = stated.load
-
-    def _check_tenant(self, call: client_messages.CallRequest, ident: jsonrpc.Ident) -> None:
+    def _params(self, call: CallRequest, ident: jsonrpc.Ident) -> RequestParams:
+        settings = self.config.stated(call.function)
+        memory_mb = call.memory_mb
+        if memory_mb is None:
+            if settings is None:
+                reason = f"memory_mb: missing, and the settings state none for {call.function[:MAX_QUOTED]}"
+                raise jsonrpc.MalformedRequestError(jsonrpc.INVALID_PARAMS, reason, ident)
+            memory_mb = settings.memory
+        concurrency = call.concurrency
+        if concurrency is None:
+            concurrency = settings.lanes if settings else 1
+        load_ms = call.load_ms
+        if load_ms is None and settings:
+            load_ms = settings.load
+        return RequestParams(
+            function=call.function,
+            input=call.input,
+            memory_mb=memory_mb,
+            concurrency=concurrency,
+            load_ms=load_ms,
+            work_ms=call.work_ms,
+            is_repeat=call.is_repeat,
+            idempotency_key=call.idempotency_key,
+        )
+
+    def _check_tenant(self, call: CallRequest, ident: jsonrpc.Ident) -> None:
         if call.tenant and self.tenants and call.tenant not in self.tenants:
-            known = ", ".join(self.tenants)
-            why = f"tenant: {call.tenant[:WORD_SHOWN]}, expected one of {known}"
-            raise jsonrpc.MalformedRequestError(jsonrpc.INVALID_PARAMS, why, ident)
+            expected = ", ".join(self.tenants)
+            reason = f"tenant: {call.tenant[:MAX_QUOTED]}, expected one of {expected}"
+            raise jsonrpc.MalformedRequestError(jsonrpc.INVALID_PARAMS, reason, ident)
 
-    def _route(self, call: client_messages.CallRequest) -> EffectivePolicy | None:
+    def _policy(self, call: CallRequest) -> EffectivePolicy | None:
         return self.routes.find(call.method, call.function, call.tenant) if self.routes else None
--- a/wickdyke/jsonrpc/service.py
+++ b/wickdyke/jsonrpc/service.py
@@ -13,6 +13,7 @@
 from wickdyke.gateway.coordinator import Coordinator
 from wickdyke.gateway.events import EndpointsReceived
 from wickdyke.gateway.file_watcher import FileWatcher
+from wickdyke.gateway.interfaces import Log
 from wickdyke.gateway.isolation import BreakerIsolation
 from wickdyke.gateway.recording import DecisionRecorder
 from wickdyke.jsonrpc.client_connection import STACK_SIZE
@@ -21,30 +22,32 @@
 from wickdyke.jsonrpc.worker_protocol import JsonRpcWorkerProtocol
 from wickdyke.route_policy.policy import Environment
 from wickdyke.route_policy.transition import PolicyTransition
+from wickdyke.routing.model import EndpointState
 from wickdyke.routing.periods import TICK
 from wickdyke.transport import termination
 
-# s that a thread may keep the interpreter. Hand-offs between threads are many and short: at the standard 5 ms an answer
-# would wait for a decoder.
+# s that a thread may keep the interpreter. Threads switch often and briefly: at the standard 5 ms an answer would wait
+# for a decoder.
 SWITCH_INTERVAL = 0.001
 SEED_BITS = 48  # of a seed that is drawn
-DRAIN_SPARE = 1000  # ms beyond the greatest deadline that a drain may take
-DRAIN_POLL = 0.01  # s between two looks at whether a drain is over
+DRAIN_MARGIN = 1000  # ms beyond the longest deadline that a drain may take
+DRAIN_POLL = 0.01  # s between two checks whether a drain is over
 
 
-def ground(config: GatewayConfig) -> Environment:
+def policy_environment(config: GatewayConfig) -> Environment:
     """What routes are checked against: the deployment's figures, and how often the router is advanced."""
     limits = config.attempt_limits
     return Environment(limits.hedging, limits.cancel, limits.connect_timeout, config.answer_way, TICK, limits.attempts)
 
 
 class Gateway:
-    """All parts of one gateway. `open` begins; `stop` drains it: what is pending gets its answer."""
+    """All parts of one gateway. `open` begins to serve; `stop` drains it: pending requests get their answers."""
 
-    def __init__(self, config: GatewayConfig, log) -> None:
+    def __init__(self, config: GatewayConfig, log: Log) -> None:
         threading.stack_size(STACK_SIZE)
         sys.setswitchinterval(SWITCH_INTERVAL)
-        self.config, self.log = config, log
+        self.config = config
+        self.log = log
         seed = config.seed if config.seed is not None else random.SystemRandom().getrandbits(SEED_BITS)
         self.recorder = DecisionRecorder(config.tape, log) if config.tape else None
         self.coordinator = Coordinator(
@@ -57,8 +60,8 @@
             BreakerIsolation(CircuitBreaker(config.isolation, config.instance.count, log)),
         )
         self.client_server = ClientServer(config, self.coordinator.post, self.coordinator.busy, log.warning)
-        self.succession = PolicyTransition()
-        self.watchers = [
+        self.policy_transition = PolicyTransition()
+        self.watchers: list[FileWatcher[list[endpoint_file.EndpointRow]] | FileWatcher[route_config.Routes]] = [
             FileWatcher("list", config.workers, config.reread, self._read_endpoints, self._use_endpoints, log)
         ]
         if config.routes is not None:
@@ -70,23 +73,23 @@
     def _read_endpoints(self, path: str) -> list[endpoint_file.EndpointRow]:
         return endpoint_file.read_endpoints(path, self.config.zones, self.config.kinds)
 
-    def _use_endpoints(self, rows: list[endpoint_file.EndpointRow]) -> dict:
+    def _use_endpoints(self, rows: list[endpoint_file.EndpointRow]) -> dict[str, int]:
         self.coordinator.post(EndpointsReceived(rows))
-        return {"workers": len(rows), "ready": sum(row.state == "ready" for row in rows)}
+        return {"workers": len(rows), "ready": sum(row.state == EndpointState.READY for row in rows)}
 
     def _read_routes(self, path: str) -> route_config.Routes:
-        found = route_config.read(path, self.config.request_classes, ground(self.config))
-        route_config.check_transition(found, path, self.succession, clock())
-        return found
+        routes = route_config.read(path, self.config.request_classes, policy_environment(self.config))
+        route_config.check_transition(routes, path, self.policy_transition, clock())
+        return routes
 
-    def _use_routes(self, found: route_config.Routes) -> dict:
-        self.client_server.checker.routes = found
-        self.succession.follow(found.payers(), clock())
-        return {"routes": len(found.routes)}
+    def _use_routes(self, routes: route_config.Routes) -> dict[str, int]:
+        self.client_server.checker.routes = routes
+        self.policy_transition.follow(routes.payers(), clock())
+        return {"routes": len(routes.routes)}
 
     def open(self) -> None:
         """Begins to serve."""
-        # What is loaded by now stays: the garbage collector need not walk over it while requests wait (docs/bench.md).
+        # Objects made by now stay: the garbage collector need not visit them while requests wait (docs/bench.md).
         gc.collect()
         gc.freeze()
         self.coordinator.open()
@@ -100,17 +103,17 @@
         )
 
     def stop(self) -> None:
-        """Takes no more requests, answers all that are pending within their deadlines, then ends."""
-        began = clock()
+        """Accepts no more requests, answers all that are pending within their deadlines, then ends."""
+        began_at = clock()
         self.coordinator.stop_admitting()
         self.client_server.shut()
         self.log.info("stopping", open=len(self.coordinator.requests.by_id))
-        most = DRAIN_SPARE + max(each.deadline for each in self.config.request_classes)
+        timeout = DRAIN_MARGIN + max(request_class.deadline for request_class in self.config.request_classes)
         pause = threading.Event()
-        while clock() - began < most and not (self.coordinator.idle() and self.client_server.flushed()):
+        while clock() - began_at < timeout and not (self.coordinator.idle() and self.client_server.flushed()):
             pause.wait(DRAIN_POLL)
         self.close()
-        self.log.info("stopped", took_ms=round(clock() - began), **dict(self.coordinator.counts))
+        self.log.info("stopped", elapsed_ms=round(clock() - began_at), **dict(self.coordinator.counts))
 
     def close(self) -> None:
         """Ends all threads at once."""
@@ -124,9 +127,9 @@
 
 def until_signal(gateway: Gateway, ready: Callable[[], None]) -> int:
     """Serves until SIGTERM or SIGINT; a second signal ends it at once. `ready` is called once it serves."""
-    ended = termination.asked()
+    signalled = termination.asked()
     gateway.open()
     ready()
-    termination.wait(ended)
+    termination.wait(signalled)
     gateway.stop()
     return 0
--- a/wickdyke/jsonrpc/worker_client.py
+++ b/wickdyke/jsonrpc/worker_client.py
@@ -1,23 +1,23 @@
-"""The connection to one worker of the JSON-RPC gateway, and exactly what is known of each command sent on it.
+"""The client of one worker of the JSON-RPC gateway: it determines exactly how each command ended.
 
 The rules depend on the outcomes. UNSENT: no byte was handed to the kernel. UNREACHED: no connection could be made, or
-the worker said no hello. CONNECTION_LOST: the connection ended after the first byte; it may have run. CANCELLED,
-TIMEOUT: it may have run. FULL, MISS: the worker said that it did not. ERROR: it may have run.
+the worker sent no hello. CONNECTION_LOST: the connection ended after the first byte; it may have run. CANCELLED,
+TIMEOUT: it may have run. FULL, MISS: the worker answered that it did not. ERROR: it may have run.
 """
 
+import contextlib
 import errno
-import math
 import socket
 import threading
 import time
 from collections import Counter
 from collections.abc import Callable
-from typing import Any
+from dataclasses import dataclass
+from enum import Enum, auto
 
 import msgspec
 
 from wickdyke.config import address as addresses
-from wickdyke.gateway import interfaces
 from wickdyke.gateway.events import (
     CommandFinished,
     Event,
@@ -26,97 +26,67 @@
     WorkerDraining,
     WorkerUnreachable,
 )
-from wickdyke.gateway.interfaces import CommandKind
-from wickdyke.jsonrpc.worker_handshake import READ_SIZE, Handshake, shake_hands
+from wickdyke.gateway.interfaces import Withdrawal
+from wickdyke.jsonrpc.worker_command import MS_PER_SECOND, Command, OpenCommands
+from wickdyke.jsonrpc.worker_handshake import LOCAL_ERRORS, Handshake, shake_hands
 from wickdyke.protocol import jsonrpc, worker_messages
 from wickdyke.protocol.framing import LineTooLongError
 from wickdyke.routing.model import Outcome
-from wickdyke.transport.write_buffer import SHORT_OF_MEMORY, Expired, OutgoingMessage, PeerTooSlow, WriteBuffer
-
-RECONNECT_PAUSE = 100.0  # ms between attempts to connect while nothing is asked: at first
-RECONNECT_PAUSE_MOST = 1000.0  # ms
-MEMORY_RETRY = 0.01  # s until a read is tried again for which the kernel had no memory
-# Errors of socket(2) and connect(2) that are of this machine, for a moment: workers are on it, so no way to them (and
-# a listening socket whose queue is full, EAGAIN) tells nothing of one.
-LOCAL_ERRORS = (
-    errno.EMFILE,
-    errno.ENFILE,
-    errno.ENOBUFS,
-    errno.ENOMEM,
-    errno.EADDRNOTAVAIL,
-    errno.EADDRINUSE,
-    errno.EAGAIN,
-    errno.EINTR,
-    errno.ENETDOWN,
-    errno.ENETUNREACH,
-    errno.EHOSTUNREACH,
-)
+from wickdyke.transport.write_buffer import Expired, OutgoingMessage, PeerTooSlow, WriteBuffer
+
+MIN_RECONNECT_PAUSE = 100.0  # ms between attempts to connect while no command waits: at first
+MAX_RECONNECT_PAUSE = 1000.0  # ms
+RECONNECT_PAUSE_GROWTH = 2
 
 
-def clock() -> float:
-    """Monotonic time in ms."""
-    return time.monotonic() * 1000
+class ClientClosedError(OSError):
+    """The client was closed while it connected."""
 
 
-class Command(interfaces.Command):
-    """One message that is owed an answer, as it is sent.
+@dataclass(slots=True, frozen=True)
+class WorkerClientSettings:
+    """What the clients of all workers share.
 
-    `params` is its bytes, or a function that renders them for the ms that are left until `deadline` (monotonic ms).
+    `gateway` is the name in the hello; `connect_timeout` is ms, for the connection and the hello; `max_line` is bytes
+    of a response; `max_unread` is bytes that may wait for a worker to read.
     """
 
-    __slots__ = ("method", "params", "deadline", "message", "number")
+    gateway: str
+    connect_timeout: float
+    max_line: int
+    max_unread: int
 
-    def __init__(
-        self,
-        kind: CommandKind,
-        key: Any,
-        method: str,
-        params: bytes | Callable[[float], bytes],
-        deadline: float = math.inf,
-    ) -> None:
-        super().__init__(kind, key)
-        self.method, self.params, self.deadline = method, params, deadline
-        self.message: OutgoingMessage | None = None
-        self.number = -1
 
-    def line(self) -> bytes | None:
-        """The request as it may be sent now; None where its time is up."""
-        left = self.deadline - clock()
-        if left <= 0:
-            return None
-        params = self.params(left) if callable(self.params) else self.params
-        return jsonrpc.request_line(self.method, params, self.number)
+class ClientState(Enum):
+    """What a worker client still does."""
+
+    OPEN = auto()
+    DRAINING = auto()  # sends nothing new, and closes with the last command in flight
+    CLOSED = auto()
 
 
 class WorkerClient:
-    """The connection to one worker, made anew whenever it is lost.
+    """The client of one worker; it keeps one connection, which is made anew whenever it is lost.
 
-    `notify` is called from its threads with what happens: WorkerConnected, WorkerConnectionLost, WorkerUnreachable,
-    WorkerDraining, and CommandFinished once for each command.
+    `notify` is called from its threads with WorkerConnected, WorkerConnectionLost, WorkerUnreachable, WorkerDraining,
+    and CommandFinished once for each command.
     """
 
     def __init__(
-        self,
-        name: str,
-        address: str,
-        gateway: str,
-        notify: Callable[[Event], None],
-        connect_timeout: float,
-        max_line: int,
-        max_unread: int,
+        self, name: str, address: str, settings: WorkerClientSettings, notify: Callable[[Event], None]
     ) -> None:
-        self.name, self.address, self.gateway, self.notify = name, address, gateway, notify
-        self.connect_timeout, self.max_line, self.max_unread = connect_timeout, max_line, max_unread
-        self.lock = threading.Lock()
+        self.name = name
+        self.address = address
+        self.settings = settings
+        self.notify = notify
+        self.lock = threading.Lock()  # guards the fields below
         self.command_queued = threading.Condition(self.lock)
-        self.pending: list[Command] = []
-        self.in_flight: dict[int, Command] = {}
-        self.write_buffer: WriteBuffer | None = None
-        self.start: int | None = None
-        self.number = 0
-        self.draining = self.closed = False
-        self.counts: Counter[str] = Counter()
+        self.state = ClientState.OPEN
+        self.commands = OpenCommands()
         self.sock: socket.socket | None = None
+        self.write_buffer: WriteBuffer | None = None  # of the present connection
+        self.start: int | None = None  # the worker's, at the last hello
+        self.counts: Counter[str] = Counter()
         self.thread = threading.Thread(target=self._serve, name=f"worker-{name}", daemon=True)
         self.thread.start()
 
@@ -125,107 +95,49 @@
         """Whether there is a connection."""
         return self.write_buffer is not None
 
-    def send(self, command: Command) -> None:
-        """Sends it, or has it sent once connected; `notify` is told of its end in each case."""
-        failed = None
-        with self.lock:
-            if self.closed:
-                failed = Outcome.UNSENT
-            elif self.write_buffer is None:
-                self.pending.append(command)
-                self.command_queued.notify()
-            else:
-                failed = self._hand_over(command)
-        if failed:
-            self.notify(CommandFinished(self, command, failed))
-
-    def _hand_over(self, command: Command) -> str | None:
-        self.number += 1
-        command.number = self.number
-        command.message = OutgoingMessage(command.line, expired=lambda: self._expired(command))
-        self.in_flight[command.number] = command
-        try:
-            self.write_buffer.put(command.message)
-        except Expired:
-            del self.in_flight[command.number]
-            return Outcome.UNSENT
-        except (PeerTooSlow, OSError):
-            # The reader finds the connection ended and reports all that is in flight; what is not begun is known now.
-            self.write_buffer.close()
-            if not command.message.begun:
-                del self.in_flight[command.number]
-                return Outcome.UNSENT
-        return None
+    # ---- called from other threads ----
 
-    def _expired(self, command: Command) -> None:
-        """The time of a command was up before a byte of it went. Called by the thread that writes."""
+    def send(self, command: Command) -> None:
+        """Sends it, or has it sent once connected; `notify` is called with its end in each case."""
         with self.lock:
-            if self.in_flight.pop(command.number, None) is None:
-                return
-            idle = self.draining and not self.in_flight
-        self.notify(CommandFinished(self, command, Outcome.UNSENT))
-        if idle:
-            self.close()
-
-    def cancel(self, command: Command, done: Callable[[], None]) -> str | None:
-        """Withdraws an attempt.
+            outcome = self._send_or_queue(command)
+        if outcome is not None:
+            self.notify(CommandFinished(self, command, outcome))
 
-        Returns UNSENT where no byte of it went, CANCELLED where the cancel is with the kernel, "ended" where the
-        attempt has ended, and None where the cancel waits to be written: `done` is called once it is with the kernel.
-        """
+    def cancel(self, command: Command, done: Callable[[], None]) -> Withdrawal:
+        """Withdraws an attempt; `done` is called once a cancel that is PENDING is with the kernel."""
         with self.lock:
-            if self._withdraw(command):
-                return Outcome.UNSENT
-            if self.in_flight.get(command.number) is not command:
-                return "ended"
+            if self.commands.withdraw(command, self.write_buffer):
+                return Withdrawal.UNSENT
+            if self.write_buffer is None or not self.commands.is_in_flight(command):
+                return Withdrawal.ENDED
             line = jsonrpc.notification_line("cancel", jsonrpc.encode(worker_messages.CancelRequest(command.number)))
             try:
                 if not self.write_buffer.put(OutgoingMessage(line, lambda: self._cancelled(command, done))):
-                    return None
+                    return Withdrawal.PENDING
             except (PeerTooSlow, OSError):
                 self.write_buffer.close()
-                return None  # the reader reports it as lost
-            del self.in_flight[command.number]
-            return Outcome.CANCELLED
-
-    def _cancelled(self, command: Command, done: Callable[[], None]) -> None:
-        with self.lock:
-            if self.in_flight.pop(command.number, None) is None:
-                return
-        done()
+                return Withdrawal.PENDING  # the reader reports it as lost
+            self.commands.end(command.number)
+            return Withdrawal.CANCELLED
 
     def withdraw_unsent(self, command: Command) -> bool:
-        """Takes back what has not begun to go out; True where it was so, and it has ended."""
+        """Takes back what has not begun to be sent; True where it was so, and it has ended."""
         with self.lock:
-            return self._withdraw(command)
-
-    def _withdraw(self, command: Command) -> bool:
-        if command in self.pending:
-            self.pending.remove(command)
-            return True
-        if (
-            self.in_flight.get(command.number) is command
-            and self.write_buffer is not None
-            and self.write_buffer.withdraw(command.message)
-        ):
-            del self.in_flight[command.number]
-            return True
-        return False
+            return self.commands.withdraw(command, self.write_buffer)
 
     def withdraw_all_unsent(self) -> None:
-        """Nothing new goes there: what has not begun to go out ends as unsent."""
+        """Takes back all that has not begun to be sent: it ends as unsent."""
         with self.lock:
-            taken = [command for command in [*self.pending, *self.in_flight.values()] if self._withdraw(command)]
-        for command in taken:
-            self.notify(CommandFinished(self, command, Outcome.UNSENT))
+            withdrawn = [
+                command for command in self.commands.all() if self.commands.withdraw(command, self.write_buffer)
+            ]
+        self._finish(withdrawn, Outcome.UNSENT)
 
     def abandon(self, command: Command) -> bool:
-        """No answer is waited for any more; False where it has ended already."""
+        """Stops waiting for a response; False where the command has ended already."""
         with self.lock:
-            if command in self.pending:
-                self.pending.remove(command)
-                return True
-            return self.in_flight.pop(command.number, None) is not None
+            return self.commands.abandon(command)
 
     def disconnect(self) -> None:
         """Ends the connection; what is in flight there ends as lost."""
@@ -234,159 +146,202 @@
                 self.write_buffer.close()
 
     def drain(self) -> None:
-        """No more is to be sent; it ends with the last of what is in flight."""
+        """Sends no more; it closes with the last command in flight."""
         with self.lock:
-            self.draining = True
+            if self.state is ClientState.OPEN:
+                self.state = ClientState.DRAINING
         self.withdraw_all_unsent()
         with self.lock:
-            idle = not self.in_flight and not self.pending
+            idle = not self.commands
         if idle:
             self.close()
 
     def close(self) -> None:
         """Ends it at once."""
         with self.lock:
-            self.closed = True
+            self.state = ClientState.CLOSED
             if self.write_buffer is not None:
                 self.write_buffer.close()
             elif self.sock is not None:
-                try:
+                with contextlib.suppress(OSError):
                     self.sock.shutdown(socket.SHUT_RDWR)
-                except OSError:
-                    pass
             self.command_queued.notify()
 
+    # ---- sending ----
+
+    def _send_or_queue(self, command: Command) -> Outcome | None:
+        """Returns how the command has ended, if it has."""
+        if self.state is ClientState.CLOSED:
+            return Outcome.UNSENT
+        if self.write_buffer is not None:
+            return self._hand_over(command, self.write_buffer)
+        self.commands.waiting.append(command)
+        self.command_queued.notify()
+        return None
+
+    def _hand_over(self, command: Command, write_buffer: WriteBuffer) -> Outcome | None:
+        """Hands a command to the connection; returns how it has ended, if it has."""
+        message = OutgoingMessage(command.line, expired=lambda: self._expired(command))
+        self.commands.begin(command, message)
+        try:
+            write_buffer.put(message)
+        except Expired:
+            self.commands.end(command.number)
+            return Outcome.UNSENT
+        except (PeerTooSlow, OSError):
+            # The reader finds the connection ended and reports all that is in flight; this one is certain now.
+            write_buffer.close()
+            if not message.begun:
+                self.commands.end(command.number)
+                return Outcome.UNSENT
+        return None
+
+    def _expired(self, command: Command) -> None:
+        """The deadline of a command passed before a byte of it was sent. Called by the thread that writes."""
+        with self.lock:
+            if self.commands.end(command.number) is None:
+                return
+            idle = self._is_drained()
+        self.notify(CommandFinished(self, command, Outcome.UNSENT))
+        if idle:
+            self.close()
+
+    def _cancelled(self, command: Command, done: Callable[[], None]) -> None:
+        with self.lock:
+            if self.commands.end(command.number) is None:
+                return
+        done()
+
+    def _is_drained(self) -> bool:
+        return self.state is ClientState.DRAINING and not self.commands.in_flight
+
+    def _finish(self, commands: list[Command], outcome: Outcome) -> None:
+        for command in commands:
+            self.notify(CommandFinished(self, command, outcome))
+
     # ---- its thread ----
 
     def _serve(self) -> None:
-        pause = RECONNECT_PAUSE
-        while not self.closed:
+        pause = MIN_RECONNECT_PAUSE
+        while self.state is not ClientState.CLOSED:
             try:
                 handshake = self._connect()
             except (OSError, jsonrpc.MalformedRequestError, msgspec.MsgspecError, LineTooLongError) as error:
                 self._connect_failed(error)
                 self._wait_for_command(pause)
-                pause = min(RECONNECT_PAUSE_MOST, pause * 2)
+                pause = min(MAX_RECONNECT_PAUSE, pause * RECONNECT_PAUSE_GROWTH)
                 continue
-            pause = RECONNECT_PAUSE
-            self._lost(self._serve_connection(handshake))
+            pause = MIN_RECONNECT_PAUSE
+            self._connection_lost(self._serve_connection(handshake))
             self._wait_for_command(pause)
-        self._lost("closed")
+        self._connection_lost("closed")
         self._unreached("closed")
 
     def _wait_for_command(self, pause: float) -> None:
         with self.lock:
-            if not self.closed and not self.pending:
-                self.command_queued.wait(pause / 1000)
+            if self.state is not ClientState.CLOSED and not self.commands.waiting:
+                self.command_queued.wait(pause / MS_PER_SECOND)
 
     def _connect(self) -> Handshake:
-        ends = time.monotonic() + self.connect_timeout / 1000
-        sock = addresses.connect(self.address, self.connect_timeout)
+        settings = self.settings
+        deadline = time.monotonic() + settings.connect_timeout / MS_PER_SECOND
+        sock = addresses.connect(self.address, settings.connect_timeout)
         try:
             with self.lock:
                 self.sock = sock
-                if self.closed:
-                    raise OSError("closed")
-            return shake_hands(sock, self.gateway, self.max_line, ends)
+                if self.state is ClientState.CLOSED:
+                    raise ClientClosedError("closed")
+            return shake_hands(sock, settings.gateway, settings.max_line, deadline)
         except BaseException:
             sock.close()
             raise
 
     def _connect_failed(self, error: Exception) -> None:
         if isinstance(error, OSError) and error.errno in LOCAL_ERRORS:
-            # Reported as unreached, a worker that is up would be taken for one that starts anew and is empty.
+            # Reported as unreached, a worker that is up would be taken for one that has restarted and is empty.
             self.counts[f"connect_{errno.errorcode[error.errno]}"] += 1
-            self._end_pending(Outcome.UNSENT)
+            self._end_waiting(Outcome.UNSENT)
         else:
             self._unreached(f"{type(error).__name__}: {error}")
 
     def _serve_connection(self, handshake: Handshake) -> str:
-        """Sends what waits and reads answers; why the connection ended."""
-        self.notify(WorkerConnected(self, handshake.standing))
-        if not self._send_pending(handshake):
+        """Sends what waits and reads responses; returns why the connection ended."""
+        self.notify(WorkerConnected(self, handshake.hello))
+        if not self._send_waiting(handshake):
             return "closed"
         try:
-            for line in handshake.unread_lines:
-                self._answer(line)
-            while data := _received(handshake.sock):
-                for line in handshake.lines.feed(data):
-                    self._answer(line)
+            for line in handshake.lines():
+                self._receive(line)
         except (OSError, LineTooLongError, jsonrpc.MalformedRequestError) as error:
             return f"{type(error).__name__}: {error}"
         return "ended by the worker"
 
-    def _send_pending(self, handshake: Handshake) -> bool:
+    def _send_waiting(self, handshake: Handshake) -> bool:
         """Hands over the commands that wait for a connection; False where the client was closed meanwhile."""
         unsent: list[Command] = []
         with self.lock:
-            if self.closed:
+            if self.state is ClientState.CLOSED:
                 handshake.sock.close()
                 return False
-            # What waited was meant for the worker as it was; one that has started anew may be cold and empty.
-            start = handshake.standing.start
-            restarted, self.start = self.start not in (None, start), start
-            self.write_buffer = WriteBuffer(handshake.sock, self.max_unread, f"worker-{self.name}-out")
-            pending, self.pending = self.pending, []
-            for command in pending:
-                if restarted or self._hand_over(command):
+            # They were meant for the worker as it was; one that has restarted may be warming up and empty.
+            start = handshake.hello.start
+            restarted = self.start not in (None, start)
+            self.start = start
+            write_buffer = WriteBuffer(handshake.sock, self.settings.max_unread, f"worker-{self.name}-out")
+            self.write_buffer = write_buffer
+            for command in self.commands.take_waiting():
+                if restarted or self._hand_over(command, write_buffer):
                     unsent.append(command)
-        for command in unsent:
-            self.notify(CommandFinished(self, command, Outcome.UNSENT))
+        self._finish(unsent, Outcome.UNSENT)
         return True
 
-    def _answer(self, line: bytes) -> None:
-        ident, result, problem = jsonrpc.parse_response(line)
+    def _receive(self, line: bytes) -> None:
+        """Ends the command that a line is the response to."""
+        response = jsonrpc.parse_response(line)
         with self.lock:
-            command = self.in_flight.pop(ident, None) if isinstance(ident, int) else None
-            if command is None:  # too late, a second time, or never asked for: nobody waits for it
-                self.counts["late" if isinstance(ident, int) and 0 < ident <= self.number else "stray"] += 1
+            command = self.commands.end(response.ident)
+            if command is None:  # too late, a second time, or with an id that was never used: none waits for it
+                self.counts["late" if self.commands.was_sent(response.ident) else "stray"] += 1
                 return
-            idle = self.draining and not self.in_flight
-        if problem is None:
-            outcome, data = Outcome.OK, None
+            idle = self._is_drained()
+        if response.error is None:
+            self.notify(CommandFinished(self, command, Outcome.OK, response.result, None))
         else:
-            outcome, data = worker_messages.OUTCOMES.get(problem.code, Outcome.ERROR), bytes(problem.data)
-            if problem.code == worker_messages.DRAINING:
-                self.notify(WorkerDraining(self))
-        self.notify(CommandFinished(self, command, outcome, result, data))
+            self._finish_with_error(command, response.error)
         if idle:
             self.close()
 
-    def _lost(self, why: str) -> None:
+    def _finish_with_error(self, command: Command, error: jsonrpc.ErrorObject) -> None:
+        if error.code == worker_messages.DRAINING:
+            self.notify(WorkerDraining(self))
+        outcome = Outcome(worker_messages.OUTCOMES.get(error.code, Outcome.ERROR))
+        self.notify(CommandFinished(self, command, outcome, None, bytes(error.data)))
+
+    def _connection_lost(self, reason: str) -> None:
         with self.lock:
-            in_flight, self.in_flight = self.in_flight, {}
-            write_buffer, self.write_buffer = self.write_buffer, None
-            sock, self.sock = self.sock, None
+            in_flight = self.commands.take_in_flight()
+            write_buffer = self.write_buffer
+            sock = self.sock
+            self.write_buffer = None
+            self.sock = None
         if write_buffer is None:
             return
         write_buffer.close()
-        sock.close()
-        for command in in_flight.values():
+        if sock is not None:
+            sock.close()
+        for command in in_flight:
             # What still waited in the write buffer never began: no byte of it can have reached the worker.
-            outcome = Outcome.CONNECTION_LOST if command.message.begun else Outcome.UNSENT
+            has_begun = command.message is not None and command.message.begun
+            outcome = Outcome.CONNECTION_LOST if has_begun else Outcome.UNSENT
             self.notify(CommandFinished(self, command, outcome))
-        self.notify(WorkerConnectionLost(self, why))
+        self.notify(WorkerConnectionLost(self, reason))
 
-    def _unreached(self, why: str) -> None:
-        self._end_pending(Outcome.UNREACHED)
-        self.notify(WorkerUnreachable(self, why))
+    def _unreached(self, reason: str) -> None:
+        self._end_waiting(Outcome.UNREACHED)
+        self.notify(WorkerUnreachable(self, reason))
 
-    def _end_pending(self, outcome: str) -> None:
+    def _end_waiting(self, outcome: Outcome) -> None:
         with self.lock:
-            pending, self.pending = self.pending, []
+            waiting = self.commands.take_waiting()
             self.sock = None
-        for command in pending:
-            self.notify(CommandFinished(self, command, outcome))
-
-
-def _received(sock: socket.socket) -> bytes:
-    """What comes next, empty at the end; raises OSError where the connection has ended otherwise."""
-    while True:
-        try:
-            return sock.recv(READ_SIZE)
-        except InterruptedError:
-            continue
-        except OSError as error:
-            if error.errno not in SHORT_OF_MEMORY:
-                raise
-        time.sleep(MEMORY_RETRY)
+        self._finish(waiting, outcome)
--- /dev/null
+++ b/wickdyke/jsonrpc/worker_command.py
@@ -0,0 +1,120 @@
+"""The commands of one worker client: as they are sent, and which of them have not ended."""
+
+import math
+import time
+from collections.abc import Callable
+
+from wickdyke.gateway import interfaces
+from wickdyke.gateway.interfaces import CommandKey, CommandKind
+from wickdyke.protocol import jsonrpc
+from wickdyke.transport.write_buffer import OutgoingMessage, WriteBuffer
+
+MS_PER_SECOND = 1000
+UNNUMBERED = -1  # the number of a command that was not sent
+
+
+def clock() -> float:
+    """Monotonic time in ms."""
+    return time.monotonic() * MS_PER_SECOND
+
+
+class Command(interfaces.Command):
+    """One message that is owed a response, as it is sent.
+
+    `params` is its bytes, or a function that renders them for the ms that are left until `deadline` (monotonic ms).
+    `number` is its id on the connection.
+    """
+
+    __slots__ = ("deadline", "message", "method", "number", "params")
+
+    def __init__(
+        self,
+        kind: CommandKind,
+        key: CommandKey,
+        method: str,
+        params: bytes | Callable[[float], bytes],
+        deadline: float = math.inf,
+    ) -> None:
+        super().__init__(kind, key)
+        self.method = method
+        self.params = params
+        self.deadline = deadline
+        self.message: OutgoingMessage | None = None
+        self.number = UNNUMBERED
+
+    def line(self) -> bytes | None:
+        """The request as it may be sent now; None where its deadline has passed."""
+        time_left = self.deadline - clock()
+        if time_left <= 0:
+            return None
+        params = self.params(time_left) if callable(self.params) else self.params
+        return jsonrpc.request_line(self.method, params, self.number)
+
+
+class OpenCommands:
+    """The commands of a worker client that have not ended. Its owner locks.
+
+    `waiting`: those that wait for a connection; `in_flight`: those handed to the present one, by their numbers.
+    """
+
+    def __init__(self) -> None:
+        self.waiting: list[Command] = []
+        self.in_flight: dict[int, Command] = {}
+        self.last_number = 0
+
+    def __bool__(self) -> bool:
+        return bool(self.waiting or self.in_flight)
+
+    def all(self) -> list[Command]:
+        """All of them."""
+        return [*self.waiting, *self.in_flight.values()]
+
+    def begin(self, command: Command, message: OutgoingMessage) -> None:
+        """Numbers a command and enters it as in flight, with the message that is to be sent."""
+        self.last_number += 1
+        command.number = self.last_number
+        command.message = message
+        self.in_flight[command.number] = command
+
+    def is_in_flight(self, command: Command) -> bool:
+        """Whether it was handed to the present connection and has not ended."""
+        return self.in_flight.get(command.number) is command
+
+    def was_sent(self, ident: jsonrpc.Ident) -> bool:
+        """Whether a command had that number."""
+        return isinstance(ident, int) and 0 < ident <= self.last_number
+
+    def end(self, ident: jsonrpc.Ident) -> Command | None:
+        """Ends the command in flight of that number, and returns it; None where there is none."""
+        return self.in_flight.pop(ident, None) if isinstance(ident, int) else None
+
+    def withdraw(self, command: Command, write_buffer: WriteBuffer | None) -> bool:
+        """Takes back a command of which no byte was sent; False where that is too late."""
+        if command in self.waiting:
+            self.waiting.remove(command)
+            return True
+        if not self.is_in_flight(command) or write_buffer is None or command.message is None:
+            return False
+        if not write_buffer.withdraw(command.message):
+            return False
+        del self.in_flight[command.number]
+        return True
+
+    def abandon(self, command: Command) -> bool:
+        """Ends a command, sent or not; False where it has ended already."""
+        if command in self.waiting:
+            self.waiting.remove(command)
+            return True
+        return self.in_flight.pop(command.number, None) is not None
+
+    def take_waiting(self) -> list[Command]:
+        """Removes and returns all that wait for a connection."""
+        commands = self.waiting
+        self.waiting = []
+        return commands
+
+    def take_in_flight(self) -> list[Command]:
+        """Removes and returns all that are in flight."""
+        commands = list(self.in_flight.values())
+        self.in_flight = {}
+        return commands
--- a/wickdyke/platform/client_connection.py
+++ b/wickdyke/platform/client_connection.py
@@ -10,7 +10,7 @@
 from wickdyke.gateway import interfaces
 from wickdyke.gateway.events import ClientClosed, RequestCancelled, RequestReceived
 from wickdyke.platform import thrift
-from wickdyke.platform.requests import InvalidRequest, check
+from wickdyke.platform.requests import Call, InvalidRequest, check
 from wickdyke.transport.event_loop import clock, received
 from wickdyke.transport.write_buffer import OutgoingMessage, PeerTooSlow, WriteBuffer
 
@@ -31,6 +31,10 @@
 
     __slots__ = ()
 
+    client: "ClientConnection"
+    ident: int
+    params: Call
+
     def succeed(self, output: bytes, attempts: int) -> None:
         """Sends its final answer, with the worker's output."""
         self._answer(thrift.answer("dispatch", self.ident, output))
@@ -217,7 +221,7 @@
         if self.open.get(pending.ident) is not pending:
             return False
         del self.open[pending.ident]
-        self.server.open.pop(pending.call.ident, None)
+        self.server.open.pop(pending.params.ident, None)
         self.used = clock()
         return True
 
@@ -268,7 +272,7 @@
         server.forget(self)
         self.write_buffer.drop()
         for pending in pending_requests:
-            server.open.pop(pending.call.ident, None)
+            server.open.pop(pending.params.ident, None)
             pending.closed = pending.closed or pending.router_id is None
         self.open.clear()
         if pending_requests:
--- a/wickdyke/platform/client_server.py
+++ b/wickdyke/platform/client_server.py
@@ -7,6 +7,7 @@
 from contextlib import suppress
 
 from wickdyke.gateway.events import Event
+from wickdyke.gateway.interfaces import RejectionReason
 from wickdyke.platform.client_connection import NEW_CONNECTION_TIME, RETRY_AFTER, ClientConnection, PendingRequest
 from wickdyke.routing.model import RequestClass
 from wickdyke.transport.event_loop import EventLoop, clock
@@ -31,7 +32,7 @@
         request_classes: list[RequestClass],
         most: int,
         post: Callable[[Event], None],
-        busy: Callable[[], str],
+        busy: Callable[[], RejectionReason | None],
         log,
         tenants: tuple[str, ...] = (),
     ) -> None:
--- a/wickdyke/platform/service.py
+++ b/wickdyke/platform/service.py
@@ -11,6 +11,7 @@
 from wickdyke.gateway.context import clock
 from wickdyke.gateway.coordinator import Coordinator
 from wickdyke.gateway.events import EndpointsReceived
+from wickdyke.gateway.interfaces import RejectionReason
 from wickdyke.platform import configuration as configurations
 from wickdyke.platform.client_server import ClientServer
 from wickdyke.platform.configuration import Configuration, ConfigurationError
@@ -219,7 +220,7 @@
         self.coordinator.stop_admitting()
         if not self.client_server.shut_down:
             self.client_server.shut(True)
-        self.coordinator.answer_all("stopping")
+        self.coordinator.answer_all(RejectionReason.STOPPING)
 
     def _settled(self, late: bool) -> bool:
         """Whether nothing is owed to clients. Until it is late, attempts that are still out are waited for as well."""
--- a/wickdyke/platform/worker_client.py
+++ b/wickdyke/platform/worker_client.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 
 from wickdyke.gateway.events import CommandFinished, Event
-from wickdyke.gateway.interfaces import CommandKind, CommandResult
+from wickdyke.gateway.interfaces import CommandKind, CommandResult, Withdrawal
 from wickdyke.platform import resp
 from wickdyke.platform.connection_pool import ConnectionPool
 from wickdyke.platform.worker_command import Command
@@ -242,29 +242,29 @@
         if not self.all():
             self.pool.worker_clients.discard(self)
 
-    def cancel(self, command: Command, done: Callable[[], None]) -> str | None:
-        """Withdraws an attempt; returns what wickdyke/jsonrpc/worker_client.py states."""
+    def cancel(self, command: Command, done: Callable[[], None]) -> Withdrawal:
+        """Withdraws an attempt; `done` is called once a cancel that is PENDING is with the kernel."""
         said = self._cancel(command, done)
         if self.draining:  # that may have been the last
             self._maybe_close()
         return said
 
-    def _cancel(self, command: Command, done: Callable[[], None]) -> str | None:
+    def _cancel(self, command: Command, done: Callable[[], None]) -> Withdrawal:
         connection = command.connection
         if command in self.unresolved:
             command.connection = None
             self.unresolved.remove(command)
-            return Outcome.CANCELLED
+            return Withdrawal.CANCELLED
         if self._withdraw(command):
-            return Outcome.UNSENT
+            return Withdrawal.UNSENT
         if connection is None or connection.closed or connection.open.get(command.ident) is not command:
-            return "ended"
+            return Withdrawal.ENDED
         if len(connection.open) == 1 and not connection.pending:
             # Ending the connection gives up what is on it. What said nothing in all that time may be cut off, and the
             # next on it would wait in vain.
             del connection.open[command.ident]
             connection.end("given up")
-            return Outcome.CANCELLED
+            return Withdrawal.CANCELLED
         try:
             with_kernel = connection.write_buffer.put(
                 OutgoingMessage(
@@ -273,11 +273,11 @@
             )
         except (PeerTooSlow, OSError) as bad:
             connection.end(f"{type(bad).__name__}: {bad}")  # which tells of all that was on it
-            return None
+            return Withdrawal.PENDING
         if not with_kernel:
-            return None
+            return Withdrawal.PENDING
         self._given_up(connection, command)
-        return Outcome.CANCELLED
+        return Withdrawal.CANCELLED
 
     def _cancelled(self, connection: WorkerConnection, command: Command, done: Callable[[], None]) -> None:
         if connection.open.get(command.ident) is command:
--- a/wickdyke/platform/worker_protocol.py
+++ b/wickdyke/platform/worker_protocol.py
@@ -1,11 +1,11 @@
 """How workers of the platform are spoken to: commands as RESP arrays."""
 
-from wickdyke.gateway.interfaces import CommandKind, CommandResult, PendingRequest
+from wickdyke.gateway.interfaces import CommandKind, CommandResult, PendingRequest, PrewarmKey
 from wickdyke.platform import resp
 from wickdyke.platform.connection_pool import ConnectionPool
 from wickdyke.platform.worker_client import WorkerClient
 from wickdyke.platform.worker_command import Command
-from wickdyke.routing.model import Attempt, Function
+from wickdyke.routing.model import Attempt, Function, Outcome
 from wickdyke.transport.event_loop import EventLoop, clock
 
 IDLE_PART = 0.7  # of the time after which the worker ends an idle connection, we end it
@@ -42,9 +42,9 @@
         """An attempt, to be waited for so many ms."""
         # it waits for its connection, a second one, and room at the kernel. Told what was left when it was
         # decided, a worker would work on past the deadline of the client. So it is written as its first byte goes.
-        deadline, ident, body = clock() + time_left, pending.call.ident, pending.call.input
+        deadline, ident, body = clock() + time_left, pending.params.ident, pending.params.input
         before = f"lane={attempt.request.request_class.name},name={attempt.request.function.name},ttl="
-        after = f",dedupe={pending.call.idempotency_key}" if pending.call.idempotency_key else ""
+        after = f",dedupe={pending.params.idempotency_key}" if pending.params.idempotency_key else ""
         return Command(
             CommandKind.ATTEMPT,
             attempt,
@@ -53,7 +53,7 @@
             deadline,
         )
 
-    def prewarm_command(self, key: tuple, function: Function, replicas: int) -> Command:
+    def prewarm_command(self, key: PrewarmKey, function: Function, replicas: int) -> Command:
         """A prewarm of so many replicas."""
         tag = self._tag()
         return Command(
@@ -68,6 +68,8 @@
         tag = self._tag()
         return Command(CommandKind.HEALTH_CHECK, key, tag, resp.command(b"gauges", tag))
 
-    def result_of(self, command: Command, outcome: str, answer: CommandResult | None, data: object) -> CommandResult:
+    def result_of(
+        self, command: Command, outcome: Outcome, answer: CommandResult | None, data: object
+    ) -> CommandResult:
         """What a worker client told of a command's end: read already where an answer came."""
         return answer if answer is not None else CommandResult(outcome)
--- a/wickdyke/protocol/jsonrpc.py
+++ b/wickdyke/protocol/jsonrpc.py
@@ -1,34 +1,45 @@
-"""JSON-RPC 2.0 (jsonrpc.org/specification): requests, notifications, batches and answers as bytes.
+"""JSON-RPC 2.0 (jsonrpc.org/specification): requests, notifications, batches and responses as bytes.
 
-`params`, `result` and `data` stay raw until somebody needs them, so that a payload of megabytes is scanned once
-and copied, never decoded and encoded again.
+`params`, `result` and `data` stay raw until they are needed, so that a payload of megabytes is scanned once and copied,
+never decoded and encoded again.
 """
 
 from collections.abc import Iterable
+from typing import NamedTuple, TypeVar
 
 import msgspec
 
-PARSE_ERROR, INVALID_REQUEST, METHOD_NOT_FOUND, INVALID_PARAMS = -32700, -32600, -32601, -32602
+PARSE_ERROR = -32700
+INVALID_REQUEST = -32600
+METHOD_NOT_FOUND = -32601
+INVALID_PARAMS = -32602
 ERROR_MESSAGES = {
     PARSE_ERROR: "Parse error",
     INVALID_REQUEST: "Invalid Request",
     METHOD_NOT_FOUND: "Method not found",
     INVALID_PARAMS: "Invalid params",
 }
-MAX_NESTING = 64  # nesting that any message of ours stays far under; deeper input is refused before it is decoded
+MAX_NESTING = 64  # no message of this protocol nests as deep; deeper input is rejected before it is decoded
 
-Ident = str | int | float | None
+Ident = str | int | float | None  # the id of a request
+ParamsT = TypeVar("ParamsT")
 
 
 class MalformedRequestError(Exception):
-    """What is answered to a malformed request; `ident` is its id where that could be read."""
+    """A line that is no valid message, or a request that can't be used.
 
-    def __init__(self, code: int, why: str, ident: Ident = None) -> None:
-        super().__init__(why)
-        self.code, self.why, self.ident = code, why, ident
+    `code` is that of JSON-RPC, `reason` says what is wrong or was expected, `ident` is the request's id where that
+    could be read.
+    """
 
+    def __init__(self, code: int, reason: str, ident: Ident = None) -> None:
+        super().__init__(reason)
+        self.code = code
+        self.reason = reason
+        self.ident = ident
 
-class _Request(msgspec.Struct):
+
+class _RawRequest(msgspec.Struct):
     jsonrpc: msgspec.Raw = msgspec.Raw(b"")
     method: msgspec.Raw = msgspec.Raw(b"")
     params: msgspec.Raw = msgspec.Raw(b"")
@@ -36,53 +47,68 @@
 
 
 class Request(msgspec.Struct, gc=False):
-    """A request; a notification has no id at all (`told`)."""
+    """A request, or a notification, which has no id at all."""
 
     method: str
     params: bytes
     ident: Ident
-    told: bool
+    is_notification: bool
 
 
-class _Answer(msgspec.Struct):
+class _RawResponse(msgspec.Struct):
     id: str | int | float | None
     result: msgspec.Raw = msgspec.Raw(b"")
     error: msgspec.Raw = msgspec.Raw(b"")
 
 
 class ErrorObject(msgspec.Struct):
-    """The error of an answer."""
+    """The error of a response."""
 
     code: int
     message: str = ""
     data: msgspec.Raw = msgspec.Raw(b"null")
 
 
-_requests = msgspec.json.Decoder(_Request)
-_batches = msgspec.json.Decoder(list[msgspec.Raw])
-_answers = msgspec.json.Decoder(_Answer)
-_problems = msgspec.json.Decoder(ErrorObject)
-_words = msgspec.json.Decoder(str)
-_idents = msgspec.json.Decoder(str | int | float | None)
+class Response(NamedTuple):
+    """The response to the request of that id: a result, as raw JSON, or an error."""
+
+    ident: Ident
+    result: bytes | None
+    error: ErrorObject | None
+
+
+_request_decoder = msgspec.json.Decoder(_RawRequest)
+_batch_decoder = msgspec.json.Decoder(list[msgspec.Raw])
+_response_decoder = msgspec.json.Decoder(_RawResponse)
+_error_decoder = msgspec.json.Decoder(ErrorObject)
+_string_decoder = msgspec.json.Decoder(str)
+_ident_decoder: msgspec.json.Decoder[Ident] = msgspec.json.Decoder(str | int | float | None)
 encode = msgspec.json.encode
 
+QUOTE = ord('"')
+BACKSLASH = ord("\\")
+
 
-def too_deep(data: bytes) -> bool:
-    """Whether brackets nest deeper than DEEP. Those inside strings count too, to the safe side, but only where
-    the message has so many at all; a payload is judged by what it opens and has not closed."""
+def too_deep(data: bytes) -> bool:  # noqa: C901 - one pass over the bytes: each call for one of them would double its time
+    """Whether brackets nest deeper than MAX_NESTING.
+
+    A message is scanned only where it has so many brackets at all.
+    """
     if data.count(b"[") + data.count(b"{") <= MAX_NESTING:
         return False
-    depth, quoted, skip = 0, False, False
+    depth = 0
+    in_string = False
+    is_escaped = False
     for byte in data:
-        if skip:
-            skip = False
-        elif quoted:
-            if byte == 0x5C:
-                skip = True
-            elif byte == 0x22:
-                quoted = False
-        elif byte == 0x22:
-            quoted = True
+        if is_escaped:
+            is_escaped = False
+        elif in_string:
+            if byte == BACKSLASH:
+                is_escaped = True
+            elif byte == QUOTE:
+                in_string = False
+        elif byte == QUOTE:
+            in_string = True
         elif byte in b"[{":
             depth += 1
             if depth > MAX_NESTING:
@@ -93,7 +119,7 @@
 
 
 def is_text(line: bytes) -> bool:
-    """Whether it is UTF-8, as JSON has to be; raw parts are passed on and would spoil another's stream."""
+    """Whether it is UTF-8, as JSON has to be: raw parts are passed on, and would make another's message invalid."""
     if line.isascii():
         return True
     try:
@@ -104,15 +130,15 @@
 
 
 def parse_requests(line: bytes) -> Iterable[Request | MalformedRequestError]:
-    """The requests of one line, which holds one or a batch; a malformed one comes as its Fault."""
+    """The requests of one line, which has one or a batch; the error in the place of a malformed one."""
     if not is_text(line):
         return [MalformedRequestError(PARSE_ERROR, "not UTF-8")]
     start = line.lstrip()[:1]
     if start == b"[":
         try:
-            parts = _batches.decode(line)
-        except (msgspec.MsgspecError, ValueError, RecursionError) as bad:
-            return [MalformedRequestError(PARSE_ERROR, f"not JSON: {bad}")]
+            parts = _batch_decoder.decode(line)
+        except (msgspec.MsgspecError, ValueError, RecursionError) as error:
+            return [MalformedRequestError(PARSE_ERROR, f"not JSON: {error}")]
         if not parts:
             return [MalformedRequestError(INVALID_REQUEST, "an empty batch")]
         return [_request(bytes(part)) for part in parts]
@@ -120,47 +146,59 @@
 
 
 def is_batch(line: bytes) -> bool:
-    """Whether the line's answers are to come together, as one array."""
+    """Whether the responses to the line are to be sent together, as one array."""
     return line.lstrip()[:1] == b"["
 
 
 def _request(line: bytes) -> Request | MalformedRequestError:
     try:
-        raw = _requests.decode(line)
+        raw = _request_decoder.decode(line)
     except msgspec.ValidationError:
         return MalformedRequestError(INVALID_REQUEST, "expected an object")
-    except (msgspec.MsgspecError, ValueError, RecursionError) as bad:
-        return MalformedRequestError(PARSE_ERROR, f"not JSON: {bad}")
-    ident, told = None, not raw.id
-    if raw.id:
-        try:
-            ident = _idents.decode(raw.id)
-        except (msgspec.MsgspecError, ValueError):
-            return MalformedRequestError(INVALID_REQUEST, "id: expected a string, a number or null")
+    except (msgspec.MsgspecError, ValueError, RecursionError) as error:
+        return MalformedRequestError(PARSE_ERROR, f"not JSON: {error}")
+    try:
+        return _checked(raw)
+    except MalformedRequestError as error:
+        return error
+
+
+def _checked(raw: _RawRequest) -> Request:
+    """Raises MalformedRequestError."""
+    ident = _read_ident(raw)
     if bytes(raw.jsonrpc) != b'"2.0"':
-        return MalformedRequestError(INVALID_REQUEST, 'jsonrpc: expected "2.0"', ident)
+        raise MalformedRequestError(INVALID_REQUEST, 'jsonrpc: expected "2.0"', ident)
     try:
-        method = _words.decode(raw.method)
+        method = _string_decoder.decode(raw.method)
     except (msgspec.MsgspecError, ValueError):
-        return MalformedRequestError(INVALID_REQUEST, "method: expected a string", ident)
+        raise MalformedRequestError(INVALID_REQUEST, "method: expected a string", ident) from None
     params = bytes(raw.params)
     if params and params[:1] not in (b"{", b"["):
-        return MalformedRequestError(INVALID_REQUEST, "params: expected an object or an array", ident)
-    return Request(method, params, ident, told)
+        raise MalformedRequestError(INVALID_REQUEST, "params: expected an object or an array", ident)
+    return Request(method, params, ident, is_notification=not raw.id)
+
+
+def _read_ident(raw: _RawRequest) -> Ident:
+    if not raw.id:
+        return None
+    try:
+        return _ident_decoder.decode(raw.id)
+    except (msgspec.MsgspecError, ValueError):
+        raise MalformedRequestError(INVALID_REQUEST, "id: expected a string, a number or null") from None
 
 
-def parse_response(line: bytes) -> tuple[Ident, bytes | None, ErrorObject | None]:
-    """(id, result, problem) of one answer; raises Fault where it is none."""
+def parse_response(line: bytes) -> Response:
+    """Parses one response. Raises MalformedRequestError where it is none."""
     if not is_text(line):
         raise MalformedRequestError(PARSE_ERROR, "not UTF-8")
     try:
-        raw = _answers.decode(line)
-        error = _problems.decode(raw.error) if raw.error else None
-    except (msgspec.MsgspecError, ValueError, RecursionError) as bad:
-        raise MalformedRequestError(INVALID_REQUEST, f"not an answer: {bad}") from None
+        raw = _response_decoder.decode(line)
+        error_object = _error_decoder.decode(raw.error) if raw.error else None
+    except (msgspec.MsgspecError, ValueError, RecursionError) as error:
+        raise MalformedRequestError(INVALID_REQUEST, f"not an answer: {error}") from None
     if bool(raw.result) == bool(raw.error):
         raise MalformedRequestError(INVALID_REQUEST, "expected either result or error", raw.id)
-    return raw.id, bytes(raw.result) if raw.result else None, error
+    return Response(raw.id, bytes(raw.result) if raw.result else None, error_object)
 
 
 def request_line(method: str, encoded_params: bytes, ident: Ident) -> bytes:
@@ -174,28 +212,29 @@
 
 
 def result_response(ident: Ident, value: bytes) -> bytes:
-    """The body of an answer that holds a result."""
+    """The body of a response with a result."""
     return b'{"jsonrpc":"2.0","result":%b,"id":%b}' % (value, encode(ident))
 
 
 def error_response(ident: Ident, code: int, message: str, data: bytes | None = None) -> bytes:
-    """The body of an answer that holds an error."""
-    said = b'{"code":%d,"message":%b%b}' % (code, encode(message), b"" if data is None else b',"data":%b' % data)
-    return b'{"jsonrpc":"2.0","error":%b,"id":%b}' % (said, encode(ident))
+    """The body of a response with an error."""
+    data_member = b"" if data is None else b',"data":%b' % data
+    error = b'{"code":%d,"message":%b%b}' % (code, encode(message), data_member)
+    return b'{"jsonrpc":"2.0","error":%b,"id":%b}' % (error, encode(ident))
 
 
-def malformed_request_response(fault: MalformedRequestError) -> bytes:
-    """The body of the answer to a malformed request; its data says what was expected."""
-    return error_response(fault.ident, fault.code, ERROR_MESSAGES[fault.code], encode(fault.why))
+def malformed_request_response(error: MalformedRequestError) -> bytes:
+    """The body of the response to a malformed request; its data is the reason."""
+    return error_response(error.ident, error.code, ERROR_MESSAGES[error.code], encode(error.reason))
 
 
-def parse_params(kind: type, raw: bytes, ident: Ident):
-    """The params of a request, by name; raises Fault with what was expected."""
+def parse_params(params_type: type[ParamsT], raw: bytes, ident: Ident) -> ParamsT:
+    """The params of a request, by name. Raises MalformedRequestError with what was expected."""
     if not raw or raw[:1] != b"{":
         raise MalformedRequestError(INVALID_PARAMS, "params: expected an object", ident)
     if too_deep(raw):
         raise MalformedRequestError(INVALID_PARAMS, f"params: nested deeper than {MAX_NESTING}", ident)
     try:
-        return msgspec.json.decode(raw, type=kind)
-    except (msgspec.MsgspecError, ValueError, RecursionError) as bad:
-        raise MalformedRequestError(INVALID_PARAMS, str(bad), ident) from None
+        return msgspec.json.decode(raw, type=params_type)
+    except (msgspec.MsgspecError, ValueError, RecursionError) as error:
+        raise MalformedRequestError(INVALID_PARAMS, str(error), ident) from None
--- a/wickdyke/protocol/worker_messages.py
+++ b/wickdyke/protocol/worker_messages.py
@@ -1,12 +1,20 @@
-"""What the gateway and a worker say to each other; the gateway calls (docs/protocol.md)."""
+"""The messages between the gateway, which sends the requests, and a worker (docs/protocol.md).
+
+Names that differ on the wire stand at the fields.
+"""
 
 import msgspec
 
 from wickdyke.protocol import jsonrpc
 
 VERSION = 1
-FULL, MISS, FAILED, DRAINING, DEADLINE_EXCEEDED, REPLICA_ENDED = -32010, -32011, -32012, -32013, -32014, -32015
-OUTCOMES = {
+FULL = -32010  # no capacity: it never ran
+MISS = -32011  # the function is not loaded: it never ran
+FAILED = -32012  # it may have run
+DRAINING = -32013  # the worker ends: it never ran
+DEADLINE_EXCEEDED = -32014  # it may have run
+REPLICA_ENDED = -32015  # the replica ended under it: it may have run
+OUTCOMES = {  # the word of `routing.model.Outcome` for each error code
     FULL: "full",
     MISS: "miss",
     FAILED: "error",
@@ -20,14 +28,14 @@
 
 
 class GatewayHello(msgspec.Struct):
-    """`hello` of the gateway."""
+    """The params of `hello`."""
 
     version: int
     gateway: str
 
 
 class WorkerHello(msgspec.Struct):
-    """The worker's answer to `hello`: `start` is drawn anew at each start, `up_ms` the time since then."""
+    """The result of `hello`: `start` is drawn at random at each start of the worker, `up_ms` is the time since then."""
 
     version: int
     worker: str
@@ -50,7 +58,7 @@
 
 
 class RunResult(msgspec.Struct):
-    """The result of `run`; `concurrent` is how many requests of the function were in flight there as it came."""
+    """The result of `run`; `concurrent` is how many requests of the function were in flight there as it arrived."""
 
     output: msgspec.Raw = msgspec.Raw(b"null")
     load_note: str | None = msgspec.field(default=None, name="standing")
@@ -59,7 +67,7 @@
 
 
 class PrewarmRequest(msgspec.Struct):
-    """The params of `hold`: have at least `replicas` loaded; 0 only asks how many are."""
+    """The params of `hold`: have at least `replicas` loaded; with 0 the worker only reports how many are."""
 
     function: str = msgspec.field(name="program")
     memory_mb: float
@@ -87,7 +95,7 @@
 
 
 class CancelRequest(msgspec.Struct):
-    """`cancel`: the answer to that number is not wanted any more."""
+    """The params of `cancel`: the gateway does not wait for the response to that id any more."""
 
     id: int
 
@@ -102,17 +110,17 @@
 
 
 def run_line(number: int, run: RunRequest) -> bytes:
-    """One call-out, ready to be sent; the input is copied, not decoded."""
+    """One attempt, ready to be sent; the input is copied, not decoded."""
     return jsonrpc.request_line("run", jsonrpc.encode(run), number)
 
 
-# What the words of a report mean to the router.
+# The router's field for each word of a report.
 REPORT_FIELDS = {"busy": "utilization", "held": "in_flight", "queue": "queued"}
 REPORT_WORDS = {field: word for word, field in REPORT_FIELDS.items()}
 
 
 def ordered_report(values: dict[str, float] | None, fields: tuple[str, ...]) -> tuple[float, ...] | None:
-    """A worker's report in the order of the router's `fields`; None where it is not whole."""
+    """A worker's report in the order of the router's `fields`; None where one is missing."""
     names = [REPORT_WORDS.get(field, field) for field in fields]
     if not values or any(name not in values for name in names):
         return None
--- a/wickdyke/worker/gateway_server.py
+++ b/wickdyke/worker/gateway_server.py
@@ -48,13 +48,13 @@
     def _receive(self, connection: LineConnection, request: jsonrpc.Request) -> None:
         method = self.methods.get(request.method)
         if method is None:
-            if not request.told:
+            if not request.is_notification:
                 connection.say(jsonrpc.error_response(request.ident, jsonrpc.METHOD_NOT_FOUND, "Method not found"))
             return
         try:
             method(connection, request)
         except msgspec.MsgspecError as error:
-            if not request.told:
+            if not request.is_notification:
                 text = f"Invalid params: {error}"[:ERROR_TEXT_MOST]
                 connection.say(jsonrpc.error_response(request.ident, jsonrpc.INVALID_PARAMS, text))
 
