--- a/tests/test_coordinator.py
+++ b/tests/test_coordinator.py
@@ -402,7 +402,8 @@
                 return "result" in client.answer()
 
             self.assertTrue(until(back_again))
-            self.assertTrue(until(lambda: "function breaker closed" in running.said.getvalue()))  # said beside the answer
+            # The line is written beside the answer.
+            self.assertTrue(until(lambda: "function breaker closed" in running.said.getvalue()))
             client.close()
 
     def test_call(self):
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -990,7 +990,7 @@
         for token, told in (("", b"lane=book,name=f,ttl=5"), ("k1", b"lane=book,name=f,ttl=5,dedupe=k1")):
             call_out = Mock()
             call_out.request.request_class.name, call_out.request.function.name = "book", "f"
-            ask = SimpleNamespace(call=SimpleNamespace(ident=ASCII_A, idempotency_key=token, input=b"x"))
+            ask = SimpleNamespace(params=SimpleNamespace(ident=ASCII_A, idempotency_key=token, input=b"x"))
             # No time passes: the command has what is left by then.
             with (
                 patch.object(worker_protocol, "clock", lambda: 1000.0),
--- a/wickdyke/jsonrpc/worker_protocol.py
+++ b/wickdyke/jsonrpc/worker_protocol.py
@@ -23,17 +23,18 @@
     connects_at_once = True  # a worker's hello reports since when it is up
 
     def __init__(self, config: GatewayConfig) -> None:
+        self.config = config
         self.report_fields = config.instance.report_fields
-        self.client_settings = WorkerClientSettings(
-            gateway=config.name,
-            connect_timeout=config.attempt_limits.connect_timeout,
-            max_line=config.bounds.line,
-            max_unread=config.bounds.unread,
-        )
 
     def client_for(self, name: str, address: str, notify: Callable[[Event], None]) -> WorkerClient:
         """The client of one worker."""
-        return WorkerClient(name, address, self.client_settings, notify)
+        settings = WorkerClientSettings(
+            gateway=self.config.name,
+            connect_timeout=self.config.attempt_limits.connect_timeout,
+            max_line=self.config.bounds.line,
+            max_unread=self.config.bounds.unread,
+        )
+        return WorkerClient(name, address, settings, notify)
 
     def attempt_command(self, attempt: Attempt, pending: PendingRequest, time_left: float) -> Command:
         """An attempt, to be waited for so many ms."""
