--- a/wickdyke/gateway/attempts.py
+++ b/wickdyke/gateway/attempts.py
@@ -15,6 +15,7 @@
 from wickdyke.gateway.worker_protocol import AnyWorkerProtocol
 from wickdyke.gateway.worker_registry import WorkerRegistry
 from wickdyke.routing.decisions import Cancel, Forward
+from wickdyke.routing.inputs import AttemptFinished
 from wickdyke.routing.model import Attempt, Outcome
 
 
@@ -121,7 +122,7 @@
         if pending is None:
             return
         context = self.context
-        context.timers.at(context.now() + context.config.answer_way / 2, self.requests.left_open, router_id)
+        context.timers.at(context.now() + context.config.answer_margin / 2, self.requests.left_open, router_id)
         context.driver.has_input = True
         for attempt, command in list(pending.commands.items()):
             context.guarded(self._stop_waiting, pending, command)
@@ -171,13 +172,15 @@
         try:
             self.context.inform(
                 "attempt_finished",
-                pending.router_id,
-                attempt.number,
-                result.outcome,
-                pending.closed,
-                result.load_note,
-                result.concurrent,
-                result.report,
+                AttemptFinished(
+                    ident=attempt.request.ident,
+                    number=attempt.number,
+                    outcome=result.outcome,
+                    final=pending.closed,
+                    load_note=result.load_note,
+                    concurrent=result.concurrent,
+                    load=result.report,
+                ),
             )
         finally:
             self.requests.forget(pending)
--- a/wickdyke/gateway/circuit_breaker.py
+++ b/wickdyke/gateway/circuit_breaker.py
@@ -29,17 +29,19 @@
 
     digest = staticmethod(input_digest)
 
-    def __init__(self, isolation: BreakerSettings, gateways: int, log: Log) -> None:
+    def __init__(self, settings: BreakerSettings, gateways: int, log: Log) -> None:
         self.log = log
+        functions = settings.functions
+        requests = settings.requests
         self.functions = FunctionBreakers(
-            isolation.workers,
-            isolation.loads_window,
-            Backoff(isolation.loads_first, isolation.loads_most, gateways),
+            functions.workers,
+            functions.window,
+            Backoff(functions.first_pause, functions.longest_pause, gateways),
         )
         self.requests = RequestBreakers(
-            isolation.copies,
-            isolation.calls_window,
-            Backoff(isolation.calls_first, isolation.calls_most, gateways),
+            requests.replicas,
+            requests.window,
+            Backoff(requests.first_pause, requests.longest_pause, gateways),
         )
         self.unsettled: dict[str, list[LostAttempt]] = {}  # by worker, until it is known whether that went down
 
@@ -66,7 +68,7 @@
                 "function breaker opened",
                 function=function,
                 pause_ms=round(pause),
-                reason="it loads nowhere: " + ", ".join(self.functions.known[function].failed),
+                reason="it loads nowhere: " + ", ".join(self.functions.failed_workers(function)),
             )
 
     def succeeded(self, function: str, request_input: bytes) -> None:
--- a/wickdyke/gateway/config.py
+++ b/wickdyke/gateway/config.py
@@ -19,7 +19,7 @@
     """What bounds the coordinator's memory."""
 
     @property
-    def open_rpcs(self) -> int:
+    def open_requests(self) -> int:
         """How many requests may be open."""
 
     @property
@@ -71,9 +71,9 @@
         """What bounds the coordinator's memory."""
 
     @property
-    def answer_way(self) -> float:
+    def answer_margin(self) -> float:
         """The time that an answer may take to its client."""
 
     @property
-    def probe_wait(self) -> float:
+    def health_check_timeout(self) -> float:
         """The time until a health check times out."""
--- a/wickdyke/gateway/file_watcher.py
+++ b/wickdyke/gateway/file_watcher.py
@@ -96,8 +96,8 @@
         return FileVersion(status.st_mtime_ns, status.st_ino, status.st_size)
 
     def _log_unusable(self, error: InvalidConfigError) -> None:
-        reason = str(error.troubles[0])
-        more = len(error.troubles) - 1
+        reason = str(error.diagnostics[0])
+        more = len(error.diagnostics) - 1
         if more:
             reason += f" (and {more} more)"
         self.log.warning(f"{self.subject} unusable", reason=reason, in_force="the last good one")
--- a/wickdyke/gateway/interfaces.py
+++ b/wickdyke/gateway/interfaces.py
@@ -9,7 +9,8 @@
 from enum import StrEnum
 from typing import Any, Protocol, TypeVar, runtime_checkable
 
-from wickdyke.routing.model import Attempt, Endpoint, Outcome, Request, RequestClass, RoutePolicy
+from wickdyke.routing.inputs import WorkerLoad
+from wickdyke.routing.model import Attempt, Endpoint, LoadNote, Outcome, Request, RequestClass, RoutePolicy
 
 ClientRequestId = str | int | float | None  # the id that a client gave its request
 EntryT_contra = TypeVar("EntryT_contra", contravariant=True)
@@ -200,9 +201,9 @@
 
     outcome: Outcome
     output: bytes = b""
-    load_note: str | None = None
+    load_note: LoadNote | None = None
     concurrent: int = 0
-    report: tuple[float, ...] | None = None
+    report: WorkerLoad | None = None
     replicas: int = 0
     requests_in_replica: int = 0
 
--- a/wickdyke/gateway/pending_requests.py
+++ b/wickdyke/gateway/pending_requests.py
@@ -7,6 +7,7 @@
 from wickdyke.gateway.events import AttemptWithdrawn
 from wickdyke.gateway.interfaces import PendingRequest, RejectionReason
 from wickdyke.gateway.isolation import Isolation
+from wickdyke.routing.inputs import RequestReceived
 from wickdyke.routing.model import Outcome
 
 
@@ -25,7 +26,7 @@
 
     def is_full(self) -> bool:
         """Whether no more may be open."""
-        return len(self.by_id) >= self.context.config.bounds.open_rpcs
+        return len(self.by_id) >= self.context.config.bounds.open_requests
 
     # ---- admission ----
 
@@ -48,7 +49,7 @@
         now = self.context.now()
         # The time that it waited to be handled is no time that its client has left.
         waited = 0.0 if pending.received_at is None else now - pending.received_at
-        time_left = pending.time_left - waited - self.context.config.answer_way
+        time_left = pending.time_left - waited - self.context.config.answer_margin
         if time_left <= 0:
             pending.reject(RejectionReason.NO_TIME)
             return
@@ -68,16 +69,18 @@
         heapq.heappush(self.deadlines, (self.context.now() + time_left, self.last_id))
         self.context.inform(
             "request_received",
-            self.last_id,
-            time_left,
-            pending.request_class,
-            params.function,
-            params.memory_mb,
-            params.concurrency,
-            params.load_ms,
-            params.work_ms,
-            params.is_repeat,
-            pending.route_policy,
+            RequestReceived(
+                ident=self.last_id,
+                time_left=time_left,
+                request_class=pending.request_class,
+                function_name=params.function,
+                memory=params.memory_mb,
+                concurrency=params.concurrency,
+                load_hint=params.load_ms,
+                work=params.work_ms,
+                is_repeat=params.is_repeat,
+                policy=pending.route_policy,
+            ),
         )
 
     # ---- deadlines ----
--- a/wickdyke/jsonrpc/client_connection.py
+++ b/wickdyke/jsonrpc/client_connection.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from wickdyke.config.gateway_config import ServerLimits
+from wickdyke.config.gateway_sections import ServerLimits
 from wickdyke.gateway import interfaces
 from wickdyke.gateway.events import Event, RequestCancelled, RequestReceived
 from wickdyke.gateway.interfaces import RejectionReason
@@ -106,7 +106,7 @@
         self.owner = owner
         self.sock = sock
         self.number = number
-        self.write_buffer = WriteBuffer(sock, owner.bounds.unread, f"client-{number}-out")
+        self.write_buffer = WriteBuffer(sock, owner.bounds.unread_bytes, f"client-{number}-out")
         self.pending: dict[jsonrpc.Ident, PendingRequest] = {}
         self.lock = threading.Lock()  # guards `pending`
 
@@ -167,7 +167,7 @@
 
     def read(self) -> None:
         """Reads requests until the client closes the connection."""
-        lines = LineReader(self.owner.bounds.line)
+        lines = LineReader(self.owner.bounds.line_bytes)
         try:
             while data := self.sock.recv(READ_SIZE):
                 for line in lines.feed(data):
--- a/wickdyke/jsonrpc/client_server.py
+++ b/wickdyke/jsonrpc/client_server.py
@@ -11,7 +11,8 @@
 from collections import Counter
 from collections.abc import Callable
 
-from wickdyke.config.gateway_config import GatewayConfig, ServerLimits
+from wickdyke.config.gateway_config import GatewayConfig
+from wickdyke.config.gateway_sections import ServerLimits
 from wickdyke.gateway.events import ClientClosed, Event
 from wickdyke.gateway.interfaces import RejectionReason
 from wickdyke.jsonrpc.client_connection import ClientConnection
@@ -54,7 +55,7 @@
 
     def rejection_reason(self, client: ClientConnection) -> RejectionReason | None:
         """Why a request of this connection can't be accepted now; None where it can."""
-        if len(client.pending) > self.bounds.open_each:
+        if len(client.pending) > self.bounds.open_requests_per_client:
             return RejectionReason.CONNECTION_FULL
         return self.busy()
 
--- a/wickdyke/jsonrpc/endpoint_list.py
+++ b/wickdyke/jsonrpc/endpoint_list.py
@@ -131,7 +131,7 @@
             self.zones.index(row.zone) if row.zone in self.zones else 0,
             self.kinds.index(row.kind) if row.kind in self.kinds else 0,
             row.cell,
-            EndpointState.DRAINING if worker.draining else row.state,
+            EndpointState.DRAINING if worker.draining else EndpointState(row.state),
             row.cores,
             worker.started_at,
         )
--- a/wickdyke/jsonrpc/requests.py
+++ b/wickdyke/jsonrpc/requests.py
@@ -3,8 +3,9 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
+from wickdyke.config.effective_policy import EffectivePolicy
 from wickdyke.config.gateway_config import GatewayConfig
-from wickdyke.config.route_config import EffectivePolicy, Routes
+from wickdyke.config.route_config import Routes
 from wickdyke.protocol import client_messages, jsonrpc
 from wickdyke.protocol.client_messages import CallRequest
 from wickdyke.routing.model import Effect, RequestClass, RoutePolicy
@@ -76,10 +77,10 @@
         request_class = self._request_class(call, ident)
         params = self._params(call, ident)
         self._check_tenant(call, ident)
-        policy = self._policy(call)
-        deadline = policy.terms.deadline if policy else request_class.deadline
+        effective = self._effective_policy(call)
+        deadline = effective.policy.deadline if effective else request_class.deadline
         time_left = min(call.time_left_ms or deadline, deadline, max_time_left or deadline)
-        return CheckedRequest(ident, request_class, params, time_left, policy.router_policy if policy else None)
+        return CheckedRequest(ident, request_class, params, time_left, effective.router_policy if effective else None)
 
     def shortest_time_left(self, requests: Iterable[jsonrpc.Request | jsonrpc.MalformedRequestError]) -> float | None:
         """The least time that any of the requests leaves (ms), as far as they can be read; None where there is none."""
@@ -96,8 +97,8 @@
         request_class = self.request_classes.get(call.method)
         if request_class is None:
             return min(call.time_left_ms or longest, longest)
-        policy = self._policy(call)
-        return min(call.time_left_ms or longest, policy.terms.deadline if policy else request_class.deadline)
+        effective = self._effective_policy(call)
+        return min(call.time_left_ms or longest, effective.policy.deadline if effective else request_class.deadline)
 
     def _request_class(self, call: CallRequest, ident: jsonrpc.Ident) -> RequestClass:
         request_class = self.request_classes.get(call.method)
@@ -111,7 +112,7 @@
         return request_class
 
     def _params(self, call: CallRequest, ident: jsonrpc.Ident) -> RequestParams:
-        settings = self.config.stated(call.function)
+        settings = self.config.function_settings(call.function)
         memory_mb = call.memory_mb
         if memory_mb is None:
             if settings is None:
@@ -120,10 +121,10 @@
             memory_mb = settings.memory
         concurrency = call.concurrency
         if concurrency is None:
-            concurrency = settings.lanes if settings else 1
+            concurrency = settings.concurrency if settings else 1
         load_ms = call.load_ms
         if load_ms is None and settings:
-            load_ms = settings.load
+            load_ms = settings.load_time
         return RequestParams(
             function=call.function,
             input=call.input,
@@ -141,5 +142,5 @@
             reason = f"tenant: {call.tenant[:MAX_QUOTED]}, expected one of {expected}"
             raise jsonrpc.MalformedRequestError(jsonrpc.INVALID_PARAMS, reason, ident)
 
-    def _policy(self, call: CallRequest) -> EffectivePolicy | None:
+    def _effective_policy(self, call: CallRequest) -> EffectivePolicy | None:
         return self.routes.find(call.method, call.function, call.tenant) if self.routes else None
--- a/wickdyke/jsonrpc/service.py
+++ b/wickdyke/jsonrpc/service.py
@@ -6,7 +6,7 @@
 import threading
 from collections.abc import Callable
 
-from wickdyke.config import endpoint_file, route_config
+from wickdyke.config import endpoint_file, route_config, route_transition
 from wickdyke.config.gateway_config import GatewayConfig
 from wickdyke.gateway.circuit_breaker import CircuitBreaker
 from wickdyke.gateway.context import clock
@@ -37,7 +37,9 @@
 def policy_environment(config: GatewayConfig) -> Environment:
     """What routes are checked against: the deployment's figures, and how often the router is advanced."""
     limits = config.attempt_limits
-    return Environment(limits.hedging, limits.cancel, limits.connect_timeout, config.answer_way, TICK, limits.attempts)
+    return Environment(
+        limits.hedging, limits.cancel, limits.connect_timeout, config.answer_margin, TICK, limits.attempts
+    )
 
 
 class Gateway:
@@ -49,7 +51,7 @@
         self.config = config
         self.log = log
         seed = config.seed if config.seed is not None else random.SystemRandom().getrandbits(SEED_BITS)
-        self.recorder = DecisionRecorder(config.tape, log) if config.tape else None
+        self.recorder = DecisionRecorder(config.recording_path, log) if config.recording_path else None
         self.coordinator = Coordinator(
             config,
             seed,
@@ -57,18 +59,27 @@
             JsonRpcWorkerProtocol(config),
             EndpointList(config.zones, config.kinds),
             self.recorder,
-            BreakerIsolation(CircuitBreaker(config.isolation, config.instance.count, log)),
+            BreakerIsolation(CircuitBreaker(config.breakers, config.instance.count, log)),
         )
         self.client_server = ClientServer(config, self.coordinator.post, self.coordinator.busy, log.warning)
         self.policy_transition = PolicyTransition()
         self.watchers: list[FileWatcher[list[endpoint_file.EndpointRow]] | FileWatcher[route_config.Routes]] = [
-            FileWatcher("list", config.workers, config.reread, self._read_endpoints, self._use_endpoints, log)
+            FileWatcher(
+                "list",
+                config.endpoints_path,
+                config.endpoints_poll_interval,
+                self._read_endpoints,
+                self._use_endpoints,
+                log,
+            )
         ]
-        if config.routes is not None:
+        if config.routes_path is not None:
             self.watchers.append(
-                FileWatcher("routes", config.routes, config.routes_reread, self._read_routes, self._use_routes, log)
+                FileWatcher(
+                    "routes", config.routes_path, config.routes_poll_interval, self._read_routes, self._use_routes, log
+                )
             )
-            self.client_server.checker.routes = self._read_routes(config.routes)  # there is no earlier one to keep
+            self.client_server.checker.routes = self._read_routes(config.routes_path)  # there are no earlier ones
 
     def _read_endpoints(self, path: str) -> list[endpoint_file.EndpointRow]:
         return endpoint_file.read_endpoints(path, self.config.zones, self.config.kinds)
@@ -79,12 +90,12 @@
 
     def _read_routes(self, path: str) -> route_config.Routes:
         routes = route_config.read(path, self.config.request_classes, policy_environment(self.config))
-        route_config.check_transition(routes, path, self.policy_transition, clock())
+        route_transition.check_transition(routes, path, self.policy_transition, clock())
         return routes
 
     def _use_routes(self, routes: route_config.Routes) -> dict[str, int]:
         self.client_server.checker.routes = routes
-        self.policy_transition.follow(routes.payers(), clock())
+        self.policy_transition.activate(routes.retry_budget_users(), clock())
         return {"routes": len(routes.routes)}
 
     def open(self) -> None:
--- a/wickdyke/jsonrpc/worker_protocol.py
+++ b/wickdyke/jsonrpc/worker_protocol.py
@@ -1,7 +1,7 @@
 """How the gateway speaks to workers in JSON-RPC: commands as messages, and their results read."""
 
 from collections.abc import Callable
-from typing import TypeVar
+from typing import TypeVar, cast
 
 import msgspec
 
@@ -11,7 +11,8 @@
 from wickdyke.jsonrpc.worker_client import WorkerClient, WorkerClientSettings
 from wickdyke.jsonrpc.worker_command import Command, clock
 from wickdyke.protocol import jsonrpc, worker_messages
-from wickdyke.routing.model import Attempt, Function, Outcome
+from wickdyke.routing.inputs import WorkerLoad
+from wickdyke.routing.model import Attempt, Function, LoadNote, Outcome
 
 NO_INPUT = b"null"
 MessageT = TypeVar("MessageT")
@@ -31,8 +32,8 @@
         settings = WorkerClientSettings(
             gateway=self.config.name,
             connect_timeout=self.config.attempt_limits.connect_timeout,
-            max_line=self.config.bounds.line,
-            max_unread=self.config.bounds.unread,
+            max_line=self.config.bounds.line_bytes,
+            max_unread=self.config.bounds.unread_bytes,
         )
         return WorkerClient(name, address, settings, notify)
 
@@ -89,7 +90,7 @@
         return CommandResult(
             Outcome.OK,
             output=bytes(result.output),
-            load_note=result.load_note,
+            load_note=cast(LoadNote | None, result.load_note),  # a word that is none is passed on as it is
             concurrent=result.concurrent,
             report=self._report(result.report),
         )
@@ -105,8 +106,9 @@
             requests_in_replica=error_data.requests_in_replica,
         )
 
-    def _report(self, report: dict[str, float] | None) -> tuple[float, ...] | None:
-        return worker_messages.ordered_report(report, self.report_fields)
+    def _report(self, report: dict[str, float] | None) -> WorkerLoad | None:
+        values = worker_messages.ordered_report(report, self.report_fields)
+        return WorkerLoad.from_values(self.report_fields, values)
 
 
 def _decode(message_type: type[MessageT], raw: bytes | None) -> MessageT | None:
