--- /dev/null
+++ b/tests/test_isolation.py
@@ -0,0 +1,136 @@
+"""The circuit breaker in a gateway: functions that load nowhere, and requests that end replicas."""
+
+import functools
+import socket
+import threading
+import unittest
+import unittest.mock
+from collections import Counter
+
+from tests.rig import Running, hello, lines_of, ok, until
+from wickdyke.protocol import jsonrpc, worker_messages
+
+
+class Isolation(unittest.TestCase):
+    """Functions that load nowhere and requests that end replicas."""
+
+    @staticmethod
+    def worker(sock, number, seen, refuse):
+        """Answers with the error code of `refuse`, or succeeds; counts attempts by function and input."""
+        source = lines_of(sock)
+        hello(sock, source)
+        for asked in source:
+            if asked["method"] == "run":
+                run = asked["params"]
+                seen[run["program"], run["input"]["n"]] += 1
+                code = refuse(run)
+                sock.sendall(
+                    jsonrpc.error_response(
+                        asked["id"], code, "no", b'{"inside":1}' if code == worker_messages.REPLICA_ENDED else b"{}"
+                    )
+                    + b"\n"
+                    if code
+                    else ok(asked["id"])
+                )
+            elif asked["method"] == "hold":
+                sock.sendall(jsonrpc.error_response(asked["id"], worker_messages.FULL, "no") + b"\n")
+            elif asked["method"] == "probe":
+                sock.sendall(jsonrpc.result_response(asked["id"], b"{}") + b"\n")
+
+    def running(self, seen, refuse, more):
+        peer = functools.partial(self.worker, seen=seen, refuse=refuse)
+        return Running((peer, peer, peer), soft="1 s", deadline="5 s", more=more)
+
+    def test_a_function_that_loads_nowhere(self):
+        """It is rejected at once with a time to retry after, tried now and then, and accepted once it loads; others go
+        on meanwhile."""
+        seen, broken = Counter(), threading.Event()
+        broken.set()
+
+        def refuse(run):
+            return worker_messages.MISS if run["program"] == "pbad" and broken.is_set() else None
+
+        with self.running(seen, refuse, "(isolation (loads (first 400 ms) (most 400 ms)))") as running:
+            client = running.client()
+            for ident in range(40):
+                client.ask(ident, program="pbad")
+                said = client.answer()["error"]["data"]
+                self.assertEqual(said["answer"], "denied")
+                if said["why"] == "load-failed":
+                    self.assertLessEqual(0, said["retry_after_ms"])
+            self.assertGreater(running.coordinator.counts["turned_away_load-failed"], 20)
+            self.assertLess(sum(seen.values()), 20)
+            client.ask("other", program="pgood")
+            self.assertEqual(client.answer()["result"]["answer"], "ok")
+            broken.clear()
+
+            def is_accepted():
+                client.ask("again", program="pbad")
+                return "result" in client.answer()
+
+            self.assertTrue(until(is_accepted))
+            # The line is written beside the answer.
+            self.assertTrue(until(lambda: "function breaker closed" in running.said.getvalue()))
+            client.close()
+
+    def test_a_request_that_ends_replicas(self):
+        """(method, replicas) -> attempts that the request gets before it is rejected; others of its function go on."""
+        for method, copies, most in (("idem", 2, 2), ("idem", 4, 4), ("side", 2, 2)):
+            seen = Counter()
+            with (
+                self.subTest(method=method, copies=copies),
+                self.running(
+                    seen,
+                    lambda run: worker_messages.REPLICA_ENDED if run["input"]["n"] == "bad" else None,
+                    f"(isolation (calls (copies {copies}) (first 1 min)))",
+                ) as running,
+            ):
+                client = running.client()
+                answers = []
+                for ident in range(8):
+                    client.ask(ident, method, program="p", input={"n": "bad"})
+                    answers.append(client.answer()["error"]["data"])
+                self.assertEqual(seen["p", "bad"], most)
+                self.assertEqual((answers[-1]["answer"], answers[-1]["why"]), ("denied", "poison"))
+                self.assertGreater(answers[-1]["retry_after_ms"], 1000)
+                if method == "side":  # its first ones may have run, and fail
+                    self.assertEqual([each["answer"] for each in answers[:2]], ["aborted", "aborted"])
+                client.ask("fine", method, program="p", input={"n": "fine"})
+                self.assertEqual(client.answer()["result"]["answer"], "ok")
+                client.close()
+
+    def test_a_request_that_ends_workers(self):
+        """A lost connection counts against its request only where the worker restarted.
+        (whether it restarts) -> whether the breaker opens"""
+        for restarts, opens in ((True, True), (False, False)):
+            with self.subTest(restarts=restarts):
+
+                def play(sock, number, restarts=restarts):
+                    source = lines_of(sock)
+                    hello(sock, source, start=1 + (number if restarts else 0))
+                    for asked in source:
+                        if asked["method"] == "run" and asked["params"]["input"]["n"] == "bad":
+                            return sock.shutdown(socket.SHUT_RDWR)
+                        if asked["method"] == "run":
+                            sock.sendall(ok(asked["id"]))
+                        elif asked["method"] == "probe":
+                            sock.sendall(jsonrpc.result_response(asked["id"], b"{}") + b"\n")
+
+                with Running(
+                    (play, play), soft="500 ms", deadline="3 s", more="(isolation (calls (copies 2) (first 1 min)))"
+                ) as running:
+                    client = running.client()
+                    for ident in range(3):
+                        client.ask(ident, "side", input={"n": "bad"})
+                        self.assertEqual(client.answer()["error"]["data"]["answer"], "aborted")
+                        self.assertTrue(
+                            until(lambda running=running: not running.coordinator.isolation.breaker.unsettled)
+                        )
+                        if "p" in running.coordinator.isolation.breaker.requests.open_by_function:
+                            break
+                    self.assertEqual("p" in running.coordinator.isolation.breaker.requests.open_by_function, opens)
+                    client.close()
+
+
+if __name__ == "__main__":
+    unittest.main()
--- /dev/null
+++ b/tests/test_log.py
@@ -0,0 +1,58 @@
+"""The log of a gateway: full pipes, levels and formats, notes of the router."""
+
+import io
+import os
+import threading
+import unittest
+import unittest.mock
+
+from tests.rig import LONG, Running, until
+from wickdyke.gateway import log as logs
+
+
+class Logs(unittest.TestCase):
+    def test_a_full_pipe(self):
+        """A log pipe that is not read loses lines, and delays no request."""
+        out, into = os.pipe()
+        sink = os.fdopen(into, "w")
+        with Running(sink=sink) as running:
+            for at in range(logs.MAX_QUEUED_LINES + 5000):
+                running.log.info("filler", at=at, more="x" * 100)
+            self.assertTrue(until(lambda: running.scribe.lost > 0))
+            client = running.client()
+            for at in range(50):
+                client.ask(at, time_left_ms=5000)
+                self.assertIn("result", client.answer())
+            client.close()
+            reader = threading.Thread(target=lambda: [None for _ in iter(lambda: os.read(out, 1 << 16), b"")])
+            reader.start()
+        sink.close()
+        reader.join(LONG)
+        os.close(out)
+
+    def test_levels(self):
+        """(debug, JSON) -> whether attempts are logged, and the format of a line."""
+        for debug, json, words in ((False, False, "event=one worker=w"), (True, True, '"event": "one"')):
+            sink = io.StringIO()
+            log, scribe = logs.logger(sink, json, debug, gateway="g")
+            log.info("one", worker="w")
+            log.debug("two", request=1, attempt=0)
+            scribe.close()
+            self.assertEqual("two" in sink.getvalue(), debug)
+            self.assertIn(words, sink.getvalue().replace("gateway=g ", ""))
+
+    def test_notes_of_the_router(self):
+        """(note) -> the event and the fields of its line."""
+        for note, event, keys in (
+            (
+                "worker w1 ejected for 1500 ms: cut, 3 of 4 bad",
+                "worker ejected for 1500 ms: cut, 3 of 4 bad",
+                {"worker": "w1"},
+            ),
+            ("something else", "something else", {}),
+        ):
+            self.assertEqual(logs.parse_note(note), (event, keys))
+
+
+if __name__ == "__main__":
+    unittest.main()
--- a/tests/test_log_faults.py
+++ b/tests/test_log_faults.py
@@ -1,5 +1,6 @@
 """Logs, recordings and traces where their writes fail or take no more: no request waits for them or gets an error."""
 
+import contextlib
 import errno
 import io
 import os
@@ -282,6 +283,10 @@
 
 
 class Traces(Folders):
+    def setUp(self):
+        super().setUp()
+        self.enterContext(contextlib.redirect_stderr(io.StringIO()))  # each failed write is reported there
+
     def test_each_write_fails(self):
         """A line that was not written is an error for who wrote it, and its trace is not judged."""
         path = self.path("t")
--- /dev/null
+++ b/tests/test_recordings.py
@@ -0,0 +1,71 @@
+"""Recordings of a gateway, replayed."""
+
+import os
+import tempfile
+import threading
+import unittest
+import unittest.mock
+
+from tests.rig import LONG, Running, willing
+from tests.scripted_workers import dies_on_run, refuses, silent
+from wickdyke.gateway import recording
+from wickdyke.protocol import worker_messages
+
+
+class Recordings(unittest.TestCase):
+    def test_replay(self):
+        """The same inputs give the same decisions, without sockets; a decision changed by hand is found."""
+        with Running(
+            (willing, refuses(worker_messages.FULL), dies_on_run, silent), soft="300 ms", deadline="800 ms", tape=True
+        ) as running:
+            client = running.client()
+            for at in range(150):
+                client.ask(at, ("idem", "side")[at % 3 == 0], f"p{at % 7}")
+            got = {client.answer()["id"] for _ in range(150)}
+            self.assertEqual(got, set(range(150)))
+            client.close()
+            running.gateway.client_server.shut()
+            running.coordinator.end()
+            running.gateway.recorder.close()
+            with open(running.config.recording_path, "rb") as source:
+                lines = source.readlines()
+            running.coordinator.events.put(None)
+            alike, differs = recording.replay(lines)
+            self.assertIsNone(differs)
+            self.assertGreater(alike, 150)
+            at = next(n for n, line in enumerate(lines) if line.startswith(b'["decided",["forward"'))
+            changed = [*lines[:at], lines[at].replace(b'"w', b'"x'), *lines[at + 1 :]]
+            self.assertIn("decided", recording.replay(changed)[1])
+            cut_off = [*lines[:-1], lines[-1][:5]]
+            self.assertIsNone(recording.replay(cut_off)[1])
+            running.gateway.coordinator.end = lambda: None  # ended already
+
+    def test_a_disk_that_is_too_slow(self):
+        """A recording that can't be written as fast ends, with a mark; nothing waits for it."""
+        with (
+            tempfile.TemporaryDirectory(prefix="wd-") as folder,
+            unittest.mock.patch.object(recording, "MAX_QUEUED", 50),
+        ):
+            path = os.path.join(folder, "fifo")
+            os.mkfifo(path)
+            reader = os.open(path, os.O_RDONLY | os.O_NONBLOCK)
+            made = recording.DecisionRecorder(path)
+            for at in range(100000):
+                made.record_input(float(at), "left", ("x" * 100,))
+                if made.broken:
+                    break
+            self.assertTrue(made.broken)
+            os.set_blocking(reader, True)
+            got: list[bytes] = []
+            drain = threading.Thread(target=lambda: got.extend(iter(lambda: os.read(reader, 1 << 16), b"")))
+            drain.start()
+            made.close()
+            drain.join(LONG)
+            os.close(reader)
+            lines = b"".join(got).splitlines(keepends=True)
+            self.assertEqual(lines[-1], b'["broken off"]\n')
+            self.assertEqual(len(list(recording.entries(lines))), len(lines) - 1)
+
+
+if __name__ == "__main__":
+    unittest.main()
