--- a/tests/test_client_server.py
+++ b/tests/test_client_server.py
@@ -1,4 +1,4 @@
-"""The door: what each malformed request gets, that others notice nothing, and what happens at each bound."""
+"""The client server: answers to malformed requests, which affect no others, and each of its bounds."""
 
 import socket
 import threading
@@ -14,7 +14,7 @@
 
 
 def silent(sock, number):
-    """Takes call-outs and answers none."""
+    """Answers no attempt."""
     source = lines_of(sock)
     hello(sock, source)
     for _ in source:
@@ -31,8 +31,8 @@
         cls.running.__enter__()
         cls.addClassCleanup(cls.running.__exit__)
 
-    def test_each(self):
-        """(line) -> (code, id, words of the data); the connection goes on."""
+    def test_each_malformed_request(self):
+        """(line) -> (code, id, words of the data); the connection stays open."""
 
         def call(params, more=b'"id":7'):
             return b'{"jsonrpc":"2.0","method":"call","params":%b,%b}' % (params, more)
@@ -79,8 +79,8 @@
                 self.assertEqual(client.answer()["result"]["answer"], "ok")
                 client.close()
 
-    def test_taken_id(self):
-        """An id in use is refused without it, so that the first keeps its one answer."""
+    def test_an_id_in_use(self):
+        """The second request is rejected without its id, so that the first keeps its one answer."""
         with Running((silent,), deadline="300 ms", soft="250 ms", way="10 ms") as running:
             client = running.client()
             client.ask(1)
@@ -90,8 +90,8 @@
             self.assertEqual(got[0]["error"]["code"], -32600)
             client.close()
 
-    def test_told_and_blank(self):
-        """Notifications get no answer, whatever is wrong with them; blank lines are nothing."""
+    def test_notifications_and_blank_lines(self):
+        """Notifications get no answer, whatever is wrong with them; blank lines are ignored."""
         client = self.running.client()
         client.tell(b'\n  \n{"jsonrpc":"2.0","method":"call","params":{}}\n{"jsonrpc":"2.0","method":"x"}\n')
         client.tell(b'{"jsonrpc":"2.0","method":"cancel","params":{"id":99}}\n')
@@ -100,6 +100,7 @@
         client.close()
 
     def test_batches(self):
+        """(batch) -> the ids of its answers, which are one array."""
         client = self.running.client()
         one, two = CALL[:-1] % 1, CALL[:-1] % 2
         for batch, ids in (
@@ -117,7 +118,7 @@
         client.close()
 
     def test_pieces(self):
-        """A request cut into single bytes, and many in one piece."""
+        """A request sent byte by byte, and many at once."""
         client = self.running.client()
         for byte in CALL % 1:
             client.tell(bytes([byte]))
@@ -159,8 +160,8 @@
             ).map(_json),
         )
     )
-    def test_anything(self, data):
-        """Whatever comes, each line gets what JSON-RPC says or nothing, and the next call is answered."""
+    def test_any_input(self, data):
+        """Each line gets a JSON-RPC response or none, and the next request is answered."""
         client = Client(self.running.config.listen)
         try:
             client.tell(data.replace(b"\n", b" ") + b"\n")
@@ -178,8 +179,8 @@
 
 
 class Bounds(unittest.TestCase):
-    def test_too_long(self):
-        """A line over the bound gets an error and the connection ends; others notice nothing."""
+    def test_a_line_that_is_too_long(self):
+        """It gets an error and its connection ends; others are served."""
         with Running(more="(bounds (line 1 MB))") as running:
             other, client = running.client(), running.client()
             client.tell(b"x" * (1 << 20) + b"xx")
@@ -192,6 +193,7 @@
                 each.close()
 
     def test_too_many_connections(self):
+        """One more is rejected and closed, until another ends."""
         with Running(more="(bounds (connections 3))") as running:
             clients = [running.client() for _ in range(3)]
             for at, client in enumerate(clients):
@@ -216,8 +218,8 @@
             for client in clients[1:]:
                 client.close()
 
-    def test_too_many_rpcs(self):
-        """Past the bounds of a connection and of the gateway an RPC is denied at once, with the bound's name."""
+    def test_too_many_requests(self):
+        """Past the bounds of a connection and of the gateway a request is rejected at once; the reason is the bound."""
         for bounds, why in (("(open-each 5)", "connection-full"), ("(open-rpcs 5)", "gateway-full")):
             with (
                 self.subTest(bound=bounds),
@@ -232,8 +234,8 @@
                 self.assertEqual((got["id"], got["error"]["data"]["why"]), (6, why))
                 client.close()
 
-    def test_overrun(self):
-        """Past the desk's queue of events an RPC is denied at once; those in it are answered when it goes on."""
+    def test_too_many_events(self):
+        """Past the bound of the event queue a request is rejected at once; those in it are answered later."""
         with Running(more="(bounds (events 10))") as running:
             go, asked = threading.Event(), running.coordinator.handlers[RequestReceived]
             running.coordinator.handlers[RequestReceived] = lambda event: (go.wait(LONG), asked(event))
@@ -247,8 +249,8 @@
             self.assertEqual(got, set(range(40)))
             client.close()
 
-    def test_client_that_reads_nothing(self):
-        """It is hung up on once too much waits for it; what others ask is answered meanwhile."""
+    def test_a_client_that_reads_nothing(self):
+        """It is disconnected once too much waits for it; requests of others are answered meanwhile."""
 
         def large(sock, number):
             source = lines_of(sock)
@@ -274,7 +276,7 @@
             threading.Thread(target=flood, daemon=True).start()
             for at in range(30):
                 other.ask(at)
-                got = other.answer()  # ok, or denied where the flood has taken all places
+                got = other.answer()  # a success, or rejected while the flood fills the gateway
                 self.assertTrue(got["id"] == at and ("result" in got or got["error"]["code"] == -32001), got)
             self.assertTrue(
                 until(lambda: running.gateway.client_server.counts["unread"] == 1), running.gateway.client_server.counts
@@ -285,8 +287,8 @@
             for each in (deaf, other):
                 each.close()
 
-    def test_many(self):
-        """400 connections with 50 RPCs out on each: each gets its one answer."""
+    def test_many_connections(self):
+        """400 connections with 50 open requests on each: each request gets its one answer."""
         with Running((willing, willing), more="(bounds (connections 500))", deadline="60 s", soft="3 s") as running:
             clients = [running.client() for _ in range(400)]
             for client in clients:
@@ -301,8 +303,8 @@
             self.assertTrue(until(lambda: not running.gateway.client_server.clients))
             self.assertTrue(until(lambda: not running.coordinator.requests.by_id))
 
-    def test_half_lines(self):
-        """Those that never end their line cost a thread each and nothing else."""
+    def test_unfinished_lines(self):
+        """Clients that never end their line cost a thread each and nothing else."""
         with Running() as running:
             slow = [running.client() for _ in range(50)]
             for client in slow:
@@ -314,9 +316,9 @@
                 client.close()
 
 
-class Addresses(unittest.TestCase):
+class ListenAddresses(unittest.TestCase):
     def test_loopback_tcp(self):
-        """The same door on a loopback address with a port."""
+        """The client server on a loopback address with a port."""
         with socket.socket() as free:
             free.bind(("127.0.0.1", 0))
             port = free.getsockname()[1]
--- a/tests/test_endpoint_list.py
+++ b/tests/test_endpoint_list.py
@@ -1,4 +1,4 @@
-"""Who is there: what the list and the workers' own word make together."""
+"""The endpoint list of the JSON-RPC gateway: its rows and the hellos of the workers, merged."""
 
 import os
 import tempfile
@@ -14,13 +14,13 @@
     return EndpointRow(name, address, "z2", "k2", 1, 4.0, state, start)
 
 
-def said(start, up=0.0, draining=False):
+def hello(start, up=0.0, draining=False):
     return WorkerHello(1, "w", start, up, draining)
 
 
-class Lists(unittest.TestCase):
-    def test_addresses_hang_on_the_file(self):
-        """(address as listed) -> where the gateway connects, wherever it was started."""
+class RowAddresses(unittest.TestCase):
+    def test_relative_addresses(self):
+        """(address in the file) -> where the gateway connects, whatever its working directory."""
         with tempfile.TemporaryDirectory(prefix="wd-") as folder:
             for listed, want in (
                 ("run/w.sock", os.path.join(folder, "run/w.sock")),
@@ -34,96 +34,100 @@
                     self.assertEqual(endpoint_file.read_endpoints(sink.name)[0].address, want)
 
 
-class Views(unittest.TestCase):
+class MergedEndpoints(unittest.TestCase):
     def test_one_worker(self):
-        """(inputs at times) -> the (state, born) passed on by the last of them; None for nothing."""
+        """(inputs with their times) -> (state, start time) of the endpoint that the last one changed; None for none."""
         far = 100000.0
         for name, inputs, want in (
-            ("listed and not yet heard", [(0, "entries", [row()])], None),
-            ("heard", [(0, "entries", [row()]), (5, "connected", said(1, far))], ("ready", 5 - far)),
-            ("not to be reached: as just started", [(0, "entries", [row()]), (9, "unreachable")], ("ready", 9)),
-            ("still not to be reached", [(0, "entries", [row()]), (9, "unreachable"), (20, "unreachable")], None),
+            ("listed, no hello yet", [(0, "entries", [row()])], None),
+            ("hello received", [(0, "entries", [row()]), (5, "connected", hello(1, far))], ("ready", 5 - far)),
+            ("unreachable: counts as just started", [(0, "entries", [row()]), (9, "unreachable")], ("ready", 9)),
+            ("still unreachable", [(0, "entries", [row()]), (9, "unreachable"), (20, "unreachable")], None),
             (
-                "heard after all",
-                [(0, "entries", [row()]), (9, "unreachable"), (20, "connected", said(1, 50))],
+                "hello after it was unreachable",
+                [(0, "entries", [row()]), (9, "unreachable"), (20, "connected", hello(1, 50))],
                 ("ready", -30),
             ),
             (
-                "connected anew, the same",
-                [(0, "entries", [row()]), (5, "connected", said(1, far)), (9, "connected", said(1, far + 4))],
+                "reconnected, the same start",
+                [(0, "entries", [row()]), (5, "connected", hello(1, far)), (9, "connected", hello(1, far + 4))],
                 None,
             ),
             (
-                "restarted, told by itself",
-                [(0, "entries", [row()]), (5, "connected", said(1, far)), (50, "connected", said(2, 10))],
+                "restarted, by its hello",
+                [(0, "entries", [row()]), (5, "connected", hello(1, far)), (50, "connected", hello(2, 10))],
                 ("ready", 40),
             ),
             (
-                "restarted, told by the list",
-                [(0, "entries", [row(start=1)]), (5, "connected", said(1, far)), (50, "entries", [row(start=2)])],
+                "restarted, by the list",
+                [(0, "entries", [row(start=1)]), (5, "connected", hello(1, far)), (50, "entries", [row(start=2)])],
                 ("ready", 50),
             ),
             (
-                "then by itself: no news",
+                "restarted, by the list, then by its hello",
                 [
                     (0, "entries", [row(start=1)]),
-                    (5, "connected", said(1, far)),
+                    (5, "connected", hello(1, far)),
                     (50, "entries", [row(start=2)]),
-                    (60, "connected", said(2, 20)),
+                    (60, "connected", hello(2, 20)),
                 ],
                 None,
             ),
             (
-                "a list that lags behind its word",
+                "a list that lags behind the hello",
                 [
                     (0, "entries", [row(start=1)]),
-                    (5, "connected", said(1, far)),
-                    (50, "connected", said(2, 10)),
+                    (5, "connected", hello(1, far)),
+                    (50, "connected", hello(2, 10)),
                     (60, "entries", [row(start=1)]),
                 ],
                 None,
             ),
             (
                 "draining by the list",
-                [(0, "entries", [row()]), (5, "connected", said(1, far)), (9, "entries", [row("draining")])],
+                [(0, "entries", [row()]), (5, "connected", hello(1, far)), (9, "entries", [row("draining")])],
                 ("draining", 5 - far),
             ),
             (
-                "draining by its word",
-                [(0, "entries", [row()]), (5, "connected", said(1, far)), (9, "draining")],
+                "draining by its own report",
+                [(0, "entries", [row()]), (5, "connected", hello(1, far)), (9, "draining")],
                 ("draining", 5 - far),
             ),
             (
-                "the list does not undo its word",
-                [(0, "entries", [row()]), (5, "connected", said(1, far)), (9, "draining"), (20, "entries", [row()])],
+                "the list does not end the reported drain",
+                [(0, "entries", [row()]), (5, "connected", hello(1, far)), (9, "draining"), (20, "entries", [row()])],
                 None,
             ),
             (
-                "its new start does",
+                "its new start does end it",
                 [
                     (0, "entries", [row()]),
-                    (5, "connected", said(1, far)),
+                    (5, "connected", hello(1, far)),
                     (9, "draining"),
-                    (20, "connected", said(2, 0)),
+                    (20, "connected", hello(2, 0)),
                 ],
                 ("ready", 20),
             ),
             (
                 "draining in its hello",
-                [(0, "entries", [row()]), (5, "connected", said(1, far, True))],
+                [(0, "entries", [row()]), (5, "connected", hello(1, far, True))],
                 ("draining", 5 - far),
             ),
-            ("gone", [(0, "entries", [row()]), (5, "connected", said(1, far)), (9, "entries", [])], ("gone", 5 - far)),
+            ("gone", [(0, "entries", [row()]), (5, "connected", hello(1, far)), (9, "entries", [])], ("gone", 5 - far)),
             (
                 "gone by its state",
-                [(0, "entries", [row()]), (5, "connected", said(1, far)), (9, "entries", [row("gone")])],
+                [(0, "entries", [row()]), (5, "connected", hello(1, far)), (9, "entries", [row("gone")])],
                 ("gone", 5 - far),
             ),
-            ("gone before it was heard", [(0, "entries", [row()]), (9, "entries", [])], None),
-            ("heard when gone", [(0, "entries", [row()]), (9, "entries", []), (10, "connected", said(1))], None),
+            ("gone before its hello", [(0, "entries", [row()]), (9, "entries", [])], None),
+            (
+                "hello after it is gone",
+                [(0, "entries", [row()]), (9, "entries", []), (10, "connected", hello(1))],
+                None,
+            ),
             (
                 "another address: another worker",
-                [(0, "entries", [row()]), (5, "connected", said(1, far)), (9, "entries", [row(address="b")])],
+                [(0, "entries", [row()]), (5, "connected", hello(1, far)), (9, "entries", [row(address="b")])],
                 ("gone", 5 - far),
             ),
         ):
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -1,4 +1,4 @@
-"""A gateway on real sockets: one RPC's way, and what it says to hostile input."""
+"""A gateway as a process, and the command `call`: exit codes and output."""
 
 import os
 import signal
@@ -15,13 +15,14 @@
 
 
 def run(*argv):
-    """A command of ours: (code, standard output, standard error)."""
+    """Runs a wickdyke command; returns (exit code, standard output, standard error)."""
     done = subprocess.run([sys.executable, "-m", "wickdyke.cli", *argv], capture_output=True, text=True, timeout=60)
     return done.returncode, done.stdout, done.stderr
 
 
-class WholePath(unittest.TestCase):
-    def test_call(self):
+class CallCommand(unittest.TestCase):
+    def test_exit_codes(self):
+        """(arguments) -> the exit code, and words of the output."""
         with tempfile.TemporaryDirectory() as folder:
             path = os.path.join(folder, "s.sexp")
             with open(path, "w") as sink:
--- a/tests/test_listener_faults.py
+++ b/tests/test_listener_faults.py
@@ -99,7 +99,7 @@
 
 
 class Echo:
-    """A listener of wire/server.py that sends back what comes."""
+    """A listener of transport/line_server.py that echoes."""
 
     module, threads_before = line_server, 1  # the thread of the acceptor itself is started by the module too
 
@@ -115,25 +115,25 @@
         self.listener.close()
 
 
-class FrontDoor:
-    """The gateway's door with no desk: what is no JSON is answered by the door itself."""
+class JsonRpcServer:
+    """The gateway's client server without a coordinator: it answers what is no JSON itself."""
 
     module, threads_before = client_server, 1
 
     def __init__(self, folder):
-        self.address = os.path.join(folder, "door.sock")
+        self.address = os.path.join(folder, "server.sock")
         config = SimpleNamespace(
             bounds=BOUNDS, request_classes=(), function_settings=(), tenants=(), listen=self.address
         )
-        self.door = client_server.ClientServer(config, Mock(), lambda: "", Mock())
-        self.door.open()
+        self.server = client_server.ClientServer(config, Mock(), lambda: "", Mock())
+        self.server.open()
 
     def close(self):
-        self.door.shut()
-        self.door.disconnect_all()
+        self.server.shut()
+        self.server.disconnect_all()
 
 
-LISTENERS = (Echo, FrontDoor)
+LISTENERS = (Echo, JsonRpcServer)
 
 
 class Case(unittest.TestCase):
@@ -165,7 +165,7 @@
 
 class AcceptFails(Case):
     def test_each_error_at_each_connection(self):
-        """The connection waits in the backlog meanwhile, and is served: none is lost."""
+        """The connection waits in the backlog meanwhile, and is then served: none is lost."""
         for kind in LISTENERS:
             for code in ACCEPT_ERRORS:
                 for nth in range(1, CONNECTIONS + 1):
@@ -182,8 +182,8 @@
                         self.assertGreaterEqual(faulty.calls, nth + 1)
                         self.assert_none_left(before, threads)
 
-    def test_the_connection_is_dropped_with_the_error(self):
-        """It costs that connection alone."""
+    def test_a_connection_that_is_dropped_with_the_error(self):
+        """That one is lost, no other."""
         for kind in LISTENERS:
             for code in (errno.ECONNABORTED, errno.EPROTO, errno.ENETDOWN, errno.EPERM):
                 for nth in range(1, CONNECTIONS + 1):
@@ -229,7 +229,8 @@
 
 
 class ServingRaises(Case):
-    def test_what_nobody_foresaw_closes_the_connection(self):
+    def test_an_unexpected_error(self):
+        """It closes the connection; the next is served."""
         before, threads = open_descriptors(), set(threading.enumerate())
         seen = []
 
@@ -237,7 +238,7 @@
             sock.recv(100)
             raise RuntimeError("can't start new thread")
 
-        with patch.object(threading, "excepthook", lambda told: seen.append(told.exc_type)):
+        with patch.object(threading, "excepthook", lambda raised: seen.append(raised.exc_type)):
             listener = Echo(self.folder)
             with patch.object(listener.listener, "serve", breaks):
                 self.assertFalse(self.is_served(listener))
@@ -246,7 +247,8 @@
             self.assert_none_left(before, threads)
         self.assertEqual(seen, [RuntimeError])
 
-    def test_the_owner_of_a_server_is_told_that_its_peer_has_gone(self):
+    def test_an_unexpected_error_of_a_server(self):
+        """The connection is closed, and the server's owner is notified."""
         before, threads = open_descriptors(), set(threading.enumerate())
         gone = []
 
@@ -267,7 +269,7 @@
 
 class Opening(Case):
     def test_each_step_fails(self):
-        """(address, call that fails) -> InUse, and nothing is left open."""
+        """(address, call that fails) -> AddressInUseError, and nothing is left open."""
         for address in (os.path.join(self.folder, "s.sock"), "127.0.0.1:0"):
             for name in ("setsockopt", "bind", "listen"):
                 if name == "setsockopt" and address.startswith("/"):
@@ -289,10 +291,10 @@
 
 
 class Pauses(unittest.TestCase):
-    """How the loop spends its time while accept fails again and again."""
+    """The pauses of the accept loop while accept fails again and again."""
 
     def accepts(self, code, waits):
-        """Runs until the loop has paused that often; gives the number of calls of accept."""
+        """Runs until the loop has paused that often; returns the number of calls of accept."""
         sock = Mock()
         sock.accept.side_effect = failure(code)
         sock.fileno.return_value = 3
--- a/tests/test_log_faults.py
+++ b/tests/test_log_faults.py
@@ -77,8 +77,8 @@
                         numbers = [int(line[6:-1]) for line in whole]
                         self.assertEqual(numbers, sorted(numbers))
 
-    def test_the_thread_goes_on(self):
-        """A sink that raises whatever it likes, or is none at all, costs its lines and no more."""
+    def test_a_sink_that_raises(self):
+        """A sink that raises any exception, or is None, loses its lines and nothing else."""
 
         class Odd(io.StringIO):
             wrong = None
@@ -104,8 +104,8 @@
         scribe.close(LONG)
         self.assertEqual((scribe.lost, scribe.thread.is_alive()), (2, False))
 
-    def test_odd_text(self):
-        """Characters that UTF-8 has no bytes for are written in another way."""
+    def test_text_that_utf8_can_not_encode(self):
+        """Characters that UTF-8 can't encode are escaped."""
         with open(self.path("log"), "w", encoding="utf-8") as sink:
             scribe = logs.LogWriter(sink)
             scribe.msg("<a \udc80>")
@@ -113,7 +113,7 @@
         self.assertEqual(self.lines(), ["<a \\udc80>", ""])
 
     def test_a_file_that_can_not_be_opened(self):
-        """(error) -> a full disk costs lines and not the start; a wrong path is told at the start."""
+        """(error) -> a full disk costs lines and not the start; a wrong path is an error at the start."""
         for error in (errno.ENOSPC, errno.EIO):
             broken = mock.Mock(side_effect=OSError(error, os.strerror(error)))
             with mock.patch.object(logs, "open", broken, create=True):
@@ -140,7 +140,7 @@
             client.close()
 
     def test_close_on_a_pipe_that_nobody_reads(self):
-        """It takes its time in all, not once for each of its steps."""
+        """The timeout bounds all its steps together."""
         out, into = os.pipe()
         real, steps = threading.Thread.join, []
         with mock.patch.object(logs, "MAX_QUEUED_LINES", 10):
@@ -170,13 +170,13 @@
 
 
 class Log:
-    """Keeps what it is told."""
+    """Keeps its lines."""
 
     def __init__(self):
-        self.told = []
+        self.lines = []
 
     def error(self, event, **keys):
-        self.told.append((event, keys))
+        self.lines.append((event, keys))
 
 
 class Sink:
@@ -209,7 +209,7 @@
             return recording.DecisionRecorder(self.path("tape"), log)
 
     def test_each_write_fails(self):
-        """The recording ends, the log is told once, nothing is held, and what is there can be read."""
+        """The recording ends with one log line, no entry stays in memory, and the written part can be read."""
         for error in ERRORS:
             for at in range(1, 8):
                 with self.subTest(error=errno.errorcode[error], at=at):
@@ -223,7 +223,7 @@
                         made.record_input(float(number), "left", (number,))
                     self.assertEqual(made.broken, at <= 6)
                     told = [("recording ended", {"path": self.path("tape"), "why": os.strerror(error)})]
-                    self.assertEqual(log.told, told if at <= 6 else [])
+                    self.assertEqual(log.lines, told if at <= 6 else [])
                     if at <= 6:
                         self.assertTrue(made.entries.empty())
                     with open(self.path("tape"), "rb") as source:
@@ -240,12 +240,12 @@
                 client.ask(at, time_left_ms=5000)
                 self.assertIn("result", client.answer())
             client.close()
-            self.assertTrue(until(lambda: len(log.told) == 1))
+            self.assertTrue(until(lambda: len(log.lines) == 1))
         made.close()
-        self.assertEqual(len(log.told), 1)
+        self.assertEqual(len(log.lines), 1)
 
-    def test_told_once_where_it_is_too_slow(self):
-        """A queue that is full ends it too."""
+    def test_a_writer_that_is_too_slow(self):
+        """A full queue ends the recording too."""
         log = Log()
         go_on = threading.Event()
         with mock.patch.object(recording, "MAX_QUEUED", 5):
@@ -257,18 +257,18 @@
                 go_on.set()
                 made.close()
         self.assertEqual(
-            log.told, [("recording ended", {"path": self.path("tape"), "why": "5 entries wait to be written"})]
+            log.lines, [("recording ended", {"path": self.path("tape"), "why": "5 entries wait to be written"})]
         )
 
     def test_a_file_that_can_not_be_opened(self):
-        """(error) -> a full disk costs the recording and not the start; a wrong path is told at the start."""
+        """(error) -> a full disk costs the recording and not the start; a wrong path is an error at the start."""
         for error in (errno.ENOSPC, errno.EIO):
             log, broken = Log(), mock.Mock(side_effect=OSError(error, os.strerror(error)))
             with mock.patch.object(recording, "open", broken, create=True):
                 made = recording.DecisionRecorder(self.path("tape"), log)
             made.record_input(1.0, "left", ("a",))
             made.close()
-            self.assertEqual(log.told, [("recording ended", {"path": self.path("tape"), "why": os.strerror(error)})])
+            self.assertEqual(log.lines, [("recording ended", {"path": self.path("tape"), "why": os.strerror(error)})])
             self.assertTrue(made.entries.empty())
         self.assertRaises(OSError, recording.DecisionRecorder, self.path("none", "tape"), Log())
 
@@ -279,7 +279,7 @@
         made.record_input(1.0, "left", (object(),))
         made.close()
         self.assertTrue(made.broken)
-        self.assertEqual(len(log.told), 1)
+        self.assertEqual(len(log.lines), 1)
 
 
 class Traces(Folders):
@@ -288,7 +288,7 @@
         self.enterContext(contextlib.redirect_stderr(io.StringIO()))  # each failed write is reported there
 
     def test_each_write_fails(self):
-        """A line that was not written is an error for who wrote it, and its trace is not judged."""
+        """A line that was not written raises for its writer, and its trace is invalid."""
         path = self.path("t")
         for error in (errno.ENOSPC, errno.EIO):
             for at in range(1, 6):
@@ -309,7 +309,7 @@
                         os.unlink(path)
                         os.unlink(path + trace.INCOMPLETE)
 
-    def test_no_file_to_tell_it(self):
+    def test_no_mark_can_be_made(self):
         """Where no mark can be made, the trace is not found under its name."""
         path = self.path("t")
         record = trace.TraceRecorder(path, "w")
@@ -320,7 +320,7 @@
         self.assertRaises(trace.InvalidTraceError, trace.read, [path])
 
     def test_short_writes(self):
-        """They are gone on with."""
+        """The rest of a line is written by the next call."""
         path = self.path("t")
         with mock.patch.object(os, "write", Writes(path, 0, (), 5)):
             record = trace.TraceRecorder(path, "w")
--- a/tests/test_routes_in_force.py
+++ b/tests/test_routes_in_force.py
@@ -55,8 +55,8 @@
                 self.assertIsNone(recording.replay(source)[1])
 
     def test_a_change_that_would_strand_requests(self):
-        """A retry budget that is only a share is not removed while requests in flight may use it: it gets a floor first;
-        once they are answered, the file that waited is read without being written again."""
+        """A retry budget that is only a share is not removed while requests in flight may use it: it gets a floor
+        first; once they are answered, the file that waited is read without being written again."""
         bare = (
             '(route "r" (takes (method "idem")) (deadline 2 s) (soft-deadline 300 ms) (attempt 300 ms) '
             "(attempts 2) (again timeout) (budget (window 9 s) (share 0.1)%s))"
--- a/tests/test_worker_client.py
+++ b/tests/test_worker_client.py
@@ -1,4 +1,4 @@
-"""Links: exactly what is known of each call-out, whatever the worker does to the connection."""
+"""The JSON-RPC worker client: the outcome of each attempt, whatever the worker does to the connection."""
 
 import os
 import socket
@@ -25,7 +25,7 @@
 
 
 def answering(*lines):
-    """Answers the first call-out with these lines (its number in {n}) and waits for the end."""
+    """Answers the first attempt with these lines (or functions of its number) and waits for the end."""
 
     def play(sock, number):
         source = lines_of(sock)
@@ -61,7 +61,7 @@
 
 
 def lines_of_some(sock):
-    """The first line, read byte by byte, so that nothing of the next is taken."""
+    """The first line, read byte by byte, so that nothing of the next is read."""
     import msgspec
 
     line = b""
@@ -76,7 +76,7 @@
 
 
 def a_byte_a_time(sock, number):
-    """Says its hello too slowly to ever be done."""
+    """Sends its hello so slowly that it is never complete."""
     stop = threading.Event()
     while not stop.wait(0.02):
         sock.sendall(b"{")
@@ -86,29 +86,29 @@
     return lambda n: jsonrpc.error_response(n, code, "x", data) + b"\n"
 
 
-class Links(unittest.TestCase):
+class WorkerClients(unittest.TestCase):
     def setUp(self):
         made = tempfile.TemporaryDirectory(prefix="wd-")
         self.addCleanup(made.cleanup)
         self.folder, self.count = made.name, 0
 
-    def link(self, play, dial=5000.0, line=16 << 20):
+    def connect(self, play, connect_timeout=5000.0, line=16 << 20):
         self.count += 1
         peer = Peer(self.folder, f"w{self.count}", play)
         told = Told()
-        link = WorkerClient("w", peer.path, WorkerClientSettings("g", dial, line, 32 << 20), told)
-        self.addCleanup(link.close)
+        client = WorkerClient("w", peer.path, WorkerClientSettings("g", connect_timeout, line, 32 << 20), told)
+        self.addCleanup(client.close)
         self.addCleanup(peer.close)
-        return link, told, peer
+        return client, told, peer
 
     def run_once(self, play, params=b"{}", **more):
-        link, told, _ = self.link(play, **more)
+        client, told, _ = self.connect(play, **more)
         order = Command(CommandKind.ATTEMPT, None, "run", params)
-        link.send(order)
+        client.send(order)
         return told.next("finished")[2:]
 
     def test_outcomes(self):
-        """(worker, params of the call-out) -> the outcome told."""
+        """(worker, params of the attempt) -> the outcome."""
         for name, play, params, outcome in (
             ("answered", answering(ok), b"{}", "ok"),
             ("answered with 8 MB", answering(lambda n: ok(n, BIG)), b"{}", "ok"),
@@ -127,7 +127,7 @@
                 b"{}",
                 "cut",
             ),
-            ("the worker ends on the call-out", dies_on_run, b"{}", "cut"),
+            ("the worker ends on the attempt", dies_on_run, b"{}", "cut"),
             ("an answer half read", half_answer, b"{}", "cut"),
             ("ends with half of the message read", dies_while_read, BIG, "cut"),
             ("a stray answer first", answering(b'{"jsonrpc":"2.0","id":77,"result":1}\n', ok), b"{}", "ok"),
@@ -142,7 +142,7 @@
                 self.assertEqual(self.run_once(play, params)[1], outcome)
 
     def test_no_connection(self):
-        """(worker) -> unreached, within the time to dial."""
+        """(worker) -> unreached, within the connect timeout."""
         for name, play in (
             ("no hello", no_hello),
             ("a byte at a time", a_byte_a_time),
@@ -156,23 +156,23 @@
             ("an error", lambda sock, n: sock.sendall(jsonrpc.error_response(0, -1, "no") + b"\n")),
         ):
             with self.subTest(case=name):
-                self.assertEqual(self.run_once(play, dial=150.0)[1], "unreached")
+                self.assertEqual(self.run_once(play, connect_timeout=150.0)[1], "unreached")
         settings = WorkerClientSettings("g", 1000.0, 1 << 20, 1 << 20)
-        link = WorkerClient("w", os.path.join(self.folder, "nobody"), settings, told := Told())
-        self.addCleanup(link.close)
-        link.send(Command(CommandKind.ATTEMPT, None, "run", b"{}"))
+        client = WorkerClient("w", os.path.join(self.folder, "nobody"), settings, told := Told())
+        self.addCleanup(client.close)
+        client.send(Command(CommandKind.ATTEMPT, None, "run", b"{}"))
         self.assertEqual(told.next("finished")[3], "unreached")
 
-    def test_second_answer(self):
-        """Two answers with one number: the first counts; the second, and one for what was never asked, do not."""
-        link, told, _ = self.link(answering(ok, ok, b'{"jsonrpc":"2.0","id":99,"result":1}\n'))
-        link.send(Command(CommandKind.ATTEMPT, None, "run", b"{}"))
+    def test_a_second_answer(self):
+        """Two answers with one number: the first counts; the second, and one for an unknown number, do not."""
+        client, told, _ = self.connect(answering(ok, ok, b'{"jsonrpc":"2.0","id":99,"result":1}\n'))
+        client.send(Command(CommandKind.ATTEMPT, None, "run", b"{}"))
         self.assertEqual(told.next("finished")[3], "ok")
-        self.assertTrue(until(lambda: link.counts == {"late": 1, "stray": 1}), link.counts)
+        self.assertTrue(until(lambda: client.counts == {"late": 1, "stray": 1}), client.counts)
         self.assertTrue(told.events.empty())
 
-    def test_restarted(self):
-        """What waits for a connection is not sent to a worker that has started anew meanwhile."""
+    def test_a_restarted_worker(self):
+        """What waits for a connection is not sent to a worker that has restarted meanwhile."""
         ready = threading.Event()
 
         def play(sock, number):
@@ -186,54 +186,54 @@
             for asked in source:
                 sock.sendall(ok(asked["id"]))
 
-        link, told, _ = self.link(play)
-        link.send(Command(CommandKind.ATTEMPT, "first", "run", b"{}"))
+        client, told, _ = self.connect(play)
+        client.send(Command(CommandKind.ATTEMPT, "first", "run", b"{}"))
         self.assertEqual(told.next("finished")[3], "cut")
         told.next("lost")
-        link.send(Command(CommandKind.ATTEMPT, "second", "run", b"{}"))
+        client.send(Command(CommandKind.ATTEMPT, "second", "run", b"{}"))
         ready.set()
         self.assertEqual(told.next("finished")[3], "unsent")
-        link.send(Command(CommandKind.ATTEMPT, "third", "run", b"{}"))
+        client.send(Command(CommandKind.ATTEMPT, "third", "run", b"{}"))
         self.assertEqual(told.next("finished")[3], "ok")
 
-    def test_worker_that_reads_nothing(self):
-        """What is past the kernel's buffers waits with us; cancelled there it was never sent, else it was cut."""
+    def test_a_worker_that_reads_nothing(self):
+        """What the kernel does not buffer waits here; withdrawn there it was never sent, else it is lost."""
 
         def play(sock, number):
             hello(sock, lines_of_some(sock))
             threading.Event().wait(60)
 
-        link, told, _ = self.link(play)
+        client, told, _ = self.connect(play)
         told.next("connected")
-        self.assertTrue(until(lambda: link.write_buffer is not None))
+        self.assertTrue(until(lambda: client.write_buffer is not None))
         orders = [Command(CommandKind.ATTEMPT, at, "run", BIG) for at in range(3)]
         for order in orders:
-            link.send(order)  # must not wait
+            client.send(order)  # must not wait
         self.assertTrue(until(lambda: orders[0].message.begun))
-        self.assertEqual(link.cancel(orders[2], lambda: None), "unsent")
-        self.assertEqual(link.cancel(orders[0], lambda: None), "pending")
-        link.disconnect()
+        self.assertEqual(client.cancel(orders[2], lambda: None), "unsent")
+        self.assertEqual(client.cancel(orders[0], lambda: None), "pending")
+        client.disconnect()
         got = {event[2].key: event[3] for event in (told.next("finished"), told.next("finished"))}
         self.assertEqual(got, {0: "cut", 1: "unsent"})
 
-    def test_bound(self):
-        """Past the bound the connection is given up; what was never begun is told as unsent."""
+    def test_the_bound_of_the_write_buffer(self):
+        """Past the bound the connection is ended; what never began to be sent is reported as unsent."""
 
         def play(sock, number):
             if number == 1:  # a second connection says no hello: what goes there ends as unreached
                 hello(sock, lines_of_some(sock))
             threading.Event().wait(60)
 
-        link, told, _ = self.link(play, dial=1000.0)
-        self.assertTrue(until(lambda: link.write_buffer is not None))
+        client, told, _ = self.connect(play, connect_timeout=1000.0)
+        self.assertTrue(until(lambda: client.write_buffer is not None))
         for at in range(6):
-            link.send(Command(CommandKind.ATTEMPT, at, "run", BIG))
+            client.send(Command(CommandKind.ATTEMPT, at, "run", BIG))
         got = sorted(told.next("finished")[3] for _ in range(6))
         self.assertEqual(got.count("cut"), 1, got)
         self.assertEqual(set(got) - {"cut"}, {"unsent"} if "unreached" not in got else {"unsent", "unreached"})
 
     def test_cancel(self):
-        """A cancel that is with the kernel ends the call-out; its late answer is dropped and counted."""
+        """A cancel that is with the kernel ends the attempt; its late answer is dropped and counted."""
         go = threading.Event()
 
         def play(sock, number):
@@ -246,18 +246,18 @@
             for _ in source:
                 pass
 
-        link, told, _ = self.link(play)
+        client, told, _ = self.connect(play)
         told.next("connected")
-        self.assertTrue(until(lambda: link.write_buffer is not None))
+        self.assertTrue(until(lambda: client.write_buffer is not None))
         order = Command(CommandKind.ATTEMPT, None, "run", b"{}")
-        link.send(order)
-        self.assertEqual(link.cancel(order, lambda: None), "cancelled")
-        self.assertEqual(link.cancel(order, lambda: None), "ended")
+        client.send(order)
+        self.assertEqual(client.cancel(order, lambda: None), "cancelled")
+        self.assertEqual(client.cancel(order, lambda: None), "ended")
         self.assertTrue(go.wait(20))
-        self.assertTrue(until(lambda: link.counts["late"] == 1))
+        self.assertTrue(until(lambda: client.counts["late"] == 1))
 
-    def test_retired(self):
-        """A link that is given up ends with the last of what is out, and sends nothing more."""
+    def test_drain(self):
+        """A client that drains closes with its last command in flight, and sends nothing more."""
         answer = threading.Event()
 
         def play(sock, number):
@@ -267,21 +267,21 @@
             answer.wait(20)
             sock.sendall(ok(run["id"]))
 
-        link, told, _ = self.link(play)
-        link.send(Command(CommandKind.ATTEMPT, 1, "run", b"{}"))
-        self.assertTrue(until(lambda: link.commands.in_flight))
-        link.drain()
+        client, told, _ = self.connect(play)
+        client.send(Command(CommandKind.ATTEMPT, 1, "run", b"{}"))
+        self.assertTrue(until(lambda: client.commands.in_flight))
+        client.drain()
         answer.set()
         self.assertEqual(told.next("finished")[3], "ok")
-        link.thread.join(20)
-        self.assertFalse(link.thread.is_alive())
-        link.send(Command(CommandKind.ATTEMPT, 2, "run", b"{}"))
+        client.thread.join(20)
+        self.assertFalse(client.thread.is_alive())
+        client.send(Command(CommandKind.ATTEMPT, 2, "run", b"{}"))
         self.assertEqual(told.next("finished")[3], "unsent")
 
 
-class Outboxes(unittest.TestCase):
+class WriteBuffers(unittest.TestCase):
     def test_order_and_bound(self):
-        """All bytes arrive in their order, whoever wrote them; past the bound it is Unread."""
+        """All bytes arrive in their order, whoever wrote them; past the bound PeerTooSlow is raised."""
         here, there = socket.socketpair()
         box = WriteBuffer(here, 1 << 20, "box")
         sent = b""
