--- a/wickdyke/cli/routes.py
+++ b/wickdyke/cli/routes.py
@@ -11,7 +11,7 @@
 from wickdyke.config.route_syntax import ATTRIBUTES
 from wickdyke.config.sexpr import InvalidConfigError
 from wickdyke.fault_injection.report import table
-from wickdyke.jsonrpc.service import ground
+from wickdyke.jsonrpc.service import policy_environment
 from wickdyke.route_policy.policy import Environment, format_sum, worst_case_components
 from wickdyke.routing.model import RequestClass
 
@@ -37,7 +37,7 @@
     """
     try:
         config = gateway_config.read(file)
-        environment = ground(config)
+        environment = policy_environment(config)
         loaded = _read_routes(config, environment)
     except InvalidConfigError as error:
         fail(error)
