--- a/Makefile
+++ b/Makefile
@@ -18,6 +18,7 @@
 lint: $(READY)
 	$(BIN)/ruff check .
 	$(BIN)/ruff format --check .
+	$(BIN)/mypy
 
 unit: $(READY)
 	$(BIN)/python -m unittest discover -s tests -t .
