--- a/wickdyke/cli/common.py
+++ b/wickdyke/cli/common.py
@@ -3,10 +3,11 @@
 import sys
 from collections.abc import Callable
 from enum import IntEnum
-from typing import NoReturn, TextIO, TypeVar
+from typing import NoReturn, TypeVar
 
 from wickdyke.config.sexpr import InvalidConfigError
 from wickdyke.gateway import log as logs
+from wickdyke.gateway.log import LogSink
 
 T = TypeVar("T")
 
@@ -33,8 +34,8 @@
         fail(error)
 
 
-def open_log_or_fail(path: str | None) -> TextIO | None:
-    """The file that the log goes to (None: standard error); ends the command if it can't be opened."""
+def open_log_or_fail(path: str | None) -> LogSink | None:
+    """The sink of the log: a file, or standard error for None; ends the command if it can't be opened."""
     try:
         return logs.open_sink(path)
     except OSError as error:
--- a/wickdyke/fault_injection/scenario.py
+++ b/wickdyke/fault_injection/scenario.py
@@ -9,7 +9,8 @@
 from typing import Any
 
 from wickdyke.config import schema, sexpr
-from wickdyke.config.schema import Diagnostics, Field, choice, count, flag, number, record, size, span, unlocated
+from wickdyke.config.builders import unlocated
+from wickdyke.config.schema import Diagnostics, Field, choice, count, flag, number, record, size, span
 from wickdyke.config.sexpr import Expression, SourceLocation
 from wickdyke.fault_injection.faults import (
     FAULT_SPECIFICATIONS,
