--- a/tests/rig.py
+++ b/tests/rig.py
@@ -1,4 +1,4 @@
-"""What tests of sockets share: a scripted peer, a gateway in this process, and waiting for what must come."""
+"""What tests of sockets share: a scripted worker, a gateway in this process, clients, and waiting with a timeout."""
 
 import io
 import os
@@ -15,11 +15,11 @@
 from wickdyke.jsonrpc.service import Gateway
 from wickdyke.protocol import jsonrpc, worker_messages
 
-LONG = 20.0  # s that anything may take on a machine that is busy with other things
+LONG = 20.0  # s that any step may take on a busy machine
 
 
 def until(true, within=LONG):
-    """Waits until it holds; False when it does not come."""
+    """Waits until `true()` holds; False where it does not within so many s."""
     ends = time.monotonic() + within
     while time.monotonic() < ends:
         if true():
@@ -29,7 +29,7 @@
 
 
 def lines_of(sock):
-    """The lines that come in, decoded."""
+    """The messages that are received, decoded."""
     import msgspec
 
     with sock.makefile("rb") as source:
@@ -38,14 +38,16 @@
 
 
 class Peer:
-    """A worker played by a function: `play(sock, nth)` for each connection."""
+    """A worker played by a function: `play(sock, number)` for each connection. It closes the sockets it accepts."""
 
     def __init__(self, folder, name, play):
-        self.path, self.play, self.number = os.path.join(folder, name + ".sock"), play, 0
+        self.path = os.path.join(folder, name + ".sock")
+        self.play = play
+        self.number = 0
         self.sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
         self.sock.bind(self.path)
         self.sock.listen(16)
-        self.taken = []
+        self.accepted = []
         threading.Thread(target=self._accept, daemon=True).start()
 
     def _accept(self):
@@ -55,17 +57,17 @@
             except OSError:
                 return
             self.number += 1
-            self.taken.append(sock)
-            threading.Thread(target=self._played, args=(sock, self.number), daemon=True).start()
+            self.accepted.append(sock)
+            threading.Thread(target=self._serve, args=(sock, self.number), daemon=True).start()
 
-    def _played(self, sock, number):
+    def _serve(self, sock, number):
         try:
             self.play(sock, number)
         except (OSError, ValueError, StopIteration):
             pass
 
     def close(self):
-        for sock in [self.sock, *self.taken]:
+        for sock in [self.sock, *self.accepted]:
             try:
                 sock.shutdown(socket.SHUT_RDWR)
             except OSError:
@@ -74,31 +76,31 @@
 
 
 def hello(sock, source, start=1, up=1e6, draining=False):
-    """Answers the hello."""
-    asked = next(source)
-    standing = worker_messages.WorkerHello(worker_messages.VERSION, "w", start, up, draining)
-    sock.sendall(jsonrpc.result_response(asked["id"], jsonrpc.encode(standing)) + b"\n")
+    """Reads the gateway's hello and answers it; `up` is ms since the worker's start."""
+    request = next(source)
+    answer = worker_messages.WorkerHello(worker_messages.VERSION, "w", start, up, draining)
+    sock.sendall(jsonrpc.result_response(request["id"], jsonrpc.encode(answer)) + b"\n")
 
 
 def ok(number, output=b'"done"', standing="stood"):
-    """An ok answer to `run`."""
+    """A success as the answer to the `run` of that number."""
     return (
         jsonrpc.result_response(number, b'{"output":%b,"standing":"%b","company":0}' % (output, standing.encode()))
         + b"\n"
     )
 
 
-def willing(sock, number, output=lambda asked: b'"done"'):
-    """A worker that answers all; `output` gives what it answers to the params of a run."""
+def willing(sock, number, output=lambda request: b'"done"'):
+    """A worker that answers all requests; `output` returns the output for the params of a `run`."""
     source = lines_of(sock)
     hello(sock, source)
-    for asked in source:
-        if asked["method"] == "run":
-            sock.sendall(ok(asked["id"], output(asked["params"])))
-        elif asked["method"] == "hold":
-            sock.sendall(jsonrpc.result_response(asked["id"], b'{"copies":%d}' % asked["params"]["copies"]) + b"\n")
-        elif asked["method"] == "probe":
-            sock.sendall(jsonrpc.result_response(asked["id"], b'{"report":{"busy":0.1,"held":0}}') + b"\n")
+    for request in source:
+        if request["method"] == "run":
+            sock.sendall(ok(request["id"], output(request["params"])))
+        elif request["method"] == "hold":
+            sock.sendall(jsonrpc.result_response(request["id"], b'{"copies":%d}' % request["params"]["copies"]) + b"\n")
+        elif request["method"] == "probe":
+            sock.sendall(jsonrpc.result_response(request["id"], b'{"report":{"busy":0.1,"held":0}}') + b"\n")
 
 
 TERMS = """(gateway (name "g") (listen (json-rpc "g.sock")) (workers (file "workers.sexp") (reread 20 ms)) (seed 5)
@@ -113,7 +115,7 @@
 
 
 class Running:
-    """A gateway in this process, its folder and its workers; used as a context."""
+    """A gateway in this process, its folder and its workers; a context manager that closes all of them."""
 
     def __init__(
         self,
@@ -127,8 +129,9 @@
         routes=None,
         stock="",
     ):
-        self.made = tempfile.TemporaryDirectory(prefix="wd-")
-        self.folder, self.peers = self.made.name, []
+        self.temporary_folder = tempfile.TemporaryDirectory(prefix="wd-")
+        self.folder = self.temporary_folder.name
+        self.peers = []
         for at, play in enumerate(workers):
             self.peers.append(Peer(self.folder, f"w{at}", play))
         self.rows = [
@@ -152,20 +155,20 @@
         self.config = gateway_config.read(os.path.join(self.folder, "g.sexp"))
         if tape:
             self.config.recording_path = os.path.join(self.folder, "tape")
-        self.said = sink or io.StringIO()
-        self.log, self.scribe = logs.logger(self.said, False)
+        self.log_output = sink or io.StringIO()
+        self.log, self.log_writer = logs.logger(self.log_output, False)
         self.gateway = Gateway(self.config, self.log)
         self.coordinator = self.gateway.coordinator
 
     def write(self, text):
-        """Replaces the worker list."""
+        """Replaces the endpoint file."""
         path = os.path.join(self.folder, "workers.sexp")
         with open(path + ".new", "w") as out:
             out.write(text)
         os.replace(path + ".new", path)
 
     def route(self, text):
-        """Replaces the routes."""
+        """Replaces the routes file."""
         path = os.path.join(self.folder, "routes.sexp")
         with open(path + ".new", "w") as out:
             out.write(f"(routes {text})")
@@ -176,21 +179,21 @@
         assert until(lambda: len(list(self.coordinator.router.fleet.ready())) == len(self.peers)), "workers not listed"
         return self
 
-    def __exit__(self, *why):
+    def __exit__(self, *exception):
         for peer in self.peers:
             peer.close()
         self.gateway.client_server.shut()
         self.gateway.close()
-        self.scribe.close()
-        self.made.cleanup()
+        self.log_writer.close()
+        self.temporary_folder.cleanup()
 
     def client(self):
-        """A connection of a client."""
+        """A new connection of a client."""
         return Client(self.config.listen)
 
 
 class Client:
-    """A client's connection: sends raw lines, reads answers by their id."""
+    """A client's connection: sends requests or raw bytes, and reads answers in the order of their arrival."""
 
     def __init__(self, path):
         self.sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
@@ -199,11 +202,11 @@
         self.source = lines_of(self.sock)
 
     def ask(self, ident, method="idem", program="p", **more):
-        """Sends a call."""
-        said = {"method": method, "program": program, "input": {"n": ident}, **more}
-        self.sock.sendall(jsonrpc.request_line("call", jsonrpc.encode(said), ident))
+        """Sends a `call` of that id."""
+        params = {"method": method, "program": program, "input": {"n": ident}, **more}
+        self.sock.sendall(jsonrpc.request_line("call", jsonrpc.encode(params), ident))
 
-    def tell(self, raw):
+    def send(self, raw):
         """Sends bytes."""
         self.sock.sendall(raw)
 
@@ -216,7 +219,7 @@
         self.sock.close()
 
 
-WORDS = {
+EVENT_NAMES = {
     events.RequestReceived: "received",
     events.RequestCancelled: "cancelled",
     events.ClientClosed: "closed",
@@ -229,12 +232,12 @@
 
 
 def plain(event):
-    """An event of the coordinator as a tuple: its word, then its fields."""
-    return WORDS[type(event)], *(getattr(event, name) for name in event.__slots__)
+    """An event of the coordinator as a tuple: its name in EVENT_NAMES, then its fields."""
+    return EVENT_NAMES[type(event)], *(getattr(event, name) for name in event.__slots__)
 
 
 class Told:
-    """Keeps what a link or a door tells."""
+    """Keeps the events that a worker client or a client server posts."""
 
     def __init__(self):
         self.events = queue.Queue()
--- a/tests/test_client_server.py
+++ b/tests/test_client_server.py
@@ -71,7 +71,7 @@
             with self.subTest(line=line[:70]):
                 client = self.running.client()
                 self.addCleanup(client.close)
-                client.tell(line + b"\n")
+                client.send(line + b"\n")
                 got = client.answer()
                 self.assertEqual((got["error"]["code"], got["id"]), (code, ident), got)
                 self.assertIn(words, got["error"]["data"])
@@ -93,8 +93,8 @@
     def test_notifications_and_blank_lines(self):
         """Notifications get no answer, whatever is wrong with them; blank lines are ignored."""
         client = self.running.client()
-        client.tell(b'\n  \n{"jsonrpc":"2.0","method":"call","params":{}}\n{"jsonrpc":"2.0","method":"x"}\n')
-        client.tell(b'{"jsonrpc":"2.0","method":"cancel","params":{"id":99}}\n')
+        client.send(b'\n  \n{"jsonrpc":"2.0","method":"call","params":{}}\n{"jsonrpc":"2.0","method":"x"}\n')
+        client.send(b'{"jsonrpc":"2.0","method":"cancel","params":{"id":99}}\n')
         client.ask(5)
         self.assertEqual(client.answer()["id"], 5)
         client.close()
@@ -111,7 +111,7 @@
             (b"[1,2,3]", [None, None, None]),
         ):
             with self.subTest(batch=batch[:60]):
-                client.tell(batch + b"\n")
+                client.send(batch + b"\n")
                 got = client.answer()
                 self.assertIsInstance(got, list)
                 self.assertEqual(sorted((each["id"] for each in got), key=str), sorted(ids, key=str))
@@ -121,9 +121,9 @@
         """A request sent byte by byte, and many at once."""
         client = self.running.client()
         for byte in CALL % 1:
-            client.tell(bytes([byte]))
+            client.send(bytes([byte]))
         self.assertEqual(client.answer()["id"], 1)
-        client.tell(b"".join(CALL % at for at in range(2, 60)))
+        client.send(b"".join(CALL % at for at in range(2, 60)))
         self.assertEqual({client.answer()["id"] for _ in range(2, 60)}, set(range(2, 60)))
         client.close()
 
@@ -164,8 +164,8 @@
         """Each line gets a JSON-RPC response or none, and the next request is answered."""
         client = Client(self.running.config.listen)
         try:
-            client.tell(data.replace(b"\n", b" ") + b"\n")
-            client.tell(CALL % 424242)
+            client.send(data.replace(b"\n", b" ") + b"\n")
+            client.send(CALL % 424242)
             while True:
                 got = client.answer()
                 answers = got if isinstance(got, list) else [got]
@@ -183,7 +183,7 @@
         """It gets an error and its connection ends; others are served."""
         with Running(more="(bounds (line 1 MB))") as running:
             other, client = running.client(), running.client()
-            client.tell(b"x" * (1 << 20) + b"xx")
+            client.send(b"x" * (1 << 20) + b"xx")
             self.assertEqual(client.answer()["error"]["code"], -32600)
             with self.assertRaises((StopIteration, ConnectionError)):
                 client.answer()
@@ -237,8 +237,8 @@
     def test_too_many_events(self):
         """Past the bound of the event queue a request is rejected at once; those in it are answered later."""
         with Running(more="(bounds (events 10))") as running:
-            go, asked = threading.Event(), running.coordinator.handlers[RequestReceived]
-            running.coordinator.handlers[RequestReceived] = lambda event: (go.wait(LONG), asked(event))
+            go, request = threading.Event(), running.coordinator.handlers[RequestReceived]
+            running.coordinator.handlers[RequestReceived] = lambda event: (go.wait(LONG), request(event))
             client = running.client()
             for at in range(40):
                 client.ask(at)
@@ -255,11 +255,11 @@
         def large(sock, number):
             source = lines_of(sock)
             hello(sock, source)
-            for asked in source:
-                if asked["method"] == "run":
-                    size = 1 << 20 if asked["params"]["program"] == "plarge" else 10
+            for request in source:
+                if request["method"] == "run":
+                    size = 1 << 20 if request["params"]["program"] == "plarge" else 10
                     body = b'{"output":"%b","standing":"stood"}' % (b"x" * size)
-                    sock.sendall(jsonrpc.result_response(asked["id"], body) + b"\n")
+                    sock.sendall(jsonrpc.result_response(request["id"], body) + b"\n")
 
         with Running((large,), more="(bounds (line 2 MB) (unread 4 MB))") as running:
             deaf, other = running.client(), running.client()
@@ -283,7 +283,7 @@
             )
             self.assertTrue(sent.wait(LONG))
             self.assertTrue(until(lambda: not running.coordinator.requests.by_id))
-            self.assertTrue(until(lambda: "does not read" in running.said.getvalue()))
+            self.assertTrue(until(lambda: "does not read" in running.log_output.getvalue()))
             for each in (deaf, other):
                 each.close()
 
@@ -292,7 +292,7 @@
         with Running((willing, willing), more="(bounds (connections 500))", deadline="60 s", soft="3 s") as running:
             clients = [running.client() for _ in range(400)]
             for client in clients:
-                client.tell(b"".join(CALL % at for at in range(50)))
+                client.send(b"".join(CALL % at for at in range(50)))
             for client in clients:
                 got = [client.answer() for _ in range(50)]
                 self.assertEqual(sorted(each["id"] for each in got), list(range(50)))
@@ -308,7 +308,7 @@
         with Running() as running:
             slow = [running.client() for _ in range(50)]
             for client in slow:
-                client.tell((CALL % 1)[:30])
+                client.send((CALL % 1)[:30])
             other = running.client()
             other.ask(1)
             self.assertEqual(other.answer()["result"]["answer"], "ok")
--- a/tests/test_coordinator.py
+++ b/tests/test_coordinator.py
@@ -47,8 +47,8 @@
             def play(sock, number, cancelled=cancelled):
                 source = lines_of(sock)
                 hello(sock, source)
-                for asked in source:
-                    if asked["method"] == "cancel":
+                for request in source:
+                    if request["method"] == "cancel":
                         cancelled.set()
 
             with self.subTest(how=how), Running((play,)) as running:
@@ -61,7 +61,7 @@
                     )
                 )
                 if how == "cancel":
-                    client.tell(jsonrpc.notification_line("cancel", b'{"id":"x"}'))
+                    client.send(jsonrpc.notification_line("cancel", b'{"id":"x"}'))
                 else:
                     client.close()
                 self.assertTrue(cancelled.wait(LONG))
@@ -77,7 +77,7 @@
             client.ask("x")
             self.assertTrue(until(lambda: running.coordinator.requests.by_id))
             first = next(iter(running.coordinator.requests.by_id.values()))
-            client.tell(jsonrpc.notification_line("cancel", b'{"id":"x"}'))
+            client.send(jsonrpc.notification_line("cancel", b'{"id":"x"}'))
             client.ask("x")
             self.assertTrue(until(lambda: any(ask is not first for ask in running.coordinator.requests.by_id.values())))
             first.answer(b'{"wrong":1}')
@@ -100,7 +100,7 @@
 
         def echo(sock, number):
             # It answers health checks as well: on a slow machine one that does not is checked again each time.
-            willing(sock, number, lambda asked: jsonrpc.encode(asked["input"]))
+            willing(sock, number, lambda request: jsonrpc.encode(request["input"]))
 
         with Running((echo,), deadline="60 s", soft="50 s") as running:
             client = running.client()
@@ -113,9 +113,9 @@
         """An attempt that is to end there can't be cancelled: its connection is ended for it, and others go on."""
 
         def deaf(sock, number):
-            asked = b""
-            while not asked.endswith(b"\n"):
-                asked += sock.recv(1)
+            request = b""
+            while not request.endswith(b"\n"):
+                request += sock.recv(1)
             sock.sendall(
                 jsonrpc.result_response(
                     0, jsonrpc.encode(worker_messages.WorkerHello(worker_messages.VERSION, "w", 1, 1e6))
@@ -129,7 +129,7 @@
             client.ask(1, input="x" * (8 << 20))
             self.assertTrue(until(lambda: any(ask.commands for ask in running.coordinator.requests.by_id.values())))
             client.close()
-            self.assertTrue(until(lambda: "worker disconnected" in running.said.getvalue()))
+            self.assertTrue(until(lambda: "worker disconnected" in running.log_output.getvalue()))
             self.assertTrue(until(lambda: not running.coordinator.requests.by_id))
 
 
--- a/tests/test_gateway_shutdown.py
+++ b/tests/test_gateway_shutdown.py
@@ -46,10 +46,10 @@
         def slow(sock, number):
             source = lines_of(sock)
             hello(sock, source)
-            for asked in source:
-                if asked["method"] == "run":
+            for request in source:
+                if request["method"] == "run":
                     go.wait(LONG)
-                    sock.sendall(ok(asked["id"]))
+                    sock.sendall(ok(request["id"]))
 
         with tempfile.TemporaryDirectory(prefix="wd-") as folder:
             process, path = self.serve(folder, slow)
--- a/tests/test_isolation.py
+++ b/tests/test_isolation.py
@@ -19,23 +19,23 @@
         """Answers with the error code of `refuse`, or succeeds; counts attempts by function and input."""
         source = lines_of(sock)
         hello(sock, source)
-        for asked in source:
-            if asked["method"] == "run":
-                run = asked["params"]
+        for request in source:
+            if request["method"] == "run":
+                run = request["params"]
                 seen[run["program"], run["input"]["n"]] += 1
                 code = refuse(run)
                 sock.sendall(
                     jsonrpc.error_response(
-                        asked["id"], code, "no", b'{"inside":1}' if code == worker_messages.REPLICA_ENDED else b"{}"
+                        request["id"], code, "no", b'{"inside":1}' if code == worker_messages.REPLICA_ENDED else b"{}"
                     )
                     + b"\n"
                     if code
-                    else ok(asked["id"])
+                    else ok(request["id"])
                 )
-            elif asked["method"] == "hold":
-                sock.sendall(jsonrpc.error_response(asked["id"], worker_messages.FULL, "no") + b"\n")
-            elif asked["method"] == "probe":
-                sock.sendall(jsonrpc.result_response(asked["id"], b"{}") + b"\n")
+            elif request["method"] == "hold":
+                sock.sendall(jsonrpc.error_response(request["id"], worker_messages.FULL, "no") + b"\n")
+            elif request["method"] == "probe":
+                sock.sendall(jsonrpc.result_response(request["id"], b"{}") + b"\n")
 
     def running(self, seen, refuse, more):
         peer = functools.partial(self.worker, seen=seen, refuse=refuse)
@@ -54,10 +54,10 @@
             client = running.client()
             for ident in range(40):
                 client.ask(ident, program="pbad")
-                said = client.answer()["error"]["data"]
-                self.assertEqual(said["answer"], "denied")
-                if said["why"] == "load-failed":
-                    self.assertLessEqual(0, said["retry_after_ms"])
+                data = client.answer()["error"]["data"]
+                self.assertEqual(data["answer"], "denied")
+                if data["why"] == "load-failed":
+                    self.assertLessEqual(0, data["retry_after_ms"])
             self.assertGreater(running.coordinator.counts["turned_away_load-failed"], 20)
             self.assertLess(sum(seen.values()), 20)
             client.ask("other", program="pgood")
@@ -70,7 +70,7 @@
 
             self.assertTrue(until(is_accepted))
             # The line is written beside the answer.
-            self.assertTrue(until(lambda: "function breaker closed" in running.said.getvalue()))
+            self.assertTrue(until(lambda: "function breaker closed" in running.log_output.getvalue()))
             client.close()
 
     def test_a_request_that_ends_replicas(self):
@@ -108,13 +108,13 @@
                 def play(sock, number, restarts=restarts):
                     source = lines_of(sock)
                     hello(sock, source, start=1 + (number if restarts else 0))
-                    for asked in source:
-                        if asked["method"] == "run" and asked["params"]["input"]["n"] == "bad":
+                    for request in source:
+                        if request["method"] == "run" and request["params"]["input"]["n"] == "bad":
                             return sock.shutdown(socket.SHUT_RDWR)
-                        if asked["method"] == "run":
-                            sock.sendall(ok(asked["id"]))
-                        elif asked["method"] == "probe":
-                            sock.sendall(jsonrpc.result_response(asked["id"], b"{}") + b"\n")
+                        if request["method"] == "run":
+                            sock.sendall(ok(request["id"]))
+                        elif request["method"] == "probe":
+                            sock.sendall(jsonrpc.result_response(request["id"], b"{}") + b"\n")
 
                 with Running(
                     (play, play), soft="500 ms", deadline="3 s", more="(isolation (calls (copies 2) (first 1 min)))"
--- a/tests/test_listed_workers.py
+++ b/tests/test_listed_workers.py
@@ -22,16 +22,21 @@
         """A list that can't be read leaves the last good one in force, and is logged once."""
         with Running() as running:
             for text in ("(workers (worker", "", '(workers (worker "w0" (adress "x")))', "(workers)) ", "\xff(("):
-                said = running.said.getvalue().count("list unusable")
+                lines_before = running.log_output.getvalue().count("list unusable")
                 running.write(text)
-                self.assertTrue(until(lambda said=said: running.said.getvalue().count("list unusable") == said + 1))
+                self.assertTrue(
+                    until(
+                        lambda lines_before=lines_before: running.log_output.getvalue().count("list unusable")
+                        == lines_before + 1
+                    )
+                )
                 client = running.client()
                 client.ask(1)
                 self.assertIn("result", client.answer())
                 client.close()
-            self.assertEqual(running.said.getvalue().count("list unusable"), 5)
+            self.assertEqual(running.log_output.getvalue().count("list unusable"), 5)
             os.unlink(os.path.join(running.folder, "workers.sexp"))
-            self.assertTrue(until(lambda: running.said.getvalue().count("list unusable") == 6))
+            self.assertTrue(until(lambda: running.log_output.getvalue().count("list unusable") == 6))
             self.assertEqual(len(list(running.coordinator.router.fleet.ready())), 1)
 
     def test_changed_rows(self):
--- a/tests/test_log.py
+++ b/tests/test_log.py
@@ -18,7 +18,7 @@
         with Running(sink=sink) as running:
             for at in range(logs.MAX_QUEUED_LINES + 5000):
                 running.log.info("filler", at=at, more="x" * 100)
-            self.assertTrue(until(lambda: running.scribe.lost > 0))
+            self.assertTrue(until(lambda: running.log_writer.lost > 0))
             client = running.client()
             for at in range(50):
                 client.ask(at, time_left_ms=5000)
@@ -34,10 +34,10 @@
         """(debug, JSON) -> whether attempts are logged, and the format of a line."""
         for debug, json, words in ((False, False, "event=one worker=w"), (True, True, '"event": "one"')):
             sink = io.StringIO()
-            log, scribe = logs.logger(sink, json, debug, gateway="g")
+            log, log_writer = logs.logger(sink, json, debug, gateway="g")
             log.info("one", worker="w")
             log.debug("two", request=1, attempt=0)
-            scribe.close()
+            log_writer.close()
             self.assertEqual("two" in sink.getvalue(), debug)
             self.assertIn(words, sink.getvalue().replace("gateway=g ", ""))
 
--- a/tests/test_log_faults.py
+++ b/tests/test_log_faults.py
@@ -64,15 +64,15 @@
                     with self.subTest(error=errno.errorcode[error], failing=failing, most=most):
                         with open(self.path("log"), "w") as sink:
                             with mock.patch.object(os, "write", Writes(self.path("log"), error, failing, most)):
-                                scribe = logs.LogWriter(sink)
+                                log_writer = logs.LogWriter(sink)
                                 for at in range(40):
-                                    scribe.msg(f"<line {at}>")
+                                    log_writer.msg(f"<line {at}>")
                                     if at % 10 == 0:
-                                        self.assertTrue(until(scribe.lines.empty))
-                                scribe.close(LONG)
-                            self.assertFalse(scribe.thread.is_alive())
+                                        self.assertTrue(until(log_writer.lines.empty))
+                                log_writer.close(LONG)
+                            self.assertFalse(log_writer.thread.is_alive())
                         whole, lost = self.counted(self.lines())
-                        self.assertEqual(len(set(whole)) + lost + scribe.lost, 40)
+                        self.assertEqual(len(set(whole)) + lost + log_writer.lost, 40)
                         self.assertEqual(len(whole), len(set(whole)))
                         numbers = [int(line[6:-1]) for line in whole]
                         self.assertEqual(numbers, sorted(numbers))
@@ -90,26 +90,26 @@
 
         for wrong in (OSError(errno.EIO, ""), ValueError("closed"), RuntimeError("odd"), MemoryError()):
             sink = Odd()
-            scribe = logs.LogWriter(sink)
+            log_writer = logs.LogWriter(sink)
             sink.wrong = wrong
-            scribe.msg("one")
-            self.assertTrue(until(lambda scribe=scribe: scribe.lost == 1))
+            log_writer.msg("one")
+            self.assertTrue(until(lambda log_writer=log_writer: log_writer.lost == 1))
             sink.wrong = None
-            scribe.msg("two")
-            scribe.close(LONG)
+            log_writer.msg("two")
+            log_writer.close(LONG)
             self.assertEqual(sink.getvalue(), 'event="log lines lost" lines=1\ntwo\n')
-        scribe = logs.LogWriter(None)
-        scribe.msg("one")
-        scribe.msg("two")
-        scribe.close(LONG)
-        self.assertEqual((scribe.lost, scribe.thread.is_alive()), (2, False))
+        log_writer = logs.LogWriter(None)
+        log_writer.msg("one")
+        log_writer.msg("two")
+        log_writer.close(LONG)
+        self.assertEqual((log_writer.lost, log_writer.thread.is_alive()), (2, False))
 
     def test_text_that_utf8_can_not_encode(self):
         """Characters that UTF-8 can't encode are escaped."""
         with open(self.path("log"), "w", encoding="utf-8") as sink:
-            scribe = logs.LogWriter(sink)
-            scribe.msg("<a \udc80>")
-            scribe.close(LONG)
+            log_writer = logs.LogWriter(sink)
+            log_writer.msg("<a \udc80>")
+            log_writer.close(LONG)
         self.assertEqual(self.lines(), ["<a \\udc80>", ""])
 
     def test_a_file_that_can_not_be_opened(self):
@@ -117,12 +117,12 @@
         for error in (errno.ENOSPC, errno.EIO):
             broken = mock.Mock(side_effect=OSError(error, os.strerror(error)))
             with mock.patch.object(logs, "open", broken, create=True):
-                scribe = logs.LogWriter(logs.open_sink(self.path("log")))
-                scribe.msg("<one>")
-                self.assertTrue(until(lambda scribe=scribe: scribe.lost == 1))
-            scribe.msg("<two>")
-            scribe.close(LONG)
-            scribe.sink.close()
+                log_writer = logs.LogWriter(logs.open_sink(self.path("log")))
+                log_writer.msg("<one>")
+                self.assertTrue(until(lambda log_writer=log_writer: log_writer.lost == 1))
+            log_writer.msg("<two>")
+            log_writer.close(LONG)
+            log_writer.sink.close()
             self.assertEqual(self.lines(), ['event="log lines lost" lines=1', "<two>", ""])
             os.unlink(self.path("log"))
         self.assertRaises(OSError, logs.open_sink, self.path("none", "log"))
@@ -133,7 +133,7 @@
         with os.fdopen(into, "w") as sink, Running(sink=sink) as running:
             os.close(out)
             running.log.info("one")
-            self.assertTrue(until(lambda: running.scribe.lost > 0))
+            self.assertTrue(until(lambda: running.log_writer.lost > 0))
             client = running.client()
             client.ask(1, time_left_ms=5000)
             self.assertIn("result", client.answer())
@@ -144,9 +144,9 @@
         out, into = os.pipe()
         real, steps = threading.Thread.join, []
         with mock.patch.object(logs, "MAX_QUEUED_LINES", 10):
-            scribe = logs.LogWriter(os.fdopen(into, "w"))
-        scribe.msg("x" * (1 << 20))
-        self.assertTrue(until(scribe.lines.empty))
+            log_writer = logs.LogWriter(os.fdopen(into, "w"))
+        log_writer.msg("x" * (1 << 20))
+        self.assertTrue(until(log_writer.lines.empty))
 
         def put(line, timeout):
             now[0] += timeout  # there is room just as the time is up
@@ -157,16 +157,16 @@
         now = [100.0]
         with (
             mock.patch.object(logs.time, "monotonic", lambda: now[0]),
-            mock.patch.object(scribe.lines, "put", put),
-            mock.patch.object(scribe.thread, "join", lambda timeout: join(scribe.thread, timeout)),
+            mock.patch.object(log_writer.lines, "put", put),
+            mock.patch.object(log_writer.thread, "join", lambda timeout: join(log_writer.thread, timeout)),
         ):
-            scribe.close(1.0)
+            log_writer.close(1.0)
         self.assertEqual(steps, [0.0])
         os.close(out)  # ends the write
-        scribe.lines.put(None)
-        real(scribe.thread, LONG)
-        self.assertFalse(scribe.thread.is_alive())
-        scribe.sink.close()
+        log_writer.lines.put(None)
+        real(log_writer.thread, LONG)
+        self.assertFalse(log_writer.thread.is_alive())
+        log_writer.sink.close()
 
 
 class Log:
--- a/tests/test_routes_in_force.py
+++ b/tests/test_routes_in_force.py
@@ -37,9 +37,14 @@
             self.assertTrue(until(lambda: running.coordinator.requests.by_id))
             before = next(iter(running.coordinator.requests.by_id.values())).route_policy
             for invalid in (self.ROUTE % (200, 1), "(route", self.ROUTE % (9000, 9)):
-                said = running.said.getvalue().count("routes unusable")
+                lines_before = running.log_output.getvalue().count("routes unusable")
                 running.route(invalid)
-                self.assertTrue(until(lambda said=said: running.said.getvalue().count("routes unusable") == said + 1))
+                self.assertTrue(
+                    until(
+                        lambda lines_before=lines_before: running.log_output.getvalue().count("routes unusable")
+                        == lines_before + 1
+                    )
+                )
             self.assertEqual(running.gateway.client_server.checker.routes.find("idem", "p").policy.deadline, 9000)
             running.route(self.ROUTE % (7000, 2))
             self.assertTrue(
@@ -67,12 +72,12 @@
             def named():
                 return [route.name for route in running.gateway.client_server.checker.routes.routes]
 
-            def said():
-                return running.said.getvalue().count("routes unusable")
+            def unusable_lines():
+                return running.log_output.getvalue().count("routes unusable")
 
             running.route(other)
-            self.assertTrue(until(lambda: said() == 1))
-            self.assertIn('route \\"r\\" is gone', running.said.getvalue())
+            self.assertTrue(until(lambda: unusable_lines() == 1))
+            self.assertIn('route \\"r\\" is gone', running.log_output.getvalue())
             running.route(bare % " (floor 1)")
             self.assertTrue(
                 until(
@@ -81,7 +86,7 @@
             )
             running.route(other)
             self.assertTrue(until(lambda: named() == ["s"]))
-            self.assertLessEqual(said(), 2)
+            self.assertLessEqual(unusable_lines(), 2)
 
 
 if __name__ == "__main__":
--- a/tests/test_worker_client.py
+++ b/tests/test_worker_client.py
@@ -183,8 +183,8 @@
             if number == 1:
                 next(source)
                 reset(sock)
-            for asked in source:
-                sock.sendall(ok(asked["id"]))
+            for request in source:
+                sock.sendall(ok(request["id"]))
 
         client, told, _ = self.connect(play)
         client.send(Command(CommandKind.ATTEMPT, "first", "run", b"{}"))
