--- a/wickdyke/gateway/interfaces.py
+++ b/wickdyke/gateway/interfaces.py
@@ -148,11 +148,11 @@
         """Sends its final answer: the output of the worker, after so many attempts."""
         raise NotImplementedError
 
-    def reject(self, why: str, retry_after: float | None = None) -> None:
+    def reject(self, reason: str, retry_after: float | None = None) -> None:
         """Sends its final answer: it had no effect, and may be retried after `retry_after` ms."""
         raise NotImplementedError
 
-    def fail(self, why: str) -> None:
+    def fail(self, reason: str) -> None:
         """Sends its final answer: it may have had an effect or not."""
         raise NotImplementedError
 
