--- a/tests/rig.py
+++ b/tests/rig.py
@@ -124,7 +124,7 @@
         deadline="10 s",
         way="100 ms",
         more="",
-        tape=False,
+        record=False,
         sink=None,
         routes=None,
         stock="",
@@ -153,7 +153,7 @@
                 )
             )
         self.config = gateway_config.read(os.path.join(self.folder, "g.sexp"))
-        if tape:
+        if record:
             self.config.recording_path = os.path.join(self.folder, "tape")
         self.log_output = sink or io.StringIO()
         self.log, self.log_writer = logs.logger(self.log_output, False)
--- a/tests/test_client_server.py
+++ b/tests/test_client_server.py
@@ -72,9 +72,9 @@
                 client = self.running.client()
                 self.addCleanup(client.close)
                 client.send(line + b"\n")
-                got = client.answer()
-                self.assertEqual((got["error"]["code"], got["id"]), (code, ident), got)
-                self.assertIn(words, got["error"]["data"])
+                received = client.answer()
+                self.assertEqual((received["error"]["code"], received["id"]), (code, ident), received)
+                self.assertIn(words, received["error"]["data"])
                 client.ask(8)
                 self.assertEqual(client.answer()["result"]["answer"], "ok")
                 client.close()
@@ -85,9 +85,9 @@
             client = running.client()
             client.ask(1)
             client.ask(1)
-            got = [client.answer(), client.answer()]
-            self.assertEqual([each["id"] for each in got], [None, 1])
-            self.assertEqual(got[0]["error"]["code"], -32600)
+            received = [client.answer(), client.answer()]
+            self.assertEqual([answer["id"] for answer in received], [None, 1])
+            self.assertEqual(received[0]["error"]["code"], -32600)
             client.close()
 
     def test_notifications_and_blank_lines(self):
@@ -112,9 +112,9 @@
         ):
             with self.subTest(batch=batch[:60]):
                 client.send(batch + b"\n")
-                got = client.answer()
-                self.assertIsInstance(got, list)
-                self.assertEqual(sorted((each["id"] for each in got), key=str), sorted(ids, key=str))
+                received = client.answer()
+                self.assertIsInstance(received, list)
+                self.assertEqual(sorted((answer["id"] for answer in received), key=str), sorted(ids, key=str))
         client.close()
 
     def test_pieces(self):
@@ -167,12 +167,12 @@
             client.send(data.replace(b"\n", b" ") + b"\n")
             client.send(CALL % 424242)
             while True:
-                got = client.answer()
-                answers = got if isinstance(got, list) else [got]
-                for each in answers:
-                    self.assertEqual(each["jsonrpc"], "2.0")
-                    self.assertTrue(("result" in each) != ("error" in each))
-                if any(each["id"] == 424242 and "result" in each for each in answers):
+                received = client.answer()
+                answers = received if isinstance(received, list) else [received]
+                for answer in answers:
+                    self.assertEqual(answer["jsonrpc"], "2.0")
+                    self.assertTrue(("result" in answer) != ("error" in answer))
+                if any(answer["id"] == 424242 and "result" in answer for answer in answers):
                     break
         finally:
             client.close()
@@ -189,8 +189,8 @@
                 client.answer()
             other.ask(1)
             self.assertEqual(other.answer()["result"]["answer"], "ok")
-            for each in (client, other):
-                each.close()
+            for connection in (client, other):
+                connection.close()
 
     def test_too_many_connections(self):
         """One more is rejected and closed, until another ends."""
@@ -230,8 +230,8 @@
                     client.ask(at)
                 self.assertTrue(until(lambda running=running: len(running.coordinator.requests.by_id) == 5))
                 client.ask(6)
-                got = client.answer()
-                self.assertEqual((got["id"], got["error"]["data"]["why"]), (6, why))
+                received = client.answer()
+                self.assertEqual((received["id"], received["error"]["data"]["why"]), (6, why))
                 client.close()
 
     def test_too_many_events(self):
@@ -245,8 +245,8 @@
             first = client.answer()
             self.assertEqual(first["error"]["data"]["why"], "overrun")
             go.set()
-            got = {first["id"], *(client.answer()["id"] for _ in range(39))}
-            self.assertEqual(got, set(range(40)))
+            received = {first["id"], *(client.answer()["id"] for _ in range(39))}
+            self.assertEqual(received, set(range(40)))
             client.close()
 
     def test_a_client_that_reads_nothing(self):
@@ -276,16 +276,18 @@
             threading.Thread(target=flood, daemon=True).start()
             for at in range(30):
                 other.ask(at)
-                got = other.answer()  # a success, or rejected while the flood fills the gateway
-                self.assertTrue(got["id"] == at and ("result" in got or got["error"]["code"] == -32001), got)
+                received = other.answer()  # a success, or rejected while the flood fills the gateway
+                self.assertTrue(
+                    received["id"] == at and ("result" in received or received["error"]["code"] == -32001), received
+                )
             self.assertTrue(
                 until(lambda: running.gateway.client_server.counts["unread"] == 1), running.gateway.client_server.counts
             )
             self.assertTrue(sent.wait(LONG))
             self.assertTrue(until(lambda: not running.coordinator.requests.by_id))
             self.assertTrue(until(lambda: "does not read" in running.log_output.getvalue()))
-            for each in (deaf, other):
-                each.close()
+            for connection in (deaf, other):
+                connection.close()
 
     def test_many_connections(self):
         """400 connections with 50 open requests on each: each request gets its one answer."""
@@ -294,9 +296,9 @@
             for client in clients:
                 client.send(b"".join(CALL % at for at in range(50)))
             for client in clients:
-                got = [client.answer() for _ in range(50)]
-                self.assertEqual(sorted(each["id"] for each in got), list(range(50)))
-                self.assertTrue(all("result" in each or each["error"]["code"] == -32001 for each in got))
+                received = [client.answer() for _ in range(50)]
+                self.assertEqual(sorted(answer["id"] for answer in received), list(range(50)))
+                self.assertTrue(all("result" in answer or answer["error"]["code"] == -32001 for answer in received))
             self.assertEqual(running.coordinator.counts["unanswered"], 0)
             for client in clients:
                 client.close()
--- a/tests/test_coordinator.py
+++ b/tests/test_coordinator.py
@@ -26,14 +26,14 @@
         ):
             with self.subTest(case=name), Running(workers, soft="400 ms", deadline="900 ms") as running:
                 client = running.client()
-                began = time.monotonic()
+                began_at = time.monotonic()
                 client.ask(1, method)
-                got = client.answer()
-                took = (time.monotonic() - began) * 1000
-                data = got["result"] if "result" in got else got["error"]["data"]
+                received = client.answer()
+                elapsed = (time.monotonic() - began_at) * 1000
+                data = received["result"] if "result" in received else received["error"]["data"]
                 self.assertEqual(data["answer"], answer)
                 self.assertIn(data.get("why", ""), why or "")
-                self.assertLess(took, 900)
+                self.assertLess(elapsed, 900)
                 client.sock.settimeout(0.3)
                 with self.assertRaises(TimeoutError):
                     client.answer()  # and nothing after
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -27,9 +27,9 @@
             path = os.path.join(folder, "s.sexp")
             with open(path, "w") as sink:
                 sink.write(SMALL)
-            director = ScenarioRunner(scenario.read(path), os.path.join(folder, "run"))
+            runner = ScenarioRunner(scenario.read(path), os.path.join(folder, "run"))
             try:
-                director.start(traffic=False)
+                runner.start(traffic=False)
                 sock = os.path.join(folder, "run", "g1.sock")
                 for argv, code, words in (
                     (("m", "p", '{"mark": "a"}', "--memory", "100"), 0, '"answer":"ok"'),
@@ -39,16 +39,16 @@
                     (("m", "p", "{"), 2, "expected JSON"),
                 ):
                     with self.subTest(argv=argv):
-                        got, out, err = run("call", sock, *argv)
-                        self.assertEqual(got, code, out + err)
+                        exit_code, out, err = run("call", sock, *argv)
+                        self.assertEqual(exit_code, code, out + err)
                         self.assertIn(words, out + err)
-                gateway = director.gateways["g1"]
+                gateway = runner.gateways["g1"]
                 self.assertEqual(run("serve", os.path.join(folder, "run", "g1.sexp"))[0], 2)  # a live one is there
                 gateway.process.send_signal(signal.SIGTERM)
                 self.assertEqual(gateway.wait(), 0)
                 self.assertEqual(run("call", sock, "m", "p")[0], 5)
             finally:
-                director.close()
+                runner.close()
 
 
 if __name__ == "__main__":
--- a/tests/test_isolation.py
+++ b/tests/test_isolation.py
@@ -75,14 +75,14 @@
 
     def test_a_request_that_ends_replicas(self):
         """(method, replicas) -> attempts that the request gets before it is rejected; others of its function go on."""
-        for method, copies, most in (("idem", 2, 2), ("idem", 4, 4), ("side", 2, 2)):
+        for method, replicas, max_attempts in (("idem", 2, 2), ("idem", 4, 4), ("side", 2, 2)):
             seen = Counter()
             with (
-                self.subTest(method=method, copies=copies),
+                self.subTest(method=method, replicas=replicas),
                 self.running(
                     seen,
                     lambda run: worker_messages.REPLICA_ENDED if run["input"]["n"] == "bad" else None,
-                    f"(isolation (calls (copies {copies}) (first 1 min)))",
+                    f"(isolation (calls (copies {replicas}) (first 1 min)))",
                 ) as running,
             ):
                 client = running.client()
@@ -90,7 +90,7 @@
                 for ident in range(8):
                     client.ask(ident, method, program="p", input={"n": "bad"})
                     answers.append(client.answer()["error"]["data"])
-                self.assertEqual(seen["p", "bad"], most)
+                self.assertEqual(seen["p", "bad"], max_attempts)
                 self.assertEqual((answers[-1]["answer"], answers[-1]["why"]), ("denied", "poison"))
                 self.assertGreater(answers[-1]["retry_after_ms"], 1000)
                 if method == "side":  # its first ones may have run, and fail
--- a/tests/test_listener_faults.py
+++ b/tests/test_listener_faults.py
@@ -166,14 +166,14 @@
 class AcceptFails(Case):
     def test_each_error_at_each_connection(self):
         """The connection waits in the backlog meanwhile, and is then served: none is lost."""
-        for kind in LISTENERS:
+        for listener_class in LISTENERS:
             for code in ACCEPT_ERRORS:
                 for nth in range(1, CONNECTIONS + 1):
-                    with self.subTest(kind=kind.__name__, code=errno.errorcode[code], nth=nth):
+                    with self.subTest(listener_class=listener_class.__name__, code=errno.errorcode[code], nth=nth):
                         before, threads = open_descriptors(), set(threading.enumerate())
                         faulty = faulty_socket(code=code, nth=nth, times=2)
                         with patch.object(line_server, "socket", replaced(socket, socket=faulty)):
-                            listener = kind(self.folder)
+                            listener = listener_class(self.folder)
                         try:
                             for _ in range(CONNECTIONS):
                                 self.assertTrue(self.is_served(listener))
@@ -184,14 +184,14 @@
 
     def test_a_connection_that_is_dropped_with_the_error(self):
         """That one is lost, no other."""
-        for kind in LISTENERS:
+        for listener_class in LISTENERS:
             for code in (errno.ECONNABORTED, errno.EPROTO, errno.ENETDOWN, errno.EPERM):
                 for nth in range(1, CONNECTIONS + 1):
-                    with self.subTest(kind=kind.__name__, code=errno.errorcode[code], nth=nth):
+                    with self.subTest(listener_class=listener_class.__name__, code=errno.errorcode[code], nth=nth):
                         before, threads = open_descriptors(), set(threading.enumerate())
                         faulty = faulty_socket(code=code, nth=nth, consumes=True)
                         with patch.object(line_server, "socket", replaced(socket, socket=faulty)):
-                            listener = kind(self.folder)
+                            listener = listener_class(self.folder)
                         try:
                             served = [self.is_served(listener) for _ in range(CONNECTIONS + 1)]
                         finally:
@@ -203,20 +203,20 @@
 class ThreadFails(Case):
     def test_no_thread_for_a_connection(self):
         """That one is closed; the next is served."""
-        for kind in LISTENERS:
+        for listener_class in LISTENERS:
             for nth in range(1, CONNECTIONS + 1):
-                with self.subTest(kind=kind.__name__, nth=nth):
+                with self.subTest(listener_class=listener_class.__name__, nth=nth):
                     before, threads = open_descriptors(), set(threading.enumerate())
-                    faulty = faulty_thread(kind.threads_before + nth)
-                    with patch.object(kind.module, "threading", replaced(threading, Thread=faulty)):
-                        listener = kind(self.folder)
+                    faulty = faulty_thread(listener_class.threads_before + nth)
+                    with patch.object(listener_class.module, "threading", replaced(threading, Thread=faulty)):
+                        listener = listener_class(self.folder)
                         try:
                             served = [self.is_served(listener) for _ in range(CONNECTIONS + 1)]
                         finally:
                             listener.close()
                     self.assertEqual(served[nth:], [True] * (CONNECTIONS + 1 - nth))
                     self.assertEqual(served[: nth - 1], [True] * (nth - 1))
-                    self.assertEqual(faulty.starts, kind.threads_before + CONNECTIONS + 1)
+                    self.assertEqual(faulty.starts, listener_class.threads_before + CONNECTIONS + 1)
                     self.assert_none_left(before, threads)
 
     def test_no_thread_for_the_acceptor(self):
--- a/tests/test_log_faults.py
+++ b/tests/test_log_faults.py
@@ -31,10 +31,10 @@
 
 
 class Writes:
-    """A stand-in for os.write: the calls on a file with the numbers `failing` fail; others take `most` bytes."""
+    """Replaces os.write: the calls on a file with the numbers `failing` fail; others write at most `limit` bytes."""
 
-    def __init__(self, path, error, failing=(), most=1 << 20):
-        self.path, self.error, self.failing, self.most = path, error, failing, most
+    def __init__(self, path, error, failing=(), limit=1 << 20):
+        self.path, self.error, self.failing, self.limit = path, error, failing, limit
         self.seen, self.real = 0, os.write
 
     def __call__(self, descriptor, data):
@@ -43,7 +43,7 @@
         self.seen += 1
         if self.seen in self.failing:
             raise OSError(self.error, os.strerror(self.error))
-        return self.real(descriptor, bytes(data[: self.most]))
+        return self.real(descriptor, bytes(data[: self.limit]))
 
 
 class Logs(Folders):
@@ -52,18 +52,18 @@
             return source.read().split("\n")
 
     def counted(self, lines):
-        """(whole lines of ours, lines told as lost)."""
-        told = [int(line.rpartition("=")[2]) for line in lines if line.startswith('event="log lines lost"')]
-        return [line for line in lines if line.startswith("<") and line.endswith(">")], sum(told)
+        """(whole lines, the number of lines that others report as lost)."""
+        lost = [int(line.rpartition("=")[2]) for line in lines if line.startswith('event="log lines lost"')]
+        return [line for line in lines if line.startswith("<") and line.endswith(">")], sum(lost)
 
     def test_each_write_fails(self):
         """(error, which writes fail, bytes a write takes) -> every line is there whole or counted, in order."""
         for error in ERRORS:
             for failing in ((1,), (2,), (3,), (1, 2, 3), (2, 4, 6), range(2, 12)):
-                for most in (1 << 20, 7):
-                    with self.subTest(error=errno.errorcode[error], failing=failing, most=most):
+                for limit in (1 << 20, 7):
+                    with self.subTest(error=errno.errorcode[error], failing=failing, limit=limit):
                         with open(self.path("log"), "w") as sink:
-                            with mock.patch.object(os, "write", Writes(self.path("log"), error, failing, most)):
+                            with mock.patch.object(os, "write", Writes(self.path("log"), error, failing, limit)):
                                 log_writer = logs.LogWriter(sink)
                                 for at in range(40):
                                     log_writer.msg(f"<line {at}>")
@@ -222,8 +222,8 @@
                     for number in range(6):
                         made.record_input(float(number), "left", (number,))
                     self.assertEqual(made.broken, at <= 6)
-                    told = [("recording ended", {"path": self.path("tape"), "why": os.strerror(error)})]
-                    self.assertEqual(log.lines, told if at <= 6 else [])
+                    expected = [("recording ended", {"path": self.path("tape"), "why": os.strerror(error)})]
+                    self.assertEqual(log.lines, expected if at <= 6 else [])
                     if at <= 6:
                         self.assertTrue(made.entries.empty())
                     with open(self.path("tape"), "rb") as source:
@@ -292,10 +292,10 @@
         path = self.path("t")
         for error in (errno.ENOSPC, errno.EIO):
             for at in range(1, 6):
-                for most in (1 << 20, 9):
+                for limit in (1 << 20, 9):
                     with (
-                        self.subTest(error=error, at=at, most=most),
-                        mock.patch("os.write", Writes(path, error, (at,), most)),
+                        self.subTest(error=error, at=at, limit=limit),
+                        mock.patch("os.write", Writes(path, error, (at,), limit)),
                     ):
                         record = trace.TraceRecorder(path, "w")
                         with self.assertRaises(trace.InvalidTraceError):
--- a/tests/test_recordings.py
+++ b/tests/test_recordings.py
@@ -16,13 +16,13 @@
     def test_replay(self):
         """The same inputs give the same decisions, without sockets; a decision changed by hand is found."""
         with Running(
-            (willing, refuses(worker_messages.FULL), dies_on_run, silent), soft="300 ms", deadline="800 ms", tape=True
+            (willing, refuses(worker_messages.FULL), dies_on_run, silent), soft="300 ms", deadline="800 ms", record=True
         ) as running:
             client = running.client()
             for at in range(150):
                 client.ask(at, ("idem", "side")[at % 3 == 0], f"p{at % 7}")
-            got = {client.answer()["id"] for _ in range(150)}
-            self.assertEqual(got, set(range(150)))
+            received = {client.answer()["id"] for _ in range(150)}
+            self.assertEqual(received, set(range(150)))
             client.close()
             running.gateway.client_server.shut()
             running.coordinator.end()
@@ -56,13 +56,13 @@
                     break
             self.assertTrue(made.broken)
             os.set_blocking(reader, True)
-            got: list[bytes] = []
-            drain = threading.Thread(target=lambda: got.extend(iter(lambda: os.read(reader, 1 << 16), b"")))
+            received: list[bytes] = []
+            drain = threading.Thread(target=lambda: received.extend(iter(lambda: os.read(reader, 1 << 16), b"")))
             drain.start()
             made.close()
             drain.join(LONG)
             os.close(reader)
-            lines = b"".join(got).splitlines(keepends=True)
+            lines = b"".join(received).splitlines(keepends=True)
             self.assertEqual(lines[-1], b'["broken off"]\n')
             self.assertEqual(len(list(recording.entries(lines))), len(lines) - 1)
 
--- a/tests/test_routes_in_force.py
+++ b/tests/test_routes_in_force.py
@@ -31,7 +31,7 @@
 
     def test_a_changed_file(self):
         """Open requests keep their policy, later ones get the new; an invalid file is logged once, no more."""
-        with Running((silent, silent), routes=self.ROUTE % (9000, 1), tape=True) as running:
+        with Running((silent, silent), routes=self.ROUTE % (9000, 1), record=True) as running:
             client = running.client()
             client.ask(1, program="pa")
             self.assertTrue(until(lambda: running.coordinator.requests.by_id))
--- a/tests/test_worker_client.py
+++ b/tests/test_worker_client.py
@@ -95,17 +95,17 @@
     def connect(self, play, connect_timeout=5000.0, line=16 << 20):
         self.count += 1
         peer = Peer(self.folder, f"w{self.count}", play)
-        told = Told()
-        client = WorkerClient("w", peer.path, WorkerClientSettings("g", connect_timeout, line, 32 << 20), told)
+        posted = Told()
+        client = WorkerClient("w", peer.path, WorkerClientSettings("g", connect_timeout, line, 32 << 20), posted)
         self.addCleanup(client.close)
         self.addCleanup(peer.close)
-        return client, told, peer
+        return client, posted, peer
 
     def run_once(self, play, params=b"{}", **more):
-        client, told, _ = self.connect(play, **more)
-        order = Command(CommandKind.ATTEMPT, None, "run", params)
-        client.send(order)
-        return told.next("finished")[2:]
+        client, posted, _ = self.connect(play, **more)
+        command = Command(CommandKind.ATTEMPT, None, "run", params)
+        client.send(command)
+        return posted.next("finished")[2:]
 
     def test_outcomes(self):
         """(worker, params of the attempt) -> the outcome."""
@@ -158,18 +158,18 @@
             with self.subTest(case=name):
                 self.assertEqual(self.run_once(play, connect_timeout=150.0)[1], "unreached")
         settings = WorkerClientSettings("g", 1000.0, 1 << 20, 1 << 20)
-        client = WorkerClient("w", os.path.join(self.folder, "nobody"), settings, told := Told())
+        client = WorkerClient("w", os.path.join(self.folder, "nobody"), settings, posted := Told())
         self.addCleanup(client.close)
         client.send(Command(CommandKind.ATTEMPT, None, "run", b"{}"))
-        self.assertEqual(told.next("finished")[3], "unreached")
+        self.assertEqual(posted.next("finished")[3], "unreached")
 
     def test_a_second_answer(self):
         """Two answers with one number: the first counts; the second, and one for an unknown number, do not."""
-        client, told, _ = self.connect(answering(ok, ok, b'{"jsonrpc":"2.0","id":99,"result":1}\n'))
+        client, posted, _ = self.connect(answering(ok, ok, b'{"jsonrpc":"2.0","id":99,"result":1}\n'))
         client.send(Command(CommandKind.ATTEMPT, None, "run", b"{}"))
-        self.assertEqual(told.next("finished")[3], "ok")
+        self.assertEqual(posted.next("finished")[3], "ok")
         self.assertTrue(until(lambda: client.counts == {"late": 1, "stray": 1}), client.counts)
-        self.assertTrue(told.events.empty())
+        self.assertTrue(posted.events.empty())
 
     def test_a_restarted_worker(self):
         """What waits for a connection is not sent to a worker that has restarted meanwhile."""
@@ -186,15 +186,15 @@
             for request in source:
                 sock.sendall(ok(request["id"]))
 
-        client, told, _ = self.connect(play)
+        client, posted, _ = self.connect(play)
         client.send(Command(CommandKind.ATTEMPT, "first", "run", b"{}"))
-        self.assertEqual(told.next("finished")[3], "cut")
-        told.next("lost")
+        self.assertEqual(posted.next("finished")[3], "cut")
+        posted.next("lost")
         client.send(Command(CommandKind.ATTEMPT, "second", "run", b"{}"))
         ready.set()
-        self.assertEqual(told.next("finished")[3], "unsent")
+        self.assertEqual(posted.next("finished")[3], "unsent")
         client.send(Command(CommandKind.ATTEMPT, "third", "run", b"{}"))
-        self.assertEqual(told.next("finished")[3], "ok")
+        self.assertEqual(posted.next("finished")[3], "ok")
 
     def test_a_worker_that_reads_nothing(self):
         """What the kernel does not buffer waits here; withdrawn there it was never sent, else it is lost."""
@@ -203,18 +203,18 @@
             hello(sock, lines_of_some(sock))
             threading.Event().wait(60)
 
-        client, told, _ = self.connect(play)
-        told.next("connected")
+        client, posted, _ = self.connect(play)
+        posted.next("connected")
         self.assertTrue(until(lambda: client.write_buffer is not None))
-        orders = [Command(CommandKind.ATTEMPT, at, "run", BIG) for at in range(3)]
-        for order in orders:
-            client.send(order)  # must not wait
-        self.assertTrue(until(lambda: orders[0].message.begun))
-        self.assertEqual(client.cancel(orders[2], lambda: None), "unsent")
-        self.assertEqual(client.cancel(orders[0], lambda: None), "pending")
+        commands = [Command(CommandKind.ATTEMPT, at, "run", BIG) for at in range(3)]
+        for command in commands:
+            client.send(command)  # must not wait
+        self.assertTrue(until(lambda: commands[0].message.begun))
+        self.assertEqual(client.cancel(commands[2], lambda: None), "unsent")
+        self.assertEqual(client.cancel(commands[0], lambda: None), "pending")
         client.disconnect()
-        got = {event[2].key: event[3] for event in (told.next("finished"), told.next("finished"))}
-        self.assertEqual(got, {0: "cut", 1: "unsent"})
+        received = {event[2].key: event[3] for event in (posted.next("finished"), posted.next("finished"))}
+        self.assertEqual(received, {0: "cut", 1: "unsent"})
 
     def test_the_bound_of_the_write_buffer(self):
         """Past the bound the connection is ended; what never began to be sent is reported as unsent."""
@@ -224,13 +224,15 @@
                 hello(sock, lines_of_some(sock))
             threading.Event().wait(60)
 
-        client, told, _ = self.connect(play, connect_timeout=1000.0)
+        client, posted, _ = self.connect(play, connect_timeout=1000.0)
         self.assertTrue(until(lambda: client.write_buffer is not None))
         for at in range(6):
             client.send(Command(CommandKind.ATTEMPT, at, "run", BIG))
-        got = sorted(told.next("finished")[3] for _ in range(6))
-        self.assertEqual(got.count("cut"), 1, got)
-        self.assertEqual(set(got) - {"cut"}, {"unsent"} if "unreached" not in got else {"unsent", "unreached"})
+        received = sorted(posted.next("finished")[3] for _ in range(6))
+        self.assertEqual(received.count("cut"), 1, received)
+        self.assertEqual(
+            set(received) - {"cut"}, {"unsent"} if "unreached" not in received else {"unsent", "unreached"}
+        )
 
     def test_cancel(self):
         """A cancel that is with the kernel ends the attempt; its late answer is dropped and counted."""
@@ -246,13 +248,13 @@
             for _ in source:
                 pass
 
-        client, told, _ = self.connect(play)
-        told.next("connected")
+        client, posted, _ = self.connect(play)
+        posted.next("connected")
         self.assertTrue(until(lambda: client.write_buffer is not None))
-        order = Command(CommandKind.ATTEMPT, None, "run", b"{}")
-        client.send(order)
-        self.assertEqual(client.cancel(order, lambda: None), "cancelled")
-        self.assertEqual(client.cancel(order, lambda: None), "ended")
+        command = Command(CommandKind.ATTEMPT, None, "run", b"{}")
+        client.send(command)
+        self.assertEqual(client.cancel(command, lambda: None), "cancelled")
+        self.assertEqual(client.cancel(command, lambda: None), "ended")
         self.assertTrue(go.wait(20))
         self.assertTrue(until(lambda: client.counts["late"] == 1))
 
@@ -267,16 +269,16 @@
             answer.wait(20)
             sock.sendall(ok(run["id"]))
 
-        client, told, _ = self.connect(play)
+        client, posted, _ = self.connect(play)
         client.send(Command(CommandKind.ATTEMPT, 1, "run", b"{}"))
         self.assertTrue(until(lambda: client.commands.in_flight))
         client.drain()
         answer.set()
-        self.assertEqual(told.next("finished")[3], "ok")
+        self.assertEqual(posted.next("finished")[3], "ok")
         client.thread.join(20)
         self.assertFalse(client.thread.is_alive())
         client.send(Command(CommandKind.ATTEMPT, 2, "run", b"{}"))
-        self.assertEqual(told.next("finished")[3], "unsent")
+        self.assertEqual(posted.next("finished")[3], "unsent")
 
 
 class WriteBuffers(unittest.TestCase):
@@ -289,10 +291,10 @@
             data = bytes([at]) * 20000
             sent += data
             box.put(OutgoingMessage(data))
-        got = b""
-        while len(got) < len(sent):
-            got += there.recv(1 << 16)
-        self.assertEqual(got, sent)
+        received = b""
+        while len(received) < len(sent):
+            received += there.recv(1 << 16)
+        self.assertEqual(received, sent)
         with self.assertRaises(PeerTooSlow):
             for _ in range(100):
                 box.put(OutgoingMessage(b"x" * 50000))
