--- a/tests/test_client_server.py
+++ b/tests/test_client_server.py
@@ -71,10 +71,10 @@
             with self.subTest(line=line[:70]):
                 client = self.running.client()
                 self.addCleanup(client.close)
-                client.tell(line + b"\n")
-                got = client.answer()
-                self.assertEqual((got["error"]["code"], got["id"]), (code, ident), got)
-                self.assertIn(words, got["error"]["data"])
+                client.send(line + b"\n")
+                received = client.answer()
+                self.assertEqual((received["error"]["code"], received["id"]), (code, ident), received)
+                self.assertIn(words, received["error"]["data"])
                 client.ask(8)
                 self.assertEqual(client.answer()["result"]["answer"], "ok")
                 client.close()
@@ -85,16 +85,16 @@
             client = running.client()
             client.ask(1)
             client.ask(1)
-            got = [client.answer(), client.answer()]
-            self.assertEqual([each["id"] for each in got], [None, 1])
-            self.assertEqual(got[0]["error"]["code"], -32600)
+            received = [client.answer(), client.answer()]
+            self.assertEqual([answer["id"] for answer in received], [None, 1])
+            self.assertEqual(received[0]["error"]["code"], -32600)
             client.close()
 
     def test_notifications_and_blank_lines(self):
         """Notifications get no answer, whatever is wrong with them; blank lines are ignored."""
         client = self.running.client()
-        client.tell(b'\n  \n{"jsonrpc":"2.0","method":"call","params":{}}\n{"jsonrpc":"2.0","method":"x"}\n')
-        client.tell(b'{"jsonrpc":"2.0","method":"cancel","params":{"id":99}}\n')
+        client.send(b'\n  \n{"jsonrpc":"2.0","method":"call","params":{}}\n{"jsonrpc":"2.0","method":"x"}\n')
+        client.send(b'{"jsonrpc":"2.0","method":"cancel","params":{"id":99}}\n')
         client.ask(5)
         self.assertEqual(client.answer()["id"], 5)
         client.close()
@@ -111,19 +111,19 @@
             (b"[1,2,3]", [None, None, None]),
         ):
             with self.subTest(batch=batch[:60]):
-                client.tell(batch + b"\n")
-                got = client.answer()
-                self.assertIsInstance(got, list)
-                self.assertEqual(sorted((each["id"] for each in got), key=str), sorted(ids, key=str))
+                client.send(batch + b"\n")
+                received = client.answer()
+                self.assertIsInstance(received, list)
+                self.assertEqual(sorted((answer["id"] for answer in received), key=str), sorted(ids, key=str))
         client.close()
 
     def test_pieces(self):
         """A request sent byte by byte, and many at once."""
         client = self.running.client()
         for byte in CALL % 1:
-            client.tell(bytes([byte]))
+            client.send(bytes([byte]))
         self.assertEqual(client.answer()["id"], 1)
-        client.tell(b"".join(CALL % at for at in range(2, 60)))
+        client.send(b"".join(CALL % at for at in range(2, 60)))
         self.assertEqual({client.answer()["id"] for _ in range(2, 60)}, set(range(2, 60)))
         client.close()
 
@@ -164,15 +164,15 @@
         """Each line gets a JSON-RPC response or none, and the next request is answered."""
         client = Client(self.running.config.listen)
         try:
-            client.tell(data.replace(b"\n", b" ") + b"\n")
-            client.tell(CALL % 424242)
+            client.send(data.replace(b"\n", b" ") + b"\n")
+            client.send(CALL % 424242)
             while True:
-                got = client.answer()
-                answers = got if isinstance(got, list) else [got]
-                for each in answers:
-                    self.assertEqual(each["jsonrpc"], "2.0")
-                    self.assertTrue(("result" in each) != ("error" in each))
-                if any(each["id"] == 424242 and "result" in each for each in answers):
+                received = client.answer()
+                answers = received if isinstance(received, list) else [received]
+                for answer in answers:
+                    self.assertEqual(answer["jsonrpc"], "2.0")
+                    self.assertTrue(("result" in answer) != ("error" in answer))
+                if any(answer["id"] == 424242 and "result" in answer for answer in answers):
                     break
         finally:
             client.close()
@@ -183,14 +183,14 @@
         """It gets an error and its connection ends; others are served."""
         with Running(more="(bounds (line 1 MB))") as running:
             other, client = running.client(), running.client()
-            client.tell(b"x" * (1 << 20) + b"xx")
+            client.send(b"x" * (1 << 20) + b"xx")
             self.assertEqual(client.answer()["error"]["code"], -32600)
             with self.assertRaises((StopIteration, ConnectionError)):
                 client.answer()
             other.ask(1)
             self.assertEqual(other.answer()["result"]["answer"], "ok")
-            for each in (client, other):
-                each.close()
+            for connection in (client, other):
+                connection.close()
 
     def test_too_many_connections(self):
         """One more is rejected and closed, until another ends."""
@@ -230,23 +230,23 @@
                     client.ask(at)
                 self.assertTrue(until(lambda running=running: len(running.coordinator.requests.by_id) == 5))
                 client.ask(6)
-                got = client.answer()
-                self.assertEqual((got["id"], got["error"]["data"]["why"]), (6, why))
+                received = client.answer()
+                self.assertEqual((received["id"], received["error"]["data"]["why"]), (6, why))
                 client.close()
 
     def test_too_many_events(self):
         """Past the bound of the event queue a request is rejected at once; those in it are answered later."""
         with Running(more="(bounds (events 10))") as running:
-            go, asked = threading.Event(), running.coordinator.handlers[RequestReceived]
-            running.coordinator.handlers[RequestReceived] = lambda event: (go.wait(LONG), asked(event))
+            go, request = threading.Event(), running.coordinator.handlers[RequestReceived]
+            running.coordinator.handlers[RequestReceived] = lambda event: (go.wait(LONG), request(event))
             client = running.client()
             for at in range(40):
                 client.ask(at)
             first = client.answer()
             self.assertEqual(first["error"]["data"]["why"], "overrun")
             go.set()
-            got = {first["id"], *(client.answer()["id"] for _ in range(39))}
-            self.assertEqual(got, set(range(40)))
+            received = {first["id"], *(client.answer()["id"] for _ in range(39))}
+            self.assertEqual(received, set(range(40)))
             client.close()
 
     def test_a_client_that_reads_nothing(self):
@@ -255,11 +255,11 @@
         def large(sock, number):
             source = lines_of(sock)
             hello(sock, source)
-            for asked in source:
-                if asked["method"] == "run":
-                    size = 1 << 20 if asked["params"]["program"] == "plarge" else 10
+            for request in source:
+                if request["method"] == "run":
+                    size = 1 << 20 if request["params"]["program"] == "plarge" else 10
                     body = b'{"output":"%b","standing":"stood"}' % (b"x" * size)
-                    sock.sendall(jsonrpc.result_response(asked["id"], body) + b"\n")
+                    sock.sendall(jsonrpc.result_response(request["id"], body) + b"\n")
 
         with Running((large,), more="(bounds (line 2 MB) (unread 4 MB))") as running:
             deaf, other = running.client(), running.client()
@@ -276,27 +276,29 @@
             threading.Thread(target=flood, daemon=True).start()
             for at in range(30):
                 other.ask(at)
-                got = other.answer()  # a success, or rejected while the flood fills the gateway
-                self.assertTrue(got["id"] == at and ("result" in got or got["error"]["code"] == -32001), got)
+                received = other.answer()  # a success, or rejected while the flood fills the gateway
+                self.assertTrue(
+                    received["id"] == at and ("result" in received or received["error"]["code"] == -32001), received
+                )
             self.assertTrue(
                 until(lambda: running.gateway.client_server.counts["unread"] == 1), running.gateway.client_server.counts
             )
             self.assertTrue(sent.wait(LONG))
             self.assertTrue(until(lambda: not running.coordinator.requests.by_id))
-            self.assertTrue(until(lambda: "does not read" in running.said.getvalue()))
-            for each in (deaf, other):
-                each.close()
+            self.assertTrue(until(lambda: "does not read" in running.log_output.getvalue()))
+            for connection in (deaf, other):
+                connection.close()
 
     def test_many_connections(self):
         """400 connections with 50 open requests on each: each request gets its one answer."""
         with Running((willing, willing), more="(bounds (connections 500))", deadline="60 s", soft="3 s") as running:
             clients = [running.client() for _ in range(400)]
             for client in clients:
-                client.tell(b"".join(CALL % at for at in range(50)))
+                client.send(b"".join(CALL % at for at in range(50)))
             for client in clients:
-                got = [client.answer() for _ in range(50)]
-                self.assertEqual(sorted(each["id"] for each in got), list(range(50)))
-                self.assertTrue(all("result" in each or each["error"]["code"] == -32001 for each in got))
+                received = [client.answer() for _ in range(50)]
+                self.assertEqual(sorted(answer["id"] for answer in received), list(range(50)))
+                self.assertTrue(all("result" in answer or answer["error"]["code"] == -32001 for answer in received))
             self.assertEqual(running.coordinator.counts["unanswered"], 0)
             for client in clients:
                 client.close()
@@ -308,7 +310,7 @@
         with Running() as running:
             slow = [running.client() for _ in range(50)]
             for client in slow:
-                client.tell((CALL % 1)[:30])
+                client.send((CALL % 1)[:30])
             other = running.client()
             other.ask(1)
             self.assertEqual(other.answer()["result"]["answer"], "ok")
