--- a/bench/worker.py
+++ b/bench/worker.py
@@ -26,9 +26,9 @@
 from wickdyke.fault_injection.rule_checker import RuleChecker
 from wickdyke.fault_injection.scenario_runner import ScenarioRunner
 from wickdyke.gateway import log as logs
-from wickdyke.worker import package
+from wickdyke.worker import manifest, package
 from wickdyke.worker.runtime import Worker
-from wickdyke.worker.source import Folder
+from wickdyke.worker.source import FolderStore
 
 CODE = """import os
 held = bytearray(os.urandom(1 << 20) * {mb})
@@ -45,7 +45,7 @@
     os.makedirs(made, exist_ok=True)
     with open(os.path.join(made, "main.py"), "w") as sink:
         sink.write(CODE.format(mb=mb))
-    with open(os.path.join(made, package.MANIFEST), "w") as sink:
+    with open(os.path.join(made, manifest.FILE_NAME), "w") as sink:
         sink.write(f'(package "{name}" (version "1") (entry "main:run") (memory {memory} MB) (lanes 4))')
     package.pack(made, os.path.join(folder, "store"))
 
@@ -105,7 +105,7 @@
     with open(os.path.join(folder, "w.sexp"), "w") as sink:
         sink.write(SHOP.format(cache=cache))
     shop = worker_config.read(os.path.join(folder, "w.sexp"))
-    made = Worker(shop, Folder(shop.folder), logs.logger(io.StringIO(), False)[0])
+    made = Worker(shop, FolderStore(shop.folder), logs.logger(io.StringIO(), False)[0])
     made.open()
     return made
 
@@ -121,7 +121,7 @@
     cold, cached, plain = [], [], []
     for at in range(rounds):
         worker = begin(folder, f"cache{at}")
-        gate = Gate(worker.settings.listen)
+        gate = Gate(worker.config.listen)
         cold.append(gate.run("p"))
         gate.drop("p")
         cached.append(gate.run("p"))
@@ -142,7 +142,7 @@
 def calls(folder: str, rounds: int) -> list[list[str]]:
     """Calls of one copy: one at a time, and many out; the hop beside a function call with the same encoding."""
     worker = begin(folder, "cache0")
-    gate = Gate(worker.settings.listen)
+    gate = Gate(worker.config.listen)
     gate.run("p")
     alone = [statistics.median(gate.run("p") for _ in range(200)) for _ in range(rounds)]
     rate = [2000 / gate.run("p", 2000 // 20) * 1000 / 20 for _ in range(rounds)]
@@ -157,7 +157,7 @@
     for mb in sizes:
         pack(folder, f"m{mb}", mb, mb + 24)
     worker = begin(folder, "cacheM")
-    gate = Gate(worker.settings.listen)
+    gate = Gate(worker.config.listen)
     rows = []
     for mb in sizes:
         gate.run(f"m{mb}")
--- a/tests/test_storage_faults.py
+++ b/tests/test_storage_faults.py
@@ -15,10 +15,11 @@
 from unittest import mock
 
 from tests import test_worker as rig
-from wickdyke.worker import cache as caches
-from wickdyke.worker import package, store, store_client
-from wickdyke.worker.cache import PART, Cache, NoRoom
-from wickdyke.worker.source import Folder, Unknown
+from wickdyke.worker import cache_files, package, package_digest, store, store_client
+from wickdyke.worker.cache import Cache
+from wickdyke.worker.cache_directory import TEMPORARY_PREFIX
+from wickdyke.worker.cache_index import MB, CacheFullError
+from wickdyke.worker.source import FolderStore, PackageNotFoundError
 
 CALLS = "open write fsync rename replace unlink mkdir rmdir listdir scandir stat lstat utime sendfile".split()
 
@@ -81,7 +82,7 @@
         for name in self.only:
             self.stack.enter_context(mock.patch.object(os, name, self.standing_in(name, getattr(os, name))))
         # zipfile reads what it is given by path through io.open: not a path that writes
-        for module in (caches, store_client, package, shutil):
+        for module in (cache_files, store_client, package, package_digest, shutil):
             self.stack.enter_context(mock.patch.object(module, "open", self._opened(builtins.open), create=True))
         return self
 
@@ -107,13 +108,13 @@
             rig.write(self.path(f"f{at}", "deep"), name=f"p{at}", code="#")
             os.unlink(self.path(f"f{at}", "deep", "package.sexp"))
             path = package.pack(self.path(f"f{at}"), self.path("s"))[1]
-            self.packs.append((path, package.file_digest(path)))
+            self.packs.append((path, package_digest.file_digest(path)))
         self.cached = self.path("c")
 
     def take(self, cache, at):
         """Takes the package and checks that it is the right one, whole."""
         path, digest = self.packs[at]
-        made, folder = cache.take(digest, lambda to: shutil.copyfile(path, to))
+        made, folder = cache.acquire(digest, lambda to: shutil.copyfile(path, to))
         self.assertEqual((made.name, os.path.basename(folder)), (f"p{at}", digest[7:]))
         self.whole(folder, at)
 
@@ -129,22 +130,22 @@
         cache = Cache(self.cached, MOST)
         for at in (0, 1):
             self.take(cache, at)
-        cache.give(self.packs[1][1])
+        cache.release(self.packs[1][1])
         return cache
 
     def mended(self, cache, used):
         """Writing works again: loads go on, nothing is left over, bytes counted are bytes on disk, uses are right."""
-        self.assertEqual(cache.used, used)
+        self.assertEqual(cache.index.use_counts, used)
         self.take(cache, 2)
-        cache.give(self.packs[2][1])
-        self.assertEqual(cache.used, used)
-        self.assertEqual((cache.coming, cache.leftovers), (0, {}))
-        self.assertEqual(sorted(os.listdir(self.cached)), sorted(cache.sizes))
-        self.assertEqual(sorted(cache.order), sorted(cache.sizes))
+        cache.release(self.packs[2][1])
+        self.assertEqual(cache.index.use_counts, used)
+        self.assertEqual((cache.index.reserved, cache.index.leftovers), (0, {}))
+        self.assertEqual(sorted(os.listdir(self.cached)), sorted(cache.index.sizes))
+        self.assertEqual(sorted(cache.index.order), sorted(cache.index.sizes))
         self.assertEqual(cache.bytes, on_disk(self.cached))
-        self.assertLessEqual(cache.bytes, MOST * caches.MB)
+        self.assertLessEqual(cache.bytes, MOST * MB)
         for at, (_, digest) in enumerate(self.packs):
-            if digest[7:] in cache.sizes:
+            if digest[7:] in cache.index.sizes:
                 self.whole(os.path.join(self.cached, digest[7:]), at)
 
 
@@ -175,12 +176,12 @@
 
         def judge(cache, raised):
             if raised is None:
-                cache.give(self.packs[2][1])
+                cache.release(self.packs[2][1])
             else:
-                self.assertIsInstance(raised, (OSError, package.InvalidConfigError, NoRoom))
+                self.assertIsInstance(raised, (OSError, package.InvalidConfigError, CacheFullError))
             unpacked = on_disk(self.cached) - on_disk_of_archives(self.cached)
             self.assertGreaterEqual(cache.bytes, unpacked)
-            self.assertLessEqual(unpacked, MOST * caches.MB)
+            self.assertLessEqual(unpacked, MOST * MB)
             self.whole(os.path.join(self.cached, self.packs[0][1][7:]), 0)  # in use: never touched
             self.mended(cache, one)
 
@@ -189,14 +190,14 @@
 
     def take_only(self, cache, at):
         path, digest = self.packs[at]
-        return cache.take(digest, lambda to: shutil.copyfile(path, to))
+        return cache.acquire(digest, lambda to: shutil.copyfile(path, to))
 
     def test_a_load_of_what_is_there(self):
         """A load of an entry: file times that can't be set, a manifest that can't be read."""
 
         def judge(cache, raised):
             if raised is None:
-                cache.give(self.packs[1][1])
+                cache.release(self.packs[1][1])
             self.mended(cache, {self.packs[0][1][7:]: 1})
 
         for more in (0, 3):
@@ -207,15 +208,17 @@
 
         def prepared():
             self.filled()
-            shutil.copytree(os.path.join(self.cached, self.packs[0][1][7:]), os.path.join(self.cached, PART + "1-1"))
-            with open(os.path.join(self.cached, PART + "1-2.zip"), "wb") as sink:
+            shutil.copytree(
+                os.path.join(self.cached, self.packs[0][1][7:]), os.path.join(self.cached, TEMPORARY_PREFIX + "1-1")
+            )
+            with open(os.path.join(self.cached, TEMPORARY_PREFIX + "1-2.zip"), "wb") as sink:
                 sink.write(b"x" * 1000)
             return []
 
         def act(made):
             made.append(Cache(self.cached, MOST))
             self.take_only(made[0], 1)
-            made[0].give(self.packs[1][1])
+            made[0].release(self.packs[1][1])
 
         def judge(made, raised):
             self.assertTrue(made, raised)
@@ -252,26 +255,26 @@
             self.assertRaises(OSError, self.take_only, cache, 2)
         left = on_disk(self.cached)
         self.assertEqual(cache.bytes, left)
-        cache.give(self.packs[0][1])
+        cache.release(self.packs[0][1])
         rig.write(self.path("g"), name="small")
         path = package.pack(self.path("g"), self.path("s"))[1]
-        digest = package.file_digest(path)
-        _, folder = cache.take(digest, lambda to: shutil.copyfile(path, to))
+        digest = package_digest.file_digest(path)
+        _, folder = cache.acquire(digest, lambda to: shutil.copyfile(path, to))
         self.assertEqual(sorted(os.listdir(folder)), ["main.py", "package.sexp"])
-        cache.give(digest)
+        cache.release(digest)
         self.mended(cache, {})
 
     def test_no_room_is_made_where_nothing_can_be_removed(self):
         """Removal that fails costs one entry at most, not all of them, and is told as an error."""
         cache = self.filled()
-        cache.give(self.packs[0][1])
+        cache.release(self.packs[0][1])
 
         def broken(*args, **named):
             raise OSError(errno.EIO, "removal fails")
 
         with mock.patch.object(os, "rmdir", broken), mock.patch.object(os, "unlink", broken):
             self.assertRaises(OSError, self.take_only, cache, 2)
-        self.assertEqual(len(cache.sizes), 1)
+        self.assertEqual(len(cache.index.sizes), 1)
         self.assertEqual(cache.bytes, on_disk(self.cached))
         self.mended(cache, {})
 
@@ -280,7 +283,7 @@
         cache = self.filled()
         path, digest = self.packs[2]
         go_on, first, ended, waits = threading.Event(), threading.Event(), {}, []
-        real = cache.filled.wait
+        real = cache.index.fetch_finished.wait
 
         def wait():
             waits.append(1)
@@ -297,12 +300,12 @@
                 shutil.copyfile(path, to)
 
             try:
-                cache.take(digest, had)
+                cache.acquire(digest, had)
                 ended[number] = None
             except Exception as bad:
                 ended[number] = getattr(bad, "errno", bad)
 
-        with mock.patch.object(cache.filled, "wait", wait):
+        with mock.patch.object(cache.index.fetch_finished, "wait", wait):
             threads = [threading.Thread(target=load, args=(number,)) for number in range(3)]
             threads[0].start()
             self.assertTrue(first.wait(30))
@@ -311,8 +314,8 @@
             for thread in threads:
                 thread.join(30)
         self.assertEqual(ended, {0: errno.ENOSPC, 1: None, 2: None})
-        cache.give(digest)
-        cache.give(digest)
+        cache.release(digest)
+        cache.release(digest)
         self.mended(cache, {self.packs[0][1][7:]: 1})
 
 
@@ -330,14 +333,14 @@
             cache = self.filled()
             with Disk(at, kill=True) as disk, contextlib.suppress(Killed):
                 path, digest = self.packs[2]
-                cache.take(digest, lambda to, path=path: shutil.copyfile(path, to))
+                cache.acquire(digest, lambda to, path=path: shutil.copyfile(path, to))
             with self.subTest(at=at):
                 after = Cache(self.cached, MOST)
-                self.assertEqual(after.leftovers, {})
+                self.assertEqual(after.index.leftovers, {})
                 self.assertEqual(after.bytes, on_disk(self.cached))
                 for number in (0, 1, 2):
                     self.take(after, number)
-                    after.give(self.packs[number][1])
+                    after.release(self.packs[number][1])
                 self.mended(after, {})
             if not disk.dead:
                 self.assertGreater(at, 20)
@@ -349,7 +352,9 @@
         while True:
             at += 1
             self.filled()
-            shutil.copytree(os.path.join(self.cached, self.packs[0][1][7:]), os.path.join(self.cached, PART + "1-1"))
+            shutil.copytree(
+                os.path.join(self.cached, self.packs[0][1][7:]), os.path.join(self.cached, TEMPORARY_PREFIX + "1-1")
+            )
             with Disk(at, kill=True) as disk, contextlib.suppress(Killed):
                 Cache(self.cached, MOST)
             with self.subTest(at=at):
@@ -381,7 +386,7 @@
                 harm(os.path.join(self.cached, self.packs[1][1][7:]))
                 after = Cache(self.cached, MOST)
                 self.take(after, 1)
-                after.give(self.packs[1][1])
+                after.release(self.packs[1][1])
                 self.mended(after, {})
 
 
@@ -395,12 +400,12 @@
             with mock.patch.object(time, "time_ns", lambda wall=wall: int(wall[0] * 1e9)):
                 for at in [0, 1, 2, *(rng.randrange(3) for _ in range(6))]:
                     self.take(cache, at)
-                    cache.give(self.packs[at][1])
+                    cache.release(self.packs[at][1])
                     name = self.packs[at][1][7:]
                     order = [each for each in order if each != name] + [name]
-                    self.assertEqual(cache.order, order)
+                    self.assertEqual(cache.index.order, order)
                     wall[0] += rng.choice((0.0, 0.5, HOUR, -HOUR, 5.0, -5.0))
-                self.assertEqual(Cache(self.cached, 10.0).order, order)
+                self.assertEqual(Cache(self.cached, 10.0).index.order, order)
 
     def test_times_out_of_range(self):
         """Entries with file times far ahead do not hold up a load."""
@@ -418,16 +423,16 @@
         for name in ("listdir", "stat"):
             for error in ERRORS:
                 with self.subTest(name=name, error=error):
-                    folder = Folder(self.path("s"))
+                    folder = FolderStore(self.path("s"))
                     with mock.patch.object(os, name, side_effect=OSError(error, "fails")):
                         self.assertRaises(OSError, folder.find, "p0")
                     self.assertEqual(folder.find("p0").version, "1.0")
-        self.assertRaises(Unknown, Folder(self.path("none")).find, "p0")
-        self.assertRaises(Unknown, Folder(self.path("s")).find, "p9")
+        self.assertRaises(PackageNotFoundError, FolderStore(self.path("none")).find, "p0")
+        self.assertRaises(PackageNotFoundError, FolderStore(self.path("s")).find, "p9")
 
     def test_the_service_tells_so(self):
         """The store service answers a failing folder with an error that is not `unknown`, on the same connection."""
-        served = store.Store(self.path("st.sock"), self.path("s"), 1e9, 4, None)
+        served = store.StoreServer(self.path("st.sock"), self.path("s"), 1e9, 4)
         self.addCleanup(served.close)
         service = store_client.StoreClient(self.path("st.sock"))
         real, wrong = os.listdir, [True]
@@ -446,14 +451,14 @@
 
     def test_a_full_disk_is_told_at_once(self):
         """What comes can't be written: the fetch ends with that error, and the store is not asked again for it."""
-        served = store.Store(self.path("st.sock"), self.path("s"), 1e9, 4, None)
+        served = store.StoreServer(self.path("st.sock"), self.path("s"), 1e9, 4)
         self.addCleanup(served.close)
         service = store_client.StoreClient(self.path("st.sock"))
         found = service.find("p0")
         for error in ERRORS:
             with (
                 Disk(2, error, 1000, only=()),
-                mock.patch.object(service, "_ask", side_effect=service._ask) as asked,
+                mock.patch.object(service, "_request", side_effect=service._request) as asked,
                 self.assertRaises(OSError) as told,
             ):
                 service.fetch(found, self.path("had.zip"))
@@ -494,19 +499,19 @@
                     self.assertIsNone(gate.run(name)[0])
                     gate.answer(gate.say("hold", program=name, memory_mb=64.0, lanes=2, copies=0))
                     gate.say("drop", program=name)
-                    self.assertEqual(worker.cache.bytes, on_disk(worker.cache.folder))
+                    self.assertEqual(worker.cache.bytes, on_disk(worker.cache.directory.path))
 
     def test_a_fault_of_ours_in_a_load(self):
         """Whatever a load raises, its calls have their answer, the calls that wait with it too, and loads go on."""
         worker, gate = self.worker(more="(loads-at-once 1)")
-        real, first = worker.store.find, [RuntimeError("odd"), MemoryError(), KeyError("odd")]
+        real, first = worker.loader.store.find, [RuntimeError("odd"), MemoryError(), KeyError("odd")]
 
         def find(program):
             if first:
                 raise first.pop()
             return real(program)
 
-        with mock.patch.object(worker.store, "find", find):
+        with mock.patch.object(worker.loader.store, "find", find):
             for _ in range(3):
                 self.assertEqual(gate.run()[0], -32011)
             self.assertIsNone(gate.run()[0])
--- a/tests/test_worker.py
+++ b/tests/test_worker.py
@@ -28,12 +28,14 @@
 from wickdyke.fault_injection.rule_checker import RuleChecker
 from wickdyke.fault_injection.scenario_runner import ScenarioRunner
 from wickdyke.gateway import log as logs
-from wickdyke.worker import meter, package
-from wickdyke.worker.cache import PART, Cache, NoRoom
+from wickdyke.worker import meter, package, package_digest
+from wickdyke.worker.cache import Cache
+from wickdyke.worker.cache_directory import TEMPORARY_PREFIX
+from wickdyke.worker.cache_index import CacheFullError
 from wickdyke.worker.rate_limiter import RateLimiter
 from wickdyke.worker.runtime import Worker
-from wickdyke.worker.source import Folder, Unknown
-from wickdyke.worker.store import Store
+from wickdyke.worker.source import FolderStore, PackageNotFoundError
+from wickdyke.worker.store import StoreServer
 from wickdyke.worker.store_client import StoreClient
 
 MANIFEST = (
@@ -139,7 +141,7 @@
         for at in range(2):
             write(self.path(f"f{at}"))
             os.utime(self.path(f"f{at}", "main.py"), (at * 1e6, at * 1e6))
-            digests.add(package.file_digest(package.pack(self.path(f"f{at}"), self.path(f"s{at}"))[1]))
+            digests.add(package_digest.file_digest(package.pack(self.path(f"f{at}"), self.path(f"s{at}"))[1]))
         self.assertEqual(len(digests), 1)
 
     def archive(self, *entries, digest=None, cut=None):
@@ -158,7 +160,7 @@
         """(entries, bytes kept) -> words of the one trouble."""
         code = b"def run(x): return x\n"
         text = MANIFEST.format(name="p", version="1.0", memory=64, lanes=1)
-        right = text[:-1] + f' (digest "{package.content_digest([("main.py", code)])}"))'
+        right = text[:-1] + f' (digest "{package_digest.content_digest([("main.py", code)])}"))'
         plain = [("package.sexp", right), ("main.py", code)]
         for entries, cut, words in (
             ([*plain, ("../out.py", b"1")], None, ("../out.py", "stay inside")),
@@ -208,7 +210,7 @@
         for version in ("1.9", "1.10", "1.2.3"):
             write(self.path("f" + version), name="a/p", version=version)
             package.pack(self.path("f" + version), self.path("s"))
-        store = Folder(self.path("s"))
+        store = FolderStore(self.path("s"))
         for program, version in (
             ("a/p", "1.10"),
             ("a/p@1.9", "1.9"),
@@ -222,7 +224,7 @@
         ):
             with self.subTest(program=program):
                 if version is None:
-                    self.assertRaises(Unknown, store.find, program)
+                    self.assertRaises(PackageNotFoundError, store.find, program)
                 else:
                     self.assertEqual(store.find(program).version, version)
 
@@ -231,23 +233,23 @@
     def packed(self, at, size=1000):
         write(self.path(f"f{at}"), name=f"p{at}", code=CODE + "#" + "x" * size)
         path = package.pack(self.path(f"f{at}"), self.path("s"))[1]
-        return path, package.file_digest(path)
+        return path, package_digest.file_digest(path)
 
     def test_bound(self):
         """Least lately used go first, those in use never; nothing is left of what did not fit."""
         packs = [self.packed(at, 400_000) for at in range(4)]
         cache = Cache(self.path("c"), 1.0)
-        cache.take(packs[0][1], lambda to: shutil.copy(packs[0][0], to))
+        cache.acquire(packs[0][1], lambda to: shutil.copy(packs[0][0], to))
         for at in (1, 2, 3, 1):
-            cache.take(packs[at][1], lambda to, at=at: shutil.copy(packs[at][0], to))
+            cache.acquire(packs[at][1], lambda to, at=at: shutil.copy(packs[at][0], to))
             if at != 1:
-                cache.give(packs[at][1])
+                cache.release(packs[at][1])
             self.assertLessEqual(cache.bytes, 1 << 20)
-            self.assertIn(packs[0][1][7:], cache.sizes)
+            self.assertIn(packs[0][1][7:], cache.index.sizes)
             if at == 1:
-                self.assertRaises(NoRoom, cache.take, packs[2][1], lambda to: shutil.copy(packs[2][0], to))
-                cache.give(packs[1][1])
-        self.assertEqual(sorted(os.listdir(self.path("c"))), sorted(cache.sizes))
+                self.assertRaises(CacheFullError, cache.acquire, packs[2][1], lambda to: shutil.copy(packs[2][0], to))
+                cache.release(packs[1][1])
+        self.assertEqual(sorted(os.listdir(self.path("c"))), sorted(cache.index.sizes))
 
     def test_bad_fetches(self):
         """(what the store gives) -> refused, nothing left behind, and the right one is taken after."""
@@ -268,9 +270,9 @@
             (short, InvalidConfigError),
             (broken, OSError),
         ):
-            self.assertRaises(error, cache.take, digest, fetch)
+            self.assertRaises(error, cache.acquire, digest, fetch)
             self.assertEqual(os.listdir(self.path("c")), [])
-        made, folder = cache.take(digest, lambda to: shutil.copy(path, to))
+        made, folder = cache.acquire(digest, lambda to: shutil.copy(path, to))
         self.assertEqual((made.name, sorted(os.listdir(folder))), ("p0", ["main.py", "package.sexp"]))
 
     def test_killed(self):
@@ -282,8 +284,8 @@
             shutil.rmtree(self.path("c"), ignore_errors=True)
             cache = Cache(self.path("c"), 1.0)
             for path, digest in packs[:2]:
-                cache.take(digest, lambda to, path=path: shutil.copy(path, to))
-                cache.give(digest)
+                cache.acquire(digest, lambda to, path=path: shutil.copy(path, to))
+                cache.release(digest)
             pid = os.fork()
             if pid == 0:
                 seen = [0]
@@ -299,15 +301,15 @@
 
                 for name in steps:
                     setattr(os, name, counted(getattr(os, name)))
-                cache.take(packs[2][1], lambda to: shutil.copy(packs[2][0], to))
+                cache.acquire(packs[2][1], lambda to: shutil.copy(packs[2][0], to))
                 os._exit(0)
             status = os.waitstatus_to_exitcode(os.waitpid(pid, 0)[1])
             after = Cache(self.path("c"), 1.0)
-            self.assertFalse([name for name in os.listdir(self.path("c")) if name.startswith(PART)])
+            self.assertFalse([name for name in os.listdir(self.path("c")) if name.startswith(TEMPORARY_PREFIX)])
             self.assertLessEqual(after.bytes, 1 << 20)
-            for name in after.sizes:  # whole: its contents have the digest that its manifest states
+            for name in after.index.sizes:  # whole: its contents have the digest that its manifest states
                 package.from_folder(self.path("c", name))
-            after.take(packs[2][1], lambda to: shutil.copy(packs[2][0], to))
+            after.acquire(packs[2][1], lambda to: shutil.copy(packs[2][0], to))
             if status == 0:
                 total = kill_at
                 break
@@ -326,7 +328,7 @@
         self.archive = path
 
     def store(self, pace=1e9, readers=8):
-        made = Store(self.path("s.sock"), self.path("s"), pace, readers, None)
+        made = StoreServer(self.path("s.sock"), self.path("s"), pace, readers)
         self.addCleanup(made.close)
         return made
 
@@ -371,7 +373,7 @@
         self.store()
         self.assertEqual(self.fetched(StoreClient(self.path("s.sock"))), self.whole)
         for program, words in (("q", "no package q"), ("p@2", "no package p@2"), ("../s/p", "names no package")):
-            with self.subTest(program=program), self.assertRaisesRegex(Unknown, words):
+            with self.subTest(program=program), self.assertRaisesRegex(PackageNotFoundError, words):
                 StoreClient(self.path("s.sock")).find(program)
 
     def test_breaks(self):
@@ -427,7 +429,7 @@
         found = service.find("p")
         cache = Cache(self.path("c"), 10.0)
         with self.assertRaisesRegex(InvalidConfigError, "as the store said"):
-            cache.take(found.digest, lambda to: service.fetch(found, to))
+            cache.acquire(found.digest, lambda to: service.fetch(found, to))
         self.assertEqual(os.listdir(self.path("c")), [])
 
     def test_replaced_while_read(self):
@@ -442,7 +444,7 @@
             self.assertEqual(source.read(), self.whole)
         write(self.path("f"), code=CODE + "# other")
         package.pack(self.path("f"), self.path("s"))
-        with self.assertRaisesRegex(Unknown, "any more"):
+        with self.assertRaisesRegex(PackageNotFoundError, "any more"):
             service.fetch(found, self.path("got"))
 
     def test_crowded(self):
@@ -599,7 +601,7 @@
         shop = worker_config.read(self.path("w.sexp"))
         self.said = io.StringIO()
         log, _ = logs.logger(self.said, False)
-        made = Worker(shop, Folder(shop.folder), log)
+        made = Worker(shop, FolderStore(shop.folder), log)
         made.open()
         self.addCleanup(made.close)
         gate = Gate(shop.listen)
@@ -675,7 +677,7 @@
         self.assertIsNone(gate.run("a")[0])
         gate.say("drop", program="a")
         self.assertIsNone(gate.run("b")[0])
-        self.assertEqual(len(worker.cache.sizes), 1)
+        self.assertEqual(len(worker.cache.index.sizes), 1)
 
     def test_memory_told(self):
         """(what copies hold, whether a child shares it) -> told within 5% of the kernel's own lines, summed here."""
@@ -850,7 +852,7 @@
             sink.write(
                 SHOP.format(memory=400, idle=60, cache=50, more="").replace('(folder "store")', '(service "s.sock")')
             )
-        slow = Store(self.path("s.sock"), self.path("store"), 50_000.0, 8, None)
+        slow = StoreServer(self.path("s.sock"), self.path("store"), 50_000.0, 8)
         parts = []
         for at in range(2):
             process = subprocess.Popen(
@@ -870,7 +872,9 @@
                         until(
                             lambda: sum(
                                 size > 0
-                                for size in map(os.path.getsize, sorted(glob.glob(self.path("cache", PART + "*"))))
+                                for size in map(
+                                    os.path.getsize, sorted(glob.glob(self.path("cache", TEMPORARY_PREFIX + "*")))
+                                )
                             )
                             == 2
                         )
@@ -878,7 +882,7 @@
                     process.kill()
                     parts = os.listdir(self.path("cache"))
                     slow.close()
-                    fast = Store(self.path("s.sock"), self.path("store"), 1e9, 8, None)
+                    fast = StoreServer(self.path("s.sock"), self.path("store"), 1e9, 8)
                     self.addCleanup(fast.close)
                 else:
                     self.assertEqual([gate.run(name)[0] for name in "ab"], [None, None])
@@ -937,13 +941,13 @@
                 os.read(reads, 1)
                 os._exit(len(held) & 0)
             pids.append(pid)
-        total = meter.alone(os.getpid()) + sum(map(meter.alone, pids))
+        total = meter.process_memory(os.getpid()) + sum(map(meter.process_memory, pids))
         for (reads, writes), pid in zip(ends, pids, strict=True):
             os.write(writes, b"x")
             os.close(reads)
             os.close(writes)
             os.waitpid(pid, 0)
-        alone = meter.alone(os.getpid())
+        alone = meter.process_memory(os.getpid())
         self.assertLess(abs(total - alone), 0.25 * alone)  # four resident sizes would add up to nearly four times
 
 
--- a/tests/test_worker_schedule.py
+++ b/tests/test_worker_schedule.py
@@ -139,7 +139,7 @@
                 pull(schedule)
                 schedule.advance(100.0 + ms)
                 if lives:
-                    schedule.lane_freed(copy)
+                    schedule.slot_freed(copy)
                 pull(schedule)
                 self.assertEqual(copy.state, ReplicaState.READY if lives else ReplicaState.REMOVED)
 
@@ -289,7 +289,9 @@
                     assert ahead[0] == it.key, "one that came later goes first"
                     self.running[it.key] = copy
                     inside = sum(each is copy for each in self.running.values())
-                    assert inside + sum(each is copy for _, each in self.stuck) <= copy.lanes, "more than its lanes"
+                    assert inside + sum(each is copy for _, each in self.stuck) <= copy.concurrency, (
+                        "more than its lanes"
+                    )
                 case "refuse":
                     assert self.open.pop(it.key, None) is not None, "answered twice"
                     self.running.pop(it.key, None)
@@ -391,7 +393,7 @@
         self.tell()
         if self.stuck:
             _, copy = self.stuck.pop(0)
-            self.schedule.lane_freed(copy)
+            self.schedule.slot_freed(copy)
             self.pull()
 
     @rule(at=st.integers(0, 20))
@@ -437,7 +439,7 @@
         if schedule.running < schedule.limits.concurrency:
             for program in schedule.pool.functions.values():
                 assert not program.waiting or not any(
-                    copy.state == ReplicaState.READY and len(copy.requests) + copy.stopping < copy.lanes
+                    copy.state == ReplicaState.READY and len(copy.requests) + copy.stopping < copy.concurrency
                     for copy in program.replicas
                 )
 
--- a/wickdyke/cli/worker.py
+++ b/wickdyke/cli/worker.py
@@ -1,7 +1,8 @@
-"""worker, pack and store."""
+"""The commands worker, pack and store."""
 
 import os
 import sys
+from typing import NoReturn, TextIO
 
 import click
 
@@ -11,13 +12,15 @@
 from wickdyke.gateway import log as logs
 from wickdyke.transport import termination
 from wickdyke.transport.line_server import AddressInUse
-from wickdyke.worker import package
+from wickdyke.worker import package, package_digest
+from wickdyke.worker.cache_index import MB
 from wickdyke.worker.runtime import Worker
-from wickdyke.worker.source import Folder
-from wickdyke.worker.store import Store
+from wickdyke.worker.source import FolderStore, PackageStore
+from wickdyke.worker.store import StoreServer
 from wickdyke.worker.store_client import StoreClient
 
-BAD = 2
+INVALID_EXIT_CODE = 2
+DRAIN_MARGIN = 1000  # ms beyond the longest run time that a worker drains
 
 
 @click.command()
@@ -37,30 +40,33 @@
         wickdyke worker deploy/worker.sexp
     """
     try:
-        shop = worker_config.read(file)
-    except InvalidConfigError as bad:
-        _fail(str(bad))
+        config = worker_config.read(file)
+    except InvalidConfigError as error:
+        _fail(str(error))
+    log, log_writer = logs.logger(_open_log(log_file or config.log), as_json, worker=config.name)
+    trace = trace or config.trace
+    terminated = termination.asked()
     try:
-        sink = logs.opened(log_file or shop.log)
-    except OSError as bad:
-        _fail(f"{bad.filename}: found no file to append to ({bad.strerror}), expected one")
-    log, scribe = logs.logger(sink, as_json, worker=shop.name)
-    trace = trace or shop.trace
-    ended = termination.asked()
-    try:
-        source = Folder(shop.folder) if shop.folder else StoreClient(shop.service)
-        made = Worker(shop, source, log, TraceRecorder(trace, shop.name) if trace else None, start)
-        made.open()
-    except AddressInUse as bad:
-        _fail(str(bad))
-    except OSError as bad:
-        _fail(f"{bad.filename or shop.listen}: {bad.strerror}")
-    print(f"ready {shop.listen}", flush=True)
-    termination.wait(ended)
-    made.drain(shop.run_time + 1000)
-    made.close()
-    scribe.close()
-    os._exit(0)  # threads may hang in a full pipe; all that is owed is done
+        recorder = TraceRecorder(trace, config.name) if trace else None
+        runtime = Worker(config, _package_store(config), log, recorder, start)
+        runtime.open()
+    except AddressInUse as error:
+        _fail(str(error))
+    except OSError as error:
+        _fail(f"{error.filename or config.listen}: {error.strerror}")
+    print(f"ready {config.listen}", flush=True)
+    termination.wait(terminated)
+    runtime.drain(config.run_time + DRAIN_MARGIN)
+    runtime.close()
+    log_writer.close()
+    os._exit(0)  # threads may hang in a full pipe; everything else is done
+
+
+def _package_store(config: worker_config.WorkerConfig) -> PackageStore:
+    if config.folder:
+        return FolderStore(config.folder)
+    assert config.service is not None  # as checked when the settings were read
+    return StoreClient(config.service)
 
 
 @click.command()
@@ -74,12 +80,12 @@
         wickdyke pack packages/tags --into store
     """
     try:
-        made, path = package.pack(folder, into)
-    except InvalidConfigError as bad:
-        _fail(str(bad))
-    except OSError as bad:
-        _fail(f"{bad.filename or into}: {bad.strerror}")
-    print(f"{path} {package.file_digest(path)} {made.memory:g} MB, {made.lanes} lanes")
+        manifest, path = package.pack(folder, into)
+    except InvalidConfigError as error:
+        _fail(str(error))
+    except OSError as error:
+        _fail(f"{error.filename or into}: {error.strerror}")
+    print(f"{path} {package_digest.file_digest(path)} {manifest.memory:g} MB, {manifest.concurrency} lanes")
 
 
 @click.command()
@@ -95,25 +101,29 @@
         wickdyke store deploy/store.sexp
     """
     try:
-        depot = worker_config.read_store_config(file)
-    except InvalidConfigError as bad:
-        _fail(str(bad))
+        config = worker_config.read_store_config(file)
+    except InvalidConfigError as error:
+        _fail(str(error))
+    _, log_writer = logs.logger(_open_log(log_file), False, store=config.listen)
+    terminated = termination.asked()
     try:
-        sink = logs.opened(log_file)
-    except OSError as bad:
-        _fail(f"{bad.filename}: found no file to append to ({bad.strerror}), expected one")
-    log, scribe = logs.logger(sink, False, store=depot.listen)
-    ended = termination.asked()
+        server = StoreServer(config.listen, config.folder, config.pace * MB, config.readers)
+    except AddressInUse as error:
+        _fail(str(error))
+    print(f"ready {config.listen}", flush=True)
+    termination.wait(terminated)
+    server.close()
+    log_writer.close()
+
+
+def _open_log(path: str | None) -> TextIO | None:
+    """The log file, or standard error where there is no path; ends the command where it can't be opened."""
     try:
-        made = Store(depot.listen, depot.folder, depot.pace * (1 << 20), depot.readers, log)
-    except AddressInUse as bad:
-        _fail(str(bad))
-    print(f"ready {depot.listen}", flush=True)
-    termination.wait(ended)
-    made.close()
-    scribe.close()
+        return logs.opened(path)
+    except OSError as error:
+        _fail(f"{error.filename}: found no file to append to ({error.strerror}), expected one")
 
 
-def _fail(text: str) -> None:
+def _fail(text: str) -> NoReturn:
     print(text, file=sys.stderr)
-    raise SystemExit(BAD)
+    raise SystemExit(INVALID_EXIT_CODE)
--- a/wickdyke/fault_injection/scenario_runner.py
+++ b/wickdyke/fault_injection/scenario_runner.py
@@ -20,7 +20,7 @@
 from wickdyke.fault_injection import fake_store, fake_worker, load_client, scenario
 from wickdyke.fault_injection.scenario import Fault, Scenario
 from wickdyke.fault_injection.trace import TraceRecorder, clock
-from wickdyke.worker import package
+from wickdyke.worker import manifest, package
 
 GATEWAY = (sys.executable, "-m", "wickdyke.cli", "serve")
 START_WITHIN = 30.0  # s until a process must be ready; generous, machines are busy
@@ -139,7 +139,7 @@
             for at in range(method.programs):
                 with open(os.path.join(folder, "main.py"), "w", encoding="utf-8") as sink:
                     sink.write(PACKAGE.format(load=method.load))
-                with open(os.path.join(folder, package.MANIFEST), "w", encoding="utf-8") as sink:
+                with open(os.path.join(folder, manifest.FILE_NAME), "w", encoding="utf-8") as sink:
                     sink.write(
                         f'(package "{method.name}/{at}" (version "1") (entry "main:run")'
                         f" (memory {method.memory:g} MB) (lanes {method.lanes}))"
--- a/wickdyke/worker/__init__.py
+++ b/wickdyke/worker/__init__.py
@@ -1,1 +1,1 @@
-"""A worker runtime: packages loaded on demand into processes, honest memory, and cold starts that hold."""
+"""A worker: loads packages on demand into replica processes, runs requests there, and measures their memory."""
--- a/wickdyke/worker/actions.py
+++ b/wickdyke/worker/actions.py
@@ -1,4 +1,4 @@
-"""What the schedule decides. The host carries these out, in their order."""
+"""The actions that the schedule decides on. The host carries them out in their order."""
 
 from dataclasses import dataclass
 
@@ -29,7 +29,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Run:
-    """Hand the request to a free lane of the replica."""
+    """Run the request in a free slot of the replica."""
 
     request: Request
     replica: Replica
@@ -37,7 +37,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Stop:
-    """Have the replica's lane end the request, which is answered or cancelled."""
+    """Have the replica stop the request, which has been answered or cancelled."""
 
     request: Request
     replica: Replica
@@ -45,7 +45,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Reject:
-    """Answer the request with an error; `request.started_at` tells whether it may have run."""
+    """Answer the request with an error; it may have run if `request.started_at` is set."""
 
     request: Request
     rejection: Rejection
@@ -53,7 +53,7 @@
 
 @dataclass(slots=True, frozen=True)
 class PrewarmDone:
-    """Answer the prewarm request: so many replicas are ready."""
+    """Answer the prewarm request: `ready` replicas can serve."""
 
     prewarm: PrewarmRequest
     ready: int
@@ -61,7 +61,7 @@
 
 @dataclass(slots=True, frozen=True)
 class PrewarmFailed:
-    """Answer the prewarm request with an error; so many replicas are ready."""
+    """Answer the prewarm request with an error; `ready` replicas can serve."""
 
     prewarm: PrewarmRequest
     rejection: Rejection
--- a/wickdyke/worker/gateway_server.py
+++ b/wickdyke/worker/gateway_server.py
@@ -1,26 +1,33 @@
-"""Takes the JSON-RPC requests of gateways (docs/protocol.md)."""
+"""The worker's server for gateways: the methods of its JSON-RPC protocol (docs/protocol.md)."""
+
+from collections.abc import Callable
 
 import msgspec
 
 from wickdyke.protocol import jsonrpc, worker_messages
 from wickdyke.transport.line_server import LineConnection, LineServer
-from wickdyke.worker.open_requests import OpenRequests, Recorder, RequestKey
+from wickdyke.worker.open_requests import OpenRequests, Recorder, RequestEnd, RequestKey, request_key
 from wickdyke.worker.schedule_runner import ScheduleRunner, monotonic_ms
 
-ERROR_TEXT_MOST = 300  # characters
+ERROR_LENGTH = 300  # characters of an error's text that are sent
+
+Method = Callable[[LineConnection, jsonrpc.Request], None]
 
 
 class GatewayServer:
-    """One worker's server. `start` is drawn anew at each start of the worker, `name` is the worker's."""
+    """One worker's server. `name` is the worker's; `start` is a random number that identifies this start of it."""
 
     def __init__(
         self, runner: ScheduleRunner, open_requests: OpenRequests, name: str, start: int, record: Recorder
     ) -> None:
-        self.runner, self.open_requests = runner, open_requests
-        self.name, self.start, self.record = name, start, record
+        self.runner = runner
+        self.open_requests = open_requests
+        self.name = name
+        self.start = start
+        self.record = record
         self.started_at = monotonic_ms()
         self.server: LineServer | None = None
-        self.methods = {
+        self.methods: dict[str, Method] = {
             "hello": self._hello,
             "run": self._run,
             "hold": self._prewarm,
@@ -30,7 +37,7 @@
         }
 
     def open(self, address: str) -> None:
-        """Begins to serve; raises AddressInUse, OSError."""
+        """Starts to serve; raises AddressInUse, OSError."""
         self.server = LineServer(address, self._receive, self._disconnected)
 
     def close(self) -> None:
@@ -41,7 +48,7 @@
     @property
     def all_sent(self) -> bool:
         """Whether no answer waits to be sent."""
-        return all(connection.box.empty() for connection in list(self.server.wires))
+        return self.server is None or all(connection.box.empty() for connection in list(self.server.wires))
 
     # ---- requests ----
 
@@ -55,15 +62,16 @@
             method(connection, request)
         except msgspec.MsgspecError as error:
             if not request.told:
-                text = f"Invalid params: {error}"[:ERROR_TEXT_MOST]
+                text = f"Invalid params: {error}"[:ERROR_LENGTH]
                 connection.say(jsonrpc.error_response(request.ident, jsonrpc.INVALID_PARAMS, text))
 
     def _hello(self, connection: LineConnection, request: jsonrpc.Request) -> None:
         connection.who = msgspec.json.decode(request.params, type=worker_messages.GatewayHello).gateway
         self.record("hello", gateway=connection.who, start=self.start)
-        up_ms, draining = monotonic_ms() - self.started_at, self.runner.schedule.draining
-        standing = worker_messages.WorkerHello(worker_messages.VERSION, self.name, self.start, up_ms, draining)
-        connection.say(jsonrpc.result_response(request.ident, jsonrpc.encode(standing)))
+        up_ms = monotonic_ms() - self.started_at
+        draining = self.runner.schedule.draining
+        answer = worker_messages.WorkerHello(worker_messages.VERSION, self.name, self.start, up_ms, draining)
+        connection.say(jsonrpc.result_response(request.ident, jsonrpc.encode(answer)))
 
     def _check_health(self, connection: LineConnection, request: jsonrpc.Request) -> None:
         with self.runner.lock:
@@ -81,22 +89,24 @@
             schedule.submit(key, run.function, run.memory_mb, run.concurrency, run.time_left_ms)
 
     def _prewarm(self, connection: LineConnection, request: jsonrpc.Request) -> None:
-        hold = msgspec.json.decode(request.params, type=worker_messages.PrewarmRequest)
+        prewarm = msgspec.json.decode(request.params, type=worker_messages.PrewarmRequest)
         with self.runner.event() as schedule:
-            self.record("hold", gateway=connection.who, program=hold.function, copies=hold.replicas, start=self.start)
+            self.record(
+                "hold", gateway=connection.who, program=prewarm.function, copies=prewarm.replicas, start=self.start
+            )
             key = RequestKey(connection, request.ident)
-            schedule.prewarm(key, hold.function, hold.memory_mb, hold.concurrency, hold.replicas)
+            schedule.prewarm(key, prewarm.function, prewarm.memory_mb, prewarm.concurrency, prewarm.replicas)
 
     def _unload_idle(self, connection: LineConnection, request: jsonrpc.Request) -> None:
-        drop = msgspec.json.decode(request.params, type=worker_messages.UnloadRequest)
+        unload = msgspec.json.decode(request.params, type=worker_messages.UnloadRequest)
         with self.runner.event() as schedule:
-            schedule.unload_idle(drop.function)
+            schedule.unload_idle(unload.function)
 
     def _cancel(self, connection: LineConnection, request: jsonrpc.Request) -> None:
         cancel = msgspec.json.decode(request.params, type=worker_messages.CancelRequest)
         with self.runner.event() as schedule:
             key = RequestKey(connection, cancel.id)
-            self.open_requests.withdraw(key, "cancelled")
+            self.open_requests.withdraw(key, RequestEnd.CANCELLED)
             schedule.cancel(key)
 
     def _disconnected(self, connection: LineConnection) -> None:
@@ -104,7 +114,8 @@
             if connection.who:
                 self.record("hung-up", gateway=connection.who)
             for key in self.open_requests.of_connection(connection):
-                self.open_requests.withdraw(key, "dropped")
+                self.open_requests.withdraw(key, RequestEnd.DISCONNECTED)
                 schedule.cancel(key)
-            for key in [key for key in schedule.prewarms if key.connection is connection]:
+            prewarm_keys = [request_key(prewarm) for prewarm in schedule.prewarms.values()]
+            for key in [key for key in prewarm_keys if key.connection is connection]:
                 schedule.cancel(key)
--- a/wickdyke/worker/meter.py
+++ b/wickdyke/worker/meter.py
@@ -1,22 +1,22 @@
-"""What processes really take: proportional set sizes from the kernel, in MB, by psutil."""
+"""The memory of processes: proportional set sizes (PSS) from the kernel, in MB, by psutil."""
 
-import psutil
+import psutil  # type: ignore[import-untyped]  # it has no type hints
 
 MB = 1 << 20
 
 
-def family(pid: int) -> float:
-    """Of a process and all that it forked; 0 where it is gone."""
+def tree_memory(pid: int) -> float:
+    """MB of a process and all its descendants; 0 where it is gone."""
     try:
         process = psutil.Process(pid)
-        return alone(pid) + sum(alone(child.pid) for child in process.children(recursive=True))
+        return process_memory(pid) + sum(process_memory(child.pid) for child in process.children(recursive=True))
     except psutil.Error:
         return 0.0
 
 
-def alone(pid: int) -> float:
-    """Of one process: its own pages, and its part of those it shares."""
+def process_memory(pid: int) -> float:
+    """MB of one process: its own pages and its part of those it shares; 0 where it is gone."""
     try:
-        return psutil.Process(pid).memory_full_info().pss / MB
+        return float(psutil.Process(pid).memory_full_info().pss / MB)
     except psutil.Error:
         return 0.0
--- a/wickdyke/worker/model.py
+++ b/wickdyke/worker/model.py
@@ -1,6 +1,6 @@
-"""What a worker's schedule knows of functions, their replicas, requests and prewarm requests.
+"""The records of a worker's schedule: functions, their replicas, requests and prewarm requests.
 
-These are plain records; nothing here decides. Times are milliseconds of the host's clock, memory is in MB.
+Nothing here decides. Times are milliseconds of the host's clock, memory is in MB.
 """
 
 from collections import deque
@@ -13,54 +13,54 @@
 class Rejection(StrEnum):
     """Why a request or a prewarm request got no result. The values are the words of recordings."""
 
-    FULL = "full"  # no capacity: it never ran
+    FULL = "full"  # no capacity: it did not run
     FAILED = "failed"
-    MISS = "miss"  # the load failed: it never ran
-    DRAINING = "draining"  # the worker takes nothing new: it never ran
+    MISS = "miss"  # the load failed: it did not run
+    DRAINING = "draining"  # the worker accepts nothing new: it did not run
     OUT_OF_TIME = "out-of-time"  # it may have run
     ENDED = "ended"  # its replica ended: it may have run
 
 
 class LoadNote(StrEnum):
-    """What an answer says of the replica that served it. The values are words on the wire."""
+    """Whether the replica that served a request was loaded for it. The values are words on the wire."""
 
-    STOOD = "stood"  # it was loaded already
-    BEGAN = "began"  # this request began the load
-    AWAITED = "awaited"  # it waited for a load that had begun before
+    ALREADY_LOADED = "stood"
+    STARTED_LOAD = "began"  # this request started the load
+    AWAITED_LOAD = "awaited"  # it waited for a load that had been started before
 
 
 class ReplicaState(StrEnum):
-    """The life of a replica."""
+    """The life cycle of a replica."""
 
     QUEUED = "queued"  # its load has not begun
     LOADING = "loading"
     READY = "ready"
-    DRAINING = "draining"  # a request in it does not end: it gets no further one
+    DRAINING = "draining"  # a stopped request in it does not end: it gets no further request
     REMOVED = "removed"
 
 
 @dataclass(slots=True, frozen=True)
 class ScheduleLimits:
-    """What a worker takes. Times are ms, memory is MB."""
+    """A worker's limits. Times are ms, memory is MB."""
 
     memory: float
     concurrency: int  # requests that run at once
     load_concurrency: int  # loads at once
-    queue: int  # requests held, running or not
+    queue: int  # requests accepted, running or not
     idle_timeout: float  # after which an idle replica is unloaded
     run_timeout: float  # that a request may run, unless the manifest states less
-    stop_timeout: float  # within which a lane has to end a stopped request
+    stop_timeout: float  # within which a stopped request has to end
     ramp: Ramp
 
 
 @dataclass(slots=True, eq=False, repr=False)
 class Replica:
-    """A replica of a function. `stopping` counts the lanes whose request was stopped and has not ended yet."""
+    """A replica of a function. `stopping` counts the requests that were stopped and have not ended yet."""
 
     function: "Function"
     number: int
     memory: float
-    lanes: int
+    concurrency: int  # requests at once, each in a slot of its own
     state: ReplicaState = ReplicaState.QUEUED
     requests: list["Request"] = field(default_factory=list)
     stopping: int = 0
@@ -70,18 +70,18 @@
 
     @property
     def charged_memory(self) -> float:
-        """The memory it counts for: as stated, or as measured where that is more."""
+        """The memory it counts for in MB: as stated, or as measured where that is more."""
         return max(self.memory, self.measured_memory)
 
     @property
-    def used_lanes(self) -> int:
-        """Lanes that can't take a request."""
+    def used_slots(self) -> int:
+        """Slots that can't take a request."""
         return len(self.requests) + self.stopping
 
     @property
     def idle(self) -> bool:
-        """Whether it is ready and nothing is in it."""
-        return self.state == ReplicaState.READY and not self.used_lanes
+        """Whether it is ready and has no request."""
+        return self.state == ReplicaState.READY and not self.used_slots
 
     @property
     def running(self) -> bool:
@@ -99,7 +99,7 @@
 
     @property
     def live_replicas(self) -> list[Replica]:
-        """Those that serve requests, now or once they are loaded."""
+        """The replicas that serve requests, now or once they are loaded."""
         return [replica for replica in self.replicas if replica.state != ReplicaState.DRAINING]
 
     @property
@@ -110,26 +110,26 @@
 
 @dataclass(slots=True, eq=False, repr=False)
 class Request:
-    """A request that the worker holds. It gets exactly one answer, unless it is cancelled."""
+    """An accepted request. It gets exactly one answer, unless it is cancelled. `key` is the host's."""
 
     key: object
     function: Function
     memory: float
-    lanes: int
+    concurrency: int  # of a replica that is loaded for it
     deadline: float
     arrived_at: float
-    load_note: LoadNote = LoadNote.STOOD
-    peers: int = 0  # requests of the function that were held when it came
+    load_note: LoadNote = LoadNote.ALREADY_LOADED
+    concurrent: int = 0  # other requests of the function that were in flight as it arrived
     replica: Replica | None = None
     started_at: float | None = None
     done: bool = False
     number: int = 0  # given by the host
-    lost_together: int = 0  # requests in the replica that ended with it
+    requests_in_replica: int = 0  # where its replica ended: the requests that were in it
 
 
 @dataclass(slots=True, eq=False, repr=False)
 class PrewarmRequest:
-    """A request for replicas that is not answered yet."""
+    """A request to have `replicas` of a function ready, not answered yet. `key` is the host's."""
 
     key: object
     function: Function
--- a/wickdyke/worker/open_requests.py
+++ b/wickdyke/worker/open_requests.py
@@ -1,8 +1,9 @@
-"""The requests that gateways wait for: each is answered once, and its begin and end are recorded."""
+"""The requests that gateways wait for: each is answered once, and its start and end are recorded."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
-from typing import NamedTuple
+from enum import StrEnum
+from typing import NamedTuple, cast
 
 import msgspec
 
@@ -28,13 +29,23 @@
     Rejection.OUT_OF_TIME: "its time is up",
     Rejection.ENDED: "its copy ended",
 }
-PEERS_MOST = 30  # reported at most
+CONCURRENT_LIMIT = 30  # the highest count of concurrent requests that is reported
 
-Recorder = Callable[..., None]  # the kind of line, and its values
+
+# Writes a line of the recording: called with its kind, and with its values by the keys of docs/protocol.md.
+Recorder = Callable[..., None]
+
+
+class RequestEnd(StrEnum):
+    """How a request ended, where the worker did not reject it. The values are words of the recording."""
+
+    ANSWERED = "ok"
+    CANCELLED = "cancelled"
+    DISCONNECTED = "dropped"  # its connection ended
 
 
 class RequestKey(NamedTuple):
-    """A request's number, and the connection that it is unique in."""
+    """A request's id, and the connection that it is unique in."""
 
     connection: LineConnection
     ident: jsonrpc.Ident
@@ -49,11 +60,11 @@
 
 @dataclass(slots=True, frozen=True)
 class OpenRequest:
-    """A request that is not answered yet. `job` is its number in the recording."""
+    """A request that is not answered yet. `number` identifies it in the recording."""
 
     run: worker_messages.RunRequest
     mark: str
-    job: int
+    number: int
 
 
 class OpenRequests:
@@ -62,18 +73,21 @@
     def __init__(
         self, schedule: Schedule, load_report: Callable[[], dict[str, float]], start: int, record: Recorder | None
     ) -> None:
-        """`record` takes the recording's lines, if there is one; `start` is this start of the worker."""
-        self.schedule, self.load_report, self.start = schedule, load_report, start
-        self.recording, self.record = record is not None, record or _record_nothing
+        """`record` writes the recording, if there is one; `start` identifies this start of the worker."""
+        self.schedule = schedule
+        self.load_report = load_report
+        self.start = start
+        self.recording = record is not None
+        self.record = record or _record_nothing
         self.open: dict[RequestKey, OpenRequest] = {}
-        self.last_job = 0
+        self.last_number = 0
 
     def __contains__(self, key: RequestKey) -> bool:
         return key in self.open
 
     def add(self, key: RequestKey, run: worker_messages.RunRequest) -> None:
-        """A request came."""
-        self.last_job += 1
+        """Adds a request that arrived."""
+        self.last_number += 1
         mark = _request_mark(run.input) if self.recording else RequestMark()
         self.record(
             "run",
@@ -83,71 +97,85 @@
             work=mark.work_ms,
             token=run.idempotency_key,
             start=self.start,
-            job=self.last_job,
+            job=self.last_number,
         )
-        self.open[key] = OpenRequest(run, mark.mark, self.last_job)
+        self.open[key] = OpenRequest(run, mark.mark, self.last_number)
 
-    def input(self, key: RequestKey) -> msgspec.Raw:
-        """What the function is to be called with."""
-        return self.open[key].run.input
+    def input(self, request: Request) -> msgspec.Raw:
+        """The argument of the function."""
+        return self.open[request_key(request)].run.input
 
     def of_connection(self, connection: LineConnection) -> list[RequestKey]:
-        """The requests that came on a connection."""
+        """The requests that arrived on a connection."""
         return [key for key in self.open if key.connection is connection]
 
-    def withdraw(self, key: RequestKey, cause: str) -> None:
-        """The gateway waits no longer: `cause` is cancelled, or dropped where its connection ended."""
-        held = self.open.pop(key, None)
-        if held is None:
+    def withdraw(self, key: RequestKey, cause: RequestEnd) -> None:
+        """The gateway no longer waits for the answer."""
+        request = self.open.pop(key, None)
+        if request is None:
             return
-        if cause == "cancelled":
-            self.record("cancel", mark=held.mark, gateway=key.connection.who, job=held.job)
-        self._record_end(key, held, cause)
+        if cause == RequestEnd.CANCELLED:
+            self.record("cancel", mark=request.mark, gateway=key.connection.who, job=request.number)
+        self._record_end(key, request, cause)
 
     def answer(self, request: Request, output: msgspec.Raw) -> None:
-        """The function's result."""
-        held = self.open.pop(request.key)
-        self._record_end(request.key, held, "ok")
-        ran = worker_messages.RunResult(output, request.load_note, min(PEERS_MOST, request.peers), self.load_report())
-        request.key.connection.say(jsonrpc.result_response(request.key.ident, jsonrpc.encode(ran)))
+        """Sends the function's result."""
+        key = request_key(request)
+        self._record_end(key, self.open.pop(key), RequestEnd.ANSWERED)
+        concurrent = min(CONCURRENT_LIMIT, request.concurrent)
+        result = worker_messages.RunResult(output, request.load_note, concurrent, self.load_report())
+        key.connection.say(jsonrpc.result_response(key.ident, jsonrpc.encode(result)))
 
     def fail(self, request: Request, message: str) -> None:
-        """The function's error. In the recording it ended well: the function did run."""
-        self._send_error(request, Rejection.FAILED, message, "ok")
+        """Sends the function's error. In the recording the request was answered, as the function did run."""
+        self._send_error(request, Rejection.FAILED, message, RequestEnd.ANSWERED)
 
     def reject(self, request: Request, rejection: Rejection) -> None:
-        """An error of this worker."""
+        """Sends an error of this worker."""
         self._send_error(request, rejection, ERROR_MESSAGES[rejection], rejection)
 
-    def _send_error(self, request: Request, rejection: Rejection, message: str, recorded: str) -> None:
-        held = self.open.pop(request.key, None)
-        if held is None:
+    def _send_error(
+        self, request: Request, rejection: Rejection, message: str, recorded: RequestEnd | Rejection
+    ) -> None:
+        key = request_key(request)
+        open_request = self.open.pop(key, None)
+        if open_request is None:
             return
-        self._record_end(request.key, held, recorded)
-        peers = min(PEERS_MOST, request.peers)
-        data = worker_messages.RunErrorData(peers, self.load_report(), self.schedule.draining, request.lost_together)
-        problem = jsonrpc.error_response(request.key.ident, ERROR_CODES[rejection], message, jsonrpc.encode(data))
-        request.key.connection.say(problem)
+        self._record_end(key, open_request, recorded)
+        data = worker_messages.RunErrorData(
+            min(CONCURRENT_LIMIT, request.concurrent),
+            self.load_report(),
+            self.schedule.draining,
+            request.requests_in_replica,
+        )
+        error = jsonrpc.error_response(key.ident, ERROR_CODES[rejection], message, jsonrpc.encode(data))
+        key.connection.say(error)
+
+    def _record_end(self, key: RequestKey, request: OpenRequest, end: RequestEnd | Rejection) -> None:
+        self.record("end", mark=request.mark, gateway=key.connection.who, how=end, job=request.number)
+
 
-    def _record_end(self, key: RequestKey, held: OpenRequest, how: str) -> None:
-        self.record("end", mark=held.mark, gateway=key.connection.who, how=how, job=held.job)
+def request_key(request: Request | PrewarmRequest) -> RequestKey:
+    """The key under which GatewayServer gave a request to the schedule."""
+    return cast(RequestKey, request.key)
 
 
 def answer_prewarm(prewarm: PrewarmRequest, ready: int) -> None:
-    """Answers that so many replicas are ready."""
-    key = prewarm.key
-    key.connection.say(jsonrpc.result_response(key.ident, jsonrpc.encode(worker_messages.PrewarmResult(ready))))
+    """Answers that `ready` replicas can serve."""
+    key = request_key(prewarm)
+    body = jsonrpc.encode(worker_messages.PrewarmResult(ready))
+    key.connection.say(jsonrpc.result_response(key.ident, body))
 
 
 def reject_prewarm(prewarm: PrewarmRequest, rejection: Rejection, ready: int) -> None:
-    """Answers with an error; so many replicas are ready."""
-    key, code, message = prewarm.key, PREWARM_ERROR_CODES[rejection], ERROR_MESSAGES[rejection]
-    key.connection.say(
-        jsonrpc.error_response(key.ident, code, message, jsonrpc.encode(worker_messages.PrewarmResult(ready)))
-    )
+    """Answers with an error; `ready` replicas can serve."""
+    key = request_key(prewarm)
+    body = jsonrpc.encode(worker_messages.PrewarmResult(ready))
+    error = jsonrpc.error_response(key.ident, PREWARM_ERROR_CODES[rejection], ERROR_MESSAGES[rejection], body)
+    key.connection.say(error)
 
 
-def _record_nothing(what: str, **values: object) -> None:
+def _record_nothing(kind: str, /, **values: object) -> None:
     pass
 
 
--- a/wickdyke/worker/parent_client.py
+++ b/wickdyke/worker/parent_client.py
@@ -11,11 +11,11 @@
 from wickdyke.worker.replica_messages import EndReplica, ReplicaEnded, ReplicaStarted, StartReplica
 
 MESSAGE_BYTES = 1 << 16
-EXIT_TIMEOUT = 10.0  # s that it gets to end by itself
+EXIT_TIMEOUT = 10.0  # s after which it is killed
 
 
 class ParentClient:
-    """Starts the parent and sends it orders. An order is lost where the parent is gone; `events` then ends."""
+    """Starts the parent and sends it messages. They are lost where the parent is gone; `events` then ends."""
 
     def __init__(self) -> None:
         self.control, remote = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
@@ -28,22 +28,23 @@
 
     @property
     def pid(self) -> int:
-        """The parent's process."""
+        """The parent's process id."""
         return self.process.pid
 
     def start_replica(self, order: StartReplica, sock: int, output: int) -> None:
-        """Forks a replica that is given both descriptors: its socket, and the pipe of its output."""
+        """Forks a replica that inherits both descriptors: its socket, and the pipe of its output."""
         with contextlib.suppress(OSError):
             socket.send_fds(self.control, [msgspec.json.encode(order)], [sock, output])
 
     def end_replica(self, number: int) -> None:
-        """Kills a replica with all that it forked."""
+        """Kills a replica and everything that it forked."""
         with contextlib.suppress(OSError):
             self.control.send(msgspec.json.encode(EndReplica(number)))
 
     def events(self) -> Iterator[ReplicaStarted | ReplicaEnded]:
-        """What the parent reports, until it is gone."""
-        decoder = msgspec.json.Decoder(ReplicaStarted | ReplicaEnded)
+        """The parent's messages, until it is gone."""
+        kinds = ReplicaStarted | ReplicaEnded
+        decoder: msgspec.json.Decoder[ReplicaStarted | ReplicaEnded] = msgspec.json.Decoder(kinds)
         while data := self._receive():
             yield decoder.decode(data)
 
--- a/wickdyke/worker/replica_loader.py
+++ b/wickdyke/worker/replica_loader.py
@@ -1,95 +1,131 @@
-"""Loads replicas: fetches the package, starts the process, waits until it is ready. Each load has its own thread."""
+"""Loads replicas: fetches the package, starts the process and waits until it is ready, in a thread for each load."""
 
 import os
 import socket
 import threading
+from dataclasses import dataclass
+
+from structlog.typing import FilteringBoundLogger
 
 from wickdyke.config.sexpr import InvalidConfigError
-from wickdyke.worker import source
 from wickdyke.worker.actions import StartLoad
-from wickdyke.worker.cache import Cache, NoRoom
+from wickdyke.worker.cache import Cache
+from wickdyke.worker.cache_index import CacheFullError
+from wickdyke.worker.manifest import Manifest
 from wickdyke.worker.model import Rejection, Replica, ReplicaState
 from wickdyke.worker.open_requests import Recorder
-from wickdyke.worker.package import Manifest
 from wickdyke.worker.replica_messages import StartReplica
 from wickdyke.worker.replica_process import ReplicaProcess
 from wickdyke.worker.replica_supervisor import ReplicaSupervisor
 from wickdyke.worker.schedule_runner import ScheduleRunner, monotonic_ms
+from wickdyke.worker.source import PackageNotFoundError, PackageStore
 
 START_TIMEOUT = 30.0  # s for a package to be imported
 
 
+class OutOfMemoryError(Exception):
+    """A replica does not fit into the worker's memory, by what its manifest states."""
+
+
+class LoadError(Exception):
+    """A replica could not be started from its package."""
+
+
+@dataclass(slots=True, frozen=True)
+class LoadFailure:
+    """Why a load failed: for the requests that wait for it, and for the log."""
+
+    rejection: Rejection
+    reason: str
+
+
 class ReplicaLoader:
     """Loads replicas from a store, through the cache."""
 
     def __init__(
-        self, runner: ScheduleRunner, supervisor: ReplicaSupervisor, store, cache: Cache, log, record: Recorder
+        self,
+        runner: ScheduleRunner,
+        supervisor: ReplicaSupervisor,
+        store: PackageStore,
+        cache: Cache,
+        log: FilteringBoundLogger,
+        record: Recorder,
     ) -> None:
-        self.runner, self.supervisor, self.store, self.cache = runner, supervisor, store, cache
-        self.log, self.record = log, record
+        self.runner = runner
+        self.supervisor = supervisor
+        self.store = store
+        self.cache = cache
+        self.log = log
+        self.record = record
 
     def start(self, action: StartLoad) -> None:
-        """Begins a load. Called under the schedule's lock."""
+        """Starts a load. Called under the schedule's lock."""
         replica = action.replica
         try:
             threading.Thread(target=self._load, args=(replica,), name=f"load {replica.number}", daemon=True).start()
-        except RuntimeError as error:  # no thread can be started: whoever waits for the load is answered now
+        except RuntimeError as error:  # no thread can be started: the requests that wait for the load are answered now
             self._log_failure(replica, str(error), 0)
             self.runner.schedule.load_finished(replica, Rejection.FULL)
 
     def _load(self, replica: Replica) -> None:
-        began, failure, reason = monotonic_ms(), None, ""
+        started_at = monotonic_ms()
+        failure: LoadFailure | None = None
         try:
             self._fetch_and_start(replica)
-        except Exception as error:  # whatever it is, the load is over and its requests get their answer now
-            failure, reason = _describe(error)
+        except Exception as error:
+            failure = _failure(error)
         with self.runner.event() as schedule:
             if failure is not None:
                 self.supervisor.end(replica, "")
-            schedule.load_finished(replica, failure)
+            schedule.load_finished(replica, None if failure is None else failure.rejection)
             if failure is None and replica.state != ReplicaState.READY:
                 self.supervisor.end(replica, "")
             self.record("loaded", program=replica.function.name, good=failure is None)
-            took = round(monotonic_ms() - began)
+            elapsed_ms = round(monotonic_ms() - started_at)
             if failure is None:
-                self.log.info("loaded", function=replica.function.name, replica=replica.number, took_ms=took)
+                self.log.info("loaded", function=replica.function.name, replica=replica.number, elapsed_ms=elapsed_ms)
             else:
-                self._log_failure(replica, reason, took)
+                self._log_failure(replica, failure.reason, elapsed_ms)
 
-    def _log_failure(self, replica: Replica, reason: str, took: int) -> None:
+    def _log_failure(self, replica: Replica, reason: str, elapsed_ms: int) -> None:
         self.log.warning(
-            "load failed", why=reason, function=replica.function.name, replica=replica.number, took_ms=took
+            "load failed", why=reason, function=replica.function.name, replica=replica.number, elapsed_ms=elapsed_ms
         )
 
     def _fetch_and_start(self, replica: Replica) -> None:
-        found = self.store.find(replica.function.name)
-        manifest, folder = self.cache.take(found.digest, lambda path: self.store.fetch(found, path))
-        process = None
+        stored = self.store.find(replica.function.name)
+        manifest, folder = self.cache.acquire(stored.digest, lambda path: self.store.fetch(stored, path))
         try:
-            if manifest.name != found.name or manifest.version != found.version:
-                raise ValueError(f"{found.name}@{found.version} holds {manifest.name}@{manifest.version}")
-            with self.runner.lock:
-                fits = self.runner.schedule.apply_manifest(replica, manifest.memory, manifest.lanes, manifest.run_time)
-                if not fits:
-                    raise NoRoom(f"{manifest.memory:g} MB, as its manifest says, do not fit")
-            process = self._start_process(replica, manifest, folder, found.digest)
+            if manifest.name != stored.name or manifest.version != stored.version:
+                raise LoadError(f"{stored.name}@{stored.version} holds {manifest.name}@{manifest.version}")
+            self._apply_manifest(replica, manifest)
+            process = self._start_process(replica, manifest, folder, stored.digest)
         except BaseException:
-            self.cache.give(found.digest)  # from here on the process keeps it
+            self.cache.release(stored.digest)
             raise
+        # From here on the process keeps the entry in use; the supervisor releases it.
         self._wait_until_ready(process, manifest)
 
+    def _apply_manifest(self, replica: Replica, manifest: Manifest) -> None:
+        with self.runner.lock:
+            fits = self.runner.schedule.apply_manifest(
+                replica, manifest.memory, manifest.concurrency, manifest.run_timeout
+            )
+        if not fits:
+            raise OutOfMemoryError(f"{manifest.memory:g} MB, as its manifest says, do not fit")
+
     def _start_process(self, replica: Replica, manifest: Manifest, folder: str, digest: str) -> ReplicaProcess:
-        ours, theirs = socket.socketpair()
+        worker_socket, replica_socket = socket.socketpair()
         output, output_writer = os.pipe()
         os.set_blocking(output, False)
-        process = ReplicaProcess(replica, ours, output, digest)
+        process = ReplicaProcess(replica, worker_socket, output, digest)
         order = StartReplica(
-            replica.number, folder, manifest.entry, manifest.lanes, manifest.memory, dict(manifest.environment)
+            replica.number, folder, manifest.entry, manifest.concurrency, manifest.memory, dict(manifest.environment)
         )
         with self.runner.lock:
-            self.supervisor.parent.start_replica(order, theirs.fileno(), output_writer)
+            self.supervisor.parent.start_replica(order, replica_socket.fileno(), output_writer)
             self.supervisor.processes[replica.number] = process
-        theirs.close()
+        replica_socket.close()
         os.close(output_writer)
         return process
 
@@ -97,22 +133,21 @@
         name = f"replica {process.replica.number}"
         threading.Thread(target=self.supervisor.listen, args=(process,), name=name, daemon=True).start()
         if not process.started.wait(START_TIMEOUT):
-            raise ValueError(f"not ready within {START_TIMEOUT:g} s")
+            raise LoadError(f"not ready within {START_TIMEOUT:g} s")
         if process.failure is not None:
-            raise ValueError(f"{manifest.entry}: {process.failure}")
+            raise LoadError(f"{manifest.entry}: {process.failure}")
 
 
-def _describe(error: Exception) -> tuple[Rejection, str]:
-    """How a load failed, and the reason for the log."""
+def _failure(error: Exception) -> LoadFailure:
     match error:
-        case NoRoom():
-            return Rejection.FULL, str(error)
-        case source.Unknown():
-            return Rejection.MISS, str(error)
+        case CacheFullError() | OutOfMemoryError():
+            return LoadFailure(Rejection.FULL, str(error))
+        case PackageNotFoundError() | LoadError():
+            return LoadFailure(Rejection.MISS, str(error))
         case InvalidConfigError():
-            return Rejection.MISS, str(error.troubles[0])
+            return LoadFailure(Rejection.MISS, str(error.troubles[0]))
         case OSError():
-            return Rejection.MISS, f"{error.filename or 'the store'}: {error.strerror or error}"
+            return LoadFailure(Rejection.MISS, f"{error.filename or 'the store'}: {error.strerror or error}")
         case ValueError():
-            return Rejection.MISS, str(error)
-    return Rejection.MISS, f"{type(error).__name__}: {error}"
+            return LoadFailure(Rejection.MISS, str(error))
+    return LoadFailure(Rejection.MISS, f"{type(error).__name__}: {error}")
--- a/wickdyke/worker/replica_messages.py
+++ b/wickdyke/worker/replica_messages.py
@@ -1,62 +1,88 @@
-"""Messages between a worker, its warm parent and its replicas, which are processes of this machine.
+"""Messages between a worker, its warm parent and its replicas, which are processes of the same machine and release.
 
-Worker and replica exchange JSON lines on a socket pair, worker and parent one JSON message a packet.
+Worker and replica exchange JSON lines on a socket pair, worker and parent one JSON message a packet. The field `type`
+tells the messages apart. `request` is the number that the worker gives a request for its replica.
 """
 
 import msgspec
 
 MB = 1 << 20
-LINE_MOST = 64 * MB  # bytes of a line between a worker and a replica
+LINE_LIMIT = 64 * MB  # bytes of a line between a worker and a replica
 
 
 class StartReplica(msgspec.Struct, tag="start"):
-    """To the parent, with two descriptors: the replica's socket, and the pipe of its output."""
+    """Worker to parent, with two descriptors: the replica's socket, and the pipe of its output."""
 
     number: int
     folder: str
     entry: str
-    lanes: int
+    concurrency: int
     memory_mb: float
-    environment: dict[str, str] = {}
+    environment: dict[str, str] = {}  # msgspec copies the default
 
 
 class EndReplica(msgspec.Struct, tag="end"):
-    """To the parent: kill a replica, with all that it forked."""
+    """Worker to parent: kill a replica and everything that it forked."""
 
     number: int
 
 
 class ReplicaStarted(msgspec.Struct, tag="started"):
-    """From the parent: a replica's process."""
+    """Parent to worker: the process of a replica."""
 
     number: int
     pid: int
 
 
 class ReplicaEnded(msgspec.Struct, tag="ended"):
-    """From the parent: a replica's process ended with that exit status."""
+    """Parent to worker: the process of a replica ended with that exit status."""
 
     number: int
     status: int
 
 
-class WorkerMessage(msgspec.Struct, omit_defaults=True):
-    """To a replica: run the request `id`, or `stop` the one of that number."""
+class RunFunction(msgspec.Struct, tag="run"):
+    """Worker to replica: run the function with this input."""
 
-    id: int | None = None
-    input: msgspec.Raw = msgspec.Raw(b"null")
-    stop: int | None = None
+    request: int
+    input: msgspec.Raw
 
 
-class ReplicaMessage(msgspec.Struct, omit_defaults=True):
-    """From a replica: it is `ready` or has `failed` to start; or the `output` or `error` of the request `id`.
+class StopRequest(msgspec.Struct, tag="stop"):
+    """Worker to replica: stop a request. It answers with SlotFreed."""
 
-    `freed` is the number of a stopped request that has left its lane.
-    """
+    request: int
 
-    ready: bool = False
-    failed: str | None = None
-    id: int | None = None
-    output: msgspec.Raw = msgspec.Raw(b"")
-    error: str | None = None
-    freed: int | None = None
+
+class ReplicaReady(msgspec.Struct, tag="ready"):
+    """Replica to worker: the package is imported."""
+
+
+class StartFailed(msgspec.Struct, tag="start-failed"):
+    """Replica to worker: the package could not be imported."""
+
+    reason: str
+
+
+class FunctionReturned(msgspec.Struct, tag="returned"):
+    """Replica to worker: the function's output."""
+
+    request: int
+    output: msgspec.Raw
+
+
+class FunctionRaised(msgspec.Struct, tag="raised"):
+    """Replica to worker: the function raised an error, or its output can't be sent."""
+
+    request: int
+    error: str
+
+
+class SlotFreed(msgspec.Struct, tag="freed"):
+    """Replica to worker: a request that was to be stopped has ended."""
+
+    request: int
+
+
+WorkerMessage = RunFunction | StopRequest
+ReplicaMessage = ReplicaReady | StartFailed | FunctionReturned | FunctionRaised | SlotFreed
--- a/wickdyke/worker/replica_pool.py
+++ b/wickdyke/worker/replica_pool.py
@@ -1,4 +1,4 @@
-"""The replicas of a worker: the memory they share, the queue of their loads, which are unloaded to make room."""
+"""The replicas of a worker: their shared memory, the queue of their loads, and unloading to make room."""
 
 from collections import deque
 from collections.abc import Callable
@@ -11,7 +11,10 @@
     """All functions with their replicas. Actions are added to `actions`, which the schedule owns."""
 
     def __init__(self, memory: float, load_concurrency: int, actions: deque[Action]) -> None:
-        self.memory, self.load_concurrency, self.actions = memory, load_concurrency, actions
+        """`memory` is in MB; `load_concurrency` limits the loads at once."""
+        self.memory = memory
+        self.load_concurrency = load_concurrency
+        self.actions = actions
         self.functions: dict[str, Function] = {}
         self.load_queue: deque[Replica] = deque()
         self.loading = 0
@@ -35,21 +38,21 @@
         """The memory of the replicas that can't be unloaded now, in MB."""
         return sum(replica.charged_memory for replica in self.replicas() if not replica.idle)
 
-    def add(self, function: Function, memory: float, lanes: int) -> Replica | None:
+    def add(self, function: Function, memory: float, concurrency: int) -> Replica | None:
         """Queues the load of a further replica; None where there is no room for it."""
         # A prewarm request counts the replicas of its function that are ready, so none of them may make room.
         if not self.make_room(memory, function=function):
             return None
         self.last_number += 1
-        replica = Replica(function, self.last_number, memory, max(1, lanes))
+        replica = Replica(function, self.last_number, memory, max(1, concurrency))
         function.replicas.append(replica)
         self.load_queue.append(replica)
         return replica
 
     def make_room(self, memory: float, keep: Replica | None = None, function: Function | None = None) -> bool:
-        """Makes room by unloading idle replicas, the longest idle first.
+        """Makes room for `memory` MB by unloading idle replicas, the longest idle first.
 
-        Unloads none where that would not do, and never `keep` or a replica of `function`.
+        Returns False and unloads none where that would not be enough. Never unloads `keep` or a replica of `function`.
         """
         charged = self.charged_memory
         idle = sorted(self._evictable(keep, function), key=lambda replica: replica.last_used)
@@ -82,7 +85,7 @@
         replica.function.replicas.remove(replica)
 
     def start_loads(self, is_wanted: Callable[[Replica], bool]) -> None:
-        """Begins queued loads as far as the limit allows, and forgets those that nothing waits for any more."""
+        """Starts queued loads as far as the limit allows, and drops those that nothing waits for any more."""
         queued = [replica for replica in self.load_queue if replica.state == ReplicaState.QUEUED]
         for replica in [replica for replica in queued if not is_wanted(replica)]:
             self.remove(replica)
--- a/wickdyke/worker/replica_process.py
+++ b/wickdyke/worker/replica_process.py
@@ -1,4 +1,4 @@
-"""The worker's side of one replica's process: its socket, and the pipe of what it prints."""
+"""The worker's side of one replica's process: its socket, and the pipe of its output."""
 
 import os
 import socket
@@ -10,35 +10,51 @@
 from wickdyke.protocol.framing import LineReader, LineTooLongError
 from wickdyke.transport.write_buffer import OutgoingMessage, PeerTooSlow, WriteBuffer
 from wickdyke.worker.model import Replica
-from wickdyke.worker.replica_messages import LINE_MOST, ReplicaMessage, WorkerMessage
+from wickdyke.worker.replica_messages import (
+    LINE_LIMIT,
+    FunctionRaised,
+    FunctionReturned,
+    ReplicaMessage,
+    ReplicaReady,
+    RunFunction,
+    SlotFreed,
+    StartFailed,
+    StopRequest,
+    WorkerMessage,
+)
 
 READ_BYTES = 1 << 18
-OUTPUT_BYTES = 1 << 16  # of what a replica prints that are read at once: a replica that prints more waits
+OUTPUT_BYTES = 1 << 16  # of a replica's output that are read at once: one that prints more waits
 OUTPUT_LINES = 20  # logged at once
 OUTPUT_LINE_BYTES = 300  # of a line that are logged
 
 
 class ReplicaProcess:
-    """One process. `digest` is that of its package, which it keeps in the cache while it lives.
+    """One process. `digest` is that of its package, which it keeps in use in the cache while it lives.
 
-    `started` is set once it is ready or has failed; `failure` then tells why. `pid` is 0 until the parent has told it.
+    `started` is set once it is ready or has failed, `failure` then is the reason. `pid` is 0 until the parent reports
+    it.
     """
 
     def __init__(self, replica: Replica, sock: socket.socket, output: int, digest: str) -> None:
-        self.replica, self.sock, self.output, self.digest = replica, sock, output, digest
-        self.write_buffer = WriteBuffer(sock, 2 * LINE_MOST, f"replica {replica.number}")
+        """`output` is the reading end of the pipe of its standard output and error."""
+        self.replica = replica
+        self.sock = sock
+        self.output = output
+        self.digest = digest
+        self.write_buffer = WriteBuffer(sock, 2 * LINE_LIMIT, f"replica {replica.number}")
         self.pid = 0
         self.started = threading.Event()
         self.failure: str | None = None
         self.unread_output = b""  # a line that is not complete yet
 
     def run(self, number: int, content: msgspec.Raw) -> bool:
-        """Hands it a request; False where it reads too little or is gone."""
-        return self._send(WorkerMessage(id=number, input=content))
+        """Sends it a request; False where it reads too slowly or is gone."""
+        return self._send(RunFunction(number, content))
 
     def stop(self, number: int) -> None:
-        """Has it end a request."""
-        self._send(WorkerMessage(stop=number))
+        """Has it stop a request."""
+        self._send(StopRequest(number))
 
     def _send(self, message: WorkerMessage) -> bool:
         try:
@@ -48,8 +64,10 @@
         return True
 
     def messages(self) -> Iterator[ReplicaMessage]:
-        """What it sends, until it is gone or sends what can't be used."""
-        lines, decoder = LineReader(LINE_MOST), msgspec.json.Decoder(ReplicaMessage)
+        """The messages it sends, until it is gone or sends an invalid one."""
+        lines = LineReader(LINE_LIMIT)
+        kinds = ReplicaReady | StartFailed | FunctionReturned | FunctionRaised | SlotFreed
+        decoder: msgspec.json.Decoder[ReplicaMessage] = msgspec.json.Decoder(kinds)
         try:
             while data := self.sock.recv(READ_BYTES):
                 for line in lines.feed(data):
@@ -58,7 +76,7 @@
             return
 
     def read_output(self) -> list[str]:
-        """A little of what it printed, as lines for the log."""
+        """Some of its output, as lines for the log."""
         try:
             data = os.read(self.output, OUTPUT_BYTES) if self.output >= 0 else b""
         except OSError:
--- a/wickdyke/worker/replica_supervisor.py
+++ b/wickdyke/worker/replica_supervisor.py
@@ -1,27 +1,48 @@
-"""The replicas that run: hands them requests, takes their answers, and ends them."""
+"""The running replicas: sends them requests, receives their answers, and ends them."""
+
+from structlog.typing import FilteringBoundLogger
 
 from wickdyke.worker.actions import Run, Stop
 from wickdyke.worker.cache import Cache
 from wickdyke.worker.model import Replica, ReplicaState, Request
 from wickdyke.worker.open_requests import OpenRequests
 from wickdyke.worker.parent_client import ParentClient
-from wickdyke.worker.replica_messages import ReplicaEnded, ReplicaMessage, ReplicaStarted
+from wickdyke.worker.replica_messages import (
+    FunctionRaised,
+    FunctionReturned,
+    ReplicaEnded,
+    ReplicaMessage,
+    ReplicaReady,
+    ReplicaStarted,
+    SlotFreed,
+    StartFailed,
+)
 from wickdyke.worker.replica_process import ReplicaProcess
 from wickdyke.worker.schedule import Schedule
 from wickdyke.worker.schedule_runner import ScheduleRunner
 
 
 class ReplicaSupervisor:
-    """All replicas' processes, by number. What it keeps is guarded by the schedule's lock."""
+    """The processes of all replicas, by number. Its state is guarded by the schedule's lock."""
 
     def __init__(
-        self, runner: ScheduleRunner, parent: ParentClient, open_requests: OpenRequests, cache: Cache, log
+        self,
+        runner: ScheduleRunner,
+        parent: ParentClient,
+        open_requests: OpenRequests,
+        cache: Cache,
+        log: FilteringBoundLogger,
     ) -> None:
-        self.runner, self.parent, self.open_requests = runner, parent, open_requests
-        self.cache, self.log = cache, log
+        self.runner = runner
+        self.parent = parent
+        self.open_requests = open_requests
+        self.cache = cache
+        self.log = log
         self.processes: dict[int, ReplicaProcess] = {}
-        self.running: dict[int, Request] = {}  # by the number that replicas know them by
-        self.stopped: dict[int, Replica] = {}  # whose lane is not free yet, by the same number
+        self.running: dict[int, Request] = {}  # by their number in replica messages
+        self.stopped: dict[
+            int, Replica
+        ] = {}  # replicas of stopped requests whose slot is not free yet, by the same number
         self.last_number = 0
 
     def is_current(self, process: ReplicaProcess) -> bool:
@@ -31,18 +52,19 @@
     # ---- actions of the schedule, under its lock ----
 
     def run(self, action: Run) -> None:
-        """Hands a request to its replica."""
-        request, replica = action.request, action.replica
+        """Sends a request to its replica."""
+        request = action.request
+        replica = action.replica
         self.last_number += 1
         self.running[self.last_number] = request
         request.number = self.last_number
         process = self.processes.get(replica.number)
-        if process is None or not process.run(request.number, self.open_requests.input(request.key)):
+        if process is None or not process.run(request.number, self.open_requests.input(request)):
             self.end(replica, "it does not read")
             self.runner.schedule.replica_ended(replica)
 
     def stop(self, action: Stop) -> None:
-        """Has a replica end a request."""
+        """Has a replica stop a request."""
         number = action.request.number
         self.running.pop(number, None)
         self.stopped[number] = action.replica
@@ -59,12 +81,12 @@
             self.log.warning("replica ended", function=replica.function.name, replica=replica.number, why=reason)
         self.parent.end_replica(replica.number)
         process.write_buffer.close()
-        self.cache.give(process.digest)
+        self.cache.release(process.digest)
 
     # ---- threads ----
 
     def listen(self, process: ReplicaProcess) -> None:
-        """Takes what a replica sends, until it is gone."""
+        """Handles a replica's messages until it is gone."""
         for message in process.messages():
             self._handle(process, message)
         if process.failure is None:
@@ -82,44 +104,47 @@
             process.close_output()
 
     def _handle(self, process: ReplicaProcess, message: ReplicaMessage) -> None:
-        if message.ready or message.failed is not None:
-            process.failure = message.failed
-            process.started.set()
-            return
-        with self.runner.event() as schedule:
-            number = message.freed if message.freed is not None else message.id
-            if number in self.stopped:
-                self._lane_freed(schedule, process, number)
-            else:
-                self._answered(schedule, process, number, message)
-
-    def _lane_freed(self, schedule: Schedule, process: ReplicaProcess, number: int) -> None:
-        """A stopped request ended, whatever came of it."""
+        match message:
+            case ReplicaReady():
+                process.started.set()
+            case StartFailed():
+                process.failure = message.reason
+                process.started.set()
+            case FunctionReturned() | FunctionRaised() | SlotFreed():
+                with self.runner.event() as schedule:
+                    # An answer that was sent before the order to stop frees the slot as well.
+                    if message.request in self.stopped:
+                        self._slot_freed(schedule, process, message.request)
+                    elif not isinstance(message, SlotFreed):
+                        self._answered(schedule, process, message)
+
+    def _slot_freed(self, schedule: Schedule, process: ReplicaProcess, number: int) -> None:
+        """A stopped request has ended."""
         if self.stopped[number] is process.replica:
             del self.stopped[number]
-            schedule.lane_freed(process.replica)
+            schedule.slot_freed(process.replica)
 
     def _answered(
-        self, schedule: Schedule, process: ReplicaProcess, number: int | None, message: ReplicaMessage
+        self, schedule: Schedule, process: ReplicaProcess, message: FunctionReturned | FunctionRaised
     ) -> None:
-        request = self.running.get(number)
+        request = self.running.get(message.request)
         if request is None or request.replica is not process.replica:
             return
-        del self.running[number]
+        del self.running[message.request]
         if not schedule.request_answered(request.key):
             return
-        if message.error is not None:
+        if isinstance(message, FunctionRaised):
             self.open_requests.fail(request, message.error)
         else:
             self.open_requests.answer(request, message.output)
 
     def watch_parent(self) -> None:
-        """Takes what the parent reports, until it is gone."""
+        """Handles the parent's messages until it is gone."""
         for event in self.parent.events():
             with self.runner.lock:
-                self._parent_reported(event)
+                self._handle_event(event)
 
-    def _parent_reported(self, event: ReplicaStarted | ReplicaEnded) -> None:
+    def _handle_event(self, event: ReplicaStarted | ReplicaEnded) -> None:
         process = self.processes.get(event.number)
         if process is None:
             return
@@ -132,7 +157,7 @@
         )
 
     def log_output(self) -> None:
-        """Logs a little of what each replica printed; one that prints more waits for the rest to be read."""
+        """Logs some of the output of each replica; one that prints more waits until the rest is read."""
         with self.runner.lock:
             for process in list(self.processes.values()):
                 replica = process.replica
--- a/wickdyke/worker/runtime.py
+++ b/wickdyke/worker/runtime.py
@@ -1,10 +1,12 @@
-"""A worker: its server for gateways, its parent process and its replicas. The schedule decides, this connects them."""
+"""A worker: connects its server for gateways, its warm parent and its replicas to the schedule, which decides."""
 
 import os
 import random
 import threading
 import time
 
+from structlog.typing import FilteringBoundLogger
+
 from wickdyke.config.worker_config import WorkerConfig
 from wickdyke.worker.actions import Kill, PrewarmDone, PrewarmFailed, Reject, Run, StartLoad, Stop, Unload
 from wickdyke.worker.cache import Cache
@@ -17,37 +19,48 @@
 from wickdyke.worker.replica_supervisor import ReplicaSupervisor
 from wickdyke.worker.schedule import Schedule
 from wickdyke.worker.schedule_runner import ScheduleRunner, monotonic_ms
+from wickdyke.worker.source import PackageStore
 
-START_BITS = 48  # of the number that is drawn anew at each start
+START_BITS = 48  # of the random number that identifies a start of the worker
 DRAIN_CHECK_INTERVAL = 0.01  # s
-PARENT_ENDED_EXIT = 4  # exit code
+PARENT_ENDED_EXIT_CODE = 4
 
 
 class Worker:
-    """`open` begins to serve, `drain` and `close` end it."""
+    """One worker. `open` starts to serve, `drain` and `close` end it."""
 
     def __init__(
-        self, settings: WorkerConfig, store, log, record: Recorder | None = None, start: int | None = None
+        self,
+        config: WorkerConfig,
+        store: PackageStore,
+        log: FilteringBoundLogger,
+        record: Recorder | None = None,
+        start: int | None = None,
     ) -> None:
-        """`store` gives packages; `record` takes the lines of a recording; `start` is drawn unless it is given."""
-        self.settings, self.store, self.log = settings, store, log
+        """`record` writes the recording, if there is one; `start` identifies this start, a random number by default.
+
+        Raises OSError where the cache's directory can't be used.
+        """
+        self.config = config
+        self.log = log
         self.start = start or random.SystemRandom().getrandbits(START_BITS)
         self.started_at = monotonic_ms()
         self.closed = threading.Event()
-        self.cache = Cache(settings.cache, settings.cache_most)
-        self.schedule = Schedule(self.started_at, _limits(settings))
+        self.cache = Cache(config.cache, config.cache_most)
+        self.schedule = Schedule(self.started_at, _limits(config))
         self.runner = ScheduleRunner(self.schedule)
-        self.load_reporter = LoadReporter(self.runner, settings.memory, self.cache)
+        self.load_reporter = LoadReporter(self.runner, config.memory, self.cache)
         self.open_requests = OpenRequests(self.schedule, self.load_reporter.report, self.start, record)
         self.record = self.open_requests.record
         self.parent = ParentClient()
         self.replicas = ReplicaSupervisor(self.runner, self.parent, self.open_requests, self.cache, log)
         self.loader = ReplicaLoader(self.runner, self.replicas, store, self.cache, log, self.record)
-        self.server = GatewayServer(self.runner, self.open_requests, settings.name, self.start, self.record)
+        self.server = GatewayServer(self.runner, self.open_requests, config.name, self.start, self.record)
         self._connect_actions()
 
     def _connect_actions(self) -> None:
-        replicas, requests = self.replicas, self.open_requests
+        replicas = self.replicas
+        requests = self.open_requests
         self.runner.handlers = {
             StartLoad: self.loader.start,
             Unload: lambda action: replicas.end(action.replica, ""),
@@ -60,25 +73,25 @@
         }
 
     def open(self) -> None:
-        """Begins to serve; raises AddressInUse, OSError."""
-        threads = {"schedule": self._run_schedule, "parent": self._watch_parent, "meter": self._measure_often}
+        """Starts to serve; raises AddressInUse, OSError."""
+        threads = {"schedule": self._run_schedule, "parent": self._watch_parent, "meter": self._measure_periodically}
         for name, target in threads.items():
             threading.Thread(target=target, name=name, daemon=True).start()
         self.record(
             "started",
             start=self.start,
-            cold=self.settings.ramp.ramp > 0,
-            cores=self.settings.calls_at_once,
+            cold=self.config.ramp.ramp > 0,
+            cores=self.config.calls_at_once,
             speed=1.0,
         )
-        self.server.open(self.settings.listen)
-        self.log.info("serving", socket=self.settings.listen, start=self.start)
+        self.server.open(self.config.listen)
+        self.log.info("serving", socket=self.config.listen, start=self.start)
 
     def drain(self, timeout: float) -> bool:
-        """Takes nothing new and lets requests finish; False where some were left after `timeout` ms."""
+        """Accepts no further requests and lets those in flight finish; False where some are left after `timeout` ms."""
         with self.runner.event() as schedule:
             schedule.drain()
-            self.log.info("draining", held=len(schedule.requests))
+            self.log.info("draining", in_flight=len(schedule.requests))
         deadline = monotonic_ms() + timeout
         while monotonic_ms() < deadline:
             with self.runner.lock:
@@ -88,7 +101,7 @@
         return False
 
     def close(self) -> None:
-        """Ends all: replicas, parent, threads."""
+        """Ends its replicas, parent and threads."""
         self.closed.set()
         self.runner.wake()
         self.server.close()
@@ -96,7 +109,7 @@
         self.log.info("stopped", up_ms=round(monotonic_ms() - self.started_at))
 
     def measure(self) -> None:
-        """Measures once what its processes take."""
+        """Measures the memory of its processes once."""
         self.load_reporter.measure(self.replicas)
 
     # ---- threads ----
@@ -108,22 +121,22 @@
         self.replicas.watch_parent()
         if not self.closed.is_set():
             self.log.error("parent ended", why="its process is gone")  # and with it all replicas
-            os._exit(PARENT_ENDED_EXIT)
+            os._exit(PARENT_ENDED_EXIT_CODE)
 
-    def _measure_often(self) -> None:
-        while not self.closed.wait(self.settings.measure / 1000):
+    def _measure_periodically(self) -> None:
+        while not self.closed.wait(self.config.measure / 1000):
             self.measure()
             self.replicas.log_output()
 
 
-def _limits(settings: WorkerConfig) -> ScheduleLimits:
+def _limits(config: WorkerConfig) -> ScheduleLimits:
     return ScheduleLimits(
-        memory=settings.memory,
-        concurrency=settings.calls_at_once,
-        load_concurrency=settings.loads_at_once,
-        queue=settings.queue,
-        idle_timeout=settings.idle_life,
-        run_timeout=settings.run_time,
-        stop_timeout=settings.stop_within,
-        ramp=settings.ramp,
+        memory=config.memory,
+        concurrency=config.calls_at_once,
+        load_concurrency=config.loads_at_once,
+        queue=config.queue,
+        idle_timeout=config.idle_life,
+        run_timeout=config.run_time,
+        stop_timeout=config.stop_within,
+        ramp=config.ramp,
     )
--- a/wickdyke/worker/schedule_runner.py
+++ b/wickdyke/worker/schedule_runner.py
@@ -1,6 +1,6 @@
-"""Runs the schedule: one lock guards it, each event is followed by the actions it leads to.
+"""Runs the schedule: one lock guards it, and after each event its actions are carried out.
 
-What is done under the lock never waits: messages go to write buffers, loads to threads of their own.
+Nothing that is done under the lock waits: messages go to write buffers, loads to threads of their own.
 """
 
 import threading
@@ -12,16 +12,17 @@
 from wickdyke.worker.actions import Action
 from wickdyke.worker.schedule import Schedule
 
-WAIT_LEAST, WAIT_MOST = 0.001, 1.0  # s between two looks at what is due
+MIN_WAIT = 0.001  # s between two checks of what is due
+MAX_WAIT = 1.0  # s between two checks of what is due
 
 
 def monotonic_ms() -> float:
-    """Monotonic ms."""
+    """The monotonic time in ms."""
     return time.monotonic() * 1000
 
 
 class ScheduleRunner:
-    """The schedule with its lock. `handlers` carry out its actions, by type."""
+    """The schedule with its lock. `handlers` carry out its actions, by the action's type."""
 
     def __init__(self, schedule: Schedule) -> None:
         self.schedule = schedule
@@ -31,23 +32,23 @@
 
     @contextmanager
     def event(self) -> Iterator[Schedule]:
-        """Holds the lock while an event is reported to the schedule, then carries out what that leads to."""
+        """Holds the lock while an event is reported to the schedule, then carries out the actions."""
         with self.lock:
             self.schedule.advance(monotonic_ms())
             yield self.schedule
             self._perform()
 
     def run(self, stopped: threading.Event) -> None:
-        """Carries out what becomes due by time alone, until `stopped` is set."""
+        """Carries out the actions that become due by time alone, until `stopped` is set."""
         with self.lock:
             while not stopped.is_set():
                 self.schedule.advance(monotonic_ms())
                 self._perform()
-                left = (self.schedule.next_deadline - monotonic_ms()) / 1000
-                self.changed.wait(min(WAIT_MOST, max(WAIT_LEAST, left)))
+                remaining = (self.schedule.next_deadline - monotonic_ms()) / 1000
+                self.changed.wait(min(MAX_WAIT, max(MIN_WAIT, remaining)))
 
     def wake(self) -> None:
-        """Has `run` look whether it is stopped."""
+        """Has `run` check at once whether it is stopped."""
         with self.lock:
             self.changed.notify_all()
 
--- a/wickdyke/worker/source.py
+++ b/wickdyke/worker/source.py
@@ -1,71 +1,119 @@
-"""Where packages come from: a folder here; the store service in `store_client.py`. Both have the same interface."""
+"""Where packages come from: the interface of a package store, and the store that is a folder of archives."""
 
 import os
 import shutil
 from dataclasses import dataclass
+from typing import Protocol
 
-from wickdyke.worker import package
+from wickdyke.worker import manifest, package_digest
 
+NAME_SHOWN = 80  # characters of a function's name in errors
+ARCHIVE_SUFFIX = ".zip"
 
-class Unknown(Exception):
-    """No package of that name."""
+
+class PackageNotFoundError(Exception):
+    """There is no package of that name or version."""
 
 
 @dataclass(slots=True, frozen=True)
-class Found:
-    """An archive in a store."""
+class StoredPackage:
+    """An archive in a store. `path` is empty where the store is a service."""
 
     name: str
     version: str
     digest: str
-    size: int
+    size: int  # bytes
     path: str = ""
 
 
-def split(program: str) -> tuple[str, str | None]:
-    """(name, version) of a program as RPCs name it: NAME for the newest, or NAME@VERSION; raises Unknown."""
-    name, at, version = program.partition("@")
-    if not package.named(name) or at and not package.VERSION.fullmatch(version):
-        raise Unknown(f"{program[:80]!r} names no package, expected NAME or NAME@VERSION")
-    return name, version if at else None
+class PackageStore(Protocol):
+    """What a worker loads packages from."""
+
+    def find(self, function: str) -> StoredPackage:
+        """The archive of a function, NAME for the newest version or NAME@VERSION.
+
+        Raises PackageNotFoundError, or OSError where the store can't be read for now.
+        """
+
+    def fetch(self, stored: StoredPackage, path: str) -> None:
+        """Writes the archive to that path; raises PackageNotFoundError, OSError."""
+
+
+@dataclass(slots=True, frozen=True)
+class FileVersion:
+    """What identifies the contents of a file as long as nobody writes it."""
+
+    path: str
+    modified_ns: int
+    inode: int
+    size: int
 
 
-class Folder:
-    """A folder of archives NAME@VERSION.zip, as `wickdyke pack` writes them; looked through anew at each question, so
-    that a package put there holds from then on. Digests are kept as long as a file stays as it is."""
+def split_name(function: str) -> tuple[str, str | None]:
+    """(name, version) of a function as requests name it: NAME for the newest, or NAME@VERSION.
+
+    Raises PackageNotFoundError where it can't be the name of a package.
+    """
+    name, separator, version = function.partition("@")
+    is_version = not separator or manifest.VERSION_PATTERN.fullmatch(version)
+    if not manifest.is_package_name(name) or not is_version:
+        raise PackageNotFoundError(f"{function[:NAME_SHOWN]!r} names no package, expected NAME or NAME@VERSION")
+    return name, version if separator else None
+
+
+class FolderStore:
+    """A folder of archives NAME@VERSION.zip, as `wickdyke pack` writes them.
+
+    It is listed anew for each `find`, so that a package put there is found at once. Digests are computed once, as long
+    as the file does not change.
+    """
 
     def __init__(self, path: str) -> None:
         self.path = path
-        self.digests: dict[tuple, str] = {}
+        self.digests: dict[FileVersion, str] = {}
 
-    def find(self, program: str) -> Found:
-        """The archive of a program; raises Unknown, or OSError where the folder can't be read for now."""
-        name, version = split(program)
-        where, short = os.path.split(os.path.join(self.path, name))
-        held: dict[tuple[int, ...], str] = {}
+    def find(self, function: str) -> StoredPackage:
+        """The archive of a function; raises PackageNotFoundError, or OSError where the folder can't be read for now."""
+        name, version = split_name(function)
+        versions = self._versions(name)
+        if version is not None:
+            versions = [candidate for candidate in versions if candidate == version]
+        if not versions:
+            raise PackageNotFoundError(f"no package {function} in {self.path}")
+        by_key = {manifest.version_key(candidate): candidate for candidate in versions}
+        newest = by_key[max(by_key)]
+        path = os.path.join(self.path, f"{name}@{newest}{ARCHIVE_SUFFIX}")
         try:
-            names = os.listdir(where)
-        except (FileNotFoundError, NotADirectoryError):
-            names = []
-        for each in names:
-            if each.startswith(short + "@") and each.endswith(".zip"):
-                number = each[len(short) + 1 : -len(".zip")]
-                if package.VERSION.fullmatch(number) and version in (None, number):
-                    held[package.order(number)] = number
-        if not held:
-            raise Unknown(f"no package {program} in {self.path}")
-        number = held[max(held)]
-        path = os.path.join(where, f"{short}@{number}.zip")
+            status = os.stat(path)
+            file_version = FileVersion(path, status.st_mtime_ns, status.st_ino, status.st_size)
+            digest = self._digest(file_version)
+        except FileNotFoundError as error:  # removed since it was listed
+            raise PackageNotFoundError(f"{path}: {error.strerror}") from None
+        return StoredPackage(name, newest, digest, status.st_size, path)
+
+    def _versions(self, name: str) -> list[str]:
+        """The versions of a package, in any order; raises OSError."""
+        folder, short_name = os.path.split(os.path.join(self.path, name))
+        prefix = short_name + "@"
         try:
-            seen = os.stat(path)
-            mark = (path, seen.st_mtime_ns, seen.st_ino, seen.st_size)
-            if mark not in self.digests:
-                self.digests = {key: value for key, value in self.digests.items() if key[0] != path}
-                self.digests[mark] = package.file_digest(path)
-        except FileNotFoundError as bad:  # removed since it was listed
-            raise Unknown(f"{path}: {bad.strerror}") from None
-        return Found(name, number, self.digests[mark], seen.st_size, path)
-
-    def fetch(self, found: Found, path: str) -> None:
-        """Copies the archive there; raises OSError."""
-        shutil.copyfile(found.path, path)
+            file_names = os.listdir(folder)
+        except (FileNotFoundError, NotADirectoryError):
+            return []
+        versions = [
+            file_name[len(prefix) : -len(ARCHIVE_SUFFIX)]
+            for file_name in file_names
+            if file_name.startswith(prefix) and file_name.endswith(ARCHIVE_SUFFIX)
+        ]
+        return [version for version in versions if manifest.VERSION_PATTERN.fullmatch(version)]
+
+    def _digest(self, file_version: FileVersion) -> str:
+        digest = self.digests.get(file_version)
+        if digest is None:
+            path = file_version.path
+            self.digests = {known: value for known, value in self.digests.items() if known.path != path}
+            digest = self.digests[file_version] = package_digest.file_digest(path)
+        return digest
+
+    def fetch(self, stored: StoredPackage, path: str) -> None:
+        """Copies the archive to that path; raises OSError."""
+        shutil.copyfile(stored.path, path)
--- a/wickdyke/worker/store.py
+++ b/wickdyke/worker/store.py
@@ -1,8 +1,8 @@
-"""The store service: a folder of archives, read over a socket by workers, at a rate that all share.
+"""The store service: serves a folder of archives to workers over a socket, at a rate that all readers share.
 
-One JSON-RPC request a line. `find` is answered with name, version, digest and size. `read` of a digest from an offset
-is answered with how many bytes follow, then by those bytes as they are; a worker that lost its connection asks for
-the rest.
+One JSON-RPC request a line. The result of `find` is name, version, digest and size. The result of `read`, of a digest
+from an offset on, is the number of bytes that follow, then come these bytes; a worker that lost its connection reads
+the rest from a later offset.
 """
 
 import contextlib
@@ -17,31 +17,34 @@
 from wickdyke.protocol.framing import LineReader, LineTooLongError
 from wickdyke.transport.line_server import Listener
 from wickdyke.worker.rate_limiter import RateLimiter
-from wickdyke.worker.source import Folder, Found, Unknown
+from wickdyke.worker.source import FolderStore, PackageNotFoundError, StoredPackage
 from wickdyke.worker.store_messages import (
     CHUNK_BYTES,
-    CROWDED,
-    LINE_MOST,
-    UNKNOWN,
+    LINE_LIMIT,
+    PACKAGE_NOT_FOUND,
+    TOO_MANY_READERS,
     UNREADABLE,
-    Entry,
-    Find,
-    Follows,
-    Read,
+    FindRequest,
+    FindResult,
+    ReadRequest,
+    ReadResult,
 )
 
-ERROR_TEXT_MOST = 300  # characters
+ERROR_LENGTH = 300  # characters of an error's text that are sent
+DIGEST_SHOWN = 80  # characters of a digest in errors
 
 
-class Store:
-    """Serves until closed. `rate` is bytes per second for all, `readers` how many may read at a time."""
+class StoreServer:
+    """Serves from its construction until it is closed."""
 
-    def __init__(self, address: str, folder: str, rate: float, readers: int, log) -> None:
-        self.folder, self.readers, self.log = Folder(folder), readers, log
+    def __init__(self, address: str, folder: str, rate: float, max_readers: int) -> None:
+        """`rate` is bytes per second for all readers together; raises AddressInUse where the address can't be had."""
+        self.folder = FolderStore(folder)
+        self.max_readers = max_readers
         self.rate_limiter = RateLimiter(rate)
-        self.lock = threading.Lock()  # guards the rate limiter and what follows
-        self.found: dict[str, Found] = {}  # by digest
-        self.reading = 0
+        self.lock = threading.Lock()  # guards the rate limiter and the next two
+        self.packages: dict[str, StoredPackage] = {}  # those that were looked up, by digest
+        self.readers = 0  # reads in progress
         self.closed = threading.Event()
         self.listener = Listener(address, self._serve)
 
@@ -51,7 +54,7 @@
         self.listener.close()
 
     def _serve(self, sock: socket.socket) -> None:
-        lines = LineReader(LINE_MOST)
+        lines = LineReader(LINE_LIMIT)
         with contextlib.suppress(LineTooLongError):
             while data := sock.recv(CHUNK_BYTES):
                 for line in lines.feed(data):
@@ -70,62 +73,65 @@
             else:
                 _send(sock, jsonrpc.error_response(request.ident, jsonrpc.METHOD_NOT_FOUND, "expected find or read"))
         except msgspec.MsgspecError as error:
-            _send(sock, jsonrpc.error_response(request.ident, jsonrpc.INVALID_PARAMS, str(error)[:ERROR_TEXT_MOST]))
-        except Unknown as error:
-            _send(sock, jsonrpc.error_response(request.ident, UNKNOWN, str(error)))
+            _send(sock, jsonrpc.error_response(request.ident, jsonrpc.INVALID_PARAMS, str(error)[:ERROR_LENGTH]))
+        except PackageNotFoundError as error:
+            _send(sock, jsonrpc.error_response(request.ident, PACKAGE_NOT_FOUND, str(error)))
 
     def _find(self, sock: socket.socket, request: jsonrpc.Request) -> None:
-        name = msgspec.json.decode(request.params, type=Find).program
+        find = msgspec.json.decode(request.params, type=FindRequest)
         try:
-            found = self.folder.find(name)
-        except OSError as error:  # of the folder, for now: the worker may ask again
+            package = self.folder.find(find.function)
+        except OSError as error:  # of the folder, for now: the worker may retry
             reason = f"{error.filename or self.folder.path}: {error.strerror or error}"
             _send(sock, jsonrpc.error_response(request.ident, UNREADABLE, reason))
             return
         with self.lock:
-            self.found[found.digest] = found
-        entry = Entry(found.name, found.version, found.digest, found.size)
-        _send(sock, jsonrpc.result_response(request.ident, jsonrpc.encode(entry)))
+            self.packages[package.digest] = package
+        result = FindResult(package.name, package.version, package.digest, package.size)
+        _send(sock, jsonrpc.result_response(request.ident, jsonrpc.encode(result)))
 
     def _read(self, sock: socket.socket, request: jsonrpc.Request) -> None:
-        read = msgspec.json.decode(request.params, type=Read)
+        read = msgspec.json.decode(request.params, type=ReadRequest)
         with self.lock:
-            found = self.found.get(read.digest)
-            crowded = self.reading >= self.readers
-            self.reading += not crowded
-        if crowded:
-            _send(sock, jsonrpc.error_response(request.ident, CROWDED, f"{self.readers} read already"))
+            package = self.packages.get(read.digest)
+            is_full = self.readers >= self.max_readers
+            self.readers += not is_full
+        if is_full:
+            text = f"{self.max_readers} read already"
+            _send(sock, jsonrpc.error_response(request.ident, TOO_MANY_READERS, text))
             return
         try:
-            self._check(found, read)
-            with open(found.path, "rb") as source:
+            package = self._check(package, read)
+            with open(package.path, "rb") as source:
                 source.seek(read.offset)
-                size = found.size - read.offset
-                _send(sock, jsonrpc.result_response(request.ident, jsonrpc.encode(Follows(size))))
+                size = package.size - read.offset
+                _send(sock, jsonrpc.result_response(request.ident, jsonrpc.encode(ReadResult(size))))
                 self._send_file(sock, source, size)
         finally:
             with self.lock:
-                self.reading -= 1
-
-    def _check(self, found: Found | None, read: Read) -> None:
-        """Raises Unknown where there are no such bytes to be read."""
-        # A package may be replaced under its name; what is read on from an offset must be of the same archive.
-        if found is None or self.folder.find(f"{found.name}@{found.version}").digest != read.digest:
-            raise Unknown(f"no archive {read.digest[:80]} any more, expected one that find gave")
-        if not 0 <= read.offset <= found.size:
-            raise Unknown(f"no byte {read.offset} of {found.size}")
+                self.readers -= 1
+
+    def _check(self, package: StoredPackage | None, read: ReadRequest) -> StoredPackage:
+        """The package; raises PackageNotFoundError where there are no such bytes to be read."""
+        # A package may be replaced under its name; a read that is resumed must be of the same archive.
+        if package is None or self.folder.find(f"{package.name}@{package.version}").digest != read.digest:
+            digest = read.digest[:DIGEST_SHOWN]
+            raise PackageNotFoundError(f"no archive {digest} any more, expected one that find gave")
+        if not 0 <= read.offset <= package.size:
+            raise PackageNotFoundError(f"no byte {read.offset} of {package.size}")
+        return package
 
     def _send_file(self, sock: socket.socket, source: BinaryIO, size: int) -> None:
-        left = size
-        while left and (piece := source.read(min(CHUNK_BYTES, left))):
+        remaining = size
+        while remaining and (chunk := source.read(min(CHUNK_BYTES, remaining))):
             with self.lock:
-                wait = self.rate_limiter.reserve(time.monotonic() * 1000, len(piece))
+                wait = self.rate_limiter.reserve(time.monotonic() * 1000, len(chunk))
             if self.closed.wait(wait / 1000):
-                raise OSError("closed")
-            sock.sendall(piece)
-            left -= len(piece)
-        if left:
-            raise OSError("the file is shorter than it was")  # ends the connection: the worker asks anew
+                raise ConnectionAbortedError("the store is closed")
+            sock.sendall(chunk)
+            remaining -= len(chunk)
+        if remaining:
+            raise OSError("the file is shorter than it was")  # ends the connection: the worker retries
 
 
 def _send(sock: socket.socket, message: bytes) -> None:
--- a/wickdyke/worker/store_messages.py
+++ b/wickdyke/worker/store_messages.py
@@ -3,25 +3,27 @@
 import msgspec
 
 CHUNK_BYTES = 1 << 16  # of an archive that are sent or read at once
-LINE_MOST = 1 << 16  # bytes of a line
-UNKNOWN, CROWDED, UNREADABLE = -32020, -32010, -32603  # error codes
+LINE_LIMIT = 1 << 16  # bytes of a line
+PACKAGE_NOT_FOUND = -32020  # error code: no such package, or no such bytes of it
+TOO_MANY_READERS = -32010  # error code
+UNREADABLE = -32603  # error code: the folder can't be read for now
 
 
-class Find(msgspec.Struct):
-    """Asks for the archive of a function: NAME or NAME@VERSION."""
+class FindRequest(msgspec.Struct):
+    """The params of `find`: the archive of a function, NAME or NAME@VERSION."""
 
-    program: str
+    function: str = msgspec.field(name="program")
 
 
-class Read(msgspec.Struct):
-    """Asks for an archive's bytes from an offset on."""
+class ReadRequest(msgspec.Struct):
+    """The params of `read`: an archive's bytes from an offset on."""
 
     digest: str
     offset: int = 0
 
 
-class Entry(msgspec.Struct):
-    """The answer to `find`."""
+class FindResult(msgspec.Struct):
+    """The result of `find`; `size` is in bytes."""
 
     name: str
     version: str
@@ -29,7 +31,7 @@
     size: int
 
 
-class Follows(msgspec.Struct):
-    """The answer to `read`: so many bytes come after this line."""
+class ReadResult(msgspec.Struct):
+    """The result of `read`: as many bytes follow after this line."""
 
     bytes: int
