--- a/bench/compare.py
+++ b/bench/compare.py
@@ -1,7 +1,7 @@
 """The gateway beside the bare relay, paired in one run: `python -m bench.compare [--rounds N] [--seconds S]`.
 
-Both stand all the time, before the same four workers that answer at once; each round loads one, then the other. The
-ratios are of pairs; shown are their median, least and greatest.
+Both run all the time, before the same four workers that answer at once; each round loads one, then the other. The
+ratios are of pairs; shown are their median, minimum and maximum.
 """
 
 import os
@@ -9,6 +9,7 @@
 import subprocess
 import sys
 import tempfile
+from dataclasses import dataclass, field
 
 import click
 import msgspec
@@ -17,129 +18,192 @@
 from wickdyke.fault_injection.report import table
 
 WORKERS = 4
-GATEWAY = """(gateway (listen (json-rpc "g.sock")) (workers (file "workers.sexp")) (report busy held) (seed 1)
+GATEWAY_CONFIG = """(gateway (listen (json-rpc "g.sock")) (workers (file "workers.sexp")) (report busy held) (seed 1)
   (method "m" (effect idempotent) (soft-deadline 2 s) (deadline 8 s)) (program "p*" (memory 100 MB) (lanes 64))
   (stock (idle-life 30 s)) (warmup (start-share 0.2) (ramp 1 s) (multiple 3) (window 1 s)) (drain-grace 1 s))"""
-
-
-def begin(*argv: str) -> subprocess.Popen:
-    """A process that says when it is ready."""
+LOADS = (("closed", 1.0), ("closed", 8.0), ("closed", 32.0), ("open", 440.0), ("open", 1000.0))  # connections, or rate
+WARM_UP = ("open", 300.0, 3.0)  # load and seconds before the first round, for connections, replicas and limits
+MEMORY_REQUESTS = (10_000, 100_000)
+COLUMNS = (
+    "load",
+    "relay requests/s",
+    "gateway over relay",
+    "added p50 ms",
+    "added p99 ms",
+    "us/request",
+    "relay us/request",
+    "wake-ups/request",
+    "not ok",
+)
+
+
+class LoadFigures(msgspec.Struct):
+    """The output of bench.load."""
+
+    requests: int = msgspec.field(name="rpcs")
+    failures: int = msgspec.field(name="not_ok")
+    rate: float  # requests a second
+    ms: dict[str, float]  # latencies by percentile
+
+
+@dataclass(slots=True, frozen=True)
+class ProcessUse:
+    """What a process has used up to now."""
+
+    cpu_seconds: float
+    wake_ups: int  # of all its threads
+    resident_mb: float
+
+
+@dataclass(slots=True, frozen=True)
+class Server:
+    """The relay or the gateway."""
+
+    pid: int
+    path: str
+
+
+@dataclass(slots=True)
+class LoadRun:
+    """One load on one server, and the server's cost for each request."""
+
+    figures: LoadFigures
+    cpu_us: float
+    wake_ups: float
+
+
+@dataclass(slots=True)
+class Pairs:
+    """The runs of one load, pair by pair."""
+
+    relay: list[LoadRun] = field(default_factory=list)
+    gateway: list[LoadRun] = field(default_factory=list)
+
+    def added(self, percentile: str) -> list[float]:
+        """The ms that the gateway adds to the relay's latency, by pair."""
+        pairs = zip(self.relay, self.gateway, strict=True)
+        return [gateway.figures.ms[percentile] - relay.figures.ms[percentile] for relay, gateway in pairs]
+
+    def rate_ratios(self) -> list[float]:
+        """The gateway's rate over the relay's, by pair."""
+        pairs = zip(self.relay, self.gateway, strict=True)
+        return [gateway.figures.rate / relay.figures.rate for relay, gateway in pairs]
+
+    def row(self, label: str) -> list[str]:
+        """A row of the table, by COLUMNS."""
+        return [
+            label,
+            spread([run.figures.rate for run in self.relay]),
+            spread(self.rate_ratios()),
+            spread(self.added("p50")),
+            spread(self.added("p99")),
+            f"{statistics.median(run.cpu_us for run in self.gateway):.0f}",
+            f"{statistics.median(run.cpu_us for run in self.relay):.0f}",
+            f"{statistics.median(run.wake_ups for run in self.gateway):.2f}",
+            str(sum(run.figures.failures for run in self.relay + self.gateway)),
+        ]
+
+
+def start_process(*argv: str) -> subprocess.Popen[bytes]:
+    """A process that has printed that it is ready."""
     process = subprocess.Popen([sys.executable, "-m", *argv], stdout=subprocess.PIPE, stderr=subprocess.DEVNULL)
+    assert process.stdout is not None  # as it is a pipe
     process.stdout.readline()
     return process
 
 
-def load(path: str, how: str, figure: float, seconds: float) -> dict:
+def run_load(path: str, kind: str, figure: float, seconds: float) -> LoadFigures:
     """One load, by a process of its own."""
-    done = subprocess.run(
-        [sys.executable, "-m", "bench.load", path, how, str(figure), str(seconds)], capture_output=True, check=True
-    )
-    return msgspec.json.decode(done.stdout)
+    command = [sys.executable, "-m", "bench.load", path, kind, str(figure), str(seconds)]
+    output = subprocess.run(command, capture_output=True, check=True).stdout
+    return msgspec.json.decode(output, type=LoadFigures)
 
 
-def spent(pid: int) -> tuple[float, int, float]:
-    """(CPU seconds, times a thread of it was woken, resident MB) up to now."""
+def process_use(pid: int) -> ProcessUse:
+    """What a process has used up to now, as the kernel counts it."""
     with open(f"/proc/{pid}/stat") as source:
         fields = source.read().rsplit(")", 1)[1].split()
-    woken = 0
+    wake_ups = 0
     for task in os.listdir(f"/proc/{pid}/task"):
         try:
             with open(f"/proc/{pid}/task/{task}/status") as source:
-                woken += next(int(line.split()[1]) for line in source if line.startswith("voluntary"))
+                wake_ups += next(int(line.split()[1]) for line in source if line.startswith("voluntary"))
         except (FileNotFoundError, ProcessLookupError):
             continue
     with open(f"/proc/{pid}/statm") as source:
         resident = int(source.read().split()[1]) * os.sysconf("SC_PAGE_SIZE") / 2**20
-    return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK"), woken, resident
+    cpu_seconds = (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
+    return ProcessUse(cpu_seconds, wake_ups, resident)
 
 
 def spread(values: list[float]) -> str:
-    """median (least to greatest)"""
+    """Median (minimum to maximum)."""
     return f"{statistics.median(values):.2f} ({min(values):.2f} to {max(values):.2f})"
 
 
 @click.command()
 @click.option("--rounds", default=5, help="Pairs of each load.")
 @click.option("--seconds", default=4.0, help="Length of each load.")
-@click.option("--memory/--no-memory", default=True, help="Also 10,000 and 100,000 RPCs and what is resident then.")
+@click.option("--memory/--no-memory", default=True, help="Also 10,000 and 100,000 requests and what is resident then.")
 def main(rounds: int, seconds: float, memory: bool) -> None:
     """Measures the gateway beside the bare relay."""
     with tempfile.TemporaryDirectory(prefix="wd-") as folder:
-        paths = [os.path.join(folder, f"w{at}.sock") for at in range(WORKERS)]
-        with open(os.path.join(folder, "workers.sexp"), "w") as sink:
-            sink.write(
-                format_endpoints(
-                    [EndpointRow(f"w{at}", path, None, None, 0, 8.0, "ready", 0) for at, path in enumerate(paths)]
-                )
-            )
-        with open(os.path.join(folder, "g.sexp"), "w") as sink:
-            sink.write(GATEWAY)
-        relay, gate = os.path.join(folder, "relay.sock"), os.path.join(folder, "g.sock")
-        children = [begin("bench.echo_worker", path) for path in paths]
-        children.append(begin("bench.relay", relay, *paths))
-        children.append(begin("wickdyke.cli", "serve", os.path.join(folder, "g.sexp")))
+        worker_paths = [os.path.join(folder, f"w{number}.sock") for number in range(WORKERS)]
+        config_path = _write_config(folder, worker_paths)
+        relay_path = os.path.join(folder, "relay.sock")
+        processes = [start_process("bench.echo_worker", path) for path in worker_paths]
         try:
-            _measure(children[-2].pid, children[-1].pid, relay, gate, rounds, seconds, memory)
+            processes.append(start_process("bench.relay", relay_path, *worker_paths))
+            relay = Server(processes[-1].pid, relay_path)
+            processes.append(start_process("wickdyke.cli", "serve", config_path))
+            gateway = Server(processes[-1].pid, os.path.join(folder, "g.sock"))
+            _measure_loads(relay, gateway, rounds, seconds)
+            if memory:
+                _measure_memory(gateway)
         finally:
-            for child in children:
-                child.kill()
-                child.wait()
-                child.stdout.close()
-
-
-def _measure(relay_pid: int, gate_pid: int, relay: str, gate: str, rounds: int, seconds: float, memory: bool) -> None:
-    for path in (relay, gate):  # warm both: connections, copies, limits
-        load(path, "open", 300, 3)
-    rows = []
-    for how, figure in (("closed", 1), ("closed", 8), ("closed", 32), ("open", 440), ("open", 1000)):
-        pairs, costs, bad = [], [], 0
+            for process in processes:
+                process.kill()
+                process.communicate()
+
+
+def _write_config(folder: str, worker_paths: list[str]) -> str:
+    """Writes the gateway's settings and its endpoint file; returns the path of the settings."""
+    rows = [EndpointRow(f"w{number}", path, None, None, 0, 8.0, "ready", 0) for number, path in enumerate(worker_paths)]
+    with open(os.path.join(folder, "workers.sexp"), "w") as sink:
+        sink.write(format_endpoints(rows))
+    config_path = os.path.join(folder, "g.sexp")
+    with open(config_path, "w") as sink:
+        sink.write(GATEWAY_CONFIG)
+    return config_path
+
+
+def _measure_loads(relay: Server, gateway: Server, rounds: int, seconds: float) -> None:
+    """Prints the row of each load."""
+    for server in (relay, gateway):
+        run_load(server.path, *WARM_UP)
+    for kind, figure in LOADS:
+        pairs = Pairs()
         for _ in range(rounds):
-            pair = []
-            for path, pid in ((relay, relay_pid), (gate, gate_pid)):
-                cpu, woken, _ = spent(pid)
-                got = load(path, how, figure, seconds)
-                cpu_after, woken_after, _ = spent(pid)
-                bad += got["not_ok"]
-                pair.append(got)
-                costs.append(((cpu_after - cpu) * 1e6 / got["rpcs"], (woken_after - woken) / got["rpcs"]))
-            pairs.append(pair)
-        added = [[gated["ms"][p] - bare["ms"][p] for bare, gated in pairs] for p in ("p50", "p99")]
-        rows.append(
-            [
-                f"{how} {figure}",
-                spread([bare["rate"] for bare, _ in pairs]),
-                spread([gated["rate"] / bare["rate"] for bare, gated in pairs]),
-                spread(added[0]),
-                spread(added[1]),
-                f"{statistics.median(c for c, _ in costs[1::2]):.0f}",
-                f"{statistics.median(c for c, _ in costs[::2]):.0f}",
-                f"{statistics.median(w for _, w in costs[1::2]):.2f}",
-                str(bad),
-            ]
-        )
-        print(
-            table(
-                (
-                    "load",
-                    "relay RPCs/s",
-                    "gateway over relay",
-                    "added p50 ms",
-                    "added p99 ms",
-                    "us/RPC",
-                    "relay us/RPC",
-                    "woken/RPC",
-                    "not ok",
-                ),
-                [rows[-1]],
-            ),
-            flush=True,
-        )
-    if memory:
-        for many in (10_000, 100_000):
-            done = 0
-            while done < many:
-                done += load(gate, "closed", 8, 5)["rpcs"]
-            print(f"resident after {done} more RPCs: {spent(gate_pid)[2]:.1f} MB", flush=True)
+            pairs.relay.append(_measure(relay, kind, figure, seconds))
+            pairs.gateway.append(_measure(gateway, kind, figure, seconds))
+        print(table(COLUMNS, [pairs.row(f"{kind} {figure:g}")]), flush=True)
+
+
+def _measure(server: Server, kind: str, figure: float, seconds: float) -> LoadRun:
+    before = process_use(server.pid)
+    figures = run_load(server.path, kind, figure, seconds)
+    after = process_use(server.pid)
+    cpu_us = (after.cpu_seconds - before.cpu_seconds) * 1e6 / figures.requests
+    return LoadRun(figures, cpu_us, (after.wake_ups - before.wake_ups) / figures.requests)
+
+
+def _measure_memory(gateway: Server) -> None:
+    """Prints what is resident after so many requests."""
+    for count in MEMORY_REQUESTS:
+        requests = 0
+        while requests < count:
+            requests += run_load(gateway.path, "closed", 8, 5).requests
+        print(f"resident after {requests} more requests: {process_use(gateway.pid).resident_mb:.1f} MB", flush=True)
 
 
 if __name__ == "__main__":
--- a/bench/echo_worker.py
+++ b/bench/echo_worker.py
@@ -1,4 +1,4 @@
-"""A worker that answers at once, so that only what stands before it is measured: `python -m bench.echo_worker SOCK`."""
+"""A worker that answers at once, so that only what is before it is measured: `python -m bench.echo_worker SOCKET`."""
 
 import sys
 import threading
@@ -6,25 +6,20 @@
 from wickdyke.protocol import jsonrpc, worker_messages
 from wickdyke.transport.line_server import LineConnection, LineServer
 
-STANDING = jsonrpc.encode(worker_messages.WorkerHello(worker_messages.VERSION, "answerer", 1, 1e9))
-RAN = b'{"output":null,"standing":"stood","company":1,"report":{"busy":0.3,"held":1}}'
-PROBED = b'{"report":{"busy":0.3,"held":1}}'
+HELLO_RESULT = jsonrpc.encode(worker_messages.WorkerHello(worker_messages.VERSION, "answerer", 1, 1e9))
+RUN_RESULT = b'{"output":null,"standing":"stood","company":1,"report":{"busy":0.3,"held":1}}'
+HEALTH_RESULT = b'{"report":{"busy":0.3,"held":1}}'
+RESULTS = {"run": RUN_RESULT, "hello": HELLO_RESULT, "hold": b'{"copies":1}', "probe": HEALTH_RESULT}  # by method
 
 
-def heard(wire: LineConnection, request: jsonrpc.Request) -> None:
-    """Answers."""
-    match request.method:
-        case "run":
-            wire.say(jsonrpc.result_response(request.ident, RAN))
-        case "hello":
-            wire.say(jsonrpc.result_response(request.ident, STANDING))
-        case "hold":
-            wire.say(jsonrpc.result_response(request.ident, b'{"copies":1}'))
-        case "probe":
-            wire.say(jsonrpc.result_response(request.ident, PROBED))
+def answer(connection: LineConnection, request: jsonrpc.Request) -> None:
+    """Answers a request with the result of its method; others are ignored."""
+    result = RESULTS.get(request.method)
+    if result is not None:
+        connection.say(jsonrpc.result_response(request.ident, result))
 
 
 if __name__ == "__main__":
-    LineServer(sys.argv[1], heard, lambda wire: None)
+    LineServer(sys.argv[1], answer, lambda connection: None)
     print("ready", flush=True)
     threading.Event().wait()
--- a/bench/load.py
+++ b/bench/load.py
@@ -1,106 +1,129 @@
-"""Load on one socket, as a process of its own: closed loops, or an open one at a stated rate.
+"""Load on one socket, by a process of its own: closed loops, or an open loop at a stated rate.
 
-`python -m bench.load SOCK closed CONNECTIONS SECONDS` or `... open RATE SECONDS`; prints one JSON object. In the
-open loop a latency counts from when the RPC was due, so that a stall is not hidden by the wait for it.
+`python -m bench.load SOCKET closed CONNECTIONS SECONDS` or `... open RATE SECONDS`; prints one JSON object. In the
+open loop a latency counts from when the request was due, so that a stall is not hidden by the requests that wait.
 """
 
 import socket
 import sys
 import threading
 import time
+from collections.abc import Callable
+from dataclasses import dataclass, field
 
 import msgspec
 
 from wickdyke.fault_injection.report import histogram
 
-CALL = b'{"jsonrpc":"2.0","method":"call","params":{"method":"m","program":"p%d","input":{"photo":"%b"}},"id":%d}\n'
-POINTS = (50.0, 90.0, 99.0, 99.9)
+REQUEST = b'{"jsonrpc":"2.0","method":"call","params":{"method":"m","program":"p%d","input":{"photo":"%b"}},"id":%d}\n'
+FUNCTIONS = 10  # p0 to p9
 PHOTO = b"x" * 200
+PERCENTILES = (50.0, 90.0, 99.0, 99.9)
+TIMEOUT = 30  # s
+START_DELAY = 0.05  # s before the first request of an open loop
+OPEN_CONNECTIONS = 8
+
+
+@dataclass(slots=True)
+class Samples:
+    """What a load measured. Thread-safe, as threads only add what they have collected."""
+
+    latencies: list[float] = field(default_factory=list)  # ms
+    failures: list[int] = field(default_factory=list)  # requests without the answer "ok", by connection
+
+    def add(self, latencies: list[float], failures: int) -> None:
+        """Adds the samples of one connection."""
+        self.latencies.extend(latencies)
+        self.failures.append(failures)
 
 
 def connect(path: str) -> socket.socket:
     """A blocking connection."""
     sock = socket.socket(socket.AF_UNIX)
-    sock.settimeout(30)
+    sock.settimeout(TIMEOUT)
     sock.connect(path)
     return sock
 
 
-def closed(path: str, connections: int, seconds: float) -> tuple[list[float], int]:
-    """Each connection has one RPC out at a time."""
-    took: list[float] = []
-    bad: list[int] = []
-    ends = time.monotonic() + seconds
+def closed_loops(path: str, connections: int, seconds: float) -> Samples:
+    """Each connection has one request in flight at a time."""
+    samples = Samples()
+    end = time.monotonic() + seconds
 
-    def loop(number: int) -> None:
-        sock, at, wrong, mine = connect(path), 0, 0, []
+    def loop(connection: int) -> None:
+        sock = connect(path)
         source = sock.makefile("rb")
-        while (began := time.monotonic()) < ends:
-            at += 1
-            sock.sendall(CALL % ((number + at) % 10, PHOTO, at))
-            wrong += b'"ok"' not in source.readline()
-            mine.append((time.monotonic() - began) * 1000)
-        took.extend(mine)
-        bad.append(wrong)
-
-    threads = [threading.Thread(target=loop, args=(number,)) for number in range(connections)]
-    for thread in threads:
-        thread.start()
-    for thread in threads:
-        thread.join()
-    return took, sum(bad)
-
-
-def opened(path: str, rate: float, seconds: float, connections: int = 8) -> tuple[list[float], int]:
-    """RPCs sent when due, whatever is still out."""
-    many = int(rate * seconds)
-    began = time.monotonic() + 0.05
-    due = [began + at / rate for at in range(many)]
-    took: list[float] = []
-    bad = [0]
+        latencies: list[float] = []
+        failures = 0
+        number = 0
+        while (sent_at := time.monotonic()) < end:
+            number += 1
+            sock.sendall(REQUEST % ((connection + number) % FUNCTIONS, PHOTO, number))
+            failures += b'"ok"' not in source.readline()
+            latencies.append((time.monotonic() - sent_at) * 1000)
+        samples.add(latencies, failures)
+
+    _join([_start(loop, connection) for connection in range(connections)])
+    return samples
+
+
+def open_loop(path: str, rate: float, seconds: float, connections: int = OPEN_CONNECTIONS) -> Samples:
+    """Requests are sent when they are due, `rate` a second, however many are in flight."""
+    count = int(rate * seconds)
+    started_at = time.monotonic() + START_DELAY
+    due = [started_at + number / rate for number in range(count)]
+    samples = Samples()
     socks = [connect(path) for _ in range(connections)]
 
-    def read(sock: socket.socket, owed: int) -> None:
-        source, wrong, mine = sock.makefile("rb"), 0, []
-        for _ in range(owed):
+    def read(sock: socket.socket, expected: int) -> None:
+        source = sock.makefile("rb")
+        latencies: list[float] = []
+        failures = 0
+        for _ in range(expected):
             line = source.readline()
-            at = msgspec.json.decode(line)["id"]
-            mine.append((time.monotonic() - due[at]) * 1000)
-            wrong += b'"ok"' not in line
-        took.extend(mine)
-        bad[0] += wrong
-
-    threads = [
-        threading.Thread(target=read, args=(sock, len(range(n, many, connections)))) for n, sock in enumerate(socks)
-    ]
-    for thread in threads:
-        thread.start()
-    for at in range(many):
-        if (wait := due[at] - time.monotonic()) > 0:
+            number = msgspec.json.decode(line)["id"]
+            latencies.append((time.monotonic() - due[number]) * 1000)
+            failures += b'"ok"' not in line
+        samples.add(latencies, failures)
+
+    readers = [_start(read, sock, len(range(first, count, connections))) for first, sock in enumerate(socks)]
+    for number in range(count):
+        wait = due[number] - time.monotonic()
+        if wait > 0:
             time.sleep(wait)
-        socks[at % connections].sendall(CALL % (at % 10, PHOTO, at))
+        socks[number % connections].sendall(REQUEST % (number % FUNCTIONS, PHOTO, number))
+    _join(readers)
+    return samples
+
+
+def _start(target: Callable[..., None], *arguments: object) -> threading.Thread:
+    thread = threading.Thread(target=target, args=arguments)
+    thread.start()
+    return thread
+
+
+def _join(threads: list[threading.Thread]) -> None:
     for thread in threads:
         thread.join()
-    return took, bad[0]
 
 
 def main() -> None:
-    """Runs one load and prints what it found."""
-    path, how, figure, seconds = sys.argv[1], sys.argv[2], float(sys.argv[3]), float(sys.argv[4])
-    began = time.monotonic()
-    took, bad = closed(path, int(figure), seconds) if how == "closed" else opened(path, figure, seconds)
-    spent = time.monotonic() - began
-    kept = histogram(took)
-    print(
-        msgspec.json.encode(
-            {
-                "rpcs": len(took),
-                "not_ok": bad,
-                "rate": len(took) / spent,
-                "ms": {f"p{point:g}": kept.get_value_at_percentile(point) / 1000 for point in POINTS},
-            }
-        ).decode()
-    )
+    """Runs one load and prints its figures. `rpcs`, the count of requests, keeps its name in the output."""
+    path, kind = sys.argv[1:3]
+    figure = float(sys.argv[3])
+    seconds = float(sys.argv[4])
+    started_at = time.monotonic()
+    is_closed = kind == "closed"
+    samples = closed_loops(path, int(figure), seconds) if is_closed else open_loop(path, figure, seconds)
+    elapsed = time.monotonic() - started_at
+    latencies = histogram(samples.latencies)
+    figures = {
+        "rpcs": len(samples.latencies),
+        "not_ok": sum(samples.failures),
+        "rate": len(samples.latencies) / elapsed,
+        "ms": {f"p{point:g}": latencies.get_value_at_percentile(point) / 1000 for point in PERCENTILES},
+    }
+    print(msgspec.json.encode(figures).decode())
 
 
 if __name__ == "__main__":
--- a/bench/relay.py
+++ b/bench/relay.py
@@ -1,7 +1,7 @@
-"""A bare relay: the gateway's threads and messages and no decisions. `python -m bench.relay SOCK WORKER...`
+"""A bare relay: the gateway's threads and messages without decisions. `python -m bench.relay SOCKET WORKER...`
 
-One reader a client, one desk thread between queues, one reader a worker, the same decoding and encoding; each RPC
-goes to the next worker in turn. What the gateway costs over it is what deciding costs.
+It has one reader for each client, one thread between the queues, one reader for each worker, and the same decoding and
+encoding; requests go to the workers in turn. What the gateway costs more than it is the cost of deciding.
 """
 
 import itertools
@@ -9,6 +9,8 @@
 import socket
 import sys
 import threading
+from collections.abc import Callable
+from dataclasses import dataclass
 
 import msgspec
 
@@ -16,69 +18,111 @@
 from wickdyke.protocol.framing import LineReader
 from wickdyke.transport.write_buffer import OutgoingMessage, WriteBuffer
 
-LINE, UNREAD = 16 << 20, 32 << 20
+LINE_LIMIT = 16 << 20  # bytes
+UNREAD_LIMIT = 32 << 20  # bytes that may wait for one peer
+READ_BYTES = 1 << 18
+STACK_BYTES = 512 * 1024
+SWITCH_INTERVAL = 0.001  # s, as in the gateway
+BACKLOG = 64
+MEMORY_MB = 100.0  # as stated in requests to workers
+TIME_LEFT_MS = 1000.0  # as stated in requests to workers
 
 
-def reader(sock: socket.socket, each) -> None:
-    """Hands each line on until the end."""
-    lines = LineReader(LINE)
-    while data := sock.recv(1 << 18):
-        for line in lines.feed(data):
-            each(line)
+@dataclass(slots=True, frozen=True)
+class ClientRequest:
+    """A request of a client."""
+
+    client: WriteBuffer
+    ident: jsonrpc.Ident
+    call: client_messages.CallRequest
+
+
+@dataclass(slots=True, frozen=True)
+class WorkerResponse:
+    """A worker's result, by the number that the relay gave its request."""
 
+    number: jsonrpc.Ident
+    result: worker_messages.RunResult
 
-def main(path: str, workers: list[str]) -> None:
-    """Relays until it is killed."""
-    threading.stack_size(512 * 1024)
-    sys.setswitchinterval(0.001)
-    events: queue.SimpleQueue = queue.SimpleQueue()
-    out: dict[int, tuple] = {}
-    boxes = []
 
-    def answered(line: bytes) -> None:
-        ident, result, _ = jsonrpc.parse_response(line)
-        events.put(("back", ident, msgspec.json.decode(result, type=worker_messages.RunResult)))
+class Relay:
+    """Sends requests to workers in turn, and their results back."""
 
-    for worker in workers:
-        sock = socket.socket(socket.AF_UNIX)
-        sock.connect(worker)
-        boxes.append(WriteBuffer(sock, UNREAD, worker))
-        threading.Thread(target=reader, args=(sock, answered), daemon=True).start()
+    def __init__(self, worker_addresses: list[str]) -> None:
+        """Connects to the workers; raises OSError."""
+        self.events: queue.SimpleQueue[ClientRequest | WorkerResponse] = queue.SimpleQueue()
+        self.pending: dict[jsonrpc.Ident, ClientRequest] = {}
+        self.workers: list[WriteBuffer] = []
+        for address in worker_addresses:
+            sock = socket.socket(socket.AF_UNIX)
+            sock.connect(address)
+            self.workers.append(WriteBuffer(sock, UNREAD_LIMIT, address))
+            _start(_read_lines, sock, self._receive_response)
 
-    def desk() -> None:
-        turn, number = itertools.cycle(boxes), itertools.count(1)
+    def run(self) -> None:
+        """Handles requests and results, for ever."""
+        workers = itertools.cycle(self.workers)
+        numbers = itertools.count(1)
         while True:
-            match events.get():
-                case ("asked", box, ident, call):
-                    n = next(number)
-                    out[n] = box, ident
-                    run = worker_messages.RunRequest(call.method, call.function, call.input, 100.0, 1, 1000.0)
-                    next(turn).put(OutgoingMessage(jsonrpc.request_line("run", jsonrpc.encode(run), n)))
-                case ("back", n, ran):
-                    box, ident = out.pop(n)
-                    box.put(OutgoingMessage(client_messages.success_response(ident, bytes(ran.output), 1) + b"\n"))
-
-    threading.Thread(target=desk, daemon=True).start()
+            match self.events.get():
+                case ClientRequest() as request:
+                    self._send(next(workers), next(numbers), request)
+                case WorkerResponse() as response:
+                    request = self.pending.pop(response.number)
+                    body = client_messages.success_response(request.ident, bytes(response.result.output), 1)
+                    request.client.put(OutgoingMessage(body + b"\n"))
+
+    def _send(self, worker: WriteBuffer, number: int, request: ClientRequest) -> None:
+        self.pending[number] = request
+        call = request.call
+        run = worker_messages.RunRequest(call.method, call.function, call.input, MEMORY_MB, 1, TIME_LEFT_MS)
+        worker.put(OutgoingMessage(jsonrpc.request_line("run", jsonrpc.encode(run), number)))
+
+    def serve_client(self, sock: socket.socket) -> None:
+        """Starts to read a client's requests."""
+        client = WriteBuffer(sock, UNREAD_LIMIT, "client")
+
+        def receive(line: bytes) -> None:
+            for request in jsonrpc.parse_requests(line):
+                if isinstance(request, jsonrpc.MalformedRequestError):
+                    raise request
+                call = jsonrpc.parse_params(client_messages.CallRequest, request.params, request.ident)
+                self.events.put(ClientRequest(client, request.ident, call))
+
+        _start(_read_lines, sock, receive)
+
+    def _receive_response(self, line: bytes) -> None:
+        number, result, _ = jsonrpc.parse_response(line)
+        if result is None:
+            raise ValueError(f"the worker failed: {line[:200]!r}")
+        self.events.put(WorkerResponse(number, msgspec.json.decode(result, type=worker_messages.RunResult)))
+
+
+def _start(target: Callable[..., None], *arguments: object) -> None:
+    threading.Thread(target=target, args=arguments, daemon=True).start()
+
+
+def _read_lines(sock: socket.socket, receive: Callable[[bytes], None]) -> None:
+    """Calls `receive` with each line until the connection ends."""
+    lines = LineReader(LINE_LIMIT)
+    while data := sock.recv(READ_BYTES):
+        for line in lines.feed(data):
+            receive(line)
+
+
+def main(path: str, worker_addresses: list[str]) -> None:
+    """Relays until the process is killed."""
+    threading.stack_size(STACK_BYTES)
+    sys.setswitchinterval(SWITCH_INTERVAL)
+    relay = Relay(worker_addresses)
+    _start(relay.run)
     listener = socket.socket(socket.AF_UNIX)
     listener.bind(path)
-    listener.listen(64)
+    listener.listen(BACKLOG)
     print("ready", flush=True)
     while True:
         sock, _ = listener.accept()
-        box = WriteBuffer(sock, UNREAD, "client")
-
-        def asked(line: bytes, box: WriteBuffer = box) -> None:
-            for request in jsonrpc.parse_requests(line):
-                events.put(
-                    (
-                        "asked",
-                        box,
-                        request.ident,
-                        jsonrpc.parse_params(client_messages.CallRequest, request.params, request.ident),
-                    )
-                )
-
-        threading.Thread(target=reader, args=(sock, asked), daemon=True).start()
+        relay.serve_client(sock)
 
 
 if __name__ == "__main__":
--- a/tests/storage_rig.py
+++ b/tests/storage_rig.py
@@ -154,7 +154,7 @@
         return cache
 
     def mended(self, cache, used):
-        """Checks a cache once writing works again: loads succeed, nothing is left over, the index agrees with the disk."""
+        """Checks a cache once writing works again: loads succeed, nothing is left, the index agrees with the disk."""
         self.assertEqual(cache.index.use_counts, used)
         self.take(cache, 2)
         cache.release(self.packs[2][1])
