--- a/bench/worker.py
+++ b/bench/worker.py
@@ -1,5 +1,5 @@
-"""What a worker of our own costs: starts, calls, memory against an independent reading, and recovery after a mass
-restart with and without placement ahead. Work in the recovery is time slept.
+"""What a real worker costs: starts, requests, memory against an independent reading, and recovery after a mass
+restart with and without prewarming. Work in the recovery is time slept.
 
     python -m bench.worker
     python -m bench.worker --recovery scripts/real-mass-restart.sexp --seeds 3
@@ -7,6 +7,7 @@
 
 import copy
 import io
+import itertools
 import os
 import socket
 import statistics
@@ -15,214 +16,240 @@
 import tempfile
 import threading
 import time
+from dataclasses import dataclass
 
 import click
 import msgspec
-import psutil
+import psutil  # type: ignore[import-untyped]  # it has no type hints
 
-from bench.overload import recovery, seconds
+from bench.overload import SECOND_MS, check_run, timeline
 from wickdyke.config import worker_config
-from wickdyke.fault_injection import report, scenario, trace
+from wickdyke.fault_injection import report, scenario
 from wickdyke.fault_injection.rule_checker import RuleChecker
 from wickdyke.fault_injection.scenario_runner import ScenarioRunner
 from wickdyke.gateway import log as logs
 from wickdyke.worker import manifest, package
+from wickdyke.worker.cache_index import MB
+from wickdyke.worker.replica_process import ReplicaProcess
 from wickdyke.worker.runtime import Worker
 from wickdyke.worker.source import FolderStore
 
-CODE = """import os
-held = bytearray(os.urandom(1 << 20) * {mb})
-def run(asked):
-    return asked
+PACKAGE_CODE = """import os
+block = bytearray(os.urandom(1 << 20) * {mb})
+def run(argument):
+    return argument
 """
-SHOP = """(worker (name "w") (listen "w.sock") (store (folder "store")) (cache (folder "{cache}") (most 500 MB))
-  (memory 4 GB) (measure 100 ms) (idle-life 10 min))"""
+WORKER_CONFIG = """(worker (name "w") (listen "w.sock") (store (folder "store"))
+  (cache (folder "{cache}") (most 500 MB)) (memory 4 GB) (measure 100 ms) (idle-life 10 min))"""
+PACKAGE_FOLDER = "made"  # in the temporary folder
+PACKAGE_SIZES = (1, 2, 4, 8, 16, 24, 32, 48, 64, 96)  # MB that packages allocate
+INTERPRETER_MB = 24  # that a package states beyond what it allocates
+SINGLE_REQUESTS = 200  # of each round
+CONCURRENT_REQUESTS = 100
+SETTLING_TIME = 0.2  # s from the last request to the measurement
+SAMPLE_INTERVAL = 0.1  # s between two samples of a worker's memory
+SAMPLE_DELAY = 0.5  # s that the processes must be the same; a report is up to a quarter of a second old
+ACCURACY = 0.05  # relative error within which a report counts as accurate
 
 
 def pack(folder: str, name: str, mb: int, memory: int) -> None:
-    """A package whose copies hold so many MB."""
-    made = os.path.join(folder, "made")
-    os.makedirs(made, exist_ok=True)
-    with open(os.path.join(made, "main.py"), "w") as sink:
-        sink.write(CODE.format(mb=mb))
-    with open(os.path.join(made, manifest.FILE_NAME), "w") as sink:
+    """Packs a package that allocates so many MB, and states `memory` MB."""
+    package_folder = os.path.join(folder, PACKAGE_FOLDER)
+    os.makedirs(package_folder, exist_ok=True)
+    with open(os.path.join(package_folder, "main.py"), "w") as sink:
+        sink.write(PACKAGE_CODE.format(mb=mb))
+    with open(os.path.join(package_folder, manifest.FILE_NAME), "w") as sink:
         sink.write(f'(package "{name}" (version "1") (entry "main:run") (memory {memory} MB) (lanes 4))')
-    package.pack(made, os.path.join(folder, "store"))
+    package.pack(package_folder, os.path.join(folder, "store"))
 
 
-class Gate:
-    """One connection to a worker, in step."""
+class GatewayConnection:
+    """One connection to a worker, used by one thread."""
 
     def __init__(self, path: str) -> None:
         self.sock = socket.socket(socket.AF_UNIX)
         self.sock.connect(path)
-        self.source, self.turn = self.sock.makefile("rb"), 0
-
-    def run(self, program: str, many: int = 1, **asked) -> float:
-        """ms that so many calls took, sent one after another, all out at once."""
-        began = time.perf_counter()
-        lines = []
-        for _ in range(many):
-            self.turn += 1
-            lines.append(
-                msgspec.json.encode(
-                    {
-                        "jsonrpc": "2.0",
-                        "method": "run",
-                        "id": self.turn,
-                        "params": {
-                            "method": "m",
-                            "program": program,
-                            "input": asked,
-                            "memory_mb": 8.0,
-                            "lanes": 4,
-                            "time_left_ms": 60000.0,
-                        },
-                    }
-                )
-                + b"\n"
-            )
-        self.sock.sendall(b"".join(lines))
-        for _ in range(many):
-            told = msgspec.json.decode(self.source.readline())
-            if "result" not in told:
-                raise SystemExit(f"a call failed: {told}")
-        return (time.perf_counter() - began) * 1000
-
-    def drop(self, program: str) -> None:
-        """Lets its idle copies go."""
-        self.sock.sendall(
-            msgspec.json.encode({"jsonrpc": "2.0", "method": "drop", "params": {"program": program}}) + b"\n"
-        )
+        self.source = self.sock.makefile("rb")
+        self.ids = itertools.count(1)
+
+    def run(self, function: str, count: int = 1) -> float:
+        """Sends `count` requests at once; returns the ms until all are answered."""
+        started_at = time.perf_counter()
+        self.sock.sendall(b"".join(_run_line(next(self.ids), function) for _ in range(count)))
+        for _ in range(count):
+            answer = msgspec.json.decode(self.source.readline())
+            if "result" not in answer:
+                raise SystemExit(f"a request failed: {answer}")
+        return (time.perf_counter() - started_at) * 1000
+
+    def unload_idle(self, function: str) -> None:
+        """Has the worker unload its idle replicas of a function."""
+        message = {"jsonrpc": "2.0", "method": "drop", "params": {"program": function}}
+        self.sock.sendall(msgspec.json.encode(message) + b"\n")
 
     def close(self) -> None:
-        """Hangs up."""
+        """Ends the connection."""
         self.sock.close()
 
 
-def begin(folder: str, cache: str) -> Worker:
+def _run_line(ident: int, function: str) -> bytes:
+    params = {
+        "method": "m",
+        "program": function,
+        "input": {},
+        "memory_mb": 8.0,
+        "lanes": 4,
+        "time_left_ms": 60000.0,
+    }
+    return msgspec.json.encode({"jsonrpc": "2.0", "method": "run", "id": ident, "params": params}) + b"\n"
+
+
+def start_worker(folder: str, cache: str) -> Worker:
     """A worker in this process."""
-    with open(os.path.join(folder, "w.sexp"), "w") as sink:
-        sink.write(SHOP.format(cache=cache))
-    shop = worker_config.read(os.path.join(folder, "w.sexp"))
-    made = Worker(shop, FolderStore(shop.folder), logs.logger(io.StringIO(), False)[0])
-    made.open()
-    return made
+    path = os.path.join(folder, "w.sexp")
+    with open(path, "w") as sink:
+        sink.write(WORKER_CONFIG.format(cache=cache))
+    config = worker_config.read(path)
+    worker = Worker(config, FolderStore(os.path.join(folder, "store")), logs.logger(io.StringIO(), False)[0])
+    worker.open()
+    return worker
 
 
 def spread(figures: list[float]) -> str:
-    """Median, least and greatest."""
+    """Median, minimum and maximum."""
     return f"{statistics.median(figures):.2f} ({min(figures):.2f} to {max(figures):.2f})"
 
 
-def starts(folder: str, rounds: int) -> list[list[str]]:
-    """A first call: with nothing in the cache, from the cache, of a fresh interpreter instead of the parent's fork."""
+def measure_starts(folder: str, rounds: int) -> list[list[str]]:
+    """A first request: with an empty cache, from the cache, and with a new interpreter instead of a forked replica."""
     pack(folder, "p", 1, 32)
-    cold, cached, plain = [], [], []
-    for at in range(rounds):
-        worker = begin(folder, f"cache{at}")
-        gate = Gate(worker.config.listen)
-        cold.append(gate.run("p"))
-        gate.drop("p")
-        cached.append(gate.run("p"))
-        gate.close()
+    uncached: list[float] = []
+    cached: list[float] = []
+    interpreter: list[float] = []
+    for number in range(rounds):
+        worker = start_worker(folder, f"cache{number}")
+        connection = GatewayConnection(worker.config.listen)
+        uncached.append(connection.run("p"))
+        connection.unload_idle("p")
+        cached.append(connection.run("p"))
+        connection.close()
         worker.close()
-        made = os.path.join(folder, "made")
-        began = time.perf_counter()
-        subprocess.run([sys.executable, "-c", "import msgspec, main; main.run(1)"], cwd=made, check=True)
-        plain.append((time.perf_counter() - began) * 1000)
+        interpreter.append(_interpreter_start(os.path.join(folder, PACKAGE_FOLDER)))
+    ratios = [worker_ms / interpreter_ms for worker_ms, interpreter_ms in zip(cached, interpreter, strict=True)]
     return [
-        ["first call, nothing in the cache, ms", spread(cold)],
-        ["first call, from the cache, ms", spread(cached)],
-        ["a fresh interpreter with the package, ms", spread(plain)],
-        ["from the cache over a fresh interpreter", spread([a / b for a, b in zip(cached, plain, strict=True)])],
+        ["first request, empty cache, ms", spread(uncached)],
+        ["first request, from the cache, ms", spread(cached)],
+        ["a new interpreter with the package, ms", spread(interpreter)],
+        ["from the cache over a new interpreter", spread(ratios)],
     ]
 
 
-def calls(folder: str, rounds: int) -> list[list[str]]:
-    """Calls of one copy: one at a time, and many out; the hop beside a function call with the same encoding."""
-    worker = begin(folder, "cache0")
-    gate = Gate(worker.config.listen)
-    gate.run("p")
-    alone = [statistics.median(gate.run("p") for _ in range(200)) for _ in range(rounds)]
-    rate = [2000 / gate.run("p", 2000 // 20) * 1000 / 20 for _ in range(rounds)]
-    gate.close()
+def _interpreter_start(package_folder: str) -> float:
+    """The ms that a new interpreter takes to import the package and call its function."""
+    started_at = time.perf_counter()
+    command = [sys.executable, "-c", "import msgspec, main; main.run(1)"]
+    subprocess.run(command, cwd=package_folder, check=True)
+    return (time.perf_counter() - started_at) * 1000
+
+
+def measure_requests(folder: str, rounds: int) -> list[list[str]]:
+    """Requests to one replica: one at a time, and many in flight."""
+    worker = start_worker(folder, "cache0")
+    connection = GatewayConnection(worker.config.listen)
+    connection.run("p")
+    latencies = [statistics.median(connection.run("p") for _ in range(SINGLE_REQUESTS)) for _ in range(rounds)]
+    rates = [CONCURRENT_REQUESTS * 1000 / connection.run("p", CONCURRENT_REQUESTS) for _ in range(rounds)]
+    connection.close()
     worker.close()
-    return [["one call at a time, ms", spread(alone)], ["calls a second, 100 out", spread(rate)]]
-
-
-def memory(folder: str) -> list[list[str]]:
-    """Ten packages of known sizes at once: what is reported against Pss of /proc/PID/smaps, read line by line."""
-    sizes = [1, 2, 4, 8, 16, 24, 32, 48, 64, 96]
-    for mb in sizes:
-        pack(folder, f"m{mb}", mb, mb + 24)
-    worker = begin(folder, "cacheM")
-    gate = Gate(worker.config.listen)
-    rows = []
-    for mb in sizes:
-        gate.run(f"m{mb}")
-    time.sleep(0.2)
+    return [
+        ["one request at a time, ms", spread(latencies)],
+        [f"requests a second, {CONCURRENT_REQUESTS} in flight", spread(rates)],
+    ]
+
+
+def measure_memory(folder: str) -> list[list[str]]:
+    """Packages of different sizes at once: the worker's measurement against the mappings of /proc/PID/smaps."""
+    for mb in PACKAGE_SIZES:
+        pack(folder, f"m{mb}", mb, mb + INTERPRETER_MB)
+    worker = start_worker(folder, "cacheM")
+    connection = GatewayConnection(worker.config.listen)
+    for mb in PACKAGE_SIZES:
+        connection.run(f"m{mb}")
+    time.sleep(SETTLING_TIME)
     worker.measure()
     with worker.runner.lock:
-        measured = {
-            process.replica.function.name: (process.pid, process.replica.measured_memory)
-            for process in worker.replicas.processes.values()
-        }
-    for mb in sizes:
-        pid, told = measured[f"m{mb}"]
-        real = pss(pid)
-        resident = psutil.Process(pid).memory_info().rss / (1 << 20)
-        rows.append(
-            [
-                f"a package that holds {mb} MB",
-                f"told {told:.1f}, read {real:.1f} MB ({100 * abs(told - real) / real:.1f}%); resident {resident:.1f}",
-            ]
-        )
-    gate.close()
+        processes = {process.replica.function.name: process for process in worker.replicas.processes.values()}
+    rows = [_memory_row(mb, processes[f"m{mb}"]) for mb in PACKAGE_SIZES]
+    connection.close()
     worker.close()
     return rows
 
 
-def play(script: scenario.Scenario, holds: bool, found: dict) -> None:
-    """One run, judged."""
-    mine = copy.copy(script)
-    mine.holds = holds
-    with tempfile.TemporaryDirectory(prefix="wd-") as folder:
-        found[holds] = RuleChecker(trace.read(ScenarioRunner(mine, os.path.join(folder, "run")).run()))
+def _memory_row(mb: int, process: ReplicaProcess) -> list[str]:
+    measured = process.replica.measured_memory
+    actual = proportional_set_size(process.pid)
+    resident = psutil.Process(process.pid).memory_info().rss / MB
+    error_percent = 100 * abs(measured - actual) / actual
+    return [
+        f"a package that allocates {mb} MB",
+        f"reported {measured:.1f}, actual {actual:.1f} MB ({error_percent:.1f}%); resident {resident:.1f}",
+    ]
+
+
+@dataclass(slots=True, frozen=True)
+class RecoveryResult:
+    """What a run with a mass restart came to."""
 
+    recovery: int | None  # s from the restart
+    share_in_time: float  # of the requests until the next restart
+    findings: int  # broken rules
 
-def recover(file: str, seeds: int) -> list[list[str]]:
-    """Seconds from the first mass restart until three in a row have nine tenths in time, with and without orders."""
+
+def measure_recovery(file: str, seeds: int) -> list[list[str]]:
+    """Seconds from the first mass restart until nearly all requests are in time, with and without prewarming."""
     script = scenario.read(file)
-    first = next(trouble for trouble in script.troubles if trouble.kind == "die")
-    last = next(trouble.at for trouble in script.troubles if trouble.at > first.at)
-    rows: dict[bool, list] = {True: [], False: []}
+    first = next(fault for fault in script.troubles if fault.kind == "die")
+    assert first.at is not None  # faults of this scenario start at a time
+    second = next(fault.at for fault in script.troubles if fault.at is not None and fault.at > first.at)
+    restarts = range(int(first.at // SECOND_MS), int(second // SECOND_MS))
+    results: dict[bool, list[RecoveryResult]] = {True: [], False: []}
     for _ in range(seeds):
-        found: dict[bool, RuleChecker] = {}
-        threads = [threading.Thread(target=play, args=(script, holds, found)) for holds in (True, False)]
-        for thread in threads:
-            thread.start()
-        for thread in threads:
-            thread.join()
-        for holds, judge in found.items():
-            asks, good = seconds(judge)
-            starts_at, ends_at = int(first.at // 1000), int(last // 1000)
-            until = {at: asks[at] for at in range(ends_at + 1)}
-            span = range(starts_at, ends_at)
-            share = sum(good[at] for at in span) / sum(asks[at] for at in span)
-            rows[holds].append((recovery(until, good, starts_at + 1), share, len(judge.findings)))
+        for prewarming, checker in _play_both(script).items():
+            requests = timeline(checker)
+            recovery = requests.recovery(restarts.start + 1, restarts.stop)
+            results[prewarming].append(
+                RecoveryResult(recovery, requests.share_in_time(restarts), len(checker.findings))
+            )
         script.seed += 1
+    return [_recovery_row(prewarming, runs) for prewarming, runs in results.items()]
+
+
+def _play_both(script: scenario.Scenario) -> dict[bool, RuleChecker]:
+    """Plays a scenario with and without prewarming, at once."""
+    checkers: dict[bool, RuleChecker] = {}
+
+    def play(prewarming: bool) -> None:
+        variant = copy.copy(script)
+        variant.holds = prewarming
+        checkers[prewarming] = check_run(variant)
+
+    threads = [threading.Thread(target=play, args=(prewarming,)) for prewarming in (True, False)]
+    for thread in threads:
+        thread.start()
+    for thread in threads:
+        thread.join()
+    return checkers
+
+
+def _recovery_row(prewarming: bool, runs: list[RecoveryResult]) -> list[str]:
     return [
-        [
-            f"orders ahead {'on' if holds else 'off'}",
-            f"{', '.join(str(row[0]) for row in each)} s to nine tenths; in time until the next restart "
-            f"{', '.join(f'{row[1]:.2f}' for row in each)}; findings {sum(row[2] for row in each)}",
-        ]
-        for holds, each in rows.items()
+        f"prewarming {'on' if prewarming else 'off'}",
+        f"{', '.join(str(run.recovery) for run in runs)} s to nine tenths; in time until the next restart "
+        f"{', '.join(f'{run.share_in_time:.2f}' for run in runs)}; findings {sum(run.findings for run in runs)}",
     ]
 
 
-def pss(pid: int) -> float:
+def proportional_set_size(pid: int) -> float:
     """A process's proportional set size in MB, added up from all its mappings; 0 where it is gone."""
     try:
         with open(f"/proc/{pid}/smaps") as source:
@@ -231,52 +258,72 @@
         return 0.0
 
 
-def sample(director: ScenarioRunner, name: str, found: list[tuple[float, float]]) -> None:
-    """Asks a worker what its copies take, and reads the same from the kernel; only where no copy came or went
-    meanwhile, since what is told is up to a quarter of a second old."""
+@dataclass(slots=True, frozen=True)
+class MemorySample:
+    """The memory of a worker's replicas in MB."""
+
+    reported: float  # by the worker
+    actual: float  # by the kernel
+
+    @property
+    def error(self) -> float:
+        """The relative error of the report."""
+        return abs(self.reported - self.actual) / self.actual
+
+
+def sample_memory(runner: ScenarioRunner, name: str) -> MemorySample | None:
+    """The memory of a worker's replicas as it reports it, and as the kernel does.
+
+    None where a replica started or ended meanwhile, as a report is up to a quarter of a second old, and where the
+    worker does not run.
+    """
     try:
         with socket.socket(socket.AF_UNIX) as sock:
             sock.settimeout(2)
-            sock.connect(director.rows[name].address)
-            parent = psutil.Process(director.workers[name].process.pid).children()[0]
-            before = {copy.pid for copy in parent.children()}
-            time.sleep(0.5)
-            real = sum(pss(pid) for pid in before)
+            sock.connect(runner.rows[name].address)
+            parent = psutil.Process(runner.workers[name].process.pid).children()[0]
+            replicas = {process.pid for process in parent.children()}
+            time.sleep(SAMPLE_DELAY)
+            actual = sum(proportional_set_size(pid) for pid in replicas)
             sock.sendall(b'{"jsonrpc":"2.0","method":"probe","params":{},"id":1}\n')
-            told = msgspec.json.decode(sock.makefile("rb").readline())["result"]["report"]["copies_mb"]
-            if before and before == {copy.pid for copy in parent.children()}:
-                found.append((told, real))
+            reported = msgspec.json.decode(sock.makefile("rb").readline())["result"]["report"]["copies_mb"]
+            if replicas and replicas == {process.pid for process in parent.children()}:
+                return MemorySample(reported, actual)
     except (OSError, KeyError, IndexError, psutil.Error, msgspec.MsgspecError):
-        pass  # it was killed just then, or is not there yet
+        pass  # the worker was killed just then, or has not started yet
+    return None
 
 
-def throughout(file: str) -> list[list[str]]:
-    """What workers tell of their copies against the kernel, all through a script."""
-    found: list[tuple[float, float]] = []
+def measure_reports(file: str) -> list[list[str]]:
+    """The memory that workers report against the kernel's, sampled all through a scenario."""
+    samples: list[MemorySample] = []
     with tempfile.TemporaryDirectory(prefix="wd-") as folder:
-        director = ScenarioRunner(scenario.read(file), os.path.join(folder, "run"))
+        script = scenario.read(file)
+        runner = ScenarioRunner(script, os.path.join(folder, "run"))
         ended = threading.Event()
 
         def watch(name: str) -> None:
-            while not ended.wait(0.1):
-                sample(director, name, found)
+            while not ended.wait(SAMPLE_INTERVAL):
+                sample = sample_memory(runner, name)
+                if sample is not None:
+                    samples.append(sample)
 
-        watchers = [threading.Thread(target=watch, args=(name,)) for name in scenario.worker_names(director.script)]
+        watchers = [threading.Thread(target=watch, args=(name,)) for name in scenario.worker_names(script)]
         for watcher in watchers:
             watcher.start()
         try:
-            director.run()
+            runner.run()
         finally:
             ended.set()
             for watcher in watchers:
                 watcher.join()
-    off = sorted(abs(told - real) / real for told, real in found)
+    errors = sorted(sample.error for sample in samples)
     return [
-        ["readings", str(len(off))],
-        ["off, median", f"{100 * statistics.median(off):.2f}%"],
-        ["off, 95 of 100", f"{100 * off[int(len(off) * 0.95)]:.2f}%"],
-        ["off, greatest", f"{100 * off[-1]:.2f}%"],
-        ["within 5%", f"{sum(each <= 0.05 for each in off)} of {len(off)}"],
+        ["samples", str(len(errors))],
+        ["error, median", f"{100 * statistics.median(errors):.2f}%"],
+        ["error, 95th percentile", f"{100 * errors[int(len(errors) * 0.95)]:.2f}%"],
+        ["error, maximum", f"{100 * errors[-1]:.2f}%"],
+        ["within 5%", f"{sum(error <= ACCURACY for error in errors)} of {len(errors)}"],
     ]
 
 
@@ -284,18 +331,20 @@
 @click.option("--rounds", default=7, help="Rounds of each figure.")
 @click.option("--recovery", "script", type=click.Path(), help="Measure recovery with this script instead.")
 @click.option("--seeds", default=3, help="Pairs of it.")
-@click.option("--memory-in", type=click.Path(), help="Compare memory told and read all through this script instead.")
+@click.option(
+    "--memory-in", type=click.Path(), help="Compare reported and actual memory all through this script instead."
+)
 def main(rounds: int, script: str | None, seeds: int, memory_in: str | None) -> None:
-    """Measures a worker of our own."""
+    """Measures a real worker."""
     if memory_in:
-        print(report.table(("memory of copies", ""), throughout(memory_in)))
+        print(report.table(("memory of copies", ""), measure_reports(memory_in)))
         return
     if script:
-        print(report.table(("recovery", "figures"), recover(script, seeds)))
+        print(report.table(("recovery", "figures"), measure_recovery(script, seeds)))
         return
     with tempfile.TemporaryDirectory(prefix="wd-") as folder:
-        rows = starts(folder, rounds) + calls(folder, rounds) + memory(folder)
-    print(report.table(("what", "median, least and greatest"), rows))
+        rows = measure_starts(folder, rounds) + measure_requests(folder, rounds) + measure_memory(folder)
+    print(report.table(("what", "median, minimum and maximum"), rows))
 
 
 if __name__ == "__main__":
