--- a/bench/overload.py
+++ b/bench/overload.py
@@ -18,6 +18,7 @@
 from wickdyke.config.sexpr import Expression
 from wickdyke.fault_injection import report, scenario, trace
 from wickdyke.fault_injection.rule_checker import RuleChecker
+from wickdyke.fault_injection.rule_checker.trace_events import RequestResult
 from wickdyke.fault_injection.scenario_runner import ScenarioRunner
 
 HEALTHY_SHARE = 0.9  # of requests answered in time, from which a second counts as recovered
@@ -83,7 +84,7 @@
             Expression(
                 expression.name,
                 [item for item in expression.items if not (isinstance(item, Expression) and item.name in names)],
-                expression.spot,
+                expression.location,
             )
             for expression in expressions
         ]
@@ -99,14 +100,15 @@
 def timeline(checker: RuleChecker) -> Timeline:
     """The requests of a run, by second."""
     result = Timeline()
-    started_at = min(request.entry["t"] for request in checker.asked.values())
-    for request in checker.asked.values():
-        sent_at = request.entry["t"]
+    requests = checker.run.requests.values()
+    started_at = min(request.sent.time_ms for request in requests)
+    for request in requests:
+        sent_at = request.sent.time_ms
         second = int((sent_at - started_at) // SECOND_MS)
         result.sent[second] += 1
-        soft_deadline = checker.terms["methods"][request.entry["method"]]["soft"]
+        soft_deadline = checker.run.settings.methods[request.sent.method].soft_deadline_ms
         answer = request.answers[0] if request.answers else None
-        if answer and answer["answer"] == "ok" and answer["t"] - sent_at <= soft_deadline:
+        if answer and answer.result is RequestResult.OK and answer.time_ms - sent_at <= soft_deadline:
             result.in_time[second] += 1
     return result
 
@@ -137,12 +139,12 @@
 
 def variant_result(checker: RuleChecker, requests: Timeline, burst: range) -> VariantResult:
     """The figures of a run whose burst is in these seconds."""
-    executions = sum(len(attempts) for attempts in checker.runs.values())
+    executions = sum(len(attempts) for attempts in checker.run.attempts.values())
     return VariantResult(
         sum(requests.in_time[second] for second in burst) / len(burst),
         requests.share_in_time(range(burst.stop, requests.last_second)),
         requests.recovery(burst.stop, requests.last_second),
-        executions / len(checker.asked),
+        executions / len(checker.run.requests),
         len(checker.findings),
     )
 
--- a/bench/scale.py
+++ b/bench/scale.py
@@ -26,6 +26,7 @@
 
 from bench.simulated_fleet import FRAMES, Draw, HollowFleet, Meter, Settings, listing, product_bytes
 from wickdyke.routing.fleet import Fleet
+from wickdyke.routing.model import EndpointState
 from wickdyke.routing.placement import Placement
 from wickdyke.routing.router import Router
 
@@ -33,7 +34,12 @@
 TRACED_SECONDS = 4.0  # simulated time of a play in which bytes are counted, which takes ten times as long
 LONG_SECONDS = 600.0  # simulated time above which a point is long
 CHANGES = 200  # rows that change one by one, to measure a change
-CHANGE_STATES = ("ready", "draining", "ready", "gone")  # of a row, in turn
+CHANGE_STATES = (
+    EndpointState.READY,
+    EndpointState.DRAINING,
+    EndpointState.READY,
+    EndpointState.GONE,
+)  # of a row, in turn
 GC_THRESHOLDS = (20000, 20, 50)
 DRAW_SEED = 7
 PAGE_BYTES = 4096
@@ -136,7 +142,7 @@
 
     def change() -> None:  # one worker is replaced by another
         oldest = fleet.workers[next(iter(fleet.workers))].endpoint
-        fleet.announce([replace(oldest, state="gone")])
+        fleet.announce([replace(oldest, state=EndpointState.GONE)])
         fleet.announce([listing(next(numbers), started_at=fleet.now - 1e6)])
         fleet.at(fleet.now + 2000.0 / point.changes, change)
 
--- a/tests/schedule_rig.py
+++ b/tests/schedule_rig.py
@@ -4,8 +4,8 @@
 
 from wickdyke.worker.actions import Kill, PrewarmDone, PrewarmFailed, Reject, Run, StartLoad, Stop, Unload
 from wickdyke.worker.model import ScheduleLimits
-from wickdyke.worker.ramp import Ramp
 from wickdyke.worker.schedule import Schedule
+from wickdyke.worker.slow_start import SlowStart
 
 VERBS = {
     StartLoad: "load",
@@ -20,10 +20,19 @@
 
 
 def new_schedule(  # noqa: PLR0913 - the limits of a worker, each with a default
-    memory=100.0, at_once=4, loads_at_once=2, queue=20, idle_life=1000.0, run_time=500.0, stop_within=100.0, ramp=None
+    memory=100.0,
+    at_once=4,
+    loads_at_once=2,
+    queue=20,
+    idle_life=1000.0,
+    run_time=500.0,
+    stop_within=100.0,
+    slow_start=None,
 ):
     """A schedule at time 0 with these limits."""
-    limits = ScheduleLimits(memory, at_once, loads_at_once, queue, idle_life, run_time, stop_within, ramp or Ramp())
+    limits = ScheduleLimits(
+        memory, at_once, loads_at_once, queue, idle_life, run_time, stop_within, slow_start or SlowStart()
+    )
     return Schedule(0.0, limits)
 
 
--- a/tests/test_package.py
+++ b/tests/test_package.py
@@ -46,7 +46,7 @@
                     sink.write(text)
                 with self.assertRaises(InvalidConfigError) as caught:
                     package.pack(self.path("f"), self.path("store"))
-                self.assertEqual(len(caught.exception.troubles), 1, caught.exception)
+                self.assertEqual(len(caught.exception.diagnostics), 1, caught.exception)
                 for word in words:
                     self.assertIn(word, str(caught.exception))
                 self.assertFalse(os.path.exists(self.path("store")))
@@ -108,7 +108,7 @@
                     path = self.archive(*entries, cut=cut)
                 with self.assertRaises(InvalidConfigError) as caught:
                     package.from_zip(path)
-                self.assertEqual(len(caught.exception.troubles), 1)
+                self.assertEqual(len(caught.exception.diagnostics), 1)
                 for word in words:
                     self.assertIn(word, str(caught.exception))
         made, files = package.from_zip(self.archive(*plain))
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -31,6 +31,7 @@
     worker_results,
 )
 from wickdyke.platform.service import Service
+from wickdyke.routing.inputs import WorkerLoad
 from wickdyke.routing.model import RequestClass
 from wickdyke.transport.event_loop import EventLoop, clock
 
@@ -132,7 +133,9 @@
                     self.assertRaises(resp.InvalidAnswer, worker_results.read_result, answer, names)
                 else:
                     got = worker_results.read_result(answer, names)
-                    self.assertEqual((got.outcome, got.load_note, got.concurrent, got.replicas, got.report), told)
+                    report = WorkerLoad.from_values(names, told[-1])
+                    self.assertEqual((got.outcome, got.load_note, got.concurrent, got.replicas), told[:-1])
+                    self.assertEqual(got.report, report)
 
 
 class List(unittest.TestCase):
@@ -771,7 +774,7 @@
             ),
             (["idempotent", "side-effecting"], 500.0, 2, ("utilization", "in_flight"), 256),
         )
-        self.assertEqual(got.bounds.open_rpcs, 1024)  # of 64 MB
+        self.assertEqual(got.bounds.open_requests, 1024)  # of 64 MB
         self.assertEqual(
             (got.attempt_limits.cancel, got.attempt_limits.hedging, got.prewarm_quota.free, got.kinds),
             (True, False, 6.0, ("std", "slow")),
--- a/tests/test_worker.py
+++ b/tests/test_worker.py
@@ -49,7 +49,7 @@
                     sink.write(text)
                 with self.assertRaises(InvalidConfigError) as caught:
                     worker_config.read(self.path("w.sexp"))
-                self.assertEqual(len(caught.exception.troubles), 1, caught.exception)
+                self.assertEqual(len(caught.exception.diagnostics), 1, caught.exception)
                 for word in words:
                     self.assertIn(word, str(caught.exception))
 
--- a/tests/test_worker_schedule.py
+++ b/tests/test_worker_schedule.py
@@ -4,7 +4,7 @@
 
 from tests.schedule_rig import load_replica, new_schedule, summary, take_decisions
 from wickdyke.worker.model import ReplicaState
-from wickdyke.worker.ramp import Ramp
+from wickdyke.worker.slow_start import SlowStart
 
 
 class Cases(unittest.TestCase):
@@ -157,7 +157,7 @@
         """(age) -> calls taken of 8: a part while it is cold, and reported so."""
         for age, taken, cold in ((0.0, 2, 0.75), (500.0, 5, 0.375), (1000.0, 8, 0.0)):
             with self.subTest(age=age):
-                schedule = new_schedule(at_once=8, ramp=Ramp(0.25, 1000.0))
+                schedule = new_schedule(at_once=8, slow_start=SlowStart(0.25, 1000.0))
                 schedule.advance(age)
                 for key in range(8):
                     schedule.submit(key, "p", 10, 8, 400.0)
--- a/tests/test_worker_store.py
+++ b/tests/test_worker_store.py
@@ -193,7 +193,7 @@
                 )
             )
         shop = worker_config.read(self.path("w.sexp"))
-        worker = Worker(shop, StoreClient(shop.service), logs.logger(io.StringIO(), False)[0])
+        worker = Worker(shop, StoreClient(shop.store_address), logs.logger(io.StringIO(), False)[0])
         worker.open()
         self.addCleanup(worker.close)
         gate = GatewayConnection(shop.listen)
--- a/tests/worker_rig.py
+++ b/tests/worker_rig.py
@@ -138,7 +138,7 @@
         config = worker_config.read(self.path("w.sexp"))
         self.log_output = io.StringIO()
         log, _ = logs.logger(self.log_output, False)
-        worker = Worker(config, FolderStore(config.folder), log)
+        worker = Worker(config, FolderStore(config.store_folder), log)
         worker.open()
         self.addCleanup(worker.close)
         gateway = GatewayConnection(config.listen)
--- a/wickdyke/cli/worker.py
+++ b/wickdyke/cli/worker.py
@@ -6,7 +6,7 @@
 
 import click
 
-from wickdyke.config import worker_config
+from wickdyke.config import store_config, worker_config
 from wickdyke.config.sexpr import InvalidConfigError
 from wickdyke.fault_injection.trace import TraceRecorder
 from wickdyke.gateway import log as logs
@@ -43,8 +43,8 @@
         config = worker_config.read(file)
     except InvalidConfigError as error:
         _fail(str(error))
-    log, log_writer = logs.logger(_open_log(log_file or config.log), as_json, worker=config.name)
-    trace = trace or config.trace
+    log, log_writer = logs.logger(_open_log(log_file or config.log_path), as_json, worker=config.name)
+    trace = trace or config.trace_path
     terminated = termination.asked()
     try:
         recorder = TraceRecorder(trace, config.name) if trace else None
@@ -56,17 +56,17 @@
         _fail(f"{error.filename or config.listen}: {error.strerror}")
     print(f"ready {config.listen}", flush=True)
     termination.wait(terminated)
-    runtime.drain(config.run_time + DRAIN_MARGIN)
+    runtime.drain(config.run_timeout + DRAIN_MARGIN)
     runtime.close()
     log_writer.close()
     os._exit(0)  # threads may hang in a full pipe; everything else is done
 
 
 def _package_store(config: worker_config.WorkerConfig) -> PackageStore:
-    if config.folder:
-        return FolderStore(config.folder)
-    assert config.service is not None  # as checked when the settings were read
-    return StoreClient(config.service)
+    if config.store_folder:
+        return FolderStore(config.store_folder)
+    assert config.store_address is not None  # as checked when the settings were read
+    return StoreClient(config.store_address)
 
 
 @click.command()
@@ -101,13 +101,13 @@
         wickdyke store deploy/store.sexp
     """
     try:
-        config = worker_config.read_store_config(file)
+        config = store_config.read(file)
     except InvalidConfigError as error:
         _fail(str(error))
     _, log_writer = logs.logger(_open_log(log_file), False, store=config.listen)
     terminated = termination.asked()
     try:
-        server = StoreServer(config.listen, config.folder, config.pace * MB, config.readers)
+        server = StoreServer(config.listen, config.folder, config.bandwidth * MB, config.readers)
     except AddressInUse as error:
         _fail(str(error))
     print(f"ready {config.listen}", flush=True)
--- a/wickdyke/worker/manifest.py
+++ b/wickdyke/worker/manifest.py
@@ -11,7 +11,7 @@
 
 from wickdyke.config import schema, sexpr
 from wickdyke.config.schema import Diagnostics, Field, count, record, size, span, text
-from wickdyke.config.sexpr import Atom, Diagnostic, Expression, InvalidConfigError, SourceLocation
+from wickdyke.config.sexpr import Atom, AtomKind, Diagnostic, Expression, InvalidConfigError, SourceLocation
 
 FILE_NAME = "package.sexp"
 NAME_PATTERN = re.compile(r"[A-Za-z0-9_][A-Za-z0-9._-]*(/[A-Za-z0-9_][A-Za-z0-9._-]*)*")
@@ -36,62 +36,47 @@
     location: SourceLocation
 
 
-def _build(  # noqa: PLR0913 - one parameter for each key of the file
-    spot: SourceLocation,
-    name: str,
-    version: str,
-    entry: str,
-    memory: float,
-    lanes: int,
-    run_time: float,
-    environment: tuple[tuple[str, str], ...],
-    digest: str | None,
-) -> Manifest:
-    """The manifest from the values by the file's keys."""
-    return Manifest(name, version, entry, memory, lanes, run_time, environment, digest, spot)
-
-
-def _matching(pattern: re.Pattern[str], expected: str) -> schema.Reader:
-    def reader(form: Expression, notes: Diagnostics) -> str | None:
-        value = text(form, notes)
+def _matching(pattern: re.Pattern[str], expected: str) -> schema.Reader[str]:
+    def reader(expression: Expression, diagnostics: Diagnostics) -> str | None:
+        value = text(expression, diagnostics)
         if value is not None and not pattern.fullmatch(value):
-            atom = form.items[0]
+            atom = expression.items[0]
             assert isinstance(atom, Atom)  # as it was read as a text
-            notes.add(atom.spot, atom.text, expected)
+            diagnostics.add(atom.location, atom.text, expected)
             return None
         return value
 
     return reader
 
 
-def _environment(form: Expression, notes: Diagnostics) -> tuple[tuple[str, str], ...]:
+def _environment(expression: Expression, diagnostics: Diagnostics) -> tuple[tuple[str, str], ...]:
     """(environment (set "KEY" "value") ...)"""
     variables: dict[str, str] = {}
-    for item in form.items:
+    for item in expression.items:
         atoms = [value for value in item.items if isinstance(value, Atom)] if isinstance(item, Expression) else []
         kinds = [atom.kind for atom in atoms]
-        if not isinstance(item, Expression) or item.name != "set" or kinds != ["string", "string"]:
-            notes.add(item.spot, schema.describe(item), '(set "NAME" "VALUE")')
+        if not isinstance(item, Expression) or item.name != "set" or kinds != [AtomKind.STRING, AtomKind.STRING]:
+            diagnostics.add(item.location, schema.describe(item), '(set "NAME" "VALUE")')
             continue
         # Nested expressions are not reported above: they raise AttributeError here.
         key, value = (str(atom.value) for atom in item.items)  # type: ignore[union-attr]  # as the comment says
         if not key or "=" in key or "\0" in key + value:
-            notes.add(item.spot, f'the variable "{key}"', "a name without = in it")
+            diagnostics.add(item.location, f'the variable "{key}"', "a name without = in it")
         elif key in variables:
-            notes.add(item.spot, f'"{key}" a second time', "each variable once")
+            diagnostics.add(item.location, f'"{key}" a second time', "each variable once")
         else:
             variables[key] = value
     return tuple(variables.items())
 
 
 MANIFEST_READER = record(
-    _build,
+    Manifest,
     named=True,
     version=Field(_matching(VERSION_PATTERN, 'numbers with dots, as "1.2.0"')),
     entry=Field(_matching(ENTRY_PATTERN, 'a module and a function, as "main:run"')),
     memory=Field(size(1.0, 1e6)),
-    lanes=Field(count(1, 256), 1),
-    run_time=Field(span(1.0), 60000.0),
+    lanes=Field(count(1, 256), 1, parameter="concurrency"),
+    run_time=Field(span(1.0), 60000.0, parameter="run_timeout"),
     environment=Field(_environment, ()),
     digest=Field(_matching(DIGEST_PATTERN, '"sha256:" and 64 hexadecimal digits'), None),
 )
@@ -100,18 +85,15 @@
 def parse(content: bytes, path: str) -> Manifest:
     """The manifest in a file's bytes; raises InvalidConfigError with everything that is wrong."""
     try:
-        forms = sexpr.parse(content.decode("utf-8"), path)
+        expressions = sexpr.parse(content.decode("utf-8"), path)
     except UnicodeDecodeError as error:
         raise invalid_package(path, f"byte {error.start} that is no UTF-8", "UTF-8") from None
-    notes = Diagnostics()
-    form = schema.single_expression(forms, "package", path, notes)
-    manifest: Manifest | None = MANIFEST_READER(form, notes) if form is not None else None
+    diagnostics = Diagnostics()
+    manifest = schema.read_single(expressions, "package", path, MANIFEST_READER, diagnostics)
     if manifest is not None and not is_package_name(manifest.name):
         expected = f"letters, digits, . _ - and / between parts, at most {NAME_LENGTH_LIMIT}"
-        notes.add(manifest.location, f'the name "{manifest.name}"', expected)
-    notes.done()
-    assert manifest is not None  # else there was a diagnostic
-    return manifest
+        diagnostics.add(manifest.location, f'the name "{manifest.name}"', expected)
+    return schema.required(manifest, diagnostics)
 
 
 def is_package_name(name: str) -> bool:
--- a/wickdyke/worker/model.py
+++ b/wickdyke/worker/model.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 from enum import StrEnum
 
-from wickdyke.worker.ramp import Ramp
+from wickdyke.worker.slow_start import SlowStart
 
 
 class Rejection(StrEnum):
@@ -50,7 +50,7 @@
     idle_timeout: float  # after which an idle replica is unloaded
     run_timeout: float  # that a request may run, unless the manifest states less
     stop_timeout: float  # within which a stopped request has to end
-    ramp: Ramp
+    slow_start: SlowStart
 
 
 @dataclass(slots=True, eq=False, repr=False)
--- a/wickdyke/worker/package.py
+++ b/wickdyke/worker/package.py
@@ -138,7 +138,7 @@
     try:
         manifest, files = from_folder(folder)
     except InvalidConfigError as error:
-        if not any(DIGEST_MISMATCH in diagnostic.expected for diagnostic in error.troubles):
+        if not any(DIGEST_MISMATCH in diagnostic.expected for diagnostic in error.diagnostics):
             raise
         raise invalid_package(
             folder, "a digest in the manifest that does not fit", "none: pack writes it", "take (digest ...) out"
--- a/wickdyke/worker/replica_loader.py
+++ b/wickdyke/worker/replica_loader.py
@@ -145,7 +145,7 @@
         case PackageNotFoundError() | LoadError():
             return LoadFailure(Rejection.MISS, str(error))
         case InvalidConfigError():
-            return LoadFailure(Rejection.MISS, str(error.troubles[0]))
+            return LoadFailure(Rejection.MISS, str(error.diagnostics[0]))
         case OSError():
             return LoadFailure(Rejection.MISS, f"{error.filename or 'the store'}: {error.strerror or error}")
         case ValueError():
--- a/wickdyke/worker/runtime.py
+++ b/wickdyke/worker/runtime.py
@@ -19,6 +19,7 @@
 from wickdyke.worker.replica_supervisor import ReplicaSupervisor
 from wickdyke.worker.schedule import Schedule
 from wickdyke.worker.schedule_runner import ScheduleRunner, monotonic_ms
+from wickdyke.worker.slow_start import SlowStart
 from wickdyke.worker.source import PackageStore
 
 START_BITS = 48  # of the random number that identifies a start of the worker
@@ -46,7 +47,7 @@
         self.start = start or random.SystemRandom().getrandbits(START_BITS)
         self.started_at = monotonic_ms()
         self.closed = threading.Event()
-        self.cache = Cache(config.cache, config.cache_most)
+        self.cache = Cache(config.cache_folder, config.cache_capacity)
         self.schedule = Schedule(self.started_at, _limits(config))
         self.runner = ScheduleRunner(self.schedule)
         self.load_reporter = LoadReporter(self.runner, config.memory, self.cache)
@@ -80,8 +81,8 @@
         self.record(
             "started",
             start=self.start,
-            cold=self.config.ramp.ramp > 0,
-            cores=self.config.calls_at_once,
+            cold=self.config.ramp.duration > 0,
+            cores=self.config.concurrency,
             speed=1.0,
         )
         self.server.open(self.config.listen)
@@ -124,7 +125,7 @@
             os._exit(PARENT_ENDED_EXIT_CODE)
 
     def _measure_periodically(self) -> None:
-        while not self.closed.wait(self.config.measure / 1000):
+        while not self.closed.wait(self.config.report_interval / 1000):
             self.measure()
             self.replicas.log_output()
 
@@ -132,11 +133,11 @@
 def _limits(config: WorkerConfig) -> ScheduleLimits:
     return ScheduleLimits(
         memory=config.memory,
-        concurrency=config.calls_at_once,
-        load_concurrency=config.loads_at_once,
+        concurrency=config.concurrency,
+        load_concurrency=config.load_concurrency,
         queue=config.queue,
-        idle_timeout=config.idle_life,
-        run_timeout=config.run_time,
-        stop_timeout=config.stop_within,
-        ramp=config.ramp,
+        idle_timeout=config.idle_timeout,
+        run_timeout=config.run_timeout,
+        stop_timeout=config.stop_timeout,
+        slow_start=SlowStart(config.ramp.start_share, config.ramp.duration),
     )
--- a/wickdyke/worker/schedule.py
+++ b/wickdyke/worker/schedule.py
@@ -223,7 +223,7 @@
         return replica.last_used + self.limits.idle_timeout
 
     def _slow_start_share(self) -> float:
-        return self.limits.ramp.share(self.now - self.started_at)
+        return self.limits.slow_start.share(self.now - self.started_at)
 
     def _slow_start_limit(self) -> float:
         share = self._slow_start_share()
