--- a/tests/test_cache_recovery.py
+++ b/tests/test_cache_recovery.py
@@ -17,7 +17,7 @@
     """A kill at each system call: a cache that is opened after it has complete entries only."""
 
     def test_killed_at_each_step(self):
-        """No call is made after the kill, also none that would tidy up. A new cache on the folder is whole."""
+        """No system call is made after the kill, also none that cleans up. A new cache on the folder is consistent."""
         at = 0
         while True:
             at += 1
@@ -55,7 +55,7 @@
                 break
 
     def test_what_a_power_cut_left(self):
-        """An entry under its final name that lost a part of a file, or a file, is fetched anew, not served."""
+        """An entry under its final name that lost a part of a file, or a file, is fetched again, not used."""
 
         def shortened(folder):
             os.truncate(os.path.join(folder, "main.py"), 10_000)
@@ -88,7 +88,7 @@
     """Wall clocks that are stepped, and file times out of range."""
 
     def test_stepped(self):
-        """A clock stepped by an hour, either way, changes nothing about which entry goes first, also over a start."""
+        """A clock stepped by an hour does not change which entry is evicted first, also after a restart."""
         rng = random.Random(6)
         for _ in range(30):
             shutil.rmtree(self.cached, ignore_errors=True)
--- a/tests/test_cache_write_errors.py
+++ b/tests/test_cache_write_errors.py
@@ -19,7 +19,7 @@
     """Each system call on a path fails once, or with all that follow."""
 
     def each(self, prepare, act, judge, more=0, path=10):
-        """Runs `act(it)` on what `prepare()` gives, failing at every call on its path; then `judge(it, raised)`."""
+        """Runs `act(it)` on what `prepare()` returns, failing at every call on its path; then `judge(it, raised)`."""
         for error in ERRORS:
             at = 0
             while True:
@@ -39,7 +39,7 @@
                     break
 
     def test_a_load_that_makes_room(self):
-        """A call that fails costs the one load at most, told as an error; the cache is whole and goes on."""
+        """A failing call costs the one load at most, by an error; the cache is consistent and goes on."""
         one = {self.packs[0][1][7:]: 1}
 
         def judge(cache, raised):
@@ -68,7 +68,7 @@
             self.each(self.filled, lambda cache: self.take_only(cache, 1), judge, more, path=2)
 
     def test_a_start_on_a_folder_with_leftovers(self):
-        """The cache is made all the same; the load tells, and a later one goes on."""
+        """The cache is constructed all the same; the load fails, and a later one succeeds."""
 
         def prepared():
             self.filled()
@@ -92,13 +92,13 @@
             self.each(prepared, act, judge, more)
 
     def test_a_folder_that_can_never_be_used(self):
-        """It is told at the start, as before."""
+        """The constructor raises the error."""
         with open(self.path("file"), "w"):
             pass
         self.assertRaises(OSError, Cache, self.path("file"), 1.0)
 
     def test_short_writes(self):
-        """Writes that take a few bytes at a time give a whole entry."""
+        """Writes of a few bytes at a time give a complete entry."""
         real = os.write
         with mock.patch.object(os, "write", lambda sink, data: real(sink, bytes(data[:4099]))):
             cache = self.filled()
@@ -129,7 +129,7 @@
         self.mended(cache, {})
 
     def test_no_room_is_made_where_nothing_can_be_removed(self):
-        """Removal that fails costs one entry at most, not all of them, and is told as an error."""
+        """Removal that fails costs one entry at most, not all of them, and raises an error."""
         cache = self.filled()
         cache.release(self.packs[0][1])
 
@@ -143,7 +143,7 @@
         self.mended(cache, {})
 
     def test_loads_beside_one_that_fails(self):
-        """Loads of the same package at the same time: the one whose write fails is told, the others have it."""
+        """Loads of the same package at the same time: the one whose write fails has the error, the others succeed."""
         cache = self.filled()
         path, digest = self.packs[2]
         go_on, first, ended, waits = threading.Event(), threading.Event(), {}, []
--- a/tests/test_package.py
+++ b/tests/test_package.py
@@ -52,7 +52,7 @@
                 self.assertFalse(os.path.exists(self.path("store")))
 
     def test_links(self):
-        """A link in a folder would take along what lies elsewhere."""
+        """A symbolic link in a folder is refused: it would pack files from elsewhere."""
         write_package(self.path("f"))
         os.symlink("/etc/hostname", self.path("f", "more.py"))
         with self.assertRaises(InvalidConfigError) as caught:
@@ -128,7 +128,7 @@
                 self.assertEqual(package.from_zip(self.path("b.zip"))[1], right[1], at)
 
     def test_versions(self):
-        """(what is asked) -> the version found in the folder; the newest by numbers where none is named."""
+        """(function) -> the version found in the folder; the newest by numbers where none is named."""
         for version in ("1.9", "1.10", "1.2.3"):
             write_package(self.path("f" + version), name="a/p", version=version)
             package.pack(self.path("f" + version), self.path("s"))
--- a/tests/test_storage_faults.py
+++ b/tests/test_storage_faults.py
@@ -17,7 +17,7 @@
     """Stores of packages, and packing."""
 
     def test_a_folder_that_fails_for_now(self):
-        """It is told as an OSError, not as a package that there is not."""
+        """It raises OSError, not PackageNotFoundError."""
         for name in ("listdir", "stat"):
             for error in ERRORS:
                 with self.subTest(name=name, error=error):
@@ -41,14 +41,14 @@
             return real(path)
 
         with mock.patch.object(os, "listdir", listdir):
-            with self.assertRaises(OSError) as told:
+            with self.assertRaises(OSError) as raised:
                 service.find("p0")
-            self.assertIn("input/output error", str(told.exception))
+            self.assertIn("input/output error", str(raised.exception))
             wrong.clear()
             self.assertEqual(service.find("p0").version, "1.0")
 
     def test_a_full_disk_is_told_at_once(self):
-        """What comes can't be written: the fetch ends with that error, and the store is not asked again for it."""
+        """Received bytes can't be written: the fetch ends with that error and is not retried."""
         served = store.StoreServer(self.path("st.sock"), self.path("s"), 1e9, 4)
         self.addCleanup(served.close)
         service = store_client.StoreClient(self.path("st.sock"))
@@ -57,14 +57,14 @@
             with (
                 FaultyDisk(2, error, 1000, only=()),
                 mock.patch.object(service, "_request", side_effect=service._request) as asked,
-                self.assertRaises(OSError) as told,
+                self.assertRaises(OSError) as raised,
             ):
                 service.fetch(found, self.path("had.zip"))
-            self.assertEqual((told.exception.errno, asked.call_count), (error, 1))
-            self.assertEqual(told.exception.filename, self.path("had.zip"))
+            self.assertEqual((raised.exception.errno, asked.call_count), (error, 1))
+            self.assertEqual(raised.exception.filename, self.path("had.zip"))
 
     def test_pack(self):
-        """An archive is whole or as it was, and nothing is left beside it, at each call that fails."""
+        """An archive is complete or as it was, and nothing is left beside it, whichever call fails."""
         rig.write_package(self.path("f0"), name="p0", code="# anew\n" + rig.PACKAGE_CODE)
         for error in ERRORS:
             for at in range(1, 100):
@@ -78,11 +78,11 @@
 
 
 class Serving(rig.WorkerTest):
-    """A worker whose disk fails: each call has its answer, at once, and the next one is as before."""
+    """A worker whose disk fails: each request is answered at once, and the next one is as before."""
 
     def test_each_change_fails(self):
-        """(the n-th change of the cache folder fails) -> the load is told as missed, the next one is there."""
-        worker, gate = self.worker()
+        """(the n-th change of the cache folder fails) -> the load fails as a miss, the next one succeeds."""
+        worker, gateway = self.worker()
         for error in ERRORS:
             for at in range(1, 5):
                 with self.subTest(error=error, at=at):
@@ -90,16 +90,16 @@
                     rig.write_package(self.path(name), name=name)
                     package.pack(self.path(name), self.path("store"))
                     with FaultyDisk(at, error, only=("fsync", "rename", "mkdir")) as disk:
-                        code, _ = gate.run(name)
+                        code, _ = gateway.run(name)
                     self.assertEqual(code, -32011 if disk.seen >= at else None)
-                    self.assertIsNone(gate.run(name)[0])
-                    gate.answer(gate.request("hold", program=name, memory_mb=64.0, lanes=2, copies=0))
-                    gate.request("drop", program=name)
+                    self.assertIsNone(gateway.run(name)[0])
+                    gateway.answer(gateway.request("hold", program=name, memory_mb=64.0, lanes=2, copies=0))
+                    gateway.request("drop", program=name)
                     self.assertEqual(worker.cache.bytes, bytes_on_disk(worker.cache.directory.path))
 
     def test_a_fault_of_ours_in_a_load(self):
-        """Whatever a load raises, its calls have their answer, the calls that wait with it too, and loads go on."""
-        worker, gate = self.worker(more="(loads-at-once 1)")
+        """Whatever a load raises, all requests that wait for it are answered, and further loads succeed."""
+        worker, gateway = self.worker(more="(loads-at-once 1)")
         real, first = worker.loader.store.find, [RuntimeError("odd"), MemoryError(), KeyError("odd")]
 
         def find(program):
@@ -109,12 +109,12 @@
 
         with mock.patch.object(worker.loader.store, "find", find):
             for _ in range(3):
-                self.assertEqual(gate.run()[0], -32011)
-            self.assertIsNone(gate.run()[0])
+                self.assertEqual(gateway.run()[0], -32011)
+            self.assertIsNone(gateway.run()[0])
 
     def test_no_thread_for_a_load(self):
-        """A load that gets no thread is told as full."""
-        _, gate = self.worker()
+        """A load without a thread is rejected as full."""
+        _, gateway = self.worker()
         real = threading.Thread.start
 
         def start(thread):
@@ -123,8 +123,8 @@
             real(thread)
 
         with mock.patch.object(threading.Thread, "start", start):
-            self.assertEqual(gate.run()[0], -32010)
-        self.assertIsNone(gate.run()[0])
+            self.assertEqual(gateway.run()[0], -32010)
+        self.assertIsNone(gateway.run()[0])
 
 
 if __name__ == "__main__":
--- a/tests/test_worker.py
+++ b/tests/test_worker.py
@@ -54,7 +54,7 @@
                     self.assertIn(word, str(caught.exception))
 
     def test_examples_by_hand(self):
-        """check, pack, worker: as a user would, up to a call through the worker."""
+        """check, pack, worker: as a user would, up to a request to the worker."""
 
         def command(*argv):
             return subprocess.run(
@@ -76,9 +76,9 @@
         try:
             self.assertIn(b"ready", process.stdout.readline())
             self.assertEqual(command("worker", self.path("w.sexp")).returncode, 2)  # a live one is there
-            gate = GatewayConnection(self.path("w1.sock"))
-            self.assertEqual(gate.run()[1]["word"], "sea")
-            gate.close()
+            gateway = GatewayConnection(self.path("w1.sock"))
+            self.assertEqual(gateway.run()[1]["word"], "sea")
+            gateway.close()
             process.send_signal(signal.SIGTERM)
             self.assertEqual(process.wait(30), 0)
         finally:
@@ -91,9 +91,9 @@
     """Requests, prewarm requests and limits, through a gateway's connection."""
 
     def test_calls(self):
-        """(what a call asks) -> (code, words); the copy, its next call and the other lane are unharmed or anew."""
-        _, gate = self.worker(takes=200)  # the output that is too long takes 80 MB while it is made
-        first = gate.run()[1]["pid"]
+        """(input) -> (code, words); the replica goes on with its other requests, or is replaced."""
+        _, gateway = self.worker(takes=200)  # the output that is too long takes 80 MB while it is made
+        first = gateway.run()[1]["pid"]
         for asked, left, code, words, same in (
             ({}, 20000, None, "", True),
             ({"fail": 1}, 20000, -32012, "ValueError: asked to", True),
@@ -105,82 +105,82 @@
             ({"die": 1}, 20000, -32015, "its copy ended", False),
         ):
             with self.subTest(asked=asked):
-                beside = gate.send(sleep=0.05) if same else None
-                got, told = gate.run(left=left, **asked)
-                self.assertEqual((got, words if words in str(told) else told), (code, words))
+                beside = gateway.send(sleep=0.05) if same else None
+                got, answer = gateway.run(left=left, **asked)
+                self.assertEqual((got, words if words in str(answer) else answer), (code, words))
                 if beside:
-                    self.assertIn("result", gate.answer(beside))
-                self.assertEqual(gate.run()[1]["pid"] == first, same)
+                    self.assertIn("result", gateway.answer(beside))
+                self.assertEqual(gateway.run()[1]["pid"] == first, same)
 
     def test_a_copy_that_does_not_read(self):
-        """One that is stopped costs the call in it; its copy is ended, and the next call has another."""
-        _, gate = self.worker()
-        first = gate.run()[1]["pid"]
+        """A stopped process costs the request in it; its replica is killed, and the next request has another one."""
+        _, gateway = self.worker()
+        first = gateway.run()[1]["pid"]
         os.kill(first, signal.SIGSTOP)
-        self.assertEqual(gate.run(left=300)[0], -32014)
+        self.assertEqual(gateway.run(left=300)[0], -32014)
         self.assertTrue(until(lambda: not is_running(first)))
-        self.assertNotEqual(gate.run()[1]["pid"], first)
+        self.assertNotEqual(gateway.run()[1]["pid"], first)
 
     def test_more_memory_than_stated(self):
-        """A copy that takes more than its manifest states costs its own calls and no others."""
+        """A replica that takes more memory than its manifest states fails its own requests and no others."""
         write_package(self.path("q"), name="q", memory=100)
         package.pack(self.path("q"), self.path("store"))
-        _, gate = self.worker()
-        other = gate.run("q")[1]["pid"]
-        running = gate.send(mb=90, sleep=0)
-        gate.answer(running)
+        _, gateway = self.worker()
+        other = gateway.run("q")[1]["pid"]
+        running = gateway.send(mb=90, sleep=0)
+        gateway.answer(running)
         self.assertTrue(until(lambda: "MB of 64 MB" in self.log_output.getvalue()))
-        self.assertEqual(gate.run("q")[1]["pid"], other)
-        self.assertIsNone(gate.run()[0])
+        self.assertEqual(gateway.run("q")[1]["pid"], other)
+        self.assertIsNone(gateway.run()[0])
 
     def test_full(self):
-        """What does not fit is told full before it is begun; idle ones go for what fits."""
+        """A replica without room is rejected as full before its load; idle replicas are unloaded for one that fits."""
         for name, memory in (("a", 150), ("b", 150), ("c", 500)):
             write_package(self.path(name), name=name, memory=memory)
             package.pack(self.path(name), self.path("store"))
-        _, gate = self.worker()
-        busy = gate.send("a", memory=150, sleep=1)
+        _, gateway = self.worker()
+        busy = gateway.send("a", memory=150, sleep=1)
         self.assertTrue(until(lambda: self.log_output.getvalue().count("event=loaded") == 1))
-        self.assertIsNone(gate.run("b", memory=150)[0])
-        self.assertEqual(gate.run("c", memory=500)[0], -32010)
-        self.assertEqual(gate.run("c", memory=1)[0], -32010)  # the order knew no better; its manifest says
-        self.assertIsNone(gate.run("p", memory=150)[0])  # in the place of b
-        self.assertIn("result", gate.answer(busy))
+        self.assertIsNone(gateway.run("b", memory=150)[0])
+        self.assertEqual(gateway.run("c", memory=500)[0], -32010)
+        self.assertEqual(gateway.run("c", memory=1)[0], -32010)  # the request stated less than the manifest
+        self.assertIsNone(gateway.run("p", memory=150)[0])  # in the place of b
+        self.assertIn("result", gateway.answer(busy))
 
     def test_disk_full(self):
-        """What does not fit into the cache beside what is in use is told full; it fits once that is given up."""
+        """A package without room in the cache is rejected as full; it fits once those in use are released."""
         for name in "ab":
             write_package(self.path(name), name=name, code=PACKAGE_CODE + "#" + os.urandom(300_000).hex())
             package.pack(self.path(name), self.path("store"))
-        worker, gate = self.worker(cache=1)
-        self.assertIsNone(gate.run("a")[0])
-        self.assertEqual(gate.run("b")[0], -32010)
+        worker, gateway = self.worker(cache=1)
+        self.assertIsNone(gateway.run("a")[0])
+        self.assertEqual(gateway.run("b")[0], -32010)
         self.assertTrue(until(lambda: "do not fit beside" in self.log_output.getvalue()))
-        self.assertIsNone(gate.run("a")[0])
-        gate.request("drop", program="a")
-        self.assertIsNone(gate.run("b")[0])
+        self.assertIsNone(gateway.run("a")[0])
+        gateway.request("drop", program="a")
+        self.assertIsNone(gateway.run("b")[0])
         self.assertEqual(len(worker.cache.index.sizes), 1)
 
     def test_memory_told(self):
-        """(what copies hold, whether a child shares it) -> told within 5% of the kernel's own lines, summed here."""
+        """(MB that replicas allocate, whether a child shares them) -> reported within 5% of the kernel's figures."""
         for name, mb in (("m1", 1), ("m20", 20), ("m60", 60)):
             write_package(
                 self.path(name), name=name, memory=200, code=PACKAGE_CODE + f"held.append(os.urandom(1 << 20) * {mb})\n"
             )
             package.pack(self.path(name), self.path("store"))
-        worker, gate = self.worker(memory=900)
+        worker, gateway = self.worker(memory=900)
         for name, forks in (("m1", 0), ("m20", 0), ("m60", 2)):
             with self.subTest(name=name):
-                pid = gate.run(name)[1]["pid"]
+                pid = gateway.run(name)[1]["pid"]
                 for _ in range(forks):
-                    gate.run(name, fork=1)
+                    gateway.run(name, fork=1)
                 self.assertTrue(until(lambda pid=pid, forks=forks: len(child_pids(pid)) == forks))
                 worker.measure()
-                told = next(
+                answer = next(
                     each.replica.measured_memory for each in worker.replicas.processes.values() if each.pid == pid
                 )
                 real = sum(map(proportional_set_size, [pid, *child_pids(pid)]))
-                self.assertLess(abs(told - real), 0.05 * real)
+                self.assertLess(abs(answer - real), 0.05 * real)
                 self.assertGreater(real, int(name[1:]))
                 self.assertLess(real, 1.5 * int(name[1:]) + 30)  # shared with children, and counted once
 
@@ -190,7 +190,7 @@
         write_package(self.path("y"), name="y", code="run = 7")
         for name in "xy":
             package.pack(self.path(name), self.path("store"))
-        _, gate = self.worker()
+        _, gateway = self.worker()
         for program, why in (
             ("none", "no package none"),
             ("x", "RuntimeError: at import"),
@@ -198,42 +198,44 @@
             ("../p", "names no package"),
         ):
             with self.subTest(program=program):
-                self.assertEqual(gate.run(program)[0], -32011)
+                self.assertEqual(gateway.run(program)[0], -32011)
                 self.assertTrue(until(lambda why=why: why in self.log_output.getvalue()), self.log_output.getvalue())
-        self.assertIsNone(gate.run()[0])
+        self.assertIsNone(gateway.run()[0])
 
     def test_replaced(self):
-        """A package replaced under its name: the copy that stands goes on, the next load is of the new one."""
-        _, gate = self.worker()
-        self.assertEqual(gate.run()[1]["version"], "1.0")
+        """A package replaced under its name: the loaded replica goes on, the next load is of the new one."""
+        _, gateway = self.worker()
+        self.assertEqual(gateway.run()[1]["version"], "1.0")
         write_package(self.path("f"), version="1.1")
         package.pack(self.path("f"), self.path("store"))
-        self.assertEqual(gate.run()[1]["version"], "1.0")
-        gate.request("drop", program="p")
-        self.assertEqual(gate.run()[1]["version"], "1.1")
-        self.assertEqual(gate.run("p@1.0")[1]["version"], "1.0")
+        self.assertEqual(gateway.run()[1]["version"], "1.0")
+        gateway.request("drop", program="p")
+        self.assertEqual(gateway.run()[1]["version"], "1.1")
+        self.assertEqual(gateway.run("p@1.0")[1]["version"], "1.0")
 
     def test_orders(self):
-        """Several orders for one program are one load; renewed copies stay, dropped ones go."""
-        _, gate = self.worker(idle=3)
-        orders = [gate.request("hold", program="p", memory_mb=64.0, lanes=2, copies=1) for _ in range(5)]
-        self.assertEqual([gate.answer(order)["result"] for order in orders], [{"copies": 1}] * 5)
+        """Several prewarm requests for one function are one load; renewed replicas stay, dropped ones are unloaded."""
+        _, gateway = self.worker(idle=3)
+        orders = [gateway.request("hold", program="p", memory_mb=64.0, lanes=2, copies=1) for _ in range(5)]
+        self.assertEqual([gateway.answer(order)["result"] for order in orders], [{"copies": 1}] * 5)
         self.assertTrue(until(lambda: self.log_output.getvalue().count("event=loaded") == 1))
         ends = time.monotonic() + 4
         while time.monotonic() < ends:  # past its idle life; a second load would answer too, and say so in the log
             time.sleep(0.2)
-            gate.answer(gate.request("hold", program="p", memory_mb=64.0, lanes=2, copies=1))
+            gateway.answer(gateway.request("hold", program="p", memory_mb=64.0, lanes=2, copies=1))
         self.assertEqual(self.log_output.getvalue().count("event=loaded"), 1)
         self.assertTrue(
             until(
-                lambda: gate.answer(gate.request("hold", program="p", memory_mb=64.0, lanes=2, copies=0))["result"]
+                lambda: gateway.answer(gateway.request("hold", program="p", memory_mb=64.0, lanes=2, copies=0))[
+                    "result"
+                ]
                 == {"copies": 0}
             )
         )
 
     def test_malformed(self):
-        """(what a gateway says) -> the code; the worker goes on."""
-        _, gate = self.worker()
+        """(line from a gateway) -> the error code; the worker goes on."""
+        _, gateway = self.worker()
         for line, code in (
             (b"{", -32700),
             (b"[]", -32600),
@@ -242,23 +244,23 @@
             (b'{"jsonrpc":"2.0","method":"hello","params":{},"id":3}', -32602),
         ):
             with self.subTest(line=line):
-                gate.sock.sendall(line + b"\n")
-                told = msgspec.json.decode(gate.source.readline())
-                told = told[0] if isinstance(told, list) else told
-                self.assertEqual(told["error"]["code"], code)
-        self.assertIsNone(gate.run()[0])
+                gateway.sock.sendall(line + b"\n")
+                answer = msgspec.json.decode(gateway.source.readline())
+                answer = answer[0] if isinstance(answer, list) else answer
+                self.assertEqual(answer["error"]["code"], code)
+        self.assertIsNone(gateway.run()[0])
 
     def test_drain(self):
-        """What is held is finished, what comes is told."""
-        worker, gate = self.worker()
-        gate.run()
-        held = gate.send(sleep=0.5)
-        gate.answer(gate.request("probe"))  # it has that one by now
+        """Requests in flight finish, further ones are rejected."""
+        worker, gateway = self.worker()
+        gateway.run()
+        held = gateway.send(sleep=0.5)
+        gateway.answer(gateway.request("probe"))  # it has that one by now
         draining = threading.Thread(target=worker.drain, args=(20000,))
         draining.start()
         self.assertTrue(until(lambda: worker.schedule.draining))
-        self.assertEqual(gate.run()[0], -32013)
-        self.assertIn("result", gate.answer(held))
+        self.assertEqual(gateway.run()[0], -32013)
+        self.assertIn("result", gateway.answer(held))
         draining.join(20)
         self.assertFalse(draining.is_alive())
 
--- a/tests/test_worker_cache.py
+++ b/tests/test_worker_cache.py
@@ -22,7 +22,7 @@
         return path, package_digest.file_digest(path)
 
     def test_bound(self):
-        """Least lately used go first, those in use never; nothing is left of what did not fit."""
+        """Least recently used entries go first, those in use never; nothing is left of one that does not fit."""
         packs = [self.packed(at, 400_000) for at in range(4)]
         cache = Cache(self.path("c"), 1.0)
         cache.acquire(packs[0][1], lambda to: shutil.copy(packs[0][0], to))
@@ -38,7 +38,7 @@
         self.assertEqual(sorted(os.listdir(self.path("c"))), sorted(cache.index.sizes))
 
     def test_bad_fetches(self):
-        """(what the store gives) -> refused, nothing left behind, and the right one is taken after."""
+        """(bytes from the store) -> an error, nothing left behind, and the right archive is accepted after it."""
         path, digest = self.packed(0)
         other, _ = self.packed(1)
         cache = Cache(self.path("c"), 10.0)
@@ -62,7 +62,7 @@
         self.assertEqual((made.name, sorted(os.listdir(folder))), ("p0", ["main.py", "package.sexp"]))
 
     def test_killed(self):
-        """Killed before each step of a fetch that makes room: the next start finds whole entries only, and goes on."""
+        """Killed before each step of a fetch that evicts: the next start has complete entries only, and goes on."""
         packs = [self.packed(at, 400_000) for at in range(3)]
         steps = ("open", "rename", "unlink", "fsync", "makedirs", "rmdir", "replace", "utime")
         total = None
--- a/tests/test_worker_processes.py
+++ b/tests/test_worker_processes.py
@@ -28,7 +28,7 @@
     """No process is left where worker, parent or replica are killed."""
 
     def test_killed_worker(self):
-        """(who is killed, what ran) -> nothing of it survives, also not what copies forked into other sessions."""
+        """(who is killed, what ran) -> nothing of it survives, also not what replicas forked into other sessions."""
         write_package(self.path("f"))
         package.pack(self.path("f"), self.path("store"))
         with open(self.path("w.sexp"), "w") as sink:
@@ -42,17 +42,17 @@
                 )
                 try:
                     self.assertIn(b"ready", process.stdout.readline())
-                    gate = GatewayConnection(self.path("w1.sock"))
-                    copy = gate.run()[1]["pid"]
-                    gate.run(fork=1)
+                    gateway = GatewayConnection(self.path("w1.sock"))
+                    replica = gateway.run()[1]["pid"]
+                    gateway.run(fork=1)
                     for _ in range(2):
-                        gate.send(spin=1)
-                    gate.request("probe")
-                    parent = psutil.Process(copy).ppid()
-                    self.assertTrue(until(lambda copy=copy: len(child_pids(copy)) == 1))
-                    stray = child_pids(copy)[0]
-                    os.kill({"worker": process.pid, "parent": parent, "copy": copy}[whom], signal.SIGKILL)
-                    gone = [copy, stray] + ([parent, process.pid] if whom != "copy" else [])
+                        gateway.send(spin=1)
+                    gateway.request("probe")
+                    parent = psutil.Process(replica).ppid()
+                    self.assertTrue(until(lambda replica=replica: len(child_pids(replica)) == 1))
+                    stray = child_pids(replica)[0]
+                    os.kill({"worker": process.pid, "parent": parent, "copy": replica}[whom], signal.SIGKILL)
+                    gone = [replica, stray] + ([parent, process.pid] if whom != "copy" else [])
                     if whom == "parent":  # nobody is left who adopts: what left its session is the kernel's to give
                         gone.remove(stray)
                     self.assertTrue(until(lambda gone=gone: not any(map(is_running, gone))), gone)
@@ -60,9 +60,9 @@
                         os.kill(stray, signal.SIGKILL)
                     if whom == "copy":
                         again = GatewayConnection(self.path("w1.sock"))
-                        self.assertNotEqual(again.run()[1]["pid"], copy)
+                        self.assertNotEqual(again.run()[1]["pid"], replica)
                         again.close()
-                    gate.close()
+                    gateway.close()
                 finally:
                     process.kill()
                     process.wait()
@@ -95,10 +95,10 @@
                 self.assertIn(b"ready", process.stdout.readline())
                 if at:  # what the first left is swept before it serves
                     self.assertEqual(os.listdir(self.path("cache")), [])
-                gate = GatewayConnection(self.path("w1.sock"))
+                gateway = GatewayConnection(self.path("w1.sock"))
                 if not at:
                     for name in "ab":
-                        gate.send(name)
+                        gateway.send(name)
                     self.assertTrue(
                         until(
                             lambda: sum(
@@ -116,8 +116,8 @@
                     fast = StoreServer(self.path("s.sock"), self.path("store"), 1e9, 8)
                     self.addCleanup(fast.close)
                 else:
-                    self.assertEqual([gate.run(name)[0] for name in "ab"], [None, None])
-                gate.close()
+                    self.assertEqual([gateway.run(name)[0] for name in "ab"], [None, None])
+                gateway.close()
             finally:
                 process.kill()
                 process.wait()
@@ -129,7 +129,7 @@
     """What the meter measures of processes that share memory."""
 
     def test_pages_shared(self):
-        """What the meter says of a copy that shares pages adds up with what others have of them."""
+        """The measured memory of processes that share pages adds up to what they use together."""
         size = 64 << 20
         held = os.urandom(1 << 20) * (size >> 20)
         ends = [os.pipe() for _ in range(3)]
--- a/tests/test_worker_scenario.py
+++ b/tests/test_worker_scenario.py
@@ -15,7 +15,7 @@
     """Scenarios whose workers are real ones."""
 
     def test_script(self):
-        """Workers of our own under gateways, one killed, one replaced, a copy killed: no rule breaks."""
+        """Real workers under gateways, one killed, one replaced, a replica killed: no rule is broken."""
         text = """(script "real" (length 5 s) (gateways 2) (workers 3) (cores 4) (rate 40) (memory 400 MB) (runtime yes)
           (warmup (start-share 0.5) (ramp 1 s))
           (method "idem" (effect idempotent) (soft-deadline 2 s) (deadline 8 s) (work 10 ms) (memory 40 MB)
@@ -26,23 +26,25 @@
         with tempfile.TemporaryDirectory(prefix="wd-") as folder:
             with open(os.path.join(folder, "s.sexp"), "w") as sink:
                 sink.write(text)
-            judge = RuleChecker(trace.read(ScenarioRunner(scenario.read(sink.name), os.path.join(folder, "run")).run()))
-        self.assertEqual([str(finding) for finding in judge.findings], [])
-        totals = sum(judge.outcomes().values(), Counter())
+            checker = RuleChecker(
+                trace.read(ScenarioRunner(scenario.read(sink.name), os.path.join(folder, "run")).run())
+            )
+        self.assertEqual([str(finding) for finding in checker.findings], [])
+        totals = sum(checker.outcomes().values(), Counter())
         self.assertEqual(totals["lost"], 0)
-        self.assertGreater(totals["ok in time"], 0.3 * totals["asked"])  # wide: cold workers take their time
+        self.assertGreater(totals["ok in time"], 0.3 * totals["asked"])  # wide: workers that warm up are slow
 
     def test_only_real_troubles(self):
-        """(runtime, trouble) -> words of the refusal: faults of stand-ins are not asked of workers of our own."""
-        for runtime, trouble, words in (
+        """(runtime, fault) -> words of the error: real workers can not have the faults of simulated ones."""
+        for runtime, fault, words in (
             ("yes", '(at 1 s (hang "w1"))', "kill-copy"),
             ("yes", '(on (call-out "w1" 3) (die "w1"))', "can have"),
             ("no", '(at 1 s (kill-copy "w1"))', "stand-ins have no such"),
         ):
-            with self.subTest(trouble=trouble), tempfile.TemporaryDirectory(prefix="wd-") as folder:
+            with self.subTest(fault=fault), tempfile.TemporaryDirectory(prefix="wd-") as folder:
                 with open(os.path.join(folder, "s.sexp"), "w") as sink:
                     sink.write(f"""(script "s" (length 1 s) (runtime {runtime}) (method "m" (effect idempotent)
-                        (soft-deadline 1 s) (deadline 2 s) (work 1 ms)) {trouble})""")
+                        (soft-deadline 1 s) (deadline 2 s) (work 1 ms)) {fault})""")
                 with self.assertRaisesRegex(InvalidConfigError, words):
                     scenario.read(sink.name)
 
--- a/tests/test_worker_schedule.py
+++ b/tests/test_worker_schedule.py
@@ -11,7 +11,7 @@
     """Stated cases: events, and the actions that must follow."""
 
     def test_first_calls(self):
-        """(what stands before, calls) -> what is decided at once."""
+        """(loaded functions, requests) -> the actions at once."""
         for before, calls, want in (
             ((), [("a", "p", 10)], [("load", "p")]),
             ((), [("a", "p", 10), ("b", "p", 10)], [("load", "p")]),
@@ -36,7 +36,7 @@
                 self.assertEqual(sorted(summary(done + take_decisions(schedule))), sorted(want))
 
     def test_ends(self):
-        """(what happens to a call's copy or the call) -> what is told of the call, and whether it may have run."""
+        """(what happens to a request or its replica) -> its answer, and whether it may have run."""
         for what, want in (
             ("answered", []),
             ("ended", [("refuse", "a", "ended")]),
@@ -46,27 +46,27 @@
         ):
             with self.subTest(what=what):
                 schedule = new_schedule()
-                copy = load_replica(schedule, "p")
+                replica = load_replica(schedule, "p")
                 schedule.submit("a", "p", 10, 1, 400.0)
                 self.assertEqual(summary(take_decisions(schedule)), [("run", "a")])
                 match what:
                     case "answered":
                         self.assertTrue(schedule.request_answered("a"))
                     case "ended":
-                        schedule.replica_ended(copy)
+                        schedule.replica_ended(replica)
                     case "time":
                         schedule.advance(400.0)
                     case "cancel":
                         schedule.cancel("a")
                     case "measured":
-                        schedule.memory_measured(copy, 11.0)
+                        schedule.memory_measured(replica, 11.0)
                 self.assertEqual(summary(take_decisions(schedule)), want)
                 self.assertFalse(schedule.request_answered("a"))  # nothing after
 
     def test_a_call_that_does_not_end(self):
-        """Its lane counts as taken; the copy is ended only once the others in it are done; what waits gets another."""
+        """Its slot stays in use; the replica is killed once its other requests end; later ones get another."""
         schedule = new_schedule()
-        copy = load_replica(schedule, "p", lanes=2)
+        replica = load_replica(schedule, "p", lanes=2)
         schedule.submit("bad", "p", 10, 2, 100.0)
         schedule.submit("good", "p", 10, 2, 400.0)
         take_decisions(schedule)
@@ -76,39 +76,39 @@
         schedule.submit("late", "p", 10, 2, 400.0)
         self.assertEqual(
             summary(take_decisions(schedule)), [("load", "p")]
-        )  # not into that copy, and not ended under the good one
+        )  # not into that replica, which is not killed under the good one
         self.assertTrue(schedule.request_answered("good"))
-        self.assertEqual([(verb, it) for verb, it, *_ in take_decisions(schedule) if verb == "end"], [("end", copy)])
+        self.assertEqual([(verb, it) for verb, it, *_ in take_decisions(schedule) if verb == "end"], [("end", replica)])
 
     def test_freed_in_time(self):
-        """(ms until the lane is free) -> whether the copy lives."""
+        """(ms until the slot is free) -> whether the replica lives."""
         for ms, lives in ((50.0, True), (99.0, True), (101.0, False)):
             with self.subTest(ms=ms):
                 schedule = new_schedule()
-                copy = load_replica(schedule, "p")
+                replica = load_replica(schedule, "p")
                 schedule.submit("a", "p", 10, 1, 100.0)
                 take_decisions(schedule)
                 schedule.advance(100.0)
                 take_decisions(schedule)
                 schedule.advance(100.0 + ms)
                 if lives:
-                    schedule.slot_freed(copy)
+                    schedule.slot_freed(replica)
                 take_decisions(schedule)
-                self.assertEqual(copy.state, ReplicaState.READY if lives else ReplicaState.REMOVED)
+                self.assertEqual(replica.state, ReplicaState.READY if lives else ReplicaState.REMOVED)
 
     def test_failed_loads(self):
-        """(how a load failed) -> what those that waited are told: nothing ran."""
+        """(how a load failed) -> how the requests that waited are rejected: none ran."""
         for how, word in (("miss", "miss"), ("failed", "miss"), ("full", "full")):
             with self.subTest(how=how):
                 schedule = new_schedule()
                 schedule.submit("a", "p", 10, 1, 400.0)
                 schedule.prewarm("h", "p", 10, 1, 1)
-                copy = take_decisions(schedule)[0][1]
-                schedule.load_finished(copy, how)
+                replica = take_decisions(schedule)[0][1]
+                schedule.load_finished(replica, how)
                 self.assertEqual(summary(take_decisions(schedule)), [("refuse", "a", word), ("unheld", "h", how)])
 
     def test_manifest_takes_more(self):
-        """(memory ordered, of the manifest, standing beside) -> whether it fits, and what goes for it."""
+        """(memory requested, of the manifest, of another replica) -> whether it fits, and what is unloaded for it."""
         for ordered, real, beside, fits, gone in (
             (10, 10, 50, True, 0),
             (10, 60, 50, True, 1),
@@ -120,8 +120,8 @@
                 if beside:
                     load_replica(schedule, "other", beside)
                 schedule.submit("a", "p", ordered, 1, 400.0)
-                copy = next(it for verb, it, *_ in take_decisions(schedule) if verb == "load")
-                self.assertEqual(schedule.apply_manifest(copy, real, 3, None), fits)
+                replica = next(it for verb, it, *_ in take_decisions(schedule) if verb == "load")
+                self.assertEqual(schedule.apply_manifest(replica, real, 3, None), fits)
                 self.assertEqual(len([1 for verb, *_ in take_decisions(schedule) if verb == "unload"]), gone)
 
     def test_nothing_waits_for_a_load(self):
@@ -133,28 +133,28 @@
         schedule.cancel("b")
         schedule.load_finished(first, None)
         self.assertEqual(summary(take_decisions(schedule)), [("run", "a")])
-        self.assertEqual(sum(copy.charged_memory for copy in schedule.pool.replicas()), 10)
+        self.assertEqual(sum(replica.charged_memory for replica in schedule.pool.replicas()), 10)
 
     def test_idle_life_and_renewal(self):
-        """(orders at, now) -> whether the copy is let go; an order renews, asking does not."""
-        for orders, copies, now, gone in (
+        """(times of prewarm requests, now) -> whether the replica is unloaded; one for 0 replicas does not renew it."""
+        for orders, replicas, now, gone in (
             ((), 1, 1001.0, True),
             ((), 1, 999.0, False),
             ((500.0,), 1, 1400.0, False),
             ((500.0,), 0, 1400.0, True),
         ):
-            with self.subTest(orders=orders, copies=copies, now=now):
+            with self.subTest(orders=orders, replicas=replicas, now=now):
                 schedule = new_schedule()
                 load_replica(schedule, "p")
                 for at in orders:
                     schedule.advance(at)
-                    schedule.prewarm(at, "p", 10, 1, copies)
+                    schedule.prewarm(at, "p", 10, 1, replicas)
                     take_decisions(schedule)
                 schedule.advance(now)
                 self.assertEqual([verb for verb, *_ in take_decisions(schedule)], ["unload"] * gone)
 
     def test_cold(self):
-        """(age) -> calls taken of 8: a part while it is cold, and reported so."""
+        """(age) -> requests accepted of 8: a part during slow start, and reported so."""
         for age, taken, cold in ((0.0, 2, 0.75), (500.0, 5, 0.375), (1000.0, 8, 0.0)):
             with self.subTest(age=age):
                 schedule = new_schedule(at_once=8, slow_start=SlowStart(0.25, 1000.0))
@@ -165,25 +165,25 @@
                 self.assertEqual((8 - len(refused), schedule.load_report()["cold"]), (taken, cold))
 
     def test_an_order_ends_none_of_the_copies_it_counts(self):
-        """(memory taken by another program) -> what an order for three copies of 10 MB comes to, one standing."""
+        """(memory of another function) -> the result of a prewarm request for three replicas of 10 MB, one loaded."""
         for other, held in ((85, [("unheld", "h", "full")]), (70, [("held", "h")])):
             with self.subTest(other=other):
                 schedule = new_schedule()
                 load_replica(schedule, "other", other)
-                copy = load_replica(schedule, "p")
+                replica = load_replica(schedule, "p")
                 schedule.submit("busy", "other", other, 1, 400.0)
                 take_decisions(schedule)
                 schedule.prewarm("h", "p", 10, 1, 3)
-                acts = take_decisions(schedule)
-                for load in [it for verb, it, *_ in acts if verb == "load"]:
+                actions = take_decisions(schedule)
+                for load in [it for verb, it, *_ in actions if verb == "load"]:
                     schedule.load_finished(load, None)
-                acts += take_decisions(schedule)
-                self.assertEqual([act for act in summary(acts) if act[0] in ("held", "unheld")], held)
-                self.assertNotIn("unload", [act[0] for act in acts])
-                self.assertEqual(copy.state, ReplicaState.READY)
+                actions += take_decisions(schedule)
+                self.assertEqual([act for act in summary(actions) if act[0] in ("held", "unheld")], held)
+                self.assertNotIn("unload", [act[0] for act in actions])
+                self.assertEqual(replica.state, ReplicaState.READY)
 
     def test_drain(self):
-        """Nothing new is begun, what is held goes on."""
+        """No further request is accepted, those in flight go on."""
         schedule = new_schedule()
         load_replica(schedule, "p")
         schedule.submit("a", "p", 10, 1, 400.0)
@@ -195,7 +195,7 @@
         self.assertTrue(schedule.request_answered("a"))
 
     def test_no_load_is_begun_for_a_prewarm_that_fails_at_once(self):
-        """A replica ends and another function takes the room: what was queued for the first prewarm is not loaded."""
+        """A replica ends and another function uses its memory: what was queued for the first prewarm is not loaded."""
         schedule = new_schedule(memory=40.0, at_once=3, loads_at_once=2)
         schedule.prewarm("first", "p", 5.0, 1, 3)
         loads = [it for verb, it, *_ in take_decisions(schedule) if verb == "load"]
@@ -208,9 +208,9 @@
         take_decisions(schedule)
         schedule.advance(3.0)
         schedule.prewarm("second", "q", 15.0, 1, 2)
-        acts = summary(take_decisions(schedule))
-        self.assertIn(("unheld", "first", "failed"), acts)
-        self.assertNotIn(("load", "p"), acts)
+        actions = summary(take_decisions(schedule))
+        self.assertIn(("unheld", "first", "failed"), actions)
+        self.assertNotIn(("load", "p"), actions)
 
 
 if __name__ == "__main__":
--- a/tests/test_worker_schedule_machine.py
+++ b/tests/test_worker_schedule_machine.py
@@ -11,7 +11,7 @@
 
 
 class Machine(RuleBasedStateMachine):
-    """Anything may come in any order; what must hold is checked at each decision and between events."""
+    """Events in any order; the invariants are checked at each action and between events."""
 
     def __init__(self):
         super().__init__()
@@ -29,18 +29,18 @@
                     ), "a load that nothing waits for"
                     self.loading.add(it)
                 case "run":
-                    copy = more[0]
+                    replica = more[0]
                     assert it.key in self.open, "a call is run that was answered or left"
-                    assert copy in self.live and it.key not in self.running
+                    assert replica in self.live and it.key not in self.running
                     ahead = [
                         key
                         for key in self.came
                         if key in self.open and key not in self.running and self.open[key] == it.function.name
                     ]
                     assert ahead[0] == it.key, "one that came later goes first"
-                    self.running[it.key] = copy
-                    inside = sum(each is copy for each in self.running.values())
-                    assert inside + sum(each is copy for _, each in self.stuck) <= copy.concurrency, (
+                    self.running[it.key] = replica
+                    inside = sum(each is replica for each in self.running.values())
+                    assert inside + sum(each is replica for _, each in self.stuck) <= replica.concurrency, (
                         "more than its lanes"
                     )
                 case "refuse":
@@ -83,18 +83,18 @@
     def loads_end(self):
         """All loads succeed."""
         self.tick()
-        for copy in sorted(self.loading, key=lambda each: each.number):
-            self.loading.discard(copy)
-            self.live.add(copy)
-            self.schedule.load_finished(copy, None)
+        for replica in sorted(self.loading, key=lambda each: each.number):
+            self.loading.discard(replica)
+            self.live.add(replica)
+            self.schedule.load_finished(replica, None)
         self.pull()
 
-    @rule(name=st.sampled_from("pqr"), memory=st.sampled_from([5.0, 15.0]), copies=st.sampled_from([0, 1, 1, 2, 3]))
-    def prewarm(self, name, memory, copies):
+    @rule(name=st.sampled_from("pqr"), memory=st.sampled_from([5.0, 15.0]), replicas=st.sampled_from([0, 1, 1, 2, 3]))
+    def prewarm(self, name, memory, replicas):
         """A prewarm request arrives."""
         self.tick()
         self.turn += 1
-        self.schedule.prewarm(self.turn, name, memory, 1, copies)
+        self.schedule.prewarm(self.turn, name, memory, 1, replicas)
         self.pull()
 
     @rule(at=st.integers(0, 20))
@@ -118,13 +118,13 @@
         self.tick()
         if not self.loading:
             return
-        copy = sorted(self.loading, key=lambda each: each.number)[at % len(self.loading)]
-        self.loading.discard(copy)
-        if real is not None and not self.schedule.apply_manifest(copy, real, 1, None):
+        replica = sorted(self.loading, key=lambda each: each.number)[at % len(self.loading)]
+        self.loading.discard(replica)
+        if real is not None and not self.schedule.apply_manifest(replica, real, 1, None):
             outcome = "full"
         if outcome is None:
-            self.live.add(copy)
-        self.schedule.load_finished(copy, outcome)
+            self.live.add(replica)
+        self.schedule.load_finished(replica, outcome)
         self.pull()
 
     @rule(at=st.integers(0, 20))
@@ -152,8 +152,8 @@
         """A stopped request ends."""
         self.tick()
         if self.stuck:
-            _, copy = self.stuck.pop(0)
-            self.schedule.slot_freed(copy)
+            _, replica = self.stuck.pop(0)
+            self.schedule.slot_freed(replica)
             self.pull()
 
     @rule(at=st.integers(0, 20))
@@ -161,11 +161,11 @@
         """A replica ends by itself."""
         self.tick()
         if self.live:
-            copy = sorted(self.live, key=lambda each: each.number)[at % len(self.live)]
-            self.live.discard(copy)
-            self.running = {key: each for key, each in self.running.items() if each is not copy}
-            self.stuck = [each for each in self.stuck if each[1] is not copy]
-            self.schedule.replica_ended(copy)
+            replica = sorted(self.live, key=lambda each: each.number)[at % len(self.live)]
+            self.live.discard(replica)
+            self.running = {key: each for key, each in self.running.items() if each is not replica}
+            self.stuck = [each for each in self.stuck if each[1] is not replica]
+            self.schedule.replica_ended(replica)
             self.pull()
 
     @rule(at=st.integers(0, 20), part=st.sampled_from([0.5, 1.0, 1.5]))
@@ -173,8 +173,8 @@
         """A replica's memory is measured."""
         self.tick()
         if self.live:
-            copy = sorted(self.live, key=lambda each: each.number)[at % len(self.live)]
-            self.schedule.memory_measured(copy, copy.memory * part)
+            replica = sorted(self.live, key=lambda each: each.number)[at % len(self.live)]
+            self.schedule.memory_measured(replica, replica.memory * part)
             self.pull()
 
     @rule(ms=st.sampled_from([1.0, 10.0, 30.0, 120.0, 1100.0]))
@@ -188,23 +188,24 @@
     def schedule_is_consistent(self):
         """The limits hold, the model agrees, and whatever waits will be served."""
         schedule = self.schedule
-        assert sum(copy.charged_memory for copy in schedule.pool.replicas()) <= schedule.limits.memory + 1e-9, (
+        assert sum(replica.charged_memory for replica in schedule.pool.replicas()) <= schedule.limits.memory + 1e-9, (
             "memory over budget"
         )
         assert set(self.open) == set(schedule.requests), "calls lost or kept"
         assert schedule.running == len(self.running) + len(self.stuck) <= schedule.limits.concurrency
         assert schedule.pool.loading == len(self.loading) <= schedule.limits.load_concurrency
         for key in set(self.open) - set(self.running):  # no starvation: what waits has something that will serve it
-            program = schedule.pool.functions[self.open[key]]
+            function = schedule.pool.functions[self.open[key]]
             assert any(
-                copy.state in (ReplicaState.QUEUED, ReplicaState.LOADING, ReplicaState.READY) or copy.requests
-                for copy in program.replicas
+                replica.state in (ReplicaState.QUEUED, ReplicaState.LOADING, ReplicaState.READY) or replica.requests
+                for replica in function.replicas
             )
         if schedule.running < schedule.limits.concurrency:
-            for program in schedule.pool.functions.values():
-                assert not program.waiting or not any(
-                    copy.state == ReplicaState.READY and len(copy.requests) + copy.stopping < copy.concurrency
-                    for copy in program.replicas
+            for function in schedule.pool.functions.values():
+                assert not function.waiting or not any(
+                    replica.state == ReplicaState.READY
+                    and len(replica.requests) + replica.stopping < replica.concurrency
+                    for replica in function.replicas
                 )
 
 
--- a/tests/test_worker_store.py
+++ b/tests/test_worker_store.py
@@ -28,7 +28,7 @@
 
 
 class Stores(TemporaryFolderTest):
-    """The store service under its client: what it reads is whole and right, or it is told why not."""
+    """The store service under its client: what is read is complete and right, or there is an error with the reason."""
 
     def setUp(self):
         """Packs one package that is larger than a chunk."""
@@ -148,7 +148,7 @@
         self.assertEqual(os.listdir(self.path("c")), [])
 
     def test_replaced_while_read(self):
-        """The archive is another one when it is read on: told so, not mixed. A store started anew goes on."""
+        """An archive replaced before its read is resumed is an error; after a restart of the store it goes on."""
         first = self.store()
         service = StoreClient(self.path("s.sock"))
         found = service.find("p")
@@ -178,7 +178,7 @@
         self.assertEqual(done, [None, None])
 
     def test_pace(self):
-        """(sizes asked at once, then after a rest) -> when each may go."""
+        """(sizes reserved at once, then after a pause) -> when each may be sent."""
         pace = RateLimiter(1000.0)
         self.assertEqual([pace.reserve(0.0, size) for size in (100, 200, 50)], [0.0, 100.0, 300.0])
         self.assertEqual([pace.reserve(at, 100) for at in (340.0, 1000.0)], [10.0, 0.0])
@@ -192,19 +192,19 @@
                     '(folder "store")', '(service "s.sock")'
                 )
             )
-        shop = worker_config.read(self.path("w.sexp"))
-        worker = Worker(shop, StoreClient(shop.store_address), logs.logger(io.StringIO(), False)[0])
+        config = worker_config.read(self.path("w.sexp"))
+        worker = Worker(config, StoreClient(config.store_address), logs.logger(io.StringIO(), False)[0])
         worker.open()
         self.addCleanup(worker.close)
-        gate = GatewayConnection(shop.listen)
-        self.addCleanup(gate.close)
-        self.assertIsNone(gate.run()[0])
+        gateway = GatewayConnection(config.listen)
+        self.addCleanup(gateway.close)
+        self.assertIsNone(gateway.run()[0])
         made.close()
-        self.assertEqual(gate.run("q")[0], -32011)
+        self.assertEqual(gateway.run("q")[0], -32011)
         write_package(self.path("q"), name="q")
         package.pack(self.path("q"), self.path("s"))
         self.store()
-        self.assertIsNone(gate.run("q")[0])
+        self.assertIsNone(gateway.run("q")[0])
 
 
 if __name__ == "__main__":
