--- a/wickdyke/cli/worker.py
+++ b/wickdyke/cli/worker.py
@@ -1,11 +1,10 @@
 """The commands worker, pack and store."""
 
 import os
-import sys
-from typing import NoReturn, TextIO
 
 import click
 
+from wickdyke.cli.common import fail, open_log_or_fail, read_or_fail
 from wickdyke.config import store_config, worker_config
 from wickdyke.config.sexpr import InvalidConfigError
 from wickdyke.fault_injection.trace import TraceRecorder
@@ -19,7 +18,6 @@
 from wickdyke.worker.store import StoreServer
 from wickdyke.worker.store_client import StoreClient
 
-INVALID_EXIT_CODE = 2
 DRAIN_MARGIN = 1000  # ms beyond the longest run time that a worker drains
 
 
@@ -27,23 +25,22 @@
 @click.argument("file", type=click.Path())
 @click.option("--log", "log_file", type=click.Path(), help="Append the log to this file (else standard error).")
 @click.option("--json", "as_json", is_flag=True, help="Log JSON lines instead of logfmt.")
-@click.option("--trace", type=click.Path(), help="Write what passes, for the judge, to this file.")
-@click.option("--start", type=click.IntRange(1), help="The number of this start, where who starts it lists it too.")
+@click.option("--trace", type=click.Path(), help="Write a trace for the rule checker to this file.")
+@click.option(
+    "--start", type=click.IntRange(1), help="The number that identifies this start, as the endpoint file has it."
+)
 def worker(file: str, log_file: str | None, as_json: bool, trace: str | None, start: int | None) -> None:
     """Run a worker as FILE states, until SIGTERM.
 
-    The first line on standard output is `ready` and the socket's path. On SIGTERM or SIGINT nothing new is begun,
-    calls finish, and the exit code is 0; a second signal ends it at once.
+    The first line on standard output is `ready` and the socket's path. On SIGTERM or SIGINT no further request is
+    accepted, those in flight finish, and the exit code is 0; a second signal ends it at once.
 
     \b
     Example:
         wickdyke worker deploy/worker.sexp
     """
-    try:
-        config = worker_config.read(file)
-    except InvalidConfigError as error:
-        _fail(str(error))
-    log, log_writer = logs.logger(_open_log(log_file or config.log_path), as_json, worker=config.name)
+    config = read_or_fail(worker_config.read, file)
+    log, log_writer = logs.logger(open_log_or_fail(log_file or config.log_path), as_json, worker=config.name)
     trace = trace or config.trace_path
     terminated = termination.asked()
     try:
@@ -51,9 +48,9 @@
         runtime = Worker(config, _package_store(config), log, recorder, start)
         runtime.open()
     except AddressInUse as error:
-        _fail(str(error))
+        fail(error)
     except OSError as error:
-        _fail(f"{error.filename or config.listen}: {error.strerror}")
+        fail(f"{error.filename or config.listen}: {error.strerror}")
     print(f"ready {config.listen}", flush=True)
     termination.wait(terminated)
     runtime.drain(config.run_timeout + DRAIN_MARGIN)
@@ -82,9 +79,9 @@
     try:
         manifest, path = package.pack(folder, into)
     except InvalidConfigError as error:
-        _fail(str(error))
+        fail(error)
     except OSError as error:
-        _fail(f"{error.filename or into}: {error.strerror}")
+        fail(f"{error.filename or into}: {error.strerror}")
     print(f"{path} {package_digest.file_digest(path)} {manifest.memory:g} MB, {manifest.concurrency} lanes")
 
 
@@ -94,36 +91,20 @@
 def store(file: str, log_file: str | None) -> None:
     """Serve a folder of archives to workers as FILE states, until SIGTERM.
 
-    The first line on standard output is `ready` and the address. What workers were reading they read on later.
+    The first line on standard output is `ready` and the address. Workers resume reads that its end interrupts.
 
     \b
     Example:
         wickdyke store deploy/store.sexp
     """
-    try:
-        config = store_config.read(file)
-    except InvalidConfigError as error:
-        _fail(str(error))
-    _, log_writer = logs.logger(_open_log(log_file), False, store=config.listen)
+    config = read_or_fail(store_config.read, file)
+    _, log_writer = logs.logger(open_log_or_fail(log_file), False, store=config.listen)
     terminated = termination.asked()
     try:
         server = StoreServer(config.listen, config.folder, config.bandwidth * MB, config.readers)
     except AddressInUse as error:
-        _fail(str(error))
+        fail(error)
     print(f"ready {config.listen}", flush=True)
     termination.wait(terminated)
     server.close()
     log_writer.close()
-
-
-def _open_log(path: str | None) -> TextIO | None:
-    """The log file, or standard error where there is no path; ends the command where it can't be opened."""
-    try:
-        return logs.opened(path)
-    except OSError as error:
-        _fail(f"{error.filename}: found no file to append to ({error.strerror}), expected one")
-
-
-def _fail(text: str) -> NoReturn:
-    print(text, file=sys.stderr)
-    raise SystemExit(INVALID_EXIT_CODE)
--- a/wickdyke/worker/parent.py
+++ b/wickdyke/worker/parent.py
@@ -102,7 +102,7 @@
             os.close(output)
             replica_server.run(socket.socket(fileno=sock), order)
             code = 0
-        except BaseException as error:
+        except BaseException as error:  # noqa: BLE001 - a package may raise anything; the process ends in any case
             with contextlib.suppress(OSError):
                 os.write(2, f"{type(error).__name__}: {error}\n".encode())
         finally:
--- a/wickdyke/worker/replica_loader.py
+++ b/wickdyke/worker/replica_loader.py
@@ -72,7 +72,7 @@
         failure: LoadFailure | None = None
         try:
             self._fetch_and_start(replica)
-        except Exception as error:
+        except Exception as error:  # noqa: BLE001 - whatever failed, the requests that wait are answered now
             failure = _failure(error)
         with self.runner.event() as schedule:
             if failure is not None:
--- a/wickdyke/worker/replica_server.py
+++ b/wickdyke/worker/replica_server.py
@@ -147,7 +147,7 @@
             output = msgspec.json.encode(self.function(msgspec.json.decode(request.input)))
         except RequestStopped:
             raise
-        except BaseException as error:
+        except BaseException as error:  # noqa: BLE001 - also SystemExit: a package's function may raise anything
             return FunctionRaised(request.number, _describe(error))
         if len(output) > OUTPUT_LIMIT:
             text = f"an output of {len(output)} bytes, expected at most {OUTPUT_LIMIT}"
@@ -198,7 +198,7 @@
     _limit_memory(order)
     try:
         function = _import_function(order)
-    except BaseException as error:
+    except BaseException as error:  # noqa: BLE001 - a package may raise anything when it is imported
         _send(sock, StartFailed(_describe(error)))
         return
     ReplicaServer(sock, order, function).serve()
