--- a/wickdyke/worker/gateway_server.py
+++ b/wickdyke/worker/gateway_server.py
@@ -27,7 +27,7 @@
         self.record = record
         self.started_at = monotonic_ms()
         self.server: LineServer | None = None
-        self.methods: dict[str, Method] = {
+        self.methods: dict[str, Method] = {  # by the method's name on the wire
             "hello": self._hello,
             "run": self._run,
             "hold": self._prewarm,
