--- a/tests/test_cache_recovery.py
+++ b/tests/test_cache_recovery.py
@@ -13,7 +13,7 @@
 from wickdyke.worker.cache_directory import TEMPORARY_PREFIX
 
 
-class Killing(CacheTest):
+class CacheKillTest(CacheTest):
     """A kill at each system call: a cache that is opened after it has complete entries only."""
 
     def test_killed_at_each_step(self):
@@ -84,7 +84,7 @@
 HOUR = 3600.0
 
 
-class Clocks(CacheTest):
+class CacheClockTest(CacheTest):
     """Wall clocks that are stepped, and file times out of range."""
 
     def test_stepped(self):
--- a/tests/test_cache_write_errors.py
+++ b/tests/test_cache_write_errors.py
@@ -15,7 +15,7 @@
 from wickdyke.worker.cache_index import MB, CacheFullError
 
 
-class Failing(CacheTest):
+class CacheWriteErrorTest(CacheTest):
     """Each system call on a path fails once, or with all that follow."""
 
     def each(self, prepare, act, judge, more=0, path=10):
--- a/tests/test_package.py
+++ b/tests/test_package.py
@@ -14,7 +14,7 @@
 from wickdyke.worker.source import FolderStore, PackageNotFoundError
 
 
-class Packages(TemporaryFolderTest):
+class PackageTest(TemporaryFolderTest):
     """Folders and archives that are refused, and the order of versions."""
 
     def test_bad_folders(self):
--- a/tests/test_storage_faults.py
+++ b/tests/test_storage_faults.py
@@ -13,7 +13,7 @@
 from wickdyke.worker.source import FolderStore, PackageNotFoundError
 
 
-class Sources(CacheTest):
+class PackageStoreFaultTest(CacheTest):
     """Stores of packages, and packing."""
 
     def test_a_folder_that_fails_for_now(self):
@@ -77,7 +77,7 @@
             self.assertGreater(at, 4)
 
 
-class Serving(rig.WorkerTest):
+class WorkerStorageFaultTest(rig.WorkerTest):
     """A worker whose disk fails: each request is answered at once, and the next one is as before."""
 
     def test_each_change_fails(self):
--- a/tests/test_worker.py
+++ b/tests/test_worker.py
@@ -27,7 +27,7 @@
 from wickdyke.worker import package
 
 
-class Settings(TemporaryFolderTest):
+class WorkerSettingsTest(TemporaryFolderTest):
     """The worker's settings file and commands."""
 
     def test_bad_files(self):
@@ -87,7 +87,7 @@
             process.stdout.close()
 
 
-class Working(WorkerTest):
+class WorkerRequestTest(WorkerTest):
     """Requests, prewarm requests and limits, through a gateway's connection."""
 
     def test_calls(self):
--- a/tests/test_worker_cache.py
+++ b/tests/test_worker_cache.py
@@ -12,7 +12,7 @@
 from wickdyke.worker.cache_index import CacheFullError
 
 
-class Caches(TemporaryFolderTest):
+class CacheCapacityTest(TemporaryFolderTest):
     """Capacity, fetches that fail, and kills of a process."""
 
     def packed(self, at, size=1000):
--- a/tests/test_worker_processes.py
+++ b/tests/test_worker_processes.py
@@ -24,7 +24,7 @@
 from wickdyke.worker.store import StoreServer
 
 
-class Orphans(TemporaryFolderTest):
+class OrphanedProcessTest(TemporaryFolderTest):
     """No process is left where worker, parent or replica are killed."""
 
     def test_killed_worker(self):
@@ -69,7 +69,7 @@
                     process.stdout.close()
 
 
-class Loading(TemporaryFolderTest):
+class InterruptedLoadTest(TemporaryFolderTest):
     """Loads that are under way when the worker is killed."""
 
     def test_killed_with_loads_under_way(self):
@@ -125,7 +125,7 @@
         self.assertEqual(len(parts), 2)
 
 
-class Memory(TemporaryFolderTest):
+class MemoryMeterTest(TemporaryFolderTest):
     """What the meter measures of processes that share memory."""
 
     def test_pages_shared(self):
--- a/tests/test_worker_scenario.py
+++ b/tests/test_worker_scenario.py
@@ -11,7 +11,7 @@
 from wickdyke.fault_injection.scenario_runner import ScenarioRunner
 
 
-class Real(unittest.TestCase):
+class RealWorkerScenarioTest(unittest.TestCase):
     """Scenarios whose workers are real ones."""
 
     def test_script(self):
--- a/tests/test_worker_schedule.py
+++ b/tests/test_worker_schedule.py
@@ -7,7 +7,7 @@
 from wickdyke.worker.slow_start import SlowStart
 
 
-class Cases(unittest.TestCase):
+class ScheduleCaseTest(unittest.TestCase):
     """Stated cases: events, and the actions that must follow."""
 
     def test_first_calls(self):
--- a/tests/test_worker_schedule_machine.py
+++ b/tests/test_worker_schedule_machine.py
@@ -10,7 +10,7 @@
 from wickdyke.worker.model import ReplicaState
 
 
-class Machine(RuleBasedStateMachine):
+class ScheduleMachine(RuleBasedStateMachine):
     """Events in any order; the invariants are checked at each action and between events."""
 
     def __init__(self):
@@ -209,8 +209,8 @@
                 )
 
 
-Machine.TestCase.settings = settings(max_examples=200, stateful_step_count=60, deadline=None, derandomize=True)
-Stateful = Machine.TestCase
+ScheduleMachine.TestCase.settings = settings(max_examples=200, stateful_step_count=60, deadline=None, derandomize=True)
+ScheduleMachineTest = ScheduleMachine.TestCase
 
 
 if __name__ == "__main__":
--- a/tests/test_worker_store.py
+++ b/tests/test_worker_store.py
@@ -27,7 +27,7 @@
 from wickdyke.worker.store_client import StoreClient
 
 
-class Stores(TemporaryFolderTest):
+class StoreServiceTest(TemporaryFolderTest):
     """The store service under its client: what is read is complete and right, or there is an error with the reason."""
 
     def setUp(self):
