--- a/bench/overload.py
+++ b/bench/overload.py
@@ -17,6 +17,7 @@
 from wickdyke.config import sexpr
 from wickdyke.config.sexpr import Expression
 from wickdyke.fault_injection import report, scenario, trace
+from wickdyke.fault_injection.faults import FaultKind
 from wickdyke.fault_injection.rule_checker import RuleChecker
 from wickdyke.fault_injection.rule_checker.trace_events import RequestResult
 from wickdyke.fault_injection.scenario_runner import ScenarioRunner
@@ -172,9 +173,9 @@
 
 
 def _burst_seconds(script: scenario.Scenario) -> range:
-    burst = next(fault for fault in script.troubles if fault.kind == "burst")
+    burst = next(fault for fault in script.faults if fault.kind is FaultKind.BURST)
     assert burst.at is not None  # bursts start at a time, not with an event
-    return range(int(burst.at // SECOND_MS), int((burst.at + burst.values["for"]) // SECOND_MS))
+    return range(int(burst.at // SECOND_MS), int((burst.at + burst.duration) // SECOND_MS))
 
 
 def _row(name: str, results: list[VariantResult], base: list[VariantResult]) -> list[str]:
--- a/bench/worker.py
+++ b/bench/worker.py
@@ -25,6 +25,7 @@
 from bench.overload import SECOND_MS, check_run, timeline
 from wickdyke.config import worker_config
 from wickdyke.fault_injection import report, scenario
+from wickdyke.fault_injection.faults import FaultKind
 from wickdyke.fault_injection.rule_checker import RuleChecker
 from wickdyke.fault_injection.scenario_runner import ScenarioRunner
 from wickdyke.gateway import log as logs
@@ -208,9 +209,9 @@
 def measure_recovery(file: str, seeds: int) -> list[list[str]]:
     """Seconds from the first mass restart until nearly all requests are in time, with and without prewarming."""
     script = scenario.read(file)
-    first = next(fault for fault in script.troubles if fault.kind == "die")
+    first = next(fault for fault in script.faults if fault.kind is FaultKind.DIE)
     assert first.at is not None  # faults of this scenario start at a time
-    second = next(fault.at for fault in script.troubles if fault.at is not None and fault.at > first.at)
+    second = next(fault.at for fault in script.faults if fault.at is not None and fault.at > first.at)
     restarts = range(int(first.at // SECOND_MS), int(second // SECOND_MS))
     results: dict[bool, list[RecoveryResult]] = {True: [], False: []}
     for _ in range(seeds):
@@ -230,7 +231,7 @@
 
     def play(prewarming: bool) -> None:
         variant = copy.copy(script)
-        variant.holds = prewarming
+        variant.prewarming = prewarming
         checkers[prewarming] = check_run(variant)
 
     threads = [threading.Thread(target=play, args=(prewarming,)) for prewarming in (True, False)]
--- a/wickdyke/cli/check.py
+++ b/wickdyke/cli/check.py
@@ -9,14 +9,14 @@
 from wickdyke.cli.common import ExitCode
 from wickdyke.config import endpoint_file, gateway_config, route_config, sexpr, store_config, worker_config
 from wickdyke.fault_injection import scenario
-from wickdyke.jsonrpc.service import ground
+from wickdyke.jsonrpc.service import policy_environment
 from wickdyke.worker import package
 
 
 def _check_gateway(path: str) -> None:
     config = gateway_config.read(path)
     if config.routes_path is not None:
-        route_config.read(config.routes_path, config.request_classes, ground(config))
+        route_config.read(config.routes_path, config.request_classes, policy_environment(config))
 
 
 def _check_package(path: str) -> None:
--- a/wickdyke/worker/replica_loader.py
+++ b/wickdyke/worker/replica_loader.py
@@ -5,12 +5,11 @@
 import threading
 from dataclasses import dataclass
 
-from structlog.typing import FilteringBoundLogger
-
 from wickdyke.config.sexpr import InvalidConfigError
 from wickdyke.worker.actions import StartLoad
 from wickdyke.worker.cache import Cache
 from wickdyke.worker.cache_index import CacheFullError
+from wickdyke.worker.log import Log
 from wickdyke.worker.manifest import Manifest
 from wickdyke.worker.model import Rejection, Replica, ReplicaState
 from wickdyke.worker.open_requests import Recorder
@@ -48,7 +47,7 @@
         supervisor: ReplicaSupervisor,
         store: PackageStore,
         cache: Cache,
-        log: FilteringBoundLogger,
+        log: Log,
         record: Recorder,
     ) -> None:
         self.runner = runner
--- a/wickdyke/worker/replica_supervisor.py
+++ b/wickdyke/worker/replica_supervisor.py
@@ -1,9 +1,8 @@
 """The running replicas: sends them requests, receives their answers, and ends them."""
 
-from structlog.typing import FilteringBoundLogger
-
 from wickdyke.worker.actions import Run, Stop
 from wickdyke.worker.cache import Cache
+from wickdyke.worker.log import Log
 from wickdyke.worker.model import Replica, ReplicaState, Request
 from wickdyke.worker.open_requests import OpenRequests
 from wickdyke.worker.parent_client import ParentClient
@@ -31,7 +30,7 @@
         parent: ParentClient,
         open_requests: OpenRequests,
         cache: Cache,
-        log: FilteringBoundLogger,
+        log: Log,
     ) -> None:
         self.runner = runner
         self.parent = parent
--- a/wickdyke/worker/runtime.py
+++ b/wickdyke/worker/runtime.py
@@ -5,13 +5,12 @@
 import threading
 import time
 
-from structlog.typing import FilteringBoundLogger
-
 from wickdyke.config.worker_config import WorkerConfig
 from wickdyke.worker.actions import Kill, PrewarmDone, PrewarmFailed, Reject, Run, StartLoad, Stop, Unload
 from wickdyke.worker.cache import Cache
 from wickdyke.worker.gateway_server import GatewayServer
 from wickdyke.worker.load_reporter import LoadReporter
+from wickdyke.worker.log import Log
 from wickdyke.worker.model import ScheduleLimits
 from wickdyke.worker.open_requests import OpenRequests, Recorder, answer_prewarm, reject_prewarm
 from wickdyke.worker.parent_client import ParentClient
@@ -34,7 +33,7 @@
         self,
         config: WorkerConfig,
         store: PackageStore,
-        log: FilteringBoundLogger,
+        log: Log,
         record: Recorder | None = None,
         start: int | None = None,
     ) -> None:
