--- a/wickdyke/cli/worker.py
+++ b/wickdyke/cli/worker.py
@@ -1,66 +1,69 @@
-"""worker, pack and store."""
+"""The commands worker, pack and store."""
 
 import os
-import sys
 
 import click
 
+from wickdyke.cli.common import fail, open_log_or_fail, read_or_fail
 from wickdyke.config import store_config, worker_config
 from wickdyke.config.sexpr import InvalidConfigError
 from wickdyke.fault_injection.trace import TraceRecorder
 from wickdyke.gateway import log as logs
 from wickdyke.transport import termination
 from wickdyke.transport.line_server import AddressInUse
-from wickdyke.worker import package
+from wickdyke.worker import package, package_digest
+from wickdyke.worker.cache_index import MB
 from wickdyke.worker.runtime import Worker
-from wickdyke.worker.source import Folder
-from wickdyke.worker.store import Store
+from wickdyke.worker.source import FolderStore, PackageStore
+from wickdyke.worker.store import StoreServer
 from wickdyke.worker.store_client import StoreClient
 
-BAD = 2
+DRAIN_MARGIN = 1000  # ms beyond the longest run time that a worker drains
 
 
 @click.command()
 @click.argument("file", type=click.Path())
 @click.option("--log", "log_file", type=click.Path(), help="Append the log to this file (else standard error).")
 @click.option("--json", "as_json", is_flag=True, help="Log JSON lines instead of logfmt.")
-@click.option("--trace", type=click.Path(), help="Write what passes, for the judge, to this file.")
-@click.option("--start", type=click.IntRange(1), help="The number of this start, where who starts it lists it too.")
+@click.option("--trace", type=click.Path(), help="Write a trace for the rule checker to this file.")
+@click.option(
+    "--start", type=click.IntRange(1), help="The number that identifies this start, as the endpoint file has it."
+)
 def worker(file: str, log_file: str | None, as_json: bool, trace: str | None, start: int | None) -> None:
     """Run a worker as FILE states, until SIGTERM.
 
-    The first line on standard output is `ready` and the socket's path. On SIGTERM or SIGINT nothing new is begun,
-    calls finish, and the exit code is 0; a second signal ends it at once.
+    The first line on standard output is `ready` and the socket's path. On SIGTERM or SIGINT no further request is
+    accepted, those in flight finish, and the exit code is 0; a second signal ends it at once.
 
     \b
     Example:
         wickdyke worker deploy/worker.sexp
     """
+    config = read_or_fail(worker_config.read, file)
+    log, log_writer = logs.logger(open_log_or_fail(log_file or config.log_path), as_json, worker=config.name)
+    trace = trace or config.trace_path
+    terminated = termination.asked()
     try:
-        shop = worker_config.read(file)
-    except InvalidConfigError as bad:
-        _fail(str(bad))
-    try:
-        sink = logs.open_sink(log_file or shop.log_path)
-    except OSError as bad:
-        _fail(f"{bad.filename}: found no file to append to ({bad.strerror}), expected one")
-    log, scribe = logs.logger(sink, as_json, worker=shop.name)
-    trace = trace or shop.trace_path
-    ended = termination.asked()
-    try:
-        source = Folder(shop.store_folder) if shop.store_folder else StoreClient(shop.store_address)
-        made = Worker(shop, source, log, TraceRecorder(trace, shop.name) if trace else None, start)
-        made.open()
-    except AddressInUse as bad:
-        _fail(str(bad))
-    except OSError as bad:
-        _fail(f"{bad.filename or shop.listen}: {bad.strerror}")
-    print(f"ready {shop.listen}", flush=True)
-    termination.wait(ended)
-    made.drain(shop.run_timeout + 1000)
-    made.close()
-    scribe.close()
-    os._exit(0)  # threads may hang in a full pipe; all that is owed is done
+        recorder = TraceRecorder(trace, config.name) if trace else None
+        runtime = Worker(config, _package_store(config), log, recorder, start)
+        runtime.open()
+    except AddressInUse as error:
+        fail(error)
+    except OSError as error:
+        fail(f"{error.filename or config.listen}: {error.strerror}")
+    print(f"ready {config.listen}", flush=True)
+    termination.wait(terminated)
+    runtime.drain(config.run_timeout + DRAIN_MARGIN)
+    runtime.close()
+    log_writer.close()
+    os._exit(0)  # threads may hang in a full pipe; everything else is done
+
+
+def _package_store(config: worker_config.WorkerConfig) -> PackageStore:
+    if config.store_folder:
+        return FolderStore(config.store_folder)
+    assert config.store_address is not None  # as checked when the settings were read
+    return StoreClient(config.store_address)
 
 
 @click.command()
@@ -74,12 +77,12 @@
         wickdyke pack packages/tags --into store
     """
     try:
-        made, path = package.pack(folder, into)
-    except InvalidConfigError as bad:
-        _fail(str(bad))
-    except OSError as bad:
-        _fail(f"{bad.filename or into}: {bad.strerror}")
-    print(f"{path} {package.file_digest(path)} {made.memory:g} MB, {made.lanes} lanes")
+        manifest, path = package.pack(folder, into)
+    except InvalidConfigError as error:
+        fail(error)
+    except OSError as error:
+        fail(f"{error.filename or into}: {error.strerror}")
+    print(f"{path} {package_digest.file_digest(path)} {manifest.memory:g} MB, {manifest.concurrency} lanes")
 
 
 @click.command()
@@ -88,32 +91,20 @@
 def store(file: str, log_file: str | None) -> None:
     """Serve a folder of archives to workers as FILE states, until SIGTERM.
 
-    The first line on standard output is `ready` and the address. What workers were reading they read on later.
+    The first line on standard output is `ready` and the address. Workers resume reads that its end interrupts.
 
     \b
     Example:
         wickdyke store deploy/store.sexp
     """
+    config = read_or_fail(store_config.read, file)
+    _, log_writer = logs.logger(open_log_or_fail(log_file), False, store=config.listen)
+    terminated = termination.asked()
     try:
-        depot = store_config.read(file)
-    except InvalidConfigError as bad:
-        _fail(str(bad))
-    try:
-        sink = logs.open_sink(log_file)
-    except OSError as bad:
-        _fail(f"{bad.filename}: found no file to append to ({bad.strerror}), expected one")
-    log, scribe = logs.logger(sink, False, store=depot.listen)
-    ended = termination.asked()
-    try:
-        made = Store(depot.listen, depot.folder, depot.bandwidth * (1 << 20), depot.readers, log)
-    except AddressInUse as bad:
-        _fail(str(bad))
-    print(f"ready {depot.listen}", flush=True)
-    termination.wait(ended)
-    made.close()
-    scribe.close()
-
-
-def _fail(text: str) -> None:
-    print(text, file=sys.stderr)
-    raise SystemExit(BAD)
+        server = StoreServer(config.listen, config.folder, config.bandwidth * MB, config.readers)
+    except AddressInUse as error:
+        fail(error)
+    print(f"ready {config.listen}", flush=True)
+    termination.wait(terminated)
+    server.close()
+    log_writer.close()
