--- a/wickdyke/cli/__init__.py
+++ b/wickdyke/cli/__init__.py
@@ -8,7 +8,7 @@
 @click.group(context_settings={"help_option_names": ["-h", "--help"], "max_content_width": 110})
 @click.version_option(package_name="wickdyke", message="wickdyke %(version)s")
 def main() -> None:
-    """A gateway that sends RPCs to workers which load programs on demand."""
+    """A gateway that sends requests to workers which load functions on demand."""
 
 
 for _command in (
--- a/wickdyke/cli/call.py
+++ b/wickdyke/cli/call.py
@@ -25,14 +25,14 @@
     type=float,
     help="Milliseconds until the client gives up (else the method's deadline).",
 )
-@click.option("--memory", "memory_mb", type=float, help="Memory of a copy in MB (else from the gateway's settings).")
-@click.option("--lanes", type=int, help="RPCs that a copy runs at once.")
-@click.option("--token", help="The mark by which a repeat of a tokened RPC is known.")
+@click.option("--memory", "memory_mb", type=float, help="Memory of a replica in MB (else from the gateway's settings).")
+@click.option("--lanes", type=int, help="Requests that a replica runs at once.")
+@click.option("--token", help="The idempotency key of a tokened request.")
 def call(socket: str, method: str, function: str, input_json: str, **options: float | str | None) -> None:
-    """Send one RPC to the gateway at SOCKET and print its final answer.
+    """Send one request to the gateway at SOCKET and print its final answer.
 
-    INPUT is JSON. Exit code 0: ok; 3: denied (it had no effect); 4: aborted (nothing is promised); 2: the
-    request was malformed; 5: no gateway answered.
+    PROGRAM is the name of the function, INPUT is JSON. Exit code 0: ok; 3: denied (rejected without an effect);
+    4: aborted (failed, perhaps with an effect); 2: the request was malformed; 5: no gateway answered.
 
     \b
     Example:
--- a/wickdyke/cli/check.py
+++ b/wickdyke/cli/check.py
@@ -36,8 +36,8 @@
 @click.command()
 @click.argument("files", nargs=-1, required=True, type=click.Path())
 def check(files: tuple[str, ...]) -> None:
-    """Say all that is wrong with settings (and their routes) of gateways, workers and stores, with worker lists,
-    scripts and packages (their package.sexp); exit code 2 if anything is.
+    """Report all errors in the settings (and routes) of gateways, workers and stores, in endpoint files, scenarios
+    and packages (their package.sexp). Exit code 2 if there are any.
 
     \b
     Example:
--- a/wickdyke/cli/move.py
+++ b/wickdyke/cli/move.py
@@ -17,11 +17,11 @@
 @click.argument("old", type=click.Path())
 @click.argument("shape", type=click.Path())
 @click.argument("new", type=click.Path())
-@click.option("--dry-run", is_flag=True, help="Print what NEW would hold and what is lost; write nothing.")
+@click.option("--dry-run", is_flag=True, help="Print the text of NEW and what is lost; write nothing.")
 def move(old: str, shape: str, new: str, dry_run: bool) -> None:
     """Write to NEW the counterpart of the gateway's settings OLD for the deployment that SHAPE describes, and list
-    what changed or could not be carried over. OLD stays as it is, and NEW must not be there yet. docs/migration.md
-    tells the steps of a move. Exit code 2 if nothing usable comes out.
+    what changed or has no counterpart. OLD stays as it is, and NEW must not exist. docs/migration.md describes the
+    steps of a migration. Exit code 2 if the result is invalid.
 
     \b
     Example:
--- a/wickdyke/cli/serve.py
+++ b/wickdyke/cli/serve.py
@@ -22,15 +22,15 @@
 @click.argument("file", type=click.Path())
 @click.option("--log", "log_file", type=click.Path(), help="Append the log to this file (else standard error).")
 @click.option("--json", "as_json", is_flag=True, help="Log JSON lines instead of logfmt.")
-@click.option("--debug", is_flag=True, help="Also log each call-out that ends and each answer, by rpc.")
+@click.option("--debug", is_flag=True, help="Also log each attempt that ends and each answer.")
 @click.option(
-    "--tape", "recording_path", type=click.Path(), help="Record what the module is told and decides (see replay)."
+    "--tape", "recording_path", type=click.Path(), help="Record the router's inputs and decisions (see replay)."
 )
 def serve(file: str, log_file: str | None, as_json: bool, debug: bool, recording_path: str | None) -> None:
-    """Run a gateway as FILE states, until SIGTERM.
+    """Run a gateway with the settings in FILE, until SIGTERM.
 
-    The first line on standard output is `ready` and the socket's path. On SIGTERM or SIGINT no new RPC is taken,
-    all that is held gets its answer, and the exit code is 0; a second signal ends it at once.
+    The first line on standard output is `ready` and the socket's path. On SIGTERM or SIGINT no new request is
+    accepted, all pending ones are answered, and the exit code is 0; a second signal ends it at once.
 
     \b
     Example:
@@ -61,7 +61,7 @@
 @click.argument("file", type=click.Path())
 @click.option("--folder", type=click.Path(), help="Where sockets, logs and traces go (else a new one).")
 def up(file: str, folder: str | None) -> None:
-    """Stand-in workers and gateways of the script FILE, in the foreground, with no traffic and no troubles.
+    """Run the fake workers and the gateways of the scenario FILE, in the foreground, without traffic and faults.
 
     The first line on standard output is `ready` and the first gateway's socket. Stops cleanly on a signal.
 
