--- a/wickdyke/fault_injection/function_packages.py
+++ b/wickdyke/fault_injection/function_packages.py
@@ -4,7 +4,7 @@
 import tempfile
 
 from wickdyke.fault_injection.scenario import RequestClassTraffic, Scenario
-from wickdyke.worker import package
+from wickdyke.worker import manifest, package
 
 # Loading and running are time slept. The input's keys are those that the load client sends.
 FUNCTION_SOURCE = """import time
@@ -27,7 +27,7 @@
 def _write_source(folder: str, request_class: RequestClassTraffic, number: int) -> None:
     with open(os.path.join(folder, "main.py"), "w", encoding="utf-8") as sink:
         sink.write(FUNCTION_SOURCE.format(load=request_class.load_ms))
-    with open(os.path.join(folder, package.MANIFEST), "w", encoding="utf-8") as sink:
+    with open(os.path.join(folder, manifest.FILE_NAME), "w", encoding="utf-8") as sink:
         sink.write(
             f'(package "{request_class.name}/{number}" (version "1") (entry "main:run")'
             f" (memory {request_class.memory_mb:g} MB) (lanes {request_class.concurrency}))"
