--- a/tests/acceptance_rig.py
+++ b/tests/acceptance_rig.py
@@ -85,7 +85,9 @@
     def attempts_out(self):
         """Orders that wait for a worker, of any kind."""
         return sum(
-            conn.commands_in_flight for link in self.serving.coordinator.workers.clients.values() for conn in link.all()
+            connection.commands_in_flight
+            for client in self.serving.coordinator.workers.clients.values()
+            for connection in client.all_connections()
         )
 
     def settle(self):
@@ -97,18 +99,18 @@
         ends = self.now + span
         while self.now < ends:
             self.now = min(ends, self.now + step)
-            self.serving.turn()
+            self.serving.run_once()
             if settle:
                 self.settle()
 
     def final(self, client, within, settle=True, step=STEP):
         """The answer that comes next, which may take so many ms; with `settle`, workers answer all at once."""
         ends = self.now + within
-        self.serving.turn()
+        self.serving.run_once()
         while not client.waits():
             if settle:
                 self.settle()
-            self.serving.turn()
+            self.serving.run_once()
             if not client.waits():
                 self.assertLess(self.now, ends, "no final answer in time")
                 self.now += step
--- a/tests/test_acceptance_days.py
+++ b/tests/test_acceptance_days.py
@@ -151,7 +151,7 @@
     def second_worker(self, address):
         """Tells of one more worker."""
         self.serving.coordinator.post(EndpointsReceived([rig.event(2, rig.instance("w9", address))]))
-        self.serving.turn()
+        self.serving.run_once()
 
     def refused(self):
         """How many attempts met a refused connection."""
@@ -265,7 +265,7 @@
         for client in clients:
             client.send(rig.alive(1))
             self.answer(client)
-        serving._end(signal.SIGTERM, None)
+        serving._request_shutdown(signal.SIGTERM, None)
         self.later(service.GRACE_PERIOD - 1, settle=True)
         shut = serving.client_server.shut
 
@@ -277,10 +277,10 @@
 
         serving.client_server.shut = crossing
         self.now += 2
-        serving.turn()
+        serving.run_once()
         for client in clients:
             self.assertEqual(self.final(client, 1000), (2, "answer", b"did x"))
-        self.until(lambda: not serving.turn(), "the end")
+        self.until(lambda: not serving.run_once(), "the end")
 
 
 class LittleTime(Stepped):
@@ -326,7 +326,7 @@
         client.send(b"".join(request(at, CLASSES[at % 3], b"short", d=str(at)) for at in range(1, 31)))
         answers = []
         for _ in range(50):
-            self.serving.turn()
+            self.serving.run_once()
             self.now += 1
             while client.waits():
                 answers.append(client.answer())
@@ -361,7 +361,7 @@
         self.made(again)
         self.until(lambda: (self.later(50.0), again.asked)[1], "the list's next request")
         again.event(rig.event(2, rig.instance("w0", one.address, lifecycle="DRAINING")))
-        serving._end(signal.SIGTERM, None)
+        serving._request_shutdown(signal.SIGTERM, None)
         self.until(lambda: serving.endpoints.offset == 2, "the drain")
         before = len(one.came(b"invoke"))
         for at in range(3, 9):
@@ -369,7 +369,7 @@
             self.assertEqual(self.final(client, 500), (at, "answer", b"did x"))
         self.assertEqual(len(one.came(b"invoke")), before)
         self.now += service.GRACE_PERIOD + 1
-        self.until(lambda: not serving.turn(), "the end")
+        self.until(lambda: not serving.run_once(), "the end")
         self.assertEqual(self.faults(), [])
 
 
@@ -382,10 +382,10 @@
         self.until(lambda: old.asked)
         self.write(new.address)
         for _ in range(5):
-            serving._read(signal.SIGHUP, None)
+            serving._request_reload(signal.SIGHUP, None)
         self.until(lambda: new.asked)
         for _ in range(5):
-            serving.turn()
+            serving.run_once()
         self.assertEqual((old.asked, new.asked), ([1], [1]))
 
     def test_replaced_between_its_read_and_what_follows(self):
@@ -402,16 +402,16 @@
             if not replaced:
                 replaced.append(True)
                 self.write(last.address, worker.address)
-                serving._read(signal.SIGHUP, None)
+                serving._request_reload(signal.SIGHUP, None)
             return given
 
         with patch.object(stations, "load", loaded):
-            serving._read(signal.SIGHUP, None)
+            serving._request_reload(signal.SIGHUP, None)
             self.until(lambda: last.asked)
         last.event(rig.event(2, rig.instance("w1", self.worker().address)))
         self.until(lambda: serving.endpoints.offset == 2)
         for _ in range(5):
-            serving.turn()
+            serving.run_once()
         self.assertEqual((len(serving.endpoints), last.asked), (2, [1]))
         self.assertEqual(serving.discovery.address[1], int(last.address.rpartition(":")[2]))
 
@@ -426,7 +426,7 @@
             client.send(request(at, CLASSES[at % 3], b"slow"))
             self.at_worker(1)
             self.write(source.address)
-            serving._read(signal.SIGHUP, None)
+            serving._request_reload(signal.SIGHUP, None)
             many = len(source.asked)
             self.until(lambda source=source, many=many: len(source.asked) > many and serving.discovery.up)
             source.event(rig.event(at + 1, rig.instance(f"x{at}", worker.address, lifecycle="DRAINING")))
@@ -448,16 +448,16 @@
                     whole = source.read()
                 with open(self.path, "w") as out:
                     out.write(whole[:cut])
-                serving._read(signal.SIGHUP, None)
+                serving._request_reload(signal.SIGHUP, None)
                 for _ in range(5):
-                    serving.turn()
+                    serving.run_once()
                 self.assertEqual((new.asked, serving.discovery.up), ([], True))
                 client = self.client()
                 client.send(request(1))
                 self.assertEqual(self.final(client, 500)[1], "answer")
                 with open(self.path, "w") as out:
                     out.write(whole)
-                serving._read(signal.SIGHUP, None)
+                serving._request_reload(signal.SIGHUP, None)
                 self.until(lambda new=new: new.asked)
                 self.assertEqual(new.asked, [1])
                 self.end()
@@ -573,7 +573,7 @@
         self.assertLess(serving.discovery.counts["asked"], 30000 / 100)
         source = self.made(rig.Bus())
         self.write(source.address, worker.address)
-        serving._read(signal.SIGHUP, None)
+        serving._request_reload(signal.SIGHUP, None)
         self.until(lambda: source.asked and serving.discovery.up)
         source.event(rig.event(2, rig.instance("w1", worker.address)))
         self.until(lambda: serving.endpoints.offset == 2)
@@ -762,7 +762,7 @@
             client.close()
             left = self.now
             while self.now < left + 150:
-                serving.turn()
+                serving.run_once()
                 self.now += 1
                 for other in others:
                     if other.waits():
@@ -774,7 +774,7 @@
             except OSError:
                 pass  # ended with the attempt
             for _ in range(50):
-                serving.turn()
+                serving.run_once()
         self.assertEqual(len(one.came(b"invoke") + two.came(b"invoke")), 1)
 
     def test_who_asks_beside_clients_that_never_stop_sending(self):
@@ -795,11 +795,15 @@
         wait_for(self, lambda: peeked(serving.client_server.clients[4].sock))
         with self.costly(6.0):
             for _ in range(10):  # 30 reads, while each of the three has bytes for more
-                serving.turn()
-                if any(each.last for each in serving.client_server.clients.values()):
+                serving.run_once()
+                if any(each.last_number for each in serving.client_server.clients.values()):
                     break
-        self.assertTrue(all(peeked(each.sock) for each in serving.client_server.clients.values() if not each.last))
-        self.assertTrue(any(each.last for each in serving.client_server.clients.values()), "its request was not read")
+        self.assertTrue(
+            all(peeked(each.sock) for each in serving.client_server.clients.values() if not each.last_number)
+        )
+        self.assertTrue(
+            any(each.last_number for each in serving.client_server.clients.values()), "its request was not read"
+        )
 
 
 def peeked(sock):
--- a/tests/test_client_connection_faults.py
+++ b/tests/test_client_connection_faults.py
@@ -136,7 +136,9 @@
         self.loop.epoll = Standin(self.loop.epoll, plan)
         methods = [RequestClass("look", "idempotent", "all", 0.0, 500.0, 0.0, 4000.0, 1.0, 0.1)]
         host, port = (address := rig.free_address()).split(":")
-        self.front = fronts.ClientServer(self.loop, (host, int(port)), methods, 20, self.take, lambda: "", Mock())
+        self.front = fronts.ClientServer(
+            self.loop, fronts.ClientServerSettings((host, int(port)), methods, 20), self.take, lambda: "", Mock()
+        )
         made = socket.socket
         with patch.object(fronts.socket, "socket", lambda *given: Standin(made(*given), plan, piece)):
             self.front.listen()
@@ -151,7 +153,7 @@
         for _ in range(2000):
             if done():
                 return
-            self.loop.turn(5.0, lambda: None)
+            self.loop.run_once(5.0, lambda: None)
             self.now = min(self.now + 10, self.LAST)
         self.fail(f"{what} did not come")
 
@@ -164,7 +166,7 @@
         self.until(lambda: whole(client), "an answer or the end")
         words = [client.answer()[1]]
         for _ in range(5):
-            self.loop.turn(0.0, lambda: None)
+            self.loop.run_once(0.0, lambda: None)
             self.now += 10
         while words[-1] != "closed" and client.waits():
             words.append(client.answer()[1])
@@ -291,7 +293,9 @@
         methods = [RequestClass("look", "idempotent", "all", 0.0, 500.0, 0.0, 4000.0, 1.0, 0.1)]
         self.address = rig.free_address()
         host, port = self.address.split(":")
-        self.front = fronts.ClientServer(self.loop, (host, int(port)), methods, 2, self.told.append, lambda: "", Mock())
+        self.front = fronts.ClientServer(
+            self.loop, fronts.ClientServerSettings((host, int(port)), methods, 2), self.told.append, lambda: "", Mock()
+        )
         self.front.listen()
         self.addCleanup(self.front.shut)
         self.addCleanup(lambda: [client.close() for client in list(self.front.clients.values())])
@@ -305,7 +309,7 @@
         for _ in range(4000):
             if done():
                 return
-            self.loop.turn(5.0, lambda: None)
+            self.loop.run_once(5.0, lambda: None)
         self.fail(f"{what} did not come")
 
     def asked(self, client, data, many=1):
@@ -324,7 +328,7 @@
         client.send(rig.dispatch(2, rig.fields(B))[:20])
         self.until(lambda: next(iter(self.front.clients.values())).frames.begun)
         self.now += fronts.SILENCE_TIMEOUT + 2 * fronts.SWEEP_INTERVAL
-        self.loop.turn(0.0, lambda: None)
+        self.loop.run_once(0.0, lambda: None)
         ask.succeed(b"done", 1)
         self.until(client.waits)
         self.assertEqual(client.answer(), (1, "answer", b"done"))
@@ -338,7 +342,7 @@
         self.until(lambda: next(iter(self.front.clients.values())).ending)
         for _ in range(15):
             self.now += fronts.SWEEP_INTERVAL
-            self.loop.turn(0.0, lambda: None)
+            self.loop.run_once(0.0, lambda: None)
         ask.succeed(b"done", 1)
         self.until(client.waits)
         self.assertEqual(client.answer(), (1, "answer", b"done"))
@@ -400,7 +404,7 @@
         client = self.client()
         ask = self.asked(client, rig.dispatch(1, rig.fields(A)))
         known = ask.client
-        self.loop.fault = Mock()
+        self.loop.on_error = Mock()
         with patch.object(client_connection.thrift, "read", side_effect=ZeroDivisionError):
             client.send(rig.dispatch(2, rig.fields(B)))
             self.until(lambda: known.ending)
@@ -457,7 +461,9 @@
             self.assertTrue(select.select([known.sock], [], [], rig.LONG)[0])
         sock, parts = self.held.pop()
         sock.sendall(rig.bulk(parts[1], b"AGAIN", b"-", b""))
-        from_workers = [number for number, handler in serving.loop.handlers.items() if handler.first]
+        from_workers = [
+            number for number, handler in serving.loop.handlers.items() if handler.priority is event_loop.Priority.HIGH
+        ]
         self.assertTrue(select.select(from_workers, [], [], rig.LONG)[0])
         if how == "stays":
             self.until(lambda: self.held, "the retry")
@@ -520,7 +526,7 @@
         serving.coordinator.actions[Forward] = call
         for number, client in enumerate(clients):
             self.send(client, rig.dispatch(2, rig.fields(f"{number:016x}"), b"a"))
-        serving.client_server.heard_more()  # all three are decided in one pull
+        serving.client_server.read_clients()  # all three are decided in one pull
         for client in clients[1:]:
             self.assertEqual(self.answer(client)[1], "answer")
         self.after(1600)
--- a/tests/test_configuration_faults.py
+++ b/tests/test_configuration_faults.py
@@ -33,7 +33,7 @@
                         patch.object(configuration, "open", failing, create=True),
                         patch.object(service, "REREAD_AFTER", 1.0),
                     ):
-                        serving._read(1, None)
+                        serving._request_reload(1, None)
                         self.until(
                             lambda address=address: serving.discovery.address == configuration.address(address, "")
                         )
@@ -44,8 +44,8 @@
         serving = self.front_end(self.worker().address)
         with open(self.path, "w") as out:
             out.write("{")
-        serving._read(1, None)
-        self.until(lambda: not serving.reload_asked)
+        serving._request_reload(1, None)
+        self.until(lambda: not serving.reload_requested)
         self.assertEqual(
             (serving.reload_pending, serving.discovery.address), (False, configuration.address(NOWHERE, ""))
         )
--- a/tests/test_coordinator.py
+++ b/tests/test_coordinator.py
@@ -19,7 +19,7 @@
 from wickdyke.gateway import log as logs
 from wickdyke.gateway import recording
 from wickdyke.protocol import jsonrpc, worker_messages
-from wickdyke.transport.line_server import AddressInUse, listener
+from wickdyke.transport.line_server import AddressInUseError, listener
 
 
 def silent(sock, number):
@@ -636,7 +636,7 @@
         """A live owner is left alone; what a killed one left behind is replaced; a file is not touched."""
         with tempfile.TemporaryDirectory(prefix="wd-") as folder:
             process, path = self.serve(folder, silent)
-            with self.assertRaisesRegex(AddressInUse, "somebody live"):
+            with self.assertRaisesRegex(AddressInUseError, "somebody live"):
                 listener(path)
             process.kill()
             process.wait()
@@ -647,7 +647,7 @@
             plain = os.path.join(folder, "plain")
             with open(plain, "w") as out:
                 out.write("x")
-            with self.assertRaisesRegex(AddressInUse, "no socket"):
+            with self.assertRaisesRegex(AddressInUseError, "no socket"):
                 listener(plain)
             self.assertTrue(os.path.exists(plain))
 
--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -7,7 +7,7 @@
 import unittest
 import weakref
 from types import SimpleNamespace
-from unittest.mock import Mock, patch
+from unittest.mock import patch
 
 import msgspec
 
@@ -17,10 +17,17 @@
 from tests.test_platform import Turned
 from wickdyke.jsonrpc import worker_client as rpc_link
 from wickdyke.jsonrpc import worker_protocol as rpc_speech
-from wickdyke.platform import connection_pool, worker_client, worker_command, worker_connection, worker_protocol
+from wickdyke.platform import (
+    connection_pool,
+    reachability,
+    worker_client,
+    worker_command,
+    worker_connection,
+    worker_protocol,
+)
 from wickdyke.routing.model import RequestClass
 from wickdyke.transport import event_loop
-from wickdyke.transport.write_buffer import Expired, OutgoingMessage, PeerTooSlow, WriteBuffer
+from wickdyke.transport.write_buffer import MessageExpiredError, OutgoingMessage, PeerTooSlowError, WriteBuffer
 
 
 class Clock:
@@ -48,7 +55,7 @@
 
 def ask(ident=ASCII_A, body=b"x"):
     """What a client asked."""
-    return SimpleNamespace(call=SimpleNamespace(ident=ident, token="", input=body, load_ms=None))
+    return SimpleNamespace(call=SimpleNamespace(ident=ident, idempotency_key="", input=body, load_ms=None))
 
 
 def told_left(parts):
@@ -106,7 +113,7 @@
         box.put(first := self.parcel())
         box.put(OutgoingMessage(b"behind"))
         self.text = None
-        with self.assertRaises(Expired):
+        with self.assertRaises(MessageExpiredError):
             box.put(self.parcel("second"))
         box.pump()
         self.assertEqual(
@@ -120,7 +127,7 @@
         self.text = b"1234567"
         box.put(second := self.parcel())
         self.assertEqual(box.bytes_waiting, 10)
-        with self.assertRaises(PeerTooSlow):
+        with self.assertRaises(PeerTooSlowError):
             box.put(self.parcel())
         self.text = b"12345"
         box.pump()
@@ -187,16 +194,18 @@
     def setUp(self):
         super().setUp()
         self.pool = connection_pool.ConnectionPool(20)
-        self.clock = Clock(self, worker_client, worker_command, worker_connection, worker_protocol)
+        self.clock = Clock(self, reachability, worker_client, worker_command, worker_connection, worker_protocol)
         self.speech = worker_protocol.PlatformWorkerProtocol(
-            self.loop, SimpleNamespace(instance=SimpleNamespace(report_fields=())), Mock(), 20
+            self.loop, worker_client.WorkerClientSettings(0.0, 0.0, ()), 20
         )
 
     def link(self, address, dial=60000.0):
         def notify(event):
             self.told.append((event.command.ident, event.outcome))
 
-        made = worker_client.WorkerClient("w", address, notify, self.loop, self.pool, dial, 10000.0, ())
+        made = worker_client.WorkerClient(
+            "w", address, notify, self.loop, self.pool, worker_client.WorkerClientSettings(dial, 10000.0, ())
+        )
         self.addCleanup(made.close)
         return made
 
@@ -372,7 +381,7 @@
 
         def behind(parcel):  # as where others wait: it is the thread's to write
             with link.write_buffer.lock:
-                parcel.bytes_waiting = len(parcel.rendered())
+                parcel.bytes_waiting = len(parcel.render())
                 link.write_buffer.bytes_waiting += parcel.bytes_waiting
                 link.write_buffer.waiting.append(parcel)
                 return False
--- a/tests/test_discovery_faults.py
+++ b/tests/test_discovery_faults.py
@@ -166,7 +166,11 @@
         patcher.start()
         self.addCleanup(patcher.stop)
         made = discovery.DiscoveryClient(
-            self.loop, self.where(address or self.source.address), self.last, self.take, Mock(), 200.0, 1
+            self.loop,
+            discovery.DiscoverySettings(self.where(address or self.source.address), 200.0, 1),
+            self.last,
+            self.take,
+            Mock(),
         )
         made.open()
         return made
@@ -185,7 +189,7 @@
         waits = made.sock is None
         if waits:
             self.now += 10
-        self.loop.turn(0.0 if waits else 1.0, lambda: None)
+        self.loop.run_once(0.0 if waits else 1.0, lambda: None)
 
     def until_told(self, made, many=EVENTS):
         ends = time.monotonic() + rig.LONG
@@ -271,7 +275,7 @@
     def test_what_nobody_foresaw_in_a_try_is_tried_again(self):
         made = self.follow(SystemCalls("socket", 1, errno.EMFILE))
         faults = []
-        self.loop.fault = faults.append
+        self.loop.on_error = faults.append
         with patch.object(discovery, "dial", Mock(side_effect=MemoryError)):
             while not faults:
                 self.turn(made)
@@ -339,7 +343,7 @@
         for at in range(20):
             made.follow(self.where(self.source.address))
             if at % 3 == 0:
-                self.loop.turn(0.0, lambda: None)
+                self.loop.run_once(0.0, lambda: None)
         self.until_told(made)
         self.end(made)
         self.assertTrue(until(lambda: threading.active_count() == threads))
--- a/tests/test_event_loop_faults.py
+++ b/tests/test_event_loop_faults.py
@@ -36,10 +36,10 @@
 
 
 class Handler:
-    """Notes what it is told."""
+    """Records its calls."""
 
-    def __init__(self, first=True):
-        self.first, self.told = first, []
+    def __init__(self, priority=event_loop.Priority.HIGH):
+        self.priority, self.told = priority, []
 
     def readable(self):
         self.told.append("readable")
@@ -71,7 +71,7 @@
 
     def turn(self, span=0.0):
         self.now += span
-        self.loop.turn(0.0, lambda: None)
+        self.loop.run_once(0.0, lambda: None)
 
 
 class Add(Case):
@@ -120,7 +120,7 @@
                     mine, _ = self.pair()
                     self.loop.add(mine, handler)
                     self.epoll.errors = {"modify": [failure(code)] * times}
-                    self.loop.want(mine, True)
+                    self.loop.set_interest(mine, True)
                     for _ in range(times):
                         self.turn()
                         self.assertEqual(handler.told, [])
@@ -136,8 +136,8 @@
         mine, _ = self.pair()
         self.loop.add(mine, handler)
         self.epoll.errors = {"modify": [failure(errno.ENOMEM)]}
-        self.loop.want(mine, True)
-        self.loop.want(mine, False)
+        self.loop.set_interest(mine, True)
+        self.loop.set_interest(mine, False)
         for _ in range(3):
             self.turn(event_loop.MODIFY_RETRY)
         self.assertEqual(handler.told, [])
@@ -147,8 +147,8 @@
         mine, _ = self.pair()
         self.loop.add(mine, handler)
         self.epoll.errors = {"modify": [failure(errno.ENOMEM)] * 2}
-        self.loop.want(mine, False)
-        self.loop.want(mine, True)
+        self.loop.set_interest(mine, False)
+        self.loop.set_interest(mine, True)
         self.turn(event_loop.MODIFY_RETRY)
         self.turn()
         self.assertEqual((handler.told, self.loop.timers.heap), (["writable"], []))
@@ -159,7 +159,7 @@
         number = mine.fileno()
         self.loop.add(mine, old)
         self.epoll.errors = {"modify": [failure(errno.ENOMEM)]}
-        self.loop.want(mine, True)
+        self.loop.set_interest(mine, True)
         self.loop.remove(mine)
         mine.close()
         again = socket.socket()
@@ -176,7 +176,7 @@
         """A mistake of the caller: it is told."""
         mine, _ = self.pair()
         with self.assertRaises(FileNotFoundError):
-            self.loop.want(mine, True)
+            self.loop.set_interest(mine, True)
         self.assertEqual((self.loop.unmodified, self.loop.timers.heap), ({}, []))
 
 
@@ -206,9 +206,9 @@
                 self.loop.add(mine, handler)
                 other.send(b"x")
                 self.epoll.errors = {"poll": [None] * (nth - 1) + [InterruptedError(errno.EINTR, "interrupted")]}
-                self.loop.at(self.now, due)
+                self.loop.call_at(self.now, due)
                 for _ in range(nth):
-                    self.loop.turn(0.0, between)
+                    self.loop.run_once(0.0, between)
                 self.assertEqual(handler.told, ["readable"] * (nth - 1))
                 due.assert_called_once_with()
                 self.assertEqual(between.call_count, nth)
@@ -218,7 +218,7 @@
 
     def test_a_handler_whose_end_fails_too(self):
         """The others are served."""
-        bad, good = Handler(), Handler(first=False)
+        bad, good = Handler(), Handler(event_loop.Priority.NORMAL)
         bad.readable = Mock(side_effect=KeyError("unforeseen"))
         bad.broken = Mock(side_effect=failure(errno.EIO))
         for handler in (bad, good):
@@ -246,7 +246,7 @@
             (errno.ENOTCONN, b""),
         ):
             with self.subTest(errno.errorcode[code]):
-                self.assertEqual(event_loop.received(Mock(recv=Mock(side_effect=failure(code))), 100), given)
+                self.assertEqual(event_loop.receive(Mock(recv=Mock(side_effect=failure(code))), 100), given)
 
 
 class Dial(unittest.TestCase):
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -144,7 +144,7 @@
         ends = time.monotonic() + rig.LONG
         while not done():
             self.assertLess(time.monotonic(), ends, f"{what} did not come")
-            self.serving.turn()
+            self.serving.run_once()
 
     def client(self):
         return self.made(rig.Client(self.listen))
@@ -180,17 +180,17 @@
             shut()
 
         serving.client_server.shut = just_before
-        serving._end(signal.SIGTERM, None)
-        serving.shutdown_asked_at -= service.GRACE_PERIOD  # it is long ago: the door is shut in the next turn
-        self.assertTrue(serving.turn())
+        serving._request_shutdown(signal.SIGTERM, None)
+        serving.shutdown_requested_at -= service.GRACE_PERIOD  # it is long ago: the door is shut in the next turn
+        self.assertTrue(serving.run_once())
         self.assertTrue(serving.client_server.shut_down)
         half.send(whole[25:])
         self.assertEqual(self.answer(waiting[0]), (1, "answer", b"did c"))
         self.assertEqual(self.answer(half), (1, "answer", b"did b"))
-        self.assertTrue(serving.turn())
+        self.assertTrue(serving.run_once())
         self.answer_held()
         self.assertEqual(self.answer(flying), (1, "answer", b"at last"))
-        self.until(lambda: not serving.turn(), "the end")
+        self.until(lambda: not serving.run_once(), "the end")
 
     def test_a_request_between_the_last_look_and_the_end(self):
         """It has been taken: it is read, and answered, before the program ends."""
@@ -198,8 +198,8 @@
         client = self.client()
         client.send(rig.alive(1))
         self.answer(client)
-        serving._end(signal.SIGTERM, None)
-        serving.shutdown_asked_at -= service.GRACE_PERIOD
+        serving._request_shutdown(signal.SIGTERM, None)
+        serving.shutdown_requested_at -= service.GRACE_PERIOD
         flushed, sent = serving.client_server.flushed, []
 
         def look():
@@ -210,20 +210,20 @@
             return found
 
         serving.client_server.flushed = look
-        self.assertTrue(serving.turn())
+        self.assertTrue(serving.run_once())
         self.assertEqual(self.answer(client), (2, "answer", b"did a"))
-        self.until(lambda: not serving.turn(), "the end")
+        self.until(lambda: not serving.run_once(), "the end")
 
     def test_the_time_counts_from_the_signal(self):
         """Also of one that comes in a signal's own turn, or before the front end serves: alive says no."""
         self.front_end()
         before = event_loop.clock()
         for handler in (signal.SIGTERM, signal.SIGINT):
-            self.serving._end(handler, None)
-        self.assertTrue(before <= self.serving.shutdown_asked_at <= event_loop.clock())
-        first = self.serving.shutdown_asked_at
-        self.serving._end(signal.SIGTERM, None)
-        self.assertEqual(self.serving.shutdown_asked_at, first)
+            self.serving._request_shutdown(handler, None)
+        self.assertTrue(before <= self.serving.shutdown_requested_at <= event_loop.clock())
+        first = self.serving.shutdown_requested_at
+        self.serving._request_shutdown(signal.SIGTERM, None)
+        self.assertEqual(self.serving.shutdown_requested_at, first)
         client = self.client()
         client.send(rig.alive(1))
         self.assertEqual(self.answer(client), (1, "bad", b""))
@@ -242,7 +242,7 @@
             for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
                 self.addCleanup(signal.signal, number, signal.SIG_DFL)
             os.kill(os.getpid(), signal.SIGTERM)
-            serving.turn()
+            serving.run_once()
         self.assertTrue(serving.stopping)
         self.assertEqual(set(families), {socket.AF_INET})
 
@@ -266,7 +266,7 @@
                 if where == "old":
                     old.event(drains)
                 self.write(new.address, one.address, two.address)
-                serving._read(signal.SIGHUP, None)  # both are there before the next turn
+                serving._request_reload(signal.SIGHUP, None)  # both are there before the next turn
                 self.until(lambda new=new: len(new.asked) == 1)
                 self.assertEqual(new.asked, [2 if where == "old" else 1])
                 new.event(drains)
@@ -347,7 +347,13 @@
 
     def follow(self, address, most=200.0, seed=1):
         host, _, port = address.rpartition(":")
-        made = discovery.DiscoveryClient(self.loop, (host, int(port)), lambda: 7, self.told.extend, Mock(), most, seed)
+        made = discovery.DiscoveryClient(
+            self.loop,
+            discovery.DiscoverySettings((host, int(port)), most, seed),
+            lambda: 7,
+            self.told.extend,
+            Mock(),
+        )
         self.addCleanup(made.close)
         made.open()
         return made
@@ -356,13 +362,13 @@
         ends = time.monotonic() + rig.LONG
         while not done():
             self.assertLess(time.monotonic(), ends)
-            self.loop.turn(5.0, lambda: None)
+            self.loop.run_once(5.0, lambda: None)
 
     def later(self, span):
         """Lets a time pass in small steps."""
         for _ in range(int(span / 10)):
             self.now += 10
-            self.loop.turn(0.0, lambda: None)
+            self.loop.run_once(0.0, lambda: None)
 
     def test_asked_again_apart_and_not_in_step(self):
         """Nobody answers: tries grow apart to the bound, never beyond, and two front ends don't ask together."""
@@ -458,10 +464,10 @@
             calls.append(1)
             raise KeyError("unforeseen")
 
-        made.every(0.0, fails)
+        made.call_every(0.0, fails)
         ends = time.monotonic() + rig.LONG
         while len(calls) < 3 and time.monotonic() < ends:
-            made.turn(1.0, lambda: None)
+            made.run_once(1.0, lambda: None)
         self.assertEqual((len(calls), len(faults)), (3, 3))
 
     def test_a_number_that_is_used_again_within_a_turn(self):
@@ -488,7 +494,7 @@
             made.add(
                 new,
                 SimpleNamespace(
-                    first=True,
+                    priority=event_loop.Priority.HIGH,
                     readable=lambda: told.append("read"),
                     writable=lambda: told.append("written"),
                     broken=lambda: None,
@@ -501,10 +507,13 @@
             made.add(
                 pairs[at][0],
                 SimpleNamespace(
-                    first=True, readable=lambda at=at: serve_one(at), writable=lambda: None, broken=lambda: None
+                    priority=event_loop.Priority.HIGH,
+                    readable=lambda at=at: serve_one(at),
+                    writable=lambda: None,
+                    broken=lambda: None,
                 ),
             )
-        made.turn(10.0, lambda: None)
+        made.run_once(10.0, lambda: None)
         self.assertEqual((len(fresh), told), (1, []))
 
 
@@ -515,12 +524,12 @@
     def test_a_request_that_came_to_one_that_is_to_make_room(self):
         """All places are taken, and the one of least use has just asked, unread: it is read, and another goes."""
         serving = self.front_end(self.worker().address)
-        serving.client_server.most = 3
+        serving.client_server.connection_limit = 3
         clients = [self.client() for _ in range(3)]
         for at, client in enumerate(clients):
             client.send(rig.alive(1))
             self.answer(client)
-            next(c for c in serving.client_server.clients.values() if c.number == at + 1).used = float(at)
+            next(c for c in serving.client_server.clients.values() if c.number == at + 1).last_used_at = float(at)
         read, asked = serving.client_server.readable, []
 
         def accept():  # between the kernel's word of the new connection and its being taken
@@ -579,7 +588,7 @@
                         else:
                             client.close()
                     self.until(lambda s=serving: s.coordinator.counts["clients_gone"], "its leaving")
-                    serving.turn()
+                    serving.run_once()
                     self.assertEqual(serving.coordinator.requests.by_id, {})
                     self.assertFalse(any(conn.commands_in_flight for conn in link.connections))
                     self.assertEqual(self.faults(), [])
@@ -625,7 +634,7 @@
         except OSError:
             pass  # ended with the call-out
         for _ in range(4):
-            serving.turn()
+            serving.run_once()
         self.assertEqual((self.held, serving.coordinator.requests.by_id), ([], {}))
 
     def test_a_reset_under_an_answer(self):
@@ -668,9 +677,7 @@
             lambda event: self.told.append((event.command.ident, event.outcome)),
             self.loop,
             self.pool,
-            dial,
-            10000.0,
-            (),
+            worker_client.WorkerClientSettings(dial, 10000.0, ()),
         )
         self.addCleanup(made.close)
         return made
@@ -712,7 +719,7 @@
             link.send(self.order(b"%016d" % at))
         for conn in list(link.connections):
             conn._timed_out()
-        self.assertEqual((link.timeouts_in_row, self.told, len(link.connections)), (1, [], 5))
+        self.assertEqual((link.reachability.timeouts_in_row, self.told, len(link.connections)), (1, [], 5))
         link.connections[0]._timed_out()
         self.assertEqual([outcome for _, outcome in self.told], ["unreached"])
 
@@ -720,10 +727,10 @@
         worker = rig.Worker()
         self.addCleanup(worker.close)
         link = self.link(worker.address, dial=60000.0)
-        link.timeouts_in_row = 1
+        link.reachability.timeouts_in_row = 1
         link.send(self.order())
         self.until(lambda: self.told)
-        self.assertEqual((self.told, link.timeouts_in_row), ([(ASCII_A, "ok")], 0))
+        self.assertEqual((self.told, link.reachability.timeouts_in_row), ([(ASCII_A, "ok")], 0))
 
     def test_what_waits_for_a_connection_goes_on_one_that_idles(self):
         link, held = self.held()
@@ -749,7 +756,9 @@
                 link.send(self.order(b"t1", CommandKind.PREWARM))
                 getattr(link, how)()
                 self.assertEqual(sorted(self.told), [(ASCII_A, "unsent"), (b"t1", "unsent")])
-                self.assertEqual([conn.commands_in_flight for conn in link.all()], [0] * len(link.all()))
+                self.assertEqual(
+                    [conn.commands_in_flight for conn in link.all_connections()], [0] * len(link.all_connections())
+                )
 
     def test_no_descriptor_is_no_word_of_the_worker(self):
         worker = rig.Worker()
@@ -759,7 +768,7 @@
             link.send(self.order())
             link.send(self.order(b"t1", CommandKind.HEALTH_CHECK))
         self.assertEqual(self.told, [(ASCII_A, "unsent"), (b"t1", "unsent")])
-        self.assertEqual((self.pool.used, link.all()), (0, []))
+        self.assertEqual((self.pool.used, link.all_connections()), (0, []))
         link.send(self.order(ASCII_B))
         self.until(lambda: len(self.told) == 3)
         self.assertEqual(self.told[2], (ASCII_B, "ok"))
@@ -773,7 +782,7 @@
         self.until(lambda: link.connections and link.connections[0].up)
         with no_descriptor():
             self.until(lambda: self.told)
-        self.assertEqual((self.told, link.unresolved, link.probe_connection), ([(ASCII_A, "error")], [], None))
+        self.assertEqual((self.told, link.probe.unresolved, link.probe.connection), ([(ASCII_A, "error")], [], None))
 
     def test_a_late_check_is_made_again_before_a_worker_is_gone(self):
         """(dials that come to nothing after the cut) -> error where a later one is met, cut where none is."""
@@ -784,12 +793,12 @@
                 self.until(lambda held=held: held)
                 here = self.elsewhere(link)
                 held[0][0].shutdown(socket.SHUT_RDWR)
-                self.until(lambda link=link: link.probe_connection is not None)
+                self.until(lambda link=link: link.probe.connection is not None)
                 for _ in range(misses):
                     self.assertEqual(self.told, [])
                     if misses == 1:
                         link.target = here
-                    link.probe_connection._timed_out()
+                    link.probe.connection._timed_out()
                 self.until(lambda: self.told)
                 self.assertEqual(self.told, [(ASCII_A, outcome)])
 
@@ -802,7 +811,7 @@
                 self.until(lambda held=held: held)
                 self.elsewhere(link)
                 held[0][0].shutdown(socket.SHUT_RDWR)
-                self.until(lambda link=link: link.unresolved)
+                self.until(lambda link=link: link.probe.unresolved)
                 if how == "cancel":
                     self.assertEqual(link.cancel(order, lambda: None), "cancelled")
                 elif how == "forget":
@@ -812,10 +821,10 @@
                     self.assertFalse(link.closed)
                 self.assertFalse(link.withdraw_unsent(order))
                 for _ in range(2):
-                    if link.probe_connection is not None:
-                        link.probe_connection._timed_out()
+                    if link.probe.connection is not None:
+                        link.probe.connection._timed_out()
                 self.assertEqual(self.told, [(ASCII_A, "cut")] if how == "retire" else [])
-                self.assertEqual((link.unresolved, link.closed), ([], how == "retire"))
+                self.assertEqual((link.probe.unresolved, link.closed), ([], how == "retire"))
 
     def test_an_answer_that_stops_short(self):
         """The connection is of no further use, also where its call-out was only forgotten or ended by itself."""
@@ -926,12 +935,15 @@
                     json.dump(given, out)
                 made = service.Service(configuration.read(path), path, Mock())
                 self.addCleanup(made.loop.close)
-                most, used = made.client_server.most + made.protocol.pool.most, service.open_descriptors(limit)
+                most, used = (
+                    made.client_server.connection_limit + made.protocol.pool.capacity,
+                    service.open_descriptors(limit),
+                )
                 self.assertLessEqual(
                     most + used + service.DESCRIPTORS_RESERVED - 1, limit
                 )  # the loop's own was made in between
                 self.assertGreater(most, limit / 2)
-                self.assertLessEqual(made.client_server.most, made.protocol.pool.most)
+                self.assertLessEqual(made.client_server.connection_limit, made.protocol.pool.capacity)
 
 
 class CustomersOfOthers(unittest.TestCase):
@@ -948,7 +960,7 @@
 
         def read(**more):
             given = {k: v for k, v in rig.fields(**more).items() if v is not None}
-            return requests.check(thrift.Message("dispatch", 1, given, b"", 0), methods, ("north", "south"))[1]
+            return requests.check(thrift.Message("dispatch", 1, given, b"", 0), methods, ("north", "south")).call
 
         call = read(
             t="north",
@@ -963,7 +975,13 @@
             (396.5, True, "2d071f1f7aeaaed654f62e293c13f6a0", 1238.0),
         )
         self.assertEqual(
-            (read(r="0").repeat, read(r="false").repeat, read(r="true").repeat, read().token), (False, False, True, "")
+            (
+                read(r="0").is_repeat,
+                read(r="false").is_repeat,
+                read(r="true").is_repeat,
+                read().idempotency_key,
+            ),
+            (False, False, True, ""),
         )
         for more in (
             {"t": "west"},
@@ -978,17 +996,15 @@
             {"c": "book"},
             {"zz": "1"},
         ):
-            with self.subTest(more), self.assertRaises(requests.InvalidRequest):
+            with self.subTest(more), self.assertRaises(requests.InvalidRequestError):
                 read(**more)
 
     def test_the_key_goes_on_to_the_worker(self):
-        speech = worker_protocol.PlatformWorkerProtocol(
-            Mock(), SimpleNamespace(instance=SimpleNamespace(report_fields=())), Mock(), 9
-        )
+        speech = worker_protocol.PlatformWorkerProtocol(Mock(), worker_client.WorkerClientSettings(0.0, 0.0, ()), 9)
         for token, told in (("", b"lane=book,name=f,ttl=5"), ("k1", b"lane=book,name=f,ttl=5,dedupe=k1")):
             call_out = Mock()
             call_out.request.request_class.name, call_out.request.function.name = "book", "f"
-            ask = SimpleNamespace(call=SimpleNamespace(ident=ASCII_A, token=token, input=b"x"))
+            ask = SimpleNamespace(call=SimpleNamespace(ident=ASCII_A, idempotency_key=token, input=b"x"))
             # No time passes: the command has what is left by then.
             with (
                 patch.object(worker_protocol, "clock", lambda: 1000.0),
--- a/tests/test_listener_faults.py
+++ b/tests/test_listener_faults.py
@@ -258,7 +258,7 @@
             sock.close()
             made.close()
             self.assert_none_left(before, threads)
-        self.assertEqual((len(gone), made.wires), (1, set()))
+        self.assertEqual((len(gone), made.connections), (1, set()))
 
 
 class Opening(Case):
@@ -272,14 +272,14 @@
                     before = open_descriptors()
                     faulty = type("Faulty", (socket.socket,), {name: Mock(side_effect=failure(errno.ENOBUFS))})
                     with patch.object(line_server, "socket", replaced(socket, socket=faulty)):
-                        with self.assertRaises(line_server.AddressInUse):
+                        with self.assertRaises(line_server.AddressInUseError):
                             line_server.listener(address)
                     self.assertEqual(opened_since(before), set())
             with self.subTest(address=address[:9], name="socket"):
                 before = open_descriptors()
                 none = Mock(side_effect=failure(errno.EMFILE))
                 with patch.object(line_server, "socket", replaced(socket, socket=none)):
-                    with self.assertRaises(line_server.AddressInUse):
+                    with self.assertRaises(line_server.AddressInUseError):
                         line_server.listener(address)
                 self.assertEqual(opened_since(before), set())
 
@@ -311,7 +311,7 @@
 
     def test_other_errors_are_tried_again_at_once_up_to_a_bound(self):
         for code in set(ACCEPT_ERRORS) - acceptor.SHORT_OF_RESOURCES:
-            self.assertEqual(self.accepts(code, 5), acceptor.RETRIES_AT_ONCE + 5)
+            self.assertEqual(self.accepts(code, 5), acceptor.IMMEDIATE_RETRIES + 5)
 
     def test_close_ends_a_pause(self):
         sock, failed = Mock(), threading.Event()
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -32,7 +32,7 @@
 )
 from wickdyke.platform.service import Service
 from wickdyke.routing.model import RequestClass
-from wickdyke.transport.event_loop import EventLoop, clock
+from wickdyke.transport.event_loop import EventLoop, Priority, clock
 
 GOOD = rig.message(
     "dispatch", 7, b"\x0d\x00\x01" + rig.table({"c": "look"}) + b"\x0b\x00\x02" + rig.text(b"hi") + b"\x00"
@@ -65,7 +65,7 @@
             ("deep", rig.message("dispatch", 7, b"\x0c\x00\x05" * 4000), 7),
             ("body over 16 KiB", rig.message("dispatch", 7, b"\x0b\x00\x02" + rig.text(b"x" * 16385) + b"\x00"), 7),
         ):
-            with self.subTest(name), self.assertRaises(thrift.Unreadable) as caught:
+            with self.subTest(name), self.assertRaises(thrift.MalformedMessageError) as caught:
                 thrift.read(frame)
             self.assertEqual(caught.exception.number, number, name)
 
@@ -76,10 +76,10 @@
             got = [f for at in range(0, len(stream), size) for f in frames.feed(stream[at : at + size])]
             self.assertEqual((got, frames.begun), ([b"abc", b"de"], False))
         for length in (-1, 0, thrift.FRAME_SIZE_MOST + 1, 60 << 20):
-            with self.subTest(length), self.assertRaises(thrift.Unreadable):
+            with self.subTest(length), self.assertRaises(thrift.MalformedMessageError):
                 thrift.Frames().feed(struct.pack(">i", length))
         after = thrift.Frames()  # what was whole before it counts
-        self.assertEqual((after.feed(rig.framed(b"abc") + b"\xff" * 4), after.spoilt), ([b"abc"], True))
+        self.assertEqual((after.feed(rig.framed(b"abc") + b"\xff" * 4), after.invalid), ([b"abc"], True))
 
 
 class Resp(unittest.TestCase):
@@ -106,9 +106,9 @@
         ):
             with self.subTest(name):
                 answers = resp.Answers()
-                with self.assertRaises(resp.InvalidAnswer):
+                with self.assertRaises(resp.InvalidAnswerError):
                     answers.feed(rig.bulk(b"a", b"ACK", b"-", b"") + raw)
-                self.assertEqual(len(answers.whole), 1)
+                self.assertEqual(len(answers.complete), 1)
 
     def test_endings(self):
         """(answer) -> outcome, standing, company, copies, report; or spoilt."""
@@ -129,7 +129,7 @@
         ):
             with self.subTest(answer):
                 if told is None:
-                    self.assertRaises(resp.InvalidAnswer, worker_results.read_result, answer, names)
+                    self.assertRaises(resp.InvalidAnswerError, worker_results.read_result, answer, names)
                 else:
                     got = worker_results.read_result(answer, names)
                     self.assertEqual((got.outcome, got.load_note, got.concurrent, got.replicas, got.report), told)
@@ -142,7 +142,7 @@
             events = sse.Events()
             got = [e for at in range(0, len(stream), size) for e in events.feed(stream[at : at + size])]
             self.assertEqual([(e.ident, e.data) for e in got], [("3", '{"a":\n1}'), ("4", "b")])
-        with self.assertRaises(sse.EventTooLarge):
+        with self.assertRaises(sse.EventTooLargeError):
             sse.Events().feed(b"data: " + b"x" * (sse.EVENT_SIZE_MOST + 1))
 
     def test_the_view(self):
@@ -197,19 +197,19 @@
         ends = time.monotonic() + rig.LONG
         while not done():
             self.assertLess(time.monotonic(), ends, f"{what} did not come")
-            self.loop.turn(10.0, lambda: None)
+            self.loop.run_once(10.0, lambda: None)
 
 
 class Loops(Turned):
     """Handlers made for the purpose, on socket pairs with something to read."""
 
-    def handler(self, act, first=False):
+    def handler(self, act, priority=Priority.NORMAL):
         mine, theirs = socket.socketpair()
         self.addCleanup(mine.close)
         self.addCleanup(theirs.close)
         theirs.send(b"x")
         made = SimpleNamespace(
-            first=first,
+            priority=priority,
             readable=lambda: act(mine),
             writable=lambda: None,
             broken=lambda: (self.loop.remove(mine), self.told.append("broken")),
@@ -220,9 +220,9 @@
     def test_who_floods_does_not_keep_workers_waiting(self):
         for _ in range(20):
             self.handler(lambda sock: (time.sleep(0.02), self.told.append("client")))  # always more to read
-        self.handler(lambda sock: self.told.append("worker"), first=True)
+        self.handler(lambda sock: self.told.append("worker"), priority=Priority.HIGH)
         for _ in range(3):
-            self.loop.turn(10.0, lambda: self.told.append("desk"))
+            self.loop.run_once(10.0, lambda: self.told.append("desk"))
         self.assertEqual(self.told, ["worker", "desk", "client"] * 3)
 
     def test_one_that_breaks_ends_alone(self):
@@ -230,10 +230,10 @@
             raise KeyError("unforeseen")
 
         faults = []
-        self.loop.fault = faults.append
+        self.loop.on_error = faults.append
         self.handler(breaks)
         self.handler(lambda sock: (sock.recv(1), self.told.append("read")))
-        self.loop.at(0.0, breaks, None)
+        self.loop.call_at(0.0, breaks, None)
         self.until(lambda: len(self.told) == 2)
         self.assertEqual((sorted(self.told), len(faults)), (["broken", "read"], 2))
         self.assertEqual(len(self.loop.handlers), 1)
@@ -250,9 +250,7 @@
             lambda event: self.told.append(plain(event)),
             self.loop,
             self.pool,
-            dial,
-            10000.0,
-            ("utilization", "in_flight"),
+            worker_client.WorkerClientSettings(dial, 10000.0, ("utilization", "in_flight")),
         )
         self.addCleanup(link.close)
         return link
@@ -322,7 +320,7 @@
                 link.send(self.order())
                 self.assertEqual(self.ended(), [(b"9b1f03aa5c7e2d41", outcome)])
                 for _ in range(5):
-                    self.loop.turn(5.0, lambda: None)
+                    self.loop.run_once(5.0, lambda: None)
                 self.assertEqual(len(self.told), 1)  # one end for each, whatever else comes
 
     def test_an_order_that_got_lost_beside_others_is_no_cut(self):
@@ -352,7 +350,7 @@
                 link.send(self.order())
                 time.sleep(0.1)  # it comes up and is reset before the loop looks
                 while not self.told:
-                    self.loop.turn(100.0, lambda: time.sleep(0.05))
+                    self.loop.run_once(100.0, lambda: time.sleep(0.05))
                 self.assertEqual(self.ended(), [(b"9b1f03aa5c7e2d41", outcome)])
 
     def test_nobody_there(self):
@@ -409,7 +407,7 @@
         other.send(self.order())  # both places idle at the first worker
         self.assertEqual(self.ended(3)[2], (b"9b1f03aa5c7e2d41", "ok"))
         self.assertEqual((first.pool.used, len(first.connections), len(other.connections)), (2, 1, 1))
-        first.idle_after = other.idle_after = 0.0
+        first.idle_timeout = other.idle_timeout = 0.0
         ends = clock() + 5
         self.until(lambda: clock() > ends)
         first.pool.sweep()
@@ -453,7 +451,11 @@
         self.address = rig.free_address()
         host, port = self.address.split(":")
         self.front = client_server.ClientServer(
-            self.loop, (host, int(port)), methods, 20, self.told.append, lambda: "", Mock()
+            self.loop,
+            client_server.ClientServerSettings((host, int(port)), methods, 20),
+            self.told.append,
+            lambda: "",
+            Mock(),
         )
         self.front.listen()
         self.addCleanup(self.front.shut)
@@ -581,7 +583,7 @@
         idle.send(rig.alive(1))
         self.answer(idle)
         new = [self.client() for _ in range(20)]
-        self.until(lambda: self.front.number == 21)
+        self.until(lambda: self.front.last_number == 21)
         self.assertEqual(self.answer(idle)[1], "closed")
         for client in new:
             client.send(rig.alive(1))
@@ -597,7 +599,7 @@
         silent = [self.client() for _ in range(18)]
         self.until(lambda: len(self.front.clients) == 20)
         for client in self.front.clients.values():
-            client.since -= client_server.NEW_CONNECTION_TIME
+            client.waiting_since -= client_server.NEW_CONNECTION_TIME
         more = self.client()
         more.send(rig.alive(1))
         self.assertEqual(self.answer(more)[1], "bad")
@@ -639,7 +641,7 @@
             ends = time.monotonic() + rig.LONG
             while not done():
                 self.assertLess(time.monotonic(), ends)
-                serving.turn()
+                serving.run_once()
 
         client = rig.Client(":".join(map(str, serving.configuration.listen)))
         self.addCleanup(client.close)
@@ -696,13 +698,13 @@
             events = sse.Events()
             for at in range(0, len(data), size):
                 for found in events.feed(data[at : at + size]):
-                    endpoint_list.EndpointList((), (), lambda: 0.0).apply([endpoint_list.change(found.data)], 0.0)
+                    endpoint_list.EndpointList((), (), lambda: 0.0).apply([endpoint_list.parse_event(found.data)], 0.0)
 
         reads = {"thrift": thrift_reads, "resp": resp_reads, "sse": sse_reads}
         errors = {
-            "thrift": thrift.Unreadable,
-            "resp": resp.InvalidAnswer,
-            "sse": (sse.EventTooLarge, endpoint_list.Unusable),
+            "thrift": thrift.MalformedMessageError,
+            "resp": resp.InvalidAnswerError,
+            "sse": (sse.EventTooLargeError, endpoint_list.UnusableEventError),
         }
         for name, good in whole.items():
             raised = 0
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -17,6 +17,7 @@
     client_connection,
     configuration,
     discovery,
+    reachability,
     worker_client,
     worker_command,
     worker_connection,
@@ -52,6 +53,7 @@
             context,
             client_connection,
             fronts,
+            reachability,
             worker_client,
             worker_command,
             worker_connection,
@@ -101,7 +103,7 @@
 
     def turn(self):
         if not self.over:
-            self.over = not self.serving.turn()
+            self.over = not self.serving.run_once()
 
     def until(self, done, what="it"):
         for _ in range(int(rig.LONG * 200)):
@@ -132,7 +134,7 @@
         self.assertTrue(select.select([known.sock], [], [], rig.LONG)[0])
 
     def terminate(self):
-        self.serving._end(signal.SIGTERM, None)
+        self.serving._request_shutdown(signal.SIGTERM, None)
         self.terminated = self.now
 
 
@@ -188,7 +190,7 @@
         self.until(lambda: len(self.held) == 1, "the call-out")
         self.terminate()
         self.now += 300 + KILL_AFTER - MARGIN - 10
-        serving.shutdown_asked_at = self.now - (300 + KILL_AFTER - MARGIN - 10)
+        serving.shutdown_requested_at = self.now - (300 + KILL_AFTER - MARGIN - 10)
         self.send(second, rig.dispatch(2, rig.fields(B, d="300"), b"b"))
         self.assertEqual(self.answer(second)[1], "shed")
         self.assertEqual(len(worker.came(b"invoke")), 1)
@@ -200,11 +202,11 @@
         self.until(serving.coordinator.events.empty, "the list")
         never = Mock(return_value=float("inf"))
         patch.object(serving.coordinator, "next_at", never).start()
-        patch.object(serving.loop, "next_at", never).start()
-        with patch.object(serving.loop, "turn", lambda wait, between: waits.append(wait)):
+        patch.object(serving.loop, "next_deadline", never).start()
+        with patch.object(serving.loop, "run_once", lambda wait, between: waits.append(wait)):
             self.terminate()
             self.now += 100 + KILL_AFTER - MARGIN - 3
-            serving.turn()
+            serving.run_once()
         self.assertLessEqual(waits[0], 3.01)
 
     def test_twice(self):
@@ -213,7 +215,7 @@
         self.terminate()
         self.turn()
         self.now += service.GRACE_PERIOD - 1
-        self.serving._end(signal.SIGTERM, None)
+        self.serving._request_shutdown(signal.SIGTERM, None)
         self.send(client, rig.dispatch(2, rig.fields(A), b"a"))
         self.assertEqual(self.answer(client), (2, "answer", b"did a"))
         self.now += 1
@@ -316,16 +318,16 @@
         """It crosses the end after all was looked at: it is read before its connection is closed, and answered."""
         serving = self.front_end(self.worker())
         client, idle = self.idle_client(), self.idle_client()
-        heard_more, sent = serving.client_server.heard_more, []
+        read_clients, sent = serving.client_server.read_clients, []
 
         def look():
-            found = heard_more()
+            found = read_clients()
             if not found and not sent:
                 sent.append(True)
                 self.send(client, rig.dispatch(2, rig.fields(A), b"a"))
             return found
 
-        serving.client_server.heard_more = look
+        serving.client_server.read_clients = look
         self.terminate()
         self.now += service.GRACE_PERIOD
         self.until(lambda: sent, "the last look")
--- a/tests/test_worker_client.py
+++ b/tests/test_worker_client.py
@@ -11,7 +11,7 @@
 from wickdyke.gateway.interfaces import CommandKind
 from wickdyke.jsonrpc.worker_client import Command, WorkerClient
 from wickdyke.protocol import jsonrpc, worker_messages
-from wickdyke.transport.write_buffer import OutgoingMessage, PeerTooSlow, WriteBuffer
+from wickdyke.transport.write_buffer import OutgoingMessage, PeerTooSlowError, WriteBuffer
 
 BIG = b'"' + b"x" * (8 << 20) + b'"'
 
@@ -291,7 +291,7 @@
         while len(got) < len(sent):
             got += there.recv(1 << 16)
         self.assertEqual(got, sent)
-        with self.assertRaises(PeerTooSlow):
+        with self.assertRaises(PeerTooSlowError):
             for _ in range(100):
                 box.put(OutgoingMessage(b"x" * 50000))
         box.close()
--- a/tests/test_worker_connection_faults.py
+++ b/tests/test_worker_connection_faults.py
@@ -15,7 +15,7 @@
 from wickdyke.config import address as addresses
 from wickdyke.gateway.interfaces import CommandKind
 from wickdyke.jsonrpc import worker_client as rpc_link
-from wickdyke.platform import connection_pool, resp, worker_client, worker_command
+from wickdyke.platform import connection_pool, reachability, resp, worker_client, worker_command
 from wickdyke.routing.model import NEVER_RAN
 from wickdyke.transport import event_loop
 
@@ -162,7 +162,9 @@
         def notify(event):
             self.told.append((event.command.ident, event.outcome))
 
-        return worker_client.WorkerClient("w", worker.address, notify, self.loop, self.pool, 60000.0, 60000.0, ())
+        return worker_client.WorkerClient(
+            "w", worker.address, notify, self.loop, self.pool, worker_client.WorkerClientSettings(60000.0, 60000.0, ())
+        )
 
     def order(self, at, kind=CommandKind.ATTEMPT):
         ident = IDENTS[at]
@@ -197,7 +199,7 @@
         self.assertEqual((self.pool.used, self.faults.open_sockets(), self.loop.handlers), (0, set(), {}))
         self.assertEqual(self.pool.worker_clients, set())
         for _ in range(3):
-            self.loop.turn(0, lambda: None)
+            self.loop.run_once(0, lambda: None)
         self.assertEqual(len(self.told), 7)
         return link
 
@@ -211,11 +213,11 @@
                 self.assertNotIn(ident, self.faults.begun, outcome)
             if not refused:  # the worker lives, and nothing said otherwise
                 self.assertNotIn(outcome, ("unreached", "cut"))
-        connections = [*link.all(), *other.all()]
+        connections = [*link.all_connections(), *other.all_connections()]
         self.assertEqual(self.pool.used, len(connections))
         self.assertEqual({conn.sock.fileno() for conn in connections}, self.faults.open_sockets())
         self.assertEqual(set(self.loop.handlers), self.faults.open_sockets())
-        self.assertEqual((link.unresolved, link.probe_connection), ([], None))
+        self.assertEqual((link.probe.unresolved, link.probe.connection), ([], None))
         self.assertEqual([conn.commands_in_flight for conn in connections], [0] * len(connections))
         self.assertEqual(self.broken, [])
 
@@ -254,9 +256,10 @@
     def setUp(self):
         super().setUp()
         self.now = event_loop.clock()  # the loop's own timers go on by the real one
-        started = patch.object(worker_client, "clock", lambda: self.now)
-        started.start()
-        self.addCleanup(started.stop)
+        for module in (worker_client, reachability):
+            started = patch.object(module, "clock", lambda: self.now)
+            started.start()
+            self.addCleanup(started.stop)
 
     def outcome(self, link, at):
         before = len(self.told)
@@ -295,9 +298,9 @@
         with self.prepare(Faults()):
             link = self.link(self.workers()[0])
             self.assertEqual(self.outcome(link, 0), "ok")
-            link.timeouts_in_row, link.timed_out_at = 1, self.now
+            link.reachability.timeouts_in_row, link.reachability.timed_out_at = 1, self.now
             self.assertEqual(self.outcome(link, 1), "ok")
-            self.assertEqual(link.timeouts_in_row, 1)
+            self.assertEqual(link.reachability.timeouts_in_row, 1)
             link.close()
 
     def test_each_doubt_has_its_own_checks(self):
@@ -306,13 +309,13 @@
         self.addCleanup(worker.close)
         with self.prepare(Faults()):
             link = self.link(worker)
-            link.probe_count = worker_client.SENDS_MOST
+            link.probe.count = worker_client.SENDS_MOST
             link.send(order := self.order(0))
             self.until(lambda: self.faults.begun)
             order.connection.end("ended by the worker")
-            self.assertEqual((self.told, link.unresolved, link.probe_count), ([], [order], 1))
+            self.assertEqual((self.told, link.probe.unresolved, link.probe.count), ([], [order], 1))
             self.end(1)
-            self.assertEqual((self.told, link.unresolved, link.probe_count), ([(IDENTS[0], "error")], [], 0))
+            self.assertEqual((self.told, link.probe.unresolved, link.probe.count), ([(IDENTS[0], "error")], [], 0))
             link.close()
 
     def test_moments_far_apart_tell_nothing(self):
--- a/wickdyke/cli/serve.py
+++ b/wickdyke/cli/serve.py
@@ -13,7 +13,7 @@
 from wickdyke.fault_injection.scenario_runner import RigError, ScenarioRunner
 from wickdyke.gateway import log as logs
 from wickdyke.jsonrpc.service import Gateway, until_signal
-from wickdyke.transport.line_server import AddressInUse
+from wickdyke.transport.line_server import AddressInUseError
 
 BAD = 2  # exit code of input that can't be used
 
@@ -47,7 +47,7 @@
     log, scribe = logs.logger(sink, as_json, debug, gateway=made.name)
     try:
         gateway = Gateway(made, log)
-    except (AddressInUse, InvalidConfigError) as bad:
+    except (AddressInUseError, InvalidConfigError) as bad:
         _fail(str(bad))
     except OSError as bad:
         _fail(f"{bad.filename or made.listen}: {bad.strerror}")
--- a/wickdyke/cli/worker.py
+++ b/wickdyke/cli/worker.py
@@ -10,7 +10,7 @@
 from wickdyke.fault_injection.trace import TraceRecorder
 from wickdyke.gateway import log as logs
 from wickdyke.transport import termination
-from wickdyke.transport.line_server import AddressInUse
+from wickdyke.transport.line_server import AddressInUseError
 from wickdyke.worker import package
 from wickdyke.worker.runtime import Worker
 from wickdyke.worker.source import Folder
@@ -46,12 +46,12 @@
         _fail(f"{bad.filename}: found no file to append to ({bad.strerror}), expected one")
     log, scribe = logs.logger(sink, as_json, worker=shop.name)
     trace = trace or shop.trace
-    ended = termination.asked()
+    ended = termination.install_handlers()
     try:
         source = Folder(shop.folder) if shop.folder else StoreClient(shop.service)
         made = Worker(shop, source, log, TraceRecorder(trace, shop.name) if trace else None, start)
         made.open()
-    except AddressInUse as bad:
+    except AddressInUseError as bad:
         _fail(str(bad))
     except OSError as bad:
         _fail(f"{bad.filename or shop.listen}: {bad.strerror}")
@@ -103,10 +103,10 @@
     except OSError as bad:
         _fail(f"{bad.filename}: found no file to append to ({bad.strerror}), expected one")
     log, scribe = logs.logger(sink, False, store=depot.listen)
-    ended = termination.asked()
+    ended = termination.install_handlers()
     try:
         made = Store(depot.listen, depot.folder, depot.pace * (1 << 20), depot.readers, log)
-    except AddressInUse as bad:
+    except AddressInUseError as bad:
         _fail(str(bad))
     print(f"ready {depot.listen}", flush=True)
     termination.wait(ended)
--- a/wickdyke/gateway/coordinator.py
+++ b/wickdyke/gateway/coordinator.py
@@ -140,7 +140,7 @@
 
     def next_at(self) -> float:
         """When it is due next (ms), if nothing comes before."""
-        return min(self.router.wake_at, self.timers.next_at(), self.requests.next_deadline())
+        return min(self.router.wake_at, self.timers.next_deadline(), self.requests.next_deadline())
 
     def turn_once(self, wait: float = 0.0) -> bool:
         """Handles what has come (waiting so many ms for a first event), does what is due, carries out what is decided.
--- a/wickdyke/jsonrpc/client_connection.py
+++ b/wickdyke/jsonrpc/client_connection.py
@@ -14,7 +14,7 @@
 from wickdyke.jsonrpc.requests import CheckedRequest
 from wickdyke.protocol import client_messages, jsonrpc
 from wickdyke.protocol.framing import LineReader, LineTooLongError
-from wickdyke.transport.write_buffer import OutgoingMessage, PeerTooSlow, WriteBuffer
+from wickdyke.transport.write_buffer import OutgoingMessage, PeerTooSlowError, WriteBuffer
 
 if TYPE_CHECKING:
     from wickdyke.jsonrpc.client_server import ClientServer
@@ -100,7 +100,7 @@
         """Writes without waiting; a client that does not read is disconnected."""
         try:
             self.write_buffer.put(OutgoingMessage(line))
-        except PeerTooSlow as error:
+        except PeerTooSlowError as error:
             self._log_disconnected(f"does not read: {error}")
             self.server.counts["unread"] += 1
             self.write_buffer.close()
--- a/wickdyke/jsonrpc/service.py
+++ b/wickdyke/jsonrpc/service.py
@@ -124,7 +124,7 @@
 
 def until_signal(gateway: Gateway, ready: Callable[[], None]) -> int:
     """Serves until SIGTERM or SIGINT; a second signal ends it at once. `ready` is called once it serves."""
-    ended = termination.asked()
+    ended = termination.install_handlers()
     gateway.open()
     ready()
     termination.wait(ended)
--- a/wickdyke/jsonrpc/worker_client.py
+++ b/wickdyke/jsonrpc/worker_client.py
@@ -31,7 +31,13 @@
 from wickdyke.protocol import jsonrpc, worker_messages
 from wickdyke.protocol.framing import LineTooLongError
 from wickdyke.routing.model import Outcome
-from wickdyke.transport.write_buffer import SHORT_OF_MEMORY, Expired, OutgoingMessage, PeerTooSlow, WriteBuffer
+from wickdyke.transport.write_buffer import (
+    SHORT_OF_MEMORY,
+    MessageExpiredError,
+    OutgoingMessage,
+    PeerTooSlowError,
+    WriteBuffer,
+)
 
 RECONNECT_PAUSE = 100.0  # ms between attempts to connect while nothing is asked: at first
 RECONNECT_PAUSE_MOST = 1000.0  # ms
@@ -146,10 +152,10 @@
         self.in_flight[command.number] = command
         try:
             self.write_buffer.put(command.message)
-        except Expired:
+        except MessageExpiredError:
             del self.in_flight[command.number]
             return Outcome.UNSENT
-        except (PeerTooSlow, OSError):
+        except (PeerTooSlowError, OSError):
             # The reader finds the connection ended and reports all that is in flight; what is not begun is known now.
             self.write_buffer.close()
             if not command.message.begun:
@@ -182,7 +188,7 @@
             try:
                 if not self.write_buffer.put(OutgoingMessage(line, lambda: self._cancelled(command, done))):
                     return None
-            except (PeerTooSlow, OSError):
+            except (PeerTooSlowError, OSError):
                 self.write_buffer.close()
                 return None  # the reader reports it as lost
             del self.in_flight[command.number]
--- a/wickdyke/platform/client_connection.py
+++ b/wickdyke/platform/client_connection.py
@@ -1,36 +1,73 @@
-"""One connection of a client: frames in, checked requests to the coordinator, one answer for each.
+"""One connection of a client: reads frames, posts checked requests to the coordinator, writes one answer for each.
 
 A client that breaks the protocol gets an application exception or a close; nothing of that reaches a worker.
 """
 
 import socket
+from collections import Counter
+from collections.abc import Callable
 from contextlib import suppress
-from typing import TYPE_CHECKING
+from typing import Protocol
 
 from wickdyke.gateway import interfaces
-from wickdyke.gateway.events import ClientClosed, RequestCancelled, RequestReceived
+from wickdyke.gateway.events import ClientClosed, Event, RequestCancelled, RequestReceived
 from wickdyke.platform import thrift
-from wickdyke.platform.requests import InvalidRequest, check
-from wickdyke.transport.event_loop import clock, received
-from wickdyke.transport.write_buffer import OutgoingMessage, PeerTooSlow, WriteBuffer
-
-if TYPE_CHECKING:
-    from wickdyke.platform.client_server import ClientServer
+from wickdyke.platform.requests import InvalidRequestError, check
+from wickdyke.routing.model import RequestClass
+from wickdyke.transport.event_loop import EventLoop, Priority, clock, receive
+from wickdyke.transport.write_buffer import OutgoingMessage, PeerTooSlowError, WriteBuffer
 
 READ_SIZE = 1 << 15  # bytes read at a time
 OPEN_MOST = 32  # requests open on one connection
 UNREAD_MOST = 1 << 18  # bytes of answers that may wait for a client
 NEW_CONNECTION_TIME = 500.0  # ms in which a connection counts as new
 RETRY_AFTER = 20.0  # ms until a system call is retried that failed for want of memory
-UNKNOWN_METHOD_QUOTED_MOST = 64  # characters of its name in the error
+UNKNOWN_METHOD_QUOTED_MOST = 64  # characters of an unknown method that an error quotes
 READ_AGAIN_AFTER = 50.0  # ms after which a client is read again before an attempt begins on its behalf
 
 
+class ConnectionOwner(Protocol):
+    """The server of a client connection, as far as the connection uses it."""
+
+    loop: EventLoop
+    request_classes: dict[str, RequestClass]
+    tenants: tuple[str, ...]
+    clients: "dict[int, ClientConnection]"  # by number
+    open: "dict[bytes, PendingRequest]"  # by the client's id
+    counts: Counter[str]
+    reads: int  # of all connections
+
+    @property
+    def post(self) -> Callable[[Event], None]:
+        """Passes an event to the coordinator."""
+
+    @property
+    def busy(self) -> Callable[[], str]:
+        """Returns why no request can be admitted now, or an empty string."""
+
+    def is_serving(self) -> bool:
+        """Returns whether requests are admitted."""
+
+    def count_invalid(self, why: str) -> None:
+        """Counts a request that is invalid."""
+
+    def time_for(self, time_left: float) -> float:
+        """Returns how long (ms) a request received now may take; 0 where there is no time for it."""
+
+    def read_all(self, client: "ClientConnection") -> None:
+        """Reads what the client has sent by now, up to a bound."""
+
+    def release_socket(self, client: "ClientConnection") -> None:
+        """Closes the socket of a connection that has ended."""
+
+
 class PendingRequest(interfaces.PendingRequest):
     """One request of a client."""
 
     __slots__ = ()
 
+    client: "ClientConnection"
+
     def succeed(self, output: bytes, attempts: int) -> None:
         """Sends its final answer, with the worker's output."""
         self._answer(thrift.answer("dispatch", self.ident, output))
@@ -45,7 +82,7 @@
         self._answer(thrift.fault("dispatch", self.ident, {}))
 
     def still_wanted(self) -> bool:
-        """Whether its client still waits for an answer; a cancel or a close that has come meanwhile is read first."""
+        """Returns whether its client still waits for an answer; a cancel or a close sent meanwhile is read first."""
         # On a busy machine a cancel or a close waits in the kernel while a retry or a hedge is decided.
         client = self.client
         if clock() - client.last_read_at > READ_AGAIN_AFTER:
@@ -58,50 +95,54 @@
 
 
 class ClientConnection:
-    """One connection of a client."""
+    """One connection of a client; `number` is its own, for the log."""
 
-    first = False  # its events are served after those of workers
+    priority = Priority.NORMAL
 
-    def __init__(self, server: "ClientServer", sock: socket.socket, number: int) -> None:
-        self.server, self.sock, self.number = server, sock, number
-        self.write_buffer = WriteBuffer(sock, UNREAD_MOST, "client", self._waits)
+    def __init__(self, server: ConnectionOwner, sock: socket.socket, number: int) -> None:
+        self.server = server
+        self.sock = sock
+        self.number = number
+        self.write_buffer = WriteBuffer(sock, UNREAD_MOST, "client", self._set_waiting)
         self.frames = thrift.Frames()
         self.open: dict[int, PendingRequest] = {}
-        self.last = 0  # number of the last request
-        self.since = clock()  # when the incomplete frame, or the wait for the first one, began
-        self.used = clock()  # when it last got an answer
+        self.last_number = 0  # of the last request
+        self.waiting_since = clock()  # when the incomplete frame, or the wait for the first one, began
+        self.last_used_at = clock()  # when a request of it last ended
         self.last_read_at = clock()
         self.answered = False  # whether anything was written to it
-        self.ending = self.closed = False
-        self.watched = False  # whether the loop serves it
+        self.ending = False  # takes no more requests, and closes after the last answer
+        self.closed = False
+        self.registered = False  # with the event loop
         self.pump_due = False  # whether a timer is to write what waits
 
-    def _waits(self, waits: bool) -> None:
+    def _set_waiting(self, waiting: bool) -> None:
+        """Called by the write buffer: data begins to wait for the socket, or none waits any more."""
         if self.closed:
             return
         try:
-            self.server.loop.want(self.sock, waits)
+            self.server.loop.set_interest(self.sock, waiting)
         except OSError:
             # A passing ENOMEM must not close the connection and lose the answer that waits. Where nothing waits any
-            # more, the kernel reports the socket as writable in each turn, and this is tried again then.
+            # more, the kernel reports the socket as writable at each poll, and this is tried again then.
             self.server.counts["unwatched"] += 1
-            if waits and not self.pump_due:
+            if waiting and not self.pump_due:
                 self.pump_due = True
-                self.server.loop.at(clock() + RETRY_AFTER, self._pump_later)
+                self.server.loop.call_at(clock() + RETRY_AFTER, self._pump_later)
 
     def _pump_later(self) -> None:
         self.pump_due = False
         if not self.closed:
             self.writable()
         if not self.closed and not self.write_buffer.empty():
-            self._waits(True)
+            self._set_waiting(True)
 
-    def expected(self) -> bool:
-        """Whether a request is probably on its way: part of it has come, or the connection is new."""
-        return (self.frames.begun or not self.answered) and clock() - self.since < NEW_CONNECTION_TIME
+    def request_expected(self) -> bool:
+        """Returns whether a request is probably on its way: part of it was received, or the connection is new."""
+        return (self.frames.begun or not self.answered) and clock() - self.waiting_since < NEW_CONNECTION_TIME
 
     def idle(self) -> bool:
-        """Whether nothing is owed to it."""
+        """Returns whether no request is open and no answer waits to be written."""
         return not self.open and self.write_buffer.empty()
 
     def readable(self) -> None:
@@ -109,7 +150,7 @@
         if self.closed or self.sock.gettimeout() != 0:  # could not be made non-blocking yet: a read would wait
             return
         self.last_read_at = clock()
-        data = received(self.sock, READ_SIZE)
+        data = receive(self.sock, READ_SIZE)
         if not data:
             if data is not None:
                 self.close()
@@ -118,30 +159,30 @@
             self._read_cancels(data)
             return
         self.server.reads += 1
-        begun = self.frames.begun
+        was_begun = self.frames.begun
         try:
             frames = self.frames.feed(data)
-            if frames or not begun:
-                self.since = clock()
+            if frames or not was_begun:
+                self.waiting_since = clock()
             for frame in frames:
-                self._frame(frame)
-            if self.frames.spoilt and not self.ending:
-                raise thrift.Unreadable("a length that no frame may have")
-        except thrift.Unreadable as error:
-            self._refuse(error.number, str(error))
+                self._handle_frame(frame)
+            if self.frames.invalid and not self.ending:
+                raise thrift.MalformedMessageError("a length that no frame may have")
+        except thrift.MalformedMessageError as error:
+            self._reject_connection(error.number, str(error))
 
     def _read_cancels(self, data: bytes) -> None:
-        """After an error only cancels are read: open requests are answered still, unless the client cancels them."""
-        if self.frames.spoilt:  # it is unknown where the next frame begins
+        """Reads only cancels, after an error: open requests are still answered, unless the client cancels them."""
+        if self.frames.invalid:  # it is unknown where the next frame begins
             return
-        with suppress(thrift.Unreadable):
+        with suppress(thrift.MalformedMessageError):
             for frame in self.frames.feed(data):
-                self._cancel_in(frame)
+                self._cancel_by(frame)
 
-    def _cancel_in(self, frame: bytes) -> None:
+    def _cancel_by(self, frame: bytes) -> None:
         try:
             message = thrift.read(frame)
-        except thrift.Unreadable:
+        except thrift.MalformedMessageError:
             return
         if message.verb == "cancelRequest":
             self._cancel(message.about)
@@ -149,33 +190,33 @@
     def _cancel(self, number: int) -> None:
         if (pending := self.open.get(number)) is not None:
             self.release(pending)
-            if pending.router_id is None:  # the coordinator has not seen it, and drops it without work
+            if pending.router_id is None:  # the coordinator has not received it, and drops it
                 pending.closed = True
             self.server.post(RequestCancelled(pending))
         if self.ending and self.idle():
             self.close()
 
-    def _refuse(self, number: int | None, why: str) -> None:
-        """Sends an error, under the number where it is known, then ends: nothing after it can be trusted."""
+    def _reject_connection(self, number: int | None, why: str) -> None:
+        """Sends an error, with the number where it is known, then ends: nothing after it can be trusted."""
         self.server.counts["unreadable"] += 1
         if number is None or number not in self.open:
             self.write(thrift.problem("dispatch", number or 0, why))
         self.end()
 
-    def _frame(self, frame: bytes) -> None:
+    def _handle_frame(self, frame: bytes) -> None:
         if self.closed:
             return
         if self.ending:
-            self._cancel_in(frame)
+            self._cancel_by(frame)
             return
         try:
-            self._message(thrift.read(frame))
-        except thrift.Unreadable as error:
-            self._refuse(error.number, str(error))
+            self._handle_message(thrift.read(frame))
+        except thrift.MalformedMessageError as error:
+            self._reject_connection(error.number, str(error))
 
-    def _message(self, message: thrift.Message) -> None:
+    def _handle_message(self, message: thrift.Message) -> None:
         if message.verb == "alive":
-            self.write(thrift.answer("alive", message.number, b"", self.server.alive()))
+            self.write(thrift.answer("alive", message.number, b"", self.server.is_serving()))
         elif message.verb == "cancelRequest":
             self._cancel(message.about)
         elif message.verb != "dispatch":
@@ -185,27 +226,28 @@
                     message.verb[:UNKNOWN_METHOD_QUOTED_MOST], message.number, "no such method", thrift.UNKNOWN_METHOD
                 )
             )
-        elif message.number <= self.last:
-            raise thrift.Unreadable(f"number {message.number} after {self.last}", message.number)
+        elif message.number <= self.last_number:
+            raise thrift.MalformedMessageError(f"number {message.number} after {self.last_number}", message.number)
         else:
             self._dispatch(message)
 
     def _dispatch(self, message: thrift.Message) -> None:
-        server, self.last = self.server, message.number
+        server = self.server
+        self.last_number = message.number
         try:
-            request_class, call, time_left = check(message, server.request_classes, server.tenants)
+            request = check(message, server.request_classes, server.tenants)
             if len(self.open) >= OPEN_MOST:
-                raise InvalidRequest(f"{OPEN_MOST} requests are open on this connection")
-            if call.ident in server.open:
-                raise InvalidRequest("a request of that id is open")
-        except InvalidRequest as error:
+                raise InvalidRequestError(f"{OPEN_MOST} requests are open on this connection")
+            if request.call.ident in server.open:
+                raise InvalidRequestError("a request of that id is open")
+        except InvalidRequestError as error:
             server.count_invalid(str(error))
             self.write(thrift.problem("dispatch", message.number, str(error)))
             return
-        time_left = server.time_for(time_left)
-        pending = PendingRequest(self, message.number, request_class, call, time_left)
+        time_left = server.time_for(request.time_left)
+        pending = PendingRequest(self, message.number, request.request_class, request.call, time_left)
         pending.received_at = clock()
-        self.open[message.number] = server.open[call.ident] = pending
+        self.open[message.number] = server.open[request.call.ident] = pending
         if busy := server.busy() or ("" if time_left else "stopping"):
             server.counts["turned_away"] += 1
             pending.reject(busy)
@@ -213,12 +255,12 @@
             server.post(RequestReceived(pending))
 
     def release(self, pending: PendingRequest) -> bool:
-        """Closes a request of this connection; False where it was closed already."""
+        """Removes a request from those open; False where it was removed already."""
         if self.open.get(pending.ident) is not pending:
             return False
         del self.open[pending.ident]
         self.server.open.pop(pending.call.ident, None)
-        self.used = clock()
+        self.last_used_at = clock()
         return True
 
     def write(self, frame: bytes) -> None:
@@ -229,7 +271,7 @@
         try:
             if self.write_buffer.put(OutgoingMessage(frame)) and self.ending and not self.open:
                 self.close()
-        except (PeerTooSlow, OSError):
+        except (PeerTooSlowError, OSError):
             self.server.counts["unread"] += 1
             self.close()
 
@@ -244,17 +286,18 @@
             self.close()
 
     def broken(self) -> None:
-        """Serving it raised: ends it after the answers to open requests; at once the second time."""
+        """Serving it raised an exception: ends it after the answers to open requests; at once the second time."""
         if self.ending:
             self.close()
         else:
             self.end()
 
     def end(self) -> None:
-        """Takes no more requests; closes once those open are answered, or when the client does."""
+        """Takes no more requests; closes once those open are answered, or when the client closes it."""
         if self.closed or self.ending:
             return
-        self.ending, self.since = True, clock()
+        self.ending = True
+        self.waiting_since = clock()
         if self.idle():
             self.close()
 
@@ -263,9 +306,10 @@
         if self.closed:
             return
         self.closed = True
-        server, pending_requests = self.server, list(self.open.values())
+        server = self.server
+        pending_requests = list(self.open.values())
         server.clients.pop(self.number, None)
-        server.forget(self)
+        server.release_socket(self)
         self.write_buffer.drop()
         for pending in pending_requests:
             server.open.pop(pending.call.ident, None)
--- a/wickdyke/platform/client_server.py
+++ b/wickdyke/platform/client_server.py
@@ -1,48 +1,82 @@
-"""The listener of the platform's front end, and the connections that it has accepted."""
+"""The client server: the listener of the platform's front end, and the connections that it has accepted."""
 
 import errno
 import socket
 from collections import Counter
-from collections.abc import Callable
+from collections.abc import Callable, Sequence
 from contextlib import suppress
+from dataclasses import dataclass
+from enum import Enum, auto
+from typing import TYPE_CHECKING
 
 from wickdyke.gateway.events import Event
 from wickdyke.platform.client_connection import NEW_CONNECTION_TIME, RETRY_AFTER, ClientConnection, PendingRequest
 from wickdyke.routing.model import RequestClass
-from wickdyke.transport.event_loop import EventLoop, clock
+from wickdyke.transport.event_loop import EventLoop, Handler, Priority, clock
 
-ACCEPTS_PER_TURN = 64  # connections accepted in one turn at most
+if TYPE_CHECKING:
+    from wickdyke.gateway.interfaces import Log
+
+ACCEPTS_PER_EVENT = 64  # connections accepted at most before other sockets are served
 BACKLOG = 512
 SILENCE_TIMEOUT = 2000.0  # ms for a first request, and for the rest of an incomplete frame
-SWEEP_INTERVAL = 200.0  # ms between closes of connections past that
-READS_MOST = 8  # of one connection at a time, where all data that has come is wanted
+SWEEP_INTERVAL = 200.0  # ms between searches for connections past that
+READS_MOST = 8  # of one connection at a time, where all data received by the kernel is wanted
 TIME_LEFT_LEAST = 50.0  # ms that a worker needs; with less before the end of the process a request is rejected
 
 
+@dataclass(slots=True, frozen=True)
+class ClientServerSettings:
+    """The settings of a client server."""
+
+    address: tuple[str, int]  # host and port
+    request_classes: Sequence[RequestClass]
+    connection_limit: int
+    tenants: tuple[str, ...] = ()
+
+
+class ListenerState(Enum):
+    """Whether the event loop serves the listening socket."""
+
+    UNREGISTERED = auto()  # not yet: the kernel had no memory for that, and the socket is polled
+    REGISTERED = auto()
+    CLOSED = auto()
+
+
 class ClientServer:
-    """The listener and the connections of its clients."""
+    """The listener and the connections of its clients.
 
-    first = False  # its events are served after those of workers
+    `post` passes events to the coordinator; `busy` returns why no request can be admitted now, or an empty string.
+    """
+
+    priority = Priority.NORMAL
 
     def __init__(
         self,
         loop: EventLoop,
-        address: tuple[str, int],
-        request_classes: list[RequestClass],
-        most: int,
+        settings: ClientServerSettings,
         post: Callable[[Event], None],
         busy: Callable[[], str],
-        log,
-        tenants: tuple[str, ...] = (),
+        log: "Log",
     ) -> None:
-        self.loop, self.address, self.most, self.post, self.busy, self.log = loop, address, most, post, busy, log
-        self.request_classes, self.tenants = {each.name: each for each in request_classes}, tenants
+        self.loop = loop
+        self.address = settings.address
+        self.connection_limit = settings.connection_limit
+        self.request_classes = {request_class.name: request_class for request_class in settings.request_classes}
+        self.tenants = settings.tenants
+        self.post = post
+        self.busy = busy
+        self.log = log
         self.clients: dict[int, ClientConnection] = {}
         self.open: dict[bytes, PendingRequest] = {}  # by the client's id
         self.counts: Counter[str] = Counter()
-        self.number, self.reads, self.ready, self.shut_down = 0, 0, False, False
-        self.paused = self.drained = self.watched = False
-        self.answer_by: float | None = None  # when all must be answered, for the process ends
+        self.last_number = 0  # of a connection
+        self.reads = 0  # of data, over all connections
+        self.serving = False  # whether requests are admitted; set by the service
+        self.listener_state = ListenerState.UNREGISTERED
+        self.accept_paused = False  # until a timer resumes it
+        self.backlog_empty = False  # after the last accepts
+        self.answer_by: float | None = None  # when all must be answered, for the process ends (ms)
         self.sock: socket.socket | None = None
 
     def listen(self) -> None:
@@ -58,64 +92,70 @@
             self.sock = None
             sock.close()
             raise
-        self._watch_listener()
-        self.loop.every(SWEEP_INTERVAL, self._sweep)
+        self._register_listener()
+        self.loop.call_every(SWEEP_INTERVAL, self._sweep)
 
-    def _watch_listener(self) -> None:
-        if self.shut_down:
+    def _register_listener(self) -> None:
+        if self.sock is None or self.shut_down:
             return
         try:
             self.loop.add(self.sock, self)
-            self.watched = True
+            self.listener_state = ListenerState.REGISTERED
         except OSError:  # ENOMEM, ENOSPC: polled until the kernel watches it
             self.counts["unwatched"] += 1
-            self.loop.at(clock() + RETRY_AFTER, self._watch_listener)
-            self.guarded(self)
+            self.loop.call_at(clock() + RETRY_AFTER, self._register_listener)
+            self.read_now(self)
+
+    @property
+    def shut_down(self) -> bool:
+        """Whether the listener is closed."""
+        return self.listener_state is ListenerState.CLOSED
 
     def count_invalid(self, why: str) -> None:
-        """Counts a request that can't be used; says why of the first, the tenth, the hundredth."""
+        """Counts a request that is invalid; logs the first, the tenth, the hundredth."""
         self.counts["invalid"] += 1
         if str(self.counts["invalid"]).strip("0") == "1":
             self.log.warning("request unusable", why=why, so_far=self.counts["invalid"])
 
-    def alive(self) -> bool:
-        """Whether requests are taken."""
-        return self.ready
+    def is_serving(self) -> bool:
+        """Returns whether requests are admitted."""
+        return self.serving
 
     def time_for(self, time_left: float) -> float:
-        """How long a request that came now may take, of what its client waits; 0 where there is no time for it."""
+        """Returns how long (ms) a request received now may take of `time_left`; 0 where there is no time for it."""
         if self.answer_by is None:
             return time_left
-        most = self.answer_by - clock()
-        if time_left <= most:
+        maximum = self.answer_by - clock()
+        if time_left <= maximum:
             return time_left
-        return most if most >= TIME_LEFT_LEAST else 0.0
+        return maximum if maximum >= TIME_LEFT_LEAST else 0.0
 
-    def guarded(self, handler: "ClientServer | ClientConnection") -> None:
-        """Has the handler read now, whether or not the kernel reported data; one that raises ends alone."""
+    def read_now(self, handler: Handler) -> None:
+        """Has the handler read now, whether or not the kernel reported data; one that raises is closed alone."""
         try:
             handler.readable()
         except Exception as error:
-            if self.loop.fault is None:
+            if self.loop.on_error is None:
                 raise
-            self.loop.fault(error)
+            self.loop.on_error(error)
             handler.broken()
 
     def read_all(self, client: ClientConnection) -> None:
-        """Reads what has come from that client by now, up to a bound."""
+        """Reads what that client has sent by now, up to a bound."""
         for _ in range(READS_MOST):
             before = self.reads
-            self.guarded(client)
+            self.read_now(client)
             if self.reads == before:
                 return
 
     def readable(self) -> None:
         """Accepts connections."""
-        self.drained = self._accept_waiting()
+        self.backlog_empty = self._accept_waiting()
 
     def _accept_waiting(self) -> bool:
-        """Accepts a bounded number of connections; whether the kernel had no more of them."""
-        for _ in range(ACCEPTS_PER_TURN):
+        """Accepts a bounded number of connections; returns whether the kernel had no more of them."""
+        assert self.sock is not None
+        for _ in range(ACCEPTS_PER_EVENT):
             try:
                 sock, _ = self.sock.accept()
             except BlockingIOError:
@@ -138,7 +178,7 @@
         return False
 
     def _admit(self, sock: socket.socket) -> None:
-        if len(self.clients) >= self.most and not self._make_room():
+        if len(self.clients) >= self.connection_limit and not self._make_room():
             self.counts["no_room"] += 1
             sock.close()
             return
@@ -146,11 +186,11 @@
         # may wait for the acknowledgement of the one before.
         with suppress(OSError):
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        self.number += 1
-        client = self.clients[self.number] = ClientConnection(self, sock, self.number)
-        self._watch(client)
+        self.last_number += 1
+        client = self.clients[self.last_number] = ClientConnection(self, sock, self.last_number)
+        self._register(client)
 
-    def _watch(self, client: ClientConnection) -> None:
+    def _register(self, client: ClientConnection) -> None:
         """Has the loop serve a connection. While that fails it is polled, and closed by the sweep if it is silent."""
         # A close for a passing ENOMEM, ENOSPC or ENOBUFS would lose its first request unread. The price, where the
         # shortage lasts, is a timer for each connection.
@@ -159,49 +199,49 @@
         try:
             client.sock.setblocking(False)
             self.loop.add(client.sock, client, not client.write_buffer.empty())
-            client.watched = True
+            client.registered = True
         except OSError:
             self.counts["unwatched"] += 1
-            self.loop.at(clock() + RETRY_AFTER, self._watch, client)
-            self.guarded(client)
+            self.loop.call_at(clock() + RETRY_AFTER, self._register, client)
+            self.read_now(client)
 
-    def forget(self, client: ClientConnection) -> None:
-        """Closes the socket of a client."""
+    def release_socket(self, client: ClientConnection) -> None:
+        """Closes the socket of a connection that has ended."""
         with suppress(OSError):
-            if client.watched:
+            if client.registered:
                 self.loop.remove(client.sock)
-        with suppress(OSError):  # it may tell late that something could not be written
+        with suppress(OSError):  # it may report late that something could not be written
             client.sock.close()
 
     def _pause(self, span: float) -> None:
         """Accepts nothing for `span` ms: the kernel would report again and again what can't be accepted."""
         # The price: where a descriptor is freed meanwhile, the connections that wait are accepted that much later.
-        if self.paused or self.shut_down:
+        if self.sock is None or self.accept_paused or self.shut_down:
             return
-        self.paused = True
-        self.loop.at(clock() + span, self._resume)
+        self.accept_paused = True
+        self.loop.call_at(clock() + span, self._resume)
         with suppress(OSError):
-            self.loop.want(self.sock, False, False)
+            self.loop.set_interest(self.sock, False, False)
 
     def _resume(self) -> None:
-        if self.shut_down:
+        if self.sock is None or self.shut_down:
             return
         try:
-            self.loop.want(self.sock, False)
-            self.paused = False
+            self.loop.set_interest(self.sock, False)
+            self.accept_paused = False
         except OSError:  # ENOMEM, ENOSPC: polled until the kernel watches it again
             self.counts["unwatched"] += 1
-            self.loop.at(clock() + RETRY_AFTER, self._resume)
-            self.guarded(self)
+            self.loop.call_at(clock() + RETRY_AFTER, self._resume)
+            self.read_now(self)
 
     def writable(self) -> None:
-        """Never waited for."""
+        """Does nothing: the listener waits for connections only."""
 
     def broken(self) -> None:
-        """Serving it raised: the listener goes on."""
+        """Serving it raised an exception: the listener goes on."""
 
     def _make_room(self) -> bool:
-        """Closes the connection without open requests that was idle longest; whether there was one.
+        """Closes the connection without open requests that was idle longest; returns whether there was one.
 
         Those that have sent nothing for a while go first, then those that were answered, last those that are new or
         are sending.
@@ -210,24 +250,24 @@
         # client would get through, nor one that connects for each request. The price: an idle client connects again.
         old = clock() - NEW_CONNECTION_TIME
 
-        def use(client: ClientConnection) -> int:
-            if client.since >= old and (client.frames.begun or not client.answered):
+        def value(client: ClientConnection) -> int:
+            if client.waiting_since >= old and (client.frames.begun or not client.answered):
                 return 2
             return 1 if client.answered else 0
 
-        while spare := [client for client in self.clients.values() if self._spare(client)]:
-            least = min(spare, key=lambda client: (use(client), client.used))
-            # A request that has come and was not read yet would be lost with the connection.
-            self.read_all(least)
-            if least.closed or self._spare(least):
-                least.close()
+        while candidates := [client for client in self.clients.values() if self._can_be_closed(client)]:
+            candidate = min(candidates, key=lambda client: (value(client), client.last_used_at))
+            # A request that was received by the kernel and not read yet would be lost with the connection.
+            self.read_all(candidate)
+            if candidate.closed or self._can_be_closed(candidate):
+                candidate.close()
                 self.counts["made_room"] += 1
                 return True
         return False
 
-    def _spare(self, client: ClientConnection) -> bool:
-        """Whether it has nothing open, and no answer on its way that it may still read."""
-        return not client.open and (client.write_buffer.empty() or clock() - client.used > SILENCE_TIMEOUT)
+    def _can_be_closed(self, client: ClientConnection) -> bool:
+        """Returns whether no request of it is open, and no answer on its way that it may still read."""
+        return not client.open and (client.write_buffer.empty() or clock() - client.last_used_at > SILENCE_TIMEOUT)
 
     def _sweep(self) -> None:
         now = clock()
@@ -246,9 +286,9 @@
         # Hundreds that connect and send nothing, or half a frame, or never read, would take all descriptors. The price:
         # a client that connects long before its first request has its connection closed.
         if client.ending:  # its requests end by their own times; then it has as long to read the last answer
-            return not client.open and now - max(client.since, client.used) > SILENCE_TIMEOUT
-        waits = client.frames.begun or not client.answered and not client.open
-        return waits and now - client.since > SILENCE_TIMEOUT
+            return not client.open and now - max(client.waiting_since, client.last_used_at) > SILENCE_TIMEOUT
+        is_awaited = client.frames.begun or (not client.answered and not client.open)
+        return is_awaited and now - client.waiting_since > SILENCE_TIMEOUT
 
     def shut(self, at_once: bool = False) -> None:
         """Accepts the connections of the backlog, then closes the listener.
@@ -259,28 +299,29 @@
             return
         # The close resets the connections of the backlog, and requests on them are lost. So nothing else is done
         # between the last accept and the close: the kernel can't stop a backlog and keep what is in it.
-        self.drained = False
-        for _ in range(BACKLOG // ACCEPTS_PER_TURN + 1):
-            self.guarded(self)
-            if self.drained:
+        self.backlog_empty = False
+        for _ in range(BACKLOG // ACCEPTS_PER_EVENT + 1):
+            self.read_now(self)
+            if self.backlog_empty:
                 break
-        if not self.drained and not at_once:
+        if not self.backlog_empty and not at_once:
             return
-        self.shut_down = True
+        was_registered = self.listener_state is ListenerState.REGISTERED
+        self.listener_state = ListenerState.CLOSED
         with suppress(OSError):
-            if self.watched:
+            if was_registered:
                 self.loop.remove(self.sock)
         self.sock.close()
 
-    def heard_more(self) -> bool:
-        """Reads what has come since the last poll; whether there was anything."""
+    def read_clients(self) -> bool:
+        """Reads what clients have sent since the last poll; returns whether there was anything."""
         before = self.reads
         for client in list(self.clients.values()):
-            self.guarded(client)
+            self.read_now(client)
         return self.reads > before
 
-    def hang_up(self, at_once: bool = False) -> bool:
-        """Closes each idle connection, right after a last read that found nothing; whether none is left.
+    def close_idle(self, at_once: bool = False) -> bool:
+        """Closes each idle connection, right after a last read that found nothing; returns whether none is left.
 
         With `at_once` no request is waited for that may be on its way.
         """
@@ -289,11 +330,11 @@
         # A shutdown for reading before that read would not prevent it: Linux acknowledges what comes after it as well.
         for client in list(self.clients.values()):
             before = self.reads
-            self.guarded(client)
-            if self.reads == before and client.idle() and (at_once or not client.expected()):
+            self.read_now(client)
+            if self.reads == before and client.idle() and (at_once or not client.request_expected()):
                 client.close()
         return not self.clients
 
     def flushed(self) -> bool:
-        """Whether no request is open and nothing waits to be written."""
+        """Returns whether no request is open and nothing waits to be written."""
         return not self.open and all(client.write_buffer.empty() for client in self.clients.values())
--- a/wickdyke/platform/configuration.py
+++ b/wickdyke/platform/configuration.py
@@ -3,10 +3,10 @@
 import json
 import os
 from dataclasses import dataclass
-from types import SimpleNamespace
+from typing import Any
 
 from wickdyke.config import deployment_settings
-from wickdyke.platform.endpoint_list import Unusable, change
+from wickdyke.platform.endpoint_list import Event, UnusableEventError, parse_event
 from wickdyke.routing.model import RequestClass
 from wickdyke.routing.settings import (
     AttemptLimits,
@@ -23,7 +23,7 @@
 OPEN_REQUESTS_LEAST = 256  # allowed at once, however little memory there is
 OPEN_REQUESTS_PER_MB = 16.0  # of memory
 EVENTS_MOST = 20000  # waiting for the coordinator
-ANSWER_WAY = 10.0  # ms that an answer may take to its client
+ANSWER_WAY = 10.0  # ms that an answer may take to reach its client
 PROBE_WAIT = 250.0  # ms until a health check times out
 MEMORY_LEAST = 1  # MB
 SOCKETS_LEAST = 64
@@ -31,21 +31,29 @@
 
 
 class ConfigurationError(Exception):
-    """The configuration can't be used; the message names the place, what was found and what was expected."""
+    """The configuration is invalid; the message names the place, the value and what was expected."""
 
 
-class Unreadable(ConfigurationError):
-    """The file can't be read now; a later try may succeed."""
+class UnreadableConfigurationError(ConfigurationError):
+    """The file can't be read now; a retry may succeed."""
+
+
+@dataclass(slots=True, frozen=True)
+class Bounds:
+    """Bounds on what the front end holds at once."""
+
+    open_rpcs: int  # requests of clients
+    events: int  # waiting for the coordinator
 
 
 @dataclass(slots=True)
 class Configuration:
-    """The settings of one front end of the platform."""
+    """The settings of one front end of the platform; times in ms."""
 
     name: str
     listen: tuple[str, int]
     bus: tuple[str, int]
-    known: list[dict]
+    known: list[Event]  # the events of discovery to begin with
     seed: int
     memory_mb: float
     sockets: int
@@ -61,42 +69,42 @@
     discovery: Discovery
     cost_weights: CostWeights
     tenant_quotas: TenantQuotas
-    bounds: SimpleNamespace
+    bounds: Bounds
     answer_way: float = ANSWER_WAY
     probe_wait: float = PROBE_WAIT
 
 
 def address(text: object, place: str) -> tuple[str, int]:
-    """(host, port) of HOST:PORT; `place` is named in the error."""
+    """Returns the host and port of HOST:PORT. Raises ConfigurationError, which names `place`."""
     host, _, port = str(text).rpartition(":")
     if not host or not port.isascii() or not port.isdigit() or not 0 < int(port) <= PORT_MOST:
         raise ConfigurationError(f"{place} is {text!r}, expected HOST:PORT")
     return host, int(port)
 
 
-def load(path: str) -> dict:
-    """The JSON object in that file."""
+def load(path: str) -> dict[str, Any]:
+    """Returns the JSON object in that file. Raises ConfigurationError."""
     try:
         with open(path, encoding="utf-8") as source:
-            found = json.load(source)
+            content = json.load(source)
     except OSError as error:
-        raise Unreadable(f"{path}: {error.strerror}, expected a file that can be read") from None
+        raise UnreadableConfigurationError(f"{path}: {error.strerror}, expected a file that can be read") from None
     except (ValueError, RecursionError) as error:
         raise ConfigurationError(f"{path}: {error}, expected JSON") from None
-    if not isinstance(found, dict):
-        raise ConfigurationError(f"{path}: a {type(found).__name__}, expected an object")
-    return found
+    if not isinstance(content, dict):
+        raise ConfigurationError(f"{path}: a {type(content).__name__}, expected an object")
+    return content
 
 
-def _limit(given: dict, path: str, name: str, least: float) -> float:
+def _limit(given: dict[str, Any], path: str, name: str, minimum: float) -> float:
     limits = given.get("limits")
     value = limits.get(name) if isinstance(limits, dict) else None
-    if isinstance(value, bool) or not isinstance(value, int | float) or not value >= least:
-        raise ConfigurationError(f"{path}: limits.{name} is {value!r}, expected a number of at least {least:g}")
+    if isinstance(value, bool) or not isinstance(value, int | float) or not value >= minimum:
+        raise ConfigurationError(f"{path}: limits.{name} is {value!r}, expected a number of at least {minimum:g}")
     return value
 
 
-def _seed(given: dict, path: str) -> int:
+def _seed(given: dict[str, Any], path: str) -> int:
     seed = given.get("seed")
     try:
         return int(seed, 16) if isinstance(seed, str) else int(seed)
@@ -104,7 +112,7 @@
         raise ConfigurationError(f"{path}: seed is {seed!r}, expected hex digits") from None
 
 
-def _known_batch(given: dict, path: str) -> list:
+def _known_batch(given: dict[str, Any], path: str) -> list[Any]:
     known = given.get("known")
     batch = known.get("batch") if isinstance(known, dict) else None
     if not isinstance(batch, list):
@@ -127,10 +135,10 @@
     pairs = deployment_settings.from_nested(settings, f"{path}: settings")
     try:
         started = deployment_settings.router_settings(pairs)
-        events = [change(json.dumps(event)) for event in batch]
+        events = [parse_event(json.dumps(event)) for event in batch]
     except deployment_settings.InvalidInputError as error:
         raise ConfigurationError(str(error)) from None
-    except Unusable as error:
+    except UnusableEventError as error:
         raise ConfigurationError(f"{path}: known.batch has {error}") from None
     if not started["request_classes"]:
         raise ConfigurationError(f"{path}: settings has no classes, expected one at least")
@@ -147,18 +155,18 @@
         zones=pairs.names("zones"),
         kinds=pairs.names("flavors"),
         tenants=tuple(pairs.get(f"tenants.{index}.name", str) for index in tenants),
-        bounds=SimpleNamespace(open_rpcs=_open_requests(memory), events=EVENTS_MOST),
+        bounds=Bounds(open_rpcs=_open_requests(memory), events=EVENTS_MOST),
         **started,
     )
 
 
-def bus(given: dict, path: str) -> tuple[str, int]:
-    """The address of discovery."""
+def bus(given: dict[str, Any], path: str) -> tuple[str, int]:
+    """Returns the host and port of discovery. Raises ConfigurationError."""
     return address(given.get("bus"), f"{path}: bus")
 
 
 def config_path() -> str:
-    """The path of the configuration, from the environment."""
+    """Returns the path of the configuration, from the environment. Raises ConfigurationError."""
     path = os.environ.get("GW_CONFIG")
     if not path:
         raise ConfigurationError("the environment has no GW_CONFIG, expected the path of the configuration")
--- a/wickdyke/platform/connection_pool.py
+++ b/wickdyke/platform/connection_pool.py
@@ -1,30 +1,56 @@
-"""How many connections to workers there may be, over all workers."""
+"""The bound on the connections to workers, over all workers."""
 
 from collections import Counter
-from typing import TYPE_CHECKING
+from collections.abc import Sequence
+from typing import Protocol
 
-if TYPE_CHECKING:
-    from wickdyke.platform.worker_client import WorkerClient
+
+class PooledConnection(Protocol):
+    """What the pool uses of a connection to a worker."""
+
+    last_used_at: float  # ms of the loop's clock
+
+    @property
+    def up(self) -> bool:
+        """Whether it is established."""
+
+    @property
+    def commands_in_flight(self) -> int:
+        """Commands that it was handed and that have not ended."""
+
+    def end(self, why: str) -> None:
+        """Ends it; `why` is for the counts."""
+
+
+class PooledClient(Protocol):
+    """What the pool uses of a worker client."""
+
+    def all_connections(self) -> Sequence[PooledConnection]:
+        """Its connections."""
+
+    def sweep(self) -> None:
+        """Ends those of its connections that were idle for too long."""
 
 
 class ConnectionPool:
-    """Counts connections against a bound, and ends idle ones to make room."""
+    """Counts connections against a bound, `capacity`, and ends idle ones to make room."""
 
-    def __init__(self, most: int) -> None:
-        self.most, self.used = most, 0
-        self.worker_clients: set[WorkerClient] = set()  # those with a connection
+    def __init__(self, capacity: int) -> None:
+        self.capacity = capacity
+        self.used = 0
+        self.worker_clients: set[PooledClient] = set()  # those with a connection
         self.counts: Counter[str] = Counter()
 
     def has_room(self) -> bool:
-        """Whether there may be one more: the one longest idle is ended for it."""
-        if self.used >= self.most:
-            connections = (each for worker_client in self.worker_clients for each in worker_client.all())
-            idle = [each for each in connections if not each.commands_in_flight and each.up]
+        """Returns whether one more connection is allowed; where none is, ends the one that was idle longest first."""
+        if self.used >= self.capacity:
+            connections = (connection for client in self.worker_clients for connection in client.all_connections())
+            idle = [connection for connection in connections if not connection.commands_in_flight and connection.up]
             if idle:
-                min(idle, key=lambda each: each.used).end("left for another")
-        return self.used < self.most
+                min(idle, key=lambda connection: connection.last_used_at).end("replaced")
+        return self.used < self.capacity
 
     def sweep(self) -> None:
-        """Ends what is idle for too long, everywhere."""
-        for worker_client in list(self.worker_clients):
-            worker_client.sweep()
+        """Ends the connections of all workers that were idle for too long."""
+        for client in list(self.worker_clients):
+            client.sweep()
--- a/wickdyke/platform/discovery.py
+++ b/wickdyke/platform/discovery.py
@@ -6,12 +6,17 @@
 import socket
 from collections import Counter
 from collections.abc import Callable
+from dataclasses import dataclass
+from typing import TYPE_CHECKING
 
 import h11
 
 from wickdyke.platform import sse
-from wickdyke.platform.endpoint_list import Unusable, change
-from wickdyke.transport.event_loop import EventLoop, clock, close, dial, received
+from wickdyke.platform.endpoint_list import Event, UnusableEventError, parse_event
+from wickdyke.transport.event_loop import EventLoop, Priority, clock, close, dial, error_name, receive
+
+if TYPE_CHECKING:
+    from wickdyke.gateway.interfaces import Log
 
 PATH = "/bus/read"
 READ_SIZE = 1 << 16  # bytes read at a time
@@ -25,35 +30,44 @@
 BACKOFF_EXPONENT_MOST = 20  # keeps the power finite
 
 
-class InvalidResponse(Exception):
-    """A response that is no stream of events."""
+class InvalidResponseError(Exception):
+    """The response is no stream of events."""
+
+
+@dataclass(slots=True, frozen=True)
+class DiscoverySettings:
+    """The settings of the discovery client."""
+
+    address: tuple[str, int]  # host and port
+    backoff_limit: float  # ms between two attempts to connect, at most
+    seed: int  # of the jitter
 
 
 class DiscoveryClient:
     """Follows the events from one address and passes them to `notify`.
 
-    `last_offset` gives the number of the last event known, after which the events are asked for. `backoff_most` (ms)
-    bounds the time between two tries.
+    `last_offset` returns the number of the last event applied, after which events are requested.
     """
 
-    first = True  # its events are served before those of clients
+    priority = Priority.HIGH
 
     def __init__(
         self,
         loop: EventLoop,
-        address: tuple[str, int],
+        settings: DiscoverySettings,
         last_offset: Callable[[], int],
-        notify: Callable[[list[dict]], None],
-        log,
-        backoff_most: float,
-        seed: int,
+        notify: Callable[[list[Event]], None],
+        log: "Log",
     ) -> None:
-        self.loop, self.address, self.log = loop, address, log
-        self.last_offset, self.notify = last_offset, notify
+        self.loop = loop
+        self.address = settings.address
+        self.last_offset = last_offset
+        self.notify = notify
+        self.log = log
         # Where the grace for drains leaves next to no time, a server that is slow to accept has to be reached still.
-        self.connect_timeout = min(CONNECT_TIMEOUT_MOST, max(CONNECT_TIMEOUT_LEAST, backoff_most))
-        self.backoff_most = max(BACKOFF_FIRST, backoff_most)
-        self.random = random.Random(seed)
+        self.connect_timeout = min(CONNECT_TIMEOUT_MOST, max(CONNECT_TIMEOUT_LEAST, settings.backoff_limit))
+        self.backoff_limit = max(BACKOFF_FIRST, settings.backoff_limit)
+        self.random = random.Random(settings.seed)
         self.counts: Counter[str] = Counter()
         self.sock: socket.socket | None = None
         self.attempt_number = 0  # of the connection under way
@@ -61,10 +75,14 @@
         self.retry_number = 0  # of the one retry that is due; one set before it does nothing
         self.unsent = b""  # of the request, once connected
         self.silence_timeout = SILENCE_TIMEOUT  # ms; longer where an event did not arrive whole in time
-        self.connected = self.up = self.closed = False
-        self.logged_failure = ""  # the reason logged last, until the events come again
-        self.last_sign = 0.0  # when data came last, or the last step of connecting was done
-        self.up_since = 0.0  # when the last response began
+        self.connected = False  # whether the connect has succeeded
+        self.up = False  # whether the response has begun
+        self.closed = False
+        self.http = h11.Connection(h11.CLIENT)  # of the connection under way
+        self.events = sse.Events()  # likewise
+        self.logged_failure = ""  # the reason logged last, until events are received again
+        self.last_activity = 0.0  # ms; when data was received last, or the last step of connecting was done
+        self.up_since = 0.0  # ms; when the last response began
 
     def open(self) -> None:
         """Starts to follow."""
@@ -72,7 +90,8 @@
 
     def follow(self, address: tuple[str, int]) -> None:
         """Follows another address from now on."""
-        self.address, self.failures = address, 0
+        self.address = address
+        self.failures = 0
         self._end()
         # Each retry that is due sets the next. One left from the address before would go on beside that of the new
         # one, and each new configuration would add to the number of tries in the same time.
@@ -80,7 +99,7 @@
         self._connect()
 
     def close(self) -> None:
-        """Ends it."""
+        """Stops following."""
         self.closed = True
         self._end()
 
@@ -89,33 +108,37 @@
             return
         self.counts["asked"] += 1
         self.attempt_number += 1
-        self.connected, self.up, self.unsent, self.last_sign = False, False, b"", clock()
-        self.http, self.events = h11.Connection(h11.CLIENT), sse.Events()
+        self.connected = False
+        self.up = False
+        self.unsent = b""
+        self.last_activity = clock()
+        self.http = h11.Connection(h11.CLIENT)
+        self.events = sse.Events()
         self.sock, code = dial(self.address)
         if self.sock is None:
-            self._retry_later(f"connect: {errno.errorcode.get(code, code)}")
+            self._retry_later(f"connect: {error_name(code)}")
             return
         try:
             self.loop.add(self.sock, self, write=True)
         except OSError as error:
             self._fail("watch", error)
             return
-        self.loop.at(self.last_sign + self.connect_timeout, self._check_timeout, self.attempt_number)
+        self.loop.call_at(self.last_activity + self.connect_timeout, self._check_timeout, self.attempt_number)
 
     def _retry_later(self, why: str) -> None:
         # Backoff with jitter: hundreds of front ends that lost discovery at one moment would else ask for it in step,
-        # for as long as it is away or answers only with errors. It may come back with a drain just after a try: so
-        # `backoff_most` stays within the time in which a drain has to be heeded.
+        # for as long as it is away or answers only with errors. It may return with a drain just after an attempt: so
+        # `backoff_limit` stays within the time in which a drain has to be heeded.
         was_stable = self.up and clock() - self.up_since > SILENCE_TIMEOUT
         self.failures = 1 if was_stable else self.failures + 1
         exponent = min(self.failures - 1, BACKOFF_EXPONENT_MOST)
-        backoff = min(self.backoff_most, BACKOFF_FIRST * BACKOFF_GROWTH**exponent)
+        backoff = min(self.backoff_limit, BACKOFF_FIRST * BACKOFF_GROWTH**exponent)
         jitter = 0.5 + 0.5 * self.random.random()
         self.retry_number += 1
-        self.loop.at(clock() + backoff * jitter, self._retry, self.retry_number)
+        self.loop.call_at(clock() + backoff * jitter, self._retry, self.retry_number)
         if why != self.logged_failure:
             self.logged_failure = why
-            self.log.warning("list not followed", why=why, bus=":".join(map(str, self.address)))
+            self.log.warning("endpoint list disconnected", why=why, bus=":".join(map(str, self.address)))
 
     def _retry(self, number: int) -> None:
         if number != self.retry_number:
@@ -136,10 +159,10 @@
     def _fail(self, step: str, error: OSError) -> None:
         """A system call failed in that step: closes the connection, and makes a new one after a backoff."""
         self._end()
-        self._retry_later(f"{step}: {errno.errorcode.get(error.errno, error)}")
+        self._retry_later(f"{step}: {errno.errorcode.get(error.errno or 0, error)}")
 
     def _timeout(self) -> float:
-        """How long the next sign of life is waited for (ms)."""
+        """Returns how long (ms) the connection may be silent in its present state."""
         if self.up:
             return self.silence_timeout
         return RESPONSE_TIMEOUT if self.connected else self.connect_timeout
@@ -148,9 +171,9 @@
         """Reconnects where the connection of that number has been silent for too long."""
         if self.sock is None or number != self.attempt_number:
             return
-        due = self.last_sign + self._timeout()
+        due = self.last_activity + self._timeout()
         if clock() < due:
-            self.loop.at(due, self._check_timeout, number)
+            self.loop.call_at(due, self._check_timeout, number)
             return
         self.counts["silent"] += 1
         # An event that takes longer than the timeout would be begun anew for ever. So the next connection gets twice
@@ -162,6 +185,7 @@
 
     def writable(self) -> None:
         """The connect has succeeded or failed, or more of the request can be sent."""
+        assert self.sock is not None
         if not self.connected:
             try:
                 code = self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
@@ -171,7 +195,8 @@
             if code:
                 self._fail("connect", OSError(code, os.strerror(code)))
                 return
-            self.connected, self.last_sign = True, clock()
+            self.connected = True
+            self.last_activity = clock()
             self.unsent = self._request()
         self._send()
 
@@ -187,6 +212,7 @@
         return head + (self.http.send(h11.EndOfMessage()) or b"")
 
     def _send(self) -> None:
+        assert self.sock is not None
         if self.unsent:
             try:
                 sent = self.sock.send(self.unsent)
@@ -197,63 +223,66 @@
                 return
             self.unsent = self.unsent[sent:]
         if not self.unsent:
-            self.loop.want(self.sock, False)
+            self.loop.set_interest(self.sock, False)
 
     def broken(self) -> None:
-        """Serving it raised: makes a new connection after a backoff."""
+        """Serving it raised an exception: makes a new connection after a backoff."""
         self._end()
         self._retry_later("fault")
 
     def readable(self) -> None:
-        """Data of the response, or its end."""
-        if (data := received(self.sock, READ_SIZE)) is None:
+        """Reads data of the response, or its end."""
+        assert self.sock is not None
+        if (data := receive(self.sock, READ_SIZE)) is None:
             return
         try:
-            over = self._take_http(data)
-        except (h11.ProtocolError, InvalidResponse, sse.EventTooLarge) as error:
+            ended = self._parse_http(data)
+        except (h11.ProtocolError, InvalidResponseError, sse.EventTooLargeError) as error:
             if data:
                 self.up = False  # whatever came before, it counts as one more failure in a row
                 self.counts["spoilt"] += 1
                 self._end()
                 self._retry_later(str(error))
                 return
-            over = True  # the connection ended within the response
+            ended = True  # the connection ended within the response
         # A stream that stops within an event and sends a few bytes now and then would count as alive for ever, with the
         # list out of date. So only data after which no event is incomplete counts as a sign of life.
         if data and not self.events.begun:
-            self.last_sign = clock()
-        if over or not data:
+            self.last_activity = clock()
+        if ended or not data:
             was_up = self.up
             self._end()
             self._retry_later("ended" if was_up else "ended before its answer")
 
-    def _take_http(self, data: bytes) -> bool:
+    def _parse_http(self, data: bytes) -> bool:
         """Parses data of the response; returns whether it has ended."""
         self.http.receive_data(data)
         while (event := self.http.next_event()) not in (h11.NEED_DATA, h11.PAUSED):
             if isinstance(event, h11.Response):
                 self._response_begun(event)
             elif isinstance(event, h11.Data):
-                self._take_events(bytes(event.data))
+                self._parse_events(bytes(event.data))
             else:
                 return True
         return False
 
     def _response_begun(self, response: h11.Response) -> None:
         if response.status_code != 200:
-            raise InvalidResponse(f"status {response.status_code}")
-        self.up, self.last_sign, self.up_since = True, clock(), clock()
+            raise InvalidResponseError(f"status {response.status_code}")
+        self.up = True
+        self.last_activity = clock()
+        self.up_since = clock()
         if self.logged_failure:
             self.logged_failure = ""
-            self.log.info("list followed again")
+            self.log.info("endpoint list connected")
 
-    def _take_events(self, data: bytes) -> None:
-        found = []
+    def _parse_events(self, data: bytes) -> None:
+        events = []
         for event in self.events.feed(data):
             try:
-                found.append(change(event.data))
-            except Unusable:
+                events.append(parse_event(event.data))
+            except UnusableEventError:
                 self.counts["unusable"] += 1
-        if found:
+        if events:
             self.silence_timeout = SILENCE_TIMEOUT
-            self.notify(found)
+            self.notify(events)
--- a/wickdyke/platform/endpoint_list.py
+++ b/wickdyke/platform/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list as discovery's numbered events give it. Pure: no I/O, no clock.
+"""The endpoint list as it results from discovery's numbered events. Pure: no I/O, no clock.
 
 An event counts once, by its number. Start times come as Unix ms and are turned into the coordinator's monotonic ms.
 
@@ -23,7 +23,7 @@
 import math
 from collections.abc import Callable, Iterable
 from dataclasses import replace
-from typing import NamedTuple
+from typing import Any, NamedTuple
 
 from wickdyke.gateway.interfaces import EndpointListChange
 from wickdyke.routing.model import Endpoint
@@ -36,15 +36,18 @@
 STATES = {"SERVING": "ready", "DRAINING": "draining", "DELETED": "gone"}
 
 
-class Unusable(Exception):
-    """An event that can't be used."""
+class UnusableEventError(Exception):
+    """An event is no JSON object with an offset."""
+
+
+Event = dict[str, Any]  # a JSON object, as discovery sends it; its `offset` is an int
 
 
 class StartTime(NamedTuple):
     """When a worker started."""
 
     reported: float  # Unix ms, as in the event
-    converted: float  # the coordinator's ms
+    converted: float  # ms of the coordinator's clock
 
 
 class ListedWorker(NamedTuple):
@@ -55,22 +58,22 @@
 
 
 class Instance(NamedTuple):
-    """One instance of an event, as read. `start_time` is that of a late start."""
+    """One instance of an event, parsed. `start_time` is None where the worker was not reported as just started."""
 
     endpoint: Endpoint
     address: str
     start_time: StartTime | None
 
 
-def change(text: str) -> dict:
-    """The event in that text, checked as far as that needs no list; raises Unusable."""
+def parse_event(text: str) -> Event:
+    """Parses an event and checks it as far as that needs no list. Raises UnusableEventError."""
     try:
-        found = json.loads(text)
+        event = json.loads(text)
     except (ValueError, RecursionError):
-        raise Unusable(f"{text[:40]!r}, expected JSON") from None
-    if not isinstance(found, dict) or type(found.get("offset")) is not int:
-        raise Unusable(f"{text[:40]!r}, expected an object with its offset")
-    return found
+        raise UnusableEventError(f"{text[:40]!r}, expected JSON") from None
+    if not isinstance(event, dict) or type(event.get("offset")) is not int:
+        raise UnusableEventError(f"{text[:40]!r}, expected an object with its offset")
+    return event
 
 
 class EndpointList:
@@ -87,8 +90,10 @@
         wall_ahead: Callable[[], float],
         connected_at: Callable[[], float] = lambda: -math.inf,
     ) -> None:
-        self.zones, self.kinds = zones, kinds
-        self.wall_ahead, self.connected_at = wall_ahead, connected_at
+        self.zones = zones
+        self.kinds = kinds
+        self.wall_ahead = wall_ahead
+        self.connected_at = connected_at
         self.ahead_at_start = wall_ahead()
         self.oldest_age = math.inf  # ms; the greatest of a worker first reported in the events being applied
         self.last_events = 0.0  # when events came last
@@ -105,8 +110,8 @@
         """The address of a listed worker."""
         return self.listed[name].address if name in self.listed else None
 
-    def apply(self, events: Iterable[dict], now: float) -> EndpointListChange:
-        """Applies events in their order; those applied before change nothing."""
+    def apply(self, events: Iterable[Event], now: float) -> EndpointListChange:
+        """Applies events in their order; those applied before change nothing. `now` is in ms."""
         before: dict[str, ListedWorker | None] = {}  # of the workers that an event names
         self.oldest_age = self._oldest_age(now)
         for event in events:
@@ -117,20 +122,22 @@
         return self._change_since(before)
 
     def _change_since(self, before: dict[str, ListedWorker | None]) -> EndpointListChange:
-        gone, changed, addresses = [], [], {}
+        gone: list[Endpoint] = []
+        changed: list[Endpoint] = []
+        addresses: dict[str, str | None] = {}
         for name, old in before.items():
             new = self.listed.get(name)
             if new is None and old is not None:
                 gone.append(replace(old.endpoint, state="gone"))
             elif new is not None and (old is None or old.endpoint != new.endpoint):
                 changed.append(new.endpoint)
-            address = new and new.address
-            if address != (old and old.address):
+            address = new.address if new is not None else None
+            if address != (old.address if old is not None else None):
                 addresses[name] = address
         return EndpointListChange(gone + changed, addresses)
 
     def _oldest_age(self, now: float) -> float:
-        """How old (ms) a worker can be at most that is first reported now."""
+        """Returns how old (ms) a worker can be at most that is first reported now."""
         if not self.offset:
             return math.inf
         if now - self.connected_at() > PROMPT:
@@ -139,7 +146,7 @@
 
     def _apply_topology(self, topology: object, before: dict[str, ListedWorker | None], now: float) -> None:
         entries = topology.get("instances") if isinstance(topology, dict) else None
-        if not isinstance(entries, list):
+        if not isinstance(topology, dict) or not isinstance(entries, list):
             self.unusable += topology is not None
             return
         instances = self._instances(entries, now)
@@ -157,15 +164,15 @@
                 self.start_times[name] = instance.start_time
                 self.gone_start_times.pop(name, None)
 
-    def _instances(self, entries: list, now: float) -> list[Instance]:
-        """The entries that can be used."""
-        found = []
+    def _instances(self, entries: list[Any], now: float) -> list[Instance]:
+        """Returns the entries that are valid, and counts the others."""
+        instances = []
         for entry in entries:
             try:
-                found.append(self._instance(entry, now))
+                instances.append(self._instance(entry, now))
             except (KeyError, TypeError, ValueError, AttributeError, OverflowError):
                 self.unusable += 1
-        return found
+        return instances
 
     def _clear(self, before: dict[str, ListedWorker | None]) -> None:
         for name, old in self.listed.items():
@@ -184,24 +191,28 @@
             del self.gone_start_times[next(iter(self.gone_start_times))]
 
     def _start_time(self, name: str, reported: float, now: float) -> StartTime:
-        """Converts a late start as the module's text says. Raises ValueError where it is no time."""
+        """Converts a reported start time as described above. Raises ValueError where it is not finite."""
         if not math.isfinite(reported):
             raise ValueError(reported)
-        for known in (self.start_times.get(name), self.gone_start_times.get(name)):
-            if known is not None and known.reported == reported:
-                return known
-        converted, ahead = reported - self.ahead_at_start, self.wall_ahead()
+        for earlier in (self.start_times.get(name), self.gone_start_times.get(name)):
+            if earlier is not None and earlier.reported == reported:
+                return earlier
+        converted = reported - self.ahead_at_start
+        ahead = self.wall_ahead()
         if abs(ahead - self.ahead_at_start) > STEPPED:
             converted = max(converted, reported - ahead)
         possible = now - self.oldest_age <= converted <= now
         return StartTime(reported, converted if possible else now)
 
-    def _instance(self, entry: dict, now: float) -> Instance:
-        name, address, reported = entry["instanceId"], entry["hostPort"], entry.get("startedAtMs") or 0
+    def _instance(self, entry: dict[str, Any], now: float) -> Instance:
+        name = entry["instanceId"]
+        address = entry["hostPort"]
+        reported = entry.get("startedAtMs") or 0
         host, sign, port = address.rpartition(":")
         if not (isinstance(name, str) and name and host and sign and 0 < int(port) <= PORT_MOST):
             raise ValueError(address)
-        zone, kind = entry.get("zone"), entry.get("machineType")
+        zone = entry.get("zone")
+        kind = entry.get("machineType")
         start_time = self._start_time(name, float(reported), now) if reported else None
         endpoint = Endpoint(
             name,
@@ -210,6 +221,6 @@
             int(entry.get("cell", -1)),
             STATES[entry["lifecycle"]],
             float(entry.get("weight") or 1.0),
-            start_time and start_time.converted,
+            start_time.converted if start_time is not None else None,
         )
         return Instance(endpoint, address, start_time)
--- a/wickdyke/platform/requests.py
+++ b/wickdyke/platform/requests.py
@@ -7,24 +7,24 @@
 from wickdyke.routing.model import RequestClass
 
 IDENT = re.compile(r"[0-9a-f]{16}", re.ASCII)
-FIGURE = re.compile(r"[0-9]{1,12}(\.[0-9]{1,12})?", re.ASCII)
+NUMBER = re.compile(r"[0-9]{1,12}(\.[0-9]{1,12})?", re.ASCII)
 KEY = re.compile(r"[0-9A-Za-z_.:-]{1,64}", re.ASCII)
 REPEAT = re.compile(r"[0-9]{1,9}|true|false", re.ASCII)
-TAGS_MOST = {"memory_mb": 1e7, "lanes": 4096.0, "load_ms": 3.6e6}
+TAG_LIMITS = {"memory_mb": 1e7, "lanes": 4096.0, "load_ms": 3.6e6}
 TIME_MOST = 3.6e6  # ms
 QUOTED_MOST = 20  # characters of a wrong value that an error quotes
-# c class, i id, d ms that the client waits, o function, tags further figures; where a deployment has them: t tenant,
-# h ms of work estimated, k the idempotency key, r whether this is a repeat.
+# The fields on the wire. c: class; i: id; d: ms that the client waits; o: function; tags: further numbers. Where a
+# deployment has them: t: tenant; h: estimated ms of work; k: idempotency key; r: whether this is a retry.
 FIELDS = ("c", "i", "d", "o", "tags", "t", "h", "k", "r")
 
 
-class InvalidRequest(Exception):
-    """A request can't be used; the message is for its sender."""
+class InvalidRequestError(Exception):
+    """A request is invalid; the message is for its sender."""
 
 
 @dataclass(slots=True)
 class Call:
-    """What a request asks for: the function, its input and its figures."""
+    """What a request is to run: the function, its input and its figures. Times in ms, memory in MB."""
 
     ident: bytes
     function: str
@@ -37,63 +37,72 @@
     idempotency_key: str = ""
 
 
-def _figure(text: str, name: str, most: float) -> float:
-    if not FIGURE.fullmatch(text) or not 0 < float(text) <= most:
-        raise InvalidRequest(f"{name} is {text[:QUOTED_MOST]!r}, expected a number of at most {most:g}")
+@dataclass(slots=True)
+class CheckedRequest:
+    """A request whose fields are valid."""
+
+    request_class: RequestClass
+    call: Call
+    time_left: float  # ms that the client waits
+
+
+def _number(text: str, name: str, maximum: float) -> float:
+    if not NUMBER.fullmatch(text) or not 0 < float(text) <= maximum:
+        raise InvalidRequestError(f"{name} is {text[:QUOTED_MOST]!r}, expected a number of at most {maximum:g}")
     return float(text)
 
 
 def _tags(text: str) -> dict[str, float]:
-    """The figures in NAME:VALUE;NAME:VALUE."""
-    figures: dict[str, float] = {}
+    """Returns the numbers in NAME:VALUE;NAME:VALUE. Raises InvalidRequestError."""
+    numbers: dict[str, float] = {}
     for pair in filter(None, text.split(";")):
         name, _, value = pair.partition(":")
-        if name not in TAGS_MOST or name in figures:
-            raise InvalidRequest(f"tag {name[:QUOTED_MOST]!r}, expected {', '.join(TAGS_MOST)}, each once")
-        figures[name] = _figure(value, name, TAGS_MOST[name])
-    return figures
+        if name not in TAG_LIMITS or name in numbers:
+            raise InvalidRequestError(f"tag {name[:QUOTED_MOST]!r}, expected {', '.join(TAG_LIMITS)}, each once")
+        numbers[name] = _number(value, name, TAG_LIMITS[name])
+    return numbers
 
 
 def _check_names(fields: dict[str, str], request_classes: dict[str, RequestClass]) -> RequestClass:
-    """Checks the fields' names, class and ids; returns the class."""
+    """Checks the names of the fields, the class and the ids; returns the class."""
     if unknown := fields.keys() - set(FIELDS):
-        raise InvalidRequest(f"field {min(unknown)[:QUOTED_MOST]!r}, expected {', '.join(FIELDS)}")
+        raise InvalidRequestError(f"field {min(unknown)[:QUOTED_MOST]!r}, expected {', '.join(FIELDS)}")
     if (request_class := request_classes.get(fields.get("c", ""))) is None:
-        raise InvalidRequest(f"c is {fields.get('c', '')[:QUOTED_MOST]!r}, expected a class")
+        raise InvalidRequestError(f"c is {fields.get('c', '')[:QUOTED_MOST]!r}, expected a class")
     for name in "io":
         if not IDENT.fullmatch(fields.get(name, "")):
-            raise InvalidRequest(f"{name} is {fields.get(name, '')[:QUOTED_MOST]!r}, expected 16 hex digits")
+            raise InvalidRequestError(f"{name} is {fields.get(name, '')[:QUOTED_MOST]!r}, expected 16 hex digits")
     return request_class
 
 
 def _check_optional(fields: dict[str, str], request_class: RequestClass, tenants: tuple[str, ...]) -> None:
     """Checks tenant, idempotency key and repeat."""
     if "t" in fields and tenants and fields["t"] not in tenants:
-        raise InvalidRequest(f"t is {fields['t'][:QUOTED_MOST]!r}, expected a tenant")
+        raise InvalidRequestError(f"t is {fields['t'][:QUOTED_MOST]!r}, expected a tenant")
     if not KEY.fullmatch(fields.get("k", "" if request_class.effect == "tokened" else "-")):
-        raise InvalidRequest(f"k is {fields.get('k', '')[:QUOTED_MOST]!r}, expected a key of letters and digits")
+        raise InvalidRequestError(f"k is {fields.get('k', '')[:QUOTED_MOST]!r}, expected a key of letters and digits")
     if not REPEAT.fullmatch(fields.get("r", "0")):
-        raise InvalidRequest(f"r is {fields['r'][:QUOTED_MOST]!r}, expected a number, true or false")
+        raise InvalidRequestError(f"r is {fields['r'][:QUOTED_MOST]!r}, expected a number, true or false")
 
 
 def check(
     message: thrift.Message, request_classes: dict[str, RequestClass], tenants: tuple[str, ...] = ()
-) -> tuple[RequestClass, Call, float]:
-    """(class, call, ms that the client waits) of a request. Raises InvalidRequest."""
+) -> CheckedRequest:
+    """Checks the fields of a request. Raises InvalidRequestError."""
     fields = message.fields
     request_class = _check_names(fields, request_classes)
-    time_left = _figure(fields.get("d", ""), "d", TIME_MOST)
-    figures = _tags(fields.get("tags", ""))
+    time_left = _number(fields.get("d", ""), "d", TIME_MOST)
+    numbers = _tags(fields.get("tags", ""))
     _check_optional(fields, request_class, tenants)
     call = Call(
         ident=fields["i"].encode(),
         function=fields["o"],
         input=message.body,
-        memory_mb=figures.get("memory_mb", 0.0),
-        concurrency=max(1, int(figures.get("lanes", 1.0))),
-        load_ms=figures.get("load_ms"),
-        work_ms=_figure(fields["h"], "h", TIME_MOST) if "h" in fields else None,
+        memory_mb=numbers.get("memory_mb", 0.0),
+        concurrency=max(1, int(numbers.get("lanes", 1.0))),
+        load_ms=numbers.get("load_ms"),
+        work_ms=_number(fields["h"], "h", TIME_MOST) if "h" in fields else None,
         is_repeat=fields.get("r", "0") not in ("0", "false"),
         idempotency_key=fields.get("k", ""),
     )
-    return request_class, call, time_left
+    return CheckedRequest(request_class, call, time_left)
--- a/wickdyke/platform/resp.py
+++ b/wickdyke/platform/resp.py
@@ -11,7 +11,7 @@
 ARRAY, BULK_STRING = b"*"[0], b"$"[0]  # first bytes of a length's line
 
 
-class InvalidAnswer(Exception):
+class InvalidAnswerError(Exception):
     """The data is no valid answer: nothing after it on this connection can be trusted."""
 
 
@@ -21,36 +21,40 @@
 
 
 def fields(text: bytes) -> dict[str, str]:
-    """Parses name=value,name=value, or - for none."""
+    """Parses name=value,name=value, or - for none. Raises InvalidAnswerError."""
     if text == b"-":
         return {}
     try:
         pairs = [pair.partition("=") for pair in text.decode().split(",")]
     except UnicodeDecodeError:
-        raise InvalidAnswer("fields that are no UTF-8") from None
+        raise InvalidAnswerError("fields that are no UTF-8") from None
     if not all(name and sign for name, sign, _ in pairs):
-        raise InvalidAnswer("fields that are no name=value")
+        raise InvalidAnswerError("fields that are no name=value")
     return {name: value for name, _, value in pairs}
 
 
 class Answers:
     """Splits a stream into answers, each a list of its parts."""
 
-    def __init__(self, part_size_most: int = PART_SIZE_MOST) -> None:
-        self.buffer, self.part_size_most = bytearray(), part_size_most
-        self.whole: deque[list[bytes]] = deque()
+    def __init__(self, part_size_limit: int = PART_SIZE_MOST) -> None:
+        self.buffer = bytearray()
+        self.part_size_limit = part_size_limit
+        self.complete: deque[list[bytes]] = deque()
         self.parts: list[bytes] = []
-        self.missing = 0  # parts of the incomplete answer that have not come
+        self.missing = 0  # parts of the incomplete answer that were not received
         self.length: int | None = None  # bytes of the next part, where that is known
 
     def feed(self, data: bytes) -> list[list[bytes]]:
-        """Takes bytes and returns the complete answers. Raises InvalidAnswer, with the answers before it in `whole`."""
+        """Takes bytes and returns the complete answers.
+
+        Raises InvalidAnswerError; the answers before the invalid one are then in `complete`.
+        """
         self.buffer += data
         while self._step():
             pass
-        found = list(self.whole)
-        self.whole.clear()
-        return found
+        answers = list(self.complete)
+        self.complete.clear()
+        return answers
 
     @property
     def begun(self) -> bool:
@@ -59,19 +63,20 @@
 
     def _step(self) -> bool:
         """Parses one part or one length; False where more data is needed."""
-        return self._read_length() if self.length is None else self._read_part()
+        return self._read_length() if self.length is None else self._read_part(self.length)
 
-    def _read_part(self) -> bool:
-        buffer, length = self.buffer, self.length
+    def _read_part(self, length: int) -> bool:
+        buffer = self.buffer
         if len(buffer) < length + 2:
             return False
         if buffer[length : length + 2] != b"\r\n":
-            raise InvalidAnswer("a part that is longer than it says")
+            raise InvalidAnswerError("a part that is longer than it says")
         self.parts.append(bytes(buffer[:length]))
         del buffer[: length + 2]
-        self.length, self.missing = None, self.missing - 1
+        self.length = None
+        self.missing -= 1
         if not self.missing:
-            self.whole.append(self.parts)
+            self.complete.append(self.parts)
             self.parts = []
         return True
 
@@ -80,18 +85,19 @@
         if not buffer:
             return False
         if buffer[0] != (BULK_STRING if self.missing else ARRAY):
-            raise InvalidAnswer(f"{bytes(buffer[:8])!r} where a length was due")
+            raise InvalidAnswerError(f"{bytes(buffer[:8])!r} where a length was due")
         end = buffer.find(b"\r\n", 0, LENGTH_LINE_MOST)
         if end < 0:
             if len(buffer) >= LENGTH_LINE_MOST:
-                raise InvalidAnswer("a length that does not end")
+                raise InvalidAnswerError("a length that does not end")
             return False
         digits = bytes(buffer[1:end])
         if not digits.isdigit():
-            raise InvalidAnswer(f"a length of {digits!r}")
-        length, most = int(digits), self.part_size_most if self.missing else PARTS_MOST
-        if length > most or not (length or self.missing):
-            raise InvalidAnswer(f"a length of {length} where {most} is the most")
+            raise InvalidAnswerError(f"a length of {digits!r}")
+        length = int(digits)
+        maximum = self.part_size_limit if self.missing else PARTS_MOST
+        if length > maximum or not (length or self.missing):
+            raise InvalidAnswerError(f"a length of {length} where {maximum} is the most")
         del buffer[: end + 2]
         if self.missing:
             self.length = length
--- a/wickdyke/platform/service.py
+++ b/wickdyke/platform/service.py
@@ -1,4 +1,4 @@
-"""Assembles a front end of the platform: one thread, one event loop that turns the coordinator; signals, shutdown."""
+"""A front end of the platform: one thread, one event loop that steps the coordinator; signals and graceful shutdown."""
 
 import gc
 import os
@@ -6,51 +6,66 @@
 import sys
 import time
 import traceback
+from contextlib import suppress
+from types import FrameType
+from typing import TYPE_CHECKING
 
 from wickdyke.gateway import log as logs
 from wickdyke.gateway.context import clock
 from wickdyke.gateway.coordinator import Coordinator
 from wickdyke.gateway.events import EndpointsReceived
 from wickdyke.platform import configuration as configurations
-from wickdyke.platform.client_server import ClientServer
+from wickdyke.platform.client_server import ClientServer, ClientServerSettings
 from wickdyke.platform.configuration import Configuration, ConfigurationError
-from wickdyke.platform.discovery import DiscoveryClient
-from wickdyke.platform.endpoint_list import EndpointList
+from wickdyke.platform.discovery import DiscoveryClient, DiscoverySettings
+from wickdyke.platform.endpoint_list import EndpointList, Event
+from wickdyke.platform.worker_client import WorkerClientSettings
 from wickdyke.platform.worker_protocol import PlatformWorkerProtocol
 from wickdyke.transport.event_loop import EventLoop
 
-GRACE_PERIOD = 750.0  # ms after SIGTERM in which requests are taken as before, if there is as much time
+if TYPE_CHECKING:
+    from wickdyke.gateway.interfaces import Log
+
+GRACE_PERIOD = 750.0  # ms after SIGTERM in which requests are admitted as before, if there is as much time
 # SIGKILL may come this much later than the longest deadline (counted as so much at most) after SIGTERM, in ms.
 KILL_AFTER = 700.0
 KILL_DEADLINE_MOST = 3000.0
 KILL_MARGIN = 100.0  # ms before that by which all is answered
-LOG_COUNTS_EVERY = 5000.0  # ms between lines of counts
-SWEEP_EVERY = 1000.0  # ms between looks for idle connections to workers
+LOG_COUNTS_INTERVAL = 5000.0  # ms between lines of counts
+SWEEP_INTERVAL = 1000.0  # ms between searches for idle connections to workers
 REREAD_AFTER = 100.0  # ms until a configuration that could not be read is read again
-WAIT_MOST = 100.0  # ms that one turn waits at most, so that a signal's flag is seen
-DISCOVERY_RETRY_PART = 0.4  # of the grace for a drain, within which lost discovery is asked again
+WAIT_MOST = 100.0  # ms that one iteration waits at most, so that a signal's flag is seen
+DISCOVERY_RETRY_FRACTION = 0.4  # of the grace for a drain, within which a lost connection to discovery is retried
 DISCOVERY_RETRY_MOST = 400.0  # ms
+IDLE_FRACTION = 0.7  # of the time after which a worker ends an idle connection, this side does
 DESCRIPTORS_RESERVED = 12  # discovery's old and new connection, one being accepted, a file being read, and more
 
 
 def open_descriptors(limit: int) -> int:
-    """How many descriptors this process has open."""
+    """Returns how many descriptors below `limit` this process has open."""
     count = 0
     for number in range(limit):
-        try:
+        with suppress(OSError):
             os.fstat(number)
             count += 1
-        except OSError:
-            pass
     return count
 
 
+def _worker_settings(configuration: Configuration) -> WorkerClientSettings:
+    limits = configuration.attempt_limits
+    return WorkerClientSettings(
+        limits.connect_timeout, limits.idle_timeout * IDLE_FRACTION, configuration.instance.report_fields
+    )
+
+
 class Service:
-    """One front end. `run` serves until it was asked to end and nothing is owed."""
+    """One front end. `run` serves until a signal requests the shutdown and nothing is owed to clients."""
 
-    def __init__(self, configuration: Configuration, path: str, log) -> None:
-        self.configuration, self.path, self.log = configuration, path, log
-        self.loop = EventLoop(self._fault)
+    def __init__(self, configuration: Configuration, path: str, log: "Log") -> None:
+        self.configuration = configuration
+        self.path = path
+        self.log = log
+        self.loop = EventLoop(self._log_fault)
         # The wall clock is read first: a pause between the two readings makes workers younger, to the safe side.
         self.endpoints = EndpointList(
             configuration.zones,
@@ -61,33 +76,34 @@
         # Clients that idle would take all descriptors, and neither discovery nor a worker could be reached. So what the
         # process may hold is divided: a half at most for clients, some in reserve, the rest for workers.
         free = configuration.sockets - open_descriptors(configuration.sockets) - DESCRIPTORS_RESERVED
-        self.protocol = PlatformWorkerProtocol(self.loop, configuration, log, free - free // 2)
+        self.protocol = PlatformWorkerProtocol(self.loop, _worker_settings(configuration), free - free // 2)
         self.coordinator = Coordinator(configuration, configuration.seed, log, self.protocol, self.endpoints)
         self.client_server = ClientServer(
             self.loop,
-            configuration.listen,
-            configuration.request_classes,
-            free // 2,
+            ClientServerSettings(configuration.listen, configuration.request_classes, free // 2, configuration.tenants),
             self.coordinator.post,
             self.coordinator.busy,
             log,
-            configuration.tenants,
         )
         self.discovery = DiscoveryClient(
             self.loop,
-            configuration.bus,
+            DiscoverySettings(
+                configuration.bus,
+                min(DISCOVERY_RETRY_MOST, DISCOVERY_RETRY_FRACTION * configuration.discovery.drain_grace),
+                configuration.seed,
+            ),
             lambda: self.endpoints.offset,
             self._post_events,
             log,
-            min(DISCOVERY_RETRY_MOST, DISCOVERY_RETRY_PART * configuration.discovery.drain_grace),
-            configuration.seed,
         )
-        self.shutdown_asked_at: float | None = None  # ms
-        self.reload_asked = self.reload_pending = self.stopping = False
+        self.shutdown_requested_at: float | None = None  # ms
+        self.reload_requested = False  # by a signal
+        self.reload_pending = False  # until the file can be read
+        self.stopping = False
         longest = min(KILL_DEADLINE_MOST, max(method.deadline for method in configuration.request_classes))
         self.answer_within = longest + KILL_AFTER - KILL_MARGIN  # ms after SIGTERM
 
-    def _fault(self, error: Exception) -> None:
+    def _log_fault(self, error: Exception) -> None:
         last = traceback.extract_tb(error.__traceback__)[-1]
         self.log.error(
             "fault in the loop",
@@ -95,30 +111,30 @@
             where=f"{os.path.basename(last.filename)}:{last.lineno}",
         )
 
-    def _post_events(self, events: list[dict]) -> None:
+    def _post_events(self, events: list[Event]) -> None:
         self.coordinator.post(EndpointsReceived(events))
 
     def handle_signals(self) -> None:
         """Installs the handlers of SIGTERM, SIGINT and SIGHUP."""
         for number in (signal.SIGTERM, signal.SIGINT):
-            signal.signal(number, self._end)
-        signal.signal(signal.SIGHUP, self._read)
+            signal.signal(number, self._request_shutdown)
+        signal.signal(signal.SIGHUP, self._request_reload)
 
-    def _end(self, number: int, frame: object) -> None:
+    def _request_shutdown(self, number: int, frame: FrameType | None) -> None:
         # The time counts from the signal. Nothing else is done here: it may come between any two lines.
-        if self.shutdown_asked_at is None:
-            self.shutdown_asked_at = clock()
+        if self.shutdown_requested_at is None:
+            self.shutdown_requested_at = clock()
 
-    def _read(self, number: int, frame: object) -> None:
-        self.reload_asked = True
+    def _request_reload(self, number: int, frame: FrameType | None) -> None:
+        self.reload_requested = True
 
     def open(self) -> None:
-        """Starts to serve; raises OSError where it can't listen."""
+        """Starts to serve. Raises OSError where it can't listen."""
         self.coordinator.post(EndpointsReceived(self.configuration.known))
         self.coordinator.turn_once()
         self.discovery.open()
         self.client_server.listen()
-        self.client_server.ready = True
+        self.client_server.serving = True
         self.log.info(
             "serving",
             listen=":".join(map(str, self.configuration.listen)),
@@ -126,8 +142,8 @@
             sockets=self.configuration.sockets,
         )
         self._log_counts()
-        self.loop.every(SWEEP_EVERY, self.protocol.pool.sweep)
-        self.loop.every(LOG_COUNTS_EVERY, self._log_counts)
+        self.loop.call_every(SWEEP_INTERVAL, self.protocol.pool.sweep)
+        self.loop.call_every(LOG_COUNTS_INTERVAL, self._log_counts)
         gc.collect()
         gc.freeze()
 
@@ -145,16 +161,16 @@
         )
 
     def _reload(self) -> None:
-        self.reload_asked = False
+        self.reload_requested = False
         try:
             given = configurations.load(self.path)
             address = configurations.bus(given, self.path)
-        except configurations.Unreadable as error:
+        except configurations.UnreadableConfigurationError as error:
             # The signal comes once and must not be lost, though descriptors or memory may be short for a moment.
             if not self.reload_pending:
                 self.log.warning("configuration not read yet", why=str(error), kept="the last good one")
             self.reload_pending = True
-            self.loop.at(clock() + REREAD_AFTER, self._reload_later)
+            self.loop.call_at(clock() + REREAD_AFTER, self._reload_later)
             return
         except ConfigurationError as error:
             self.reload_pending = False
@@ -168,74 +184,79 @@
         if self.reload_pending:
             self._reload()
 
-    def turn(self) -> bool:
-        """One turn; False when it is over."""
+    def run_once(self) -> bool:
+        """Runs one iteration; returns False once the shutdown is complete."""
         coordinator = self.coordinator
         self._drain()
         wait = (
             0.0
             if not coordinator.events.empty()
-            else min(coordinator.next_at(), self.loop.next_at(), self._next_step()) - clock()
+            else min(coordinator.next_at(), self.loop.next_deadline(), self._next_shutdown_step()) - clock()
         )
-        self.loop.turn(min(wait, WAIT_MOST), coordinator.turn_once)
+        self.loop.run_once(min(wait, WAIT_MOST), coordinator.turn_once)
         coordinator.turn_once()
-        if self.reload_asked:
+        if self.reload_requested:
             self._reload()
-        if self.shutdown_asked_at is None:
+        if self.shutdown_requested_at is None:
             return True
         self._drain()
-        passed = clock() - self.shutdown_asked_at
-        if passed < min(GRACE_PERIOD, self.answer_within):
+        elapsed = clock() - self.shutdown_requested_at
+        if elapsed < min(GRACE_PERIOD, self.answer_within):
             return True
-        late = passed >= self.answer_within
+        late = elapsed >= self.answer_within
         self.client_server.shut()
         if late:
             self._answer_all()
         if not self.client_server.shut_down or not self._settled(late):
             return True
-        # What came since the kernel last told is read before the end: a request there has been taken, and a socket that
-        # is closed with something unread resets the answer under way.
-        return self.client_server.heard_more() or not self.client_server.hang_up(late)
+        # What was received since the last poll is read before the end: a request there has been acknowledged, and a
+        # socket that is closed with something unread resets the answer under way.
+        return self.client_server.read_clients() or not self.client_server.close_idle(late)
 
     def _drain(self) -> None:
-        """Begins the graceful shutdown once it was asked for."""
-        if self.shutdown_asked_at is None:
+        """Begins the graceful shutdown once it was requested."""
+        if self.shutdown_requested_at is None:
             return
-        self.client_server.answer_by = self.shutdown_asked_at + self.answer_within
+        self.client_server.answer_by = self.shutdown_requested_at + self.answer_within
         if not self.stopping:
-            self.stopping, self.client_server.ready = True, False
+            self.stopping = True
+            self.client_server.serving = False
             self.log.info("stopping", open=len(self.coordinator.requests.by_id))
 
-    def _next_step(self) -> float:
-        """When the shutdown has its next step."""
-        if self.shutdown_asked_at is None:
+    def _next_shutdown_step(self) -> float:
+        """Returns when the shutdown has its next step (ms); infinite where it was not requested."""
+        if self.shutdown_requested_at is None:
             return float("inf")
-        steps = (self.shutdown_asked_at + span for span in (min(GRACE_PERIOD, self.answer_within), self.answer_within))
+        steps = (
+            self.shutdown_requested_at + span for span in (min(GRACE_PERIOD, self.answer_within), self.answer_within)
+        )
         now = clock()
         return min((step for step in steps if step > now), default=float("inf"))
 
     def _answer_all(self) -> None:
-        """SIGKILL is near: what is open gets its final answer now, what comes is rejected, no connection is taken."""
+        """SIGKILL is near: answers all open requests now, rejects new ones, and accepts no connection."""
         self.coordinator.stop_admitting()
         if not self.client_server.shut_down:
             self.client_server.shut(True)
         self.coordinator.answer_all("stopping")
 
     def _settled(self, late: bool) -> bool:
-        """Whether nothing is owed to clients. Until it is late, attempts that are still out are waited for as well."""
+        """Returns whether nothing is owed to clients. Until it is late, attempts in flight are waited for as well."""
         if late:
             return self.coordinator.events.empty() and self.client_server.flushed()
         return self.coordinator.idle() and self.client_server.flushed()
 
     def run(self) -> None:
-        """Serves until the end."""
-        while self.turn():
+        """Serves until the shutdown is complete."""
+        while self.run_once():
             pass
-        self.log.info("stopped", took_ms=round(clock() - self.shutdown_asked_at), **dict(self.coordinator.counts))
+        self.log.info(
+            "stopped", took_ms=round(clock() - (self.shutdown_requested_at or 0.0)), **dict(self.coordinator.counts)
+        )
 
 
 def main() -> int:
-    """Serves; 2 and one line on standard error where the configuration can't be used."""
+    """Serves until a signal; returns the exit code: 2, and a line on standard error, for an invalid configuration."""
     try:
         path = configurations.config_path()
         configuration = configurations.read(path, os.environ.get("GW_LISTEN"), os.environ.get("GW_NAME"))
@@ -245,7 +266,7 @@
     log, log_writer = logs.logger(sys.stderr, False)
     service = Service(configuration, path, log.bind(gateway=configuration.name))
     service.handle_signals()
-    # The garbage collector would walk over all that is kept while requests wait. Nearly all is freed by its reference
+    # The garbage collector would traverse all live objects while requests wait. Nearly all are freed by their reference
     # count; the few cycles wait longer.
     gc.set_threshold(20000, 20, 50)
     try:
--- a/wickdyke/platform/sse.py
+++ b/wickdyke/platform/sse.py
@@ -5,7 +5,7 @@
 EVENT_SIZE_MOST = 1 << 22  # bytes: a whole list of 20,000 workers, some 200 bytes each
 
 
-class EventTooLarge(Exception):
+class EventTooLargeError(Exception):
     """An event is larger than EVENT_SIZE_MOST."""
 
 
@@ -22,19 +22,20 @@
 
     def __init__(self) -> None:
         self.buffer = bytearray()  # the incomplete last line
-        self.ident, self.data = "", []
+        self.ident = ""
+        self.data: list[str] = []
         self.event_size = 0  # bytes of the lines of the incomplete event
-        self.within = False  # a line of an event has come, its end has not
+        self.within_event = False  # a line of an event was received, its end was not
 
     @property
     def begun(self) -> bool:
         """Whether an event is incomplete. A comment alone is none."""
-        return self.within or bool(self.buffer) and not self.buffer.startswith(b":")
+        return self.within_event or (bool(self.buffer) and not self.buffer.startswith(b":"))
 
     def feed(self, chunk: bytes) -> list[Event]:
-        """Takes bytes and returns the events that are complete."""
+        """Takes bytes and returns the events that are complete. Raises EventTooLargeError."""
         self.buffer += chunk
-        found = []
+        events = []
         *lines, rest = self.buffer.split(b"\n")
         self.buffer = bytearray(rest)
         for raw in lines:
@@ -42,16 +43,18 @@
             self.event_size += len(raw)
             if not line:
                 if self.data:
-                    found.append(Event(self.ident, "\n".join(self.data)))
-                self.data, self.event_size, self.within = [], 0, False
+                    events.append(Event(self.ident, "\n".join(self.data)))
+                self.data = []
+                self.event_size = 0
+                self.within_event = False
                 continue
             name, _, value = line.partition(":")
-            self.within = self.within or bool(name)
+            self.within_event = self.within_event or bool(name)
             value = value.removeprefix(" ")
             if name == "data":
                 self.data.append(value)
             elif name == "id":
                 self.ident = value
         if self.event_size + len(self.buffer) > EVENT_SIZE_MOST:
-            raise EventTooLarge(f"an event of over {EVENT_SIZE_MOST} bytes")
-        return found
+            raise EventTooLargeError(f"an event of over {EVENT_SIZE_MOST} bytes")
+        return events
--- a/wickdyke/platform/thrift.py
+++ b/wickdyke/platform/thrift.py
@@ -21,8 +21,8 @@
 _HEAD, _FIELD = struct.Struct(">Ii"), struct.Struct(">bh")
 
 
-class Unreadable(Exception):
-    """The data breaks the protocol; `number` is the request's where it is known."""
+class MalformedMessageError(Exception):
+    """The data is no valid message; `number` is that of the request where it is known."""
 
     def __init__(self, why: str, number: int | None = None) -> None:
         super().__init__(why)
@@ -43,31 +43,34 @@
 class Frames:
     """Splits a stream into frames."""
 
-    def __init__(self, most: int = FRAME_SIZE_MOST) -> None:
-        self.buffer, self.most = bytearray(), most
+    def __init__(self, size_limit: int = FRAME_SIZE_MOST) -> None:
+        self.buffer = bytearray()
+        self.size_limit = size_limit
 
     def feed(self, data: bytes) -> list[bytes]:
-        """Takes bytes and returns the complete frames; raises Unreadable at a length that no frame may have."""
-        buffer, found, at = self.buffer, [], 0
+        """Takes bytes and returns the complete frames. Raises MalformedMessageError at a length no frame may have."""
+        buffer = self.buffer
+        frames: list[bytes] = []
+        at = 0
         buffer += data
         while len(buffer) - at >= 4:
             (length,) = _I32.unpack_from(buffer, at)
-            if not 0 < length <= self.most:
+            if not 0 < length <= self.size_limit:
                 # The frames before it count still; the next call finds the length with nothing before it.
-                if found:
+                if frames:
                     break
-                raise Unreadable(f"a frame of {length} bytes")
+                raise MalformedMessageError(f"a frame of {length} bytes")
             if len(buffer) - at - 4 < length:
                 break
-            found.append(bytes(buffer[at + 4 : at + 4 + length]))
+            frames.append(bytes(buffer[at + 4 : at + 4 + length]))
             at += 4 + length
         del buffer[:at]
-        return found
+        return frames
 
     @property
-    def spoilt(self) -> bool:
-        """Whether the next data can't be a frame."""
-        return len(self.buffer) >= 4 and not 0 < _I32.unpack_from(self.buffer)[0] <= self.most
+    def invalid(self) -> bool:
+        """Whether the next data is no frame."""
+        return len(self.buffer) >= 4 and not 0 < _I32.unpack_from(self.buffer)[0] <= self.size_limit
 
     @property
     def begun(self) -> bool:
@@ -77,19 +80,18 @@
 
 class _Reader:
     def __init__(self, data: bytes) -> None:
-        self.data, self.at = data, 0
+        self.data = data
+        self.at = 0
 
     def take(self, length: int) -> bytes:
         if length < 0 or length > len(self.data) - self.at:
-            raise Unreadable(f"{length} bytes where {len(self.data) - self.at} are left")
+            raise MalformedMessageError(f"{length} bytes where {len(self.data) - self.at} are left")
         self.at += length
         return self.data[self.at - length : self.at]
 
-    def unpack(self, form: struct.Struct) -> tuple:
-        return form.unpack(self.take(form.size))
-
     def i32(self) -> int:
-        return _I32.unpack(self.take(4))[0]
+        value: int = _I32.unpack(self.take(4))[0]
+        return value
 
     def string(self) -> bytes:
         return self.take(self.i32())
@@ -100,18 +102,18 @@
 
     def fields(self) -> dict[str, str]:
         kinds, count = self.take(2), self.i32()
-        if not 0 <= count <= FIELDS_MOST or count and kinds != bytes((STRING, STRING)):
-            raise Unreadable(f"a map of {count} entries, expected {FIELDS_MOST} of strings at most")
-        found: dict[str, str] = {}
+        if not 0 <= count <= FIELDS_MOST or (count and kinds != bytes((STRING, STRING))):
+            raise MalformedMessageError(f"a map of {count} entries, expected {FIELDS_MOST} of strings at most")
+        fields: dict[str, str] = {}
         for _ in range(count):
             name, value = self.string(), self.string()
             try:
-                found[name.decode()] = value.decode()
+                fields[name.decode()] = value.decode()
             except UnicodeDecodeError:
-                raise Unreadable("a field that is no UTF-8") from None
-        if len(found) != count:
-            raise Unreadable("a field twice")
-        return found
+                raise MalformedMessageError("a field that is no UTF-8") from None
+        if len(fields) != count:
+            raise MalformedMessageError("a field twice")
+        return fields
 
     def skip(self, kind: int, depth: int = DEPTH_MOST) -> None:
         if kind in SIZES:
@@ -125,37 +127,40 @@
             kinds = self.take(2 if kind == MAP else 1)
             count = self.i32()
             if not 0 <= count <= len(self.data):
-                raise Unreadable(f"{count} entries")
+                raise MalformedMessageError(f"{count} entries")
             for _ in range(count):
                 for inner_kind in kinds:
                     self.skip(inner_kind, depth - 1)
         else:
-            raise Unreadable(f"a value of type {kind}")
+            raise MalformedMessageError(f"a value of type {kind}")
 
 
 def read(frame: bytes) -> Message:
-    """The message in one frame; raises Unreadable."""
+    """Parses the message in one frame. Raises MalformedMessageError."""
     reader = _Reader(frame)
     head = reader.i32() & 0xFFFFFFFF
     if head & 0xFFFFFF00 != VERSION or head & 0xFF not in (CALL, ONEWAY):
-        raise Unreadable("no call of the strict binary protocol")
+        raise MalformedMessageError("no call of the strict binary protocol")
     name = reader.string()
     number = reader.i32()
     try:
         return _read_arguments(reader, name, number)
     except UnicodeDecodeError:
-        raise Unreadable("a name that is no ASCII", number) from None
-    except Unreadable as error:
-        raise Unreadable(str(error), number) from None
+        raise MalformedMessageError("a name that is no ASCII", number) from None
+    except MalformedMessageError as error:
+        raise MalformedMessageError(str(error), number) from None
 
 
 def _read_arguments(reader: _Reader, name: bytes, number: int) -> Message:
-    fields, body, about, given = {}, b"", 0, set()
+    fields: dict[str, str] = {}
+    body = b""
+    about = 0
+    given = set()
     while (field := reader.field())[0] != STOP:
         kind, ident = field
         if name == b"dispatch" and ident in (FIELDS_ARGUMENT, BODY_ARGUMENT):
             if ident in given or kind != (MAP if ident == FIELDS_ARGUMENT else STRING):
-                raise Unreadable(f"argument {ident} of type {kind} or twice")
+                raise MalformedMessageError(f"argument {ident} of type {kind} or twice")
             given.add(ident)
             if ident == FIELDS_ARGUMENT:
                 fields = reader.fields()
@@ -166,9 +171,9 @@
         else:
             reader.skip(kind)
     if reader.at != len(reader.data):
-        raise Unreadable(f"{len(reader.data) - reader.at} bytes too many")
+        raise MalformedMessageError(f"{len(reader.data) - reader.at} bytes too many")
     if len(body) > BODY_SIZE_MOST:
-        raise Unreadable(f"a body of {len(body)} bytes")
+        raise MalformedMessageError(f"a body of {len(body)} bytes")
     return Message(name.decode("ascii"), number, fields, body, about)
 
 
@@ -200,7 +205,7 @@
 
 
 def answer(verb: str, number: int, body: bytes, success: bool = True) -> bytes:
-    """The frame of an Answer."""
+    """Renders the frame of an Answer."""
     return _frame(
         REPLY,
         verb,
@@ -226,17 +231,17 @@
 
 
 def shed(verb: str, number: int, fields: dict[str, str]) -> bytes:
-    """The frame of a Shed."""
+    """Renders the frame of a Shed: the request was rejected."""
     return _declared_exception(1, verb, number, fields)
 
 
 def fault(verb: str, number: int, fields: dict[str, str]) -> bytes:
-    """The frame of a Fault."""
+    """Renders the frame of a Fault: the request failed."""
     return _declared_exception(2, verb, number, fields)
 
 
 def problem(verb: str, number: int, why: str, code: int = PROTOCOL_ERROR) -> bytes:
-    """The frame of an application exception."""
+    """Renders the frame of an application exception."""
     return _frame(
         EXCEPTION,
         verb,
--- a/wickdyke/platform/worker_client.py
+++ b/wickdyke/platform/worker_client.py
@@ -1,38 +1,45 @@
-"""All connections to one worker: which a command goes on, and what is known when one ends.
+"""All connections to one worker: which one a command is sent on, and how commands end when a connection does.
 
-An attempt has a connection to itself while the pool has one to give: what spoils or resets a connection then costs no
-other. Prewarms and health checks share one beside them.
+An attempt has a connection to itself while the pool allows: what breaks or resets a connection then costs no other
+attempt. Prewarms and health checks share one beside them.
 """
 
-import errno
 from collections.abc import Callable
+from dataclasses import dataclass
 
 from wickdyke.gateway.events import CommandFinished, Event
 from wickdyke.gateway.interfaces import CommandKind, CommandResult
-from wickdyke.platform import resp
 from wickdyke.platform.connection_pool import ConnectionPool
+from wickdyke.platform.connection_state import EndCause
+from wickdyke.platform.liveness_probe import LivenessProbe
+from wickdyke.platform.reachability import Liveness, Reachability
 from wickdyke.platform.worker_command import Command
-from wickdyke.platform.worker_connection import EndCause, WorkerConnection
+from wickdyke.platform.worker_connection import WorkerConnection
 from wickdyke.routing.model import Outcome
 from wickdyke.transport.event_loop import EventLoop, clock
-from wickdyke.transport.write_buffer import OutgoingMessage, PeerTooSlow
-
-# Of the errors of connect(2) and socket(2), ECONNREFUSED alone is an answer of the worker's machine that nobody is
-# there. These say that no way to it is known, of this machine for a moment or of the worker for long. The others are
-# of this machine (descriptors, memory, ports, permissions, a signal) and tell nothing of a worker.
-NO_ROUTE_ERRORS = (errno.ENETUNREACH, errno.EHOSTUNREACH, errno.ENETDOWN, errno.EHOSTDOWN, errno.ETIMEDOUT)
-AWAY_AFTER = 1000.0  # ms for which connections find no way, none as far from the last, before a worker is away
-SENDS_MOST = 3  # connections that one command is handed to before a byte of it went
-CONNECT_TIMEOUTS = 2  # connections in a row that time out, each begun after the last, before a worker is away
-LOST_ANSWER = {  # what a command whose answer got lost ends as, at a worker that lives
+
+SENDS_MOST = 3  # connections that one command is handed to before a byte of it was sent
+LOST_ANSWER = {  # how a command whose answer was lost ends, at a worker that lives
     CommandKind.ATTEMPT: Outcome.ERROR,
     CommandKind.HEALTH_CHECK: Outcome.ERROR,
     CommandKind.PREWARM: Outcome.TIMEOUT,
 }
 
 
+@dataclass(slots=True, frozen=True)
+class WorkerClientSettings:
+    """The settings of the clients of all workers; times in ms."""
+
+    connect_timeout: float
+    idle_timeout: float  # a connection idle for longer is ended
+    report_fields: tuple[str, ...]  # of load reports, in the order of the settings
+
+
 class WorkerClient:
-    """All connections to one worker."""
+    """All connections to one worker. It calls `notify` with one CommandFinished for each command.
+
+    `address` is HOST:PORT.
+    """
 
     def __init__(
         self,
@@ -41,31 +48,30 @@
         notify: Callable[[Event], None],
         loop: EventLoop,
         pool: ConnectionPool,
-        connect_timeout: float,
-        idle_after: float,
-        report_fields: tuple[str, ...],
+        settings: WorkerClientSettings,
     ) -> None:
-        self.name, self.notify, self.loop, self.pool = name, notify, loop, pool
+        self.name = name
+        self.notify = notify
+        self.loop = loop
+        self.pool = pool
         host, _, port = address.rpartition(":")
         self.target = host, int(port)
-        self.connect_timeout, self.idle_after, self.report_fields = connect_timeout, idle_after, report_fields
-        self.connections: list[WorkerConnection] = []  # for attempts; the last used at the end
+        self.connect_timeout = settings.connect_timeout
+        self.idle_timeout = settings.idle_timeout
+        self.report_fields = settings.report_fields
+        self.connections: list[WorkerConnection] = []  # for attempts; the one used last at the end
         self.shared: WorkerConnection | None = None  # for prewarms and health checks
-        # Commands lost with the last connection, until a new one tells whether the worker lives.
-        self.unresolved: list[Command] = []
-        self.probe_connection: WorkerConnection | None = None  # that new one
-        self.probe_count = 0  # connections made for what is unresolved now
-        self.draining = self.closed = False
-        self.timeouts_in_row, self.timed_out_at = 0, float("-inf")  # of connections; when the last was
-        self.no_route_since = float("inf")  # the first in a row that found no way
-        self.no_route_at = float("-inf")  # the last
-
-    def all(self) -> list[WorkerConnection]:
+        self.reachability = Reachability()
+        self.probe = LivenessProbe(self._connect_probe, self._end_lost)
+        self.draining = False
+        self.closed = False
+
+    def all_connections(self) -> list[WorkerConnection]:
         """Its connections."""
         return [*self.connections, *([self.shared] if self.shared else [])]
 
     def send(self, command: Command) -> None:
-        """Sends it on a connection that fits; its end comes by `notify`."""
+        """Sends a command on a connection that takes it; its end is reported by `notify`."""
         command.worker_client = self
         if self.closed or self.draining or command.deadline <= clock():
             self.finish(command, Outcome.UNSENT)
@@ -103,7 +109,7 @@
         if (
             connection is not None
             and connection.commands_in_flight == 0
-            and not (clock() - connection.used < self.idle_after and connection.alive())
+            and not (clock() - connection.last_used_at < self.idle_timeout and connection.alive())
         ):
             connection.end("idle")
         if self.shared is None or not self.shared.accepts(ident):
@@ -112,113 +118,76 @@
             connection = WorkerConnection(self)
             if connection.failed:
                 return connection
-            if self.shared is not None:  # it ends with what is on it
+            if self.shared is not None:  # it ends with the last command on it
                 self.connections.insert(0, self.shared)
                 self.shared.stale = True
             self.shared = connection
         return self.shared
 
     def sweep(self) -> None:
-        """Leaves connections before the worker ends them as idle."""
+        """Ends idle connections before the worker does."""
         now = clock()
         for connection in list(self.connections):
-            if not connection.commands_in_flight and (connection.stale or now - connection.used > self.idle_after):
+            if not connection.commands_in_flight and (
+                connection.stale or now - connection.last_used_at > self.idle_timeout
+            ):
                 connection.end("idle")
 
-    def finish(self, command: Command, outcome: str, result: CommandResult | None = None) -> None:
-        """Tells how a command ended."""
+    def finish(self, command: Command, outcome: Outcome, result: CommandResult | None = None) -> None:
+        """Reports how a command ended."""
         self.notify(CommandFinished(self, command, outcome, result, None))
         if self.draining:
-            self._maybe_close()
+            self._close_if_drained()
 
     def send_again(self, command: Command) -> None:
-        """A connection ended as it came up, before a byte of the command went: once more on another."""
+        """Sends a command on another connection: its own ended as it was established, before a byte of it was sent."""
         command.sends += 1
         if command.sends < SENDS_MOST:
             self.send(command)
         else:
             self.finish(command, Outcome.UNSENT)
 
-    def answers_lost(self, commands: list[Command], spoke: bool) -> None:
-        """A connection ended with these in flight: they may have run.
+    def answers_lost(self, commands: list[Command], worker_alive: bool) -> None:
+        """A connection ended with these commands in flight: they may have run.
 
-        CONNECTION_LOST says that the process is gone, with all that it had loaded. What ends beside connections that
-        stand, or on an answer that can't be read, tells of answers only; where none stands, a new connection tells.
-        That misleads where a process is back before that connection: the endpoint list tells then.
+        CONNECTION_LOST says that the process ended, with all that it had loaded. The end of a connection beside others
+        that are established, or on an answer that is invalid, costs the answers only; where no other is established, a
+        new connection shows which it was. That misleads where a process was restarted before that connection: the
+        endpoint list reports that.
         """
         others = [
-            connection
-            for connection in (*self.connections, self.shared)
-            if connection is not None and not connection.closed and connection.up
+            connection for connection in (*self.connections, self.shared) if connection is not None and connection.up
         ]
-        if spoke or any(connection.alive() for connection in others):
-            self._found(commands, True)
-            return
-        self.unresolved += commands
-        if self.probe_connection is None:
-            self.probe_count = 0
-            self._probe()
-
-    def _probe(self) -> None:
-        # Where nothing can be learned by a few, as where it is this machine that makes none, more would not tell.
-        self.probe_count += 1
-        more = not self.closed and self.probe_count <= SENDS_MOST
-        self.probe_connection = WorkerConnection(self) if more and self.pool.has_room() else None
-        if self.probe_connection is not None and not self.probe_connection.failed:
-            self.connections.insert(0, self.probe_connection)
-            return
-        # Nothing is known of it where no descriptor is left, and then nothing loaded there is taken for gone.
-        lives = not self.closed and (self.probe_connection is None or self.probe_connection.failed == Outcome.UNSENT)
-        self.probe_connection, commands, self.unresolved, self.probe_count = None, self.unresolved, [], 0
-        self._found(commands, lives)
-
-    def settle_unresolved(self, lives: bool | None) -> None:
-        """A connection told whether the worker lives, or (None) did not: that settles what is in doubt."""
-        if self.unresolved and (lives or self.probe_connection is None or self.probe_connection.closed):
-            if lives is None:
-                return self._probe()
-            commands, self.unresolved, self.probe_count = self.unresolved, [], 0
-            self._found(commands, lives)
-        if self.probe_connection is not None and (self.probe_connection.closed or self.probe_connection.up):
-            self.probe_connection = None
-        return None
-
-    def connect_timed_out(self, connection: WorkerConnection) -> bool:
-        """A connection has not come up in time; whether that may yet be the connection alone."""
-        # One connection of many comes up late or never, and the router takes a worker it could not reach for one that
-        # starts anew: all that is loaded there forgotten, warming up for the whole ramp. That costs time where a
-        # machine has vanished: the first command there learns it one time-out later.
-        if connection.begun >= self.timed_out_at:
-            self.timeouts_in_row, self.timed_out_at = self.timeouts_in_row + 1, clock()
-        return self.timeouts_in_row < CONNECT_TIMEOUTS
-
-    def proves_nothing(self, code: int) -> bool:
-        """Whether a connection that could not be made for that error tells nothing of the worker."""
-        # A moment in which this machine finds no way to any worker would be taken for one in which all start anew: all
-        # that is loaded forgotten, all warming up. That costs time where a worker's machine has vanished: what is sent
-        # there until it is found out ends as never sent.
-        if code == errno.ECONNREFUSED:
-            return False
-        if code not in NO_ROUTE_ERRORS:
-            return True
-        now = clock()
-        if now - self.no_route_at >= AWAY_AFTER:
-            self.no_route_since = now
-        self.no_route_at = now
-        return now - self.no_route_since < AWAY_AFTER
+        if worker_alive or any(connection.alive() for connection in others):
+            self._end_lost(commands, True)
+        else:
+            self.probe.add(commands)
+
+    def _connect_probe(self) -> WorkerConnection | None:
+        if not self.pool.has_room():
+            return None
+        connection = WorkerConnection(self)
+        if not connection.failed:
+            self.connections.insert(0, connection)
+        return connection
+
+    def _end_lost(self, commands: list[Command], alive: bool) -> None:
+        """Ends commands whose answers were lost, at a worker that is alive or not."""
+        for command in commands:
+            if command.connection is not None:  # else it was withdrawn meanwhile
+                self.finish(command, LOST_ANSWER[command.kind] if alive else Outcome.CONNECTION_LOST)
 
     def connected(self) -> None:
-        """A connection came up."""
-        self.timeouts_in_row = 0
-        self.reached()
-        self.settle_unresolved(True)
+        """A connection was established."""
+        self.reachability.connected()
+        self.settle_unresolved(Liveness.ALIVE)
 
-    def reached(self) -> None:
-        """A connection came up, or something came on one: there is a way to the worker."""
-        self.no_route_at = float("-inf")
+    def settle_unresolved(self, liveness: Liveness) -> None:
+        """A connection was established or failed, which may settle commands whose answers were lost."""
+        self.probe.settle(liveness)
 
     def connection_idle(self, connection: WorkerConnection) -> None:
-        """A connection has nothing on it: what waits for one that is still being made goes there."""
+        """A connection has no command in flight: one that waits for a connection still being made goes there."""
         if connection.closed or connection.stale or connection not in self.connections:
             return
         for other in self.connections:
@@ -228,143 +197,80 @@
                     connection.send(command)
                     return
 
-    def _found(self, commands: list[Command], lives: bool) -> None:
-        for command in commands:
-            if command.connection is not None:  # else it was taken back meanwhile
-                self.finish(command, LOST_ANSWER[command.kind] if lives else Outcome.CONNECTION_LOST)
-
     def connection_ended(self, connection: WorkerConnection) -> None:
         """A connection has ended."""
         if connection is self.shared:
             self.shared = None
         elif connection in self.connections:
             self.connections.remove(connection)
-        if not self.all():
+        if not self.all_connections():
             self.pool.worker_clients.discard(self)
 
     def cancel(self, command: Command, done: Callable[[], None]) -> str | None:
-        """Withdraws an attempt; returns what wickdyke/jsonrpc/worker_client.py states."""
-        said = self._cancel(command, done)
+        """Withdraws an attempt; `done` is called once a cancel that waits to be written is with the kernel."""
+        withdrawal = self._cancel(command, done)
         if self.draining:  # that may have been the last
-            self._maybe_close()
-        return said
+            self._close_if_drained()
+        return withdrawal
 
     def _cancel(self, command: Command, done: Callable[[], None]) -> str | None:
-        connection = command.connection
-        if command in self.unresolved:
-            command.connection = None
-            self.unresolved.remove(command)
+        if self.probe.remove(command):
             return Outcome.CANCELLED
-        if self._withdraw(command):
-            return Outcome.UNSENT
-        if connection is None or connection.closed or connection.open.get(command.ident) is not command:
+        connection = command.connection
+        if connection is None:
             return "ended"
-        if len(connection.open) == 1 and not connection.pending:
-            # Ending the connection gives up what is on it. What said nothing in all that time may be cut off, and the
-            # next on it would wait in vain.
-            del connection.open[command.ident]
-            connection.end("given up")
-            return Outcome.CANCELLED
-        try:
-            with_kernel = connection.write_buffer.put(
-                OutgoingMessage(
-                    resp.command(b"abort", command.ident), lambda: self._cancelled(connection, command, done)
-                )
-            )
-        except (PeerTooSlow, OSError) as bad:
-            connection.end(f"{type(bad).__name__}: {bad}")  # which tells of all that was on it
-            return None
-        if not with_kernel:
-            return None
-        self._given_up(connection, command)
-        return Outcome.CANCELLED
-
-    def _cancelled(self, connection: WorkerConnection, command: Command, done: Callable[[], None]) -> None:
-        if connection.open.get(command.ident) is command:
-            self._given_up(connection, command)
-            done()
-
-    def _given_up(self, connection: WorkerConnection, command: Command) -> None:
-        connection.open.pop(command.ident, None)
-        connection.ended_ids.append(command.ident)
-        connection.stale = connection.stale or connection.heard <= command.sent_at or connection.answers.begun
+        if connection.withdraw(command):
+            return Outcome.UNSENT
+        return connection.cancel(command, done)
 
     def withdraw_unsent(self, command: Command) -> bool:
-        """Takes back what has not begun to go out; True where it was so, and it has ended."""
-        taken = self._withdraw(command)
-        if taken and self.draining:
-            self._maybe_close()
-        return taken
-
-    def _withdraw(self, command: Command) -> bool:
-        connection = command.connection
-        if connection is None or connection.closed:
-            return False
-        if command in connection.pending:
-            connection.pending.remove(command)
-            return True
-        if connection.open.get(command.ident) is command and connection.write_buffer.withdraw(command.message):
-            del connection.open[command.ident]
-            return True
-        return False
+        """Withdraws a command if no byte of it was sent; returns whether it was, and has ended."""
+        withdrawn = command.connection is not None and command.connection.withdraw(command)
+        if withdrawn and self.draining:
+            self._close_if_drained()
+        return withdrawn
 
     def withdraw_all_unsent(self) -> None:
-        """Nothing new goes there: what has not begun to go out ends as unsent."""
-        for connection in self.all():
+        """Withdraws all commands of which no byte was sent: they end as unsent."""
+        for connection in self.all_connections():
             for command in [*connection.pending, *connection.open.values()]:
-                if self._withdraw(command):
+                if command.connection is not None and command.connection.withdraw(command):
                     self.finish(command, Outcome.UNSENT)
 
     def abandon(self, command: Command) -> bool:
-        """No answer is waited for any more; False where it has ended already."""
-        was_out = self._abandon(command)
+        """Waits no longer for the answer; False where the command has ended."""
+        was_in_flight = self.probe.remove(command) or (
+            command.connection is not None and command.connection.abandon(command)
+        )
         if self.draining:
-            self._maybe_close()
-        return was_out
-
-    def _abandon(self, command: Command) -> bool:
-        connection = command.connection
-        if command in self.unresolved:
-            command.connection = None
-            self.unresolved.remove(command)
-            return True
-        if connection is None or connection.closed:
-            return False
-        if command in connection.pending:
-            connection.pending.remove(command)
-            return True
-        if connection.open.get(command.ident) is not command:
-            return False
-        self._given_up(connection, command)
-        if connection.stale and not connection.commands_in_flight:
-            connection.end("silent")
-        return True
+            self._close_if_drained()
+        return was_in_flight
 
     def disconnect(self) -> None:
         """Ends all connections; what is in flight there ends as lost."""
-        for connection in self.all():
-            connection.end("cut", EndCause.INCONCLUSIVE)  # our doing: it tells nothing of the worker
+        for connection in self.all_connections():
+            connection.end("cut", EndCause.INCONCLUSIVE)  # by this side: it shows nothing of the worker
 
     def drain(self) -> None:
-        """No more is to be sent; it ends with the last of what is in flight."""
+        """Sends no more commands, and closes with the last one in flight."""
         self.draining = True
         self.withdraw_all_unsent()
-        self._maybe_close()
+        self._close_if_drained()
 
-    def _maybe_close(self) -> None:
+    def _close_if_drained(self) -> None:
         if not (
             self.closed
-            or self.unresolved
+            or self.probe.unresolved
             or any(connection.commands_in_flight for connection in self.connections)
-            or self.shared
-            and self.shared.commands_in_flight
+            or (self.shared and self.shared.commands_in_flight)
         ):
             self.close()
 
     def close(self) -> None:
-        """Ends it at once."""
+        """Ends all connections at once."""
         if self.closed:
             return
         self.closed = True
+        self.probe.closed = True
         self.pool.worker_clients.discard(self)
         self.disconnect()
