--- a/wickdyke/platform/worker_command.py
+++ b/wickdyke/platform/worker_command.py
@@ -1,16 +1,26 @@
-"""A command to a worker as it is sent, with the time that is left as its first byte goes."""
+"""A command to a worker, rendered with the time that is left at the moment its first byte is sent."""
 
 import math
 from collections.abc import Callable
-from typing import TYPE_CHECKING
+from typing import Protocol
 
 from wickdyke.gateway import interfaces
 from wickdyke.gateway.interfaces import CommandKind
 from wickdyke.transport.event_loop import clock
 from wickdyke.transport.write_buffer import OutgoingMessage
 
-if TYPE_CHECKING:
-    from wickdyke.platform.worker_connection import WorkerConnection
+
+class CommandConnection(Protocol):
+    """The connection that a command was handed to, for its withdrawal."""
+
+    def withdraw(self, command: "Command") -> bool:
+        """Takes the command back; False where a byte of it may have been sent, or it has ended."""
+
+    def cancel(self, command: "Command", done: Callable[[], None]) -> str | None:
+        """Cancels a command that was sent. Returns what `interfaces.WorkerClient.cancel` does."""
+
+    def abandon(self, command: "Command") -> bool:
+        """Waits no longer for the answer; False where the command has ended."""
 
 
 class Command(interfaces.Command):
@@ -20,26 +30,29 @@
     `deadline` (monotonic ms). `sends` counts the connections it was handed to.
     """
 
-    __slots__ = ("ident", "content", "deadline", "message", "connection", "sent_at", "sends")
+    __slots__ = ("connection", "content", "deadline", "ident", "message", "sends", "sent_at")
 
     def __init__(
         self,
         kind: CommandKind,
-        key: object,
+        key: "interfaces.CommandKey",
         ident: bytes,
         content: bytes | Callable[[int], bytes],
         deadline: float = math.inf,
     ) -> None:
         super().__init__(kind, key)
-        self.ident, self.content, self.deadline = ident, content, deadline
-        self.message: OutgoingMessage | None = None
-        self.connection: WorkerConnection | None = None
-        self.sent_at, self.sends = 0.0, 0
+        self.ident = ident
+        self.content = content
+        self.deadline = deadline
+        self.message: OutgoingMessage | None = None  # once its connection is established
+        self.connection: CommandConnection | None = None  # None also once it is withdrawn while its fate is unresolved
+        self.sent_at = 0.0  # ms
+        self.sends = 0
 
     def render(self) -> bytes | None:
-        """The command as it may be sent now; None where its time is up."""
+        """Returns the command as it may be sent now; None where its deadline has passed."""
         left = self.deadline - clock()
         if left <= 0:
             return None
-        # Rounded down: a worker is told no more than is left.
+        # Rounded down: a worker is promised no more time than is left.
         return self.content(max(1, math.floor(left))) if callable(self.content) else self.content
--- a/wickdyke/platform/worker_connection.py
+++ b/wickdyke/platform/worker_connection.py
@@ -1,94 +1,146 @@
-"""One connection to a worker: commands go out on it, and its client is told how each ended."""
+"""One connection to a worker: sends commands, reads their answers, and reports to its owner how each ended."""
 
 import errno
 import socket
 from collections import deque
-from enum import Enum
-from typing import TYPE_CHECKING
+from collections.abc import Callable
+from typing import Protocol
 
+from wickdyke.gateway.interfaces import CommandResult
 from wickdyke.platform import resp
+from wickdyke.platform.connection_pool import ConnectionPool, PooledClient
+from wickdyke.platform.connection_state import LIVENESS, ConnectionState, EndCause
+from wickdyke.platform.reachability import Liveness, Reachability
 from wickdyke.platform.worker_command import Command
 from wickdyke.platform.worker_results import read_result
 from wickdyke.routing.model import Outcome
-from wickdyke.transport.event_loop import clock, dial
-from wickdyke.transport.write_buffer import SHORT_OF_MEMORY, Expired, OutgoingMessage, PeerTooSlow, WriteBuffer
-
-if TYPE_CHECKING:
-    from wickdyke.platform.worker_client import WorkerClient
+from wickdyke.transport.event_loop import EventLoop, Priority, clock, dial, error_name
+from wickdyke.transport.write_buffer import (
+    SHORT_OF_MEMORY,
+    MessageExpiredError,
+    OutgoingMessage,
+    PeerTooSlowError,
+    WriteBuffer,
+)
 
 READ_SIZE = 1 << 16  # bytes read at a time
 UNREAD_MOST = 1 << 20  # bytes that may wait for a worker
 COMMANDS_MOST = 32  # on one connection
 ENDED_IDS_KEPT = 64  # ids no longer open that are remembered, so that a late or second answer meets none
-PEER_WAS_THERE = (errno.ECONNRESET, errno.EPIPE)  # ends of a connection that was taken by the other side
+PEER_WAS_THERE = (errno.ECONNRESET, errno.EPIPE)  # ends of a connection that the other side had accepted
+
+
+def _is_begun(command: Command) -> bool:
+    return command.message is not None and command.message.begun
+
+
+class ConnectionOwner(PooledClient, Protocol):
+    """The worker client of a connection, which the connection notifies."""
+
+    name: str
+    target: tuple[str, int]  # host and port
+    loop: EventLoop
+    pool: ConnectionPool
+    connect_timeout: float  # ms
+    report_fields: tuple[str, ...]
+    reachability: Reachability
+
+    def connected(self) -> None:
+        """The connection was established."""
 
+    def connection_idle(self, connection: "WorkerConnection") -> None:
+        """No command is in flight on the connection any more."""
 
-class EndCause(Enum):
-    """What the end of a connection tells of its worker."""
+    def connection_ended(self, connection: "WorkerConnection") -> None:
+        """The connection has ended; how its commands ended follows."""
 
-    PLAIN = "plain"  # nothing beside the end itself
-    INVALID_ANSWER = "invalid answer"  # the worker has just sent something
-    RESET_EARLY = "reset early"  # it was there, and ended the connection as it came up
-    INCONCLUSIVE = "inconclusive"  # it did not come up, which may be the connection, or this machine, alone
+    def finish(self, command: Command, outcome: Outcome, result: CommandResult | None = None) -> None:
+        """A command has ended."""
+
+    def send_again(self, command: Command) -> None:
+        """The connection ended before a byte of the command was sent, which may go on another."""
+
+    def answers_lost(self, commands: list[Command], worker_alive: bool) -> None:
+        """The connection ended with these commands in flight: they may have run."""
+
+    def settle_unresolved(self, liveness: Liveness) -> None:
+        """The connection ended before it was established, which shows that of the worker."""
 
 
 class WorkerConnection:
     """One connection to a worker. `failed` is how a command for it ends, where it could not even be begun."""
 
-    first = True  # its events are served before those of clients
-
-    def __init__(self, worker_client: "WorkerClient") -> None:
-        self.worker_client, self.loop = worker_client, worker_client.loop
-        self.open: dict[bytes, Command] = {}
-        self.pending: list[Command] = []  # until it is up
+    priority = Priority.HIGH
+    sock: socket.socket  # not set where the connect failed at once
+    write_buffer: WriteBuffer  # likewise
+
+    def __init__(self, worker_client: ConnectionOwner) -> None:
+        self.worker_client = worker_client
+        self.loop = worker_client.loop
+        self.state = ConnectionState.CONNECTING
+        self.stale = False  # takes no more commands, and ends with the last one in flight
+        self.open: dict[bytes, Command] = {}  # handed to the write buffer, and owed an answer
+        self.pending: list[Command] = []  # until it is established
         self.ended_ids: deque[bytes] = deque(maxlen=ENDED_IDS_KEPT)
         self.answers = resp.Answers()
-        self.up = self.closed = self.stale = False
-        self.begun = self.used = self.heard = clock()
+        self.begun_at = self.last_used_at = self.last_read_at = clock()
         self.failed: Outcome | None = None
-        self.sock, code = dial(worker_client.target)
-        if self.sock is None:
-            self.closed = True
-            self.failed = Outcome.UNSENT if worker_client.proves_nothing(code) else Outcome.UNREACHED
-            self._count(f"connect_{errno.errorcode.get(code, code)}")
+        sock, code = dial(worker_client.target)
+        if sock is None:
+            self.state = ConnectionState.CLOSED
+            inconclusive = worker_client.reachability.is_inconclusive(code)
+            self.failed = Outcome.UNSENT if inconclusive else Outcome.UNREACHED
+            self._count(f"connect_{error_name(code)}")
         else:
+            self.sock = sock
             self._register()
 
     def _register(self) -> None:
         try:
             self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        except OSError:  # reset already, which it tells as it comes up, or short of memory: it serves without
+        except OSError:  # reset already, which the connect reports as well, or short of memory: it works without
             self._count("delayed")
-        self.write_buffer = WriteBuffer(self.sock, UNREAD_MOST, self.worker_client.name, self._waits)
+        self.write_buffer = WriteBuffer(self.sock, UNREAD_MOST, self.worker_client.name, self._set_waiting)
         try:
             self.loop.add(self.sock, self, write=True)
         except OSError as error:
             # Counted and not served, it would hold its place in the pool for good, and its command its time.
-            self.closed, self.failed = True, Outcome.UNSENT
-            self._count(f"register_{errno.errorcode.get(error.errno, error.errno)}")
+            self.state = ConnectionState.CLOSED
+            self.failed = Outcome.UNSENT
+            self._count(f"register_{error_name(error.errno)}")
             self._release()
             return
         pool = self.worker_client.pool
         pool.used += 1
         pool.worker_clients.add(self.worker_client)
         self._count("dialled")
-        self.loop.at(self.begun + self.worker_client.connect_timeout, self._timed_out)
+        self.loop.call_at(self.begun_at + self.worker_client.connect_timeout, self._timed_out)
+
+    def _count(self, name: str) -> None:
+        self.worker_client.pool.counts[name] += 1
+
+    @property
+    def up(self) -> bool:
+        """Whether it is established, and has not ended."""
+        return self.state is ConnectionState.ESTABLISHED
 
-    def _count(self, what: str) -> None:
-        self.worker_client.pool.counts[what] += 1
+    @property
+    def closed(self) -> bool:
+        """Whether it has ended, or could not be begun."""
+        return self.state is ConnectionState.CLOSED
 
     @property
     def commands_in_flight(self) -> int:
-        """Commands on it."""
+        """Commands that it was handed and that have not ended."""
         return len(self.open) + len(self.pending)
 
     def accepts(self, ident: bytes) -> bool:
-        """Whether a command under that id may go here: never two under one, nor one of which an answer may yet come.
+        """Returns whether a command of that id may go here: no two of one id, nor one whose answer may come yet.
 
         Where an answer stopped short, all that comes after it on that connection is taken for its rest.
         """
         return (
-            not self.closed
+            self.state is not ConnectionState.CLOSED
             and not self.stale
             and self.commands_in_flight < COMMANDS_MOST
             and not self.answers.begun
@@ -98,9 +150,9 @@
         )
 
     def alive(self) -> bool:
-        """Whether it still stands, as far as this side can tell without waiting.
+        """Returns whether the worker has not ended it, as far as this side can see without waiting.
 
-        One that was ended while idle would take a request with it that can't be repeated.
+        One that was ended while idle would take a request with it that can't be retried.
         """
         try:
             return self.sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT) != b""
@@ -109,89 +161,150 @@
         except OSError as error:
             return error.errno in SHORT_OF_MEMORY
 
-    # ---- sending ----
-
     def send(self, command: Command) -> None:
-        """Sends it, or has it sent once the connection is up."""
-        command.connection, command.sent_at, self.used = self, clock(), clock()
-        if not self.up:
+        """Sends a command, or queues it until the connection is established."""
+        command.connection = self
+        command.sent_at = clock()
+        self.last_used_at = clock()
+        if self.state is not ConnectionState.ESTABLISHED:
             self.pending.append(command)
             return
         command.message = OutgoingMessage(command.render, expired=lambda: self._expired(command))
         self.open[command.ident] = command
         try:
             self.write_buffer.put(command.message)
-        except Expired:
+        except MessageExpiredError:
             self._expired(command)
-        except (PeerTooSlow, OSError) as error:
+        except (PeerTooSlowError, OSError) as error:
             self.end(f"{type(error).__name__}: {error}")
 
+    def withdraw(self, command: Command) -> bool:
+        """Takes a command back; False where a byte of it may have been sent, or it has ended."""
+        if self.state is ConnectionState.CLOSED:
+            return False
+        if command in self.pending:
+            self.pending.remove(command)
+            return True
+        if (
+            self.open.get(command.ident) is command
+            and command.message is not None
+            and self.write_buffer.withdraw(command.message)
+        ):
+            del self.open[command.ident]
+            return True
+        return False
+
+    def cancel(self, command: Command, done: Callable[[], None]) -> str | None:
+        """Cancels a command that was sent. Returns what `interfaces.WorkerClient.cancel` does."""
+        if self.state is ConnectionState.CLOSED or self.open.get(command.ident) is not command:
+            return "ended"
+        if len(self.open) == 1 and not self.pending:
+            # Ending the connection cancels what is on it. What was silent in all that time may be cut off, and the
+            # next on it would wait in vain.
+            del self.open[command.ident]
+            self.end("cancelled")
+            return Outcome.CANCELLED
+        message = OutgoingMessage(resp.command(b"abort", command.ident), lambda: self._cancel_sent(command, done))
+        try:
+            with_kernel = self.write_buffer.put(message)
+        except (PeerTooSlowError, OSError) as error:
+            self.end(f"{type(error).__name__}: {error}")  # which ends all that was on it
+            return None
+        if not with_kernel:
+            return None
+        self._forget(command)
+        return Outcome.CANCELLED
+
+    def _cancel_sent(self, command: Command, done: Callable[[], None]) -> None:
+        if self.open.get(command.ident) is command:
+            self._forget(command)
+            done()
+
+    def abandon(self, command: Command) -> bool:
+        """Waits no longer for the answer; False where the command has ended."""
+        if self.state is ConnectionState.CLOSED:
+            return False
+        if command in self.pending:
+            self.pending.remove(command)
+            return True
+        if self.open.get(command.ident) is not command:
+            return False
+        self._forget(command)
+        if self.stale and not self.commands_in_flight:
+            self.end("silent")
+        return True
+
+    def _forget(self, command: Command) -> None:
+        """Drops a command whose answer may still come."""
+        self.open.pop(command.ident, None)
+        self.ended_ids.append(command.ident)
+        self.stale = self.stale or self.last_read_at <= command.sent_at or self.answers.begun
+
     def _expired(self, command: Command) -> None:
-        """The time of a command was up before a byte of it went."""
+        """Ends a command whose deadline passed before a byte of it was sent."""
         if self.open.get(command.ident) is not command:
             return
         del self.open[command.ident]
         self._count("expired")
         self.worker_client.finish(command, Outcome.UNSENT)
-        if not self.closed and not self.commands_in_flight:
+        if self.state is not ConnectionState.CLOSED and not self.commands_in_flight:
             self.worker_client.connection_idle(self)
 
-    def _waits(self, waits: bool) -> None:
-        if self.closed:
+    def _set_waiting(self, waiting: bool) -> None:
+        """Called by the write buffer: data begins to wait for the socket, or none waits any more."""
+        if self.state is ConnectionState.CLOSED:
             return
         try:
-            self.loop.want(self.sock, waits)
+            self.loop.set_interest(self.sock, waiting)
         except OSError:
             self._count("modify_failed")
-            if waits:  # nobody would tell when it may go on: the connection is given up
+            if waiting:  # the kernel would not report when it may go on: the connection is ended
                 raise
-            # The kernel goes on telling that there is room, which leads here again.
-
-    # ---- events of the loop ----
+            # The kernel goes on reporting that there is room, which leads here again.
 
     def _timed_out(self) -> None:
-        if not self.up and not self.closed:
-            conclusive = not self.worker_client.connect_timed_out(self)
-            self.end("no connection in time", EndCause.PLAIN if conclusive else EndCause.INCONCLUSIVE)
+        if self.state is ConnectionState.CONNECTING:
+            away = self.worker_client.reachability.connect_timed_out(self.begun_at)
+            self.end("no connection in time", EndCause.PLAIN if away else EndCause.INCONCLUSIVE)
 
     def writable(self) -> None:
-        """It has come up or failed, or what waits may go on."""
-        if not self.up:
-            self._came_up()
+        """The connect has succeeded or failed, or the socket takes what waits."""
+        if self.state is not ConnectionState.ESTABLISHED:
+            self._connect_done()
             return
         try:
             self.write_buffer.pump()
         except OSError as error:
             self.end(f"{type(error).__name__}: {error}")
 
-    def _came_up(self) -> None:
+    def _connect_done(self) -> None:
         try:
             code = self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
         except OSError as error:
-            self.end(f"getsockopt: {errno.errorcode.get(error.errno, error.errno)}", EndCause.INCONCLUSIVE)
+            self.end(f"getsockopt: {error_name(error.errno)}", EndCause.INCONCLUSIVE)
             return
         if code:
-            self.end(f"connect: {errno.errorcode.get(code, code)}", self._cause_of(code))
+            self.end(f"connect: {error_name(code)}", self._cause_of(code))
             return
-        self.up = True
-        self._waits(False)
+        self.state = ConnectionState.ESTABLISHED
+        self._set_waiting(False)
         self.worker_client.connected()
-        while self.pending:  # each at its turn: where the connection ends, it tells of the others
+        while self.pending:  # one by one: where the connection ends, it ends the others
             self.send(self.pending.pop(0))
 
     def _cause_of(self, code: int) -> EndCause:
-        proves_nothing = self.worker_client.proves_nothing(code)
+        inconclusive = self.worker_client.reachability.is_inconclusive(code)
         if code in PEER_WAS_THERE:
             return EndCause.RESET_EARLY
-        return EndCause.INCONCLUSIVE if proves_nothing else EndCause.PLAIN
+        return EndCause.INCONCLUSIVE if inconclusive else EndCause.PLAIN
 
     def broken(self) -> None:
-        """It ends; what was on it may have run."""
+        """Serving it raised an exception: ends it; what was on it may have run."""
         self.end("fault", EndCause.INCONCLUSIVE)
 
     def readable(self) -> None:
-        """Answers, or its end."""
-        if not self.up:
+        """Reads answers, or the end of the connection."""
+        if self.state is not ConnectionState.ESTABLISHED:
             self.writable()
             return
         try:
@@ -199,22 +312,22 @@
         except (BlockingIOError, InterruptedError):
             return
         except OSError as error:
-            if error.errno not in SHORT_OF_MEMORY:  # recv(2): for a moment; the kernel tells of the same bytes again
+            if error.errno not in SHORT_OF_MEMORY:  # recv(2): for a moment; the kernel reports the same bytes again
                 self.end(f"{type(error).__name__}: {error}")
             return
         if not data:
             self.end("ended by the worker")
             return
-        self.heard = clock()
-        self.worker_client.reached()
+        self.last_read_at = clock()
+        self.worker_client.reachability.reached()
         self._read(data)
 
     def _read(self, data: bytes) -> None:
         try:
             for answer in self.answers.feed(data):
                 self._answer(answer)
-        except resp.InvalidAnswer as error:
-            self._read_whole_answers()
+        except resp.InvalidAnswerError as error:
+            self._read_complete_answers()
             self._count("spoilt")
             self.end(f"spoilt: {error}", EndCause.INVALID_ANSWER)
             return
@@ -223,17 +336,17 @@
         if not self.commands_in_flight:
             self.worker_client.connection_idle(self)
 
-    def _read_whole_answers(self) -> None:
-        """What was whole before an invalid answer stands."""
-        for answer in list(self.answers.whole):
+    def _read_complete_answers(self) -> None:
+        """Takes the answers that were complete before an invalid one."""
+        for answer in list(self.answers.complete):
             try:
                 self._answer(answer)
-            except resp.InvalidAnswer:
+            except resp.InvalidAnswerError:
                 return
 
     def _answer(self, answer: list[bytes]) -> None:
         command = self.open.get(answer[0])
-        if command is None:  # after it was given up, a second time, or for what was never asked
+        if command is None:  # after it was abandoned, a second time, or for what was never sent
             self._count("strays")
             return
         result = read_result(answer, self.worker_client.report_fields)
@@ -241,50 +354,50 @@
         # so that goes on another connection.
         self.ended_ids.append(answer[0])
         del self.open[answer[0]]
-        self.used = self.heard
+        self.last_used_at = self.last_read_at
         self.worker_client.finish(command, result.outcome, result)
 
-    # ---- its end ----
-
     def end(self, why: str, cause: EndCause = EndCause.PLAIN) -> None:
-        """Ends the connection; tells how that leaves what was on it."""
-        if self.closed:
+        """Ends the connection and all commands on it. `why` is counted where it was not established."""
+        if self.state is ConnectionState.CLOSED:
             return
-        self.closed = True
+        was_established = self.state is ConnectionState.ESTABLISHED
+        self.state = ConnectionState.CLOSED
         self._release()
         self.write_buffer.drop()
-        pending, self.pending = self.pending, []
-        in_flight, self.open = list(self.open.values()), {}
+        pending = self.pending
+        self.pending = []
+        in_flight = list(self.open.values())
+        self.open = {}
         self.worker_client.pool.used -= 1
         self.worker_client.pool.counts["cut"] += bool(in_flight)
-        if not self.up:
+        if not was_established:
             self._count(why.replace(": ", "_").replace(" ", "_"))
         self.worker_client.connection_ended(self)
-        self._end_pending(pending, cause)
+        self._end_pending(pending, was_established or cause in (EndCause.RESET_EARLY, EndCause.INCONCLUSIVE))
         self._end_in_flight(in_flight, cause)
-        if not self.up:
-            alive = {EndCause.RESET_EARLY: True, EndCause.INCONCLUSIVE: None}.get(cause, False)
-            self.worker_client.settle_unresolved(alive)
+        if not was_established:
+            self.worker_client.settle_unresolved(LIVENESS.get(cause, Liveness.GONE))
 
-    def _end_pending(self, pending: list[Command], cause: EndCause) -> None:
+    def _end_pending(self, pending: list[Command], send_again: bool) -> None:
         for command in pending:
-            if self.up or cause in (EndCause.RESET_EARLY, EndCause.INCONCLUSIVE):
+            if send_again:
                 self.worker_client.send_again(command)
             else:
                 self.worker_client.finish(command, Outcome.UNREACHED)
 
     def _end_in_flight(self, in_flight: list[Command], cause: EndCause) -> None:
-        begun = [command for command in in_flight if command.message.begun]
+        begun = [command for command in in_flight if _is_begun(command)]
         for command in in_flight:
-            if not command.message.begun:
+            if not _is_begun(command):
                 self.worker_client.finish(command, Outcome.UNSENT)
         if begun:
             self.worker_client.answers_lost(begun, cause is EndCause.INVALID_ANSWER)
 
     def _release(self) -> None:
-        """Gives up the socket."""
-        for give_up in (lambda: self.loop.remove(self.sock), self.sock.close):
+        """Closes the socket."""
+        for step in (lambda: self.loop.remove(self.sock), self.sock.close):
             try:
-                give_up()
+                step()
             except OSError:  # epoll_ctl(2), close(2): the kernel forgets a socket that is closed in either case
                 self._count("release_failed")
--- a/wickdyke/platform/worker_protocol.py
+++ b/wickdyke/platform/worker_protocol.py
@@ -1,48 +1,44 @@
-"""How workers of the platform are spoken to: commands as RESP arrays."""
+"""The protocol of the platform's workers: commands as RESP arrays."""
 
+from collections.abc import Callable
+
+from wickdyke.gateway.events import Event
 from wickdyke.gateway.interfaces import CommandKind, CommandResult, PendingRequest
 from wickdyke.platform import resp
 from wickdyke.platform.connection_pool import ConnectionPool
-from wickdyke.platform.worker_client import WorkerClient
+from wickdyke.platform.worker_client import WorkerClient, WorkerClientSettings
 from wickdyke.platform.worker_command import Command
 from wickdyke.routing.model import Attempt, Function
 from wickdyke.transport.event_loop import EventLoop, clock
 
-IDLE_PART = 0.7  # of the time after which the worker ends an idle connection, we end it
-
 
 class PlatformWorkerProtocol:
-    """Makes worker clients and their commands; reads their results."""
+    """Makes worker clients and their commands, and reads their results."""
 
     connects_at_once = False
 
-    def __init__(self, loop: EventLoop, config, log, most: int) -> None:
-        self.loop, self.config, self.log = loop, config, log
-        self.pool, self.report_fields = ConnectionPool(most), config.instance.report_fields
-        self.number = 0
+    def __init__(self, loop: EventLoop, settings: WorkerClientSettings, pool_capacity: int) -> None:
+        self.loop = loop
+        self.pool = ConnectionPool(pool_capacity)
+        self.settings = settings
+        self.last_tag = 0  # of prewarms and health checks, which are told apart by it
 
     def _tag(self) -> bytes:
-        self.number += 1
-        return b"t%d" % self.number
+        self.last_tag += 1
+        return b"t%d" % self.last_tag
 
-    def client_for(self, name: str, address: str, notify) -> WorkerClient:
-        """The client of one worker."""
-        return WorkerClient(
-            name,
-            address,
-            notify,
-            self.loop,
-            self.pool,
-            self.config.attempt_limits.connect_timeout,
-            self.config.attempt_limits.idle_timeout * IDLE_PART,
-            self.report_fields,
-        )
+    def client_for(self, name: str, address: str, notify: Callable[[Event], None]) -> WorkerClient:
+        """Returns a client of the worker at that address (HOST:PORT)."""
+        return WorkerClient(name, address, notify, self.loop, self.pool, self.settings)
 
     def attempt_command(self, attempt: Attempt, pending: PendingRequest, time_left: float) -> Command:
-        """An attempt, to be waited for so many ms."""
-        # it waits for its connection, a second one, and room at the kernel. Told what was left when it was
-        # decided, a worker would work on past the deadline of the client. So it is written as its first byte goes.
-        deadline, ident, body = clock() + time_left, pending.call.ident, pending.call.input
+        """Returns the command of an attempt, whose answer is waited for `time_left` ms."""
+        # An attempt waits for its connection, a second one, and room at the kernel. With the time that was left when
+        # it was decided, a worker would work on past the deadline of the client. So the time left is rendered as its
+        # first byte is sent.
+        deadline = clock() + time_left
+        ident = pending.call.ident
+        body = pending.call.input
         before = f"lane={attempt.request.request_class.name},name={attempt.request.function.name},ttl="
         after = f",dedupe={pending.call.idempotency_key}" if pending.call.idempotency_key else ""
         return Command(
@@ -54,7 +50,7 @@
         )
 
     def prewarm_command(self, key: tuple, function: Function, replicas: int) -> Command:
-        """A prewarm of so many replicas."""
+        """Returns the command to load so many replicas of a function."""
         tag = self._tag()
         return Command(
             CommandKind.PREWARM,
@@ -64,10 +60,10 @@
         )
 
     def health_check_command(self, key: str) -> Command:
-        """A question for a report."""
+        """Returns the command that requests a load report."""
         tag = self._tag()
         return Command(CommandKind.HEALTH_CHECK, key, tag, resp.command(b"gauges", tag))
 
     def result_of(self, command: Command, outcome: str, answer: CommandResult | None, data: object) -> CommandResult:
-        """What a worker client told of a command's end: read already where an answer came."""
+        """Returns how a command ended: the answer, which the connection has read, or the outcome alone."""
         return answer if answer is not None else CommandResult(outcome)
--- a/wickdyke/platform/worker_results.py
+++ b/wickdyke/platform/worker_results.py
@@ -1,4 +1,4 @@
-"""Reads workers' answers: how a command ended, and the load report that came with it."""
+"""Parses workers' answers: how a command ended, and the load report in the answer."""
 
 from wickdyke.config.deployment_settings import REPORTS
 from wickdyke.gateway.interfaces import CommandResult
@@ -16,8 +16,8 @@
 }
 NOTES = {"w": LoadNote.STOOD, "c": LoadNote.BEGAN, "j": LoadNote.AWAITED, "f": LoadNote.FAILED}
 ANSWER_PARTS = 4  # id, word, fields, body
-VALUE_MOST = 1e12  # of a report's field
-# Reports come under the protocol's words or under those of the settings.
+VALUE_MOST = 1e12  # of a field of a load report
+# Reports name their fields by the protocol's words or by those of the settings.
 REPORT_FIELDS = REPORTS | {
     "inflight": "in_flight",
     "util": "utilization",
@@ -42,14 +42,14 @@
 
 
 def read_result(answer: list[bytes], report_fields: tuple[str, ...]) -> CommandResult:
-    """How a command ended, from the worker's answer. Raises InvalidAnswer."""
+    """Returns how a command ended, from the worker's answer. Raises InvalidAnswerError."""
     if len(answer) != ANSWER_PARTS or answer[1] not in OUTCOMES:
-        raise resp.InvalidAnswer(f"an answer of {len(answer)} parts, {answer[1:2]!r}")
+        raise resp.InvalidAnswerError(f"an answer of {len(answer)} parts, {answer[1:2]!r}")
     _, word, fields, body = answer
-    told = resp.fields(fields)
+    values = resp.fields(fields)
     try:
-        concurrent, replicas = int(told.get("ahead", "0")), int(told.get("units", "0"))
+        concurrent, replicas = int(values.get("ahead", "0")), int(values.get("units", "0"))
     except ValueError:
-        raise resp.InvalidAnswer("counts that are no numbers") from None
-    report = read_report(told["rep"], report_fields) if "rep" in told else None
-    return CommandResult(OUTCOMES[word], body, NOTES.get(told.get("why", "")), concurrent, report, replicas)
+        raise resp.InvalidAnswerError("counts that are no numbers") from None
+    report = read_report(values["rep"], report_fields) if "rep" in values else None
+    return CommandResult(OUTCOMES[word], body, NOTES.get(values.get("why", "")), concurrent, report, replicas)
--- a/wickdyke/transport/acceptor.py
+++ b/wickdyke/transport/acceptor.py
@@ -9,7 +9,7 @@
 # Nothing can be accepted until descriptors or memory are freed, and the connection stays in the backlog.
 SHORT_OF_RESOURCES = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM))
 PAUSE = 0.05  # s between two tries of accept while resources are short
-RETRIES_AT_ONCE = 64  # other failures in a row, after which tries are a pause apart too
+IMMEDIATE_RETRIES = 64  # after other failures in a row, before retries are a pause apart too
 
 
 class Acceptor:
@@ -41,7 +41,7 @@
                     return
                 failures += 1
                 self.failed(error)
-                if error.errno in SHORT_OF_RESOURCES or failures > RETRIES_AT_ONCE:
+                if error.errno in SHORT_OF_RESOURCES or failures > IMMEDIATE_RETRIES:
                     self.closed.wait(PAUSE)
                 continue
             failures = 0
@@ -58,7 +58,7 @@
     def _hand_over(self, sock: socket.socket) -> None:
         try:
             self.take(sock)
-        except Exception as error:  # one connection must not end the listener of all
+        except Exception as error:  # noqa: BLE001 - one connection must not end the listener of all
             with contextlib.suppress(OSError):
                 sock.close()
             self.failed(error)
--- a/wickdyke/transport/event_loop.py
+++ b/wickdyke/transport/event_loop.py
@@ -1,4 +1,4 @@
-"""An event loop on epoll for all sockets and timers of a program that runs in one thread."""
+"""An event loop on epoll for all sockets and timers of a process that runs in one thread."""
 
 import contextlib
 import errno
@@ -7,20 +7,21 @@
 import socket
 import time
 from collections.abc import Callable
+from enum import Enum, auto
 from typing import NamedTuple, Protocol
 
 from wickdyke.transport.timers import Timers
 
 CONNECTING = (0, errno.EINPROGRESS, errno.EINTR)  # results of a non-blocking connect: done, or in progress
-EVENTS_PER_TURN = 256  # taken from the kernel at most
-ENDED = select.EPOLLRDHUP | select.EPOLLHUP | select.EPOLLERR  # the other side has closed or reset
+EVENTS_PER_POLL = 256  # taken from the kernel at most
+PEER_CLOSED = select.EPOLLRDHUP | select.EPOLLHUP | select.EPOLLERR  # the other side has closed or reset
 MODIFY_RETRY = 10.0  # ms until an epoll_ctl that failed for want of memory is tried again
-TIME_SLICE = 10.0  # ms of a turn for the handlers that do not come first; at least one of them is served
+TIME_SLICE = 10.0  # ms of an iteration for the handlers of normal priority; at least one of them is served
 
 
 def dial(address: tuple[str, int]) -> tuple[socket.socket | None, int]:
     """Starts a non-blocking connect: the socket and 0, or None and the errno."""
-    # With all descriptors in use the socket itself can't be made. An exception here would end a timer or a turn of the
+    # With all descriptors in use the socket itself can't be made. An exception here would end a timer or a step of the
     # coordinator, and what they do would never be tried again.
     try:
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
@@ -53,19 +54,28 @@
     return (select.EPOLLIN | select.EPOLLRDHUP if read else 0) | (select.EPOLLOUT if write else 0)
 
 
+class Priority(Enum):
+    """The order in which handlers are served within one iteration of the loop."""
+
+    HIGH = auto()  # before the timers: workers and discovery
+    NORMAL = auto()  # after the timers, in a bounded slice of time: clients
+
+
 class Handler(Protocol):
-    """The owner of a socket. Those that come `first` are served before the others in each turn."""
+    """The owner of a socket, called by the loop for events of that socket."""
 
-    first: bool
+    @property
+    def priority(self) -> Priority:
+        """When it is served in each iteration."""
 
     def readable(self) -> None:
-        """There is data to read, or the connection has ended."""
+        """Called when there is data to read, or the connection has ended."""
 
     def writable(self) -> None:
-        """The socket takes data, or the connect has succeeded or failed."""
+        """Called when the socket takes data, or the connect has succeeded or failed."""
 
     def broken(self) -> None:
-        """Serving it raised an unexpected exception: it is to close."""
+        """Called after `readable` or `writable` raised an unexpected exception: the handler closes its socket."""
 
 
 class ReadySocket(NamedTuple):
@@ -81,7 +91,12 @@
     return time.monotonic() * 1000
 
 
-def received(sock: socket.socket, size: int) -> bytes | None:
+def error_name(code: int | None) -> str:
+    """Returns the name of an errno (ECONNREFUSED), or its number where it has none."""
+    return errno.errorcode.get(code or 0, str(code))
+
+
+def receive(sock: socket.socket, size: int) -> bytes | None:
     """Up to `size` bytes from a non-blocking socket: None for nothing yet, empty where the connection has ended."""
     try:
         return sock.recv(size)
@@ -89,24 +104,27 @@
         return None
     except OSError as error:
         # Without memory the data stays in the kernel and can be read later. To end the connection would lose the
-        # requests on it. The price is a try in each turn for as long as there is no memory.
+        # requests on it. The price is a try in each iteration for as long as there is no memory.
         return None if error.errno in (errno.ENOMEM, errno.ENOBUFS) else b""
 
 
 class EventLoop:
-    """Serves sockets and timers. `fault` is given what a handler or a timer raises; without it that is raised on.
+    """Serves sockets and timers in one thread.
+
+    `on_error` is called with each exception that a handler or a timer raises; without it the exception propagates.
 
     `add` raises OSError where the kernel has no memory (ENOMEM) or no watches left (ENOSPC), and then leaves nothing
-    behind: its caller still owns the socket, and closes it. `want` does not raise for these: it is tried again until
-    it succeeds. `remove` never raises.
+    behind: its caller still owns the socket, and closes it. `set_interest` does not raise for these: it is retried
+    until it succeeds. `remove` never raises.
     """
 
-    def __init__(self, fault: Callable[[Exception], None] | None = None) -> None:
-        self.epoll, self.fault = select.epoll(), fault
+    def __init__(self, on_error: Callable[[Exception], None] | None = None) -> None:
+        self.epoll = select.epoll()
+        self.on_error = on_error
         self.handlers: dict[int, Handler] = {}  # by descriptor
         self.timers = Timers()
         self.unmodified: dict[int, int] = {}  # descriptor -> events that epoll_ctl had no memory for yet
-        self.last_served: dict[int, int] = {}  # descriptor -> serial number, of those that are not first
+        self.last_served: dict[int, int] = {}  # descriptor -> serial number, of those of normal priority
         self.serial_numbers = itertools.count(1)
 
     def add(self, sock: socket.socket, handler: Handler, write: bool = False) -> None:
@@ -117,7 +135,7 @@
         self.epoll.register(number, _events(write, True))
         self.handlers[number] = handler
 
-    def want(self, sock: socket.socket, write: bool, read: bool = True) -> None:
+    def set_interest(self, sock: socket.socket, write: bool, read: bool = True) -> None:
         """Sets which events of that socket are waited for.
 
         Where the kernel has no memory for that now, it is retried soon, and the events set before stay in force: a
@@ -134,10 +152,10 @@
             if error.errno not in (errno.ENOMEM, errno.ENOSPC, errno.EINTR):
                 raise  # the socket is not registered: a mistake of the caller
             self.unmodified[number] = events
-            self.at(clock() + MODIFY_RETRY, self._modify_again, number)
+            self.call_at(clock() + MODIFY_RETRY, self._modify_again, number)
 
     def _modify_again(self, number: int) -> None:
-        # The socket may have been removed, or a later `want` have succeeded.
+        # The socket may have been removed, or a later `set_interest` have succeeded.
         events = self.unmodified.pop(number, None)
         if events is not None and number in self.handlers:
             self._modify(number, events)
@@ -151,66 +169,68 @@
             with contextlib.suppress(OSError):
                 self.epoll.unregister(number)
 
-    def at(self, when: float, callback: Callable, *args: object) -> None:
-        """Calls `callback` at that time of `clock`."""
+    def call_at(self, when: float, callback: Callable[..., object], *args: object) -> None:
+        """Calls `callback(*args)` once `clock` has reached `when` (ms)."""
         self.timers.at(when, callback, *args)
 
-    def every(self, interval: float, callback: Callable[[], None]) -> None:
-        """Calls `callback` each `interval` ms, first after one."""
-        self.at(clock() + interval, self._repeat, interval, callback)
+    def call_every(self, interval: float, callback: Callable[[], None]) -> None:
+        """Calls `callback` every `interval` ms, for the first time after one interval."""
+        self.call_at(clock() + interval, self._repeat, interval, callback)
 
     def _repeat(self, interval: float, callback: Callable[[], None]) -> None:
         # Set first: a callback that raises must not end the series.
-        self.every(interval, callback)
+        self.call_every(interval, callback)
         callback()
 
-    def next_at(self) -> float:
-        """When the next timer is due."""
-        return self.timers.next_at()
+    def next_deadline(self) -> float:
+        """Returns when the next timer is due (ms of `clock`); infinite without timers."""
+        return self.timers.next_deadline()
+
+    def run_once(self, wait: float, between: Callable[[], object]) -> None:
+        """Runs one iteration: polls, waiting `wait` ms at most, and serves what is ready.
 
-    def turn(self, wait: float, between: Callable[[], object]) -> None:
-        """Waits `wait` ms at most, serves the first, runs the timers due, calls `between`, then serves the others.
+        The order: handlers of high priority, the timers that are due, `between`, handlers of normal priority.
 
         So clients that flood us with requests or connects do not delay the answers of workers and the timers. Workers
         could flood us too, but of each only a bounded piece is read at a time.
         """
-        others = self._serve_first(self._poll(wait))
+        others = self._serve_high_priority(self._poll(wait))
         for callback, args in self.timers.due(clock()):
             try:
                 callback(*args)
-            except Exception as error:
+            except Exception as error:  # noqa: BLE001 - one timer that fails must not end the loop
                 self._report(error)
         between()
-        self._serve_others(others)
+        self._serve_normal_priority(others)
 
     def _poll(self, wait: float) -> list[tuple[int, int]]:
         """(descriptor, events) of the sockets that are ready."""
-        # Rounded up: a wait that ends too early would turn for nothing until its time has come.
+        # Rounded up: a wait that ends too early would poll for nothing until its time has come.
         timeout = max(0.0, wait + 0.5) / 1000 if wait > 0 else 0
         try:
-            return self.epoll.poll(timeout, EVENTS_PER_TURN)
+            return self.epoll.poll(timeout, EVENTS_PER_POLL)
         except InterruptedError:
-            return []  # the kernel reports the events again in the next turn; the timers run in this one
+            return []  # the kernel reports the events again in the next iteration; the timers run in this one
 
-    def _serve_first(self, found: list[tuple[int, int]]) -> list[ReadySocket]:
-        """Serves the handlers that come first, and those whose peer has closed; returns the others."""
+    def _serve_high_priority(self, events_by_socket: list[tuple[int, int]]) -> list[ReadySocket]:
+        """Serves the handlers of high priority, and those whose peer has closed; returns the others."""
         # Serving one may close the connection of another, and a new one may get its descriptor: with the events of the
         # other it would take itself for connected. So all handlers are looked up before any is served.
-        known = [ReadySocket(number, self.handlers.get(number), events) for number, events in found]
+        ready_sockets = [ReadySocket(number, self.handlers.get(number), events) for number, events in events_by_socket]
         others = []
-        for ready in known:
+        for ready in ready_sockets:
             if ready.handler is None:
                 continue
             # A close is seen before anything is decided, however many other clients send at that moment.
-            if ready.handler.first or ready.events & ENDED:
+            if ready.handler.priority is Priority.HIGH or ready.events & PEER_CLOSED:
                 self.serve(ready.number, ready.handler, ready.events)
             else:
                 others.append(ready)
         return others
 
-    def _serve_others(self, others: list[ReadySocket]) -> None:
-        """Serves those for the length of the time slice."""
-        # The kernel reports the same sockets first, turn after turn, while more can be read there. So those served
+    def _serve_normal_priority(self, others: list[ReadySocket]) -> None:
+        """Serves these until the time slice is over."""
+        # The kernel reports the same sockets first, time after time, while more can be read there. So those served
         # longest ago go first: else clients that never stop sending would keep all others unread.
         others.sort(key=lambda ready: self.last_served.get(ready.number, 0))
         slice_end = clock() + TIME_SLICE
@@ -228,18 +248,18 @@
                 handler.writable()
             if events & ~select.EPOLLOUT and self.handlers.get(number) is handler:
                 handler.readable()
-        except Exception as error:
+        except Exception as error:  # noqa: BLE001 - one connection that fails must not end the loop
             self._report(error)
             try:
                 handler.broken()
-            except Exception as second_error:  # the loop is that of all others too
+            except Exception as second_error:  # noqa: BLE001 - the loop serves all other connections too
                 self._report(second_error)
 
     def _report(self, error: Exception) -> None:
         # One faulty connection must not end the thread that serves all. No known fault leads here.
-        if self.fault is None:
+        if self.on_error is None:
             raise error
-        self.fault(error)
+        self.on_error(error)
 
     def close(self) -> None:
         """Closes the epoll descriptor; the sockets stay their owners'."""
--- a/wickdyke/transport/line_server.py
+++ b/wickdyke/transport/line_server.py
@@ -13,7 +13,7 @@
 from wickdyke.protocol import jsonrpc
 from wickdyke.protocol.framing import LineReader, LineTooLongError
 from wickdyke.transport.acceptor import Acceptor
-from wickdyke.transport.write_buffer import OutgoingMessage, PeerTooSlow, WriteBuffer
+from wickdyke.transport.write_buffer import OutgoingMessage, PeerTooSlowError, WriteBuffer
 
 LINE_SIZE_MOST = 64 << 20  # bytes
 UNREAD_MOST = 64 << 20  # bytes that may wait for one peer
@@ -21,12 +21,12 @@
 BACKLOG = 512
 
 
-class AddressInUse(Exception):
+class AddressInUseError(Exception):
     """The address can't be had: a live process listens there, or the system refuses it."""
 
 
 def listener(address: str) -> tuple[socket.socket, TextIO | None]:
-    """(listening socket, lock file to be kept open while it is used); raises AddressInUse.
+    """(listening socket, lock file to be kept open while it is used); raises AddressInUseError.
 
     The lock beside a Unix socket's file tells a live owner from a file that a killed process left behind.
     """
@@ -45,20 +45,20 @@
             sock.bind(target)
             sock.listen(BACKLOG)
         except OSError as error:
-            raise AddressInUse(f"{address}: {error.strerror}, expected a free one") from None
+            raise AddressInUseError(f"{address}: {error.strerror}, expected a free one") from None
         opened.pop_all()
     return sock, lock_file
 
 
 def _claim(address: str, lock_file: TextIO) -> None:
-    """Takes the lock and removes the socket file that a killed process left behind; raises AddressInUse."""
+    """Takes the lock and removes the socket file that a killed process left behind; raises AddressInUseError."""
     try:
         fcntl.flock(lock_file, fcntl.LOCK_EX | fcntl.LOCK_NB)
     except OSError:
-        raise AddressInUse(f"{address}: somebody live listens there, expected a free one") from None
+        raise AddressInUseError(f"{address}: somebody live listens there, expected a free one") from None
     try:
         if not stat.S_ISSOCK(os.lstat(address).st_mode):
-            raise AddressInUse(f"{address}: a file that is no socket stands there, expected none")
+            raise AddressInUseError(f"{address}: a file that is no socket stands there, expected none")
         os.unlink(address)  # nobody holds the lock: a killed process left it
     except FileNotFoundError:
         pass
@@ -68,16 +68,18 @@
     """One connection. `say` may be called from any thread and never waits: a peer that reads too little is closed."""
 
     def __init__(self, sock: socket.socket, unread: int = UNREAD_MOST) -> None:
-        self.sock, self.box, self.open = sock, WriteBuffer(sock, unread, "wire"), True
-        self.who = ""
+        self.sock = sock
+        self.write_buffer = WriteBuffer(sock, unread, "wire")
+        self.open = True
+        self.who = ""  # the peer's name, where it has given one
 
     def say(self, body: bytes) -> None:
         """Sends one line, or closes the connection where that fails."""
         try:
-            self.box.put(OutgoingMessage(body + b"\n"))
-        except (OSError, PeerTooSlow, RuntimeError):  # RuntimeError: no thread could be started
+            self.write_buffer.put(OutgoingMessage(body + b"\n"))
+        except (OSError, PeerTooSlowError, RuntimeError):  # RuntimeError: no thread could be started
             self.open = False
-            self.box.close()
+            self.write_buffer.close()
 
 
 class Listener:
@@ -147,29 +149,29 @@
         line_size: int = LINE_SIZE_MOST,
     ) -> None:
         self.on_request, self.on_close, self.line_size = on_request, on_close, line_size
-        self.wires: set[LineConnection] = set()
+        self.connections: set[LineConnection] = set()
         super().__init__(address, self._read)
 
     def _read(self, sock: socket.socket) -> None:
-        wire, lines = LineConnection(sock), LineReader(self.line_size)
-        self.wires.add(wire)
+        connection, lines = LineConnection(sock), LineReader(self.line_size)
+        self.connections.add(connection)
         try:
             while data := sock.recv(READ_SIZE):
                 for line in lines.feed(data):
-                    self._handle(wire, line)
+                    self._handle(connection, line)
         except (OSError, LineTooLongError):
             pass
         finally:
-            wire.open = False
-            self.wires.discard(wire)
+            connection.open = False
+            self.connections.discard(connection)
             try:
-                self.on_close(wire)
+                self.on_close(connection)
             finally:
-                wire.box.close()
+                connection.write_buffer.close()
 
-    def _handle(self, wire: LineConnection, line: bytes) -> None:
+    def _handle(self, connection: LineConnection, line: bytes) -> None:
         for request in jsonrpc.parse_requests(line):
             if isinstance(request, jsonrpc.MalformedRequestError):
-                wire.say(jsonrpc.malformed_request_response(request))
+                connection.say(jsonrpc.malformed_request_response(request))
             else:
-                self.on_request(wire, request)
+                self.on_request(connection, request)
--- a/wickdyke/transport/termination.py
+++ b/wickdyke/transport/termination.py
@@ -4,11 +4,11 @@
 import signal
 import threading
 
-WAIT_PIECE = 3600.0  # s
+WAIT_INTERVAL = 3600.0  # s
 
 
-def asked() -> threading.Event:
-    """An event that is set by SIGTERM or SIGINT; a second signal ends the process at once with code 1.
+def install_handlers() -> threading.Event:
+    """Returns an event that SIGTERM or SIGINT sets; a second signal ends the process at once with code 1.
 
     To be called in the main thread.
     """
@@ -25,6 +25,7 @@
 
 
 def wait(terminated: threading.Event) -> None:
-    """Waits until that is set. In pieces: a wait without a timeout would not let the signal handler run."""
-    while not terminated.wait(WAIT_PIECE):
+    """Waits until the event is set."""
+    # In intervals: a wait without a timeout would not let the signal handler run.
+    while not terminated.wait(WAIT_INTERVAL):
         pass
--- a/wickdyke/transport/write_buffer.py
+++ b/wickdyke/transport/write_buffer.py
@@ -1,5 +1,6 @@
-"""A write buffer for one socket: whoever sends a message never waits for the peer to read."""
+"""A write buffer for one socket: the sender of a message never waits for the peer to read."""
 
+import contextlib
 import errno
 import select
 import socket
@@ -12,11 +13,15 @@
 POLL_TIMEOUT = 1000  # ms after which the thread checks whether it is to end, if the socket takes no data
 
 
-class PeerTooSlow(Exception):
+class BufferClosedError(OSError):
+    """The buffer, or its socket, is closed."""
+
+
+class PeerTooSlowError(Exception):
     """The peer reads too little: more bytes wait for it than the buffer may hold."""
 
 
-class Expired(Exception):
+class MessageExpiredError(Exception):
     """The deadline of a message passed before a byte of it was sent: it is dropped."""
 
 
@@ -25,11 +30,11 @@
 
     `data` is its bytes, or a function that renders them. That is called each time before its first byte is offered to
     the kernel, so that a deadline in the message is right at that moment, and never again once a byte was sent. It
-    returns None where the deadline has passed; `expired` is then called, unless `put` raises Expired. `written` is
-    called once all of it was sent, unless `put` returned True.
+    returns None where the deadline has passed; `expired` is then called, unless `put` raises MessageExpiredError.
+    `written` is called once all of it was sent, unless `put` returned True.
     """
 
-    __slots__ = ("data", "begun", "bytes_waiting", "written", "expired")
+    __slots__ = ("begun", "bytes_waiting", "data", "expired", "written")
 
     def __init__(
         self,
@@ -37,31 +42,38 @@
         written: Callable[[], None] | None = None,
         expired: Callable[[], None] | None = None,
     ) -> None:
-        self.data, self.begun, self.written, self.expired = data, False, written, expired
-        self.bytes_waiting = 0  # its part of those of the buffer
-
-    def rendered(self) -> bytes | memoryview | None:
-        """The bytes to be sent now; None where its deadline has passed."""
+        self.data: bytes | memoryview | Callable[[], bytes | None] = data
+        self.begun = False
+        self.written = written
+        self.expired = expired
+        self.bytes_waiting = 0  # of it, as counted in the buffer
+
+    def render(self) -> bytes | memoryview | None:
+        """Returns the bytes to be sent now; None where its deadline has passed."""
         return self.data() if callable(self.data) else self.data
 
     def release(self) -> None:
         """Drops its data and callbacks once it is not sent any more."""
         # They refer to the command that holds this message: a cycle that only the garbage collector would free.
-        self.data, self.expired = b"", None
+        self.data = b""
+        self.expired = None
 
 
 class WriteBuffer:
     """Sends at once what the kernel takes; a thread of its own sends the rest, or an event loop by `pump`.
 
     `capacity` is how many bytes may wait at most. The thread starts when a message has to wait first, so that a peer
-    that reads in time costs none. With `waits` there is no thread: it is called with True when a message begins to
+    that reads in time costs none. With `on_waiting` there is no thread: it is called with True when a message begins to
     wait and with False when none waits any more.
     """
 
     def __init__(
-        self, sock: socket.socket, capacity: int, name: str, waits: Callable[[bool], None] | None = None
+        self, sock: socket.socket, capacity: int, name: str, on_waiting: Callable[[bool], None] | None = None
     ) -> None:
-        self.sock, self.capacity, self.name, self.waits = sock, capacity, name, waits
+        self.sock = sock
+        self.capacity = capacity
+        self.name = name
+        self.on_waiting = on_waiting
         self.lock = threading.Lock()
         self.more = threading.Condition(self.lock)
         self.waiting: deque[OutgoingMessage] = deque()
@@ -73,22 +85,23 @@
     def put(self, message: OutgoingMessage) -> bool:
         """Sends a message or has it wait; True where the kernel has taken all of it already.
 
-        Raises PeerTooSlow past the capacity, Expired where its deadline has passed, OSError when closed.
+        Raises PeerTooSlowError past the capacity, MessageExpiredError where the deadline has passed, BufferClosedError
+        when closed, and OSError where the connection has ended.
         """
         with self.lock:
             if self.closed:
-                raise OSError("closed")
-            data = message.rendered()
+                raise BufferClosedError("closed")
+            data = message.render()
             if data is None:
                 message.release()
-                raise Expired
+                raise MessageExpiredError
             sent = 0 if self.waiting else self._send_at_once(message, data)
             if sent == len(data) and not self.waiting:
                 return True
             self._append(message, len(data) - sent)
-            if self.waits is not None:
+            if self.on_waiting is not None:
                 if len(self.waiting) == 1:
-                    self.waits(True)
+                    self.on_waiting(True)
                 return False
             if self.thread is None:
                 self.thread = self._start_thread()
@@ -99,16 +112,16 @@
         try:
             return self._send(message, data)
         except OSError:
-            message.begun = True  # nobody can tell how much of it was sent
+            message.begun = True  # how much of it was sent is unknown
             message.release()
             raise
 
     def _append(self, message: OutgoingMessage, size: int) -> None:
-        """Has the message wait, with `size` bytes to be sent."""
+        """Queues the message, of which `size` bytes are still to be sent. Raises PeerTooSlowError."""
         message.bytes_waiting = size
         if self.bytes_waiting + size > self.capacity:
             message.release()
-            raise PeerTooSlow(f"{self.bytes_waiting} bytes wait to be read")
+            raise PeerTooSlowError(f"{self.bytes_waiting} bytes wait to be read")
         self.bytes_waiting += size
         self.waiting.append(message)
 
@@ -137,7 +150,8 @@
                 return 0
             raise
         if sent:
-            message.begun, message.expired = True, None
+            message.begun = True
+            message.expired = None
             message.data = memoryview(data)[sent:] if sent < len(data) else b""
         return sent
 
@@ -147,7 +161,7 @@
         Returns whether it is done with (all was sent, or its deadline has passed), and the callback for that.
         """
         message = self.waiting[0]
-        data = message.rendered()
+        data = message.render()
         sent = 0 if data is None else self._send(message, data)
         if data is not None and sent < len(data):
             if sent:
@@ -178,14 +192,15 @@
                 return
             if callback is not None:
                 callback()
-        if self.waits is not None:
-            self.waits(False)
+        if self.on_waiting is not None:
+            self.on_waiting(False)
 
     def drop(self) -> None:
         """For an event loop, when the connection has ended: drops what waits and takes no more."""
         # The callback and the messages refer to the connection that holds this: a cycle, which only the garbage
         # collector would free, minutes later.
-        self.closed, self.waits = True, None
+        self.closed = True
+        self.on_waiting = None
         self._drop_waiting()
 
     def _drop_waiting(self) -> None:
@@ -194,7 +209,7 @@
         self.waiting.clear()
 
     def empty(self) -> bool:
-        """Whether nothing waits to be written."""
+        """Returns whether nothing waits to be written."""
         with self.lock:
             return not self.waiting
 
@@ -204,10 +219,8 @@
             self.closed = True
             self._drop_waiting()
             self.more.notify()
-        try:
+        with contextlib.suppress(OSError):
             self.sock.shutdown(socket.SHUT_RDWR)
-        except OSError:
-            pass
 
     def _write(self) -> None:
         # A blocking send would keep a message as rendered when it began to block, with a deadline that is too long by
--- a/wickdyke/worker/gateway_server.py
+++ b/wickdyke/worker/gateway_server.py
@@ -30,7 +30,7 @@
         }
 
     def open(self, address: str) -> None:
-        """Begins to serve; raises AddressInUse, OSError."""
+        """Begins to serve; raises AddressInUseError, OSError."""
         self.server = LineServer(address, self._receive, self._disconnected)
 
     def close(self) -> None:
@@ -41,7 +41,7 @@
     @property
     def all_sent(self) -> bool:
         """Whether no answer waits to be sent."""
-        return all(connection.box.empty() for connection in list(self.server.wires))
+        return all(connection.write_buffer.empty() for connection in list(self.server.connections))
 
     # ---- requests ----
 
--- a/wickdyke/worker/replica_process.py
+++ b/wickdyke/worker/replica_process.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from wickdyke.protocol.framing import LineReader, LineTooLongError
-from wickdyke.transport.write_buffer import OutgoingMessage, PeerTooSlow, WriteBuffer
+from wickdyke.transport.write_buffer import OutgoingMessage, PeerTooSlowError, WriteBuffer
 from wickdyke.worker.model import Replica
 from wickdyke.worker.replica_messages import LINE_MOST, ReplicaMessage, WorkerMessage
 
@@ -43,7 +43,7 @@
     def _send(self, message: WorkerMessage) -> bool:
         try:
             self.write_buffer.put(OutgoingMessage(msgspec.json.encode(message) + b"\n"))
-        except (OSError, PeerTooSlow):
+        except (OSError, PeerTooSlowError):
             return False
         return True
 
--- a/wickdyke/worker/runtime.py
+++ b/wickdyke/worker/runtime.py
@@ -60,7 +60,7 @@
         }
 
     def open(self) -> None:
-        """Begins to serve; raises AddressInUse, OSError."""
+        """Begins to serve; raises AddressInUseError, OSError."""
         threads = {"schedule": self._run_schedule, "parent": self._watch_parent, "meter": self._measure_often}
         for name, target in threads.items():
             threading.Thread(target=target, name=name, daemon=True).start()
