--- a/tests/test_acceptance_days.py
+++ b/tests/test_acceptance_days.py
@@ -546,8 +546,8 @@
             for _ in range(50):
                 self.later(10.0, 10.0, settle=True)
                 self.until(lambda: serving.discovery.sock is None, "the word that it is crowded")
-        self.assertLess(serving.discovery.counts["asked"], 30000 / 100)
-        self.assertGreater(serving.discovery.counts["asked"], 30000 / 500)
+        self.assertLess(serving.discovery.counts["connects"], 30000 / 100)
+        self.assertGreater(serving.discovery.counts["connects"], 30000 / 500)
         source.crowded, seen = False, 0
         self.until(lambda: (self.later(20.0), source.readers)[1], "the next request for the list")
         while serving.endpoints.offset < 2:
@@ -570,7 +570,7 @@
             client.send(request(number, CLASSES[number % 3]))
             self.assertEqual(self.final(client, 500)[1], "answer")
             self.later(1000, 10.0, settle=True)
-        self.assertLess(serving.discovery.counts["asked"], 30000 / 100)
+        self.assertLess(serving.discovery.counts["connects"], 30000 / 100)
         source = self.made(rig.Bus())
         self.write(source.address, worker.address)
         serving._request_reload(signal.SIGHUP, None)
@@ -732,7 +732,7 @@
             self.later(100, 20.0, settle=True)
             if serving.endpoints.offset == 2:
                 break
-        self.assertEqual(serving.endpoints.offset, 2, f"asked {serving.discovery.counts['asked']} times in 30 s")
+        self.assertEqual(serving.endpoints.offset, 2, f"asked {serving.discovery.counts['connects']} times in 30 s")
 
     def costly(self, ms):
         """Each read of a client takes so many ms from now on."""
--- a/tests/test_discovery_faults.py
+++ b/tests/test_discovery_faults.py
@@ -229,13 +229,13 @@
 
         def check(calls, made):
             # A read that fails after the event has come costs nothing: the connection would have ended there.
-            self.assertGreater(made.counts["asked"], EVENTS - (calls.name == "recv"))
+            self.assertGreater(made.counts["connects"], EVENTS - (calls.name == "recv"))
 
         self.each(FATAL, check)
 
     def test_each_call_fails_and_the_connection_goes_on(self):
         """No further try is needed."""
-        self.each(PASSING, lambda calls, made: self.assertLessEqual(made.counts["asked"], EVENTS))
+        self.each(PASSING, lambda calls, made: self.assertLessEqual(made.counts["connects"], EVENTS))
 
     def test_each_call_fails_for_a_while(self):
         self.each(FATAL, lambda calls, made: None, times=4)
@@ -247,7 +247,7 @@
             with self.subTest(piece=piece):
                 made = self.follow(SystemCalls(piece=piece))
                 self.until_told(made)
-                self.assertLessEqual(made.counts["asked"], EVENTS)
+                self.assertLessEqual(made.counts["connects"], EVENTS)
                 self.end(made)
         self.assertGreaterEqual(self.source.asked, asked + 3 * EVENTS)
 
@@ -256,7 +256,7 @@
         self.each({"send": FATAL["send"]}, lambda calls, made: None, piece=PIECE)
         self.each(
             {"send": PASSING["send"]},
-            lambda calls, made: self.assertLessEqual(made.counts["asked"], EVENTS),
+            lambda calls, made: self.assertLessEqual(made.counts["connects"], EVENTS),
             piece=PIECE,
         )
 
@@ -269,7 +269,7 @@
             if made.connected:
                 self.now += 10
             self.turn(made)
-        self.assertEqual(made.counts["asked"], 1)
+        self.assertEqual(made.counts["connects"], 1)
         self.end(made)
 
     def test_what_nobody_foresaw_in_a_try_is_tried_again(self):
@@ -328,11 +328,11 @@
             made.follow(self.where(self.source.address))
         while self.now < 3000:
             self.turn(made)
-        asked = made.counts["asked"]
+        asked = made.counts["connects"]
         while self.now < 4000:
             self.turn(made)
-        self.assertLessEqual(made.counts["asked"] - asked, 1000 / 100 + 1)
-        self.assertGreaterEqual(made.counts["asked"] - asked, 1000 / 220 - 1)
+        self.assertLessEqual(made.counts["connects"] - asked, 1000 / 100 + 1)
+        self.assertGreaterEqual(made.counts["connects"] - asked, 1000 / 220 - 1)
         calls.times = 0
         self.until_told(made)
         self.end(made)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -377,9 +377,9 @@
             self.now, at = 0.0, []
             made = self.follow(rig.free_address(), seed=seed)
             for _ in range(2000):
-                before = made.counts["asked"]
+                before = made.counts["connects"]
                 self.later(10)
-                at += [self.now] * (made.counts["asked"] - before)
+                at += [self.now] * (made.counts["connects"] - before)
             made.close()
             tries.append(at)
         gaps = [b - a for a, b in zip(tries[0][8:], tries[0][9:], strict=False)]
@@ -423,7 +423,7 @@
             made = self.follow(self.source.address)
             self.later(500)
             self.assertEqual(self.source.asked, [])
-            self.assertGreater(made.counts["asked"], 2)
+            self.assertGreater(made.counts["connects"], 2)
         self.later(300)
         self.until(lambda: made.up and self.source.asked)
         self.assertEqual(self.source.asked, [7])
@@ -436,7 +436,7 @@
         made.close()
         made = self.follow(rig.free_address(), most=0.0)
         self.later(1000)
-        self.assertLess(made.counts["asked"], 1000 / 25 + 2)
+        self.assertLess(made.counts["connects"], 1000 / 25 + 2)
 
     def test_half_events(self):
         for raw, begun in (
--- a/wickdyke/platform/client_connection.py
+++ b/wickdyke/platform/client_connection.py
@@ -111,7 +111,7 @@
         self.last_used_at = clock()  # when a request of it last ended
         self.last_read_at = clock()
         self.answered = False  # whether anything was written to it
-        self.ending = False  # takes no more requests, and closes after the last answer
+        self.ending = False  # accepts no more requests, and closes after the last answer
         self.closed = False
         self.registered = False  # with the event loop
         self.pump_due = False  # whether a timer is to write what waits
@@ -249,7 +249,7 @@
         pending.received_at = clock()
         self.open[message.number] = server.open[request.call.ident] = pending
         if busy := server.busy() or ("" if time_left else "stopping"):
-            server.counts["turned_away"] += 1
+            server.counts["rejected"] += 1
             pending.reject(busy)
         else:
             server.post(RequestReceived(pending))
@@ -293,7 +293,7 @@
             self.end()
 
     def end(self) -> None:
-        """Takes no more requests; closes once those open are answered, or when the client closes it."""
+        """Accepts no more requests; closes once those open are answered, or when the client closes it."""
         if self.closed or self.ending:
             return
         self.ending = True
--- a/wickdyke/platform/client_server.py
+++ b/wickdyke/platform/client_server.py
@@ -243,7 +243,7 @@
     def _make_room(self) -> bool:
         """Closes the connection without open requests that was idle longest; returns whether there was one.
 
-        Those that have sent nothing for a while go first, then those that were answered, last those that are new or
+        Those that have sent nothing for a while are first, then those that were answered, last those that are new or
         are sending.
         """
         # The request of a new connection is probably on its way: closed for the next one, which fares no better, no
@@ -272,7 +272,7 @@
     def _sweep(self) -> None:
         now = clock()
         for client in list(self.clients.values()):
-            # Data that came in time may not have been read yet, where this process was stopped or busy.
+            # Data that arrived in time may not have been read yet, where this process was stopped or busy.
             if self._overdue(client, now):
                 self.read_all(client)
             if not client.closed and self._overdue(client, now):
@@ -327,7 +327,7 @@
         """
         # A connection left open until the process has ended acknowledges requests that nobody reads. Between
         # the read and the close one may still cross, within microseconds: the client sends it again (PROTOCOL).
-        # A shutdown for reading before that read would not prevent it: Linux acknowledges what comes after it as well.
+        # A shutdown for reading before that read would not prevent it: Linux acknowledges what arrives after it as well.
         for client in list(self.clients.values()):
             before = self.reads
             self.read_now(client)
--- a/wickdyke/platform/connection_state.py
+++ b/wickdyke/platform/connection_state.py
@@ -6,7 +6,7 @@
 
 
 class ConnectionState(Enum):
-    """How far a connection has come."""
+    """The states of a connection, in their order."""
 
     CONNECTING = auto()
     ESTABLISHED = auto()
@@ -16,10 +16,10 @@
 class EndCause(Enum):
     """What the end of a connection shows of its worker."""
 
-    PLAIN = "plain"  # nothing beside the end itself
-    INVALID_ANSWER = "invalid answer"  # the worker has just sent something
-    RESET_EARLY = "reset early"  # it was there, and ended the connection as it came up
-    INCONCLUSIVE = "inconclusive"  # it did not come up, which may be the connection, or this machine, alone
+    PLAIN = "plain"  # that it ended the connection, or could not be reached
+    INVALID_ANSWER = "invalid answer"  # it has just sent something
+    RESET_EARLY = "reset early"  # it had accepted the connection, and reset it at once
+    INCONCLUSIVE = "inconclusive"  # the connect failed, perhaps because of the connection or this machine alone
 
 
 LIVENESS = {EndCause.RESET_EARLY: Liveness.ALIVE, EndCause.INCONCLUSIVE: Liveness.UNKNOWN}  # else it is gone
--- a/wickdyke/platform/discovery.py
+++ b/wickdyke/platform/discovery.py
@@ -20,7 +20,7 @@
 
 PATH = "/bus/read"
 READ_SIZE = 1 << 16  # bytes read at a time
-SILENCE_TIMEOUT = 1500.0  # ms without data after which the connection counts as dead: a heartbeat comes each second
+SILENCE_TIMEOUT = 1500.0  # ms without data after which the connection counts as dead: there is a heartbeat each second
 SILENCE_TIMEOUT_MOST = 12000.0  # ms, while an event is coming
 CONNECT_TIMEOUT_MOST = 400.0  # ms
 CONNECT_TIMEOUT_LEAST = 200.0  # ms
@@ -74,7 +74,7 @@
         self.failures = 0  # since the last response
         self.retry_number = 0  # of the one retry that is due; one set before it does nothing
         self.unsent = b""  # of the request, once connected
-        self.silence_timeout = SILENCE_TIMEOUT  # ms; longer where an event did not arrive whole in time
+        self.silence_timeout = SILENCE_TIMEOUT  # ms; longer where an event was not complete in time
         self.connected = False  # whether the connect has succeeded
         self.up = False  # whether the response has begun
         self.closed = False
@@ -93,8 +93,8 @@
         self.address = address
         self.failures = 0
         self._end()
-        # Each retry that is due sets the next. One left from the address before would go on beside that of the new
-        # one, and each new configuration would add to the number of tries in the same time.
+        # Each retry that is due sets the next. One left from the address before would continue beside that of the new
+        # one, and each new configuration would add to the number of attempts in the same time.
         self.retry_number += 1
         self._connect()
 
@@ -106,7 +106,7 @@
     def _connect(self) -> None:
         if self.closed or self.sock is not None:
             return
-        self.counts["asked"] += 1
+        self.counts["connects"] += 1
         self.attempt_number += 1
         self.connected = False
         self.up = False
@@ -126,7 +126,7 @@
         self.loop.call_at(self.last_activity + self.connect_timeout, self._check_timeout, self.attempt_number)
 
     def _retry_later(self, why: str) -> None:
-        # Backoff with jitter: hundreds of front ends that lost discovery at one moment would else ask for it in step,
+        # Backoff with jitter: hundreds of front ends that lost discovery at one moment would else connect in step,
         # for as long as it is away or answers only with errors. It may return with a drain just after an attempt: so
         # `backoff_limit` stays within the time in which a drain has to be heeded.
         was_stable = self.up and clock() - self.up_since > SILENCE_TIMEOUT
@@ -177,7 +177,7 @@
             return
         self.counts["silent"] += 1
         # An event that takes longer than the timeout would be begun anew for ever. So the next connection gets twice
-        # the time, until an event has arrived whole.
+        # the time, until an event was complete.
         if self.up and self.events.begun:
             self.silence_timeout = min(2 * self.silence_timeout, SILENCE_TIMEOUT_MOST)
         self._end()
@@ -217,7 +217,7 @@
             try:
                 sent = self.sock.send(self.unsent)
             except (BlockingIOError, InterruptedError):
-                return  # called again when the socket takes more
+                return  # called again when the socket accepts more
             except OSError as error:
                 self._fail("send", error)
                 return
@@ -239,8 +239,8 @@
             ended = self._parse_http(data)
         except (h11.ProtocolError, InvalidResponseError, sse.EventTooLargeError) as error:
             if data:
-                self.up = False  # whatever came before, it counts as one more failure in a row
-                self.counts["spoilt"] += 1
+                self.up = False  # whatever was received before, it counts as one more failure in a row
+                self.counts["invalid"] += 1
                 self._end()
                 self._retry_later(str(error))
                 return
--- a/wickdyke/platform/endpoint_list.py
+++ b/wickdyke/platform/endpoint_list.py
@@ -1,18 +1,18 @@
 """The endpoint list as it results from discovery's numbered events. Pure: no I/O, no clock.
 
-An event counts once, by its number. Start times come as Unix ms and are turned into the coordinator's monotonic ms.
+An event counts once, by its number. Start times are reported in Unix ms and converted to the coordinator's monotonic ms.
 
 A wall clock may be stepped at any time, here or on the machine that writes the start times; only the monotonic clock
 runs on. So a start time is believed only as far as the monotonic clock allows:
 
-- A start time is converted once, when it is reported first. Reported again with the same number (a whole list, a new
+- A start time is converted once, when it is reported first. Reported again with the same number (a full list, a new
   connection, an entry that was deleted for a while) it keeps the converted time.
 - A worker that a live event reports first can't be older than the event is late. On a connection that has been up for
   a while that is PROMPT at most. On a new one it is longer by what we may have missed: the time since the last events,
   OUTAGE at most. A start time before that, or in the future, counts as a start now: the worker can't be younger than
   that, so its slow start is at worst longer than it need be, never shorter.
-- For workers reported before any other event (`known` of the configuration) only the wall clocks can tell. A start in
-  the future counts as a start now. What can't be known: whether a clock was stepped forward here, or back there, before
+- For workers reported before any other event (`known` of the configuration) only the wall clocks can show it. A start in
+  the future counts as a start now. What can't be determined: whether a clock was stepped forward here, or back there, before
   this process began; then a worker looks older than it is, and nothing here contradicts it. To count all of them as
   just started would be safe too, but every restart of a front end would then have a whole healthy fleet warm up.
 - If the wall clock here was stepped since the start, both differences between the clocks are possible, as start times
@@ -96,7 +96,7 @@
         self.connected_at = connected_at
         self.ahead_at_start = wall_ahead()
         self.oldest_age = math.inf  # ms; the greatest of a worker first reported in the events being applied
-        self.last_events = 0.0  # when events came last
+        self.last_events = 0.0  # when events were applied last (ms)
         self.start_times: dict[str, StartTime] = {}  # of listed workers
         self.gone_start_times: dict[str, StartTime] = {}  # of deleted ones, the latest GONE_KEPT
         self.offset = 0  # of the last event applied
--- a/wickdyke/platform/liveness_probe.py
+++ b/wickdyke/platform/liveness_probe.py
@@ -1,6 +1,6 @@
 """Settles commands whose answers were lost with the last connection to a worker: did the worker end, or they alone?
 
-A connection that ends says nothing about the process behind it. So a new one is made: where it is established, the
+The end of a connection shows nothing about the process behind it. So a new one is made: where it is established, the
 worker lives.
 """
 
@@ -18,7 +18,7 @@
     """The unresolved commands of one worker, and the connection that is to settle them.
 
     `connect` makes a connection and returns it, or None where none may be made now. `resolve(commands, alive)` is
-    called with the commands once that is known; where nothing can be learned, the worker counts as alive.
+    called with the commands once that is determined; where nothing can be learned, the worker counts as alive.
     """
 
     def __init__(
--- a/wickdyke/platform/reachability.py
+++ b/wickdyke/platform/reachability.py
@@ -6,7 +6,7 @@
 from wickdyke.transport.event_loop import clock
 
 # Of the errors of connect(2) and socket(2), ECONNREFUSED alone is an answer of the worker's machine that no process
-# listens there. These say that no route to it exists, of this machine for a moment or of the worker for long. The
+# listens there. These mean that no route to it exists, of this machine for a moment or of the worker for long. The
 # others are of this machine (descriptors, memory, ports, permissions, a signal) and show nothing about a worker.
 NO_ROUTE_ERRORS = (errno.ENETUNREACH, errno.EHOSTUNREACH, errno.ENETDOWN, errno.EHOSTDOWN, errno.ETIMEDOUT)
 AWAY_AFTER = 1000.0  # ms of connects that find no route, none as far from the last, before a worker counts as away
@@ -32,7 +32,7 @@
 
     def connect_timed_out(self, begun_at: float) -> bool:
         """Counts a connect, begun at that time (ms), that timed out. Returns whether the worker counts as away."""
-        # One connection of many is established late or never, and the router takes a worker it could not reach for one
+        # One connection of many is established late or never, and the router treats a worker it could not reach as one
         # that starts anew: all that is loaded there forgotten, slow start for the whole ramp. That costs time where a
         # machine has vanished: the first command there learns it one time-out later.
         if begun_at >= self.timed_out_at:
@@ -42,7 +42,7 @@
 
     def is_inconclusive(self, code: int) -> bool:
         """Counts a connect that failed with that errno. Returns whether it shows nothing about the worker."""
-        # A moment in which this machine finds no route to any worker would be taken for one in which all start anew:
+        # A moment in which this machine finds no route to any worker would be treated as one in which all start anew:
         # all that is loaded forgotten, all in slow start. That costs time where a worker's machine has vanished: what
         # is sent there until that is detected ends as never sent.
         if code == errno.ECONNREFUSED:
--- a/wickdyke/platform/resp.py
+++ b/wickdyke/platform/resp.py
@@ -1,6 +1,6 @@
 """RESP arrays of bulk strings, rendered and parsed, as workers speak it. No I/O.
 
-Whatever a length says, no more is kept than the bounds allow: a length's line, a part and an answer each have one.
+Whatever a length is, no more is kept than the bounds allow: a length's line, a part and an answer each have one.
 """
 
 from collections import deque
@@ -8,7 +8,9 @@
 PARTS_MOST = 8  # of an answer
 PART_SIZE_MOST = 256 * 1024  # bytes
 LENGTH_LINE_MOST = 24  # bytes of the line that gives a length
-ARRAY, BULK_STRING = b"*"[0], b"$"[0]  # first bytes of a length's line
+# The first bytes of a length's line.
+ARRAY = b"*"[0]
+BULK_STRING = b"$"[0]
 
 
 class InvalidAnswerError(Exception):
@@ -42,7 +44,7 @@
         self.complete: deque[list[bytes]] = deque()
         self.parts: list[bytes] = []
         self.missing = 0  # parts of the incomplete answer that were not received
-        self.length: int | None = None  # bytes of the next part, where that is known
+        self.length: int | None = None  # bytes of the next part, once that was read
 
     def feed(self, data: bytes) -> list[list[bytes]]:
         """Takes bytes and returns the complete answers.
--- a/wickdyke/platform/service.py
+++ b/wickdyke/platform/service.py
@@ -27,7 +27,7 @@
     from wickdyke.gateway.interfaces import Log
 
 GRACE_PERIOD = 750.0  # ms after SIGTERM in which requests are admitted as before, if there is as much time
-# SIGKILL may come this much later than the longest deadline (counted as so much at most) after SIGTERM, in ms.
+# SIGKILL may follow this much later than the longest deadline (counted as so much at most) after SIGTERM, in ms.
 KILL_AFTER = 700.0
 KILL_DEADLINE_MOST = 3000.0
 KILL_MARGIN = 100.0  # ms before that by which all is answered
@@ -58,6 +58,11 @@
     )
 
 
+def _discovery_settings(configuration: Configuration) -> DiscoverySettings:
+    backoff_limit = min(DISCOVERY_RETRY_MOST, DISCOVERY_RETRY_FRACTION * configuration.discovery.drain_grace)
+    return DiscoverySettings(configuration.bus, backoff_limit, configuration.seed)
+
+
 class Service:
     """One front end. `run` serves until a signal requests the shutdown and nothing is owed to clients."""
 
@@ -87,11 +92,7 @@
         )
         self.discovery = DiscoveryClient(
             self.loop,
-            DiscoverySettings(
-                configuration.bus,
-                min(DISCOVERY_RETRY_MOST, DISCOVERY_RETRY_FRACTION * configuration.discovery.drain_grace),
-                configuration.seed,
-            ),
+            _discovery_settings(configuration),
             lambda: self.endpoints.offset,
             self._post_events,
             log,
@@ -100,7 +101,9 @@
         self.reload_requested = False  # by a signal
         self.reload_pending = False  # until the file can be read
         self.stopping = False
-        longest = min(KILL_DEADLINE_MOST, max(method.deadline for method in configuration.request_classes))
+        longest = min(
+            KILL_DEADLINE_MOST, max(request_class.deadline for request_class in configuration.request_classes)
+        )
         self.answer_within = longest + KILL_AFTER - KILL_MARGIN  # ms after SIGTERM
 
     def _log_fault(self, error: Exception) -> None:
@@ -121,7 +124,7 @@
         signal.signal(signal.SIGHUP, self._request_reload)
 
     def _request_shutdown(self, number: int, frame: FrameType | None) -> None:
-        # The time counts from the signal. Nothing else is done here: it may come between any two lines.
+        # The time counts from the signal. Nothing else is done here: it may run between any two lines.
         if self.shutdown_requested_at is None:
             self.shutdown_requested_at = clock()
 
@@ -166,7 +169,7 @@
             given = configurations.load(self.path)
             address = configurations.bus(given, self.path)
         except configurations.UnreadableConfigurationError as error:
-            # The signal comes once and must not be lost, though descriptors or memory may be short for a moment.
+            # The signal is sent once and must not be lost, though descriptors or memory may be short for a moment.
             if not self.reload_pending:
                 self.log.warning("configuration not read yet", why=str(error), kept="the last good one")
             self.reload_pending = True
--- a/wickdyke/platform/sse.py
+++ b/wickdyke/platform/sse.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-EVENT_SIZE_MOST = 1 << 22  # bytes: a whole list of 20,000 workers, some 200 bytes each
+EVENT_SIZE_MOST = 1 << 22  # bytes: a full list of 20,000 workers, some 200 bytes each
 
 
 class EventTooLargeError(Exception):
@@ -18,14 +18,14 @@
 
 
 class Events:
-    """Splits a stream into events. One without its final empty line is dropped, as the standard says."""
+    """Splits a stream into events. One without its final empty line is dropped, as the standard requires."""
 
     def __init__(self) -> None:
         self.buffer = bytearray()  # the incomplete last line
         self.ident = ""
         self.data: list[str] = []
         self.event_size = 0  # bytes of the lines of the incomplete event
-        self.within_event = False  # a line of an event was received, its end was not
+        self.within_event = False  # whether a line of an event was received and its end was not
 
     @property
     def begun(self) -> bool:
--- a/wickdyke/platform/thrift.py
+++ b/wickdyke/platform/thrift.py
@@ -17,8 +17,9 @@
 SIZES = {BOOL: 1, BYTE: 1, DOUBLE: 8, I16: 2, I32: 4, I64: 8}
 UNKNOWN_METHOD, PROTOCOL_ERROR = 1, 7  # codes of application exceptions
 
-_I16, _I32 = struct.Struct(">h"), struct.Struct(">i")
-_HEAD, _FIELD = struct.Struct(">Ii"), struct.Struct(">bh")
+_I16 = struct.Struct(">h")
+_I32 = struct.Struct(">i")
+_FIELD = struct.Struct(">bh")
 
 
 class MalformedMessageError(Exception):
@@ -79,34 +80,38 @@
 
 
 class _Reader:
+    """Reads the values of one frame in their order."""
+
     def __init__(self, data: bytes) -> None:
         self.data = data
         self.at = 0
 
-    def take(self, length: int) -> bytes:
+    def read_bytes(self, length: int) -> bytes:
         if length < 0 or length > len(self.data) - self.at:
             raise MalformedMessageError(f"{length} bytes where {len(self.data) - self.at} are left")
         self.at += length
         return self.data[self.at - length : self.at]
 
     def i32(self) -> int:
-        value: int = _I32.unpack(self.take(4))[0]
+        value: int = _I32.unpack(self.read_bytes(4))[0]
         return value
 
     def string(self) -> bytes:
-        return self.take(self.i32())
+        return self.read_bytes(self.i32())
 
     def field(self) -> tuple[int, int]:
-        kind = self.take(1)[0]
-        return (STOP, 0) if kind == STOP else (kind, _I16.unpack(self.take(2))[0])
+        kind = self.read_bytes(1)[0]
+        return (STOP, 0) if kind == STOP else (kind, _I16.unpack(self.read_bytes(2))[0])
 
     def fields(self) -> dict[str, str]:
-        kinds, count = self.take(2), self.i32()
+        kinds = self.read_bytes(2)
+        count = self.i32()
         if not 0 <= count <= FIELDS_MOST or (count and kinds != bytes((STRING, STRING))):
             raise MalformedMessageError(f"a map of {count} entries, expected {FIELDS_MOST} of strings at most")
         fields: dict[str, str] = {}
         for _ in range(count):
-            name, value = self.string(), self.string()
+            name = self.string()
+            value = self.string()
             try:
                 fields[name.decode()] = value.decode()
             except UnicodeDecodeError:
@@ -117,14 +122,14 @@
 
     def skip(self, kind: int, depth: int = DEPTH_MOST) -> None:
         if kind in SIZES:
-            self.take(SIZES[kind])
+            self.read_bytes(SIZES[kind])
         elif kind == STRING:
             self.string()
         elif depth and kind == STRUCT:
             while (inner := self.field())[0] != STOP:
                 self.skip(inner[0], depth - 1)
         elif depth and kind in (MAP, SET, LIST):
-            kinds = self.take(2 if kind == MAP else 1)
+            kinds = self.read_bytes(2 if kind == MAP else 1)
             count = self.i32()
             if not 0 <= count <= len(self.data):
                 raise MalformedMessageError(f"{count} entries")
@@ -155,13 +160,13 @@
     fields: dict[str, str] = {}
     body = b""
     about = 0
-    given = set()
+    seen: set[int] = set()
     while (field := reader.field())[0] != STOP:
         kind, ident = field
         if name == b"dispatch" and ident in (FIELDS_ARGUMENT, BODY_ARGUMENT):
-            if ident in given or kind != (MAP if ident == FIELDS_ARGUMENT else STRING):
+            if ident in seen or kind != (MAP if ident == FIELDS_ARGUMENT else STRING):
                 raise MalformedMessageError(f"argument {ident} of type {kind} or twice")
-            given.add(ident)
+            seen.add(ident)
             if ident == FIELDS_ARGUMENT:
                 fields = reader.fields()
             else:
--- a/wickdyke/platform/worker_client.py
+++ b/wickdyke/platform/worker_client.py
@@ -71,7 +71,7 @@
         return [*self.connections, *([self.shared] if self.shared else [])]
 
     def send(self, command: Command) -> None:
-        """Sends a command on a connection that takes it; its end is reported by `notify`."""
+        """Sends a command on a connection that accepts it; its end is reported by `notify`."""
         command.worker_client = self
         if self.closed or self.draining or command.deadline <= clock():
             self.finish(command, Outcome.UNSENT)
@@ -79,8 +79,10 @@
         connection = (
             self._for_attempt(command.ident) if command.kind == CommandKind.ATTEMPT else self._for_others(command.ident)
         )
-        if connection is None or connection.failed:
-            self.finish(command, Outcome.UNSENT if connection is None else connection.failed)
+        if connection is None:
+            self.finish(command, Outcome.UNSENT)
+        elif connection.failed is not None:
+            self.finish(command, connection.failed)
         else:
             connection.send(command)
 
@@ -150,7 +152,7 @@
     def answers_lost(self, commands: list[Command], worker_alive: bool) -> None:
         """A connection ended with these commands in flight: they may have run.
 
-        CONNECTION_LOST says that the process ended, with all that it had loaded. The end of a connection beside others
+        CONNECTION_LOST means that the process ended, with all that it had loaded. The end of a connection beside others
         that are established, or on an answer that is invalid, costs the answers only; where no other is established, a
         new connection shows which it was. That misleads where a process was restarted before that connection: the
         endpoint list reports that.
@@ -187,7 +189,7 @@
         self.probe.settle(liveness)
 
     def connection_idle(self, connection: WorkerConnection) -> None:
-        """A connection has no command in flight: one that waits for a connection still being made goes there."""
+        """A connection has no command in flight: one that waits for a connection still being made is sent there."""
         if connection.closed or connection.stale or connection not in self.connections:
             return
         for other in self.connections:
--- a/wickdyke/platform/worker_command.py
+++ b/wickdyke/platform/worker_command.py
@@ -49,6 +49,11 @@
         self.sent_at = 0.0  # ms
         self.sends = 0
 
+    @property
+    def begun(self) -> bool:
+        """Whether a byte of it may have been sent."""
+        return self.message is not None and self.message.begun
+
     def render(self) -> bytes | None:
         """Returns the command as it may be sent now; None where its deadline has passed."""
         left = self.deadline - clock()
--- a/wickdyke/platform/worker_connection.py
+++ b/wickdyke/platform/worker_connection.py
@@ -30,10 +30,6 @@
 PEER_WAS_THERE = (errno.ECONNRESET, errno.EPIPE)  # ends of a connection that the other side had accepted
 
 
-def _is_begun(command: Command) -> bool:
-    return command.message is not None and command.message.begun
-
-
 class ConnectionOwner(PooledClient, Protocol):
     """The worker client of a connection, which the connection notifies."""
 
@@ -58,7 +54,7 @@
         """A command has ended."""
 
     def send_again(self, command: Command) -> None:
-        """The connection ended before a byte of the command was sent, which may go on another."""
+        """The connection ended before a byte of the command was sent, which may be sent on another."""
 
     def answers_lost(self, commands: list[Command], worker_alive: bool) -> None:
         """The connection ended with these commands in flight: they may have run."""
@@ -78,7 +74,7 @@
         self.worker_client = worker_client
         self.loop = worker_client.loop
         self.state = ConnectionState.CONNECTING
-        self.stale = False  # takes no more commands, and ends with the last one in flight
+        self.stale = False  # accepts no more commands, and ends with the last one in flight
         self.open: dict[bytes, Command] = {}  # handed to the write buffer, and owed an answer
         self.pending: list[Command] = []  # until it is established
         self.ended_ids: deque[bytes] = deque(maxlen=ENDED_IDS_KEPT)
@@ -104,7 +100,7 @@
         try:
             self.loop.add(self.sock, self, write=True)
         except OSError as error:
-            # Counted and not served, it would hold its place in the pool for good, and its command its time.
+            # Counted and not served, it would occupy its place in the pool for good, and its command its time.
             self.state = ConnectionState.CLOSED
             self.failed = Outcome.UNSENT
             self._count(f"register_{error_name(error.errno)}")
@@ -135,9 +131,9 @@
         return len(self.open) + len(self.pending)
 
     def accepts(self, ident: bytes) -> bool:
-        """Returns whether a command of that id may go here: no two of one id, nor one whose answer may come yet.
+        """Returns whether a command of that id may be sent: no two of one id, nor one whose answer may be on its way.
 
-        Where an answer stopped short, all that comes after it on that connection is taken for its rest.
+        Where an answer stopped short, all data after it on that connection would be parsed as its rest.
         """
         return (
             self.state is not ConnectionState.CLOSED
@@ -152,7 +148,7 @@
     def alive(self) -> bool:
         """Returns whether the worker has not ended it, as far as this side can see without waiting.
 
-        One that was ended while idle would take a request with it that can't be retried.
+        One that was ended while idle would lose a request that can't be retried.
         """
         try:
             return self.sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT) != b""
@@ -185,14 +181,11 @@
         if command in self.pending:
             self.pending.remove(command)
             return True
-        if (
-            self.open.get(command.ident) is command
-            and command.message is not None
-            and self.write_buffer.withdraw(command.message)
-        ):
-            del self.open[command.ident]
-            return True
-        return False
+        message = command.message if self.open.get(command.ident) is command else None
+        if message is None or not self.write_buffer.withdraw(message):
+            return False
+        del self.open[command.ident]
+        return True
 
     def cancel(self, command: Command, done: Callable[[], None]) -> str | None:
         """Cancels a command that was sent. Returns what `interfaces.WorkerClient.cancel` does."""
@@ -235,7 +228,7 @@
         return True
 
     def _forget(self, command: Command) -> None:
-        """Drops a command whose answer may still come."""
+        """Drops a command whose answer may still be on its way."""
         self.open.pop(command.ident, None)
         self.ended_ids.append(command.ident)
         self.stale = self.stale or self.last_read_at <= command.sent_at or self.answers.begun
@@ -258,9 +251,9 @@
             self.loop.set_interest(self.sock, waiting)
         except OSError:
             self._count("modify_failed")
-            if waiting:  # the kernel would not report when it may go on: the connection is ended
+            if waiting:  # the kernel would not report when to continue: the connection is ended
                 raise
-            # The kernel goes on reporting that there is room, which leads here again.
+            # The kernel keeps reporting that there is room, which leads here again.
 
     def _timed_out(self) -> None:
         if self.state is ConnectionState.CONNECTING:
@@ -268,7 +261,7 @@
             self.end("no connection in time", EndCause.PLAIN if away else EndCause.INCONCLUSIVE)
 
     def writable(self) -> None:
-        """The connect has succeeded or failed, or the socket takes what waits."""
+        """The connect has succeeded or failed, or the socket accepts more data."""
         if self.state is not ConnectionState.ESTABLISHED:
             self._connect_done()
             return
@@ -328,11 +321,11 @@
                 self._answer(answer)
         except resp.InvalidAnswerError as error:
             self._read_complete_answers()
-            self._count("spoilt")
-            self.end(f"spoilt: {error}", EndCause.INVALID_ANSWER)
+            self._count("invalid_answers")
+            self.end(f"invalid answer: {error}", EndCause.INVALID_ANSWER)
             return
         if self.stale and not self.commands_in_flight:
-            self.end("given up")
+            self.end("stale")
         if not self.commands_in_flight:
             self.worker_client.connection_idle(self)
 
@@ -350,8 +343,8 @@
             self._count("strays")
             return
         result = read_result(answer, self.worker_client.report_fields)
-        # An answer may come twice, and the second would end a later attempt of the same request as one that never ran;
-        # so that goes on another connection.
+        # An answer may be sent twice, and the second would end a later attempt of the same request as one that never ran;
+        # so that is sent on another connection.
         self.ended_ids.append(answer[0])
         del self.open[answer[0]]
         self.last_used_at = self.last_read_at
@@ -370,7 +363,7 @@
         in_flight = list(self.open.values())
         self.open = {}
         self.worker_client.pool.used -= 1
-        self.worker_client.pool.counts["cut"] += bool(in_flight)
+        self.worker_client.pool.counts["lost_in_use"] += bool(in_flight)
         if not was_established:
             self._count(why.replace(": ", "_").replace(" ", "_"))
         self.worker_client.connection_ended(self)
@@ -387,16 +380,17 @@
                 self.worker_client.finish(command, Outcome.UNREACHED)
 
     def _end_in_flight(self, in_flight: list[Command], cause: EndCause) -> None:
-        begun = [command for command in in_flight if _is_begun(command)]
+        begun = [command for command in in_flight if command.begun]
         for command in in_flight:
-            if not _is_begun(command):
+            if not command.begun:
                 self.worker_client.finish(command, Outcome.UNSENT)
         if begun:
             self.worker_client.answers_lost(begun, cause is EndCause.INVALID_ANSWER)
 
     def _release(self) -> None:
         """Closes the socket."""
-        for step in (lambda: self.loop.remove(self.sock), self.sock.close):
+        steps: tuple[Callable[[], None], ...] = (lambda: self.loop.remove(self.sock), self.sock.close)
+        for step in steps:
             try:
                 step()
             except OSError:  # epoll_ctl(2), close(2): the kernel forgets a socket that is closed in either case
--- a/wickdyke/platform/worker_protocol.py
+++ b/wickdyke/platform/worker_protocol.py
@@ -21,7 +21,7 @@
         self.loop = loop
         self.pool = ConnectionPool(pool_capacity)
         self.settings = settings
-        self.last_tag = 0  # of prewarms and health checks, which are told apart by it
+        self.last_tag = 0  # identifies a prewarm or a health check
 
     def _tag(self) -> bytes:
         self.last_tag += 1
--- a/wickdyke/platform/worker_results.py
+++ b/wickdyke/platform/worker_results.py
@@ -5,7 +5,7 @@
 from wickdyke.platform import resp
 from wickdyke.routing.model import LoadNote, Outcome
 
-OUTCOMES = {
+OUTCOMES = {  # by the word of an answer
     b"ACK": Outcome.OK,
     b"NOENT": Outcome.MISS,
     b"AGAIN": Outcome.FULL,
@@ -28,7 +28,7 @@
 
 
 def read_report(text: str, fields: tuple[str, ...]) -> tuple[float, ...] | None:
-    """A report in the order of `fields`; None where it is not whole."""
+    """Parses a load report, NAME:VALUE;NAME:VALUE; None where it is invalid or lacks one of `fields`."""
     values = {}
     try:
         for pair in text.split(";"):
@@ -48,7 +48,8 @@
     _, word, fields, body = answer
     values = resp.fields(fields)
     try:
-        concurrent, replicas = int(values.get("ahead", "0")), int(values.get("units", "0"))
+        concurrent = int(values.get("ahead", "0"))
+        replicas = int(values.get("units", "0"))
     except ValueError:
         raise resp.InvalidAnswerError("counts that are no numbers") from None
     report = read_report(values["rep"], report_fields) if "rep" in values else None
--- a/wickdyke/transport/acceptor.py
+++ b/wickdyke/transport/acceptor.py
@@ -8,24 +8,26 @@
 
 # Nothing can be accepted until descriptors or memory are freed, and the connection stays in the backlog.
 SHORT_OF_RESOURCES = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM))
-PAUSE = 0.05  # s between two tries of accept while resources are short
+PAUSE = 0.05  # s between two attempts to accept while resources are short
 IMMEDIATE_RETRIES = 64  # after other failures in a row, before retries are a pause apart too
 
 
 class Acceptor:
     """The accept loop of one blocking listening socket; `run` needs a thread of its own.
 
-    `take(sock)` is called with each accepted connection and owns it; where it raises, that connection is closed.
-    `failed(error)` is called for each failed accept or `take`. Neither ends the loop, only `close` does.
+    `on_connection(sock)` is called with each accepted connection and owns it; where it raises, that is closed.
+    `on_failure(error)` is called for each failed accept or `on_connection`. Neither ends the loop, only `close` does.
     """
 
     def __init__(
         self,
         sock: socket.socket,
-        take: Callable[[socket.socket], None],
-        failed: Callable[[Exception], None] = lambda error: None,
+        on_connection: Callable[[socket.socket], None],
+        on_failure: Callable[[Exception], None] = lambda error: None,
     ) -> None:
-        self.sock, self.take, self.failed = sock, take, failed
+        self.sock = sock
+        self.on_connection = on_connection
+        self.on_failure = on_failure
         self.closed = threading.Event()
 
     def run(self) -> None:
@@ -40,7 +42,7 @@
                 if self.closed.is_set() or self.sock.fileno() < 0:
                     return
                 failures += 1
-                self.failed(error)
+                self.on_failure(error)
                 if error.errno in SHORT_OF_RESOURCES or failures > IMMEDIATE_RETRIES:
                     self.closed.wait(PAUSE)
                 continue
@@ -57,8 +59,8 @@
 
     def _hand_over(self, sock: socket.socket) -> None:
         try:
-            self.take(sock)
+            self.on_connection(sock)
         except Exception as error:  # noqa: BLE001 - one connection must not end the listener of all
             with contextlib.suppress(OSError):
                 sock.close()
-            self.failed(error)
+            self.on_failure(error)
--- a/wickdyke/transport/event_loop.py
+++ b/wickdyke/transport/event_loop.py
@@ -13,20 +13,27 @@
 from wickdyke.transport.timers import Timers
 
 CONNECTING = (0, errno.EINPROGRESS, errno.EINTR)  # results of a non-blocking connect: done, or in progress
-EVENTS_PER_POLL = 256  # taken from the kernel at most
+EVENTS_PER_POLL = 256  # fetched from the kernel at a time
 PEER_CLOSED = select.EPOLLRDHUP | select.EPOLLHUP | select.EPOLLERR  # the other side has closed or reset
 MODIFY_RETRY = 10.0  # ms until an epoll_ctl that failed for want of memory is tried again
 TIME_SLICE = 10.0  # ms of an iteration for the handlers of normal priority; at least one of them is served
 
 
-def dial(address: tuple[str, int]) -> tuple[socket.socket | None, int]:
-    """Starts a non-blocking connect: the socket and 0, or None and the errno."""
+class DialResult(NamedTuple):
+    """A socket whose connect is in progress or done, and 0; or None and the errno."""
+
+    sock: socket.socket | None
+    code: int
+
+
+def dial(address: tuple[str, int]) -> DialResult:
+    """Starts a non-blocking connect. Raises nothing: a failure is in the result."""
     # With all descriptors in use the socket itself can't be made. An exception here would end a timer or a step of the
     # coordinator, and what they do would never be tried again.
     try:
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     except OSError as error:
-        return None, error.errno or errno.EIO
+        return DialResult(None, error.errno or errno.EIO)
     try:
         sock.setblocking(False)
         code = sock.connect_ex(address)
@@ -37,11 +44,11 @@
     except BaseException:  # raised by a signal handler
         close(sock)
         raise
-    # EINTR: the connection goes on being made, as with EINPROGRESS. EAGAIN on TCP: no local port is free.
+    # EINTR: the connect continues, as with EINPROGRESS. EAGAIN on TCP: no local port is free.
     if code in CONNECTING:
-        return sock, 0
+        return DialResult(sock, 0)
     close(sock)
-    return None, code
+    return DialResult(None, code)
 
 
 def close(sock: socket.socket) -> None:
@@ -79,10 +86,10 @@
 
 
 class ReadySocket(NamedTuple):
-    """A socket with events, and the handler it had when they were taken from the kernel."""
+    """A socket with events, and the handler it had when they were fetched from the kernel."""
 
     number: int  # its descriptor
-    handler: Handler | None
+    handler: Handler
     events: int
 
 
@@ -104,7 +111,7 @@
         return None
     except OSError as error:
         # Without memory the data stays in the kernel and can be read later. To end the connection would lose the
-        # requests on it. The price is a try in each iteration for as long as there is no memory.
+        # requests on it. The price is an attempt in each iteration for as long as there is no memory.
         return None if error.errno in (errno.ENOMEM, errno.ENOBUFS) else b""
 
 
@@ -129,7 +136,7 @@
 
     def add(self, sock: socket.socket, handler: Handler, write: bool = False) -> None:
         """Serves that socket from now on. Raises OSError where it can't be watched, and then keeps nothing of it."""
-        # The kernel comes first. A handler kept for a socket that is not registered would be found when its descriptor
+        # The kernel is first. A handler kept for a socket that is not registered would be used when its descriptor
         # is used again, and `remove` by the owner of the new socket would fail.
         number = sock.fileno()
         self.epoll.register(number, _events(write, True))
@@ -205,7 +212,7 @@
 
     def _poll(self, wait: float) -> list[tuple[int, int]]:
         """(descriptor, events) of the sockets that are ready."""
-        # Rounded up: a wait that ends too early would poll for nothing until its time has come.
+        # Rounded up: a wait that ends too early would poll for nothing until its time.
         timeout = max(0.0, wait + 0.5) / 1000 if wait > 0 else 0
         try:
             return self.epoll.poll(timeout, EVENTS_PER_POLL)
@@ -215,12 +222,14 @@
     def _serve_high_priority(self, events_by_socket: list[tuple[int, int]]) -> list[ReadySocket]:
         """Serves the handlers of high priority, and those whose peer has closed; returns the others."""
         # Serving one may close the connection of another, and a new one may get its descriptor: with the events of the
-        # other it would take itself for connected. So all handlers are looked up before any is served.
-        ready_sockets = [ReadySocket(number, self.handlers.get(number), events) for number, events in events_by_socket]
+        # other it would consider itself connected. So all handlers are looked up before any is served.
+        ready_sockets = [
+            ReadySocket(number, handler, events)
+            for number, events in events_by_socket
+            if (handler := self.handlers.get(number)) is not None
+        ]
         others = []
         for ready in ready_sockets:
-            if ready.handler is None:
-                continue
             # A close is seen before anything is decided, however many other clients send at that moment.
             if ready.handler.priority is Priority.HIGH or ready.events & PEER_CLOSED:
                 self.serve(ready.number, ready.handler, ready.events)
@@ -256,7 +265,7 @@
                 self._report(second_error)
 
     def _report(self, error: Exception) -> None:
-        # One faulty connection must not end the thread that serves all. No known fault leads here.
+        # One faulty connection must not end the thread that serves all. No fault is known to lead here.
         if self.on_error is None:
             raise error
         self.on_error(error)
--- a/wickdyke/transport/line_server.py
+++ b/wickdyke/transport/line_server.py
@@ -7,7 +7,7 @@
 import stat
 import threading
 from collections.abc import Callable
-from typing import TextIO
+from typing import NamedTuple, TextIO
 
 from wickdyke.config import address as addresses
 from wickdyke.protocol import jsonrpc
@@ -22,13 +22,20 @@
 
 
 class AddressInUseError(Exception):
-    """The address can't be had: a live process listens there, or the system refuses it."""
+    """The address is not available: a live process listens there, or the system rejects it."""
 
 
-def listener(address: str) -> tuple[socket.socket, TextIO | None]:
-    """(listening socket, lock file to be kept open while it is used); raises AddressInUseError.
+class ListeningSocket(NamedTuple):
+    """A listening socket. The lock file, of a Unix socket, is to be kept open for as long as the socket is used."""
 
-    The lock beside a Unix socket's file tells a live owner from a file that a killed process left behind.
+    sock: socket.socket
+    lock_file: TextIO | None
+
+
+def listener(address: str) -> ListeningSocket:
+    """Listens on that address. Raises AddressInUseError.
+
+    The lock beside a Unix socket's file distinguishes a live owner from a file that a killed process left behind.
     """
     family, target = addresses.parse(address)
     # Closes what is open already where a later step fails.
@@ -47,7 +54,7 @@
         except OSError as error:
             raise AddressInUseError(f"{address}: {error.strerror}, expected a free one") from None
         opened.pop_all()
-    return sock, lock_file
+    return ListeningSocket(sock, lock_file)
 
 
 def _claim(address: str, lock_file: TextIO) -> None:
@@ -93,7 +100,7 @@
         self.sock, self.lock_file = listener(address)
         self.socks: set[socket.socket] = set()
         self.lock = threading.Lock()
-        self.acceptor = Acceptor(self.sock, self._take)
+        self.acceptor = Acceptor(self.sock, self._start_serving)
         try:
             threading.Thread(target=self.acceptor.run, name="accept", daemon=True).start()
         except RuntimeError:
@@ -101,7 +108,7 @@
             raise
 
     def close(self) -> None:
-        """Accepts no more connections and ends those there are."""
+        """Accepts no more connections and ends all open ones."""
         self.acceptor.close()
         with self.lock:
             socks = list(self.socks)
@@ -111,9 +118,9 @@
         if self.lock_file is not None:
             self.lock_file.close()
 
-    def _take(self, sock: socket.socket) -> None:
+    def _start_serving(self, sock: socket.socket) -> None:
         with self.lock:
-            if self.acceptor.closed.is_set():  # accepted as `close` went by: nobody would end it
+            if self.acceptor.closed.is_set():  # accepted during `close`, which does not end it
                 sock.close()
                 return
             self.socks.add(sock)
@@ -148,12 +155,15 @@
         on_close: Callable[[LineConnection], None],
         line_size: int = LINE_SIZE_MOST,
     ) -> None:
-        self.on_request, self.on_close, self.line_size = on_request, on_close, line_size
+        self.on_request = on_request
+        self.on_close = on_close
+        self.line_size = line_size
         self.connections: set[LineConnection] = set()
         super().__init__(address, self._read)
 
     def _read(self, sock: socket.socket) -> None:
-        connection, lines = LineConnection(sock), LineReader(self.line_size)
+        connection = LineConnection(sock)
+        lines = LineReader(self.line_size)
         self.connections.add(connection)
         try:
             while data := sock.recv(READ_SIZE):
