--- a/tests/acceptance_rig.py
+++ b/tests/acceptance_rig.py
@@ -1,11 +1,12 @@
-"""A front end turned by hand on a clock that only the test moves, for tests/test_acceptance_days.py."""
+"""A front end turned by hand on a clock that only the test moves."""
 
+import json
 import time
 from types import SimpleNamespace
 from unittest.mock import patch
 
+from tests import front_end_rig
 from tests import platform_rig as rig
-from tests import test_fleet
 from wickdyke.gateway import context
 from wickdyke.gateway.events import RequestReceived
 from wickdyke.platform import service
@@ -13,7 +14,8 @@
 from wickdyke.transport import event_loop
 
 START = 1e9  # ms on the stand-in clock
-STEP = 5.0  # ms of it that pass between two turns
+STEP = 5.0  # ms of it that pass between two iterations
+STEP_OF_HEDGE = 1.0  # ms, where a hedged request is to be caught between its attempts
 
 LANES = [
     *rig.SETTINGS["lanes"],
@@ -55,7 +57,7 @@
     return rig.dispatch(number, rig.fields(ident or f"{number:016x}", name, **more), body)
 
 
-class Stepped(test_fleet.Handed):
+class Stepped(front_end_rig.Handed):
     """A front end whose monotonic clock stands still until the test moves it on."""
 
     def setUp(self):
@@ -120,3 +122,11 @@
         """Nothing more comes on that connection."""
         self.later(span, 20.0)
         self.assertFalse(client.waits(), "a second answer, or an end")
+
+
+HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nConnection: close\r\n\r\n"
+
+
+def told(number, *instances):
+    """An event as it stands on the stream."""
+    return b"id: %d\ndata: %s\n\n" % (number, json.dumps(rig.event(number, *instances)).encode())
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -9,8 +9,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from tests import front_end_rig
 from tests import platform_rig as rig
-from tests import test_fleet
 from tests.helpers import Fleet, verbs
 from wickdyke.gateway.interfaces import EndpointListChange
 from wickdyke.platform import endpoint_list, service
@@ -324,7 +324,7 @@
         self.assertLess(self.sent(0.0, HOUR, True), 10)
 
 
-class WholeFrontEnd(test_fleet.Handed):
+class WholeFrontEnd(front_end_rig.Handed):
     """A real front end on sockets whose wall clock is stepped, before it starts or once it follows the list."""
 
     def test_a_live_start(self):
--- a/tests/test_configuration_faults.py
+++ b/tests/test_configuration_faults.py
@@ -6,7 +6,7 @@
 from unittest.mock import patch
 
 from tests import platform_rig as rig
-from tests.test_fleet import NOWHERE, Handed
+from tests.front_end_rig import NOWHERE, Handed
 from wickdyke.platform import configuration, service
 
 MOMENTARY = (errno.EMFILE, errno.ENFILE, errno.ENOMEM, errno.EIO, errno.ENOENT)
--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -12,9 +12,8 @@
 import msgspec
 
 from tests import platform_rig as rig
+from tests.front_end_rig import ASCII_A, ASCII_B, Full, Turned
 from tests.rig import Peer, Told, hello, lines_of, ok
-from tests.test_fleet import ASCII_A, ASCII_B, Full
-from tests.test_platform import Turned
 from wickdyke.jsonrpc import worker_client as rpc_link
 from wickdyke.jsonrpc import worker_protocol as rpc_speech
 from wickdyke.platform import (
--- /dev/null
+++ b/tests/test_platform_worker_client.py
@@ -0,0 +1,222 @@
+"""The platform's worker client against a worker on loopback: outcomes, connections, the pool, drains."""
+
+import socket
+import struct
+import time
+import unittest
+
+from tests import platform_rig as rig
+from tests.front_end_rig import Turned
+from tests.rig import plain
+from wickdyke.gateway.interfaces import CommandKind
+from wickdyke.platform import connection_pool, resp, worker_client, worker_command
+from wickdyke.transport.event_loop import clock
+
+
+class Links(Turned):
+    def link(self, play=None, dial=5000.0, most=20):
+        self.worker = rig.Worker(play)
+        self.addCleanup(self.worker.close)
+        self.pool = connection_pool.ConnectionPool(most)
+        link = worker_client.WorkerClient(
+            "w",
+            self.worker.address,
+            lambda event: self.told.append(plain(event)),
+            self.loop,
+            self.pool,
+            worker_client.WorkerClientSettings(dial, 10000.0, ("utilization", "in_flight")),
+        )
+        self.addCleanup(link.close)
+        return link
+
+    def order(self, ident=b"9b1f03aa5c7e2d41", kind=CommandKind.ATTEMPT):
+        verb = {
+            CommandKind.ATTEMPT: (b"invoke", ident, b"lane=look,name=x,ttl=9", b"b"),
+            CommandKind.PREWARM: (b"prewarm", ident, b"name=x,units=1"),
+            CommandKind.HEALTH_CHECK: (b"gauges", ident),
+        }[kind]
+        return worker_command.Command(kind, None, ident, resp.command(*verb))
+
+    def ended(self, many=1):
+        self.until(lambda: len(self.told) >= many, "an end")
+        return [(event[2].ident, event[3]) for event in self.told]
+
+    def test_what_is_known_of_a_call_out(self):
+        """(what the worker does, whether another connection stands) -> the outcome told."""
+
+        def writes(raw):
+            return lambda worker, sock, parts: parts[0] == b"invoke" and (sock.sendall(raw(parts)), True)[1]
+
+        def resets(worker, sock, parts):
+            if parts[0] == b"invoke":
+                sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+                sock.shutdown(socket.SHUT_RD)
+                sock.close()
+                return True
+
+        def dies(worker, sock, parts):
+            if parts[0] == b"invoke":
+                worker.listener.shutdown(socket.SHUT_RDWR)
+                worker.listener.close()
+            return resets(worker, sock, parts)
+
+        half = writes(lambda p: rig.bulk(p[1], b"ACK", b"-", b"whole")[:-4])
+
+        def stops_short(worker, sock, parts):
+            if half(worker, sock, parts):
+                sock.shutdown(socket.SHUT_RDWR)
+                return True
+
+        for name, play, beside, outcome in (
+            ("served", None, False, "ok"),
+            ("reset", resets, False, "error"),
+            ("gone", dies, False, "cut"),
+            ("takes no new", dies, True, "error"),
+            ("reset beside", resets, True, "error"),
+            ("breaks off", stops_short, False, "error"),
+            ("breaks off beside", stops_short, True, "error"),
+            ("noise", writes(lambda p: b"\x01\x02noise"), False, "error"),
+            (
+                "another's answer first",
+                writes(lambda p: rig.bulk(b"other", b"EIO", b"-", b"") + rig.bulk(p[1], b"ACK", b"-", b"x") * 2),
+                False,
+                "ok",
+            ),
+            ("full", writes(lambda p: rig.bulk(p[1], b"AGAIN", b"-", b"")), False, "full"),
+        ):
+            with self.subTest(name):
+                self.told.clear()
+                link = self.link(play)
+                if beside:
+                    link.send(self.order(b"t1", CommandKind.HEALTH_CHECK))
+                    self.ended()
+                    self.told.clear()
+                link.send(self.order())
+                self.assertEqual(self.ended(), [(b"9b1f03aa5c7e2d41", outcome)])
+                for _ in range(5):
+                    self.loop.run_once(5.0, lambda: None)
+                self.assertEqual(len(self.told), 1)  # one end for each, whatever else comes
+
+    def test_an_order_that_got_lost_beside_others_is_no_cut(self):
+        link = self.link(lambda worker, sock, parts: parts[0] == b"prewarm" and (sock.sendall(b"??"), True)[1])
+        link.send(self.order())
+        self.ended()
+        link.send(self.order(b"t1", CommandKind.PREWARM))
+        self.assertEqual(self.ended(2)[1], (b"t1", "timeout"))
+
+    def test_reset_as_it_comes_up(self):
+        """(connections that are reset when new) -> served by a later one, or known never to have run."""
+        for many, outcome in ((1, "ok"), (2, "ok"), (9, "unsent")):
+            with self.subTest(many):
+                self.told.clear()
+                link, met = self.link(), []
+                serve = self.worker._serve
+
+                def new(sock, many=many, serve=serve, met=met):
+                    met.append(sock)
+                    if len(met) <= many:
+                        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+                        sock.close()
+                    else:
+                        serve(sock)
+
+                self.worker._serve = new
+                link.send(self.order())
+                time.sleep(0.1)  # it comes up and is reset before the loop looks
+                while not self.told:
+                    self.loop.run_once(100.0, lambda: time.sleep(0.05))
+                self.assertEqual(self.ended(), [(b"9b1f03aa5c7e2d41", outcome)])
+
+    def test_nobody_there(self):
+        link = self.link()
+        self.worker.close()
+        time.sleep(0.05)
+        link.target = ("127.0.0.1", int(rig.free_address().rpartition(":")[2]))
+        link.send(self.order())
+        self.assertEqual(self.ended(), [(b"9b1f03aa5c7e2d41", "unreached")])
+        self.assertEqual(self.pool.used, 0)
+
+    def test_one_id_is_never_twice_on_a_connection(self):
+        link = self.link(lambda worker, sock, parts: True, most=1)  # answers nothing; one connection only
+        first, second = self.order(), self.order()
+        link.send(first)
+        self.until(lambda: self.worker.came(b"invoke"))
+        link.send(second)
+        self.assertEqual(self.ended(), [(second.ident, "unsent")])
+
+    def test_taken_back(self):
+        """Alone on its connection: that ends, and nothing comes later. Beside another: abort, and the other stays."""
+        link = self.link(lambda worker, sock, parts: parts[1] != b"c" * 16, most=1)
+        first, other = self.order(b"a" * 16), self.order(b"b" * 16)
+        link.send(first)
+        link.send(other)
+        self.until(lambda: len(self.worker.came(b"invoke")) == 2)
+        self.assertEqual(link.cancel(first, lambda: None), "cancelled")
+        self.assertEqual(link.cancel(first, lambda: None), "ended")
+        self.until(lambda: self.worker.came(b"abort"))
+        self.assertEqual(self.worker.came(b"abort"), [[b"abort", b"a" * 16]])
+        link.send(self.order(b"a" * 16))  # its late answer may still come there, and would end this one
+        self.assertEqual(self.ended(), [(b"a" * 16, "unsent")])
+        self.told.clear()
+        self.assertEqual(link.cancel(other, lambda: None), "cancelled")
+        self.assertEqual((self.pool.used, self.told), (0, []))
+        link.send(self.order(b"c" * 16))
+        self.assertEqual(self.ended(), [(b"c" * 16, "ok")])
+
+    def test_call_outs_have_connections_of_their_own_and_keep_them(self):
+        link = self.link()
+        for many in range(1, 4):
+            for at in range(3):
+                link.send(self.order(b"%016d" % at))
+            self.ended(3 * many)
+        self.assertEqual((self.pool.counts["dialled"], self.pool.used), (3, 3))
+
+    def test_the_pool_is_shared_and_what_idles_makes_room(self):
+        first, other = self.link(most=2), self.link(most=2)
+        other.pool = first.pool
+        first.pool.worker_clients.add(other)
+        for at in range(2):
+            first.send(self.order(b"%016d" % at))
+        self.ended(2)
+        other.send(self.order())  # both places idle at the first worker
+        self.assertEqual(self.ended(3)[2], (b"9b1f03aa5c7e2d41", "ok"))
+        self.assertEqual((first.pool.used, len(first.connections), len(other.connections)), (2, 1, 1))
+        first.idle_timeout = other.idle_timeout = 0.0
+        ends = clock() + 5
+        self.until(lambda: clock() > ends)
+        first.pool.sweep()
+        self.assertEqual(first.pool.used, 0)
+
+    def test_a_retired_worker_that_says_nothing_ends_with_the_last_given_up(self):
+        """(how the last goes) -> all connections ended, nothing kept."""
+        for kind in (CommandKind.ATTEMPT, CommandKind.HEALTH_CHECK):
+            with self.subTest(kind):
+                link = self.link(lambda worker, sock, parts: True)
+                orders = [self.order(b"a" * 16), self.order(b"t1", CommandKind.HEALTH_CHECK)]
+                for order in orders:
+                    link.send(order)
+                self.until(lambda: len(self.worker.came(b"invoke") + self.worker.came(b"gauges")) == 2)
+                link.drain()
+                for order in orders if kind == CommandKind.HEALTH_CHECK else orders[::-1]:
+                    if order.kind == CommandKind.ATTEMPT:
+                        self.assertEqual(link.cancel(order, lambda: None), "cancelled")
+                    else:
+                        self.assertTrue(link.abandon(order))
+                self.assertEqual((self.pool.used, self.pool.worker_clients, link.closed), (0, set(), True))
+
+    def test_a_retired_worker_ends_with_what_is_out(self):
+        held = []
+        link = self.link(lambda worker, sock, parts: parts[0] == b"invoke" and (held.append((sock, parts)), True)[1])
+        link.send(self.order())
+        self.until(lambda: held)
+        link.drain()
+        self.assertEqual((self.told, self.pool.used), ([], 1))
+        held[0][0].sendall(rig.bulk(held[0][1][1], b"ACK", b"-", b"x"))
+        self.assertEqual(self.ended(), [(b"9b1f03aa5c7e2d41", "ok")])
+        self.assertEqual(self.pool.used, 0)
+        link.send(self.order(b"f" * 16))
+        self.assertEqual(self.ended(2)[1], (b"f" * 16, "unsent"))
+
+
+if __name__ == "__main__":
+    unittest.main()
