--- a/tests/acceptance_rig.py
+++ b/tests/acceptance_rig.py
@@ -1,4 +1,4 @@
-"""A front end turned by hand on a clock that only the test moves."""
+"""A front end stepped by hand on a clock that only the test moves."""
 
 import json
 import time
@@ -13,7 +13,7 @@
 from wickdyke.routing.model import RoutePolicy
 from wickdyke.transport import event_loop
 
-START = 1e9  # ms on the stand-in clock
+START = 1e9  # ms on the fake clock
 STEP = 5.0  # ms of it that pass between two iterations
 STEP_OF_HEDGE = 1.0  # ms, where a hedged request is to be caught between its attempts
 
@@ -57,7 +57,7 @@
     return rig.dispatch(number, rig.fields(ident or f"{number:016x}", name, **more), body)
 
 
-class Stepped(front_end_rig.Handed):
+class SteppedClockCase(front_end_rig.FrontEndCase):
     """A front end whose monotonic clock stands still until the test moves it on."""
 
     def setUp(self):
@@ -85,7 +85,7 @@
         self.serving.client_server.post = timed
 
     def attempts_out(self):
-        """Orders that wait for a worker, of any kind."""
+        """Commands that wait for a worker, of any kind."""
         return sum(
             connection.commands_in_flight
             for client in self.serving.coordinator.workers.clients.values()
@@ -93,11 +93,11 @@
         )
 
     def settle(self):
-        """Turns until workers have answered all that is out, and no time passes."""
+        """Steps until workers have answered all that is out, and no time passes."""
         self.until(lambda: not self.attempts_out() and self.serving.coordinator.events.empty(), "the workers' answers")
 
     def later(self, span, step=STEP, settle=False):
-        """Lets a time pass, a turn in each step; with `settle`, workers answer all within each."""
+        """Lets a time pass, an iteration in each step; with `settle`, workers answer all within each."""
         ends = self.now + span
         while self.now < ends:
             self.now = min(ends, self.now + step)
--- a/tests/front_end_rig.py
+++ b/tests/front_end_rig.py
@@ -18,8 +18,8 @@
 from wickdyke.transport.event_loop import EventLoop
 
 
-class Turned(unittest.TestCase):
-    """What is turned by a loop in the test's own thread."""
+class LoopCase(unittest.TestCase):
+    """What is stepped by a loop in the test's own thread."""
 
     def setUp(self):
         self.loop, self.told = EventLoop(), []
@@ -63,7 +63,7 @@
         time.sleep(0.01)
 
 
-class Full:
+class FullListener:
     """A listener that takes no more connections: whoever dials it waits. `open()` takes all of them."""
 
     def __init__(self, test):
@@ -80,8 +80,8 @@
         test.addCleanup(lambda: [each.close() for each in [self.sock, *self.first, *self.taken]])
 
 
-class Handed(unittest.TestCase):
-    """A front end turned by the test's own thread."""
+class FrontEndCase(unittest.TestCase):
+    """A front end stepped by the test's own thread."""
 
     def setUp(self):
         made = tempfile.TemporaryDirectory()
@@ -124,8 +124,8 @@
     def end(self):
         for client in list(self.serving.client_server.clients.values()):
             client.close()
-        for link in list(self.serving.coordinator.workers.clients.values()):
-            link.close()
+        for upstream in list(self.serving.coordinator.workers.clients.values()):
+            upstream.close()
         self.serving.discovery.close()
         self.serving.client_server.shut()
         self.serving.loop.close()
@@ -140,7 +140,7 @@
         return self.made(rig.Client(self.listen))
 
     def answer(self, client):
-        """The next answer, the front end turned until it is there."""
+        """The next answer, the front end stepped until it is there."""
         self.until(client.waits, "an answer")
         return client.answer()
 
--- a/tests/test_attempts_that_fail_at_once.py
+++ b/tests/test_attempts_that_fail_at_once.py
@@ -3,12 +3,12 @@
 import unittest
 
 from tests import platform_rig as rig
-from tests.acceptance_rig import CLASSES, STEP_OF_HEDGE, Stepped, request, settings
+from tests.acceptance_rig import CLASSES, STEP_OF_HEDGE, SteppedClockCase, request, settings
 from tests.front_end_rig import reset
 from wickdyke.gateway.events import EndpointsReceived
 
 
-class FailAtOnce(Stepped):
+class FailAtOnce(SteppedClockCase):
     """Retries and hedged requests whose attempt fails as it begins."""
 
     def second_worker(self, address):
@@ -56,7 +56,7 @@
         self.no_more(client)
         self.assertEqual((self.serving.coordinator.requests.by_id, self.faults()), ({}, []))
 
-    def test_a_hedged_request_and_the_first_attempt_fail_in_one_turn(self):
+    def test_a_hedged_request_and_the_first_attempt_fail_in_one_iteration(self):
         """The hedge's worker and the first one's connection are both reset unread: one final answer."""
         self.front_end(self.worker().address, settings=settings({"second-copies": True}))
         self.hedging()
@@ -73,8 +73,8 @@
         self.no_more(client)
         self.assertEqual((self.serving.coordinator.requests.by_id, self.faults()), ({}, []))
 
-    def test_both_answer_in_one_turn(self):
-        """The hedge's answer and the first attempt's are read in one turn: the client gets one."""
+    def test_both_answer_in_one_iteration(self):
+        """The hedge's answer and the first attempt's are read in one iteration: the client gets one."""
         self.front_end(self.worker().address, settings=settings({"second-copies": True}))
         self.hedging()
         client = self.client()
@@ -89,7 +89,7 @@
         self.assertEqual((self.serving.coordinator.requests.by_id, self.faults()), ({}, []))
 
 
-class LittleTime(Stepped):
+class LittleTime(SteppedClockCase):
     """Requests with 1 to 30 ms left, which workers drop without a word."""
 
     def test_one_answer_in_time_and_the_worker_is_not_taken_for_sick(self):
--- a/tests/test_busy_front_end.py
+++ b/tests/test_busy_front_end.py
@@ -6,12 +6,12 @@
 from unittest.mock import patch
 
 from tests import platform_rig as rig
-from tests.acceptance_rig import HEAD, Stepped, request, told
+from tests.acceptance_rig import HEAD, SteppedClockCase, request, told
 from tests.front_end_rig import wait_for
 from tests.test_slow_discovery import Raw
 
 
-class SweptAndStarved(Stepped):
+class SweptAndStarved(SteppedClockCase):
     """What silent connections and clients that never stop sending must not cost; each failed at 8f1d016."""
 
     def number_one(self):
--- a/tests/test_client_connection_ends.py
+++ b/tests/test_client_connection_ends.py
@@ -7,29 +7,32 @@
 from tests import platform_rig as rig
 from tests.front_end_rig import A, B, C
 from tests.rig import plain
-from tests.timed_rig import Timed
+from tests.timed_rig import TimedFrontEndCase
 from wickdyke.gateway.events import RequestReceived
-from wickdyke.platform import client_connection
-from wickdyke.platform import client_server as fronts
+from wickdyke.platform import client_connection, client_server
 from wickdyke.routing.model import RequestClass
 from wickdyke.transport import event_loop, write_buffer
 
 
-class Owed(unittest.TestCase):
+class AnswersOwed(unittest.TestCase):
     """What was read is answered, whatever else its connection does."""
 
     def setUp(self):
         self.now = 0.0
         self.addCleanup(patch.stopall)
-        for module in (event_loop, fronts, client_connection):
+        for module in (event_loop, client_server, client_connection):
             patch.object(module, "clock", lambda: self.now).start()
         self.loop, self.told = event_loop.EventLoop(), []
         self.addCleanup(self.loop.close)
         methods = [RequestClass("look", "idempotent", "all", 0.0, 500.0, 0.0, 4000.0, 1.0, 0.1)]
         self.address = rig.free_address()
         host, port = self.address.split(":")
-        self.front = fronts.ClientServer(
-            self.loop, fronts.ClientServerSettings((host, int(port)), methods, 2), self.told.append, lambda: "", Mock()
+        self.front = client_server.ClientServer(
+            self.loop,
+            client_server.ClientServerSettings((host, int(port)), methods, 2),
+            self.told.append,
+            lambda: "",
+            Mock(),
         )
         self.front.listen()
         self.addCleanup(self.front.shut)
@@ -62,7 +65,7 @@
         ask = self.asked(client, rig.dispatch(1, rig.fields(A)))
         client.send(rig.dispatch(2, rig.fields(B))[:20])
         self.until(lambda: next(iter(self.front.clients.values())).frames.begun)
-        self.now += fronts.SILENCE_TIMEOUT + 2 * fronts.SWEEP_INTERVAL
+        self.now += client_server.SILENCE_TIMEOUT + 2 * client_server.SWEEP_INTERVAL
         self.loop.run_once(0.0, lambda: None)
         ask.succeed(b"done", 1)
         self.until(client.waits)
@@ -76,7 +79,7 @@
         client.send(rig.dispatch(1, rig.fields(B)))  # a number twice: the connection ends after what is open
         self.until(lambda: next(iter(self.front.clients.values())).ending)
         for _ in range(15):
-            self.now += fronts.SWEEP_INTERVAL
+            self.now += client_server.SWEEP_INTERVAL
             self.loop.run_once(0.0, lambda: None)
         ask.succeed(b"done", 1)
         self.until(client.waits)
@@ -109,7 +112,7 @@
         self.until(lambda: self.front.clients)
         client.send(rig.dispatch(1, rig.fields(A)))
         self.there(next(iter(self.front.clients.values())))
-        self.now += fronts.SILENCE_TIMEOUT + 2 * fronts.SWEEP_INTERVAL
+        self.now += client_server.SILENCE_TIMEOUT + 2 * client_server.SWEEP_INTERVAL
         self.front._sweep()
         self.assertEqual([type(event) for event in self.told], [RequestReceived])
         self.assertTrue(self.front.clients)
@@ -167,9 +170,9 @@
                 self.assertEqual([plain(event) for event in self.told[1:]], [want])
 
 
-class Attempts(Timed):
+class Attempts(TimedFrontEndCase):
     def leaves(self, how):
-        """A worker rejects a call-out in the turn in which its client's close or cancel is there, too. The worker is
+        """A worker rejects a attempt in the turn in which its client's close or cancel is there, too. The worker is
         served first, so the retry is decided before that is read. How many attempts begin after that."""
         workers = [self.worker(), self.worker()]
         serving = self.front_end(*workers)
@@ -205,7 +208,7 @@
         else:
             self.until(lambda: not serving.coordinator.requests.by_id, "the end of the request")
         for _ in range(10):
-            self.turn()
+            self.run_once()
         return sum(len(worker.came(b"invoke")) for worker in workers) - before
 
     def test_a_client_that_stays_has_its_retry(self):
--- a/tests/test_client_connection_faults.py
+++ b/tests/test_client_connection_faults.py
@@ -11,8 +11,7 @@
 from tests import platform_rig as rig
 from tests.rig import plain
 from wickdyke.gateway.events import RequestReceived
-from wickdyke.platform import client_connection
-from wickdyke.platform import client_server as fronts
+from wickdyke.platform import client_connection, client_server
 from wickdyke.routing.model import RequestClass
 from wickdyke.transport import event_loop
 
@@ -51,7 +50,7 @@
             raise OSError(code, os.strerror(code))
 
 
-class Standin:
+class FaultyCalls:
     """A socket or an epoll whose calls may fail; `piece` bytes go out with the first send, and none with the next."""
 
     def __init__(self, real, plan, piece=None):
@@ -63,7 +62,7 @@
     def accept(self):
         self.plan.call("accept")
         sock, address = self.real.accept()
-        return Standin(sock, self.plan, self.piece), address
+        return FaultyCalls(sock, self.plan, self.piece), address
 
     def setblocking(self, blocks):
         self.plan.call("setblocking")
@@ -119,21 +118,21 @@
     def setUp(self):
         self.now = 0.0
         self.addCleanup(patch.stopall)
-        for module in (event_loop, fronts, client_connection):
+        for module in (event_loop, client_server, client_connection):
             patch.object(module, "clock", lambda: self.now).start()
 
     def begin(self, plan, piece=None):
         self.now, self.taken = 0.0, []
         self.faults = []
         self.loop = event_loop.EventLoop(self.faults.append)
-        self.loop.epoll = Standin(self.loop.epoll, plan)
+        self.loop.epoll = FaultyCalls(self.loop.epoll, plan)
         methods = [RequestClass("look", "idempotent", "all", 0.0, 500.0, 0.0, 4000.0, 1.0, 0.1)]
         host, port = (address := rig.free_address()).split(":")
-        self.front = fronts.ClientServer(
-            self.loop, fronts.ClientServerSettings((host, int(port)), methods, 20), self.take, lambda: "", Mock()
+        self.front = client_server.ClientServer(
+            self.loop, client_server.ClientServerSettings((host, int(port)), methods, 20), self.take, lambda: "", Mock()
         )
         made = socket.socket
-        with patch.object(fronts.socket, "socket", lambda *given: Standin(made(*given), plan, piece)):
+        with patch.object(client_server.socket, "socket", lambda *given: FaultyCalls(made(*given), plan, piece)):
             self.front.listen()
         return address
 
@@ -208,7 +207,7 @@
                     self.assertIn(words, (["closed"], ["answer"], ["answer", "closed"]))
                     self.assertEqual(self.faults, [])
 
-    def test_broken_while_a_request_is_open_the_desk_is_told(self):
+    def test_broken_while_a_request_is_open_the_coordinator_is_told(self):
         for code in BROKEN["recv"]:
             with self.subTest(code):
                 plan = Plan()
--- a/tests/test_client_leaving.py
+++ b/tests/test_client_leaving.py
@@ -8,11 +8,11 @@
 from unittest.mock import Mock
 
 from tests import platform_rig as rig
-from tests.front_end_rig import A, B, Full, Handed, reset
+from tests.front_end_rig import A, B, FrontEndCase, FullListener, reset
 from wickdyke.gateway.events import ClientClosed, EndpointsReceived
 
 
-class Leaving(Handed):
+class ClientLeaving(FrontEndCase):
     def settings(self, **limits):
         return {**rig.SETTINGS, "limits": {**rig.SETTINGS["limits"], **limits}}
 
@@ -46,31 +46,32 @@
         client = self.client()
         client.send(rig.dispatch(1, rig.fields(A), b"a"))
         self.answer(client)
-        link = serving.coordinator.workers.clients["w0"]
+        upstream = serving.coordinator.workers.clients["w0"]
         kept = [
-            weakref.ref(thing) for thing in (link.connections[0], next(iter(serving.client_server.clients.values())))
+            weakref.ref(thing)
+            for thing in (upstream.connections[0], next(iter(serving.client_server.clients.values())))
         ]
         gc.disable()
         self.addCleanup(gc.enable)
         client.close()
         self.until(lambda: not serving.client_server.clients)
-        link.connections[0].end("idle")
+        upstream.connections[0].end("idle")
         serving.loop.timers.heap.clear()  # when a connection would have been late
         self.assertEqual([each() for each in kept], [None, None])
 
-    def test_who_leaves_while_its_call_out_waits_for_a_connection(self):
-        """(how it leaves, whether call-outs may be cancelled): nothing of it goes out when the connection is there."""
+    def test_who_leaves_while_its_attempt_waits_for_a_connection(self):
+        """(how it leaves, whether attempts may be cancelled): nothing of it goes out when the connection is there."""
         for cancelling in (True, False):
             for how in ("cancel", "close", "reset", "close after what can't be read"):
                 with self.subTest(how=how, cancelling=cancelling):
-                    full = Full(self)
+                    full = FullListener(self)
                     serving = self.front_end(
                         full.address, settings=self.settings(cancelling=cancelling, **{"dial-timeout": 60000000})
                     )
                     client = self.client()
                     client.send(rig.dispatch(1, rig.fields(A, "pay"), b"x"))
-                    link = serving.coordinator.workers.clients["w0"]
-                    self.until(lambda link=link: any(conn.pending for conn in link.connections))
+                    upstream = serving.coordinator.workers.clients["w0"]
+                    self.until(lambda upstream=upstream: any(conn.pending for conn in upstream.connections))
                     if how == "cancel":
                         client.send(rig.cancel(2, 1))
                     elif how == "reset":
@@ -85,20 +86,20 @@
                     self.until(lambda s=serving: s.coordinator.counts["clients_gone"], "its leaving")
                     serving.run_once()
                     self.assertEqual(serving.coordinator.requests.by_id, {})
-                    self.assertFalse(any(conn.commands_in_flight for conn in link.connections))
+                    self.assertFalse(any(conn.commands_in_flight for conn in upstream.connections))
                     self.assertEqual(self.faults(), [])
                     self.end()
 
-    def test_a_drain_while_a_call_out_waits_for_a_connection(self):
+    def test_a_drain_while_a_attempt_waits_for_a_connection(self):
         """(told how) -> it does not go there when the connection is up, and is answered by another worker."""
         for state in ("DRAINING", "DELETED"):
             with self.subTest(state):
-                full, other = Full(self), self.worker()
+                full, other = FullListener(self), self.worker()
                 serving = self.front_end(full.address, settings=self.settings(**{"dial-timeout": 60000000}))
                 client = self.client()
                 client.send(rig.dispatch(1, rig.fields(A, "pay"), b"x"))
-                link = serving.coordinator.workers.clients["w0"]
-                self.until(lambda link=link: any(conn.pending for conn in link.connections))
+                upstream = serving.coordinator.workers.clients["w0"]
+                self.until(lambda upstream=upstream: any(conn.pending for conn in upstream.connections))
                 serving.coordinator.post(
                     EndpointsReceived(
                         [
@@ -109,11 +110,11 @@
                     )
                 )
                 self.assertEqual(self.answer(client), (1, "answer", b"did x"))
-                self.assertFalse(any(conn.commands_in_flight for conn in link.connections))
+                self.assertFalse(any(conn.commands_in_flight for conn in upstream.connections))
                 self.end()
 
-    def test_between_two_call_outs(self):
-        """The worker's word that it is full comes with the close: no second call-out after the desk has heard both."""
+    def test_between_two_attempts(self):
+        """The worker answers that it is full as the client closes: no second attempt after the coordinator handled both."""
         serving = self.front_end(self.worker().address)
         client = self.client()
         client.send(rig.dispatch(1, rig.fields(A), b"slow"))
@@ -127,7 +128,7 @@
         try:
             sock.sendall(rig.bulk(parts[1], b"AGAIN", b"-", b""))
         except OSError:
-            pass  # ended with the call-out
+            pass  # ended with the attempt
         for _ in range(4):
             serving.run_once()
         self.assertEqual((self.held, serving.coordinator.requests.by_id), ([], {}))
@@ -147,29 +148,31 @@
         self.until(lambda: len(serving.client_server.clients) == 1)
         self.assertEqual((serving.client_server.open, serving.coordinator.requests.by_id, self.faults()), ({}, {}, []))
 
-    def test_nothing_more_of_an_rpc_that_was_answered(self):
-        """A call-out that has not begun as another one answers never goes out."""
-        order = Mock()
-        order.worker_client.withdraw_unsent.return_value = True
+    def test_nothing_more_of_a_request_that_was_answered(self):
+        """A attempt that has not begun as another one answers never goes out."""
+        command = Mock()
+        command.worker_client.withdraw_unsent.return_value = True
         self.front_end(self.worker().address)
-        ask = Mock(commands={"one": order}, router_id=None)
+        ask = Mock(commands={"one": command}, router_id=None)
         ask.succeed.__name__ = "succeed"
         self.serving.coordinator.requests.answer(ask, ask.succeed, b"", 1)
-        order.worker_client.withdraw_unsent.assert_called_once_with(order)
+        command.worker_client.withdraw_unsent.assert_called_once_with(command)
 
 
-class Uncancelled(Handed):
-    def test_a_call_out_over_its_time_is_left_alone_and_its_place_is_free_later(self):
+class WithoutCancel(FrontEndCase):
+    def test_a_attempt_over_its_time_is_left_alone_and_its_place_is_free_later(self):
         limits = {**rig.SETTINGS["limits"], "cancelling": False}
         worker = self.worker()
         serving = self.front_end(worker.address, settings={**rig.SETTINGS, "limits": limits})
         client = self.client()
         client.send(rig.dispatch(1, rig.fields(A, "pay", d="400"), b"slow"))
         self.assertEqual(self.answer(client)[1], "fault")
-        link = serving.coordinator.workers.clients["w0"]
-        self.assertEqual((len(self.held), [conn.commands_in_flight for conn in link.connections]), (1, [1]))
-        self.until(lambda: not any(conn.commands_in_flight for conn in link.connections), "its place")
-        self.assertEqual((worker.came(b"abort"), serving.coordinator.requests.by_id, link.connections), ([], {}, []))
+        upstream = serving.coordinator.workers.clients["w0"]
+        self.assertEqual((len(self.held), [conn.commands_in_flight for conn in upstream.connections]), (1, [1]))
+        self.until(lambda: not any(conn.commands_in_flight for conn in upstream.connections), "its place")
+        self.assertEqual(
+            (worker.came(b"abort"), serving.coordinator.requests.by_id, upstream.connections), ([], {}, [])
+        )
 
 
 if __name__ == "__main__":
--- a/tests/test_clients_that_left.py
+++ b/tests/test_clients_that_left.py
@@ -3,11 +3,11 @@
 import unittest
 
 from tests import platform_rig as rig
-from tests.acceptance_rig import Stepped, request, settings
+from tests.acceptance_rig import SteppedClockCase, request, settings
 from tests.front_end_rig import reset
 
 
-class GoneClients(Stepped):
+class ClientsThatLeft(SteppedClockCase):
     """No attempt begins more than 0.1 s after the client has closed or cancelled."""
 
     def leave(self, client, how):
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -324,7 +324,7 @@
         self.assertLess(self.sent(0.0, HOUR, True), 10)
 
 
-class WholeFrontEnd(front_end_rig.Handed):
+class WholeFrontEnd(front_end_rig.FrontEndCase):
     """A real front end on sockets whose wall clock is stepped, before it starts or once it follows the list."""
 
     def test_a_live_start(self):
--- a/tests/test_configuration_faults.py
+++ b/tests/test_configuration_faults.py
@@ -6,13 +6,13 @@
 from unittest.mock import patch
 
 from tests import platform_rig as rig
-from tests.front_end_rig import NOWHERE, Handed
+from tests.front_end_rig import NOWHERE, FrontEndCase
 from wickdyke.platform import configuration, service
 
 MOMENTARY = (errno.EMFILE, errno.ENFILE, errno.ENOMEM, errno.EIO, errno.ENOENT)
 
 
-class Signal(Handed):
+class Signal(FrontEndCase):
     def test_a_file_that_can_not_be_read_for_a_moment_is_read_later(self):
         """(error of open, how often) -> the new address is followed once it can be read; the log says so once."""
         serving = self.front_end(self.worker().address)
@@ -51,7 +51,7 @@
         )
 
 
-class Admission(Handed):
+class Admission(FrontEndCase):
     def test_time_spent_in_the_queue_is_not_left(self):
         """A request read 1,500 ms before its turn -> its worker is told at most what its client has left by then."""
         worker = self.worker()
--- a/tests/test_coordinator_faults.py
+++ b/tests/test_coordinator_faults.py
@@ -5,16 +5,16 @@
 
 from tests import platform_rig as rig
 from tests.front_end_rig import A
-from tests.timed_rig import Timed
+from tests.timed_rig import TimedFrontEndCase
 from wickdyke.routing.decisions import Forward
 
 
-class DeskFaults(Timed):
-    """A fault in the desk costs no request its final answer."""
+class CoordinatorFaults(TimedFrontEndCase):
+    """A fault in the coordinator costs no request its final answer."""
 
     def after(self, milliseconds):
         for _ in range(milliseconds // 50):
-            self.turn()
+            self.run_once()
             self.now += 50
 
     def test_the_module_breaks_as_it_is_told_of_it(self):
@@ -27,7 +27,7 @@
         self.assertEqual(self.answer(client)[1], "fault")
         self.assertEqual(serving.coordinator.requests.by_id, {})
 
-    def test_the_desk_breaks_before_it_has_taken_it(self):
+    def test_the_coordinator_breaks_before_it_has_taken_it(self):
         serving = self.front_end(self.worker())
         client = self.idle_client()
         serving.coordinator.requests.isolation = Mock(turned_away=Mock(side_effect=ZeroDivisionError))
--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -1,4 +1,4 @@
-"""The time left that a worker is told is that of the moment at which the first byte of the order goes."""
+"""The time left that a worker is told is that of the moment at which the first byte of the command is sent."""
 
 import gc
 import socket
@@ -12,9 +12,9 @@
 import msgspec
 
 from tests import platform_rig as rig
-from tests.front_end_rig import ASCII_A, ASCII_B, Full, Turned
+from tests.front_end_rig import ASCII_A, ASCII_B, FullListener, LoopCase
 from tests.rig import Peer, Told, hello, lines_of, ok
-from wickdyke.jsonrpc import worker_client as rpc_link
+from wickdyke.jsonrpc import worker_client as jsonrpc_client
 from wickdyke.jsonrpc import worker_protocol as rpc_speech
 from wickdyke.platform import (
     connection_pool,
@@ -41,7 +41,7 @@
 
 
 def attempt():
-    """A call-out of a method `look` to a program `f`."""
+    """A attempt of a method `look` to a program `f`."""
 
     class Kept(SimpleNamespace):
         """Of which one can tell when it is gone."""
@@ -187,18 +187,18 @@
         self.assertFalse(box.thread.is_alive())
 
 
-class Platform(Turned):
-    """Call-outs to workers of the platform."""
+class Platform(LoopCase):
+    """Attempts to workers of the platform."""
 
     def setUp(self):
         super().setUp()
         self.pool = connection_pool.ConnectionPool(20)
         self.clock = Clock(self, reachability, worker_client, worker_command, worker_connection, worker_protocol)
-        self.speech = worker_protocol.PlatformWorkerProtocol(
+        self.protocol = worker_protocol.PlatformWorkerProtocol(
             self.loop, worker_client.WorkerClientSettings(0.0, 0.0, ()), 20
         )
 
-    def link(self, address, dial=60000.0):
+    def upstream(self, address, dial=60000.0):
         def notify(event):
             self.told.append((event.command.ident, event.outcome))
 
@@ -209,87 +209,87 @@
         return made
 
     def held(self):
-        """A link to a worker that answers nothing, and what came there: (socket, command)."""
+        """A worker client to a worker that answers nothing, and what came there: (socket, command)."""
         held = []
         worker = rig.Worker(lambda _, sock, parts: (held.append((sock, parts)), True)[1])
         self.addCleanup(worker.close)
         self.told.clear()
-        return self.link(worker.address), held
+        return self.upstream(worker.address), held
 
-    def elsewhere(self, link):
-        """From now on nobody lets that link in; where it went before."""
-        here, (host, _, port) = link.target, Full(self).address.rpartition(":")
-        link.target = host, int(port)
+    def elsewhere(self, upstream):
+        """From now on nobody lets that worker client in; where it went before."""
+        here, (host, _, port) = upstream.target, FullListener(self).address.rpartition(":")
+        upstream.target = host, int(port)
         return here
 
-    def order(self, left, ident=ASCII_A, body=b"x"):
-        return self.speech.attempt_command(attempt(), ask(ident, body), left)
+    def command(self, left, ident=ASCII_A, body=b"x"):
+        return self.protocol.attempt_command(attempt(), ask(ident, body), left)
 
     def test_told_at_most_what_is_left(self):
         """(ms left as it is sent) -> ttl, or None where it is not sent."""
         for left, ttl in ((1500.0, 1500), (1499.99, 1499), (1.5, 1), (0.4, 1), (0.0, None), (-3.0, None)):
             with self.subTest(left):
-                line = self.order(left).render()
+                line = self.command(left).render()
                 self.assertEqual(line and told_left([None, None, line.split(b"\r\n")[6]]), ttl)
 
     def test_a_connection_that_comes_up_late(self):
-        link, held = self.held()
-        link.send(self.order(1500.0))
-        self.assertEqual(len(link.connections[0].pending), 1)
+        upstream, held = self.held()
+        upstream.send(self.command(1500.0))
+        self.assertEqual(len(upstream.connections[0].pending), 1)
         self.clock.now += 1000.5
         self.until(lambda: held)
         self.assertEqual(told_left(held[0][1]), 499)
 
     def test_a_connection_that_comes_up_after_the_time_is_up(self):
         """It ends as never sent, and the connection is there for others."""
-        link, held = self.held()
-        link.send(self.order(1500.0))
+        upstream, held = self.held()
+        upstream.send(self.command(1500.0))
         self.clock.now += 1500.0
         self.until(lambda: self.told)
         self.assertEqual(self.told, [(ASCII_A, "unsent")])
-        link.send(self.order(800.0, ASCII_B))
+        upstream.send(self.command(800.0, ASCII_B))
         self.until(lambda: held)
         self.assertEqual((held[0][1][1], told_left(held[0][1]), self.pool.used), (ASCII_B, 800, 1))
 
     def test_a_second_dial(self):
-        """The first comes to nothing: told what is left at the second, and not dialled again when nothing is."""
+        """The first is never up: rendered with what is left at the second, and not connected again when nothing is."""
         for gone, told in ((700.0, 800), (1500.0, None)):
             with self.subTest(gone):
-                link, held = self.held()
-                here = self.elsewhere(link)
-                link.send(self.order(1500.0))
-                link.target = here
+                upstream, held = self.held()
+                here = self.elsewhere(upstream)
+                upstream.send(self.command(1500.0))
+                upstream.target = here
                 self.clock.now += gone
-                link.connections[0]._timed_out()
+                upstream.connections[0]._timed_out()
                 if told is None:
-                    self.assertEqual((self.told, link.connections, self.pool.used), ([(ASCII_A, "unsent")], [], 0))
+                    self.assertEqual((self.told, upstream.connections, self.pool.used), ([(ASCII_A, "unsent")], [], 0))
                     continue
                 self.until(lambda held=held: held)
                 self.assertEqual(told_left(held[0][1]), told)
-                link.close()
+                upstream.close()
 
     def test_what_waits_in_the_buffer(self):
-        """(ms it waits behind another) -> told what is left as its first byte goes; over, it is never sent."""
+        """(ms it waits behind another) -> rendered with what is left as its first byte goes; over, it is never sent."""
         for waits, told in ((600.0, 900), (1600.0, None)):
             with self.subTest(waits):
-                link, held = self.held()
-                link.send(self.order(9000.0))
+                upstream, held = self.held()
+                upstream.send(self.command(9000.0))
                 self.until(lambda held=held: held)
-                conn = link.connections[0]
+                conn = upstream.connections[0]
                 conn.write_buffer.sock = Socket(BlockingIOError())
-                conn.send(order := self.order(1500.0, ASCII_B))
+                conn.send(order := self.command(1500.0, ASCII_B))
                 self.assertFalse(order.message.begun)
                 self.clock.now += waits
                 conn.write_buffer.sock = conn.sock
                 if told is None:
                     self.until(lambda: self.told)
                     self.assertEqual((self.told, list(conn.open)), ([(ASCII_B, "unsent")], [ASCII_A]))
-                    self.assertFalse(link.withdraw_unsent(order))
+                    self.assertFalse(upstream.withdraw_unsent(order))
                 else:
                     self.until(lambda held=held: len(held) == 2)
                     self.assertEqual(told_left(held[1][1]), told)
                 self.assertEqual((conn.write_buffer.bytes_waiting, conn.closed), (0, False))
-                link.close()
+                upstream.close()
 
     def test_what_has_ended_is_free_without_the_collector(self):
         """(how an order of the buffer ends) -> nothing is kept of it: the collector comes rarely."""
@@ -297,16 +297,16 @@
         self.addCleanup(gc.enable)
         for how in ("sent", "over", "withdrawn", "cut"):
             with self.subTest(how):
-                link, held = self.held()
-                link.send(self.order(9000.0))
+                upstream, held = self.held()
+                upstream.send(self.command(9000.0))
                 self.until(lambda held=held: held)
-                conn = link.connections[0]
+                conn = upstream.connections[0]
                 conn.write_buffer.sock = Socket(BlockingIOError())
-                order = self.order(1500.0, ASCII_B)
+                order = self.command(1500.0, ASCII_B)
                 conn.send(order)
                 kept = weakref.ref(order.key)
                 if how == "withdrawn":
-                    self.assertTrue(link.withdraw_unsent(order))
+                    self.assertTrue(upstream.withdraw_unsent(order))
                 elif how == "over":
                     self.clock.now += 1500.0
                 conn.write_buffer.sock = conn.sock
@@ -315,32 +315,32 @@
                     held[1][0].sendall(rig.bulk(ASCII_B, b"ACK", b"-", b""))
                 if how != "cut":
                     self.until(lambda conn=conn: ASCII_B not in conn.open)
-                link.close()
+                upstream.close()
                 del order
                 self.assertIsNone(kept())
 
     def test_time_up_while_nobody_lets_it_in(self):
         """Withdrawn or recalled as before: one end."""
-        link = self.link(Full(self).address, dial=60000.0)
-        link.send(order := self.order(10.0))
+        upstream = self.upstream(FullListener(self).address, dial=60000.0)
+        upstream.send(order := self.command(10.0))
         self.clock.now += 20.0
-        self.assertTrue(link.withdraw_unsent(order))
-        self.assertEqual((self.told, link.connections[0].commands_in_flight), ([], 0))
+        self.assertTrue(upstream.withdraw_unsent(order))
+        self.assertEqual((self.told, upstream.connections[0].commands_in_flight), ([], 0))
 
 
 class JsonRpc(unittest.TestCase):
-    """Call-outs to workers of JSON-RPC: a thread for each link."""
+    """Attempts to workers of JSON-RPC: a thread for each link."""
 
     def setUp(self):
         made = tempfile.TemporaryDirectory(prefix="wd-")
         self.addCleanup(made.cleanup)
-        self.clock, self.folder = Clock(self, rpc_link, rpc_speech), made.name
-        self.speech = rpc_speech.JsonRpcWorkerProtocol(
+        self.clock, self.folder = Clock(self, jsonrpc_client, rpc_speech), made.name
+        self.protocol = rpc_speech.JsonRpcWorkerProtocol(
             SimpleNamespace(name="g", instance=SimpleNamespace(report_fields=()))
         )
         self.go, self.runs = threading.Event(), []
 
-    def link(self):
+    def upstream(self):
         def play(sock, number):
             self.go.wait(20)
             source = lines_of(sock)
@@ -350,49 +350,49 @@
                 sock.sendall(ok(asked["id"]))
 
         peer, told = Peer(self.folder, "w", play), Told()
-        link = rpc_link.WorkerClient("w", peer.path, "g", told, 20000.0, 16 << 20, 32 << 20)
-        self.addCleanup(link.close)
+        upstream = jsonrpc_client.WorkerClient("w", peer.path, "g", told, 20000.0, 16 << 20, 32 << 20)
+        self.addCleanup(upstream.close)
         self.addCleanup(peer.close)
-        return link, told
+        return upstream, told
 
-    def order(self, left):
-        return self.speech.attempt_command(attempt(), ask(body=msgspec.Raw(b'"x"')), left)
+    def command(self, left):
+        return self.protocol.attempt_command(attempt(), ask(body=msgspec.Raw(b'"x"')), left)
 
     def test_a_hello_that_comes_late(self):
-        """(ms until it comes) -> told what is left; where nothing is, never sent."""
-        link, told = self.link()
+        """(ms until it comes) -> rendered with what is left; where nothing is, never sent."""
+        upstream, told = self.upstream()
         for left in (1500.0, 400.0):
-            link.send(self.order(left))
+            upstream.send(self.command(left))
         self.clock.now += 600.5
         self.go.set()
         ends = sorted(told.next("finished")[3] for _ in range(2))
         self.assertEqual((ends, [run["time_left_ms"] for run in self.runs]), (["ok", "unsent"], [899.5]))
 
     def test_over_behind_what_the_worker_does_not_read(self):
-        """It never began: it ends as never sent, once, also where the link is to end with it."""
-        link, told = self.link()
+        """It never began: it ends as never sent, once, also where the worker client is to end with it."""
+        upstream, told = self.upstream()
         self.go.set()
         told.next("connected")
-        link.send(self.order(900.0))  # returns once the link has its outbox
+        upstream.send(self.command(900.0))  # returns once the worker client has its outbox
         self.assertEqual(told.next("finished")[3], "ok")
-        order = self.order(900.0)
-        put = link.write_buffer.put
+        order = self.command(900.0)
+        put = upstream.write_buffer.put
 
         def behind(parcel):  # as where others wait: it is the thread's to write
-            with link.write_buffer.lock:
+            with upstream.write_buffer.lock:
                 parcel.bytes_waiting = len(parcel.render())
-                link.write_buffer.bytes_waiting += parcel.bytes_waiting
-                link.write_buffer.waiting.append(parcel)
+                upstream.write_buffer.bytes_waiting += parcel.bytes_waiting
+                upstream.write_buffer.waiting.append(parcel)
                 return False
 
-        with patch.object(link.write_buffer, "put", behind):
-            link.send(order)
+        with patch.object(upstream.write_buffer, "put", behind):
+            upstream.send(order)
         self.clock.now += 900.0
-        link.draining = True
+        upstream.draining = True
         put(OutgoingMessage(b"\n"))  # wakes the thread
         self.assertEqual(told.next("finished")[2:4], (order, "unsent"))
-        link.thread.join(20)
-        self.assertFalse(link.thread.is_alive())
+        upstream.thread.join(20)
+        self.assertFalse(upstream.thread.is_alive())
         self.assertEqual(len(self.runs), 1)
 
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -10,7 +10,7 @@
 from wickdyke.transport import event_loop
 
 
-class Asking(unittest.TestCase):
+class Reconnecting(unittest.TestCase):
     """The bus on a loop whose time the test sets."""
 
     def setUp(self):
--- a/tests/test_discovery_faults.py
+++ b/tests/test_discovery_faults.py
@@ -185,7 +185,7 @@
     def take(self, events):
         self.told += [event["offset"] for event in events if event["offset"] > self.last()]
 
-    def turn(self, made):
+    def run_once(self, made):
         waits = made.sock is None
         if waits:
             self.now += 10
@@ -195,7 +195,7 @@
         ends = time.monotonic() + rig.LONG
         while len(self.told) < many:
             self.assertLess(time.monotonic(), ends, f"told {self.told}, {dict(made.counts)}")
-            self.turn(made)
+            self.run_once(made)
         self.assertEqual(self.told[:many], list(range(1, many + 1)))
 
     def end(self, made):
@@ -268,7 +268,7 @@
             self.assertLess(time.monotonic(), ends)
             if made.connected:
                 self.now += 10
-            self.turn(made)
+            self.run_once(made)
         self.assertEqual(made.counts["connects"], 1)
         self.end(made)
 
@@ -278,7 +278,7 @@
         self.loop.on_error = faults.append
         with patch.object(discovery, "dial", Mock(side_effect=MemoryError)):
             while not faults:
-                self.turn(made)
+                self.run_once(made)
         self.until_told(made)
         made.close()
         self.loop.close()
@@ -296,7 +296,7 @@
                 self.before = open_descriptors()
                 made = self.follow(SystemCalls())
                 for _ in range(turns):
-                    self.turn(made)
+                    self.run_once(made)
                 made.follow(self.where(other.address))
                 asked, had = other.asked, len(self.told)
                 self.until_told(made, had + 2)
@@ -314,7 +314,7 @@
                 ends = time.monotonic() + rig.LONG
                 while calls.count < nth:
                     self.assertLess(time.monotonic(), ends)
-                    self.turn(made)
+                    self.run_once(made)
                 calls.times = 0
                 made.follow(self.where(self.source.address))
                 self.until_told(made)
@@ -327,10 +327,10 @@
         for _ in range(10):
             made.follow(self.where(self.source.address))
         while self.now < 3000:
-            self.turn(made)
+            self.run_once(made)
         asked = made.counts["connects"]
         while self.now < 4000:
-            self.turn(made)
+            self.run_once(made)
         self.assertLessEqual(made.counts["connects"] - asked, 1000 / 100 + 1)
         self.assertGreaterEqual(made.counts["connects"] - asked, 1000 / 220 - 1)
         calls.times = 0
--- a/tests/test_endpoint_list_changes.py
+++ b/tests/test_endpoint_list_changes.py
@@ -7,11 +7,11 @@
 from unittest.mock import patch
 
 from tests import platform_rig as rig
-from tests.front_end_rig import Handed
+from tests.front_end_rig import FrontEndCase
 from wickdyke.platform import endpoint_list
 
 
-class TheList(Handed):
+class EndpointListChanges(FrontEndCase):
     def lists(self):
         made = self.made(rig.Bus())
         return made
@@ -30,7 +30,7 @@
                 if where == "old":
                     old.event(drains)
                 self.write(new.address, one.address, two.address)
-                serving._request_reload(signal.SIGHUP, None)  # both are there before the next turn
+                serving._request_reload(signal.SIGHUP, None)  # both are there before the next iteration
                 self.until(lambda new=new: len(new.asked) == 1)
                 self.assertEqual(new.asked, [2 if where == "old" else 1])
                 new.event(drains)
@@ -43,7 +43,7 @@
                 self.end()
 
     def test_a_whole_list_keeps_who_stays(self):
-        """Links, cold time and state of a worker outlast a list sent whole, late or twice; another start does not."""
+        """Connections, slow start and state of a worker outlast a list sent in full, late or twice; a restart ends them."""
         # Real clocks: on a busy machine the steps below may take longer than an event may be late.
         self.enterContext(patch.object(endpoint_list, "PROMPT", rig.LONG * 1000))
         source, one, two = self.lists(), self.worker(), self.worker()
--- a/tests/test_event_loop.py
+++ b/tests/test_event_loop.py
@@ -6,12 +6,12 @@
 from types import SimpleNamespace
 
 from tests import platform_rig as rig
-from tests.front_end_rig import Turned
+from tests.front_end_rig import LoopCase
 from wickdyke.transport import event_loop
 from wickdyke.transport.event_loop import Priority
 
 
-class Loops(Turned):
+class Loops(LoopCase):
     """Handlers made for the purpose, on socket pairs with something to read."""
 
     def handler(self, act, priority=Priority.NORMAL):
@@ -66,7 +66,7 @@
             made.run_once(1.0, lambda: None)
         self.assertEqual((len(calls), len(faults)), (3, 3))
 
-    def test_a_number_that_is_used_again_within_a_turn(self):
+    def test_a_number_that_is_used_again_within_an_iteration(self):
         """One that is served ends another and makes a new socket, which gets its number: it is told nothing."""
         made, told = event_loop.EventLoop(), []
         self.addCleanup(made.close)
--- a/tests/test_event_loop_faults.py
+++ b/tests/test_event_loop_faults.py
@@ -69,7 +69,7 @@
             end.setblocking(False)
         return ends
 
-    def turn(self, span=0.0):
+    def run_once(self, span=0.0):
         self.now += span
         self.loop.run_once(0.0, lambda: None)
 
@@ -94,7 +94,7 @@
                 used = mine if mine.fileno() == number else other
                 self.loop.add(used, fresh)
                 (other if used is mine else mine).send(b"x")
-                self.turn()
+                self.run_once()
                 self.loop.remove(used)
                 mine.close()
                 other.close()
@@ -107,7 +107,7 @@
         with self.assertRaises(FileExistsError):
             self.loop.add(mine, two)
         other.send(b"x")
-        self.turn()
+        self.run_once()
         self.assertEqual((one.told, two.told), (["readable"], []))
 
 
@@ -122,10 +122,10 @@
                     self.epoll.errors = {"modify": [failure(code)] * times}
                     self.loop.set_interest(mine, True)
                     for _ in range(times):
-                        self.turn()
+                        self.run_once()
                         self.assertEqual(handler.told, [])
-                        self.turn(event_loop.MODIFY_RETRY)
-                    self.turn()
+                        self.run_once(event_loop.MODIFY_RETRY)
+                    self.run_once()
                     self.assertEqual(handler.told, ["writable"])
                     self.assertEqual((self.loop.unmodified, self.faults), ({}, []))
                     self.loop.remove(mine)
@@ -139,7 +139,7 @@
         self.loop.set_interest(mine, True)
         self.loop.set_interest(mine, False)
         for _ in range(3):
-            self.turn(event_loop.MODIFY_RETRY)
+            self.run_once(event_loop.MODIFY_RETRY)
         self.assertEqual(handler.told, [])
 
     def test_two_that_fail_one_after_the_other(self):
@@ -149,8 +149,8 @@
         self.epoll.errors = {"modify": [failure(errno.ENOMEM)] * 2}
         self.loop.set_interest(mine, False)
         self.loop.set_interest(mine, True)
-        self.turn(event_loop.MODIFY_RETRY)
-        self.turn()
+        self.run_once(event_loop.MODIFY_RETRY)
+        self.run_once()
         self.assertEqual((handler.told, self.loop.timers.heap), (["writable"], []))
 
     def test_another_socket_with_its_number_is_not_changed(self):
@@ -168,7 +168,7 @@
         self.loop.add(again, fresh)
         with patch.object(self.epoll, "modify", Mock(), create=True) as modify:
             for _ in range(3):
-                self.turn(event_loop.MODIFY_RETRY)
+                self.run_once(event_loop.MODIFY_RETRY)
             modify.assert_not_called()
         self.assertEqual((old.told, self.faults), ([], []))
 
@@ -190,9 +190,9 @@
                 self.epoll.errors = {"unregister": [failure(code)]}
                 self.loop.remove(mine)
                 other.send(b"x")
-                self.turn()
+                self.run_once()
                 mine.close()
-                self.turn()
+                self.run_once()
                 self.assertEqual((handler.told, self.loop.handlers, self.faults), ([], {}, []))
 
 
@@ -212,7 +212,7 @@
                 self.assertEqual(handler.told, ["readable"] * (nth - 1))
                 due.assert_called_once_with()
                 self.assertEqual(between.call_count, nth)
-                self.turn()
+                self.run_once()
                 self.assertEqual(handler.told, ["readable"] * nth)
                 self.loop.remove(mine)
 
@@ -225,7 +225,7 @@
             mine, other = self.pair()
             self.loop.add(mine, handler)
             other.send(b"x")
-        self.turn()
+        self.run_once()
         self.assertEqual(good.told, ["readable"])
         self.assertEqual([type(fault) for fault in self.faults], [KeyError, OSError])
 
--- a/tests/test_idle_connections.py
+++ b/tests/test_idle_connections.py
@@ -7,7 +7,7 @@
 from unittest.mock import patch
 
 from tests import platform_rig as rig
-from tests.acceptance_rig import CLASSES, Stepped, request
+from tests.acceptance_rig import CLASSES, SteppedClockCase, request
 from tests.front_end_rig import reset, wait_for
 from wickdyke.platform import service, worker_connection
 
@@ -20,7 +20,7 @@
         sock.shutdown(socket.SHUT_RDWR)
 
 
-class IdleConnections(Stepped):
+class IdleConnections(SteppedClockCase):
     """Workers that close, reset or forget connections that idle: the next request of each class on one."""
 
     def workers(self):
@@ -67,7 +67,9 @@
                 with self.subTest(how=how, name=name):
                     client = self.idle_connection()
                     conn = next(
-                        c for link in self.serving.coordinator.workers.clients.values() for c in link.connections
+                        c
+                        for upstream in self.serving.coordinator.workers.clients.values()
+                        for c in upstream.connections
                     )
                     end(self.socks[-1], how)
                     wait_for(self, lambda conn=conn: not conn.alive())
@@ -127,7 +129,9 @@
         for client in clients:
             self.assertEqual(self.final(client, 1500)[1], "answer")
         self.settle()
-        conns = [conn for link in self.serving.coordinator.workers.clients.values() for conn in link.connections]
+        conns = [
+            conn for upstream in self.serving.coordinator.workers.clients.values() for conn in upstream.connections
+        ]
         for sock in set(self.socks):
             reset(sock)
         for conn in conns:
@@ -141,7 +145,7 @@
         self.assertEqual(self.faults(), [])
 
 
-class RestingClients(Stepped):
+class IdleClients(SteppedClockCase):
     """Requests that cross the end of a client's connection that rests."""
 
     def test_an_unreadable_frame_behind_an_open_request(self):
--- a/tests/test_jsonrpc_connection_faults.py
+++ b/tests/test_jsonrpc_connection_faults.py
@@ -11,7 +11,7 @@
 from tests.worker_fault_rig import MEMORY, SHORT
 from wickdyke.config import address as addresses
 from wickdyke.gateway.interfaces import CommandKind
-from wickdyke.jsonrpc import worker_client as rpc_link
+from wickdyke.jsonrpc import worker_client as jsonrpc_client
 
 
 class FailingReads:
@@ -31,7 +31,7 @@
 
 
 class JsonRpc(unittest.TestCase):
-    """Links of threads: what a failed call tells of a worker that lives, and that a later order is served."""
+    """Connections of threads: what a failed call tells of a worker that lives, and that a later order is served."""
 
     LOCAL = (
         errno.EMFILE,
@@ -50,13 +50,13 @@
         self.addCleanup(made.cleanup)
         self.folder, self.made = made.name, 0
 
-    def link(self):
+    def upstream(self):
         self.made += 1
         peer, told = Peer(self.folder, f"w{self.made}", willing), Told()
         self.addCleanup(peer.close)
-        link = rpc_link.WorkerClient("w", peer.path, "g", told, 20000.0, 16 << 20, 32 << 20)
-        self.addCleanup(link.close)
-        return link, told
+        upstream = jsonrpc_client.WorkerClient("w", peer.path, "g", told, 20000.0, 16 << 20, 32 << 20)
+        self.addCleanup(upstream.close)
+        return upstream, told
 
     def test_a_connection_that_this_machine_does_not_make(self):
         """(errno) -> what waits ends as never sent, the worker is not told as unheard, and the next is served."""
@@ -71,25 +71,25 @@
                         raise OSError(code, os.strerror(code))
                     return connect(address, within)
 
-                with patch.object(rpc_link.addresses, "connect", fails_first):
-                    link, told = self.link()
-                    link.send(first := rpc_link.Command(CommandKind.ATTEMPT, 1, "run", b"{}"))
+                with patch.object(jsonrpc_client.addresses, "connect", fails_first):
+                    upstream, told = self.upstream()
+                    upstream.send(first := jsonrpc_client.Command(CommandKind.ATTEMPT, 1, "run", b"{}"))
                     go.set()
                     self.assertEqual(told.events.get(timeout=20)[2:4], (first, "unsent"))
-                    link.send(second := rpc_link.Command(CommandKind.ATTEMPT, 2, "run", b"{}"))
+                    upstream.send(second := jsonrpc_client.Command(CommandKind.ATTEMPT, 2, "run", b"{}"))
                     self.assertEqual(told.events.get(timeout=20)[0], "connected")
                     self.assertEqual(told.events.get(timeout=20)[2:4], (second, "ok"))
-                    link.close()
+                    upstream.close()
 
     def test_what_proves_that_nobody_is_there(self):
         for code in (errno.ECONNREFUSED, errno.ENOENT, errno.ECONNRESET):
             with self.subTest(errno.errorcode[code]):
-                with patch.object(rpc_link.addresses, "connect", side_effect=OSError(code, os.strerror(code))):
-                    link, told = self.link()
+                with patch.object(jsonrpc_client.addresses, "connect", side_effect=OSError(code, os.strerror(code))):
+                    upstream, told = self.upstream()
                     told.next("unreachable")
-                    link.send(rpc_link.Command(CommandKind.ATTEMPT, 1, "run", b"{}"))
+                    upstream.send(jsonrpc_client.Command(CommandKind.ATTEMPT, 1, "run", b"{}"))
                     self.assertEqual(told.next("finished")[3], "unreached")
-                    link.close()
+                    upstream.close()
 
     def test_a_read_that_finds_no_memory_or_is_short(self):
         """(errno of the second read and the third) -> the connection stands, and the answer comes by it."""
@@ -100,12 +100,12 @@
                 def faulty(address, within, code=code, connect=connect):
                     return FailingReads(connect(address, within), code)
 
-                with patch.object(rpc_link.addresses, "connect", faulty):
-                    link, told = self.link()
+                with patch.object(jsonrpc_client.addresses, "connect", faulty):
+                    upstream, told = self.upstream()
                     told.next("connected")
-                    link.send(rpc_link.Command(CommandKind.ATTEMPT, 1, "run", b"{}"))
+                    upstream.send(jsonrpc_client.Command(CommandKind.ATTEMPT, 1, "run", b"{}"))
                     self.assertEqual(told.next("finished", "lost")[3:4], ("ok",))
-                    link.close()
+                    upstream.close()
 
 
 if __name__ == "__main__":
--- a/tests/test_platform_client_server.py
+++ b/tests/test_platform_client_server.py
@@ -5,14 +5,14 @@
 from unittest.mock import Mock, patch
 
 from tests import platform_rig as rig
-from tests.front_end_rig import Turned
+from tests.front_end_rig import LoopCase
 from wickdyke.gateway.events import ClientClosed, RequestReceived
 from wickdyke.platform import client_server
 from wickdyke.routing.model import RequestClass
 from wickdyke.transport.event_loop import clock
 
 
-class Clients(Turned):
+class Clients(LoopCase):
     def setUp(self):
         super().setUp()
         methods = [RequestClass("look", "idempotent", "all", 0.0, 500.0, 0.0, 4000.0, 1.0, 0.1)]
@@ -38,7 +38,7 @@
         self.until(client.waits, "an answer")
         return client.answer()
 
-    def test_a_request_reaches_the_desk_as_it_was_sent(self):
+    def test_a_request_reaches_the_coordinator_as_it_was_sent(self):
         client = self.client()
         client.send(rig.dispatch(1, rig.fields(), b"\x00\xff"))
         self.until(lambda: self.told)
--- a/tests/test_platform_reconfiguration.py
+++ b/tests/test_platform_reconfiguration.py
@@ -6,12 +6,11 @@
 from unittest.mock import patch
 
 from tests import platform_rig as rig
-from tests.acceptance_rig import CLASSES, Stepped, request
-from wickdyke.platform import configuration as stations
-from wickdyke.platform import service
+from tests.acceptance_rig import CLASSES, SteppedClockCase, request
+from wickdyke.platform import configuration, service
 
 
-class LongQuiet(Stepped):
+class LongOutage(SteppedClockCase):
     """Trouble that begins after a long quiet time."""
 
     def test_an_outage_of_discovery_then_a_drain_and_a_restart_together(self):
@@ -26,7 +25,7 @@
         source.close()
         self.until(lambda: serving.discovery.counts["ended"])
         self.later(90000.0, 50.0, settle=True)  # nothing but an outage: all idle connections end
-        self.assertFalse(any(link.connections for link in serving.coordinator.workers.clients.values()))
+        self.assertFalse(any(upstream.connections for upstream in serving.coordinator.workers.clients.values()))
         client.send(request(2, "pay"))
         self.assertEqual(self.final(client, 500), (2, "answer", b"did x"))
         again, make = rig.Bus.__new__(rig.Bus), socket.create_server
@@ -48,7 +47,7 @@
         self.assertEqual(self.faults(), [])
 
 
-class Configurations(Stepped):
+class Configurations(SteppedClockCase):
     """New configurations in quick succession."""
 
     def test_several_signals_at_once_are_one_read(self):
@@ -70,7 +69,7 @@
         serving = self.front_end(worker.address, bus=old.address)
         self.until(lambda: old.asked)
         self.write(new.address, worker.address)
-        load, replaced = stations.load, []
+        load, replaced = configuration.load, []
 
         def loaded(path):
             given = load(path)
@@ -80,7 +79,7 @@
                 serving._request_reload(signal.SIGHUP, None)
             return given
 
-        with patch.object(stations, "load", loaded):
+        with patch.object(configuration, "load", loaded):
             serving._request_reload(signal.SIGHUP, None)
             self.until(lambda: last.asked)
         last.event(rig.event(2, rig.instance("w1", self.worker().address)))
--- a/tests/test_platform_request_fields.py
+++ b/tests/test_platform_request_fields.py
@@ -10,7 +10,7 @@
 from wickdyke.routing.model import RequestClass
 
 
-class CustomersOfOthers(unittest.TestCase):
+class TenantFields(unittest.TestCase):
     """Fields that other deployments have."""
 
     def test_fields(self):
@@ -64,17 +64,17 @@
                 read(**more)
 
     def test_the_key_goes_on_to_the_worker(self):
-        speech = worker_protocol.PlatformWorkerProtocol(Mock(), worker_client.WorkerClientSettings(0.0, 0.0, ()), 9)
+        protocol = worker_protocol.PlatformWorkerProtocol(Mock(), worker_client.WorkerClientSettings(0.0, 0.0, ()), 9)
         for token, told in (("", b"lane=book,name=f,ttl=5"), ("k1", b"lane=book,name=f,ttl=5,dedupe=k1")):
-            call_out = Mock()
-            call_out.request.request_class.name, call_out.request.function.name = "book", "f"
+            attempt = Mock()
+            attempt.request.request_class.name, attempt.request.function.name = "book", "f"
             ask = SimpleNamespace(call=SimpleNamespace(ident=ASCII_A, idempotency_key=token, input=b"x"))
             # No time passes: the command has what is left by then.
             with (
                 patch.object(worker_protocol, "clock", lambda: 1000.0),
                 patch.object(worker_command, "clock", lambda: 1000.0),
             ):
-                line = speech.attempt_command(call_out, ask, 5.0).render()
+                line = protocol.attempt_command(attempt, ask, 5.0).render()
             self.assertEqual(line, resp.command(b"invoke", ASCII_A, told, b"x"))
 
 
--- a/tests/test_platform_service.py
+++ b/tests/test_platform_service.py
@@ -175,7 +175,7 @@
         self.assertEqual(client.answer(), (4, "answer", b"at last"))
         self.assertEqual(self.ran.wait(rig.LONG), 0)
 
-    def test_a_silent_bus_is_asked_again_while_rpcs_go_on(self):
+    def test_a_silent_bus_is_asked_again_while_requests_go_on(self):
         bus = self.made(rig.Bus())
         self.start(bus, self.made(rig.Worker()))
         self.wait(lambda: len(bus.asked) >= 2)  # says nothing any more: no pulse
--- a/tests/test_platform_traffic.py
+++ b/tests/test_platform_traffic.py
@@ -12,10 +12,10 @@
 from wickdyke.platform.service import Service
 
 
-class Heard(unittest.TestCase):
+class Traffic(unittest.TestCase):
     """What the module is told of load and health, beside what passed the sockets of a whole front end."""
 
-    def test_call_outs_reports_and_holds_match_the_traffic(self):
+    def test_attempts_reports_and_prewarms_match_the_traffic(self):
         held = []
 
         def play(worker, sock, parts):
@@ -34,7 +34,7 @@
         self.addCleanup(serving.loop.close)
         self.addCleanup(lambda: [client.close() for client in list(serving.client_server.clients.values())])
         self.addCleanup(serving.discovery.close)
-        self.addCleanup(lambda: [link.close() for link in list(serving.coordinator.workers.clients.values())])
+        self.addCleanup(lambda: [upstream.close() for upstream in list(serving.coordinator.workers.clients.values())])
         serving.open()
         self.addCleanup(serving.client_server.shut)
         told = serving.coordinator.router.workers["w0"]
--- a/tests/test_platform_worker_client.py
+++ b/tests/test_platform_worker_client.py
@@ -6,19 +6,19 @@
 import unittest
 
 from tests import platform_rig as rig
-from tests.front_end_rig import Turned
+from tests.front_end_rig import LoopCase
 from tests.rig import plain
 from wickdyke.gateway.interfaces import CommandKind
 from wickdyke.platform import connection_pool, resp, worker_client, worker_command
 from wickdyke.transport.event_loop import clock
 
 
-class Links(Turned):
-    def link(self, play=None, dial=5000.0, most=20):
+class WorkerConnections(LoopCase):
+    def upstream(self, play=None, dial=5000.0, most=20):
         self.worker = rig.Worker(play)
         self.addCleanup(self.worker.close)
         self.pool = connection_pool.ConnectionPool(most)
-        link = worker_client.WorkerClient(
+        upstream = worker_client.WorkerClient(
             "w",
             self.worker.address,
             lambda event: self.told.append(plain(event)),
@@ -26,10 +26,10 @@
             self.pool,
             worker_client.WorkerClientSettings(dial, 10000.0, ("utilization", "in_flight")),
         )
-        self.addCleanup(link.close)
-        return link
+        self.addCleanup(upstream.close)
+        return upstream
 
-    def order(self, ident=b"9b1f03aa5c7e2d41", kind=CommandKind.ATTEMPT):
+    def command(self, ident=b"9b1f03aa5c7e2d41", kind=CommandKind.ATTEMPT):
         verb = {
             CommandKind.ATTEMPT: (b"invoke", ident, b"lane=look,name=x,ttl=9", b"b"),
             CommandKind.PREWARM: (b"prewarm", ident, b"name=x,units=1"),
@@ -41,7 +41,7 @@
         self.until(lambda: len(self.told) >= many, "an end")
         return [(event[2].ident, event[3]) for event in self.told]
 
-    def test_what_is_known_of_a_call_out(self):
+    def test_what_is_known_of_a_attempt(self):
         """(what the worker does, whether another connection stands) -> the outcome told."""
 
         def writes(raw):
@@ -86,22 +86,22 @@
         ):
             with self.subTest(name):
                 self.told.clear()
-                link = self.link(play)
+                upstream = self.upstream(play)
                 if beside:
-                    link.send(self.order(b"t1", CommandKind.HEALTH_CHECK))
+                    upstream.send(self.command(b"t1", CommandKind.HEALTH_CHECK))
                     self.ended()
                     self.told.clear()
-                link.send(self.order())
+                upstream.send(self.command())
                 self.assertEqual(self.ended(), [(b"9b1f03aa5c7e2d41", outcome)])
                 for _ in range(5):
                     self.loop.run_once(5.0, lambda: None)
                 self.assertEqual(len(self.told), 1)  # one end for each, whatever else comes
 
-    def test_an_order_that_got_lost_beside_others_is_no_cut(self):
-        link = self.link(lambda worker, sock, parts: parts[0] == b"prewarm" and (sock.sendall(b"??"), True)[1])
-        link.send(self.order())
+    def test_a_command_that_got_lost_beside_others_is_no_cut(self):
+        upstream = self.upstream(lambda worker, sock, parts: parts[0] == b"prewarm" and (sock.sendall(b"??"), True)[1])
+        upstream.send(self.command())
         self.ended()
-        link.send(self.order(b"t1", CommandKind.PREWARM))
+        upstream.send(self.command(b"t1", CommandKind.PREWARM))
         self.assertEqual(self.ended(2)[1], (b"t1", "timeout"))
 
     def test_reset_as_it_comes_up(self):
@@ -109,7 +109,7 @@
         for many, outcome in ((1, "ok"), (2, "ok"), (9, "unsent")):
             with self.subTest(many):
                 self.told.clear()
-                link, met = self.link(), []
+                upstream, met = self.upstream(), []
                 serve = self.worker._serve
 
                 def new(sock, many=many, serve=serve, met=met):
@@ -121,64 +121,64 @@
                         serve(sock)
 
                 self.worker._serve = new
-                link.send(self.order())
+                upstream.send(self.command())
                 time.sleep(0.1)  # it comes up and is reset before the loop looks
                 while not self.told:
                     self.loop.run_once(100.0, lambda: time.sleep(0.05))
                 self.assertEqual(self.ended(), [(b"9b1f03aa5c7e2d41", outcome)])
 
     def test_nobody_there(self):
-        link = self.link()
+        upstream = self.upstream()
         self.worker.close()
         time.sleep(0.05)
-        link.target = ("127.0.0.1", int(rig.free_address().rpartition(":")[2]))
-        link.send(self.order())
+        upstream.target = ("127.0.0.1", int(rig.free_address().rpartition(":")[2]))
+        upstream.send(self.command())
         self.assertEqual(self.ended(), [(b"9b1f03aa5c7e2d41", "unreached")])
         self.assertEqual(self.pool.used, 0)
 
     def test_one_id_is_never_twice_on_a_connection(self):
-        link = self.link(lambda worker, sock, parts: True, most=1)  # answers nothing; one connection only
-        first, second = self.order(), self.order()
-        link.send(first)
+        upstream = self.upstream(lambda worker, sock, parts: True, most=1)  # answers nothing; one connection only
+        first, second = self.command(), self.command()
+        upstream.send(first)
         self.until(lambda: self.worker.came(b"invoke"))
-        link.send(second)
+        upstream.send(second)
         self.assertEqual(self.ended(), [(second.ident, "unsent")])
 
     def test_taken_back(self):
         """Alone on its connection: that ends, and nothing comes later. Beside another: abort, and the other stays."""
-        link = self.link(lambda worker, sock, parts: parts[1] != b"c" * 16, most=1)
-        first, other = self.order(b"a" * 16), self.order(b"b" * 16)
-        link.send(first)
-        link.send(other)
+        upstream = self.upstream(lambda worker, sock, parts: parts[1] != b"c" * 16, most=1)
+        first, other = self.command(b"a" * 16), self.command(b"b" * 16)
+        upstream.send(first)
+        upstream.send(other)
         self.until(lambda: len(self.worker.came(b"invoke")) == 2)
-        self.assertEqual(link.cancel(first, lambda: None), "cancelled")
-        self.assertEqual(link.cancel(first, lambda: None), "ended")
+        self.assertEqual(upstream.cancel(first, lambda: None), "cancelled")
+        self.assertEqual(upstream.cancel(first, lambda: None), "ended")
         self.until(lambda: self.worker.came(b"abort"))
         self.assertEqual(self.worker.came(b"abort"), [[b"abort", b"a" * 16]])
-        link.send(self.order(b"a" * 16))  # its late answer may still come there, and would end this one
+        upstream.send(self.command(b"a" * 16))  # its late answer may still come there, and would end this one
         self.assertEqual(self.ended(), [(b"a" * 16, "unsent")])
         self.told.clear()
-        self.assertEqual(link.cancel(other, lambda: None), "cancelled")
+        self.assertEqual(upstream.cancel(other, lambda: None), "cancelled")
         self.assertEqual((self.pool.used, self.told), (0, []))
-        link.send(self.order(b"c" * 16))
+        upstream.send(self.command(b"c" * 16))
         self.assertEqual(self.ended(), [(b"c" * 16, "ok")])
 
-    def test_call_outs_have_connections_of_their_own_and_keep_them(self):
-        link = self.link()
+    def test_attempts_have_connections_of_their_own_and_keep_them(self):
+        upstream = self.upstream()
         for many in range(1, 4):
             for at in range(3):
-                link.send(self.order(b"%016d" % at))
+                upstream.send(self.command(b"%016d" % at))
             self.ended(3 * many)
         self.assertEqual((self.pool.counts["dialled"], self.pool.used), (3, 3))
 
     def test_the_pool_is_shared_and_what_idles_makes_room(self):
-        first, other = self.link(most=2), self.link(most=2)
+        first, other = self.upstream(most=2), self.upstream(most=2)
         other.pool = first.pool
         first.pool.worker_clients.add(other)
         for at in range(2):
-            first.send(self.order(b"%016d" % at))
+            first.send(self.command(b"%016d" % at))
         self.ended(2)
-        other.send(self.order())  # both places idle at the first worker
+        other.send(self.command())  # both places idle at the first worker
         self.assertEqual(self.ended(3)[2], (b"9b1f03aa5c7e2d41", "ok"))
         self.assertEqual((first.pool.used, len(first.connections), len(other.connections)), (2, 1, 1))
         first.idle_timeout = other.idle_timeout = 0.0
@@ -191,30 +191,32 @@
         """(how the last goes) -> all connections ended, nothing kept."""
         for kind in (CommandKind.ATTEMPT, CommandKind.HEALTH_CHECK):
             with self.subTest(kind):
-                link = self.link(lambda worker, sock, parts: True)
-                orders = [self.order(b"a" * 16), self.order(b"t1", CommandKind.HEALTH_CHECK)]
+                upstream = self.upstream(lambda worker, sock, parts: True)
+                orders = [self.command(b"a" * 16), self.command(b"t1", CommandKind.HEALTH_CHECK)]
                 for order in orders:
-                    link.send(order)
+                    upstream.send(order)
                 self.until(lambda: len(self.worker.came(b"invoke") + self.worker.came(b"gauges")) == 2)
-                link.drain()
+                upstream.drain()
                 for order in orders if kind == CommandKind.HEALTH_CHECK else orders[::-1]:
                     if order.kind == CommandKind.ATTEMPT:
-                        self.assertEqual(link.cancel(order, lambda: None), "cancelled")
+                        self.assertEqual(upstream.cancel(order, lambda: None), "cancelled")
                     else:
-                        self.assertTrue(link.abandon(order))
-                self.assertEqual((self.pool.used, self.pool.worker_clients, link.closed), (0, set(), True))
+                        self.assertTrue(upstream.abandon(order))
+                self.assertEqual((self.pool.used, self.pool.worker_clients, upstream.closed), (0, set(), True))
 
     def test_a_retired_worker_ends_with_what_is_out(self):
         held = []
-        link = self.link(lambda worker, sock, parts: parts[0] == b"invoke" and (held.append((sock, parts)), True)[1])
-        link.send(self.order())
+        upstream = self.upstream(
+            lambda worker, sock, parts: parts[0] == b"invoke" and (held.append((sock, parts)), True)[1]
+        )
+        upstream.send(self.command())
         self.until(lambda: held)
-        link.drain()
+        upstream.drain()
         self.assertEqual((self.told, self.pool.used), ([], 1))
         held[0][0].sendall(rig.bulk(held[0][1][1], b"ACK", b"-", b"x"))
         self.assertEqual(self.ended(), [(b"9b1f03aa5c7e2d41", "ok")])
         self.assertEqual(self.pool.used, 0)
-        link.send(self.order(b"f" * 16))
+        upstream.send(self.command(b"f" * 16))
         self.assertEqual(self.ended(2)[1], (b"f" * 16, "unsent"))
 
 
--- a/tests/test_service_shutdown_races.py
+++ b/tests/test_service_shutdown_races.py
@@ -7,12 +7,12 @@
 from unittest.mock import patch
 
 from tests import platform_rig as rig
-from tests.front_end_rig import A, B, C, Handed
+from tests.front_end_rig import A, B, C, FrontEndCase
 from wickdyke.platform import service
 from wickdyke.transport import event_loop
 
 
-class TheEnd(Handed):
+class ShutdownRaces(FrontEndCase):
     def test_in_flight_half_read_and_in_the_backlog(self):
         """SIGTERM: all that was taken is answered, also by a connection the program has not looked at yet."""
         serving = self.front_end(self.worker().address)
@@ -32,7 +32,7 @@
 
         serving.client_server.shut = just_before
         serving._request_shutdown(signal.SIGTERM, None)
-        serving.shutdown_requested_at -= service.GRACE_PERIOD  # it is long ago: the door is shut in the next turn
+        serving.shutdown_requested_at -= service.GRACE_PERIOD  # it is long ago: the door is shut in the next iteration
         self.assertTrue(serving.run_once())
         self.assertTrue(serving.client_server.shut_down)
         half.send(whole[25:])
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -9,8 +9,8 @@
 
 import wickdyke.platform.service as service
 from tests import platform_rig as rig
-from tests.timed_rig import Timed
-from wickdyke.platform import client_server as fronts
+from tests.timed_rig import TimedFrontEndCase
+from wickdyke.platform import client_server
 
 A, B, C, D = (letter * 16 for letter in "abcd")
 KILL_AFTER, KILL_DEADLINE = 700, 3000  # ms, from the protocol: SIGKILL after SIGTERM
@@ -27,7 +27,7 @@
     return settings
 
 
-class Moments(Timed):
+class Moments(TimedFrontEndCase):
     def plays(self, longest, step=5.0):
         """Requests to a worker that hangs, at many moments after SIGTERM: each has its final answer before SIGKILL."""
         serving = self.front_end(self.worker(), settings=with_deadline(longest))
@@ -48,7 +48,7 @@
                 self.send(client, rig.dispatch(2, rig.fields(f"{len(sent):016x}", d=str(longest)), b"slow"))
                 sent.append(client)
                 self.until(lambda before=before: serving.client_server.reads > before, "the read")
-            self.turn()
+            self.run_once()
             at += step
             self.now = self.terminated + at
         for number, client in enumerate(sent):
@@ -102,7 +102,7 @@
         self.front_end(self.worker())
         client = self.idle_client()
         self.terminate()
-        self.turn()
+        self.run_once()
         self.now += service.GRACE_PERIOD - 1
         self.serving._request_shutdown(signal.SIGTERM, None)
         self.send(client, rig.dispatch(2, rig.fields(A), b"a"))
@@ -126,11 +126,11 @@
         self.until(lambda: self.over, "the end")
 
 
-class Listener(Timed):
+class Listener(TimedFrontEndCase):
     def test_a_connection_1_ms_before_it_closes(self):
         self.front_end(self.worker())
         self.terminate()
-        self.turn()
+        self.run_once()
         self.now += service.GRACE_PERIOD - 1
         client = self.client()
         client.send(rig.dispatch(1, rig.fields(A), b"a"))
@@ -141,11 +141,11 @@
     def test_one_taken_as_it_closes_brings_its_request_later(self):
         serving = self.front_end(self.worker())
         self.terminate()
-        self.turn()
+        self.run_once()
         client = self.client()
         self.now += service.GRACE_PERIOD
         self.until(lambda: serving.client_server.shut_down, "the close")
-        self.turn()
+        self.run_once()
         self.assertFalse(self.over)
         client.send(rig.dispatch(1, rig.fields(A), b"a"))
         self.assertEqual(self.answer(client), (1, "answer", b"did a"))
@@ -154,11 +154,11 @@
     def test_one_that_never_asks_is_not_waited_for_long(self):
         serving = self.front_end()
         self.terminate()
-        self.turn()
+        self.run_once()
         client = self.client()
         self.now += service.GRACE_PERIOD
         self.until(lambda: serving.client_server.shut_down, "the close")
-        self.now += fronts.NEW_CONNECTION_TIME
+        self.now += client_server.NEW_CONNECTION_TIME
         self.until(lambda: self.over, "the end")
         self.assertEqual(client.answer()[1], "closed")
 
@@ -170,7 +170,7 @@
         whole = rig.dispatch(2, rig.fields(A), b"a")
         self.send(client, whole[:30])
         self.until(lambda: any(each.frames.begun for each in serving.client_server.clients.values()))
-        self.turn()
+        self.run_once()
         self.assertFalse(self.over)
         client.send(whole[30:])
         self.assertEqual(self.answer(client), (2, "answer", b"did a"))
@@ -183,7 +183,7 @@
                 self.over = False
                 serving = self.front_end(self.worker())
                 self.terminate()
-                self.turn()
+                self.run_once()
                 self.now += service.GRACE_PERIOD
                 client, real, mended = self.client(), serving.client_server.sock, self.now + 50
                 client.send(rig.dispatch(1, rig.fields(A), b"a"))
@@ -195,14 +195,14 @@
 
                 serving.client_server.sock = Mock(wraps=real, accept=accept)
                 for _ in range(5):
-                    self.turn()
+                    self.run_once()
                     self.now += 20
                 self.assertEqual(self.answer(client), (1, "answer", b"did a"))
                 self.until(lambda: self.over, "the end")
                 self.end()
 
 
-class LastLook(Timed):
+class LastLook(TimedFrontEndCase):
     def test_a_request_just_before_idle_connections_are_closed(self):
         """It crosses the end after all was looked at: it is read before its connection is closed, and answered."""
         serving = self.front_end(self.worker())
@@ -240,12 +240,12 @@
         self.front_end(self.worker(), settings=settings)
         client = self.idle_client()
         self.terminate()
-        self.turn()
+        self.run_once()
         self.now += 699
         self.send(client, rig.dispatch(2, rig.fields(A, "pay", d="300", k="k1"), b"slow"))
         self.until(lambda: self.held, "the call-out")
         while self.now < self.terminated + 300 + KILL_AFTER and not self.over:
-            self.turn()
+            self.run_once()
             self.now += 5
         self.assertTrue(self.over)
         self.assertIn(client.answer()[1], FINAL)
--- a/tests/test_slow_discovery.py
+++ b/tests/test_slow_discovery.py
@@ -5,8 +5,8 @@
 import unittest
 
 from tests import platform_rig as rig
-from tests.acceptance_rig import CLASSES, HEAD, Stepped, request, told
-from tests.front_end_rig import Full
+from tests.acceptance_rig import CLASSES, HEAD, SteppedClockCase, request, told
+from tests.front_end_rig import FullListener
 
 
 class Raw(rig.Listener):
@@ -36,7 +36,7 @@
 CROWDED = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 5\r\nConnection: close\r\n\r\nfull\n"
 
 
-class Discovery(Stepped):
+class Discovery(SteppedClockCase):
     """Discovery that is slow or crowded."""
 
     def reading(self):
@@ -103,7 +103,7 @@
 
     def test_connections_taken_late(self):
         """Nobody takes the list's connections for 30 s: requests go on, with a bound on tries; then it is followed."""
-        full, worker = Full(self), self.worker()
+        full, worker = FullListener(self), self.worker()
         serving = self.front_end(worker.address, bus=full.address)
         client = self.client()
         for number in range(1, 31):
--- a/tests/test_worker_connecting.py
+++ b/tests/test_worker_connecting.py
@@ -5,19 +5,19 @@
 from unittest.mock import patch
 
 from tests import platform_rig as rig
-from tests.front_end_rig import ASCII_A, ASCII_B, Full, Turned, no_descriptor, reset
+from tests.front_end_rig import ASCII_A, ASCII_B, FullListener, LoopCase, no_descriptor, reset
 from wickdyke.gateway.interfaces import CommandKind
 from wickdyke.platform import connection_pool, resp, worker_client, worker_command, worker_connection
 
 
-class Dialled(Turned):
-    """Links on a loop, to listeners that let nobody in, or late."""
+class Connecting(LoopCase):
+    """Connections on a loop, to listeners that let nobody in, or late."""
 
     def setUp(self):
         super().setUp()
         self.pool = connection_pool.ConnectionPool(20)
 
-    def link(self, address, dial=40.0):
+    def upstream(self, address, dial=40.0):
         made = worker_client.WorkerClient(
             "w",
             address,
@@ -29,63 +29,63 @@
         self.addCleanup(made.close)
         return made
 
-    def order(self, ident=ASCII_A, kind=CommandKind.ATTEMPT):
+    def command(self, ident=ASCII_A, kind=CommandKind.ATTEMPT):
         return worker_command.Command(
             kind, None, ident, resp.command(b"invoke", ident, b"lane=look,name=x,ttl=9", b"b")
         )
 
     def held(self):
-        """A link to a worker that answers nothing by itself, and what came there: (socket, command)."""
+        """A worker client to a worker that answers nothing by itself, and what came there: (socket, command)."""
         held = []
         worker = rig.Worker(lambda _, sock, parts: (held.append((sock, parts)), True)[1])
         self.addCleanup(worker.close)
         self.told.clear()
-        return self.link(worker.address, dial=60000.0), held
+        return self.upstream(worker.address, dial=60000.0), held
 
-    def elsewhere(self, link):
-        """From now on nobody lets that link in; where it went before."""
-        here, (host, _, port) = link.target, Full(self).address.rpartition(":")
-        link.target = host, int(port)
+    def elsewhere(self, upstream):
+        """From now on nobody lets that worker client in; where it went before."""
+        here, (host, _, port) = upstream.target, FullListener(self).address.rpartition(":")
+        upstream.target = host, int(port)
         return here
 
     def test_one_late_connection_is_not_a_worker_that_is_away(self):
         """The first that does not come up is tried again; with the second in a row nobody is there."""
-        link = self.link(Full(self).address)
+        upstream = self.upstream(FullListener(self).address)
         dials = []
         init = worker_connection.WorkerConnection.__init__
         with patch.object(
             worker_connection.WorkerConnection, "__init__", lambda *to: (dials.append(list(self.told)), init(*to))[1]
         ):
-            link.send(self.order())
+            upstream.send(self.command())
             self.until(lambda: self.told)
         self.assertEqual((dials, self.told), ([[], []], [(ASCII_A, "unreached")]))
 
     def test_late_ones_that_were_begun_together_count_once(self):
-        link = self.link(Full(self).address, dial=60000.0)
+        upstream = self.upstream(FullListener(self).address, dial=60000.0)
         for at in range(5):
-            link.send(self.order(b"%016d" % at))
-        for conn in list(link.connections):
+            upstream.send(self.command(b"%016d" % at))
+        for conn in list(upstream.connections):
             conn._timed_out()
-        self.assertEqual((link.reachability.timeouts_in_row, self.told, len(link.connections)), (1, [], 5))
-        link.connections[0]._timed_out()
+        self.assertEqual((upstream.reachability.timeouts_in_row, self.told, len(upstream.connections)), (1, [], 5))
+        upstream.connections[0]._timed_out()
         self.assertEqual([outcome for _, outcome in self.told], ["unreached"])
 
     def test_one_that_came_up_takes_the_misses_back(self):
         worker = rig.Worker()
         self.addCleanup(worker.close)
-        link = self.link(worker.address, dial=60000.0)
-        link.reachability.timeouts_in_row = 1
-        link.send(self.order())
+        upstream = self.upstream(worker.address, dial=60000.0)
+        upstream.reachability.timeouts_in_row = 1
+        upstream.send(self.command())
         self.until(lambda: self.told)
-        self.assertEqual((self.told, link.reachability.timeouts_in_row), ([(ASCII_A, "ok")], 0))
+        self.assertEqual((self.told, upstream.reachability.timeouts_in_row), ([(ASCII_A, "ok")], 0))
 
     def test_what_waits_for_a_connection_goes_on_one_that_idles(self):
-        link, held = self.held()
-        link.send(self.order())
+        upstream, held = self.held()
+        upstream.send(self.command())
         self.until(lambda: held)
-        self.elsewhere(link)
-        link.send(self.order(ASCII_B))
-        self.assertEqual([conn.commands_in_flight for conn in link.connections], [1, 1])
+        self.elsewhere(upstream)
+        upstream.send(self.command(ASCII_B))
+        self.assertEqual([conn.commands_in_flight for conn in upstream.connections], [1, 1])
         for at in range(2):
             self.until(lambda at=at: len(held) > at)
             held[at][0].sendall(rig.bulk(held[at][1][1], b"ACK", b"-", b""))
@@ -98,107 +98,110 @@
         for how in ("withdraw_all_unsent", "drain"):
             with self.subTest(how):
                 self.told.clear()
-                link = self.link(Full(self).address, dial=60000.0)
-                link.send(self.order())
-                link.send(self.order(b"t1", CommandKind.PREWARM))
-                getattr(link, how)()
+                upstream = self.upstream(FullListener(self).address, dial=60000.0)
+                upstream.send(self.command())
+                upstream.send(self.command(b"t1", CommandKind.PREWARM))
+                getattr(upstream, how)()
                 self.assertEqual(sorted(self.told), [(ASCII_A, "unsent"), (b"t1", "unsent")])
                 self.assertEqual(
-                    [conn.commands_in_flight for conn in link.all_connections()], [0] * len(link.all_connections())
+                    [conn.commands_in_flight for conn in upstream.all_connections()],
+                    [0] * len(upstream.all_connections()),
                 )
 
     def test_no_descriptor_is_no_word_of_the_worker(self):
         worker = rig.Worker()
         self.addCleanup(worker.close)
-        link = self.link(worker.address)
+        upstream = self.upstream(worker.address)
         with no_descriptor():
-            link.send(self.order())
-            link.send(self.order(b"t1", CommandKind.HEALTH_CHECK))
+            upstream.send(self.command())
+            upstream.send(self.command(b"t1", CommandKind.HEALTH_CHECK))
         self.assertEqual(self.told, [(ASCII_A, "unsent"), (b"t1", "unsent")])
-        self.assertEqual((self.pool.used, link.all_connections()), (0, []))
-        link.send(self.order(ASCII_B))
+        self.assertEqual((self.pool.used, upstream.all_connections()), (0, []))
+        upstream.send(self.command(ASCII_B))
         self.until(lambda: len(self.told) == 3)
         self.assertEqual(self.told[2], (ASCII_B, "ok"))
 
     def test_doubt_where_no_descriptor_is_left(self):
-        """The only connection ends with a call-out on it, and none can be made: that tells of no restart."""
+        """The only connection ends with a attempt on it, and none can be made: that tells of no restart."""
         worker = rig.Worker(lambda _, sock, parts: (reset(sock), True)[1])
         self.addCleanup(worker.close)
-        link = self.link(worker.address)
-        link.send(self.order())
-        self.until(lambda: link.connections and link.connections[0].up)
+        upstream = self.upstream(worker.address)
+        upstream.send(self.command())
+        self.until(lambda: upstream.connections and upstream.connections[0].up)
         with no_descriptor():
             self.until(lambda: self.told)
-        self.assertEqual((self.told, link.probe.unresolved, link.probe.connection), ([(ASCII_A, "error")], [], None))
+        self.assertEqual(
+            (self.told, upstream.probe.unresolved, upstream.probe.connection), ([(ASCII_A, "error")], [], None)
+        )
 
     def test_a_late_check_is_made_again_before_a_worker_is_gone(self):
         """(dials that come to nothing after the cut) -> error where a later one is met, cut where none is."""
         for misses, outcome in ((1, "error"), (2, "cut")):
             with self.subTest(misses):
-                link, held = self.held()
-                link.send(self.order())
+                upstream, held = self.held()
+                upstream.send(self.command())
                 self.until(lambda held=held: held)
-                here = self.elsewhere(link)
+                here = self.elsewhere(upstream)
                 held[0][0].shutdown(socket.SHUT_RDWR)
-                self.until(lambda link=link: link.probe.connection is not None)
+                self.until(lambda upstream=upstream: upstream.probe.connection is not None)
                 for _ in range(misses):
                     self.assertEqual(self.told, [])
                     if misses == 1:
-                        link.target = here
-                    link.probe.connection._timed_out()
+                        upstream.target = here
+                    upstream.probe.connection._timed_out()
                 self.until(lambda: self.told)
                 self.assertEqual(self.told, [(ASCII_A, outcome)])
 
     def test_doubted_and_taken_back_retired_or_over(self):
-        """(what meets a call-out in doubt) -> one end at most, and nothing kept."""
+        """(what meets a attempt in doubt) -> one end at most, and nothing kept."""
         for how in ("cancel", "forget", "retire"):
             with self.subTest(how):
-                link, held = self.held()
-                link.send(order := self.order())
+                upstream, held = self.held()
+                upstream.send(order := self.command())
                 self.until(lambda held=held: held)
-                self.elsewhere(link)
+                self.elsewhere(upstream)
                 held[0][0].shutdown(socket.SHUT_RDWR)
-                self.until(lambda link=link: link.probe.unresolved)
+                self.until(lambda upstream=upstream: upstream.probe.unresolved)
                 if how == "cancel":
-                    self.assertEqual(link.cancel(order, lambda: None), "cancelled")
+                    self.assertEqual(upstream.cancel(order, lambda: None), "cancelled")
                 elif how == "forget":
-                    self.assertTrue(link.abandon(order))
+                    self.assertTrue(upstream.abandon(order))
                 else:
-                    link.drain()
-                    self.assertFalse(link.closed)
-                self.assertFalse(link.withdraw_unsent(order))
+                    upstream.drain()
+                    self.assertFalse(upstream.closed)
+                self.assertFalse(upstream.withdraw_unsent(order))
                 for _ in range(2):
-                    if link.probe.connection is not None:
-                        link.probe.connection._timed_out()
+                    if upstream.probe.connection is not None:
+                        upstream.probe.connection._timed_out()
                 self.assertEqual(self.told, [(ASCII_A, "cut")] if how == "retire" else [])
-                self.assertEqual((link.probe.unresolved, link.closed), ([], how == "retire"))
+                self.assertEqual((upstream.probe.unresolved, upstream.closed), ([], how == "retire"))
 
     def test_an_answer_that_stops_short(self):
-        """The connection is of no further use, also where its call-out was only forgotten or ended by itself."""
+        """The connection is of no further use, also where its attempt was only forgotten or ended by itself."""
         for how in ("forget", "answered"):
             with self.subTest(how):
-                link, held = self.held()
-                link.send(order := self.order())
+                upstream, held = self.held()
+                upstream.send(order := self.command())
                 self.until(lambda held=held: held)
                 whole = rig.bulk(ASCII_A, b"ACK", b"-", b"body")
                 held[0][0].sendall(whole[:-4] if how == "forget" else whole + whole[:-4])
-                self.until(lambda link=link: link.connections[0].answers.begun)
+                self.until(lambda upstream=upstream: upstream.connections[0].answers.begun)
                 if how == "forget":
-                    self.assertTrue(link.abandon(order))
-                self.assertFalse(any(conn.accepts(ASCII_B) for conn in link.connections))
-                link.send(self.order(ASCII_B))
+                    self.assertTrue(upstream.abandon(order))
+                self.assertFalse(any(conn.accepts(ASCII_B) for conn in upstream.connections))
+                upstream.send(self.command(ASCII_B))
                 self.until(lambda held=held: len(held) == 2)
                 self.assertIsNot(held[0][0], held[1][0])
 
     def test_a_second_answer_that_comes_late(self):
-        """It meets no later call-out of the same id on that connection: that one goes on another."""
-        link, socks = self.held()
-        link.send(self.order())
+        """It meets no later attempt of the same id on that connection: that one goes on another."""
+        upstream, socks = self.held()
+        upstream.send(self.command())
         self.until(lambda: socks)
         full = rig.bulk(ASCII_A, b"AGAIN", b"-", b"")
         socks[0][0].sendall(full)
         self.until(lambda: self.told)
-        link.send(self.order())
+        upstream.send(self.command())
         self.until(lambda: len(socks) == 2)
         self.assertIsNot(socks[0][0], socks[1][0])
         socks[0][0].sendall(full)
--- a/tests/test_worker_connection_faults.py
+++ b/tests/test_worker_connection_faults.py
@@ -3,10 +3,10 @@
 import errno
 import unittest
 
-from tests.worker_fault_rig import ERRORS, Faults, OnLinks
+from tests.worker_fault_rig import ERRORS, Faults, WorkerConnectionCase
 
 
-class Paths(OnLinks):
+class Paths(WorkerConnectionCase):
     def test_every_call_fails_once_or_thrice(self):
         """For every call that the path makes, every errno of it, and sockets that take all at once or choke."""
         worker, healthy = self.workers()
--- a/tests/timed_rig.py
+++ b/tests/timed_rig.py
@@ -13,6 +13,7 @@
 from wickdyke.gateway import context
 from wickdyke.platform import (
     client_connection,
+    client_server,
     configuration,
     discovery,
     reachability,
@@ -21,14 +22,13 @@
     worker_connection,
     worker_protocol,
 )
-from wickdyke.platform import client_server as fronts
 from wickdyke.transport import event_loop
 
 NOWHERE = "127.0.0.1:1"
 
 
-class Timed(unittest.TestCase):
-    """A front end turned by the test, at times that the test sets; workers are real and hold back what is `slow`."""
+class TimedFrontEndCase(unittest.TestCase):
+    """A front end stepped by the test, at times that the test sets; workers are real and hold back what is `slow`."""
 
     def setUp(self):
         self.now = event_loop.clock()
@@ -37,7 +37,7 @@
             event_loop,
             context,
             client_connection,
-            fronts,
+            client_server,
             reachability,
             worker_client,
             worker_command,
@@ -80,13 +80,13 @@
     def end(self):
         for client in list(self.serving.client_server.clients.values()):
             client.close()
-        for link in list(self.serving.coordinator.workers.clients.values()):
-            link.close()
+        for upstream in list(self.serving.coordinator.workers.clients.values()):
+            upstream.close()
         self.serving.discovery.close()
         self.serving.client_server.shut()
         self.serving.loop.close()
 
-    def turn(self):
+    def run_once(self):
         if not self.over:
             self.over = not self.serving.run_once()
 
@@ -94,7 +94,7 @@
         for _ in range(int(rig.LONG * 200)):
             if done():
                 return
-            self.turn()
+            self.run_once()
         self.fail(f"{what} did not come")
 
     def client(self):
--- a/tests/worker_fault_rig.py
+++ b/tests/worker_fault_rig.py
@@ -7,7 +7,7 @@
 from unittest.mock import patch
 
 from tests import platform_rig as rig
-from tests.front_end_rig import Turned
+from tests.front_end_rig import LoopCase
 from wickdyke.gateway.interfaces import CommandKind
 from wickdyke.platform import connection_pool, resp, worker_client, worker_command
 from wickdyke.routing.model import NEVER_RAN
@@ -136,8 +136,8 @@
 BODY = b"x" * 300
 
 
-class OnLinks(Turned):
-    """Links on a loop of their own, to workers that serve all."""
+class WorkerConnectionCase(LoopCase):
+    """Connections on a loop of their own, to workers that serve all."""
 
     def prepare(self, faults):
         self.loop.close()
@@ -152,7 +152,7 @@
         stand_in = SimpleNamespace(**{**vars(socket), "socket": faults.socket})
         return patch.object(event_loop, "socket", stand_in)
 
-    def link(self, worker):
+    def upstream(self, worker):
         def notify(event):
             self.told.append((event.command.ident, event.outcome))
 
@@ -160,7 +160,7 @@
             "w", worker.address, notify, self.loop, self.pool, worker_client.WorkerClientSettings(60000.0, 60000.0, ())
         )
 
-    def order(self, at, kind=CommandKind.ATTEMPT):
+    def command(self, at, kind=CommandKind.ATTEMPT):
         ident = IDENTS[at]
         parts = (
             (b"invoke", ident, b"lane=look,name=x,ttl=9", BODY) if kind == CommandKind.ATTEMPT else (b"gauges", ident)
@@ -171,33 +171,33 @@
         self.until(lambda: len(self.told) >= many, f"an end of {many}, only {self.told},")
 
     def run_path(self, worker, healthy):
-        """Two call-outs at once and a probe beside them, then two one after the other, then one to another worker."""
-        link, other = self.link(worker), self.link(healthy)
+        """Two attempts at once and a probe beside them, then two one after the other, then one to another worker."""
+        upstream, other = self.upstream(worker), self.upstream(healthy)
         for at in (0, 1):
-            link.send(self.order(at))
-        link.send(self.order(2, CommandKind.HEALTH_CHECK))
+            upstream.send(self.command(at))
+        upstream.send(self.command(2, CommandKind.HEALTH_CHECK))
         self.end(3)
         for at in (3, 4):
-            link.send(self.order(at))
+            upstream.send(self.command(at))
             self.end(at + 1)
-        self.judge(link, other)
+        self.judge(upstream, other)
         self.faults.name = ""  # the fault is over
-        link.send(self.order(5))
-        other.send(self.order(6))
+        upstream.send(self.command(5))
+        other.send(self.command(6))
         self.end(7)
-        self.judge(link, other)
+        self.judge(upstream, other)
         served = dict(self.told)
         self.assertEqual((served[IDENTS[5]], served[IDENTS[6]]), ("ok", "ok"))
-        for each in (link, other):
+        for each in (upstream, other):
             each.close()
         self.assertEqual((self.pool.used, self.faults.open_sockets(), self.loop.handlers), (0, set(), {}))
         self.assertEqual(self.pool.worker_clients, set())
         for _ in range(3):
             self.loop.run_once(0, lambda: None)
         self.assertEqual(len(self.told), 7)
-        return link
+        return upstream
 
-    def judge(self, link, other):
+    def judge(self, upstream, other):
         """One end for each order, which is true, and the books of connections are right."""
         idents = [ident for ident, _ in self.told]
         self.assertEqual(len(idents), len(set(idents)), self.told)
@@ -207,11 +207,11 @@
                 self.assertNotIn(ident, self.faults.begun, outcome)
             if not refused:  # the worker lives, and nothing said otherwise
                 self.assertNotIn(outcome, ("unreached", "cut"))
-        connections = [*link.all_connections(), *other.all_connections()]
+        connections = [*upstream.all_connections(), *other.all_connections()]
         self.assertEqual(self.pool.used, len(connections))
         self.assertEqual({conn.sock.fileno() for conn in connections}, self.faults.open_sockets())
         self.assertEqual(set(self.loop.handlers), self.faults.open_sockets())
-        self.assertEqual((link.probe.unresolved, link.probe.connection), ([], None))
+        self.assertEqual((upstream.probe.unresolved, upstream.probe.connection), ([], None))
         self.assertEqual([conn.commands_in_flight for conn in connections], [0] * len(connections))
         self.assertEqual(self.broken, [])
 
--- a/wickdyke/platform/client_server.py
+++ b/wickdyke/platform/client_server.py
@@ -327,7 +327,7 @@
         """
         # A connection left open until the process has ended acknowledges requests that nobody reads. Between
         # the read and the close one may still cross, within microseconds: the client sends it again (PROTOCOL).
-        # A shutdown for reading before that read would not prevent it: Linux acknowledges what arrives after it as well.
+        # A shutdown for reading before that read would not prevent it: Linux acknowledges what arrives after it, too.
         for client in list(self.clients.values()):
             before = self.reads
             self.read_now(client)
--- a/wickdyke/platform/endpoint_list.py
+++ b/wickdyke/platform/endpoint_list.py
@@ -1,6 +1,7 @@
 """The endpoint list as it results from discovery's numbered events. Pure: no I/O, no clock.
 
-An event counts once, by its number. Start times are reported in Unix ms and converted to the coordinator's monotonic ms.
+An event counts once, by its number. Start times are reported in Unix ms and converted to the coordinator's
+monotonic ms.
 
 A wall clock may be stepped at any time, here or on the machine that writes the start times; only the monotonic clock
 runs on. So a start time is believed only as far as the monotonic clock allows:
@@ -11,9 +12,9 @@
   a while that is PROMPT at most. On a new one it is longer by what we may have missed: the time since the last events,
   OUTAGE at most. A start time before that, or in the future, counts as a start now: the worker can't be younger than
   that, so its slow start is at worst longer than it need be, never shorter.
-- For workers reported before any other event (`known` of the configuration) only the wall clocks can show it. A start in
-  the future counts as a start now. What can't be determined: whether a clock was stepped forward here, or back there, before
-  this process began; then a worker looks older than it is, and nothing here contradicts it. To count all of them as
+- For workers reported before any other event (`known` of the configuration) only the wall clocks can show it. A start
+  in the future counts as a start now. What can't be determined: whether a clock was stepped forward here, or back
+  there, before this process began; then a worker looks older than it is, and nothing here contradicts it. To count all of them as
   just started would be safe too, but every restart of a front end would then have a whole healthy fleet warm up.
 - If the wall clock here was stepped since the start, both differences between the clocks are possible, as start times
   may be written by a clock that was stepped with ours or by another one. The younger age counts.
--- a/wickdyke/platform/worker_connection.py
+++ b/wickdyke/platform/worker_connection.py
@@ -343,8 +343,8 @@
             self._count("strays")
             return
         result = read_result(answer, self.worker_client.report_fields)
-        # An answer may be sent twice, and the second would end a later attempt of the same request as one that never ran;
-        # so that is sent on another connection.
+        # An answer may be sent twice, and the second would end a later attempt of the same request as one that never
+        # ran; so that is sent on another connection.
         self.ended_ids.append(answer[0])
         del self.open[answer[0]]
         self.last_used_at = self.last_read_at
