--- a/tests/test_client_leaving.py
+++ b/tests/test_client_leaving.py
@@ -114,7 +114,7 @@
                 self.end()
 
     def test_between_two_attempts(self):
-        """The worker answers that it is full as the client closes: no second attempt after the coordinator handled both."""
+        """The worker answers that it is full as the client closes: no second attempt once both were handled."""
         serving = self.front_end(self.worker().address)
         client = self.client()
         client.send(rig.dispatch(1, rig.fields(A), b"slow"))
--- a/tests/test_endpoint_list_changes.py
+++ b/tests/test_endpoint_list_changes.py
@@ -43,7 +43,7 @@
                 self.end()
 
     def test_a_whole_list_keeps_who_stays(self):
-        """Connections, slow start and state of a worker outlast a list sent in full, late or twice; a restart ends them."""
+        """Connections, slow start and state of a worker outlast a full list, late or twice; a restart ends them."""
         # Real clocks: on a busy machine the steps below may take longer than an event may be late.
         self.enterContext(patch.object(endpoint_list, "PROMPT", rig.LONG * 1000))
         source, one, two = self.lists(), self.worker(), self.worker()
--- a/tests/test_platform_parsers.py
+++ b/tests/test_platform_parsers.py
@@ -7,6 +7,7 @@
 from tests import platform_rig as rig
 from wickdyke.gateway.interfaces import EndpointListChange
 from wickdyke.platform import endpoint_list, resp, sse, thrift, worker_results
+from wickdyke.routing.inputs import WorkerLoad
 
 GOOD = rig.message(
     "dispatch", 7, b"\x0d\x00\x01" + rig.table({"c": "look"}) + b"\x0b\x00\x02" + rig.text(b"hi") + b"\x00"
@@ -106,7 +107,9 @@
                     self.assertRaises(resp.InvalidAnswerError, worker_results.read_result, answer, names)
                 else:
                     got = worker_results.read_result(answer, names)
-                    self.assertEqual((got.outcome, got.load_note, got.concurrent, got.replicas, got.report), told)
+                    report = WorkerLoad.from_values(names, told[-1])
+                    self.assertEqual((got.outcome, got.load_note, got.concurrent, got.replicas), told[:-1])
+                    self.assertEqual(got.report, report)
 
 
 class List(unittest.TestCase):
--- a/tests/test_worker.py
+++ b/tests/test_worker.py
@@ -120,7 +120,7 @@
                     sink.write(text)
                 with self.assertRaises(InvalidConfigError) as caught:
                     package.pack(self.path("f"), self.path("store"))
-                self.assertEqual(len(caught.exception.troubles), 1, caught.exception)
+                self.assertEqual(len(caught.exception.diagnostics), 1, caught.exception)
                 for word in words:
                     self.assertIn(word, str(caught.exception))
                 self.assertFalse(os.path.exists(self.path("store")))
@@ -182,7 +182,7 @@
                     path = self.archive(*entries, cut=cut)
                 with self.assertRaises(InvalidConfigError) as caught:
                     package.from_zip(path)
-                self.assertEqual(len(caught.exception.troubles), 1)
+                self.assertEqual(len(caught.exception.diagnostics), 1)
                 for word in words:
                     self.assertIn(word, str(caught.exception))
         made, files = package.from_zip(self.archive(*plain))
@@ -474,7 +474,7 @@
                 SHOP.format(memory=400, idle=60, cache=50, more="").replace('(folder "store")', '(service "s.sock")')
             )
         shop = worker_config.read(self.path("w.sexp"))
-        worker = Worker(shop, StoreClient(shop.service), logs.logger(io.StringIO(), False)[0])
+        worker = Worker(shop, StoreClient(shop.store_address), logs.logger(io.StringIO(), False)[0])
         worker.open()
         self.addCleanup(worker.close)
         gate = Gate(shop.listen)
@@ -552,7 +552,7 @@
                     sink.write(text)
                 with self.assertRaises(InvalidConfigError) as caught:
                     worker_config.read(self.path("w.sexp"))
-                self.assertEqual(len(caught.exception.troubles), 1, caught.exception)
+                self.assertEqual(len(caught.exception.diagnostics), 1, caught.exception)
                 for word in words:
                     self.assertIn(word, str(caught.exception))
 
@@ -599,7 +599,7 @@
         shop = worker_config.read(self.path("w.sexp"))
         self.said = io.StringIO()
         log, _ = logs.logger(self.said, False)
-        made = Worker(shop, Folder(shop.folder), log)
+        made = Worker(shop, Folder(shop.store_folder), log)
         made.open()
         self.addCleanup(made.close)
         gate = Gate(shop.listen)
--- a/wickdyke/platform/configuration.py
+++ b/wickdyke/platform/configuration.py
@@ -23,8 +23,8 @@
 OPEN_REQUESTS_LEAST = 256  # allowed at once, however little memory there is
 OPEN_REQUESTS_PER_MB = 16.0  # of memory
 EVENTS_MOST = 20000  # waiting for the coordinator
-ANSWER_WAY = 10.0  # ms that an answer may take to reach its client
-PROBE_WAIT = 250.0  # ms until a health check times out
+ANSWER_MARGIN = 10.0  # ms that an answer may take to reach its client
+HEALTH_CHECK_TIMEOUT = 250.0  # ms until a health check times out
 MEMORY_LEAST = 1  # MB
 SOCKETS_LEAST = 64
 PORT_MOST = 65535
@@ -42,7 +42,7 @@
 class Bounds:
     """Bounds on what the front end holds at once."""
 
-    open_rpcs: int  # requests of clients
+    open_requests: int  # requests of clients
     events: int  # waiting for the coordinator
 
 
@@ -70,8 +70,8 @@
     cost_weights: CostWeights
     tenant_quotas: TenantQuotas
     bounds: Bounds
-    answer_way: float = ANSWER_WAY
-    probe_wait: float = PROBE_WAIT
+    answer_margin: float = ANSWER_MARGIN
+    health_check_timeout: float = HEALTH_CHECK_TIMEOUT
 
 
 def address(text: object, place: str) -> tuple[str, int]:
@@ -105,7 +105,7 @@
 
 
 def _seed(given: dict[str, Any], path: str) -> int:
-    seed = given.get("seed")
+    seed: Any = given.get("seed")
     try:
         return int(seed, 16) if isinstance(seed, str) else int(seed)
     except (TypeError, ValueError):
@@ -155,7 +155,7 @@
         zones=pairs.names("zones"),
         kinds=pairs.names("flavors"),
         tenants=tuple(pairs.get(f"tenants.{index}.name", str) for index in tenants),
-        bounds=Bounds(open_rpcs=_open_requests(memory), events=EVENTS_MOST),
+        bounds=Bounds(open_requests=_open_requests(memory), events=EVENTS_MOST),
         **started,
     )
 
--- a/wickdyke/platform/endpoint_list.py
+++ b/wickdyke/platform/endpoint_list.py
@@ -14,8 +14,9 @@
   that, so its slow start is at worst longer than it need be, never shorter.
 - For workers reported before any other event (`known` of the configuration) only the wall clocks can show it. A start
   in the future counts as a start now. What can't be determined: whether a clock was stepped forward here, or back
-  there, before this process began; then a worker looks older than it is, and nothing here contradicts it. To count all of them as
-  just started would be safe too, but every restart of a front end would then have a whole healthy fleet warm up.
+  there, before this process began; then a worker looks older than it is, and nothing here contradicts it. To count
+  all of them as just started would be safe too, but every restart of a front end would then have a whole healthy
+  fleet warm up.
 - If the wall clock here was stepped since the start, both differences between the clocks are possible, as start times
   may be written by a clock that was stepped with ours or by another one. The younger age counts.
 """
@@ -27,14 +28,18 @@
 from typing import Any, NamedTuple
 
 from wickdyke.gateway.interfaces import EndpointListChange
-from wickdyke.routing.model import Endpoint
+from wickdyke.routing.model import Endpoint, EndpointState
 
 PROMPT = 2000.0  # ms by which an event may report a start late on a live connection: a dead one is noticed in 1.5 s
 OUTAGE = 10000.0  # ms without events, at most, for which a new connection may make up
 STEPPED = 100.0  # ms by which the wall clock has moved against the monotonic one if it was stepped, not adjusted
 GONE_KEPT = 1024  # start times of deleted workers that are kept, in case they are listed again
 PORT_MOST = 65535
-STATES = {"SERVING": "ready", "DRAINING": "draining", "DELETED": "gone"}
+STATES = {  # by the word of an event
+    "SERVING": EndpointState.READY,
+    "DRAINING": EndpointState.DRAINING,
+    "DELETED": EndpointState.GONE,
+}
 
 
 class UnusableEventError(Exception):
@@ -129,7 +134,7 @@
         for name, old in before.items():
             new = self.listed.get(name)
             if new is None and old is not None:
-                gone.append(replace(old.endpoint, state="gone"))
+                gone.append(replace(old.endpoint, state=EndpointState.GONE))
             elif new is not None and (old is None or old.endpoint != new.endpoint):
                 changed.append(new.endpoint)
             address = new.address if new is not None else None
@@ -157,7 +162,7 @@
             name = instance.endpoint.ident
             before.setdefault(name, self.listed.get(name))
             self._forget_start_time(name)
-            if instance.endpoint.state == "gone":
+            if instance.endpoint.state is EndpointState.GONE:
                 self.listed.pop(name, None)
                 continue
             self.listed[name] = ListedWorker(instance.endpoint, instance.address)
--- a/wickdyke/platform/worker_results.py
+++ b/wickdyke/platform/worker_results.py
@@ -3,6 +3,7 @@
 from wickdyke.config.deployment_settings import REPORTS
 from wickdyke.gateway.interfaces import CommandResult
 from wickdyke.platform import resp
+from wickdyke.routing.inputs import WorkerLoad
 from wickdyke.routing.model import LoadNote, Outcome
 
 OUTCOMES = {  # by the word of an answer
@@ -27,9 +28,9 @@
 }
 
 
-def read_report(text: str, fields: tuple[str, ...]) -> tuple[float, ...] | None:
+def read_report(text: str, fields: tuple[str, ...]) -> WorkerLoad | None:
     """Parses a load report, NAME:VALUE;NAME:VALUE; None where it is invalid or lacks one of `fields`."""
-    values = {}
+    values: dict[str, float] = {}
     try:
         for pair in text.split(";"):
             word, _, value = pair.partition(":")
@@ -38,7 +39,7 @@
         return None
     if any(not abs(values.get(field, float("inf"))) < VALUE_MOST for field in fields):
         return None
-    return tuple(values[field] for field in fields)
+    return WorkerLoad.from_values(fields, [values[field] for field in fields])
 
 
 def read_result(answer: list[bytes], report_fields: tuple[str, ...]) -> CommandResult:
