--- a/tests/platform_rig.py
+++ b/tests/platform_rig.py
@@ -4,6 +4,7 @@
 import socket
 import struct
 import threading
+from contextlib import suppress
 
 LONG = 20.0
 
@@ -182,10 +183,10 @@
 
 
 class Listener:
-    """Takes connections on loopback, each with a thread that calls `_serve(sock)`."""
+    """Accepts connections on loopback, each with a thread that calls `_serve(sock)`. `close` closes all of them."""
 
     def __init__(self):
-        self.socks, self.lock = [], threading.Lock()
+        self.socks, self.lock, self.closed = [], threading.Lock(), False
         self.listener = socket.create_server(("127.0.0.1", 0))
         self.address = f"127.0.0.1:{self.listener.getsockname()[1]}"
         threading.Thread(target=self._accept, daemon=True).start()
@@ -197,18 +198,24 @@
             except OSError:
                 return
             with self.lock:
+                if self.closed:  # accepted during `close`, which does not close it
+                    sock.close()
+                    return
                 self.socks.append(sock)
             threading.Thread(target=self._serve, args=(sock,), daemon=True).start()
 
     def close(self):
-        self.listener.close()
         with self.lock:
+            self.closed = True
             for sock in self.socks:
                 sock.close()
+        with suppress(OSError):
+            self.listener.shutdown(socket.SHUT_RDWR)  # wakes the thread that waits in accept
+        self.listener.close()
 
 
 class Worker(Listener):
-    """Answers by `play(worker, sock, command)`; by itself it serves all. `commands` holds what came."""
+    """A worker that answers by `play(worker, sock, command)`, or serves all. `commands` holds those received."""
 
     def __init__(self, play=None):
         self.play, self.commands = play, []
@@ -246,7 +253,7 @@
 
 
 class Bus(Listener):
-    """Serves `GET /bus/read`: `asked` holds each Last-Event-ID, `tell` writes to whoever reads."""
+    """Serves `GET /bus/read`: `asked` holds each Last-Event-ID, `tell` writes to the latest reader."""
 
     def __init__(self):
         self.asked, self.readers = [], []
