--- a/tests/platform_rig.py
+++ b/tests/platform_rig.py
@@ -244,7 +244,7 @@
         elif verb == b"prewarm":
             sock.sendall(bulk(parts[1], b"ACK", b"units=1", b""))
 
-    def came(self, verb):
+    def received(self, verb):
         with self.lock:
             return [parts for parts in self.commands if parts[0] == verb]
 
@@ -253,10 +253,10 @@
 
 
 class Bus(Listener):
-    """Serves `GET /bus/read`: `asked` holds each Last-Event-ID, `tell` writes to the latest reader."""
+    """Serves `GET /bus/read`: `offsets` holds each Last-Event-ID, `send_raw` writes to the latest reader."""
 
     def __init__(self):
-        self.asked, self.readers = [], []
+        self.offsets, self.readers = [], []
         super().__init__()
 
     def _serve(self, sock):
@@ -268,12 +268,12 @@
         except OSError:
             return
         self.readers.append(sock)
-        self.asked.append(
+        self.offsets.append(
             next(int(line.split(b":")[1]) for line in head.split(b"\r\n") if line.lower().startswith(b"last-event-id"))
         )
 
-    def tell(self, raw):
+    def send_raw(self, raw):
         self.readers[-1].sendall(raw)
 
-    def event(self, told):
-        self.tell(f"id: {told['offset']}\ndata: {json.dumps(told)}\n\n".encode())
+    def event(self, content):
+        self.send_raw(f"id: {content['offset']}\ndata: {json.dumps(content)}\n\n".encode())
--- a/tests/test_busy_front_end.py
+++ b/tests/test_busy_front_end.py
@@ -121,7 +121,7 @@
                 pass  # ended with the attempt
             for _ in range(50):
                 serving.run_once()
-        self.assertEqual(len(one.came(b"invoke") + two.came(b"invoke")), 1)
+        self.assertEqual(len(one.received(b"invoke") + two.received(b"invoke")), 1)
 
     def test_who_asks_beside_clients_that_never_stop_sending(self):
         """Three send without a pause, more than is read of each in a turn. Another one's request is read as well."""
--- a/tests/test_client_connection_ends.py
+++ b/tests/test_client_connection_ends.py
@@ -185,10 +185,10 @@
             sock.sendall(rig.bulk(parts[1], b"ACK", b"why=w,ahead=0", b""))
         for _ in range(8):
             self.answer(client)
-        self.assertTrue(all(worker.came(b"invoke") for worker in workers))
+        self.assertTrue(all(worker.received(b"invoke") for worker in workers))
         client.send(rig.dispatch(20, rig.fields(A), b"slow"))
         self.until(lambda: self.held, "the call-out")
-        before = sum(len(worker.came(b"invoke")) for worker in workers)
+        before = sum(len(worker.received(b"invoke")) for worker in workers)
         self.now += 150
         known = next(iter(serving.client_server.clients.values()))
         if how == "closes":
@@ -209,7 +209,7 @@
             self.until(lambda: not serving.coordinator.requests.by_id, "the end of the request")
         for _ in range(10):
             self.run_once()
-        return sum(len(worker.came(b"invoke")) for worker in workers) - before
+        return sum(len(worker.received(b"invoke")) for worker in workers) - before
 
     def test_a_client_that_stays_has_its_retry(self):
         self.assertEqual(self.leaves("stays"), 1)
--- a/tests/test_client_leaving.py
+++ b/tests/test_client_leaving.py
@@ -171,7 +171,7 @@
         self.assertEqual((len(self.held), [conn.commands_in_flight for conn in upstream.connections]), (1, [1]))
         self.until(lambda: not any(conn.commands_in_flight for conn in upstream.connections), "its place")
         self.assertEqual(
-            (worker.came(b"abort"), serving.coordinator.requests.by_id, upstream.connections), ([], {}, [])
+            (worker.received(b"abort"), serving.coordinator.requests.by_id, upstream.connections), ([], {}, [])
         )
 
 
--- a/tests/test_clients_that_left.py
+++ b/tests/test_clients_that_left.py
@@ -42,7 +42,7 @@
                         except OSError:
                             pass  # ended with the attempt
                         self.later(1000, 20.0)
-                        self.assertEqual(len(one.came(b"invoke") + two.came(b"invoke")), 1)
+                        self.assertEqual(len(one.received(b"invoke") + two.received(b"invoke")), 1)
                         self.end()
 
     def test_a_hedged_request(self):
@@ -58,7 +58,7 @@
                     self.at_worker(1)
                     self.gone(client, how)
                     self.later(1000, 20.0)
-                    self.assertEqual(len(one.came(b"invoke") + two.came(b"invoke")), 1)
+                    self.assertEqual(len(one.received(b"invoke") + two.received(b"invoke")), 1)
                     self.held.clear()
                     self.end()
 
@@ -80,7 +80,7 @@
                 client = self.client()
                 client.send(request(1, "look"))
                 self.until(lambda orders=orders: (self.later(1.0), orders)[1], "an order to load")
-                many = len(worker.came(b"invoke"))
+                many = len(worker.received(b"invoke"))
                 self.assertFalse(client.waits())
                 self.gone(client, how)
                 worker.play = None
@@ -88,7 +88,7 @@
                     sock.sendall(rig.bulk(parts[1], b"ACK", b"units=1", b""))
                 self.later(1000, 20.0)
                 self.settle()
-                self.assertEqual(len(worker.came(b"invoke")), many)
+                self.assertEqual(len(worker.received(b"invoke")), many)
                 self.end()
 
 
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -42,9 +42,9 @@
         self.clocks, self.offset = clocks, 0
         self.connected_at = clocks.now + connected
         self.roster = endpoint_list.EndpointList(("hall",), ("std",), clocks.ahead, lambda: self.connected_at)
-        self.tell(rig.instance("old", "h:9"), *known, reset=True)
+        self.send_raw(rig.instance("old", "h:9"), *known, reset=True)
 
-    def tell(self, *instances, reset=False):
+    def send_raw(self, *instances, reset=False):
         self.offset += 1
         return self.roster.apply([rig.event(self.offset, *instances, reset=reset)], self.clocks.now)
 
@@ -75,17 +75,17 @@
                 view = View(clocks, [late(started=clocks.stamp(age))] if known else ())
                 if not known:
                     clocks.now += after
-                    view.tell(late(started=clocks.stamp(age)))
+                    view.send_raw(late(started=clocks.stamp(age)))
                 self.assertEqual(view.age("a"), age)
 
     def test_no_step_is_exact_after_an_outage(self):
         clocks = Clocks()
         view = View(clocks)
         clocks.now += 60 * SECOND
-        view.tell(rig.instance("b", "h:2"))
+        view.send_raw(rig.instance("b", "h:2"))
         clocks.now += 8 * SECOND
         view.connected_at = clocks.now - 10
-        view.tell(late(started=clocks.stamp(7 * SECOND)))
+        view.send_raw(late(started=clocks.stamp(7 * SECOND)))
         self.assertEqual(view.age("a"), 7 * SECOND)
 
     def test_a_live_start_is_as_old_as_the_monotonic_clock_allows(self):
@@ -106,7 +106,7 @@
                         move("during")
                         clocks.now += 60 * SECOND
                         move("after")
-                        view.tell(late(started=clocks.stamp(100.0)))
+                        view.send_raw(late(started=clocks.stamp(100.0)))
                         self.assertIn(view.age("a"), (0.0, 100.0))
 
     def test_after_an_outage_no_longer_than_it_lasted(self):
@@ -118,7 +118,7 @@
                 clocks.now += HOUR
                 view.connected_at = clocks.now - 10
                 clocks.writers += step
-                view.tell(late(started=clocks.stamp(100.0)))
+                view.send_raw(late(started=clocks.stamp(100.0)))
                 self.assertGreaterEqual(view.age("a"), 0.0)
                 self.assertLessEqual(view.age("a"), endpoint_list.PROMPT + endpoint_list.OUTAGE)
 
@@ -131,10 +131,10 @@
                 view = View(clocks, [late(started=stamp)] if known else ())
                 clocks.now += 0 if known else 60 * SECOND
                 if not known:
-                    view.tell(late(started=stamp))
+                    view.send_raw(late(started=stamp))
                 self.assertEqual(view.age("a"), 0.0)
                 clocks.now += 5 * SECOND
-                self.assertEqual(view.tell(late(started=stamp)), EndpointListChange([], {}))
+                self.assertEqual(view.send_raw(late(started=stamp)), EndpointListChange([], {}))
                 self.assertEqual(view.age("a"), 5 * SECOND)
 
     def test_our_clock_is_stepped_between_its_two_readings_at_the_start(self):
@@ -155,7 +155,7 @@
             view = View(clocks)
             clocks.now += 60 * SECOND
             clocks.ours += step
-            view.tell(late("a", 0), late("b", None), rig.instance("c", "h:3"))
+            view.send_raw(late("a", 0), late("b", None), rig.instance("c", "h:3"))
             self.assertEqual([view.roster.listed[name][0].started_at for name in "abc"], [None] * 3)
 
     def test_told_again_is_no_change(self):
@@ -168,7 +168,7 @@
                     view = View(clocks, rows)
                     clocks.now += 60 * SECOND
                     rows.append(late("b", clocks.stamp(100.0)))
-                    view.tell(rows[1])
+                    view.send_raw(rows[1])
                     before = dict(view.roster.listed)
                     self.assertEqual((view.age("a"), view.age("b")), (HOUR + 60 * SECOND, 100.0))
                     clocks.now += 5 * SECOND
@@ -176,11 +176,11 @@
                     if between == "new connection":
                         view.connected_at = clocks.now
                     elif between == "deleted":
-                        view.tell(*({**each, "lifecycle": "DELETED"} for each in rows))
+                        view.send_raw(*({**each, "lifecycle": "DELETED"} for each in rows))
                     elif between == "absent from a whole list":
-                        view.tell(rig.instance("c", "h:3"), reset=True)
+                        view.send_raw(rig.instance("c", "h:3"), reset=True)
                     old = rig.instance("old", "h:9")
-                    view.tell(old, *rows, reset=between in ("reset", "new connection"))
+                    view.send_raw(old, *rows, reset=between in ("reset", "new connection"))
                     self.assertEqual({name: view.roster.listed[name] for name in before}, before)
 
     def test_a_new_start_under_the_same_name(self):
@@ -191,7 +191,7 @@
                 view = View(clocks, [late("a", clocks.stamp(HOUR))])
                 clocks.now += 60 * SECOND
                 clocks.writers += step
-                change = view.tell(late("a", clocks.stamp(100.0)))
+                change = view.send_raw(late("a", clocks.stamp(100.0)))
                 self.assertEqual([row.ident for row in change.endpoints], ["a"])
                 self.assertTrue(0.0 <= view.age("a") <= endpoint_list.PROMPT)
 
@@ -201,8 +201,8 @@
         for at in range(endpoint_list.GONE_KEPT + 50):
             clocks.now += 1
             row = late(f"n{at}", clocks.stamp())
-            view.tell(row)
-            view.tell({**row, "lifecycle": "DELETED"})
+            view.send_raw(row)
+            view.send_raw({**row, "lifecycle": "DELETED"})
         self.assertEqual(len(view.roster.gone_start_times), endpoint_list.GONE_KEPT)
         self.assertIn(f"n{endpoint_list.GONE_KEPT + 49}", view.roster.gone_start_times)
         self.assertEqual((len(view.roster), view.roster.start_times), (1, {}))
@@ -212,7 +212,7 @@
         for stamp in (inf, -inf, float("nan"), 10**400, "soon", [1]):
             with self.subTest(str(stamp)[:10]):
                 view = View(Clocks())
-                view.tell(late("a", stamp), rig.instance("b", "h:2"))
+                view.send_raw(late("a", stamp), rig.instance("b", "h:2"))
                 self.assertEqual((list(view.roster.listed), view.roster.unusable), (["old", "b"], 1))
 
 
@@ -252,13 +252,13 @@
                 if told.get(with_[0]) != clocks.stamp(with_[1]):
                     births.pop(with_[0], None)
                 told[with_[0]] = clocks.stamp(with_[1])
-                view.tell(late(with_[0], told[with_[0]]))
+                view.send_raw(late(with_[0], told[with_[0]]))
             elif what == "again" and with_ in told:
-                view.tell(late(with_, told[with_]))
+                view.send_raw(late(with_, told[with_]))
             elif what == "delete" and with_ in told:
-                view.tell(late(with_, told[with_], lifecycle="DELETED"))
+                view.send_raw(late(with_, told[with_], lifecycle="DELETED"))
             elif what == "whole":
-                view.tell(*(late(name, told[name]) for name in sorted(with_) if name in told), reset=True)
+                view.send_raw(*(late(name, told[name]) for name in sorted(with_) if name in told), reset=True)
             fresh = clocks.now - view.connected_at <= endpoint_list.PROMPT
             most = endpoint_list.PROMPT + fresh * min(endpoint_list.OUTAGE, clocks.now - last)
             for name, (listing, _) in view.roster.listed.items():
@@ -281,7 +281,7 @@
         view = View(clocks)
         for at, (wait, lag) in enumerate(starts):
             clocks.now += wait
-            view.tell(late(f"w{at}", clocks.stamp(lag)))
+            view.send_raw(late(f"w{at}", clocks.stamp(lag)))
             self.assertEqual(view.age(f"w{at}"), lag)
 
 
@@ -301,7 +301,7 @@
             clocks.ours += clock_step
             clocks.writers += writers_step
             row = late(started=clocks.stamp(100.0))
-            view.tell(row)
+            view.send_raw(row)
         listing = view.roster.listed["a"][0]
         fleet.list([listing])
         worker = fleet.fe.workers["a"]
@@ -337,7 +337,7 @@
                     with patch.object(service, "time", wall):
                         source, one, two = self.made(rig.Bus()), self.worker(), self.worker()
                         serving = self.front_end(one.address, bus=source.address)
-                        self.until(lambda source=source: source.asked)
+                        self.until(lambda source=source: source.offsets)
                         stepped.ms = step
                         started, began = int(time.time() * 1000), service.clock()
                         source.event(rig.event(2, rig.instance("w1", two.address, startedAtMs=started)))
--- a/tests/test_descriptor_limit.py
+++ b/tests/test_descriptor_limit.py
@@ -54,12 +54,12 @@
                 self.assertEqual(client.answer()[1], "good")
                 clients.append(client)
             back_again = rig.Bus.__new__(rig.Bus)
-            back_again.asked, back_again.readers = [], []
+            back_again.offsets, back_again.readers = [], []
             make = socket.create_server
             with patch.object(rig.socket, "create_server", lambda at: make(("127.0.0.1", port))):
                 rig.Listener.__init__(back_again)
             self.addCleanup(back_again.close)
-            wait_for(self, lambda: back_again.asked)
+            wait_for(self, lambda: back_again.offsets)
 
             def told():  # again and again: without a pulse the stream is left, and asked for anew
                 try:
@@ -76,7 +76,7 @@
             self.assertFalse([line for line in lines if "fault" in line])
             clients[-1].send(rig.dispatch(2, rig.fields(A), b"a"))
             self.assertEqual(clients[-1].answer(), (2, "answer", b"did a"))
-            self.assertEqual(len(two.came(b"invoke")), 1)
+            self.assertEqual(len(two.received(b"invoke")), 1)
 
     def test_dealt_out_whole(self):
         """(limit): clients, workers and what is kept back are never more than the process may have."""
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -82,15 +82,15 @@
                 source = rig.Bus()  # its own: the one before may still be asked
                 self.addCleanup(source.close)
                 made = self.follow(source.address)
-                self.until(lambda source=source, made=made: source.asked and made.up)
+                self.until(lambda source=source, made=made: source.offsets and made.up)
                 if first:
-                    source.tell(first)
+                    source.send_raw(first)
                 for _ in range(20):
                     if made.counts["silent"]:
                         break
                     if drip:
                         with patch.object(made, "readable", Mock(wraps=made.readable)) as read:
-                            source.tell(drip)
+                            source.send_raw(drip)
                             self.until(lambda read=read: read.called)
                     self.later(200)
                 self.assertEqual(made.counts["silent"] > 0, again)
@@ -100,11 +100,11 @@
         with no_descriptor():
             made = self.follow(self.source.address)
             self.later(500)
-            self.assertEqual(self.source.asked, [])
+            self.assertEqual(self.source.offsets, [])
             self.assertGreater(made.counts["connects"], 2)
         self.later(300)
-        self.until(lambda: made.up and self.source.asked)
-        self.assertEqual(self.source.asked, [7])
+        self.until(lambda: made.up and self.source.offsets)
+        self.assertEqual(self.source.offsets, [7])
 
     def test_no_time_for_a_drain(self):
         """Settings that leave none: the list is reached all the same, and not asked for without a pause."""
--- a/tests/test_endpoint_list_changes.py
+++ b/tests/test_endpoint_list_changes.py
@@ -25,21 +25,21 @@
             with self.subTest(where):
                 old, new, one, two = self.lists(), self.lists(), self.worker(), self.worker()
                 serving = self.front_end(one.address, two.address, bus=old.address)
-                self.until(lambda old=old: old.asked == [1])
+                self.until(lambda old=old: old.offsets == [1])
                 drains = rig.event(2, rig.instance("w0", one.address, lifecycle="DRAINING"))
                 if where == "old":
                     old.event(drains)
                 self.write(new.address, one.address, two.address)
                 serving._request_reload(signal.SIGHUP, None)  # both are there before the next iteration
-                self.until(lambda new=new: len(new.asked) == 1)
-                self.assertEqual(new.asked, [2 if where == "old" else 1])
+                self.until(lambda new=new: len(new.offsets) == 1)
+                self.assertEqual(new.offsets, [2 if where == "old" else 1])
                 new.event(drains)
                 self.told(2)
                 client = self.client()
                 for at in range(6):
                     client.send(rig.dispatch(at + 1, rig.fields(f"{at:016x}"), b"x"))
                     self.assertEqual(self.answer(client)[1], "answer")
-                self.assertEqual((len(one.came(b"invoke")), len(two.came(b"invoke"))), (0, 6))
+                self.assertEqual((len(one.received(b"invoke")), len(two.received(b"invoke"))), (0, 6))
                 self.end()
 
     def test_a_whole_list_keeps_who_stays(self):
@@ -48,7 +48,7 @@
         self.enterContext(patch.object(endpoint_list, "PROMPT", rig.LONG * 1000))
         source, one, two = self.lists(), self.worker(), self.worker()
         serving = self.front_end(one.address, two.address, bus=source.address)
-        self.until(lambda: source.asked)
+        self.until(lambda: source.offsets)
         start = int(time.time() * 1000) - 500
         here = rig.instance("w1", two.address, startedAtMs=start)
         source.event(rig.event(2, here))
@@ -78,10 +78,10 @@
     def test_a_drain_and_its_end_at_once_is_no_change(self):
         source, one = self.lists(), self.worker()
         serving = self.front_end(one.address, bus=source.address)
-        self.until(lambda: source.asked)
+        self.until(lambda: source.offsets)
         row = rig.instance("w0", one.address)
         before = dict(serving.coordinator.router.workers)
-        source.tell(
+        source.send_raw(
             "".join(
                 f"id: {told['offset']}\ndata: {json.dumps(told)}\n\n"
                 for told in (
--- a/tests/test_idle_connections.py
+++ b/tests/test_idle_connections.py
@@ -163,7 +163,7 @@
         self.answer_held()
         self.assertEqual(self.answer(client), (1, "answer", b"at last"))
         self.assertEqual(self.answer(client)[1], "closed")
-        self.assertEqual(len(worker.came(b"invoke")), 1)
+        self.assertEqual(len(worker.received(b"invoke")), 1)
 
     def test_a_connection_that_rested_for_minutes_is_served(self):
         self.front_end(self.worker().address)
--- a/tests/test_platform_service.py
+++ b/tests/test_platform_service.py
@@ -136,22 +136,22 @@
         self.assertEqual(client.answer(), (1, "good", b""))
         client.send(rig.dispatch(2, rig.fields(), b"a"))
         self.assertEqual(client.answer(), (2, "answer", b"did a"))
-        verb, ident, told, body = one.came(b"invoke")[0]
+        verb, ident, told, body = one.received(b"invoke")[0]
         given = dict(pair.split(b"=") for pair in told.split(b","))
         self.assertEqual(
             (ident, given[b"lane"], given[b"name"], body), (b"9b1f03aa5c7e2d41", b"look", b"7f3a9c21e0b4d655", b"a")
         )
         self.assertTrue(1300 < int(given[b"ttl"]) <= 1500)
         # the list: half an event is thrown away, and asked for again where it was
-        self.wait(lambda: bus.asked == [1])
-        bus.tell(b'id: 2\ndata: {"offset": 2, "topo')
+        self.wait(lambda: bus.offsets == [1])
+        bus.send_raw(b'id: 2\ndata: {"offset": 2, "topo')
         bus.readers[-1].shutdown(socket.SHUT_RDWR)
-        self.wait(lambda: bus.asked == [1, 1])
+        self.wait(lambda: bus.offsets == [1, 1])
         bus.event(rig.event(2, rig.instance("w0", one.address, lifecycle="DELETED"), rig.instance("w9", two.address)))
         self.until("worker=w9")
         client.send(rig.dispatch(3, rig.fields("a" * 16), b"b"))
         self.assertEqual(client.answer(), (3, "answer", b"did b"))
-        self.assertEqual(len(two.came(b"invoke")), 1)
+        self.assertEqual(len(two.received(b"invoke")), 1)
         # a new configuration: one that can't be used leaves the old, a good one is followed with the numbers going on
         with open(self.path, "w") as out:
             out.write("{")
@@ -159,7 +159,7 @@
         self.until("configuration unusable")
         self.write(other, one)
         self.ran.send_signal(signal.SIGHUP)
-        self.wait(lambda: other.asked == [2])
+        self.wait(lambda: other.offsets == [2])
         # the end: what is held is answered, what comes within the grace too, and alive says no
         client.send(rig.dispatch(4, rig.fields("b" * 16), b"slow"))
         self.wait(lambda: slow)
@@ -178,8 +178,8 @@
     def test_a_silent_bus_is_asked_again_while_requests_go_on(self):
         bus = self.made(rig.Bus())
         self.start(bus, self.made(rig.Worker()))
-        self.wait(lambda: len(bus.asked) >= 2)  # says nothing any more: no pulse
-        self.assertEqual(bus.asked[:2], [1, 1])
+        self.wait(lambda: len(bus.offsets) >= 2)  # says nothing any more: no pulse
+        self.assertEqual(bus.offsets[:2], [1, 1])
 
     def test_given_up_at_once_without_a_worker(self):
         """An RPC that can't go anywhere is denied when the module gives up, not near its deadline."""
--- a/tests/test_platform_traffic.py
+++ b/tests/test_platform_traffic.py
@@ -59,7 +59,7 @@
         until(lambda: told.load_reports)
         report = told.load_reports[-1]
         self.assertEqual((report.utilization, report.in_flight), (0.25, 2.0))
-        until(lambda: worker.came(b"prewarm"))
+        until(lambda: worker.received(b"prewarm"))
         (place,) = serving.coordinator.router.functions["7f3a9c21e0b4d655"].replicas
         until(lambda: place.prewarm_sent_at is None)
         self.assertEqual(place.loaded, 1)
--- a/tests/test_platform_worker_client.py
+++ b/tests/test_platform_worker_client.py
@@ -140,7 +140,7 @@
         upstream = self.upstream(lambda worker, sock, parts: True, most=1)  # answers nothing; one connection only
         first, second = self.command(), self.command()
         upstream.send(first)
-        self.until(lambda: self.worker.came(b"invoke"))
+        self.until(lambda: self.worker.received(b"invoke"))
         upstream.send(second)
         self.assertEqual(self.ended(), [(second.ident, "unsent")])
 
@@ -150,11 +150,11 @@
         first, other = self.command(b"a" * 16), self.command(b"b" * 16)
         upstream.send(first)
         upstream.send(other)
-        self.until(lambda: len(self.worker.came(b"invoke")) == 2)
+        self.until(lambda: len(self.worker.received(b"invoke")) == 2)
         self.assertEqual(upstream.cancel(first, lambda: None), "cancelled")
         self.assertEqual(upstream.cancel(first, lambda: None), "ended")
-        self.until(lambda: self.worker.came(b"abort"))
-        self.assertEqual(self.worker.came(b"abort"), [[b"abort", b"a" * 16]])
+        self.until(lambda: self.worker.received(b"abort"))
+        self.assertEqual(self.worker.received(b"abort"), [[b"abort", b"a" * 16]])
         upstream.send(self.command(b"a" * 16))  # its late answer may still come there, and would end this one
         self.assertEqual(self.ended(), [(b"a" * 16, "unsent")])
         self.told.clear()
@@ -195,7 +195,7 @@
                 orders = [self.command(b"a" * 16), self.command(b"t1", CommandKind.HEALTH_CHECK)]
                 for order in orders:
                     upstream.send(order)
-                self.until(lambda: len(self.worker.came(b"invoke") + self.worker.came(b"gauges")) == 2)
+                self.until(lambda: len(self.worker.received(b"invoke") + self.worker.received(b"gauges")) == 2)
                 upstream.drain()
                 for order in orders if kind == CommandKind.HEALTH_CHECK else orders[::-1]:
                     if order.kind == CommandKind.ATTEMPT:
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -82,7 +82,7 @@
         serving.shutdown_requested_at = self.now - (300 + KILL_AFTER - MARGIN - 10)
         self.send(second, rig.dispatch(2, rig.fields(B, d="300"), b"b"))
         self.assertEqual(self.answer(second)[1], "shed")
-        self.assertEqual(len(worker.came(b"invoke")), 1)
+        self.assertEqual(len(worker.received(b"invoke")), 1)
 
     def test_waits_no_longer_than_to_the_next_step(self):
         patch.object(service, "WAIT_MOST", 100.0).start()
--- a/tests/test_slow_discovery.py
+++ b/tests/test_slow_discovery.py
@@ -114,7 +114,7 @@
         source = self.made(rig.Bus())
         self.write(source.address, worker.address)
         serving._request_reload(signal.SIGHUP, None)
-        self.until(lambda: source.asked and serving.discovery.up)
+        self.until(lambda: source.offsets and serving.discovery.up)
         source.event(rig.event(2, rig.instance("w1", worker.address)))
         self.until(lambda: serving.endpoints.offset == 2)
         self.assertEqual(self.faults(), [])
