--- a/tests/test_client_connection_ends.py
+++ b/tests/test_client_connection_ends.py
@@ -172,7 +172,7 @@
 
 class Attempts(TimedFrontEndCase):
     def leaves(self, how):
-        """A worker rejects a attempt in the turn in which its client's close or cancel is there, too. The worker is
+        """A worker rejects an attempt in the turn in which its client's close or cancel is there, too. The worker is
         served first, so the retry is decided before that is read. How many attempts begin after that."""
         workers = [self.worker(), self.worker()]
         serving = self.front_end(*workers)
--- a/tests/test_client_leaving.py
+++ b/tests/test_client_leaving.py
@@ -90,7 +90,7 @@
                     self.assertEqual(self.faults(), [])
                     self.end()
 
-    def test_a_drain_while_a_attempt_waits_for_a_connection(self):
+    def test_a_drain_while_an_attempt_waits_for_a_connection(self):
         """(told how) -> it does not go there when the connection is up, and is answered by another worker."""
         for state in ("DRAINING", "DELETED"):
             with self.subTest(state):
@@ -160,7 +160,7 @@
 
 
 class WithoutCancel(FrontEndCase):
-    def test_a_attempt_over_its_time_is_left_alone_and_its_place_is_free_later(self):
+    def test_an_attempt_over_its_time_is_left_alone_and_its_place_is_free_later(self):
         limits = {**rig.SETTINGS["limits"], "cancelling": False}
         worker = self.worker()
         serving = self.front_end(worker.address, settings={**rig.SETTINGS, "limits": limits})
--- a/tests/test_platform_worker_client.py
+++ b/tests/test_platform_worker_client.py
@@ -41,7 +41,7 @@
         self.until(lambda: len(self.told) >= many, "an end")
         return [(event[2].ident, event[3]) for event in self.told]
 
-    def test_what_is_known_of_a_attempt(self):
+    def test_what_is_known_of_an_attempt(self):
         """(what the worker does, whether another connection stands) -> the outcome told."""
 
         def writes(raw):
--- a/tests/test_worker_connecting.py
+++ b/tests/test_worker_connecting.py
@@ -122,7 +122,7 @@
         self.assertEqual(self.told[2], (ASCII_B, "ok"))
 
     def test_doubt_where_no_descriptor_is_left(self):
-        """The only connection ends with a attempt on it, and none can be made: that tells of no restart."""
+        """The only connection ends with an attempt on it, and none can be made: that tells of no restart."""
         worker = rig.Worker(lambda _, sock, parts: (reset(sock), True)[1])
         self.addCleanup(worker.close)
         upstream = self.upstream(worker.address)
@@ -153,7 +153,7 @@
                 self.assertEqual(self.told, [(ASCII_A, outcome)])
 
     def test_doubted_and_taken_back_retired_or_over(self):
-        """(what meets a attempt in doubt) -> one end at most, and nothing kept."""
+        """(what meets an attempt in doubt) -> one end at most, and nothing kept."""
         for how in ("cancel", "forget", "retire"):
             with self.subTest(how):
                 upstream, held = self.held()
