--- a/tests/test_client_leaving.py
+++ b/tests/test_client_leaving.py
@@ -9,6 +9,7 @@
 
 from tests import platform_rig as rig
 from tests.front_end_rig import A, B, FrontEndCase, FullListener, reset
+from wickdyke.gateway.answers import Success
 from wickdyke.gateway.events import ClientClosed, EndpointsReceived
 
 
@@ -155,7 +156,7 @@
         self.front_end(self.worker().address)
         ask = Mock(commands={"one": command}, router_id=None)
         ask.succeed.__name__ = "succeed"
-        self.serving.coordinator.requests.answer(ask, ask.succeed, b"", 1)
+        self.serving.coordinator.requests.answer(ask, Success(b"", 1))
         command.worker_client.withdraw_unsent.assert_called_once_with(command)
 
 
--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -15,7 +15,8 @@
 from tests.front_end_rig import ASCII_A, ASCII_B, FullListener, LoopCase
 from tests.rig import Peer, Told, hello, lines_of, ok
 from wickdyke.jsonrpc import worker_client as jsonrpc_client
-from wickdyke.jsonrpc import worker_protocol as rpc_speech
+from wickdyke.jsonrpc import worker_command as jsonrpc_command
+from wickdyke.jsonrpc import worker_protocol as jsonrpc_protocol
 from wickdyke.platform import (
     connection_pool,
     reachability,
@@ -54,7 +55,7 @@
 
 def ask(ident=ASCII_A, body=b"x"):
     """What a client asked."""
-    return SimpleNamespace(call=SimpleNamespace(ident=ident, idempotency_key="", input=body, load_ms=None))
+    return SimpleNamespace(params=SimpleNamespace(ident=ident, idempotency_key="", input=body, load_ms=None))
 
 
 def told_left(parts):
@@ -334,8 +335,8 @@
     def setUp(self):
         made = tempfile.TemporaryDirectory(prefix="wd-")
         self.addCleanup(made.cleanup)
-        self.clock, self.folder = Clock(self, jsonrpc_client, rpc_speech), made.name
-        self.protocol = rpc_speech.JsonRpcWorkerProtocol(
+        self.clock, self.folder = Clock(self, jsonrpc_command, jsonrpc_protocol), made.name
+        self.protocol = jsonrpc_protocol.JsonRpcWorkerProtocol(
             SimpleNamespace(name="g", instance=SimpleNamespace(report_fields=()))
         )
         self.go, self.runs = threading.Event(), []
@@ -350,7 +351,9 @@
                 sock.sendall(ok(asked["id"]))
 
         peer, told = Peer(self.folder, "w", play), Told()
-        upstream = jsonrpc_client.WorkerClient("w", peer.path, "g", told, 20000.0, 16 << 20, 32 << 20)
+        upstream = jsonrpc_client.WorkerClient(
+            "w", peer.path, jsonrpc_client.WorkerClientSettings("g", 20000.0, 16 << 20, 32 << 20), told
+        )
         self.addCleanup(upstream.close)
         self.addCleanup(peer.close)
         return upstream, told
@@ -388,7 +391,7 @@
         with patch.object(upstream.write_buffer, "put", behind):
             upstream.send(order)
         self.clock.now += 900.0
-        upstream.draining = True
+        upstream.state = jsonrpc_client.ClientState.DRAINING
         put(OutgoingMessage(b"\n"))  # wakes the thread
         self.assertEqual(told.next("finished")[2:4], (order, "unsent"))
         upstream.thread.join(20)
--- a/tests/test_jsonrpc_connection_faults.py
+++ b/tests/test_jsonrpc_connection_faults.py
@@ -54,7 +54,9 @@
         self.made += 1
         peer, told = Peer(self.folder, f"w{self.made}", willing), Told()
         self.addCleanup(peer.close)
-        upstream = jsonrpc_client.WorkerClient("w", peer.path, "g", told, 20000.0, 16 << 20, 32 << 20)
+        upstream = jsonrpc_client.WorkerClient(
+            "w", peer.path, jsonrpc_client.WorkerClientSettings("g", 20000.0, 16 << 20, 32 << 20), told
+        )
         self.addCleanup(upstream.close)
         return upstream, told
 
--- a/tests/test_platform_client_server.py
+++ b/tests/test_platform_client_server.py
@@ -44,7 +44,7 @@
         self.until(lambda: self.told)
         (received,) = self.told
         ask = received.pending
-        call = ask.call
+        call = ask.params
         self.assertEqual(
             (
                 call.ident,
--- a/wickdyke/cli/common.py
+++ b/wickdyke/cli/common.py
@@ -36,6 +36,6 @@
 def open_log_or_fail(path: str | None) -> TextIO | None:
     """The file that the log goes to (None: standard error); ends the command if it can't be opened."""
     try:
-        return logs.opened(path)
+        return logs.open_sink(path)
     except OSError as error:
         fail(f"{error.filename}: found no file to append to ({error.strerror}), expected one")
--- a/wickdyke/cli/move.py
+++ b/wickdyke/cli/move.py
@@ -10,7 +10,7 @@
 from wickdyke.config import endpoint_file, gateway_config, migration, route_config, schema, sexpr
 from wickdyke.config.gateway_config import GatewayConfig
 from wickdyke.config.sexpr import Expression, InvalidConfigError
-from wickdyke.jsonrpc.service import ground
+from wickdyke.jsonrpc.service import policy_environment
 
 
 @click.command("move")
@@ -79,7 +79,7 @@
         return endpoint_file.read_endpoints(path, config.zones, config.kinds)
 
     def read_routes(path: str) -> object:
-        return route_config.read(path, config.request_classes, ground(config))
+        return route_config.read(path, config.request_classes, policy_environment(config))
 
     files: list[tuple[str | None, Callable[[str], object]]] = [
         (config.endpoints_path, read_endpoints),
--- a/wickdyke/platform/client_connection.py
+++ b/wickdyke/platform/client_connection.py
@@ -11,8 +11,9 @@
 
 from wickdyke.gateway import interfaces
 from wickdyke.gateway.events import ClientClosed, Event, RequestCancelled, RequestReceived
+from wickdyke.gateway.interfaces import RejectionReason
 from wickdyke.platform import thrift
-from wickdyke.platform.requests import InvalidRequestError, check
+from wickdyke.platform.requests import Call, InvalidRequestError, check
 from wickdyke.routing.model import RequestClass
 from wickdyke.transport.event_loop import EventLoop, Priority, clock, receive
 from wickdyke.transport.write_buffer import OutgoingMessage, PeerTooSlowError, WriteBuffer
@@ -42,8 +43,8 @@
         """Passes an event to the coordinator."""
 
     @property
-    def busy(self) -> Callable[[], str]:
-        """Returns why no request can be admitted now, or an empty string."""
+    def busy(self) -> Callable[[], RejectionReason | None]:
+        """Returns why no request can be admitted now, or None."""
 
     def is_serving(self) -> bool:
         """Returns whether requests are admitted."""
@@ -67,6 +68,8 @@
     __slots__ = ()
 
     client: "ClientConnection"
+    ident: int
+    params: Call
 
     def succeed(self, output: bytes, attempts: int) -> None:
         """Sends its final answer, with the worker's output."""
@@ -248,9 +251,9 @@
         pending = PendingRequest(self, message.number, request.request_class, request.call, time_left)
         pending.received_at = clock()
         self.open[message.number] = server.open[request.call.ident] = pending
-        if busy := server.busy() or ("" if time_left else "stopping"):
+        if reason := server.busy() or (None if time_left else RejectionReason.STOPPING):
             server.counts["rejected"] += 1
-            pending.reject(busy)
+            pending.reject(reason)
         else:
             server.post(RequestReceived(pending))
 
@@ -259,7 +262,7 @@
         if self.open.get(pending.ident) is not pending:
             return False
         del self.open[pending.ident]
-        self.server.open.pop(pending.call.ident, None)
+        self.server.open.pop(pending.params.ident, None)
         self.last_used_at = clock()
         return True
 
@@ -312,7 +315,7 @@
         server.release_socket(self)
         self.write_buffer.drop()
         for pending in pending_requests:
-            server.open.pop(pending.call.ident, None)
+            server.open.pop(pending.params.ident, None)
             pending.closed = pending.closed or pending.router_id is None
         self.open.clear()
         if pending_requests:
--- a/wickdyke/platform/client_server.py
+++ b/wickdyke/platform/client_server.py
@@ -7,16 +7,13 @@
 from contextlib import suppress
 from dataclasses import dataclass
 from enum import Enum, auto
-from typing import TYPE_CHECKING
 
 from wickdyke.gateway.events import Event
+from wickdyke.gateway.interfaces import Log, RejectionReason
 from wickdyke.platform.client_connection import NEW_CONNECTION_TIME, RETRY_AFTER, ClientConnection, PendingRequest
 from wickdyke.routing.model import RequestClass
 from wickdyke.transport.event_loop import EventLoop, Handler, Priority, clock
 
-if TYPE_CHECKING:
-    from wickdyke.gateway.interfaces import Log
-
 ACCEPTS_PER_EVENT = 64  # connections accepted at most before other sockets are served
 BACKLOG = 512
 SILENCE_TIMEOUT = 2000.0  # ms for a first request, and for the rest of an incomplete frame
@@ -46,7 +43,7 @@
 class ClientServer:
     """The listener and the connections of its clients.
 
-    `post` passes events to the coordinator; `busy` returns why no request can be admitted now, or an empty string.
+    `post` passes events to the coordinator; `busy` returns why no request can be admitted now, or None.
     """
 
     priority = Priority.NORMAL
@@ -56,8 +53,8 @@
         loop: EventLoop,
         settings: ClientServerSettings,
         post: Callable[[Event], None],
-        busy: Callable[[], str],
-        log: "Log",
+        busy: Callable[[], RejectionReason | None],
+        log: Log,
     ) -> None:
         self.loop = loop
         self.address = settings.address
--- a/wickdyke/platform/discovery.py
+++ b/wickdyke/platform/discovery.py
@@ -7,17 +7,14 @@
 from collections import Counter
 from collections.abc import Callable
 from dataclasses import dataclass
-from typing import TYPE_CHECKING
 
 import h11
 
+from wickdyke.gateway.interfaces import Log
 from wickdyke.platform import sse
 from wickdyke.platform.endpoint_list import Event, UnusableEventError, parse_event
 from wickdyke.transport.event_loop import EventLoop, Priority, clock, close, dial, error_name, receive
 
-if TYPE_CHECKING:
-    from wickdyke.gateway.interfaces import Log
-
 PATH = "/bus/read"
 READ_SIZE = 1 << 16  # bytes read at a time
 SILENCE_TIMEOUT = 1500.0  # ms without data after which the connection counts as dead: there is a heartbeat each second
@@ -57,7 +54,7 @@
         settings: DiscoverySettings,
         last_offset: Callable[[], int],
         notify: Callable[[list[Event]], None],
-        log: "Log",
+        log: Log,
     ) -> None:
         self.loop = loop
         self.address = settings.address
--- a/wickdyke/platform/service.py
+++ b/wickdyke/platform/service.py
@@ -8,12 +8,12 @@
 import traceback
 from contextlib import suppress
 from types import FrameType
-from typing import TYPE_CHECKING
 
 from wickdyke.gateway import log as logs
 from wickdyke.gateway.context import clock
 from wickdyke.gateway.coordinator import Coordinator
 from wickdyke.gateway.events import EndpointsReceived
+from wickdyke.gateway.interfaces import Log, RejectionReason
 from wickdyke.platform import configuration as configurations
 from wickdyke.platform.client_server import ClientServer, ClientServerSettings
 from wickdyke.platform.configuration import Configuration, ConfigurationError
@@ -23,9 +23,6 @@
 from wickdyke.platform.worker_protocol import PlatformWorkerProtocol
 from wickdyke.transport.event_loop import EventLoop
 
-if TYPE_CHECKING:
-    from wickdyke.gateway.interfaces import Log
-
 GRACE_PERIOD = 750.0  # ms after SIGTERM in which requests are admitted as before, if there is as much time
 # SIGKILL may follow this much later than the longest deadline (counted as so much at most) after SIGTERM, in ms.
 KILL_AFTER = 700.0
@@ -66,7 +63,7 @@
 class Service:
     """One front end. `run` serves until a signal requests the shutdown and nothing is owed to clients."""
 
-    def __init__(self, configuration: Configuration, path: str, log: "Log") -> None:
+    def __init__(self, configuration: Configuration, path: str, log: Log) -> None:
         self.configuration = configuration
         self.path = path
         self.log = log
@@ -241,7 +238,7 @@
         self.coordinator.stop_admitting()
         if not self.client_server.shut_down:
             self.client_server.shut(True)
-        self.coordinator.answer_all("stopping")
+        self.coordinator.answer_all(RejectionReason.STOPPING)
 
     def _settled(self, late: bool) -> bool:
         """Returns whether nothing is owed to clients. Until it is late, attempts in flight are waited for as well."""
--- a/wickdyke/platform/worker_client.py
+++ b/wickdyke/platform/worker_client.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 
 from wickdyke.gateway.events import CommandFinished, Event
-from wickdyke.gateway.interfaces import CommandKind, CommandResult
+from wickdyke.gateway.interfaces import CommandKind, CommandResult, Withdrawal
 from wickdyke.platform.connection_pool import ConnectionPool
 from wickdyke.platform.connection_state import EndCause
 from wickdyke.platform.liveness_probe import LivenessProbe
@@ -208,21 +208,21 @@
         if not self.all_connections():
             self.pool.worker_clients.discard(self)
 
-    def cancel(self, command: Command, done: Callable[[], None]) -> str | None:
-        """Withdraws an attempt; `done` is called once a cancel that waits to be written is with the kernel."""
+    def cancel(self, command: Command, done: Callable[[], None]) -> Withdrawal:
+        """Withdraws an attempt; `done` is called once a cancel that is PENDING is with the kernel."""
         withdrawal = self._cancel(command, done)
         if self.draining:  # that may have been the last
             self._close_if_drained()
         return withdrawal
 
-    def _cancel(self, command: Command, done: Callable[[], None]) -> str | None:
+    def _cancel(self, command: Command, done: Callable[[], None]) -> Withdrawal:
         if self.probe.remove(command):
-            return Outcome.CANCELLED
+            return Withdrawal.CANCELLED
         connection = command.connection
         if connection is None:
-            return "ended"
+            return Withdrawal.ENDED
         if connection.withdraw(command):
-            return Outcome.UNSENT
+            return Withdrawal.UNSENT
         return connection.cancel(command, done)
 
     def withdraw_unsent(self, command: Command) -> bool:
--- a/wickdyke/platform/worker_command.py
+++ b/wickdyke/platform/worker_command.py
@@ -5,7 +5,7 @@
 from typing import Protocol
 
 from wickdyke.gateway import interfaces
-from wickdyke.gateway.interfaces import CommandKind
+from wickdyke.gateway.interfaces import CommandKey, CommandKind, Withdrawal
 from wickdyke.transport.event_loop import clock
 from wickdyke.transport.write_buffer import OutgoingMessage
 
@@ -16,7 +16,7 @@
     def withdraw(self, command: "Command") -> bool:
         """Takes the command back; False where a byte of it may have been sent, or it has ended."""
 
-    def cancel(self, command: "Command", done: Callable[[], None]) -> str | None:
+    def cancel(self, command: "Command", done: Callable[[], None]) -> Withdrawal:
         """Cancels a command that was sent. Returns what `interfaces.WorkerClient.cancel` does."""
 
     def abandon(self, command: "Command") -> bool:
@@ -35,7 +35,7 @@
     def __init__(
         self,
         kind: CommandKind,
-        key: "interfaces.CommandKey",
+        key: CommandKey,
         ident: bytes,
         content: bytes | Callable[[int], bytes],
         deadline: float = math.inf,
--- a/wickdyke/platform/worker_connection.py
+++ b/wickdyke/platform/worker_connection.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from wickdyke.gateway.interfaces import CommandResult
+from wickdyke.gateway.interfaces import CommandResult, Withdrawal
 from wickdyke.platform import resp
 from wickdyke.platform.connection_pool import ConnectionPool, PooledClient
 from wickdyke.platform.connection_state import LIVENESS, ConnectionState, EndCause
@@ -187,26 +187,26 @@
         del self.open[command.ident]
         return True
 
-    def cancel(self, command: Command, done: Callable[[], None]) -> str | None:
+    def cancel(self, command: Command, done: Callable[[], None]) -> Withdrawal:
         """Cancels a command that was sent. Returns what `interfaces.WorkerClient.cancel` does."""
         if self.state is ConnectionState.CLOSED or self.open.get(command.ident) is not command:
-            return "ended"
+            return Withdrawal.ENDED
         if len(self.open) == 1 and not self.pending:
             # Ending the connection cancels what is on it. What was silent in all that time may be cut off, and the
             # next on it would wait in vain.
             del self.open[command.ident]
             self.end("cancelled")
-            return Outcome.CANCELLED
+            return Withdrawal.CANCELLED
         message = OutgoingMessage(resp.command(b"abort", command.ident), lambda: self._cancel_sent(command, done))
         try:
             with_kernel = self.write_buffer.put(message)
         except (PeerTooSlowError, OSError) as error:
             self.end(f"{type(error).__name__}: {error}")  # which ends all that was on it
-            return None
+            return Withdrawal.PENDING
         if not with_kernel:
-            return None
+            return Withdrawal.PENDING
         self._forget(command)
-        return Outcome.CANCELLED
+        return Withdrawal.CANCELLED
 
     def _cancel_sent(self, command: Command, done: Callable[[], None]) -> None:
         if self.open.get(command.ident) is command:
--- a/wickdyke/platform/worker_protocol.py
+++ b/wickdyke/platform/worker_protocol.py
@@ -3,12 +3,13 @@
 from collections.abc import Callable
 
 from wickdyke.gateway.events import Event
-from wickdyke.gateway.interfaces import CommandKind, CommandResult, PendingRequest
+from wickdyke.gateway.interfaces import CommandKind, CommandResult, PendingRequest, PrewarmKey
 from wickdyke.platform import resp
 from wickdyke.platform.connection_pool import ConnectionPool
+from wickdyke.platform.requests import Call
 from wickdyke.platform.worker_client import WorkerClient, WorkerClientSettings
 from wickdyke.platform.worker_command import Command
-from wickdyke.routing.model import Attempt, Function
+from wickdyke.routing.model import Attempt, Function, Outcome
 from wickdyke.transport.event_loop import EventLoop, clock
 
 
@@ -37,10 +38,11 @@
         # it was decided, a worker would work on past the deadline of the client. So the time left is rendered as its
         # first byte is sent.
         deadline = clock() + time_left
-        ident = pending.call.ident
-        body = pending.call.input
+        call: Call = pending.params  # type: ignore[assignment]  # of the platform's own requests, as all it is given
+        ident = call.ident
+        body: bytes = call.input  # type: ignore[assignment]  # None only once the request is answered
         before = f"lane={attempt.request.request_class.name},name={attempt.request.function.name},ttl="
-        after = f",dedupe={pending.call.idempotency_key}" if pending.call.idempotency_key else ""
+        after = f",dedupe={call.idempotency_key}" if call.idempotency_key else ""
         return Command(
             CommandKind.ATTEMPT,
             attempt,
@@ -49,7 +51,7 @@
             deadline,
         )
 
-    def prewarm_command(self, key: tuple, function: Function, replicas: int) -> Command:
+    def prewarm_command(self, key: PrewarmKey, function: Function, replicas: int) -> Command:
         """Returns the command to load so many replicas of a function."""
         tag = self._tag()
         return Command(
@@ -64,6 +66,8 @@
         tag = self._tag()
         return Command(CommandKind.HEALTH_CHECK, key, tag, resp.command(b"gauges", tag))
 
-    def result_of(self, command: Command, outcome: str, answer: CommandResult | None, data: object) -> CommandResult:
+    def result_of(
+        self, command: Command, outcome: Outcome, answer: CommandResult | None, data: object
+    ) -> CommandResult:
         """Returns how a command ended: the answer, which the connection has read, or the outcome alone."""
         return answer if answer is not None else CommandResult(outcome)
