--- a/tests/acceptance_rig.py
+++ b/tests/acceptance_rig.py
@@ -67,7 +67,7 @@
         stand_in = SimpleNamespace(**{**vars(time), "monotonic": lambda: self.now / 1000})
         for module in (event_loop, context):
             patch.object(module, "time", stand_in).start()
-        patch.object(service, "WAIT_MOST", 1.0).start()  # real ms of one wait: the clock does not move meanwhile
+        patch.object(service, "MAX_WAIT", 1.0).start()  # real ms of one wait: the clock does not move meanwhile
 
     def front_end(self, *workers, **more):
         self.listen = rig.free_address()  # its own: what failed before it may still hold the last
--- a/tests/test_platform_parsers.py
+++ b/tests/test_platform_parsers.py
@@ -50,7 +50,7 @@
             frames = thrift.Frames()
             got = [f for at in range(0, len(stream), size) for f in frames.feed(stream[at : at + size])]
             self.assertEqual((got, frames.begun), ([b"abc", b"de"], False))
-        for length in (-1, 0, thrift.FRAME_SIZE_MOST + 1, 60 << 20):
+        for length in (-1, 0, thrift.MAX_FRAME_SIZE + 1, 60 << 20):
             with self.subTest(length), self.assertRaises(thrift.MalformedMessageError):
                 thrift.Frames().feed(struct.pack(">i", length))
         after = thrift.Frames()  # what was whole before it counts
@@ -120,7 +120,7 @@
             got = [e for at in range(0, len(stream), size) for e in events.feed(stream[at : at + size])]
             self.assertEqual([(e.ident, e.data) for e in got], [("3", '{"a":\n1}'), ("4", "b")])
         with self.assertRaises(sse.EventTooLargeError):
-            sse.Events().feed(b"data: " + b"x" * (sse.EVENT_SIZE_MOST + 1))
+            sse.Events().feed(b"data: " + b"x" * (sse.MAX_EVENT_SIZE + 1))
 
     def test_the_view(self):
         """(events) -> changes as (name, state), then where all are."""
@@ -179,14 +179,14 @@
             for at in range(0, len(data), size):
                 for frame in frames.feed(data[at : at + size]):
                     thrift.read(frame)
-                self.assertLessEqual(len(frames.buffer), thrift.FRAME_SIZE_MOST + 4 + size)
+                self.assertLessEqual(len(frames.buffer), thrift.MAX_FRAME_SIZE + 4 + size)
 
         def resp_reads(data, size):
             answers = resp.Answers()
             for at in range(0, len(data), size):
                 for answer in answers.feed(data[at : at + size]):
                     worker_results.read_result(answer, ("busy",))
-                self.assertLessEqual(len(answers.buffer), resp.PART_SIZE_MOST + 2 + size)
+                self.assertLessEqual(len(answers.buffer), resp.MAX_PART_SIZE + 2 + size)
 
         def sse_reads(data, size):
             events = sse.Events()
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -85,7 +85,7 @@
         self.assertEqual(len(worker.received(b"invoke")), 1)
 
     def test_waits_no_longer_than_to_the_next_step(self):
-        patch.object(service, "WAIT_MOST", 100.0).start()
+        patch.object(service, "MAX_WAIT", 100.0).start()
         serving = self.front_end(settings=with_deadline(100))
         waits = []
         self.until(serving.coordinator.events.empty, "the list")
--- a/tests/test_worker_reachability.py
+++ b/tests/test_worker_reachability.py
@@ -69,7 +69,7 @@
         self.addCleanup(worker.close)
         with self.prepare(Faults()):
             upstream = self.upstream(worker)
-            upstream.probe.count = worker_client.SENDS_MOST
+            upstream.probe.count = worker_client.MAX_SENDS
             upstream.send(command := self.command(0))
             self.until(lambda: self.faults.begun)
             command.connection.end("ended by the worker")
--- a/tests/timed_rig.py
+++ b/tests/timed_rig.py
@@ -47,7 +47,7 @@
             service,
         ):
             patch.object(module, "clock", lambda: self.now).start()
-        patch.object(service, "WAIT_MOST", 5.0).start()
+        patch.object(service, "MAX_WAIT", 5.0).start()
         made = tempfile.TemporaryDirectory()
         self.addCleanup(made.cleanup)
         self.path, self.listen, self.held = os.path.join(made.name, "config.json"), rig.free_address(), []
--- a/wickdyke/platform/client_connection.py
+++ b/wickdyke/platform/client_connection.py
@@ -19,11 +19,11 @@
 from wickdyke.transport.write_buffer import OutgoingMessage, PeerTooSlowError, WriteBuffer
 
 READ_SIZE = 1 << 15  # bytes read at a time
-OPEN_MOST = 32  # requests open on one connection
-UNREAD_MOST = 1 << 18  # bytes of answers that may wait for a client
+MAX_OPEN_REQUESTS = 32  # requests open on one connection
+MAX_UNREAD = 1 << 18  # bytes of answers that may wait for a client
 NEW_CONNECTION_TIME = 500.0  # ms in which a connection counts as new
 RETRY_AFTER = 20.0  # ms until a system call is retried that failed for want of memory
-UNKNOWN_METHOD_QUOTED_MOST = 64  # characters of an unknown method that an error quotes
+MAX_UNKNOWN_METHOD_QUOTED = 64  # characters of an unknown method that an error quotes
 READ_AGAIN_AFTER = 50.0  # ms after which a client is read again before an attempt begins on its behalf
 
 
@@ -106,7 +106,7 @@
         self.server = server
         self.sock = sock
         self.number = number
-        self.write_buffer = WriteBuffer(sock, UNREAD_MOST, "client", self._set_waiting)
+        self.write_buffer = WriteBuffer(sock, MAX_UNREAD, "client", self._set_waiting)
         self.frames = thrift.Frames()
         self.open: dict[int, PendingRequest] = {}
         self.last_number = 0  # of the last request
@@ -226,7 +226,7 @@
             self.server.count_invalid(f"method {message.verb[:20]!r}")
             self.write(
                 thrift.problem(
-                    message.verb[:UNKNOWN_METHOD_QUOTED_MOST], message.number, "no such method", thrift.UNKNOWN_METHOD
+                    message.verb[:MAX_UNKNOWN_METHOD_QUOTED], message.number, "no such method", thrift.UNKNOWN_METHOD
                 )
             )
         elif message.number <= self.last_number:
@@ -239,8 +239,8 @@
         self.last_number = message.number
         try:
             request = check(message, server.request_classes, server.tenants)
-            if len(self.open) >= OPEN_MOST:
-                raise InvalidRequestError(f"{OPEN_MOST} requests are open on this connection")
+            if len(self.open) >= MAX_OPEN_REQUESTS:
+                raise InvalidRequestError(f"{MAX_OPEN_REQUESTS} requests are open on this connection")
             if request.call.ident in server.open:
                 raise InvalidRequestError("a request of that id is open")
         except InvalidRequestError as error:
--- a/wickdyke/platform/client_server.py
+++ b/wickdyke/platform/client_server.py
@@ -18,8 +18,8 @@
 BACKLOG = 512
 SILENCE_TIMEOUT = 2000.0  # ms for a first request, and for the rest of an incomplete frame
 SWEEP_INTERVAL = 200.0  # ms between searches for connections past that
-READS_MOST = 8  # of one connection at a time, where all data received by the kernel is wanted
-TIME_LEFT_LEAST = 50.0  # ms that a worker needs; with less before the end of the process a request is rejected
+MAX_READS = 8  # of one connection at a time, where all data received by the kernel is wanted
+MIN_TIME_LEFT = 50.0  # ms that a worker needs; with less before the end of the process a request is rejected
 
 
 @dataclass(slots=True, frozen=True)
@@ -125,7 +125,7 @@
         maximum = self.answer_by - clock()
         if time_left <= maximum:
             return time_left
-        return maximum if maximum >= TIME_LEFT_LEAST else 0.0
+        return maximum if maximum >= MIN_TIME_LEFT else 0.0
 
     def read_now(self, handler: Handler) -> None:
         """Has the handler read now, whether or not the kernel reported data; one that raises is closed alone."""
@@ -139,7 +139,7 @@
 
     def read_all(self, client: ClientConnection) -> None:
         """Reads what that client has sent by now, up to a bound."""
-        for _ in range(READS_MOST):
+        for _ in range(MAX_READS):
             before = self.reads
             self.read_now(client)
             if self.reads == before:
--- a/wickdyke/platform/configuration.py
+++ b/wickdyke/platform/configuration.py
@@ -19,15 +19,15 @@
     TenantQuotas,
 )
 
-OPEN_REQUESTS_MOST = 4096  # at once, however much memory there is
-OPEN_REQUESTS_LEAST = 256  # allowed at once, however little memory there is
+MAX_OPEN_REQUESTS = 4096  # at once, however much memory there is
+MIN_OPEN_REQUESTS = 256  # allowed at once, however little memory there is
 OPEN_REQUESTS_PER_MB = 16.0  # of memory
-EVENTS_MOST = 20000  # waiting for the coordinator
+MAX_EVENTS = 20000  # waiting for the coordinator
 ANSWER_MARGIN = 10.0  # ms that an answer may take to reach its client
 HEALTH_CHECK_TIMEOUT = 250.0  # ms until a health check times out
-MEMORY_LEAST = 1  # MB
-SOCKETS_LEAST = 64
-PORT_MOST = 65535
+MIN_MEMORY = 1  # MB
+MIN_SOCKETS = 64
+MAX_PORT = 65535
 
 
 class ConfigurationError(Exception):
@@ -53,7 +53,7 @@
     name: str
     listen: tuple[str, int]
     bus: tuple[str, int]
-    known: list[Event]  # the events of discovery to begin with
+    initial_events: list[Event]  # of discovery, to begin with
     seed: int
     memory_mb: float
     sockets: int
@@ -77,7 +77,7 @@
 def address(text: object, place: str) -> tuple[str, int]:
     """Returns the host and port of HOST:PORT. Raises ConfigurationError, which names `place`."""
     host, _, port = str(text).rpartition(":")
-    if not host or not port.isascii() or not port.isdigit() or not 0 < int(port) <= PORT_MOST:
+    if not host or not port.isascii() or not port.isdigit() or not 0 < int(port) <= MAX_PORT:
         raise ConfigurationError(f"{place} is {text!r}, expected HOST:PORT")
     return host, int(port)
 
@@ -112,7 +112,7 @@
         raise ConfigurationError(f"{path}: seed is {seed!r}, expected hex digits") from None
 
 
-def _known_batch(given: dict[str, Any], path: str) -> list[Any]:
+def _initial_batch(given: dict[str, Any], path: str) -> list[Any]:
     known = given.get("known")
     batch = known.get("batch") if isinstance(known, dict) else None
     if not isinstance(batch, list):
@@ -121,7 +121,7 @@
 
 
 def _open_requests(memory_mb: float) -> int:
-    return int(max(OPEN_REQUESTS_LEAST, min(OPEN_REQUESTS_MOST, memory_mb * OPEN_REQUESTS_PER_MB)))
+    return int(max(MIN_OPEN_REQUESTS, min(MAX_OPEN_REQUESTS, memory_mb * OPEN_REQUESTS_PER_MB)))
 
 
 def read(path: str, listen: str | None = None, name: str | None = None) -> Configuration:
@@ -131,7 +131,7 @@
     settings = given.get("settings")
     if not isinstance(settings, dict):
         raise ConfigurationError(f"{path}: settings is {type(settings).__name__}, expected an object")
-    batch = _known_batch(given, path)
+    batch = _initial_batch(given, path)
     pairs = deployment_settings.from_nested(settings, f"{path}: settings")
     try:
         request_classes = deployment_settings.request_classes(pairs)
@@ -143,20 +143,20 @@
         raise ConfigurationError(f"{path}: known.batch has {error}") from None
     if not request_classes:
         raise ConfigurationError(f"{path}: settings has no classes, expected one at least")
-    memory = _limit(given, path, "memory_mb", MEMORY_LEAST)
+    memory = _limit(given, path, "memory_mb", MIN_MEMORY)
     tenants = range(pairs.get("tenants.count", deployment_settings.count, 0))
     return Configuration(
         name=name or str(given.get("name") or "gateway"),
         listen=address(listen or given.get("listen"), f"{path}: listen"),
         bus=bus(given, path),
-        known=events,
+        initial_events=events,
         seed=seed,
         memory_mb=memory,
-        sockets=int(_limit(given, path, "sockets", SOCKETS_LEAST)),
+        sockets=int(_limit(given, path, "sockets", MIN_SOCKETS)),
         zones=pairs.names("zones"),
         kinds=pairs.names("flavors"),
         tenants=tuple(pairs.get(f"tenants.{index}.name", str) for index in tenants),
-        bounds=Bounds(open_requests=_open_requests(memory), events=EVENTS_MOST),
+        bounds=Bounds(open_requests=_open_requests(memory), events=MAX_EVENTS),
         request_classes=request_classes,
         **{field.name: getattr(router_settings, field.name) for field in fields(router_settings)},
     )
--- a/wickdyke/platform/discovery.py
+++ b/wickdyke/platform/discovery.py
@@ -18,13 +18,13 @@
 PATH = "/bus/read"
 READ_SIZE = 1 << 16  # bytes read at a time
 SILENCE_TIMEOUT = 1500.0  # ms without data after which the connection counts as dead: there is a heartbeat each second
-SILENCE_TIMEOUT_MOST = 12000.0  # ms, while an event is coming
-CONNECT_TIMEOUT_MOST = 400.0  # ms
-CONNECT_TIMEOUT_LEAST = 200.0  # ms
+MAX_SILENCE_TIMEOUT = 12000.0  # ms, while an event is coming
+MAX_CONNECT_TIMEOUT = 400.0  # ms
+MIN_CONNECT_TIMEOUT = 200.0  # ms
 RESPONSE_TIMEOUT = 1500.0  # ms from the connect to the head of the response
 BACKOFF_FIRST = 50.0  # ms after the first failure, before jitter
 BACKOFF_GROWTH = 1.5  # factor for each further failure
-BACKOFF_EXPONENT_MOST = 20  # keeps the power finite
+MAX_BACKOFF_EXPONENT = 20  # keeps the power finite
 
 
 class InvalidResponseError(Exception):
@@ -62,7 +62,7 @@
         self.notify = notify
         self.log = log
         # Where the grace for drains leaves next to no time, a server that is slow to accept has to be reached still.
-        self.connect_timeout = min(CONNECT_TIMEOUT_MOST, max(CONNECT_TIMEOUT_LEAST, settings.backoff_limit))
+        self.connect_timeout = min(MAX_CONNECT_TIMEOUT, max(MIN_CONNECT_TIMEOUT, settings.backoff_limit))
         self.backoff_limit = max(BACKOFF_FIRST, settings.backoff_limit)
         self.random = random.Random(settings.seed)
         self.counts: Counter[str] = Counter()
@@ -128,7 +128,7 @@
         # `backoff_limit` stays within the time in which a drain has to be heeded.
         was_stable = self.up and clock() - self.up_since > SILENCE_TIMEOUT
         self.failures = 1 if was_stable else self.failures + 1
-        exponent = min(self.failures - 1, BACKOFF_EXPONENT_MOST)
+        exponent = min(self.failures - 1, MAX_BACKOFF_EXPONENT)
         backoff = min(self.backoff_limit, BACKOFF_FIRST * BACKOFF_GROWTH**exponent)
         jitter = 0.5 + 0.5 * self.random.random()
         self.retry_number += 1
@@ -176,7 +176,7 @@
         # An event that takes longer than the timeout would be begun anew for ever. So the next connection gets twice
         # the time, until an event was complete.
         if self.up and self.events.begun:
-            self.silence_timeout = min(2 * self.silence_timeout, SILENCE_TIMEOUT_MOST)
+            self.silence_timeout = min(2 * self.silence_timeout, MAX_SILENCE_TIMEOUT)
         self._end()
         self._retry_later("silent" if self.up else "no answer")
 
--- a/wickdyke/platform/endpoint_list.py
+++ b/wickdyke/platform/endpoint_list.py
@@ -34,7 +34,7 @@
 OUTAGE = 10000.0  # ms without events, at most, for which a new connection may make up
 STEPPED = 100.0  # ms by which the wall clock has moved against the monotonic one if it was stepped, not adjusted
 GONE_KEPT = 1024  # start times of deleted workers that are kept, in case they are listed again
-PORT_MOST = 65535
+MAX_PORT = 65535
 STATES = {  # by the word of an event
     "SERVING": EndpointState.READY,
     "DRAINING": EndpointState.DRAINING,
@@ -215,7 +215,7 @@
         address = entry["hostPort"]
         reported = entry.get("startedAtMs") or 0
         host, sign, port = address.rpartition(":")
-        if not (isinstance(name, str) and name and host and sign and 0 < int(port) <= PORT_MOST):
+        if not (isinstance(name, str) and name and host and sign and 0 < int(port) <= MAX_PORT):
             raise ValueError(address)
         zone = entry.get("zone")
         kind = entry.get("machineType")
--- a/wickdyke/platform/liveness_probe.py
+++ b/wickdyke/platform/liveness_probe.py
@@ -11,7 +11,7 @@
 from wickdyke.platform.worker_connection import WorkerConnection
 from wickdyke.routing.model import Outcome
 
-PROBES_MOST = 3  # connections made for what is unresolved; more would show no more
+MAX_PROBES = 3  # connections made for what is unresolved; more would show no more
 
 
 class LivenessProbe:
@@ -51,7 +51,7 @@
     def _connect(self) -> None:
         # Where nothing can be learned by a few, as where it is this machine that makes none, more would not help.
         self.count += 1
-        allowed = not self.closed and self.count <= PROBES_MOST
+        allowed = not self.closed and self.count <= MAX_PROBES
         self.connection = self.connect() if allowed else None
         if self.connection is not None and not self.connection.failed:
             return
--- a/wickdyke/platform/requests.py
+++ b/wickdyke/platform/requests.py
@@ -11,8 +11,8 @@
 KEY = re.compile(r"[0-9A-Za-z_.:-]{1,64}", re.ASCII)
 REPEAT = re.compile(r"[0-9]{1,9}|true|false", re.ASCII)
 TAG_LIMITS = {"memory_mb": 1e7, "lanes": 4096.0, "load_ms": 3.6e6}
-TIME_MOST = 3.6e6  # ms
-QUOTED_MOST = 20  # characters of a wrong value that an error quotes
+MAX_TIME = 3.6e6  # ms
+MAX_QUOTED = 20  # characters of a wrong value that an error quotes
 # The fields on the wire. c: class; i: id; d: ms that the client waits; o: function; tags: further numbers. Where a
 # deployment has them: t: tenant; h: estimated ms of work; k: idempotency key; r: whether this is a retry.
 FIELDS = ("c", "i", "d", "o", "tags", "t", "h", "k", "r")
@@ -48,7 +48,7 @@
 
 def _number(text: str, name: str, maximum: float) -> float:
     if not NUMBER.fullmatch(text) or not 0 < float(text) <= maximum:
-        raise InvalidRequestError(f"{name} is {text[:QUOTED_MOST]!r}, expected a number of at most {maximum:g}")
+        raise InvalidRequestError(f"{name} is {text[:MAX_QUOTED]!r}, expected a number of at most {maximum:g}")
     return float(text)
 
 
@@ -58,7 +58,7 @@
     for pair in filter(None, text.split(";")):
         name, _, value = pair.partition(":")
         if name not in TAG_LIMITS or name in numbers:
-            raise InvalidRequestError(f"tag {name[:QUOTED_MOST]!r}, expected {', '.join(TAG_LIMITS)}, each once")
+            raise InvalidRequestError(f"tag {name[:MAX_QUOTED]!r}, expected {', '.join(TAG_LIMITS)}, each once")
         numbers[name] = _number(value, name, TAG_LIMITS[name])
     return numbers
 
@@ -66,23 +66,23 @@
 def _check_names(fields: dict[str, str], request_classes: dict[str, RequestClass]) -> RequestClass:
     """Checks the names of the fields, the class and the ids; returns the class."""
     if unknown := fields.keys() - set(FIELDS):
-        raise InvalidRequestError(f"field {min(unknown)[:QUOTED_MOST]!r}, expected {', '.join(FIELDS)}")
+        raise InvalidRequestError(f"field {min(unknown)[:MAX_QUOTED]!r}, expected {', '.join(FIELDS)}")
     if (request_class := request_classes.get(fields.get("c", ""))) is None:
-        raise InvalidRequestError(f"c is {fields.get('c', '')[:QUOTED_MOST]!r}, expected a class")
+        raise InvalidRequestError(f"c is {fields.get('c', '')[:MAX_QUOTED]!r}, expected a class")
     for name in "io":
         if not IDENT.fullmatch(fields.get(name, "")):
-            raise InvalidRequestError(f"{name} is {fields.get(name, '')[:QUOTED_MOST]!r}, expected 16 hex digits")
+            raise InvalidRequestError(f"{name} is {fields.get(name, '')[:MAX_QUOTED]!r}, expected 16 hex digits")
     return request_class
 
 
 def _check_optional(fields: dict[str, str], request_class: RequestClass, tenants: tuple[str, ...]) -> None:
     """Checks tenant, idempotency key and repeat."""
     if "t" in fields and tenants and fields["t"] not in tenants:
-        raise InvalidRequestError(f"t is {fields['t'][:QUOTED_MOST]!r}, expected a tenant")
+        raise InvalidRequestError(f"t is {fields['t'][:MAX_QUOTED]!r}, expected a tenant")
     if not KEY.fullmatch(fields.get("k", "" if request_class.effect == "tokened" else "-")):
-        raise InvalidRequestError(f"k is {fields.get('k', '')[:QUOTED_MOST]!r}, expected a key of letters and digits")
+        raise InvalidRequestError(f"k is {fields.get('k', '')[:MAX_QUOTED]!r}, expected a key of letters and digits")
     if not REPEAT.fullmatch(fields.get("r", "0")):
-        raise InvalidRequestError(f"r is {fields['r'][:QUOTED_MOST]!r}, expected a number, true or false")
+        raise InvalidRequestError(f"r is {fields['r'][:MAX_QUOTED]!r}, expected a number, true or false")
 
 
 def check(
@@ -91,7 +91,7 @@
     """Checks the fields of a request. Raises InvalidRequestError."""
     fields = message.fields
     request_class = _check_names(fields, request_classes)
-    time_left = _number(fields.get("d", ""), "d", TIME_MOST)
+    time_left = _number(fields.get("d", ""), "d", MAX_TIME)
     numbers = _tags(fields.get("tags", ""))
     _check_optional(fields, request_class, tenants)
     call = Call(
@@ -101,7 +101,7 @@
         memory_mb=numbers.get("memory_mb", 0.0),
         concurrency=max(1, int(numbers.get("lanes", 1.0))),
         load_ms=numbers.get("load_ms"),
-        work_ms=_number(fields["h"], "h", TIME_MOST) if "h" in fields else None,
+        work_ms=_number(fields["h"], "h", MAX_TIME) if "h" in fields else None,
         is_repeat=fields.get("r", "0") not in ("0", "false"),
         idempotency_key=fields.get("k", ""),
     )
--- a/wickdyke/platform/resp.py
+++ b/wickdyke/platform/resp.py
@@ -5,9 +5,9 @@
 
 from collections import deque
 
-PARTS_MOST = 8  # of an answer
-PART_SIZE_MOST = 256 * 1024  # bytes
-LENGTH_LINE_MOST = 24  # bytes of the line that gives a length
+MAX_PARTS = 8  # of an answer
+MAX_PART_SIZE = 256 * 1024  # bytes
+MAX_LENGTH_LINE = 24  # bytes of the line that gives a length
 # The first bytes of a length's line.
 ARRAY = b"*"[0]
 BULK_STRING = b"$"[0]
@@ -38,7 +38,7 @@
 class Answers:
     """Splits a stream into answers, each a list of its parts."""
 
-    def __init__(self, part_size_limit: int = PART_SIZE_MOST) -> None:
+    def __init__(self, part_size_limit: int = MAX_PART_SIZE) -> None:
         self.buffer = bytearray()
         self.part_size_limit = part_size_limit
         self.complete: deque[list[bytes]] = deque()
@@ -88,16 +88,16 @@
             return False
         if buffer[0] != (BULK_STRING if self.missing else ARRAY):
             raise InvalidAnswerError(f"{bytes(buffer[:8])!r} where a length was due")
-        end = buffer.find(b"\r\n", 0, LENGTH_LINE_MOST)
+        end = buffer.find(b"\r\n", 0, MAX_LENGTH_LINE)
         if end < 0:
-            if len(buffer) >= LENGTH_LINE_MOST:
+            if len(buffer) >= MAX_LENGTH_LINE:
                 raise InvalidAnswerError("a length that does not end")
             return False
         digits = bytes(buffer[1:end])
         if not digits.isdigit():
             raise InvalidAnswerError(f"a length of {digits!r}")
         length = int(digits)
-        maximum = self.part_size_limit if self.missing else PARTS_MOST
+        maximum = self.part_size_limit if self.missing else MAX_PARTS
         if length > maximum or not (length or self.missing):
             raise InvalidAnswerError(f"a length of {length} where {maximum} is the most")
         del buffer[: end + 2]
--- a/wickdyke/platform/service.py
+++ b/wickdyke/platform/service.py
@@ -26,14 +26,14 @@
 GRACE_PERIOD = 750.0  # ms after SIGTERM in which requests are admitted as before, if there is as much time
 # SIGKILL may follow this much later than the longest deadline (counted as so much at most) after SIGTERM, in ms.
 KILL_AFTER = 700.0
-KILL_DEADLINE_MOST = 3000.0
+MAX_KILL_DEADLINE = 3000.0
 KILL_MARGIN = 100.0  # ms before that by which all is answered
 LOG_COUNTS_INTERVAL = 5000.0  # ms between lines of counts
 SWEEP_INTERVAL = 1000.0  # ms between searches for idle connections to workers
 REREAD_AFTER = 100.0  # ms until a configuration that could not be read is read again
-WAIT_MOST = 100.0  # ms that one iteration waits at most, so that a signal's flag is seen
+MAX_WAIT = 100.0  # ms that one iteration waits at most, so that a signal's flag is seen
 DISCOVERY_RETRY_FRACTION = 0.4  # of the grace for a drain, within which a lost connection to discovery is retried
-DISCOVERY_RETRY_MOST = 400.0  # ms
+MAX_DISCOVERY_RETRY = 400.0  # ms
 IDLE_FRACTION = 0.7  # of the time after which a worker ends an idle connection, this side does
 DESCRIPTORS_RESERVED = 12  # discovery's old and new connection, one being accepted, a file being read, and more
 
@@ -56,7 +56,7 @@
 
 
 def _discovery_settings(configuration: Configuration) -> DiscoverySettings:
-    backoff_limit = min(DISCOVERY_RETRY_MOST, DISCOVERY_RETRY_FRACTION * configuration.discovery.drain_grace)
+    backoff_limit = min(MAX_DISCOVERY_RETRY, DISCOVERY_RETRY_FRACTION * configuration.discovery.drain_grace)
     return DiscoverySettings(configuration.bus, backoff_limit, configuration.seed)
 
 
@@ -98,9 +98,7 @@
         self.reload_requested = False  # by a signal
         self.reload_pending = False  # until the file can be read
         self.stopping = False
-        longest = min(
-            KILL_DEADLINE_MOST, max(request_class.deadline for request_class in configuration.request_classes)
-        )
+        longest = min(MAX_KILL_DEADLINE, max(request_class.deadline for request_class in configuration.request_classes))
         self.answer_within = longest + KILL_AFTER - KILL_MARGIN  # ms after SIGTERM
 
     def _log_fault(self, error: Exception) -> None:
@@ -130,7 +128,7 @@
 
     def open(self) -> None:
         """Starts to serve. Raises OSError where it can't listen."""
-        self.coordinator.post(EndpointsReceived(self.configuration.known))
+        self.coordinator.post(EndpointsReceived(self.configuration.initial_events))
         self.coordinator.turn_once()
         self.discovery.open()
         self.client_server.listen()
@@ -193,7 +191,7 @@
             if not coordinator.events.empty()
             else min(coordinator.next_at(), self.loop.next_deadline(), self._next_shutdown_step()) - clock()
         )
-        self.loop.run_once(min(wait, WAIT_MOST), coordinator.turn_once)
+        self.loop.run_once(min(wait, MAX_WAIT), coordinator.turn_once)
         coordinator.turn_once()
         if self.reload_requested:
             self._reload()
--- a/wickdyke/platform/sse.py
+++ b/wickdyke/platform/sse.py
@@ -2,11 +2,11 @@
 
 from dataclasses import dataclass
 
-EVENT_SIZE_MOST = 1 << 22  # bytes: a full list of 20,000 workers, some 200 bytes each
+MAX_EVENT_SIZE = 1 << 22  # bytes: a full list of 20,000 workers, some 200 bytes each
 
 
 class EventTooLargeError(Exception):
-    """An event is larger than EVENT_SIZE_MOST."""
+    """An event is larger than MAX_EVENT_SIZE."""
 
 
 @dataclass(slots=True, frozen=True)
@@ -55,6 +55,6 @@
                 self.data.append(value)
             elif name == "id":
                 self.ident = value
-        if self.event_size + len(self.buffer) > EVENT_SIZE_MOST:
-            raise EventTooLargeError(f"an event of over {EVENT_SIZE_MOST} bytes")
+        if self.event_size + len(self.buffer) > MAX_EVENT_SIZE:
+            raise EventTooLargeError(f"an event of over {MAX_EVENT_SIZE} bytes")
         return events
--- a/wickdyke/platform/thrift.py
+++ b/wickdyke/platform/thrift.py
@@ -6,10 +6,10 @@
 import struct
 from dataclasses import dataclass
 
-FRAME_SIZE_MOST = 24 * 1024  # bytes: a body and the fields
-BODY_SIZE_MOST = 16 * 1024  # bytes
-FIELDS_MOST = 32  # entries of a map of fields
-DEPTH_MOST = 8  # of nested values that are skipped
+MAX_FRAME_SIZE = 24 * 1024  # bytes: a body and the fields
+MAX_BODY_SIZE = 16 * 1024  # bytes
+MAX_FIELDS = 32  # entries of a map of fields
+MAX_DEPTH = 8  # of nested values that are skipped
 VERSION = 0x80010000
 CALL, REPLY, EXCEPTION, ONEWAY = 1, 2, 3, 4  # types of messages
 STOP, BOOL, BYTE, DOUBLE, I16, I32, I64, STRING, STRUCT, MAP, SET, LIST = 0, 2, 3, 4, 6, 8, 10, 11, 12, 13, 14, 15
@@ -44,7 +44,7 @@
 class Frames:
     """Splits a stream into frames."""
 
-    def __init__(self, size_limit: int = FRAME_SIZE_MOST) -> None:
+    def __init__(self, size_limit: int = MAX_FRAME_SIZE) -> None:
         self.buffer = bytearray()
         self.size_limit = size_limit
 
@@ -106,8 +106,8 @@
     def fields(self) -> dict[str, str]:
         kinds = self.read_bytes(2)
         count = self.i32()
-        if not 0 <= count <= FIELDS_MOST or (count and kinds != bytes((STRING, STRING))):
-            raise MalformedMessageError(f"a map of {count} entries, expected {FIELDS_MOST} of strings at most")
+        if not 0 <= count <= MAX_FIELDS or (count and kinds != bytes((STRING, STRING))):
+            raise MalformedMessageError(f"a map of {count} entries, expected {MAX_FIELDS} of strings at most")
         fields: dict[str, str] = {}
         for _ in range(count):
             name = self.string()
@@ -120,7 +120,7 @@
             raise MalformedMessageError("a field twice")
         return fields
 
-    def skip(self, kind: int, depth: int = DEPTH_MOST) -> None:
+    def skip(self, kind: int, depth: int = MAX_DEPTH) -> None:
         if kind in SIZES:
             self.read_bytes(SIZES[kind])
         elif kind == STRING:
@@ -177,7 +177,7 @@
             reader.skip(kind)
     if reader.at != len(reader.data):
         raise MalformedMessageError(f"{len(reader.data) - reader.at} bytes too many")
-    if len(body) > BODY_SIZE_MOST:
+    if len(body) > MAX_BODY_SIZE:
         raise MalformedMessageError(f"a body of {len(body)} bytes")
     return Message(name.decode("ascii"), number, fields, body, about)
 
--- a/wickdyke/platform/worker_client.py
+++ b/wickdyke/platform/worker_client.py
@@ -18,7 +18,7 @@
 from wickdyke.routing.model import Outcome
 from wickdyke.transport.event_loop import EventLoop, clock
 
-SENDS_MOST = 3  # connections that one command is handed to before a byte of it was sent
+MAX_SENDS = 3  # connections that one command is handed to before a byte of it was sent
 LOST_ANSWER = {  # how a command whose answer was lost ends, at a worker that lives
     CommandKind.ATTEMPT: Outcome.ERROR,
     CommandKind.HEALTH_CHECK: Outcome.ERROR,
@@ -144,7 +144,7 @@
     def send_again(self, command: Command) -> None:
         """Sends a command on another connection: its own ended as it was established, before a byte of it was sent."""
         command.sends += 1
-        if command.sends < SENDS_MOST:
+        if command.sends < MAX_SENDS:
             self.send(command)
         else:
             self.finish(command, Outcome.UNSENT)
--- a/wickdyke/platform/worker_connection.py
+++ b/wickdyke/platform/worker_connection.py
@@ -24,8 +24,8 @@
 )
 
 READ_SIZE = 1 << 16  # bytes read at a time
-UNREAD_MOST = 1 << 20  # bytes that may wait for a worker
-COMMANDS_MOST = 32  # on one connection
+MAX_UNREAD = 1 << 20  # bytes that may wait for a worker
+MAX_COMMANDS = 32  # on one connection
 ENDED_IDS_KEPT = 64  # ids no longer open that are remembered, so that a late or second answer meets none
 PEER_WAS_THERE = (errno.ECONNRESET, errno.EPIPE)  # ends of a connection that the other side had accepted
 
@@ -96,7 +96,7 @@
             self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         except OSError:  # reset already, which the connect reports as well, or short of memory: it works without
             self._count("delayed")
-        self.write_buffer = WriteBuffer(self.sock, UNREAD_MOST, self.worker_client.name, self._set_waiting)
+        self.write_buffer = WriteBuffer(self.sock, MAX_UNREAD, self.worker_client.name, self._set_waiting)
         try:
             self.loop.add(self.sock, self, write=True)
         except OSError as error:
@@ -138,7 +138,7 @@
         return (
             self.state is not ConnectionState.CLOSED
             and not self.stale
-            and self.commands_in_flight < COMMANDS_MOST
+            and self.commands_in_flight < MAX_COMMANDS
             and not self.answers.begun
             and ident not in self.open
             and ident not in self.ended_ids
--- a/wickdyke/platform/worker_results.py
+++ b/wickdyke/platform/worker_results.py
@@ -17,7 +17,7 @@
 }
 NOTES = {"w": LoadNote.STOOD, "c": LoadNote.BEGAN, "j": LoadNote.AWAITED, "f": LoadNote.FAILED}
 ANSWER_PARTS = 4  # id, word, fields, body
-VALUE_MOST = 1e12  # of a field of a load report
+MAX_VALUE = 1e12  # of a field of a load report
 # Reports name their fields by the protocol's words or by those of the settings.
 REPORT_FIELDS = REPORTS | {
     "inflight": "in_flight",
@@ -37,7 +37,7 @@
             values[REPORT_FIELDS.get(word, word)] = float(value)
     except ValueError:
         return None
-    if any(not abs(values.get(field, float("inf"))) < VALUE_MOST for field in fields):
+    if any(not abs(values.get(field, float("inf"))) < MAX_VALUE for field in fields):
         return None
     return WorkerLoad.from_values(fields, [values[field] for field in fields])
 
--- a/wickdyke/transport/line_server.py
+++ b/wickdyke/transport/line_server.py
@@ -15,8 +15,8 @@
 from wickdyke.transport.acceptor import Acceptor
 from wickdyke.transport.write_buffer import OutgoingMessage, PeerTooSlowError, WriteBuffer
 
-LINE_SIZE_MOST = 64 << 20  # bytes
-UNREAD_MOST = 64 << 20  # bytes that may wait for one peer
+MAX_LINE_SIZE = 64 << 20  # bytes
+MAX_UNREAD = 64 << 20  # bytes that may wait for one peer
 READ_SIZE = 1 << 18  # bytes read at a time
 BACKLOG = 512
 
@@ -74,7 +74,7 @@
 class LineConnection:
     """One connection. `say` may be called from any thread and never waits: a peer that reads too little is closed."""
 
-    def __init__(self, sock: socket.socket, unread: int = UNREAD_MOST) -> None:
+    def __init__(self, sock: socket.socket, unread: int = MAX_UNREAD) -> None:
         self.sock = sock
         self.write_buffer = WriteBuffer(sock, unread, "wire")
         self.open = True
@@ -153,7 +153,7 @@
         address: str,
         on_request: Callable[[LineConnection, jsonrpc.Request], None],
         on_close: Callable[[LineConnection], None],
-        line_size: int = LINE_SIZE_MOST,
+        line_size: int = MAX_LINE_SIZE,
     ) -> None:
         self.on_request = on_request
         self.on_close = on_close
