--- a/tests/test_gateway_shutdown.py
+++ b/tests/test_gateway_shutdown.py
@@ -46,10 +46,10 @@
         def slow(sock, number):
             source = lines_of(sock)
             hello(sock, source)
-            for asked in source:
-                if asked["method"] == "run":
+            for request in source:
+                if request["method"] == "run":
                     go.wait(LONG)
-                    sock.sendall(ok(asked["id"]))
+                    sock.sendall(ok(request["id"]))
 
         with tempfile.TemporaryDirectory(prefix="wd-") as folder:
             process, path = self.serve(folder, slow)
@@ -60,11 +60,11 @@
             process.send_signal(signal.SIGTERM)
             self.assertTrue(until(lambda: not os.path.exists(path)))
             client.ask(2, "side")
-            got = client.answer()
-            self.assertEqual((got["id"], got["error"]["data"]["why"]), (2, "stopping"))
+            received = client.answer()
+            self.assertEqual((received["id"], received["error"]["data"]["why"]), (2, "stopping"))
             go.set()
-            got = client.answer()
-            self.assertEqual((got["id"], got["result"]["answer"]), (1, "ok"))
+            received = client.answer()
+            self.assertEqual((received["id"], received["result"]["answer"]), (1, "ok"))
             self.assertEqual(process.wait(LONG), 0)
             client.close()
 
