--- a/tests/acceptance_rig.py
+++ b/tests/acceptance_rig.py
@@ -1,19 +1,21 @@
-"""A front end turned by hand on a clock that only the test moves, for tests/test_acceptance_days.py."""
+"""A front end stepped by hand on a clock that only the test moves."""
 
+import json
 import time
 from types import SimpleNamespace
 from unittest.mock import patch
 
+from tests import front_end_rig
 from tests import platform_rig as rig
-from tests import test_fleet
 from wickdyke.gateway import context
 from wickdyke.gateway.events import RequestReceived
 from wickdyke.platform import service
 from wickdyke.routing.model import Backoff, Hedging, RoutePolicy
 from wickdyke.transport import event_loop
 
-START = 1e9  # ms on the stand-in clock
-STEP = 5.0  # ms of it that pass between two turns
+START = 1e9  # ms on the fake clock
+STEP = 5.0  # ms of it that pass between two iterations
+STEP_OF_HEDGE = 1.0  # ms, where a hedged request is to be caught between its attempts
 
 LANES = [
     *rig.SETTINGS["lanes"],
@@ -55,7 +57,7 @@
     return rig.dispatch(number, rig.fields(ident or f"{number:016x}", name, **more), body)
 
 
-class Stepped(test_fleet.Handed):
+class SteppedClockCase(front_end_rig.FrontEndCase):
     """A front end whose monotonic clock stands still until the test moves it on."""
 
     def setUp(self):
@@ -65,7 +67,7 @@
         stand_in = SimpleNamespace(**{**vars(time), "monotonic": lambda: self.now / 1000})
         for module in (event_loop, context):
             patch.object(module, "time", stand_in).start()
-        patch.object(service, "WAIT_MOST", 1.0).start()  # real ms of one wait: the clock does not move meanwhile
+        patch.object(service, "MAX_WAIT", 1.0).start()  # real ms of one wait: the clock does not move meanwhile
 
     def front_end(self, *workers, **more):
         self.listen = rig.free_address()  # its own: what failed before it may still hold the last
@@ -83,32 +85,34 @@
         self.serving.client_server.post = timed
 
     def attempts_out(self):
-        """Orders that wait for a worker, of any kind."""
+        """Commands that wait for a worker, of any kind."""
         return sum(
-            conn.commands_in_flight for link in self.serving.coordinator.workers.clients.values() for conn in link.all()
+            connection.commands_in_flight
+            for client in self.serving.coordinator.workers.clients.values()
+            for connection in client.all_connections()
         )
 
     def settle(self):
-        """Turns until workers have answered all that is out, and no time passes."""
+        """Steps until workers have answered all that is out, and no time passes."""
         self.until(lambda: not self.attempts_out() and self.serving.coordinator.events.empty(), "the workers' answers")
 
     def later(self, span, step=STEP, settle=False):
-        """Lets a time pass, a turn in each step; with `settle`, workers answer all within each."""
+        """Lets a time pass, an iteration in each step; with `settle`, workers answer all within each."""
         ends = self.now + span
         while self.now < ends:
             self.now = min(ends, self.now + step)
-            self.serving.turn()
+            self.serving.run_once()
             if settle:
                 self.settle()
 
     def final(self, client, within, settle=True, step=STEP):
         """The answer that comes next, which may take so many ms; with `settle`, workers answer all at once."""
         ends = self.now + within
-        self.serving.turn()
+        self.serving.run_once()
         while not client.waits():
             if settle:
                 self.settle()
-            self.serving.turn()
+            self.serving.run_once()
             if not client.waits():
                 self.assertLess(self.now, ends, "no final answer in time")
                 self.now += step
@@ -118,3 +122,11 @@
         """Nothing more comes on that connection."""
         self.later(span, 20.0)
         self.assertFalse(client.waits(), "a second answer, or an end")
+
+
+HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nConnection: close\r\n\r\n"
+
+
+def told(number, *instances):
+    """An event as it stands on the stream."""
+    return b"id: %d\ndata: %s\n\n" % (number, json.dumps(rig.event(number, *instances)).encode())
--- a/tests/platform_rig.py
+++ b/tests/platform_rig.py
@@ -4,6 +4,7 @@
 import socket
 import struct
 import threading
+from contextlib import suppress
 
 LONG = 20.0
 
@@ -182,10 +183,10 @@
 
 
 class Listener:
-    """Takes connections on loopback, each with a thread that calls `_serve(sock)`."""
+    """Accepts connections on loopback, each with a thread that calls `_serve(sock)`. `close` closes all of them."""
 
     def __init__(self):
-        self.socks, self.lock = [], threading.Lock()
+        self.socks, self.lock, self.closed = [], threading.Lock(), False
         self.listener = socket.create_server(("127.0.0.1", 0))
         self.address = f"127.0.0.1:{self.listener.getsockname()[1]}"
         threading.Thread(target=self._accept, daemon=True).start()
@@ -197,18 +198,24 @@
             except OSError:
                 return
             with self.lock:
+                if self.closed:  # accepted during `close`, which does not close it
+                    sock.close()
+                    return
                 self.socks.append(sock)
             threading.Thread(target=self._serve, args=(sock,), daemon=True).start()
 
     def close(self):
-        self.listener.close()
         with self.lock:
+            self.closed = True
             for sock in self.socks:
                 sock.close()
+        with suppress(OSError):
+            self.listener.shutdown(socket.SHUT_RDWR)  # wakes the thread that waits in accept
+        self.listener.close()
 
 
 class Worker(Listener):
-    """Answers by `play(worker, sock, command)`; by itself it serves all. `commands` holds what came."""
+    """A worker that answers by `play(worker, sock, command)`, or serves all. `commands` holds those received."""
 
     def __init__(self, play=None):
         self.play, self.commands = play, []
@@ -237,7 +244,7 @@
         elif verb == b"prewarm":
             sock.sendall(bulk(parts[1], b"ACK", b"units=1", b""))
 
-    def came(self, verb):
+    def received(self, verb):
         with self.lock:
             return [parts for parts in self.commands if parts[0] == verb]
 
@@ -246,10 +253,10 @@
 
 
 class Bus(Listener):
-    """Serves `GET /bus/read`: `asked` holds each Last-Event-ID, `tell` writes to whoever reads."""
+    """Serves `GET /bus/read`: `offsets` holds each Last-Event-ID, `send_raw` writes to the latest reader."""
 
     def __init__(self):
-        self.asked, self.readers = [], []
+        self.offsets, self.readers = [], []
         super().__init__()
 
     def _serve(self, sock):
@@ -261,12 +268,12 @@
         except OSError:
             return
         self.readers.append(sock)
-        self.asked.append(
+        self.offsets.append(
             next(int(line.split(b":")[1]) for line in head.split(b"\r\n") if line.lower().startswith(b"last-event-id"))
         )
 
-    def tell(self, raw):
+    def send_raw(self, raw):
         self.readers[-1].sendall(raw)
 
-    def event(self, told):
-        self.tell(f"id: {told['offset']}\ndata: {json.dumps(told)}\n\n".encode())
+    def event(self, content):
+        self.send_raw(f"id: {content['offset']}\ndata: {json.dumps(content)}\n\n".encode())
--- a/tests/test_gateway_shutdown.py
+++ b/tests/test_gateway_shutdown.py
@@ -13,7 +13,7 @@
 from tests.rig import CALL_OUTS, LONG, TERMS, Client, Peer, hello, lines_of, ok, until
 from tests.scripted_workers import silent
 from wickdyke.config.endpoint_file import EndpointRow, format_endpoints
-from wickdyke.transport.line_server import AddressInUse, listener
+from wickdyke.transport.line_server import AddressInUseError, listener
 
 
 class Shutdown(unittest.TestCase):
@@ -85,7 +85,7 @@
         """A socket in use is kept; one that a killed process left is replaced; a file is not touched."""
         with tempfile.TemporaryDirectory(prefix="wd-") as folder:
             process, path = self.serve(folder, silent)
-            with self.assertRaisesRegex(AddressInUse, "somebody live"):
+            with self.assertRaisesRegex(AddressInUseError, "somebody live"):
                 listener(path)
             process.kill()
             process.wait()
@@ -96,7 +96,7 @@
             plain = os.path.join(folder, "plain")
             with open(plain, "w") as out:
                 out.write("x")
-            with self.assertRaisesRegex(AddressInUse, "no socket"):
+            with self.assertRaisesRegex(AddressInUseError, "no socket"):
                 listener(plain)
             self.assertTrue(os.path.exists(plain))
 
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -2,31 +2,17 @@
 
 import copy
 import errno
-import json
 import os
-import select
 import signal
-import tempfile
 import unittest
 from unittest.mock import Mock, patch
 
 import wickdyke.platform.service as service
 from tests import platform_rig as rig
-from wickdyke.gateway import context
-from wickdyke.platform import (
-    client_connection,
-    configuration,
-    discovery,
-    worker_client,
-    worker_command,
-    worker_connection,
-    worker_protocol,
-)
-from wickdyke.platform import client_server as fronts
-from wickdyke.transport import event_loop
+from tests.timed_rig import TimedFrontEndCase
+from wickdyke.platform import client_server
 
 A, B, C, D = (letter * 16 for letter in "abcd")
-NOWHERE = "127.0.0.1:1"
 KILL_AFTER, KILL_DEADLINE = 700, 3000  # ms, from the protocol: SIGKILL after SIGTERM
 MARGIN = 100  # ms before SIGKILL by which all is to be answered
 FINAL = {"answer", "shed", "fault"}
@@ -41,102 +27,7 @@
     return settings
 
 
-class Timed(unittest.TestCase):
-    """A front end turned by the test, at times that the test sets; workers are real and hold back what is `slow`."""
-
-    def setUp(self):
-        self.now = event_loop.clock()
-        self.addCleanup(patch.stopall)
-        for module in (
-            event_loop,
-            context,
-            client_connection,
-            fronts,
-            worker_client,
-            worker_command,
-            worker_connection,
-            worker_protocol,
-            discovery,
-            service,
-        ):
-            patch.object(module, "clock", lambda: self.now).start()
-        patch.object(service, "WAIT_MOST", 5.0).start()
-        made = tempfile.TemporaryDirectory()
-        self.addCleanup(made.cleanup)
-        self.path, self.listen, self.held = os.path.join(made.name, "config.json"), rig.free_address(), []
-        self.over = False
-
-    def made(self, thing):
-        self.addCleanup(thing.close)
-        return thing
-
-    def worker(self):
-        return self.made(
-            rig.Worker(
-                lambda worker, sock, parts: parts[0] == b"invoke"
-                and parts[3] == b"slow"
-                and (self.held.append((sock, parts)), True)[1]
-            )
-        )
-
-    def front_end(self, *workers, opened=True, **more):
-        instances = (rig.instance(f"w{number}", worker.address) for number, worker in enumerate(workers))
-        with open(self.path, "w") as out:
-            json.dump(rig.config(self.listen, NOWHERE, *instances, **more), out)
-        self.log = Mock()
-        self.serving = service.Service(configuration.read(self.path), self.path, self.log)
-        self.addCleanup(self.end)
-        if opened:
-            self.serving.open()
-        return self.serving
-
-    def end(self):
-        for client in list(self.serving.client_server.clients.values()):
-            client.close()
-        for link in list(self.serving.coordinator.workers.clients.values()):
-            link.close()
-        self.serving.discovery.close()
-        self.serving.client_server.shut()
-        self.serving.loop.close()
-
-    def turn(self):
-        if not self.over:
-            self.over = not self.serving.turn()
-
-    def until(self, done, what="it"):
-        for _ in range(int(rig.LONG * 200)):
-            if done():
-                return
-            self.turn()
-        self.fail(f"{what} did not come")
-
-    def client(self):
-        return self.made(rig.Client(self.listen))
-
-    def idle_client(self):
-        """A connection that was answered once."""
-        client = self.client()
-        client.send(rig.alive(1))
-        self.answer(client)
-        return client
-
-    def answer(self, client):
-        self.until(client.waits, "an answer")
-        return client.answer()
-
-    def send(self, client, data):
-        """Sends to a connection the front end knows; returns once the bytes are there to be read."""
-        port = client.sock.getsockname()[1]
-        (known,) = [each for each in self.serving.client_server.clients.values() if each.sock.getpeername()[1] == port]
-        client.send(data)
-        self.assertTrue(select.select([known.sock], [], [], rig.LONG)[0])
-
-    def terminate(self):
-        self.serving._end(signal.SIGTERM, None)
-        self.terminated = self.now
-
-
-class Moments(Timed):
+class Moments(TimedFrontEndCase):
     def plays(self, longest, step=5.0):
         """Requests to a worker that hangs, at many moments after SIGTERM: each has its final answer before SIGKILL."""
         serving = self.front_end(self.worker(), settings=with_deadline(longest))
@@ -157,7 +48,7 @@
                 self.send(client, rig.dispatch(2, rig.fields(f"{len(sent):016x}", d=str(longest)), b"slow"))
                 sent.append(client)
                 self.until(lambda before=before: serving.client_server.reads > before, "the read")
-            self.turn()
+            self.run_once()
             at += step
             self.now = self.terminated + at
         for number, client in enumerate(sent):
@@ -188,32 +79,32 @@
         self.until(lambda: len(self.held) == 1, "the call-out")
         self.terminate()
         self.now += 300 + KILL_AFTER - MARGIN - 10
-        serving.shutdown_asked_at = self.now - (300 + KILL_AFTER - MARGIN - 10)
+        serving.shutdown_requested_at = self.now - (300 + KILL_AFTER - MARGIN - 10)
         self.send(second, rig.dispatch(2, rig.fields(B, d="300"), b"b"))
         self.assertEqual(self.answer(second)[1], "shed")
-        self.assertEqual(len(worker.came(b"invoke")), 1)
+        self.assertEqual(len(worker.received(b"invoke")), 1)
 
     def test_waits_no_longer_than_to_the_next_step(self):
-        patch.object(service, "WAIT_MOST", 100.0).start()
+        patch.object(service, "MAX_WAIT", 100.0).start()
         serving = self.front_end(settings=with_deadline(100))
         waits = []
         self.until(serving.coordinator.events.empty, "the list")
         never = Mock(return_value=float("inf"))
         patch.object(serving.coordinator, "next_at", never).start()
-        patch.object(serving.loop, "next_at", never).start()
-        with patch.object(serving.loop, "turn", lambda wait, between: waits.append(wait)):
+        patch.object(serving.loop, "next_deadline", never).start()
+        with patch.object(serving.loop, "run_once", lambda wait, between: waits.append(wait)):
             self.terminate()
             self.now += 100 + KILL_AFTER - MARGIN - 3
-            serving.turn()
+            serving.run_once()
         self.assertLessEqual(waits[0], 3.01)
 
     def test_twice(self):
         self.front_end(self.worker())
         client = self.idle_client()
         self.terminate()
-        self.turn()
+        self.run_once()
         self.now += service.GRACE_PERIOD - 1
-        self.serving._end(signal.SIGTERM, None)
+        self.serving._request_shutdown(signal.SIGTERM, None)
         self.send(client, rig.dispatch(2, rig.fields(A), b"a"))
         self.assertEqual(self.answer(client), (2, "answer", b"did a"))
         self.now += 1
@@ -235,11 +126,11 @@
         self.until(lambda: self.over, "the end")
 
 
-class Listener(Timed):
+class Listener(TimedFrontEndCase):
     def test_a_connection_1_ms_before_it_closes(self):
         self.front_end(self.worker())
         self.terminate()
-        self.turn()
+        self.run_once()
         self.now += service.GRACE_PERIOD - 1
         client = self.client()
         client.send(rig.dispatch(1, rig.fields(A), b"a"))
@@ -250,11 +141,11 @@
     def test_one_taken_as_it_closes_brings_its_request_later(self):
         serving = self.front_end(self.worker())
         self.terminate()
-        self.turn()
+        self.run_once()
         client = self.client()
         self.now += service.GRACE_PERIOD
         self.until(lambda: serving.client_server.shut_down, "the close")
-        self.turn()
+        self.run_once()
         self.assertFalse(self.over)
         client.send(rig.dispatch(1, rig.fields(A), b"a"))
         self.assertEqual(self.answer(client), (1, "answer", b"did a"))
@@ -263,11 +154,11 @@
     def test_one_that_never_asks_is_not_waited_for_long(self):
         serving = self.front_end()
         self.terminate()
-        self.turn()
+        self.run_once()
         client = self.client()
         self.now += service.GRACE_PERIOD
         self.until(lambda: serving.client_server.shut_down, "the close")
-        self.now += fronts.NEW_CONNECTION_TIME
+        self.now += client_server.NEW_CONNECTION_TIME
         self.until(lambda: self.over, "the end")
         self.assertEqual(client.answer()[1], "closed")
 
@@ -279,7 +170,7 @@
         whole = rig.dispatch(2, rig.fields(A), b"a")
         self.send(client, whole[:30])
         self.until(lambda: any(each.frames.begun for each in serving.client_server.clients.values()))
-        self.turn()
+        self.run_once()
         self.assertFalse(self.over)
         client.send(whole[30:])
         self.assertEqual(self.answer(client), (2, "answer", b"did a"))
@@ -292,7 +183,7 @@
                 self.over = False
                 serving = self.front_end(self.worker())
                 self.terminate()
-                self.turn()
+                self.run_once()
                 self.now += service.GRACE_PERIOD
                 client, real, mended = self.client(), serving.client_server.sock, self.now + 50
                 client.send(rig.dispatch(1, rig.fields(A), b"a"))
@@ -304,28 +195,28 @@
 
                 serving.client_server.sock = Mock(wraps=real, accept=accept)
                 for _ in range(5):
-                    self.turn()
+                    self.run_once()
                     self.now += 20
                 self.assertEqual(self.answer(client), (1, "answer", b"did a"))
                 self.until(lambda: self.over, "the end")
                 self.end()
 
 
-class LastLook(Timed):
+class LastLook(TimedFrontEndCase):
     def test_a_request_just_before_idle_connections_are_closed(self):
         """It crosses the end after all was looked at: it is read before its connection is closed, and answered."""
         serving = self.front_end(self.worker())
         client, idle = self.idle_client(), self.idle_client()
-        heard_more, sent = serving.client_server.heard_more, []
+        read_clients, sent = serving.client_server.read_clients, []
 
         def look():
-            found = heard_more()
+            found = read_clients()
             if not found and not sent:
                 sent.append(True)
                 self.send(client, rig.dispatch(2, rig.fields(A), b"a"))
             return found
 
-        serving.client_server.heard_more = look
+        serving.client_server.read_clients = look
         self.terminate()
         self.now += service.GRACE_PERIOD
         self.until(lambda: sent, "the last look")
@@ -349,12 +240,12 @@
         self.front_end(self.worker(), settings=settings)
         client = self.idle_client()
         self.terminate()
-        self.turn()
+        self.run_once()
         self.now += 699
         self.send(client, rig.dispatch(2, rig.fields(A, "pay", d="300", k="k1"), b"slow"))
         self.until(lambda: self.held, "the call-out")
         while self.now < self.terminated + 300 + KILL_AFTER and not self.over:
-            self.turn()
+            self.run_once()
             self.now += 5
         self.assertTrue(self.over)
         self.assertIn(client.answer()[1], FINAL)
--- a/tests/test_worker_client.py
+++ b/tests/test_worker_client.py
@@ -12,7 +12,7 @@
 from wickdyke.jsonrpc.worker_client import WorkerClient, WorkerClientSettings
 from wickdyke.jsonrpc.worker_command import Command
 from wickdyke.protocol import jsonrpc, worker_messages
-from wickdyke.transport.write_buffer import OutgoingMessage, PeerTooSlow, WriteBuffer
+from wickdyke.transport.write_buffer import OutgoingMessage, PeerTooSlowError, WriteBuffer
 
 BIG = b'"' + b"x" * (8 << 20) + b'"'
 
@@ -283,7 +283,7 @@
 
 class WriteBuffers(unittest.TestCase):
     def test_order_and_bound(self):
-        """All bytes arrive in their order, whoever wrote them; past the bound PeerTooSlow is raised."""
+        """All bytes arrive in their order, whoever wrote them; past the bound PeerTooSlowError is raised."""
         here, there = socket.socketpair()
         box = WriteBuffer(here, 1 << 20, "box")
         sent = b""
@@ -295,7 +295,7 @@
         while len(received) < len(sent):
             received += there.recv(1 << 16)
         self.assertEqual(received, sent)
-        with self.assertRaises(PeerTooSlow):
+        with self.assertRaises(PeerTooSlowError):
             for _ in range(100):
                 box.put(OutgoingMessage(b"x" * 50000))
         box.close()
--- a/wickdyke/cli/serve.py
+++ b/wickdyke/cli/serve.py
@@ -15,7 +15,7 @@
 from wickdyke.fault_injection.scenario_runner import ScenarioRunner
 from wickdyke.gateway import log as logs
 from wickdyke.jsonrpc.service import Gateway, until_signal
-from wickdyke.transport.line_server import AddressInUse
+from wickdyke.transport.line_server import AddressInUseError
 
 
 @click.command()
@@ -43,7 +43,7 @@
     log, log_writer = logs.logger(sink, as_json, debug, gateway=config.name)
     try:
         gateway = Gateway(config, log)
-    except (AddressInUse, InvalidConfigError) as error:
+    except (AddressInUseError, InvalidConfigError) as error:
         fail(error)
     except OSError as error:
         fail(f"{error.filename or config.listen}: {error.strerror}")
--- a/wickdyke/cli/worker.py
+++ b/wickdyke/cli/worker.py
@@ -10,7 +10,7 @@
 from wickdyke.fault_injection.trace import TraceRecorder
 from wickdyke.gateway import log as logs
 from wickdyke.transport import termination
-from wickdyke.transport.line_server import AddressInUse
+from wickdyke.transport.line_server import AddressInUseError
 from wickdyke.worker import package, package_digest
 from wickdyke.worker.cache_index import MB
 from wickdyke.worker.runtime import Worker
@@ -42,12 +42,12 @@
     config = read_or_fail(worker_config.read, file)
     log, log_writer = logs.logger(open_log_or_fail(log_file or config.log_path), as_json, worker=config.name)
     trace = trace or config.trace_path
-    terminated = termination.asked()
+    terminated = termination.install_handlers()
     try:
         recorder = TraceRecorder(trace, config.name) if trace else None
         runtime = Worker(config, _package_store(config), log, recorder, start)
         runtime.open()
-    except AddressInUse as error:
+    except AddressInUseError as error:
         fail(error)
     except OSError as error:
         fail(f"{error.filename or config.listen}: {error.strerror}")
@@ -99,10 +99,10 @@
     """
     config = read_or_fail(store_config.read, file)
     _, log_writer = logs.logger(open_log_or_fail(log_file), False, store=config.listen)
-    terminated = termination.asked()
+    terminated = termination.install_handlers()
     try:
         server = StoreServer(config.listen, config.folder, config.bandwidth * MB, config.readers)
-    except AddressInUse as error:
+    except AddressInUseError as error:
         fail(error)
     print(f"ready {config.listen}", flush=True)
     termination.wait(terminated)
--- a/wickdyke/gateway/coordinator.py
+++ b/wickdyke/gateway/coordinator.py
@@ -154,7 +154,7 @@
 
     def next_at(self) -> float:
         """When it is due next (monotonic ms), if no event arrives before."""
-        return min(self.router.wake_at, self.timers.next_at(), self.requests.next_deadline())
+        return min(self.router.wake_at, self.timers.next_deadline(), self.requests.next_deadline())
 
     def turn_once(self, wait: float = 0.0) -> bool:
         """Handles the events that wait (after at most `wait` ms for a first one), timers that are due, and decisions.
--- a/wickdyke/jsonrpc/service.py
+++ b/wickdyke/jsonrpc/service.py
@@ -138,7 +138,7 @@
 
 def until_signal(gateway: Gateway, ready: Callable[[], None]) -> int:
     """Serves until SIGTERM or SIGINT; a second signal ends it at once. `ready` is called once it serves."""
-    signalled = termination.asked()
+    signalled = termination.install_handlers()
     gateway.open()
     ready()
     termination.wait(signalled)
--- a/wickdyke/platform/configuration.py
+++ b/wickdyke/platform/configuration.py
@@ -3,10 +3,10 @@
 import json
 import os
 from dataclasses import dataclass, fields
-from types import SimpleNamespace
+from typing import Any
 
 from wickdyke.config import deployment_settings
-from wickdyke.platform.endpoint_list import Unusable, change
+from wickdyke.platform.endpoint_list import Event, UnusableEventError, parse_event
 from wickdyke.routing.model import RequestClass
 from wickdyke.routing.settings import (
     AttemptLimits,
@@ -19,33 +19,41 @@
     TenantQuotas,
 )
 
-OPEN_REQUESTS_MOST = 4096  # at once, however much memory there is
-OPEN_REQUESTS_LEAST = 256  # allowed at once, however little memory there is
+MAX_OPEN_REQUESTS = 4096  # at once, however much memory there is
+MIN_OPEN_REQUESTS = 256  # allowed at once, however little memory there is
 OPEN_REQUESTS_PER_MB = 16.0  # of memory
-EVENTS_MOST = 20000  # waiting for the coordinator
-ANSWER_WAY = 10.0  # ms that an answer may take to its client
-PROBE_WAIT = 250.0  # ms until a health check times out
-MEMORY_LEAST = 1  # MB
-SOCKETS_LEAST = 64
-PORT_MOST = 65535
+MAX_EVENTS = 20000  # waiting for the coordinator
+ANSWER_MARGIN = 10.0  # ms that an answer may take to reach its client
+HEALTH_CHECK_TIMEOUT = 250.0  # ms until a health check times out
+MIN_MEMORY = 1  # MB
+MIN_SOCKETS = 64
+MAX_PORT = 65535
 
 
 class ConfigurationError(Exception):
-    """The configuration can't be used; the message names the place, what was found and what was expected."""
+    """The configuration is invalid; the message names the place, the value and what was expected."""
 
 
-class Unreadable(ConfigurationError):
-    """The file can't be read now; a later try may succeed."""
+class UnreadableConfigurationError(ConfigurationError):
+    """The file can't be read now; a retry may succeed."""
+
+
+@dataclass(slots=True, frozen=True)
+class Bounds:
+    """Bounds on what the front end holds at once."""
+
+    open_requests: int  # requests of clients
+    events: int  # waiting for the coordinator
 
 
 @dataclass(slots=True)
 class Configuration:
-    """The settings of one front end of the platform."""
+    """The settings of one front end of the platform; times in ms."""
 
     name: str
     listen: tuple[str, int]
     bus: tuple[str, int]
-    known: list[dict]
+    initial_events: list[Event]  # of discovery, to begin with
     seed: int
     memory_mb: float
     sockets: int
@@ -61,50 +69,50 @@
     discovery: Discovery
     cost_weights: CostWeights
     tenant_quotas: TenantQuotas
-    bounds: SimpleNamespace
-    answer_margin: float = ANSWER_WAY
-    health_check_timeout: float = PROBE_WAIT
+    bounds: Bounds
+    answer_margin: float = ANSWER_MARGIN
+    health_check_timeout: float = HEALTH_CHECK_TIMEOUT
 
 
 def address(text: object, place: str) -> tuple[str, int]:
-    """(host, port) of HOST:PORT; `place` is named in the error."""
+    """Returns the host and port of HOST:PORT. Raises ConfigurationError, which names `place`."""
     host, _, port = str(text).rpartition(":")
-    if not host or not port.isascii() or not port.isdigit() or not 0 < int(port) <= PORT_MOST:
+    if not host or not port.isascii() or not port.isdigit() or not 0 < int(port) <= MAX_PORT:
         raise ConfigurationError(f"{place} is {text!r}, expected HOST:PORT")
     return host, int(port)
 
 
-def load(path: str) -> dict:
-    """The JSON object in that file."""
+def load(path: str) -> dict[str, Any]:
+    """Returns the JSON object in that file. Raises ConfigurationError."""
     try:
         with open(path, encoding="utf-8") as source:
-            found = json.load(source)
+            content = json.load(source)
     except OSError as error:
-        raise Unreadable(f"{path}: {error.strerror}, expected a file that can be read") from None
+        raise UnreadableConfigurationError(f"{path}: {error.strerror}, expected a file that can be read") from None
     except (ValueError, RecursionError) as error:
         raise ConfigurationError(f"{path}: {error}, expected JSON") from None
-    if not isinstance(found, dict):
-        raise ConfigurationError(f"{path}: a {type(found).__name__}, expected an object")
-    return found
+    if not isinstance(content, dict):
+        raise ConfigurationError(f"{path}: a {type(content).__name__}, expected an object")
+    return content
 
 
-def _limit(given: dict, path: str, name: str, least: float) -> float:
+def _limit(given: dict[str, Any], path: str, name: str, minimum: float) -> float:
     limits = given.get("limits")
     value = limits.get(name) if isinstance(limits, dict) else None
-    if isinstance(value, bool) or not isinstance(value, int | float) or not value >= least:
-        raise ConfigurationError(f"{path}: limits.{name} is {value!r}, expected a number of at least {least:g}")
+    if isinstance(value, bool) or not isinstance(value, int | float) or not value >= minimum:
+        raise ConfigurationError(f"{path}: limits.{name} is {value!r}, expected a number of at least {minimum:g}")
     return value
 
 
-def _seed(given: dict, path: str) -> int:
-    seed = given.get("seed")
+def _seed(given: dict[str, Any], path: str) -> int:
+    seed: Any = given.get("seed")
     try:
         return int(seed, 16) if isinstance(seed, str) else int(seed)
     except (TypeError, ValueError):
         raise ConfigurationError(f"{path}: seed is {seed!r}, expected hex digits") from None
 
 
-def _known_batch(given: dict, path: str) -> list:
+def _initial_batch(given: dict[str, Any], path: str) -> list[Any]:
     known = given.get("known")
     batch = known.get("batch") if isinstance(known, dict) else None
     if not isinstance(batch, list):
@@ -113,7 +121,7 @@
 
 
 def _open_requests(memory_mb: float) -> int:
-    return int(max(OPEN_REQUESTS_LEAST, min(OPEN_REQUESTS_MOST, memory_mb * OPEN_REQUESTS_PER_MB)))
+    return int(max(MIN_OPEN_REQUESTS, min(MAX_OPEN_REQUESTS, memory_mb * OPEN_REQUESTS_PER_MB)))
 
 
 def read(path: str, listen: str | None = None, name: str | None = None) -> Configuration:
@@ -123,44 +131,44 @@
     settings = given.get("settings")
     if not isinstance(settings, dict):
         raise ConfigurationError(f"{path}: settings is {type(settings).__name__}, expected an object")
-    batch = _known_batch(given, path)
+    batch = _initial_batch(given, path)
     pairs = deployment_settings.from_nested(settings, f"{path}: settings")
     try:
         request_classes = deployment_settings.request_classes(pairs)
         router_settings = deployment_settings.router_settings(pairs)
-        events = [change(json.dumps(event)) for event in batch]
+        events = [parse_event(json.dumps(event)) for event in batch]
     except deployment_settings.InvalidInputError as error:
         raise ConfigurationError(str(error)) from None
-    except Unusable as error:
+    except UnusableEventError as error:
         raise ConfigurationError(f"{path}: known.batch has {error}") from None
     if not request_classes:
         raise ConfigurationError(f"{path}: settings has no classes, expected one at least")
-    memory = _limit(given, path, "memory_mb", MEMORY_LEAST)
+    memory = _limit(given, path, "memory_mb", MIN_MEMORY)
     tenants = range(pairs.get("tenants.count", deployment_settings.count, 0))
     return Configuration(
         name=name or str(given.get("name") or "gateway"),
         listen=address(listen or given.get("listen"), f"{path}: listen"),
         bus=bus(given, path),
-        known=events,
+        initial_events=events,
         seed=seed,
         memory_mb=memory,
-        sockets=int(_limit(given, path, "sockets", SOCKETS_LEAST)),
+        sockets=int(_limit(given, path, "sockets", MIN_SOCKETS)),
         zones=pairs.names("zones"),
         kinds=pairs.names("flavors"),
         tenants=tuple(pairs.get(f"tenants.{index}.name", str) for index in tenants),
-        bounds=SimpleNamespace(open_requests=_open_requests(memory), events=EVENTS_MOST),
+        bounds=Bounds(open_requests=_open_requests(memory), events=MAX_EVENTS),
         request_classes=request_classes,
         **{field.name: getattr(router_settings, field.name) for field in fields(router_settings)},
     )
 
 
-def bus(given: dict, path: str) -> tuple[str, int]:
-    """The address of discovery."""
+def bus(given: dict[str, Any], path: str) -> tuple[str, int]:
+    """Returns the host and port of discovery. Raises ConfigurationError."""
     return address(given.get("bus"), f"{path}: bus")
 
 
 def config_path() -> str:
-    """The path of the configuration, from the environment."""
+    """Returns the path of the configuration, from the environment. Raises ConfigurationError."""
     path = os.environ.get("GW_CONFIG")
     if not path:
         raise ConfigurationError("the environment has no GW_CONFIG, expected the path of the configuration")
--- a/wickdyke/platform/worker_results.py
+++ b/wickdyke/platform/worker_results.py
@@ -1,4 +1,4 @@
-"""Reads workers' answers: how a command ended, and the load report that came with it."""
+"""Parses workers' answers: how a command ended, and the load report in the answer."""
 
 from wickdyke.config.deployment_settings import REPORTS
 from wickdyke.gateway.interfaces import CommandResult
@@ -6,7 +6,7 @@
 from wickdyke.routing.inputs import WorkerLoad
 from wickdyke.routing.model import LoadNote, Outcome
 
-OUTCOMES = {
+OUTCOMES = {  # by the word of an answer
     b"ACK": Outcome.OK,
     b"NOENT": Outcome.MISS,
     b"AGAIN": Outcome.FULL,
@@ -17,8 +17,8 @@
 }
 NOTES = {"w": LoadNote.STOOD, "c": LoadNote.BEGAN, "j": LoadNote.AWAITED, "f": LoadNote.FAILED}
 ANSWER_PARTS = 4  # id, word, fields, body
-VALUE_MOST = 1e12  # of a report's field
-# Reports come under the protocol's words or under those of the settings.
+MAX_VALUE = 1e12  # of a field of a load report
+# Reports name their fields by the protocol's words or by those of the settings.
 REPORT_FIELDS = REPORTS | {
     "inflight": "in_flight",
     "util": "utilization",
@@ -29,28 +29,29 @@
 
 
 def read_report(text: str, fields: tuple[str, ...]) -> WorkerLoad | None:
-    """The load report, which has to name all `fields`; None where it does not."""
-    values = {}
+    """Parses a load report, NAME:VALUE;NAME:VALUE; None where it is invalid or lacks one of `fields`."""
+    values: dict[str, float] = {}
     try:
         for pair in text.split(";"):
             word, _, value = pair.partition(":")
             values[REPORT_FIELDS.get(word, word)] = float(value)
     except ValueError:
         return None
-    if any(not abs(values.get(field, float("inf"))) < VALUE_MOST for field in fields):
+    if any(not abs(values.get(field, float("inf"))) < MAX_VALUE for field in fields):
         return None
     return WorkerLoad.from_values(fields, [values[field] for field in fields])
 
 
 def read_result(answer: list[bytes], report_fields: tuple[str, ...]) -> CommandResult:
-    """How a command ended, from the worker's answer. Raises InvalidAnswer."""
+    """Returns how a command ended, from the worker's answer. Raises InvalidAnswerError."""
     if len(answer) != ANSWER_PARTS or answer[1] not in OUTCOMES:
-        raise resp.InvalidAnswer(f"an answer of {len(answer)} parts, {answer[1:2]!r}")
+        raise resp.InvalidAnswerError(f"an answer of {len(answer)} parts, {answer[1:2]!r}")
     _, word, fields, body = answer
-    told = resp.fields(fields)
+    values = resp.fields(fields)
     try:
-        concurrent, replicas = int(told.get("ahead", "0")), int(told.get("units", "0"))
+        concurrent = int(values.get("ahead", "0"))
+        replicas = int(values.get("units", "0"))
     except ValueError:
-        raise resp.InvalidAnswer("counts that are no numbers") from None
-    report = read_report(told["rep"], report_fields) if "rep" in told else None
-    return CommandResult(OUTCOMES[word], body, NOTES.get(told.get("why", "")), concurrent, report, replicas)
+        raise resp.InvalidAnswerError("counts that are no numbers") from None
+    report = read_report(values["rep"], report_fields) if "rep" in values else None
+    return CommandResult(OUTCOMES[word], body, NOTES.get(values.get("why", "")), concurrent, report, replicas)
--- a/wickdyke/worker/gateway_server.py
+++ b/wickdyke/worker/gateway_server.py
@@ -37,7 +37,7 @@
         }
 
     def open(self, address: str) -> None:
-        """Starts to serve; raises AddressInUse, OSError."""
+        """Starts to serve; raises AddressInUseError, OSError."""
         self.server = LineServer(address, self._receive, self._disconnected)
 
     def close(self) -> None:
@@ -48,7 +48,9 @@
     @property
     def all_sent(self) -> bool:
         """Whether no answer waits to be sent."""
-        return self.server is None or all(connection.box.empty() for connection in list(self.server.wires))
+        return self.server is None or all(
+            connection.write_buffer.empty() for connection in list(self.server.connections)
+        )
 
     # ---- requests ----
 
--- a/wickdyke/worker/runtime.py
+++ b/wickdyke/worker/runtime.py
@@ -73,7 +73,7 @@
         }
 
     def open(self) -> None:
-        """Starts to serve; raises AddressInUse, OSError."""
+        """Starts to serve; raises AddressInUseError, OSError."""
         threads = {"schedule": self._run_schedule, "parent": self._watch_parent, "meter": self._measure_periodically}
         for name, target in threads.items():
             threading.Thread(target=target, name=name, daemon=True).start()
--- a/wickdyke/worker/store.py
+++ b/wickdyke/worker/store.py
@@ -38,7 +38,7 @@
     """Serves from its construction until it is closed."""
 
     def __init__(self, address: str, folder: str, rate: float, max_readers: int) -> None:
-        """`rate` is bytes per second for all readers together; raises AddressInUse where the address can't be had."""
+        """`rate` is bytes per second for all readers together; raises AddressInUseError."""
         self.folder = FolderStore(folder)
         self.max_readers = max_readers
         self.rate_limiter = RateLimiter(rate)
