--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -90,7 +90,7 @@
         waits = []
         self.until(serving.coordinator.events.empty, "the list")
         never = Mock(return_value=float("inf"))
-        patch.object(serving.coordinator, "next_at", never).start()
+        patch.object(serving.coordinator, "next_deadline", never).start()
         patch.object(serving.loop, "next_deadline", never).start()
         with patch.object(serving.loop, "run_once", lambda wait, between: waits.append(wait)):
             self.terminate()
--- a/wickdyke/gateway/coordinator.py
+++ b/wickdyke/gateway/coordinator.py
@@ -147,16 +147,16 @@
         self.workers.close()
 
     def _run(self) -> None:
-        while self.turn_once(max(0.0, self.next_at() - self.context.now())):
+        while self.run_once(max(0.0, self.next_deadline() - self.context.now())):
             pass
 
     # ---- for its thread, or for the event loop that runs it ----
 
-    def next_at(self) -> float:
+    def next_deadline(self) -> float:
         """When it is due next (monotonic ms), if no event arrives before."""
         return min(self.router.wake_at, self.timers.next_deadline(), self.requests.next_deadline())
 
-    def turn_once(self, wait: float = 0.0) -> bool:
+    def run_once(self, wait: float = 0.0) -> bool:
         """Handles the events that wait (after at most `wait` ms for a first one), timers that are due, and decisions.
 
         Returns False once it is to end.
--- a/wickdyke/platform/service.py
+++ b/wickdyke/platform/service.py
@@ -129,7 +129,7 @@
     def open(self) -> None:
         """Starts to serve. Raises OSError where it can't listen."""
         self.coordinator.post(EndpointsReceived(self.configuration.initial_events))
-        self.coordinator.turn_once()
+        self.coordinator.run_once()
         self.discovery.open()
         self.client_server.listen()
         self.client_server.serving = True
@@ -189,10 +189,10 @@
         wait = (
             0.0
             if not coordinator.events.empty()
-            else min(coordinator.next_at(), self.loop.next_deadline(), self._next_shutdown_step()) - clock()
+            else min(coordinator.next_deadline(), self.loop.next_deadline(), self._next_shutdown_step()) - clock()
         )
-        self.loop.run_once(min(wait, MAX_WAIT), coordinator.turn_once)
-        coordinator.turn_once()
+        self.loop.run_once(min(wait, MAX_WAIT), coordinator.run_once)
+        coordinator.run_once()
         if self.reload_requested:
             self._reload()
         if self.shutdown_requested_at is None:
