--- /dev/null
+++ b/tests/test_architecture.py
@@ -0,0 +1,91 @@
+"""The layers that docs/architecture.md states: imports go down its table, and no circle of imports stands."""
+
+import ast
+import re
+import unittest
+from graphlib import CycleError, TopologicalSorter
+from pathlib import Path
+
+ROOT = Path(__file__).resolve().parent.parent
+PACKAGE = "wickdyke"
+PAGE = ROOT / "docs" / "architecture.md"
+TABLE_ROW = re.compile(r"^\| `(\w+)/` \|", re.MULTILINE)
+STANDARD_LIBRARY_ONLY = ("routing", "simulator")
+
+
+def module_name(path: Path) -> str:
+    """The dotted name of a module's file."""
+    parts = path.relative_to(ROOT).with_suffix("").parts
+    return ".".join(parts[:-1] if parts[-1] == "__init__" else parts)
+
+
+def imports_of(path: Path) -> set[str]:
+    """The dotted names that a module imports, wherever the statement stands but under TYPE_CHECKING."""
+    names: set[str] = set()
+    for node in ast.walk(ast.parse(path.read_text(encoding="utf-8"))):
+        if isinstance(node, ast.Import):
+            names.update(alias.name for alias in node.names)
+        elif isinstance(node, ast.ImportFrom) and node.module:
+            names.update(f"{node.module}.{alias.name}" for alias in node.names)
+    return names
+
+
+class Layers(unittest.TestCase):
+    """Imports between and inside the packages of the gateway."""
+
+    @classmethod
+    def setUpClass(cls) -> None:
+        """Reads every module once."""
+        paths = {module_name(path): path for path in sorted((ROOT / PACKAGE).rglob("*.py"))}
+        cls.imports = {name: imports_of(path) for name, path in paths.items()}
+        cls.layers = TABLE_ROW.findall(PAGE.read_text(encoding="utf-8"))
+
+    def modules_imported(self, name: str) -> set[str]:
+        """The modules of ours that one module imports."""
+        found = set()
+        for imported in self.imports[name]:
+            for candidate in (imported, imported.rpartition(".")[0]):
+                if candidate in self.imports and candidate != name:
+                    found.add(candidate)
+                    break
+        return found
+
+    def test_the_table_lists_every_package(self) -> None:
+        """No package is missing from the page, and none stands there that is gone."""
+        packages = {path.parent.name for path in (ROOT / PACKAGE).glob("*/__init__.py")}
+        self.assertEqual(set(self.layers), packages)
+
+    def test_imports_go_down_the_table(self) -> None:
+        """No module imports a package that stands above its own."""
+        rank = {package: number for number, package in enumerate(self.layers)}
+        upward = []
+        for name in self.imports:
+            if name.count(".") < 1 or (package := name.split(".")[1]) not in rank:
+                continue
+            for imported in self.modules_imported(name):
+                if imported.count(".") and rank[imported.split(".")[1]] < rank[package]:
+                    upward.append(f"{name} imports {imported}")
+        self.assertEqual(upward, [])
+
+    def test_no_circle_of_imports(self) -> None:
+        """Every module can be read after those that it imports."""
+        graph = {name: self.modules_imported(name) for name in self.imports}
+        try:
+            TopologicalSorter(graph).prepare()
+        except CycleError as error:
+            self.fail(f"circle of imports: {' -> '.join(error.args[1])}")
+
+    def test_the_decisions_import_the_standard_library_alone(self) -> None:
+        """What the simulator runs needs no package that is installed."""
+        allowed = (f"{PACKAGE}.routing", f"{PACKAGE}.config.deployment_settings", f"{PACKAGE}.simulator")
+        for package in STANDARD_LIBRARY_ONLY:
+            for name in self.imports:
+                if not name.startswith(f"{PACKAGE}.{package}"):
+                    continue
+                ours = {each for each in self.imports[name] if each.split(".")[0] == PACKAGE}
+                with self.subTest(module=name):
+                    self.assertEqual([each for each in ours if not each.startswith(allowed)], [])
+
+
+if __name__ == "__main__":
+    unittest.main()
