--- a/bench/recording.py
+++ b/bench/recording.py
@@ -1,10 +1,10 @@
-"""Records what a hollow front end was told and decided, for `wickdyke replay` and tests/test_simulated_fleet.py.
+"""Records the inputs and decisions of a front end of the simulated fleet, for `wickdyke replay` and its tests.
 
     python -m bench.recording OUT.gz [SEED [WORKERS]]
 
-A fleet of 120 workers, fewer than one cell holds, or of as many as are asked for, in which workers drain, go, start
-anew and fail. By its seed functions are loaded by requests or by prewarms alone, and crossing zones costs or does not.
-A text of the module that decides otherwise is found by its first decision that differs.
+The fleet has WORKERS workers, by default 120: fewer than one cell holds. Workers drain, leave, restart and fail. The
+seed sets whether functions are loaded by requests or by prewarms alone, and whether crossing zones has a cost. A change
+of the router that decides otherwise shows as the first decision that differs.
 """
 
 import gzip
@@ -16,33 +16,47 @@
 
 from bench.simulated_fleet import Draw, HollowFleet, Settings, listing
 from wickdyke.gateway.recording import DecisionRecorder
+from wickdyke.routing.model import EndpointState
 
-WORKERS, SPAN = 120, 24000.0
+WORKERS = 120
+DURATION = 24000.0  # ms of simulated time
+STEP = 2000.0  # ms between changes of the fleet
+REQUESTS_PER_S = 60.0
 
 
 def record(path: str, seed: int = 1, workers: int = WORKERS) -> None:
-    """Plays the fleet and writes the recording, compressed."""
+    """Runs the fleet and writes the recording, compressed."""
     settings = Settings(front_ends=20, zones=2, loads_on_call=bool(seed % 2), crossing=0.05 * (seed % 3), memory=4000.0)
     with tempfile.TemporaryDirectory() as folder:
-        raw = os.path.join(folder, "tape")
-        tape = DecisionRecorder(raw)
-        fleet = HollowFleet(settings, [listing(number, 2, kind=0) for number in range(workers)], 1, seed, tape)
-        fleet.clients(60.0, Draw(400, 0.9, seed), SPAN)
-        chance, number = random.Random(seed), workers
-        for at in range(2, int(SPAN / 1000), 2):
-            fleet.run(at * 1000.0)
-            leave = chance.sample(list(fleet.workers.values()), 6)
-            fleet.announce([replace(worker.endpoint, state="draining") for worker in leave[:3]])
-            fleet.announce([replace(worker.endpoint, state="gone") for worker in leave[3:]])
-            fleet.announce([listing(number + each, 2, started_at=fleet.now) for each in range(3)])
-            for worker in chance.sample(list(fleet.workers.values()), 3):
-                worker.dead = not worker.dead
-            number += 3
-        fleet.run(SPAN + 5000.0)
-        tape.close()
-        with open(raw, "rb") as source, open(path, "wb") as sink:
-            with gzip.GzipFile(fileobj=sink, mode="wb", mtime=0) as packed:
-                packed.write(source.read())
+        raw = os.path.join(folder, "recording")
+        recorder = DecisionRecorder(raw)
+        fleet = HollowFleet(settings, [listing(number, 2, kind=0) for number in range(workers)], 1, seed, recorder)
+        fleet.clients(REQUESTS_PER_S, Draw(400, 0.9, seed), DURATION)
+        _change_fleet(fleet, workers, random.Random(seed))
+        fleet.run(DURATION + 5000.0)
+        recorder.close()
+        _compress(raw, path)
+
+
+def _change_fleet(fleet: HollowFleet, next_number: int, chance: random.Random) -> None:
+    """At each step three workers drain, three leave, three join, and three die or recover."""
+    at = STEP
+    while at < DURATION:
+        fleet.run(at)
+        leave = chance.sample(list(fleet.workers.values()), 6)
+        fleet.announce([replace(worker.endpoint, state=EndpointState.DRAINING) for worker in leave[:3]])
+        fleet.announce([replace(worker.endpoint, state=EndpointState.GONE) for worker in leave[3:]])
+        fleet.announce([listing(next_number + offset, 2, started_at=fleet.now) for offset in range(3)])
+        for worker in chance.sample(list(fleet.workers.values()), 3):
+            worker.dead = not worker.dead
+        next_number += 3
+        at += STEP
+
+
+def _compress(source_path: str, path: str) -> None:
+    with open(source_path, "rb") as source, open(path, "wb") as sink:
+        with gzip.GzipFile(fileobj=sink, mode="wb", mtime=0) as packed:  # no time: the same fleet gives the same bytes
+            packed.write(source.read())
 
 
 if __name__ == "__main__":
