--- a/bench/recording.py
+++ b/bench/recording.py
@@ -14,7 +14,8 @@
 import tempfile
 from dataclasses import replace
 
-from bench.simulated_fleet import Draw, HollowFleet, Settings, listing
+from bench.simulated_fleet import SimulatedFleet
+from bench.simulated_worker import Draw, Settings, listing
 from wickdyke.gateway.recording import DecisionRecorder
 from wickdyke.routing.model import EndpointState
 
@@ -26,11 +27,13 @@
 
 def record(path: str, seed: int = 1, workers: int = WORKERS) -> None:
     """Runs the fleet and writes the recording, compressed."""
-    settings = Settings(front_ends=20, zones=2, loads_on_call=bool(seed % 2), crossing=0.05 * (seed % 3), memory=4000.0)
+    settings = Settings(
+        front_ends=20, zones=2, loads_on_demand=bool(seed % 2), cross_zone_cost=0.05 * (seed % 3), memory=4000.0
+    )
     with tempfile.TemporaryDirectory() as folder:
         raw = os.path.join(folder, "recording")
         recorder = DecisionRecorder(raw)
-        fleet = HollowFleet(settings, [listing(number, 2, kind=0) for number in range(workers)], 1, seed, recorder)
+        fleet = SimulatedFleet(settings, [listing(number, 2, kind=0) for number in range(workers)], 1, seed, recorder)
         fleet.clients(REQUESTS_PER_S, Draw(400, 0.9, seed), DURATION)
         _change_fleet(fleet, workers, random.Random(seed))
         fleet.run(DURATION + 5000.0)
@@ -38,7 +41,7 @@
         _compress(raw, path)
 
 
-def _change_fleet(fleet: HollowFleet, next_number: int, chance: random.Random) -> None:
+def _change_fleet(fleet: SimulatedFleet, next_number: int, chance: random.Random) -> None:
     """At each step three workers drain, three leave, three join, and three die or recover."""
     at = STEP
     while at < DURATION:
--- a/bench/scale.py
+++ b/bench/scale.py
@@ -1,4 +1,4 @@
-"""What a front end costs as the fleet grows: slopes along one axis at a time, in hollow fleets, as one JSON file.
+"""What a front end costs as the fleet grows: slopes along one axis at a time, in simulated fleets, as one JSON file.
 
     python -m bench.scale run OUT.json [--axis NAME ...]                every point of the axes, each in its own process
     python -m bench.scale point '{"workers": 5000}'                     one point, printed
@@ -22,7 +22,9 @@
 
 import click
 
-from bench.simulated_fleet import FRAMES, Draw, HollowFleet, Meter, Settings, listing, product_bytes
+from bench.cost_meter import FRAMES, Meter, product_bytes
+from bench.simulated_fleet import SimulatedFleet
+from bench.simulated_worker import Draw, Settings, listing
 from wickdyke.routing.fleet import Fleet
 from wickdyke.routing.placement import Placement
 from wickdyke.routing.router import Router
@@ -101,9 +103,9 @@
     """Plays a point; what one front end cost."""
     control, empty = meter(), resident()
     settings = Settings(
-        front_ends=point.front_ends, idle_timeout=point.idle_timeout * 1000, methods=point.methods, memory=1e9
+        front_ends=point.front_ends, idle_timeout=point.idle_timeout * 1000, class_count=point.methods, memory=1e9
     )
-    fleet = HollowFleet(settings, [], 1)
+    fleet = SimulatedFleet(settings, [], 1)
     if traced:
         tracemalloc.start(FRAMES)
     bare = product_bytes() if traced else 0
@@ -139,7 +141,7 @@
         "longest_ms": 1000 * costs.longest,
         "answers": dict(costs.answers),
         "messages": {verb: costs.decisions[verb] for verb in ("forward", "prewarm", "health_check", "cancel")},
-        "broken": fleet.broken[:3],
+        "broken": fleet.violations[:3],
         "cells": len(front.router.fleet.cells),
         "harness_seconds": time.process_time() - begun,
     }
@@ -159,7 +161,7 @@
     return found
 
 
-def _change_cost(fleet: HollowFleet, point: Point) -> float:
+def _change_cost(fleet: SimulatedFleet, point: Point) -> float:
     """Mean ms of processor time for one row: workers that come, drain, come back and go, by turns."""
     router, spent = fleet.fronts[0].router, 0.0
     for step in range(CHANGES):
--- a/tests/test_simulated_fleet.py
+++ b/tests/test_simulated_fleet.py
@@ -12,7 +12,8 @@
 from unittest.mock import patch
 
 from bench import scale
-from bench.simulated_fleet import Draw, HollowFleet, Settings, listing
+from bench.simulated_fleet import SimulatedFleet
+from bench.simulated_worker import Draw, Settings, listing
 from wickdyke.gateway import recording
 from wickdyke.routing import periods, ranking, router
 from wickdyke.routing.fleet import Fleet
@@ -229,8 +230,8 @@
     return count
 
 
-def hollow(workers, front_ends=1, **more):
-    fleet = HollowFleet(Settings(memory=1e9, **more), [], front_ends)
+def simulated_fleet(workers, front_ends=1, **more):
+    fleet = SimulatedFleet(Settings(memory=1e9, **more), [], front_ends)
     fleet.announce([listing(number) for number in range(workers)])
     fleet.run(1.0)
     return fleet
@@ -241,7 +242,7 @@
         """Draws and lines for a function that is met."""
         counts = []
         for many in SIZES:
-            fleet, drawn = hollow(many), []
+            fleet, drawn = simulated_fleet(many), []
             fleet.run(5000.0)
             front, inner = fleet.fronts[0], ranking.hash_fractions
 
@@ -250,7 +251,7 @@
                 return inner(first, others)
 
             with patch.object(ranking, "hash_fractions", counted):
-                lines = sum(count_lines(fleet.ask, front, name) for name in names(60))
+                lines = sum(count_lines(fleet.submit_request, front, name) for name in names(60))
             counts.append((sum(drawn) / 60, lines))
         self.assertLessEqual(max(drawn for drawn, _ in counts), CAPACITY)
         for drawn, lines in counts[2:]:  # the smallest fleet's cells happen to be smaller than the others'
@@ -261,7 +262,7 @@
         """Bytes for a function that is met once, its worker's books counted in."""
         held = []
         for many in SIZES:
-            fleet = hollow(many)
+            fleet = simulated_fleet(many)
             fleet.clients(127.0, Draw(160000, 0.0, 7), 9000.0)
             tracemalloc.start()
             try:
@@ -274,16 +275,16 @@
     def test_a_worker_that_is_only_listed_costs_little(self):
         tracemalloc.start()
         try:
-            fleets = [hollow(many) for many in (1000, 3000)]
+            fleets = [simulated_fleet(many) for many in (1000, 3000)]
             before = tracemalloc.get_traced_memory()[0]
-            fleets.append(hollow(5000))
+            fleets.append(simulated_fleet(5000))
             each = (tracemalloc.get_traced_memory()[0] - before) / 5000
         finally:
             tracemalloc.stop()
         self.assertLessEqual(each, 2048)
 
     def test_what_is_not_called_within_an_idle_life_is_forgotten(self):
-        fleet = hollow(1000, idle_timeout=5000.0)
+        fleet = simulated_fleet(1000, idle_timeout=5000.0)
         fleet.clients(60.0, Draw(160000, 0.0, 7), 8000.0)
         fleet.run(8000.0)
         known = fleet.fronts[0].router.functions
@@ -294,40 +295,40 @@
 
     def test_no_more_functions_are_known_than_the_bound(self):
         with patch.object(router, "MAX_FUNCTIONS", 200):
-            fleet = hollow(300)
+            fleet = simulated_fleet(300)
             front = fleet.fronts[0]
             for name in names(500):
-                fleet.ask(front, name)
+                fleet.submit_request(front, name)
                 fleet.run(fleet.now + 10.0)
                 out = sum(place.in_flight > 0 for known in front.router.functions.values() for place in known.replicas)
                 self.assertLessEqual(len(front.router.functions), 200 + out)
             fleet.run(fleet.now + 10000.0)
-        self.assertEqual((fleet.broken, front.costs.answers["ok"]), ([], 500))
+        self.assertEqual((fleet.violations, front.costs.answers["ok"]), ([], 500))
 
     def test_a_request_outlives_the_forgetting_of_its_function(self):
         """Requests wait, their functions are forgotten and met again, the list changes: all get their answers."""
         with patch.object(router, "MAX_FUNCTIONS", 40):
-            fleet = hollow(300)
+            fleet = simulated_fleet(300)
             front = fleet.fronts[0]
             front_end = front.router
             for worker in front_end.workers.values():
                 worker.concurrency_limit = 0.0
-            asked = [(name, fleet.ask(front, name)) for name in names(60)]
+            asked = [(name, fleet.submit_request(front, name)) for name in names(60)]
             waiting = [front_end.requests[ident].function for _, ident in asked]
             forgotten = [each for each in waiting if front_end.functions.get(each.name) is not each]
             self.assertTrue(forgotten)
             for each in forgotten[:10]:
-                fleet.ask(front, each.name)
+                fleet.submit_request(front, each.name)
             fleet.announce([listing(number) for number in range(1000, 1100)])
             for worker in front_end.workers.values():
                 worker.concurrency_limit = 8.0
             fleet.run(fleet.now + 6000.0)
             held = {name: cell for cell in front_end.fleet.cells.values() for name in cell.functions}
-            self.assertEqual((fleet.broken, set(held)), ([], set(front_end.functions)))
+            self.assertEqual((fleet.violations, set(held)), ([], set(front_end.functions)))
             self.assertEqual((front.costs.answers.total(), front.costs.answers["ok"]), (70, 70))
 
     def test_a_look_fills_one_cell(self):
-        fleet, runs = hollow(5000), Counter()
+        fleet, runs = simulated_fleet(5000), Counter()
         inner = Placement.run
 
         def counted(fill, cells, now):
@@ -341,7 +342,7 @@
 
     def test_functions_follow_their_cells(self):
         """Whatever the list does, each known function is in the books of the cell that is its home."""
-        fleet, chance = hollow(300), random.Random(2)
+        fleet, chance = simulated_fleet(300), random.Random(2)
         front_end, number = fleet.fronts[0].router, 300
         fleet.clients(60.0, Draw(3000, 0.0, 7), 30000.0)
         for step in range(40):
@@ -359,13 +360,13 @@
                 if front_end.functions[name].fleet_version == front_end.fleet.version:
                     self.assertIs(front_end.fleet.home(name).cell, cell)
         fleet.run(40000.0)
-        self.assertEqual(fleet.broken, [])
+        self.assertEqual(fleet.violations, [])
 
     def test_a_home_that_can_not_serve_sends_on_to_the_next_cell(self):
         """(what is wrong with all of the home's workers) -> the attempt goes to the second cell, for each front end."""
         for wrong in ("shunned", "cold", "at their limit", "without memory", "draining", "gone"):
             with self.subTest(wrong=wrong):
-                fleet, name, chosen = hollow(600, front_ends=3), names(1)[0], set()
+                fleet, name, chosen = simulated_fleet(600, front_ends=3), names(1)[0], set()
                 for front in fleet.fronts:
                     front_end = front.router
                     home, second = list(front_end.fleet.near(function(name), 2))
@@ -381,15 +382,15 @@
                             worker.memory_short_until = fleet.now + 60000.0
                         else:
                             away.append(replace(worker.endpoint, state=wrong))
-                    fleet.tell_list(front, away)
+                    fleet.notify_list(front, away)
                     members = set(second.members)
-                    ident = fleet.ask(front, name)
+                    ident = fleet.submit_request(front, name)
                     (sent,) = front_end.requests[ident].attempts
                     chosen.add(sent.replica.worker.endpoint.ident)
                     self.assertIn(sent.replica.worker.endpoint.ident, members)
                 self.assertEqual(len(chosen), 1)
                 fleet.run(fleet.now + 8000.0)
-                self.assertEqual(fleet.broken, [])
+                self.assertEqual(fleet.violations, [])
 
 
 class Recorded(unittest.TestCase):
@@ -419,8 +420,8 @@
     """A slice of the fleet: 300 front ends, the workers of one zone of three, its functions; all rules judged."""
 
     def test_workers_and_a_zone_are_lost_and_come_back(self):
-        settings = Settings(front_ends=300, zones=3, idle_timeout=6000.0, load=300.0, work=20.0)
-        fleet = HollowFleet(settings, [listing(number, 3) for number in range(240)], 300)
+        settings = Settings(front_ends=300, zones=3, idle_timeout=6000.0, load_time=300.0, work=20.0)
+        fleet = SimulatedFleet(settings, [listing(number, 3) for number in range(240)], 300)
         fleet.rate = 300 * 0.003 / 240  # requests a ms at each front end, over the workers
         fleet.clients(300 * 3.0, Draw(6000, 0.8, 11), 13000.0)
         late, chance = lambda front: 500.0 + front.number % 7 * 100.0, random.Random(4)
@@ -440,10 +441,10 @@
         fleet.announce([replace(row, started_at=fleet.now, state="ready") for row in zone], late)
         fleet.run(13000.0 + settings.deadline + 1.0)
         answers = sum((front.costs.answers for front in fleet.fronts), Counter())
-        self.assertEqual(fleet.broken, [])
+        self.assertEqual(fleet.violations, [])
         self.assertGreater(answers["ok"] / answers.total(), 0.97)
-        self.assertGreater(len(fleet.cold_share), cold // 4)
-        self.assertLess(max(fleet.cold_share.values()), 1.0)
+        self.assertGreater(len(fleet.slow_start_load), cold // 4)
+        self.assertLess(max(fleet.slow_start_load.values()), 1.0)
         waits = sorted(fleet.waits)
         self.assertLess(waits[len(waits) * 99 // 100], 1000.0)
         homes = [len(at) for at in fleet.places().values()]
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -13,7 +13,8 @@
 from math import sqrt
 from unittest.mock import Mock
 
-from bench.simulated_fleet import REPORT_FIELDS, HollowFleet, HollowFrontEnd, HollowWorker, Settings, listing
+from bench.simulated_fleet import SimulatedFleet, SimulatedFrontEnd
+from bench.simulated_worker import REPORT_FIELDS, Settings, SimulatedWorker, listing
 from tests.helpers import Fleet, called, row
 from wickdyke.routing.cells import Cell
 from wickdyke.routing.decisions import Forward
@@ -40,7 +41,7 @@
     return allowed + (3 * sqrt(allowed) + 3 if allowed < 30 else 2 * sqrt(allowed) + 2)
 
 
-class MeasuredServer(HollowWorker):
+class MeasuredServer(SimulatedWorker):
     """A server that reports which share of its present capacity the requests of the last second took."""
 
     def __init__(self, listed: Endpoint, fleet: "MeasuredFleet") -> None:
@@ -52,15 +53,15 @@
         now, born = self.fleet.now, self.endpoint.started_at
         while self.arrived and self.arrived[0] <= now - REPORTED:
             self.arrived.popleft()
-        share = 1.0 if born is None else present_share(self.settings.warmup, now - born)
+        share = 1.0 if born is None else present_share(self.settings.slow_start, now - born)
         utilization = min(1.0, len(self.arrived) * WORK / REPORTED / self.endpoint.size / share)
-        return WorkerLoad.from_values(REPORT_FIELDS, (utilization, float(self.held)))
+        return WorkerLoad.from_values(REPORT_FIELDS, (utilization, float(self.in_flight)))
 
 
-class MeasuredFleet(HollowFleet):
-    """A hollow fleet that keeps each attempt that reached a server in slow start: when, and from which front end."""
+class MeasuredFleet(SimulatedFleet):
+    """A simulated fleet that keeps each attempt that reached a server in slow start: when, and from which front end."""
 
-    rate = None  # the hollow fleet's own judge of slow start is left out
+    rate = None  # the simulated fleet's own check of slow start is left out
 
     def __init__(self, settings: Settings, servers: int, seed: int) -> None:
         super().__init__(settings, [listing(number, 1) for number in range(servers)], settings.front_ends, seed)
@@ -68,7 +69,7 @@
         self.attempts: dict[str, list[tuple[float, int]]] = {}
         self.heard: dict[int, float] = {}  # when each front end was told of the start
 
-    def _forward(self, front: HollowFrontEnd, decision: Forward) -> None:
+    def _forward(self, front: SimulatedFrontEnd, decision: Forward) -> None:
         server = self.workers[decision.worker.endpoint.ident]
         if not server.dead:
             server.arrived.append(self.now)
@@ -84,7 +85,7 @@
         while at < until:
             at += chance.expovariate(capacity * used * (burst if at > RESTART else 1.0))
             (number,) = chance.choices(range(len(parts)), cum_weights=ends)
-            self.at(at, self.ask, self.fronts[number], f"f{chance.randrange(12)}")
+            self.at(at, self.submit_request, self.fronts[number], f"f{chance.randrange(12)}")
 
     def restart(self, servers: int, gone: float, told: tuple[float, float]) -> None:
         """That many servers die and start anew `gone` ms later; each front end is told at its time after that."""
@@ -96,18 +97,18 @@
         self.workers.update((each.ident, MeasuredServer(each, self)) for each in rows)
         for front in self.fronts:
             self.heard[front.number] = self.now + chance.uniform(*told)
-            self.at(self.heard[front.number], self.tell_list, front, rows)
+            self.at(self.heard[front.number], self.notify_list, front, rows)
 
     def start_front_ends_anew(self) -> None:
         """All of them restart and know nothing but the list."""
         old, self.fronts = self.fronts, []
         for before in old:
             before.wake_at = float("-inf")  # the process is gone: it decides nothing more
-            front = HollowFrontEnd(before.number, self.settings.router(self.now, before.number))
-            front.due, front.final = before.due, before.final
+            front = SimulatedFrontEnd(before.number, self.settings.router(self.now, before.number))
+            front.deadlines, front.final = before.deadlines, before.final
             self.fronts.append(front)
             self.heard[front.number] = self.now
-            self.tell_list(front, [server.endpoint for server in self.workers.values()], True)
+            self.notify_list(front, [server.endpoint for server in self.workers.values()], True)
 
     def falls(self) -> list[str]:
         """The servers that fell while over two thirds of the window came from front ends that had been told.
@@ -118,7 +119,7 @@
         return [text for ident in self.attempts for text in self._fall(ident)]
 
     def _fall(self, ident: str) -> Iterable[str]:
-        warmup, window = self.settings.warmup, deque()
+        warmup, window = self.settings.slow_start, deque()
         listed = self.workers[ident].endpoint
         for at, number in self.attempts[ident]:
             window.append((at, number))
@@ -141,7 +142,13 @@
     def played(self, many, warmup, restarted=6, used=0.6, burst=1.0, gone=1000.0, told=(300.0, 600.0), skew=False):
         """The fleet after that day, of `many` front ends, one of which has six times the others' traffic if `skew`."""
         settings = Settings(
-            front_ends=many, zones=1, idle_timeout=60000.0, load=20.0, work=WORK, copy=64.0, warmup=warmup
+            front_ends=many,
+            zones=1,
+            idle_timeout=60000.0,
+            load_time=20.0,
+            work=WORK,
+            replica_memory=64.0,
+            slow_start=warmup,
         )
         fleet, until = MeasuredFleet(settings, 6, seed=1), RESTART + gone + 2.2 * warmup.window
         parts = [6.0 if skew and number == many // 2 else 1.0 for number in range(many)]
--- a/wickdyke/routing/model.py
+++ b/wickdyke/routing/model.py
@@ -247,8 +247,8 @@
     def sum_samples(self, since: float) -> None:
         """Sums up latency and work of the answers received after that time (ms)."""
         trim(self.latency_samples, since)
-        self.sampled_latency = sum(sample.latency for sample in self.latency_samples)
-        self.sampled_work = sum(sample.work for sample in self.latency_samples)
+        self.sampled_latency = sum([sample.latency for sample in self.latency_samples])
+        self.sampled_work = sum([sample.work for sample in self.latency_samples])
 
     def pinned_memory(self) -> float:
         """The part of its memory that is in use by its last report; 0 where none states it."""
