--- a/bench/scale.py
+++ b/bench/scale.py
@@ -24,7 +24,9 @@
 
 import click
 
-from bench.simulated_fleet import FRAMES, Draw, HollowFleet, Meter, Settings, listing, product_bytes
+from bench.cost_meter import FRAMES, Meter, product_bytes
+from bench.simulated_fleet import SimulatedFleet
+from bench.simulated_worker import Draw, Settings, listing
 from wickdyke.routing.fleet import Fleet
 from wickdyke.routing.model import EndpointState
 from wickdyke.routing.placement import Placement
@@ -115,15 +117,15 @@
     return meter
 
 
-def new_fleet(point: Point) -> HollowFleet:
+def new_fleet(point: Point) -> SimulatedFleet:
     """A simulated fleet without workers."""
     settings = Settings(
-        front_ends=point.front_ends, idle_timeout=point.idle_timeout * 1000, methods=point.methods, memory=1e9
+        front_ends=point.front_ends, idle_timeout=point.idle_timeout * 1000, class_count=point.methods, memory=1e9
     )
-    return HollowFleet(settings, [], 1)
+    return SimulatedFleet(settings, [], 1)
 
 
-def list_workers(fleet: HollowFleet, point: Point) -> None:
+def list_workers(fleet: SimulatedFleet, point: Point) -> None:
     """Announces the point's workers, then collects garbage as wickdyke/platform/service.py does."""
     fleet.announce([listing(number) for number in range(point.workers)])
     fleet.run(1.0)
@@ -132,7 +134,7 @@
     gc.set_threshold(*GC_THRESHOLDS)
 
 
-def start_load(fleet: HollowFleet, point: Point) -> None:
+def start_load(fleet: SimulatedFleet, point: Point) -> None:
     """Schedules the point's requests and endpoint changes, and starts to count costs."""
     front_end = fleet.fronts[0]
     front_end.costs = type(front_end.costs)()
@@ -173,7 +175,7 @@
         "longest_ms": 1000 * costs.longest,
         "answers": dict(costs.answers),
         "messages": {verb: costs.decisions[verb] for verb in ("forward", "prewarm", "health_check", "cancel")},
-        "broken": fleet.broken[:3],
+        "broken": fleet.violations[:3],
         "cells": len(front_end.router.fleet.cells),
         "harness_seconds": time.process_time() - started_at,
         "own_ms_a_call": 10 * (core_percent - control_percent) / point.rate,
@@ -205,7 +207,7 @@
     }
 
 
-def _change_cost(fleet: HollowFleet, point: Point) -> float:
+def _change_cost(fleet: SimulatedFleet, point: Point) -> float:
     """Mean ms of processor time for one row: workers that are added, drain, return and are removed, in turn."""
     router = fleet.fronts[0].router
     cpu_seconds = 0.0
