--- a/tests/test_busy_front_end.py
+++ b/tests/test_busy_front_end.py
@@ -1,5 +1,6 @@
 """Requests, closes and events that arrive as a timeout ends or beside clients that never stop sending."""
 
+import contextlib
 import socket
 import struct
 import unittest
@@ -70,10 +71,8 @@
             for sock in list(source.readers):
                 at = sent.setdefault(sock, 0)
                 if at < len(pieces):
-                    try:
+                    with contextlib.suppress(OSError):
                         sock.sendall(pieces[at])
-                    except OSError:
-                        pass
                     sent[sock] += 1
             self.later(100, 20.0, settle=True)
             if serving.endpoints.offset == 2:
--- a/tests/test_descriptor_limit.py
+++ b/tests/test_descriptor_limit.py
@@ -1,5 +1,6 @@
 """A front end with few descriptors, which idle clients try to use up."""
 
+import contextlib
 import json
 import os
 import resource
@@ -62,14 +63,12 @@
             wait_for(self, lambda: back_again.offsets)
 
             def told():  # again and again: without a pulse the stream is left, and asked for anew
-                try:
+                with contextlib.suppress(OSError):
                     back_again.event(
                         rig.event(
                             2, rig.instance("w0", one.address, lifecycle="DELETED"), rig.instance("w9", two.address)
                         )
                     )
-                except OSError:
-                    pass
                 return any("worker=w9" in line for line in lines)
 
             wait_for(self, told)
--- a/tests/test_discovery_faults.py
+++ b/tests/test_discovery_faults.py
@@ -24,15 +24,37 @@
     "socket": ("EACCES", "EAFNOSUPPORT", "EINVAL", "EMFILE", "ENFILE", "ENOBUFS", "ENOMEM", "EPROTONOSUPPORT"),
     "setblocking": ("EBADF", "ENOMEM"),
     "connect_ex": (
-        ("EACCES", "EPERM", "EADDRINUSE", "EADDRNOTAVAIL", "EAFNOSUPPORT", "EAGAIN", "ECONNREFUSED")
-        + ("ENETUNREACH", "ETIMEDOUT", "ENOBUFS", "EHOSTUNREACH", "ENETDOWN")
+        (
+            "EACCES",
+            "EPERM",
+            "EADDRINUSE",
+            "EADDRNOTAVAIL",
+            "EAFNOSUPPORT",
+            "EAGAIN",
+            "ECONNREFUSED",
+            "ENETUNREACH",
+            "ETIMEDOUT",
+            "ENOBUFS",
+            "EHOSTUNREACH",
+            "ENETDOWN",
+        )
     ),
     "SO_ERROR": ("ECONNREFUSED", "ECONNRESET", "ETIMEDOUT", "EHOSTUNREACH", "ENETUNREACH", "EADDRNOTAVAIL"),
     "getsockopt": ("ENOBUFS", "ENOMEM"),
     "register": ("ENOMEM", "ENOSPC"),
     "send": (
-        ("ECONNRESET", "EPIPE", "ETIMEDOUT", "EHOSTUNREACH", "ENETUNREACH", "ENOBUFS", "ENOMEM", "ENOTCONN")
-        + ("EACCES", "ENETDOWN")
+        (
+            "ECONNRESET",
+            "EPIPE",
+            "ETIMEDOUT",
+            "EHOSTUNREACH",
+            "ENETUNREACH",
+            "ENOBUFS",
+            "ENOMEM",
+            "ENOTCONN",
+            "EACCES",
+            "ENETDOWN",
+        )
     ),
     "recv": ("ECONNRESET", "ECONNREFUSED", "ETIMEDOUT", "EHOSTUNREACH", "ENETUNREACH", "ENOTCONN"),
 }
--- a/tests/test_endpoint_list_changes.py
+++ b/tests/test_endpoint_list_changes.py
@@ -13,8 +13,7 @@
 
 class EndpointListChanges(FrontEndCase):
     def lists(self):
-        made = self.made(rig.Bus())
-        return made
+        return self.made(rig.Bus())
 
     def told(self, number):
         self.until(lambda: self.serving.endpoints.offset >= number, f"event {number}")
--- a/tests/test_event_loop_faults.py
+++ b/tests/test_event_loop_faults.py
@@ -277,9 +277,23 @@
 
     def test_connect_gives_an_error(self):
         for code in (
-            (errno.EACCES, errno.EPERM, errno.EADDRINUSE, errno.EADDRNOTAVAIL, errno.EAFNOSUPPORT, errno.EAGAIN)
-            + (errno.EALREADY, errno.EBADF, errno.ECONNREFUSED, errno.EISCONN, errno.ENETUNREACH, errno.ENOTSOCK)
-            + (errno.EPROTOTYPE, errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ENOBUFS, errno.ECONNRESET)
+            errno.EACCES,
+            errno.EPERM,
+            errno.EADDRINUSE,
+            errno.EADDRNOTAVAIL,
+            errno.EAFNOSUPPORT,
+            errno.EAGAIN,
+            errno.EALREADY,
+            errno.EBADF,
+            errno.ECONNREFUSED,
+            errno.EISCONN,
+            errno.ENETUNREACH,
+            errno.ENOTSOCK,
+            errno.EPROTOTYPE,
+            errno.ETIMEDOUT,
+            errno.EHOSTUNREACH,
+            errno.ENOBUFS,
+            errno.ECONNRESET,
         ):
             with self.subTest(errno.errorcode[code]):
                 self.assertEqual(self.dial(connect_ex=Mock(return_value=code)), (None, code))
--- a/tests/test_slow_discovery.py
+++ b/tests/test_slow_discovery.py
@@ -1,5 +1,6 @@
 """Discovery that sends byte by byte, answers with errors, or accepts late."""
 
+import contextlib
 import signal
 import socket
 import unittest
@@ -92,10 +93,8 @@
         self.until(lambda: (self.later(20.0), source.readers)[1], "the next request for the list")
         while serving.endpoints.offset < 2:
             for sock in source.readers[seen:]:
-                try:
+                with contextlib.suppress(OSError):
                     sock.sendall(HEAD + told(2, rig.instance("w1", worker.address)))
-                except OSError:
-                    pass
             seen = len(source.readers)
             self.later(20.0)
         self.assertEqual(len(serving.endpoints), 2)
--- a/wickdyke/platform/thrift.py
+++ b/wickdyke/platform/thrift.py
@@ -11,11 +11,36 @@
 MAX_FIELDS = 32  # entries of a map of fields
 MAX_DEPTH = 8  # of nested values that are skipped
 VERSION = 0x80010000
-CALL, REPLY, EXCEPTION, ONEWAY = 1, 2, 3, 4  # types of messages
-STOP, BOOL, BYTE, DOUBLE, I16, I32, I64, STRING, STRUCT, MAP, SET, LIST = 0, 2, 3, 4, 6, 8, 10, 11, 12, 13, 14, 15
-FIELDS_ARGUMENT, BODY_ARGUMENT = 1, 2  # ids of the arguments of dispatch
+
+# Types of messages.
+CALL = 1
+REPLY = 2
+EXCEPTION = 3
+ONEWAY = 4
+
+# Types of fields and values.
+STOP = 0
+BOOL = 2
+BYTE = 3
+DOUBLE = 4
+I16 = 6
+I32 = 8
+I64 = 10
+STRING = 11
+STRUCT = 12
+MAP = 13
+SET = 14
+LIST = 15
+
+# Ids of the arguments of dispatch.
+FIELDS_ARGUMENT = 1
+BODY_ARGUMENT = 2
+
 SIZES = {BOOL: 1, BYTE: 1, DOUBLE: 8, I16: 2, I32: 4, I64: 8}
-UNKNOWN_METHOD, PROTOCOL_ERROR = 1, 7  # codes of application exceptions
+
+# Codes of application exceptions.
+UNKNOWN_METHOD = 1
+PROTOCOL_ERROR = 7
 
 _I16 = struct.Struct(">h")
 _I32 = struct.Struct(">i")
