--- /dev/null
+++ b/tests/test_concurrency.py
@@ -0,0 +1,72 @@
+"""The limits on the attempts in flight at a worker."""
+
+import unittest
+
+from tests.helpers import Fleet, called
+from wickdyke.routing.decisions import Forward
+
+
+class ConcurrencyTest(unittest.TestCase):
+    """The limits on the attempts in flight at a worker."""
+
+    def test_budget_grows_and_shrinks(self):
+        for outcome, compare in (("ok", self.assertGreater), ("full", self.assertLess), ("error", self.assertLess)):
+            with self.subTest(outcome=outcome):
+                fleet = Fleet(workers=1)
+                fleet.take()
+                worker = fleet.fe.workers["a"]
+                before = worker.memory_budget
+                fleet.fe.prewarm_finished("a", "p", outcome, 1, 800.0)
+                compare(worker.memory_budget, before)
+
+    def test_late_answers_lower_the_limit_once_a_queue(self):
+        """(how the answers of one queue came) -> what becomes of the limit; a load says nothing of it."""
+        at_least = self.assertGreaterEqual
+        for ms, standing, compare in (
+            (700.0, "stood", self.assertLess),
+            (100.0, "stood", at_least),
+            (700.0, "awaited", at_least),
+        ):
+            with self.subTest(ms=ms, standing=standing):
+                fleet = Fleet(workers=1)
+                fleet.lanes = 8
+                fleet.serve(calls=2)
+                worker = fleet.fe.workers["a"]
+                before = worker.concurrency_limit
+                rpcs = [d.request for _ in range(7) for d in fleet.take() if isinstance(d, Forward)]
+                fleet.clock += ms
+                for rpc in rpcs:
+                    fleet.end(rpc, standing=standing)
+                compare(worker.concurrency_limit, before)
+                self.assertGreater(worker.concurrency_limit, before * 0.2)
+
+    def test_cores_by_what_tenants_are_promised(self):
+        """(RPCs a second promised) -> RPCs at once of each of 4 workers, at 200 ms each; a guess where nothing is."""
+        for quotas, want in (((), 4.0), ((16.0, 16.0), 2.0), ((64.0,), 4.0), ((320.0,), 20.0)):
+            with self.subTest(quotas=quotas):
+                fleet = Fleet(workers=4, report=("in_flight",), quotas=quotas)
+                fleet.fe.latency.survey(fleet.cell, [fleet.cell], 200.0, fleet.clock)
+                self.assertAlmostEqual(fleet.fe.latency.cores(fleet.fe.workers["a"]), want)
+
+    def test_no_more_call_outs_than_lanes(self):
+        fleet = Fleet(workers=3)
+        fleet.serve(calls=200)
+        place = next(p for p in fleet.fe.functions["p"].replicas if p.loaded)
+        got = called([d for _ in range(9) for d in fleet.take()])
+        self.assertLessEqual(got.count(place.worker.endpoint.ident), place.loaded * fleet.lanes)
+
+    def test_late_answers_limit_all_our_call_outs(self):
+        """(ms of each answer, busy share) -> whether what one front end has out at all workers is limited."""
+        for ms, busy, limited in ((900.0, 0.95, True), (100.0, 0.95, False), (900.0, 0.5, False)):
+            with self.subTest(ms=ms, busy=busy):
+                fleet = Fleet(workers=6, front_ends=200)
+                for at in range(12):
+                    fleet.fe.health_checked(
+                        "f", "ok", fleet.reported(busy, 6.0)
+                    )  # elsewhere: at a busy home they would be denied
+                    fleet.serve(f"p{at}", calls=2, ms=ms)
+                self.assertEqual(fleet.fe.global_concurrency.concurrency_limit < 9.0, limited)
+
+
+if __name__ == "__main__":
+    unittest.main()
--- /dev/null
+++ b/tests/test_health_checks.py
@@ -0,0 +1,53 @@
+"""Which workers are probed, and what the answers or their absence change."""
+
+import unittest
+
+from tests.helpers import Fleet, called, row, verbs
+
+
+class HealthChecksTest(unittest.TestCase):
+    """Which workers are probed, and what the answers or their absence change."""
+
+    def test_probes_go_by_own_traffic(self):
+        """(RPCs in ten seconds) -> probes at most, with 40 workers."""
+        for rpcs, most in ((0, 8), (20, 18), (100, 58)):
+            with self.subTest(rpcs=rpcs):
+                fleet = Fleet(rows=[row(f"w{n}") for n in range(40)], front_ends=50, probe=True)
+                got = [d for _ in range(rpcs) for d in fleet.serve(calls=1)]
+                got += fleet.pass_time(10000 - fleet.clock + 1000)
+                self.assertTrue(0 < verbs(got).count("health_check") <= most, verbs(got).count("health_check"))
+
+    def test_only_homes_are_probed_in_turn(self):
+        fleet = Fleet(workers=8)
+        self.assertEqual(len(fleet.fe.health_checker.rota), 8)
+        fleet.serve(calls=20)
+        homes = {place.worker for place in fleet.fe.functions["p"].replicas if place.placed}
+        self.assertEqual(set(fleet.fe.health_checker.rota), homes)
+
+    def test_unanswered_probes_shun_and_an_answer_brings_the_trial(self):
+        fleet = Fleet(workers=3, probe=True)
+        home = called(fleet.serve(calls=150))[-1]
+        for _ in range(3):
+            fleet.fe.health_checked(home, "timeout", None)
+        fleet.pass_time(100)
+        self.assertNotIn(home, called(fleet.serve(calls=10, ms=10.0)))
+        fleet.fe.health_checked(home, "ok", None)
+        got = [d for _ in range(3) for d in fleet.take()]
+        self.assertEqual(called(got).count(home), 1)
+
+    def test_an_answer_from_before_the_shun_does_not_end_it(self):
+        """(ms after the shun that an ok comes) -> shuns left of two."""
+        for ms, left in ((100, 2), (6000, 1)):
+            with self.subTest(ms=ms):
+                fleet = Fleet(workers=1)
+                rpc = fleet.take()[0].request
+                worker = rpc.attempts[0].replica.worker
+                for _ in range(2):
+                    fleet.fe.outliers.eject(worker, fleet.clock, "test")
+                fleet.clock += ms
+                fleet.end(rpc)
+                self.assertEqual(worker.ejections, left)
+
+
+if __name__ == "__main__":
+    unittest.main()
--- /dev/null
+++ b/tests/test_prewarming.py
@@ -0,0 +1,148 @@
+"""When a function is loaded ahead of its requests, on which worker, and within which quota."""
+
+import unittest
+
+from tests.helpers import Fleet, called, verbs
+from wickdyke.routing.decisions import Forward, Prewarm
+from wickdyke.routing.ranking import rendezvous_rank
+from wickdyke.routing.replicas import replica_of
+from wickdyke.routing.settings import PrewarmQuota
+
+
+class PrewarmingTest(unittest.TestCase):
+    """When a function is loaded ahead of its requests, on which worker, and within which quota."""
+
+    def test_ration(self):
+        """(free, share, window): orders of any window never exceed free + share x RPCs taken in it."""
+        for free, share, window in ((2.0, 0.1, 5000.0), (0.0, 0.05, 3000.0), (6.0, 0.0, 1000.0)):
+            with self.subTest(free=free, share=share):
+                fleet = Fleet(ration=PrewarmQuota(free, share, window))
+                holds, taken = [], []
+                for at in range(400):
+                    taken.append(fleet.clock)
+                    got = fleet.take(f"p{at % 40}")  # copies are never found, so holds are always wanted
+                    for rpc in [d.request for d in got if isinstance(d, Forward)]:
+                        fleet.clock += 5 * (at < 40)
+                        got += fleet.end(rpc, "miss" if at >= 40 else "ok")  # each was answered once
+                    got += fleet.pass_time(25, step=25)
+                    for _ in [d for d in got if isinstance(d, Prewarm)]:
+                        holds.append(fleet.clock)
+                        recent = [t for t in holds if fleet.clock - t < window]
+                        took = [t for t in taken if fleet.clock - t < window]
+                        self.assertLessEqual(len(recent), free + share * len(took) + 1e-9)
+                self.assertTrue(holds)
+
+    def test_a_miss_site_is_asked_by_a_call_then_given_a_hold(self):
+        """What follows the call-out that asks: ok spends no order; a miss brings one hold, then the call."""
+        for outcome, holds, calls in (("ok", 0, 0), ("miss", 1, 1)):
+            with self.subTest(outcome=outcome):
+                fleet = Fleet(workers=1, loads_on_call=False, holds=None)
+                got = fleet.take()
+                self.assertEqual(verbs(got), ["forward"])
+                got = fleet.end(got[0].request, outcome) + fleet.pass_time(100)
+                self.assertEqual((verbs(got).count("prewarm"), verbs(got).count("forward")), (holds, calls))
+
+    def test_further_copies_are_left_to_workers_where_call_outs_ask(self):
+        for loads_on_call in (True, False):
+            fleet = Fleet(workers=3, loads_on_call=loads_on_call, front_ends=1, holds=None)
+            got = [d for _ in range(30) for d in fleet.take() + fleet.pass_time(20, 10)]
+            for rpc in [d.request for d in got if isinstance(d, Forward)]:
+                got += fleet.end(rpc)
+            got += fleet.pass_time(1500)
+            self.assertEqual(any(d.replicas > 1 for d in got if isinstance(d, Prewarm)), loads_on_call)
+
+    def test_what_was_called_once_is_not_held_ahead(self):  # too late for its own RPC, too, to order one
+        fleet = Fleet(workers=6, loads_on_call=False, holds=None, front_ends=50, tells=False)
+        got, held = fleet.take() + fleet.pass_time(600), 0
+        for rpc in [got[0].request] * 3:
+            held += verbs(fleet.end(rpc, "miss")).count("prewarm")
+            fleet.fe.schedule.next_at = fleet.fe.wake_at = fleet.clock
+            held += verbs(fleet.pass_time(50)).count("prewarm")
+        self.assertEqual(held, 0)
+
+    def test_after_misses_the_hold_goes_to_the_first_home_by_lot(self):
+        for seed in range(4):  # of each front end's own
+            fleet = Fleet(workers=6, loads_on_call=False, holds=None, call_outs=4, seed=seed)
+            got = fleet.take()
+            for place in [replica_of(got[0].request.function, worker) for worker in fleet.ready[:3]]:
+                place.placed = True
+            first = min(fleet.ready[:3], key=lambda w: rendezvous_rank(got[0].request.function, w))
+            while not (held := [d for d in got if isinstance(d, Prewarm)]):
+                got = fleet.end(got[-1].request, "miss") + fleet.pass_time(50)
+            self.assertEqual(held[0].worker, first)
+
+    def test_one_call_out_is_kept_for_after_the_hold(self):
+        fleet = Fleet(workers=3, loads_on_call=False, holds=None, call_outs=1)
+        self.assertEqual(verbs(fleet.take()), ["prewarm"])
+
+    def test_what_nobody_has_tells_nothing_of_workers_and_earns_no_orders(self):
+        """(whether the program was answered before) -> worker shunned after errors, RPCs that count for orders."""
+        for proven in (True, False):
+            with self.subTest(proven=proven):
+                fleet = Fleet(workers=1, ration=PrewarmQuota(1.0, 1.0, 5000.0))
+                fleet.serve(calls=1 if proven else 0)
+                before = len(fleet.fe.prewarm_limiter.requests)
+                for _ in range(4):
+                    for rpc in [d.request for d in fleet.take() if isinstance(d, Forward)]:
+                        fleet.end(rpc, "error", final=True)
+                fleet.pass_time(600)
+                worker = fleet.fe.workers["a"]
+                self.assertEqual(
+                    (bool(worker.ejections), len(fleet.fe.prewarm_limiter.requests) - before > 0), (proven, proven)
+                )
+                self.assertEqual(any(place.placed for place in fleet.fe.functions["p"].replicas), proven)
+
+    def test_requests_for_functions_nobody_has_earn_no_load_orders(self):
+        """Where attempts ask for copies: (functions asked for, whether one exists) -> most orders of a window."""
+        ration = PrewarmQuota(3.0, 0.2, 5000.0)
+        for unknown, known in ((60, False), (60, True), (0, True)):
+            with self.subTest(unknown=unknown, known=known):
+                fleet = Fleet(workers=4, loads_on_call=False, ration=ration, holds=None)
+                done, legitimate = [], 0
+                for number in range(60):
+                    asked = ([f"nobody-has-{number}"] if unknown else []) + (["p"] if known else [])
+                    for name in asked:
+                        got = fleet.take(name)
+                        legitimate += name == "p"
+                        for decision in got:
+                            if isinstance(decision, Forward):
+                                got += fleet.end(decision.request, "ok" if name == "p" else "miss", final=name == "p")
+                            elif isinstance(decision, Prewarm):
+                                found = "ok" if decision.function.name == "p" else "error"
+                                fleet.fe.prewarm_finished(
+                                    decision.worker.endpoint.ident, decision.function.name, found, 1, 1.0
+                                )
+                        done += got
+                    done += fleet.pass_time(20, step=20.0)
+                orders = verbs(done).count("prewarm")
+                self.assertLessEqual(orders, ration.free + ration.share * legitimate)
+                self.assertEqual(len(fleet.fe.prewarm_limiter.requests), legitimate)
+
+    def test_what_was_taken_before_the_first_answer_earns_orders_with_it(self):
+        """(what proves that the function exists, ms after the first request) -> requests counted in the window."""
+        for proof, wait, counted in (("answer", 100, 3), ("order", 100, 3), ("answer", 5100, 1), ("miss", 100, 0)):
+            with self.subTest(proof=proof, wait=wait):
+                fleet = Fleet(workers=1, loads_on_call=False, ration=PrewarmQuota(3.0, 0.2, 5000.0), holds=None)
+                fleet.serve("other", calls=1)
+                fleet.fe.prewarm_limiter.requests.clear()
+                first = fleet.take()[0].request
+                fleet.take()
+                fleet.pass_time(wait)
+                fleet.take()
+                if proof == "order":
+                    fleet.fe.prewarm_finished("a", "p", "ok", 1, 1.0)
+                else:
+                    fleet.end(first, "ok" if proof == "answer" else "miss", number=0)
+                self.assertEqual(len(fleet.fe.prewarm_limiter.requests), counted)
+                self.assertEqual(list(fleet.fe.prewarm_limiter.requests), sorted(fleet.fe.prewarm_limiter.requests))
+
+    def test_front_ends_ask_at_several_homes_before_their_first_fill(self):
+        """(loads on call) -> whether twenty front ends go to different workers with a program that is new to them."""
+        for on_call, several in ((True, False), (False, True)):
+            with self.subTest(on_call=on_call):
+                went = {called(Fleet(workers=8, loads_on_call=on_call, seed=seed).take())[0] for seed in range(20)}
+                self.assertEqual(len(went) > 1, several)
+
+
+if __name__ == "__main__":
+    unittest.main()
