--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -43,6 +43,8 @@
 
 
 class Attempts(unittest.TestCase):
+    """Retries, hedged attempts and queueing as the policy of a route allows them."""
+
     def test_patience(self):
         """A call-out goes out with its attempt's time; without a route with none."""
         fleet = Fleet()
--- a/tests/test_circuit_breaker.py
+++ b/tests/test_circuit_breaker.py
@@ -9,6 +9,8 @@
 
 
 class FunctionBreakersTest(unittest.TestCase):
+    """Circuit breakers of functions whose loads fail."""
+
     def test_failures_that_open_the_breaker(self):
         """(events: the worker of a failed load, + for a load that succeeded; ms between) -> whether it is open then."""
         for events, apart, is_open in (
@@ -104,6 +106,8 @@
 
 
 class RequestBreakersTest(unittest.TestCase):
+    """Circuit breakers of requests that end the replicas they run on."""
+
     def test_replica_ends_that_open_the_breaker(self):
         """(requests in each replica that ended, ms between) -> whether the breaker is open; those of others are not."""
         for requests_in_replicas, apart, is_open in (
--- a/tests/test_client_connection_ends.py
+++ b/tests/test_client_connection_ends.py
@@ -171,6 +171,8 @@
 
 
 class Attempts(TimedFrontEndCase):
+    """No attempt begins for a client that has closed or cancelled."""
+
     def leaves(self, how):
         """A worker rejects an attempt in the turn in which its client's close or cancel is there, too. The worker is
         served first, so the retry is decided before that is read. How many attempts begin after that."""
--- a/tests/test_client_leaving.py
+++ b/tests/test_client_leaving.py
@@ -14,6 +14,8 @@
 
 
 class ClientLeaving(FrontEndCase):
+    """Clients that leave before, during and after an attempt."""
+
     def settings(self, **limits):
         return {**rig.SETTINGS, "limits": {**rig.SETTINGS["limits"], **limits}}
 
@@ -161,6 +163,8 @@
 
 
 class WithoutCancel(FrontEndCase):
+    """Attempts past their time where workers accept no cancel."""
+
     def test_an_attempt_over_its_time_is_left_alone_and_its_place_is_free_later(self):
         limits = {**rig.SETTINGS["limits"], "cancelling": False}
         worker = self.worker()
--- a/tests/test_client_server.py
+++ b/tests/test_client_server.py
@@ -25,6 +25,8 @@
 
 
 class Malformed(unittest.TestCase):
+    """Malformed requests are answered with an error and affect no others."""
+
     @classmethod
     def setUpClass(cls):
         cls.running = Running()
@@ -179,6 +181,8 @@
 
 
 class Bounds(unittest.TestCase):
+    """The bounds on lines, connections, requests and events."""
+
     def test_a_line_that_is_too_long(self):
         """It gets an error and its connection ends; others are served."""
         with Running(more="(bounds (line 1 MB))") as running:
@@ -319,6 +323,8 @@
 
 
 class ListenAddresses(unittest.TestCase):
+    """Requests over a loopback TCP address."""
+
     def test_loopback_tcp(self):
         """The client server on a loopback address with a port."""
         with socket.socket() as free:
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -27,6 +27,8 @@
 
 
 class ConfigFiles(unittest.TestCase):
+    """Valid and invalid settings and endpoint files."""
+
     def read(self, text, reader=gateway_config.read):
         """What the reader returns for a file with that text."""
         with tempfile.TemporaryDirectory() as folder:
@@ -165,6 +167,8 @@
 
 
 class Framing(unittest.TestCase):
+    """The line and JSON-RPC decoders on split, long and random input."""
+
     def test_lines_are_split_and_bounded(self):
         """(pieces received) -> lines, of at most 6 bytes."""
         for pieces, lines in (
--- a/tests/test_configuration_faults.py
+++ b/tests/test_configuration_faults.py
@@ -13,6 +13,8 @@
 
 
 class Signal(FrontEndCase):
+    """A signal to reload a configuration file that cannot be read or used."""
+
     def test_a_file_that_can_not_be_read_for_a_moment_is_read_later(self):
         """(error of open, how often) -> the new address is followed once it can be read; the log says so once."""
         serving = self.front_end(self.worker().address)
@@ -52,6 +54,8 @@
 
 
 class Admission(FrontEndCase):
+    """The time a request waits for admission counts against its deadline."""
+
     def test_time_spent_in_the_queue_is_not_left(self):
         """A request read 1,500 ms before its turn -> its worker is told at most what its client has left by then."""
         worker = self.worker()
--- a/tests/test_coordinator.py
+++ b/tests/test_coordinator.py
@@ -11,6 +11,8 @@
 
 
 class FinalAnswers(unittest.TestCase):
+    """The final answer of each request, whatever its attempts and its client do."""
+
     def test_the_final_answer(self):
         """(workers, method) -> the final answer and its reason, before the client's time is up."""
         for name, workers, method, answer, why in (
--- a/tests/test_discovery_faults.py
+++ b/tests/test_discovery_faults.py
@@ -246,6 +246,8 @@
 
 
 class Following(Case):
+    """The endpoint list is followed on after each failed system call."""
+
     def test_each_call_fails(self):
         """It is asked for again, no event is lost, and nothing is left open."""
 
--- a/tests/test_endpoint_list.py
+++ b/tests/test_endpoint_list.py
@@ -19,6 +19,8 @@
 
 
 class RowAddresses(unittest.TestCase):
+    """Relative addresses in rows of the list."""
+
     def test_relative_addresses(self):
         """(address in the file) -> where the gateway connects, whatever its working directory."""
         with tempfile.TemporaryDirectory(prefix="wd-") as folder:
@@ -35,6 +37,8 @@
 
 
 class MergedEndpoints(unittest.TestCase):
+    """Rows and hellos of a worker merged into one endpoint."""
+
     def test_one_worker(self):
         """(inputs with their times) -> (state, start time) of the endpoint that the last one changed; None for none."""
         far = 100000.0
--- a/tests/test_endpoint_list_changes.py
+++ b/tests/test_endpoint_list_changes.py
@@ -12,6 +12,8 @@
 
 
 class EndpointListChanges(FrontEndCase):
+    """Changes of the endpoint list while workers drain."""
+
     def lists(self):
         return self.made(rig.Bus())
 
--- a/tests/test_event_loop.py
+++ b/tests/test_event_loop.py
@@ -51,6 +51,8 @@
 
 
 class Timers(unittest.TestCase):
+    """Repeated timers that raise, and descriptors used again within an iteration."""
+
     def test_what_comes_again_comes_again_after_it_failed(self):
         faults, calls = [], []
         made = event_loop.EventLoop(faults.append)
--- a/tests/test_event_loop_faults.py
+++ b/tests/test_event_loop_faults.py
@@ -52,6 +52,8 @@
 
 
 class Case(unittest.TestCase):
+    """An event loop whose poll calls may fail, and connected sockets."""
+
     def setUp(self):
         self.now, self.faults = 0.0, []
         patcher = patch.object(event_loop, "clock", lambda: self.now)
@@ -75,6 +77,8 @@
 
 
 class Add(Case):
+    """Failures when a socket is added."""
+
     def test_it_raises_and_keeps_nothing(self):
         """The number is used again by another socket, whose handler alone is told."""
         for code in NO_MEMORY:
@@ -112,6 +116,8 @@
 
 
 class Want(Case):
+    """Failures when the events wanted of a socket change."""
+
     def test_it_is_told_again_until_the_kernel_takes_it(self):
         for code in (*NO_MEMORY, errno.EINTR):
             for times in (1, 2, 5):
@@ -181,6 +187,8 @@
 
 
 class Remove(Case):
+    """Failures when a socket is removed."""
+
     def test_it_never_raises(self):
         for code in (errno.ENOMEM, errno.ENOENT, errno.EBADF, errno.EINTR):
             with self.subTest(errno.errorcode[code]):
@@ -197,6 +205,8 @@
 
 
 class Turn(Case):
+    """Failures of the poll itself and of handlers within an iteration."""
+
     def test_a_poll_that_is_interrupted(self):
         """(which poll): timers and `between` have their turn all the same, the sockets in the next."""
         for nth in (1, 2, 3):
@@ -231,6 +241,8 @@
 
 
 class Received(unittest.TestCase):
+    """Errors when bytes are received."""
+
     def test_each_error(self):
         """(error) -> nothing yet, or the connection has ended."""
         for code, given in (
--- a/tests/test_fault_injection.py
+++ b/tests/test_fault_injection.py
@@ -38,6 +38,8 @@
 
 
 class InvalidRoutesTest(unittest.TestCase):
+    """Routes that validation would have rejected break the rule it guards."""
+
     def test_rule_of_skipped_validation(self):
         """Invalid routes, forced past the validation, break the rule that it guards; else the gateway refuses them."""
         with tempfile.TemporaryDirectory(prefix="wd-") as folder:
@@ -63,6 +65,8 @@
 
 
 class DefectsTest(unittest.TestCase):
+    """The rules that each faulty gateway breaks are found."""
+
     def test_broken_rules_found(self):
         """(defect) -> the rule that the checker must find broken; without a defect all rules are kept."""
         cases = (
@@ -113,6 +117,8 @@
 
 
 class InvalidScenariosTest(unittest.TestCase):
+    """Diagnostics for invalid scenarios."""
+
     def test_diagnostics(self):
         """(an invalid fault) -> words of the one diagnostic."""
         for text, words in (
@@ -142,6 +148,8 @@
 
 
 class CommandsTest(unittest.TestCase):
+    """Exit codes of the commands."""
+
     def test_exit_codes(self):
         """(arguments) -> exit code and words of the output; never a traceback."""
         with tempfile.TemporaryDirectory() as folder:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -34,6 +34,8 @@
 
 
 class Index(unittest.TestCase):
+    """The index of cells, and the workers that rank first for a function."""
+
     def test_draws_are_those_of_draw(self):
         for first in names(20):
             others = [name_hash(name) for name in names(20, seed=9)]
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -21,6 +21,8 @@
 
 
 class CallCommand(unittest.TestCase):
+    """Exit codes of the command `call`."""
+
     def test_exit_codes(self):
         """(arguments) -> the exit code, and words of the output."""
         with tempfile.TemporaryDirectory() as folder:
--- a/tests/test_gateway_shutdown.py
+++ b/tests/test_gateway_shutdown.py
@@ -17,6 +17,8 @@
 
 
 class Shutdown(unittest.TestCase):
+    """Signals that end a gateway, and who owns its socket."""
+
     def serve(self, folder, play, deadline="20 s"):
         """A gateway as a process, with one scripted worker."""
         peer = Peer(folder, "w0", play)
--- a/tests/test_listed_workers.py
+++ b/tests/test_listed_workers.py
@@ -18,6 +18,8 @@
 
 
 class ListedWorkers(unittest.TestCase):
+    """Invalid lists, changed rows, and workers that drain or restart."""
+
     def test_an_invalid_list(self):
         """A list that can't be read leaves the last good one in force, and is logged once."""
         with Running() as running:
--- a/tests/test_listener_faults.py
+++ b/tests/test_listener_faults.py
@@ -137,6 +137,8 @@
 
 
 class Case(unittest.TestCase):
+    """A folder for sockets, and checks that no descriptor or thread is left."""
+
     def setUp(self):
         made = tempfile.TemporaryDirectory(prefix="wd-")
         self.addCleanup(made.cleanup)
@@ -164,6 +166,8 @@
 
 
 class AcceptFails(Case):
+    """Each error of accept, at each connection."""
+
     def test_each_error_at_each_connection(self):
         """The connection waits in the backlog meanwhile, and is then served: none is lost."""
         for listener_class in LISTENERS:
@@ -201,6 +205,8 @@
 
 
 class ThreadFails(Case):
+    """No thread can be started for a connection or for the acceptor."""
+
     def test_no_thread_for_a_connection(self):
         """That one is closed; the next is served."""
         for listener_class in LISTENERS:
@@ -229,6 +235,8 @@
 
 
 class ServingRaises(Case):
+    """Unexpected errors while a connection is served."""
+
     def test_an_unexpected_error(self):
         """It closes the connection; the next is served."""
         before, threads = open_descriptors(), set(threading.enumerate())
@@ -268,6 +276,8 @@
 
 
 class Opening(Case):
+    """Each system call that opens a listener fails."""
+
     def test_each_step_fails(self):
         """(address, call that fails) -> AddressInUseError, and nothing is left open."""
         for address in (os.path.join(self.folder, "s.sock"), "127.0.0.1:0"):
--- a/tests/test_log.py
+++ b/tests/test_log.py
@@ -11,6 +11,8 @@
 
 
 class Logs(unittest.TestCase):
+    """A log whose pipe is full, its levels and formats, and notes of the router."""
+
     def test_a_full_pipe(self):
         """A log pipe that is not read loses lines, and delays no request."""
         out, into = os.pipe()
--- a/tests/test_log_faults.py
+++ b/tests/test_log_faults.py
@@ -21,6 +21,8 @@
 
 
 class Folders(unittest.TestCase):
+    """A folder for the files of a test."""
+
     def setUp(self):
         made = tempfile.TemporaryDirectory(prefix="wd-")
         self.addCleanup(made.cleanup)
@@ -47,6 +49,8 @@
 
 
 class Logs(Folders):
+    """Logs whose writes fail, and pipes that nobody reads."""
+
     def lines(self):
         with open(self.path("log")) as source:
             return source.read().split("\n")
@@ -202,6 +206,8 @@
 
 
 class Recordings(Folders):
+    """Recordings whose writes fail or are too slow."""
+
     def made(self, error, at, log):
         """A recording whose writes fail from the n-th on."""
         real = open
@@ -283,6 +289,8 @@
 
 
 class Traces(Folders):
+    """Traces whose writes fail or are short."""
+
     def setUp(self):
         super().setUp()
         self.enterContext(contextlib.redirect_stderr(io.StringIO()))  # each failed write is reported there
--- a/tests/test_migration.py
+++ b/tests/test_migration.py
@@ -30,6 +30,8 @@
 
 
 class Migration(unittest.TestCase):
+    """The command `move`: migrated files, remarks, and rejected input."""
+
     def setUp(self):
         self.folder = self.enterContext(tempfile.TemporaryDirectory())
         for name, text in (("old", OLD), ("shape", SHAPE), ("workers", ENDPOINTS)):
--- a/tests/test_platform_client_server.py
+++ b/tests/test_platform_client_server.py
@@ -13,6 +13,8 @@
 
 
 class Clients(LoopCase):
+    """Clients of the platform's client server, on real sockets."""
+
     def setUp(self):
         super().setUp()
         methods = [RequestClass("look", "idempotent", "all", 0.0, 500.0, 0.0, 4000.0, 1.0, 0.1)]
--- a/tests/test_platform_parsers.py
+++ b/tests/test_platform_parsers.py
@@ -15,6 +15,8 @@
 
 
 class Thrift(unittest.TestCase):
+    """Thrift requests and their frames."""
+
     def test_reads_requests(self):
         got = thrift.read(GOOD)
         self.assertEqual((got.verb, got.number, got.fields, got.body), ("dispatch", 7, {"c": "look"}, b"hi"))
@@ -58,6 +60,8 @@
 
 
 class Resp(unittest.TestCase):
+    """RESP answers and the ends of their streams."""
+
     def test_answers_in_any_pieces(self):
         stream = rig.bulk(b"a", b"ACK", b"-", b"x\r\ny") + rig.bulk(b"b", b"AGAIN", b"why=c", b"")
         for size in (1, 3, 7, 1000):
@@ -113,6 +117,8 @@
 
 
 class List(unittest.TestCase):
+    """Server-sent events and the endpoint list they describe."""
+
     def test_events_in_any_pieces(self):
         stream = b': pulse\n\nid: 3\ndata: {"a":\ndata: 1}\n\nid: 4\r\ndata: b\r\n\r\nid: 5\ndata: half'
         for size in (1, 4, 1000):
--- a/tests/test_platform_service.py
+++ b/tests/test_platform_service.py
@@ -16,6 +16,8 @@
 
 
 class Config(unittest.TestCase):
+    """Invalid configurations, and the figures derived from valid ones."""
+
     def test_bad_ones_give_one_line_and_2(self):
         """(what is wrong) -> words of the line."""
         good = rig.config("127.0.0.1:1", "127.0.0.1:2", rig.instance("a", "127.0.0.1:3"))
--- a/tests/test_platform_worker_client.py
+++ b/tests/test_platform_worker_client.py
@@ -14,6 +14,8 @@
 
 
 class WorkerConnections(LoopCase):
+    """Connections to a worker: outcomes, cancels, the pool, drains."""
+
     def upstream(self, play=None, dial=5000.0, most=20):
         self.worker = rig.Worker(play)
         self.addCleanup(self.worker.close)
--- a/tests/test_recordings.py
+++ b/tests/test_recordings.py
@@ -13,6 +13,8 @@
 
 
 class Recordings(unittest.TestCase):
+    """Recordings replayed, and a disk that is too slow for them."""
+
     def test_replay(self):
         """The same inputs give the same decisions, without sockets; a decision changed by hand is found."""
         with Running(
--- a/tests/test_route_config.py
+++ b/tests/test_route_config.py
@@ -40,6 +40,8 @@
 
 
 class RouteConfigTest(unittest.TestCase):
+    """Inherited fields, round trips, and large files."""
+
     def test_inherited(self):
         """A value is that of the nearest route that states it; the method's comes last."""
         got = read_routes(
--- a/tests/test_route_matching.py
+++ b/tests/test_route_matching.py
@@ -6,6 +6,8 @@
 
 
 class MatchingTest(unittest.TestCase):
+    """The most specific route, ambiguities, and the cost of a lookup."""
+
     def test_most_specific(self):
         table = RouteTable(
             [
--- a/tests/test_route_validation.py
+++ b/tests/test_route_validation.py
@@ -14,6 +14,8 @@
 
 
 class RouteValidationTest(unittest.TestCase):
+    """Rejected and accepted routes files."""
+
     def test_rejected(self):
         """(fields of a route, environment) -> words of the one diagnostic."""
         side, tok = (f'(route "r" (takes (method "{name}")) ' for name in ("side", "tok"))
@@ -172,6 +174,8 @@
 
 
 class PolicyValidationTest(unittest.TestCase):
+    """The nearest policies that are accepted, and the rules they keep."""
+
     def test_nearest_passes(self):
         """The policies that a violation suggests are accepted, and their neighbours are not."""
         chance = random.Random(5)
--- a/tests/test_router_scale.py
+++ b/tests/test_router_scale.py
@@ -22,6 +22,8 @@
 
 
 class FrontEnds(unittest.TestCase):
+    """The costs of requests, functions and workers in fleets of growing size."""
+
     def test_a_function_costs_the_same_in_every_fleet(self):
         """Draws and lines for a function that is met."""
         counts = []
--- a/tests/test_routes_in_force.py
+++ b/tests/test_routes_in_force.py
@@ -14,6 +14,8 @@
 
 
 class RoutesInForce(unittest.TestCase):
+    """The policy of the route in force, before and after its file changes."""
+
     ROUTE = '(route "r" (takes (method "idem")) (deadline %d ms) (attempt 300 ms) (attempts %d) (again timeout))'
 
     def test_the_policy_of_a_route(self):
--- a/tests/test_service_shutdown_races.py
+++ b/tests/test_service_shutdown_races.py
@@ -13,6 +13,8 @@
 
 
 class ShutdownRaces(FrontEndCase):
+    """Requests that arrive as the front end shuts down."""
+
     def test_in_flight_half_read_and_in_the_backlog(self):
         """SIGTERM: all that was taken is answered, also by a connection the program has not looked at yet."""
         serving = self.front_end(self.worker().address)
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -28,6 +28,8 @@
 
 
 class Moments(TimedFrontEndCase):
+    """The moments of the steps of a shutdown, for short and long deadlines."""
+
     def plays(self, longest, step=5.0):
         """Requests to a worker that hangs, at many moments after SIGTERM: each has its final answer before SIGKILL."""
         serving = self.front_end(self.worker(), settings=with_deadline(longest))
@@ -127,6 +129,8 @@
 
 
 class Listener(TimedFrontEndCase):
+    """Connections made as the listener closes."""
+
     def test_a_connection_1_ms_before_it_closes(self):
         self.front_end(self.worker())
         self.terminate()
@@ -203,6 +207,8 @@
 
 
 class LastLook(TimedFrontEndCase):
+    """Requests that arrive in the last iteration before connections are closed."""
+
     def test_a_request_just_before_idle_connections_are_closed(self):
         """It crosses the end after all was looked at: it is read before its connection is closed, and answered."""
         serving = self.front_end(self.worker())
--- a/tests/test_simulated_fleet.py
+++ b/tests/test_simulated_fleet.py
@@ -15,6 +15,8 @@
 
 
 class Recorded(unittest.TestCase):
+    """Decisions of recorded runs, replayed."""
+
     def test_a_fleet_that_fits_one_cell_is_decided_as_before(self):
         """Recordings of the module without cells, by bench/recording.py at 171417b: every decision is the same."""
         folder = os.path.join(os.path.dirname(__file__), "recordings")
@@ -25,6 +27,8 @@
 
 
 class Page(unittest.TestCase):
+    """The tables of docs/CAPACITY.md are those of its measurement files."""
+
     def test_the_tables_of_the_page_are_those_of_the_files(self):
         """Every line of the measured tables stands on docs/CAPACITY.md as bench.scale prints it."""
         root = os.path.dirname(os.path.dirname(__file__))
--- a/tests/test_simulator.py
+++ b/tests/test_simulator.py
@@ -24,6 +24,8 @@
 
 
 class Wire(unittest.TestCase):
+    """Valid and invalid frames on the wire."""
+
     def test_good(self):
         """(what follows the start) -> the verbs of the last reply."""
         head = "MARK\t1000\n" + START + LIST + END
--- a/tests/test_worker_client.py
+++ b/tests/test_worker_client.py
@@ -87,6 +87,8 @@
 
 
 class WorkerClients(unittest.TestCase):
+    """Outcomes of attempts, restarts, cancels and drains of a worker client."""
+
     def setUp(self):
         made = tempfile.TemporaryDirectory(prefix="wd-")
         self.addCleanup(made.cleanup)
@@ -282,6 +284,8 @@
 
 
 class WriteBuffers(unittest.TestCase):
+    """The order and the bound of a write buffer."""
+
     def test_order_and_bound(self):
         """All bytes arrive in their order, whoever wrote them; past the bound PeerTooSlowError is raised."""
         here, there = socket.socketpair()
--- a/tests/test_worker_connection_faults.py
+++ b/tests/test_worker_connection_faults.py
@@ -7,6 +7,8 @@
 
 
 class Paths(WorkerConnectionCase):
+    """Every system call on the path of a command fails once or three times."""
+
     def test_every_call_fails_once_or_thrice(self):
         """For every call that the path makes, every errno of it, and sockets that take all at once or choke."""
         worker, healthy = self.workers()
--- a/tests/test_write_buffer.py
+++ b/tests/test_write_buffer.py
@@ -11,6 +11,8 @@
 
 
 class NoThread(unittest.TestCase):
+    """A write buffer whose thread cannot be started."""
+
     def test_the_connection_is_told_as_ended_and_a_later_thread_is_tried(self):
         ours, theirs = socket.socketpair()
         self.addCleanup(ours.close)
