--- a/wickdyke/routing/dispatcher.py
+++ b/wickdyke/routing/dispatcher.py
@@ -223,16 +223,12 @@
         warm = self.latency.is_loaded(replica, now)
         worker.open_records(WORKER_RECORDS)
         expected = self.latency.expected_latency(replica, request, now)
-        attempt = Attempt(
-            request=request,
-            number=len(request.attempts),
-            replica=replica,
-            sent_at=now,
-            expected_latency=expected,
-            warm=warm,
-            active_at_worker=active_attempts(worker, now),
-            active_in_total=active_attempts(self.global_concurrency, now),
-            overdue_at=now + max(MIN_OVERDUE, OVERDUE_FACTOR * expected),
+        active_at_worker = active_attempts(worker, now)
+        active_in_total = active_attempts(self.global_concurrency, now)
+        overdue_at = now + max(MIN_OVERDUE, OVERDUE_FACTOR * expected)
+        number = len(request.attempts)
+        attempt = Attempt(  # by position: keywords would take twice the time
+            request, number, replica, now, expected, warm, active_at_worker, active_in_total, overdue_at
         )
         begin_attempt(attempt)
         self.global_concurrency.in_flight.append(attempt)
--- a/wickdyke/routing/inputs.py
+++ b/wickdyke/routing/inputs.py
@@ -25,16 +25,10 @@
     @classmethod
     def from_values(cls, fields: Sequence[str], values: Sequence[float] | None) -> "WorkerLoad | None":
         """The report of these values, in the order of `fields`; None where there are none."""
-        named = dict(zip(fields, values or (), strict=False))
-        if not named or values is None:
+        if not fields or not values:
             return None
-        return cls(
-            named.get("utilization"),
-            named.get("in_flight"),
-            named.get("queued", 0.0),
-            named.get("pinned", 0.0),
-            tuple(values),
-        )
+        named = dict(zip(fields, values, strict=False)).get
+        return cls(named("utilization"), named("in_flight"), named("queued", 0.0), named("pinned", 0.0), tuple(values))
 
 
 class RequestReceived(NamedTuple):
--- a/wickdyke/routing/model.py
+++ b/wickdyke/routing/model.py
@@ -5,8 +5,10 @@
 """
 
 from collections import deque
+from collections.abc import Callable
 from dataclasses import dataclass, field
 from enum import StrEnum
+from operator import attrgetter
 from typing import Any, NamedTuple
 
 from wickdyke.routing.samples import NO_SAMPLES, Recent, Samples, trim
@@ -108,6 +110,10 @@
     own_in_flight: int
 
 
+_latency_of: Callable[[LatencySample], float] = attrgetter("latency")
+_work_of: Callable[[LatencySample], float] = attrgetter("work")
+
+
 @dataclass(slots=True, eq=False, repr=False)
 class RequestClass:
     """A class of requests, as the settings state it.
@@ -247,8 +253,8 @@
     def sum_samples(self, since: float) -> None:
         """Sums up latency and work of the answers received after that time (ms)."""
         trim(self.latency_samples, since)
-        self.sampled_latency = sum([sample.latency for sample in self.latency_samples])
-        self.sampled_work = sum([sample.work for sample in self.latency_samples])
+        self.sampled_latency = sum(map(_latency_of, self.latency_samples))
+        self.sampled_work = sum(map(_work_of, self.latency_samples))
 
     def pinned_memory(self) -> float:
         """The part of its memory that is in use by its last report; 0 where none states it."""
