--- a/tests/test_configuration_faults.py
+++ b/tests/test_configuration_faults.py
@@ -6,13 +6,13 @@
 from unittest.mock import patch
 
 from tests import platform_rig as rig
-from tests.test_fleet import NOWHERE, Handed
+from tests.front_end_rig import NOWHERE, FrontEndCase
 from wickdyke.platform import configuration, service
 
 MOMENTARY = (errno.EMFILE, errno.ENFILE, errno.ENOMEM, errno.EIO, errno.ENOENT)
 
 
-class Signal(Handed):
+class Signal(FrontEndCase):
     def test_a_file_that_can_not_be_read_for_a_moment_is_read_later(self):
         """(error of open, how often) -> the new address is followed once it can be read; the log says so once."""
         serving = self.front_end(self.worker().address)
@@ -33,7 +33,7 @@
                         patch.object(configuration, "open", failing, create=True),
                         patch.object(service, "REREAD_AFTER", 1.0),
                     ):
-                        serving._read(1, None)
+                        serving._request_reload(1, None)
                         self.until(
                             lambda address=address: serving.discovery.address == configuration.address(address, "")
                         )
@@ -44,14 +44,14 @@
         serving = self.front_end(self.worker().address)
         with open(self.path, "w") as out:
             out.write("{")
-        serving._read(1, None)
-        self.until(lambda: not serving.reload_asked)
+        serving._request_reload(1, None)
+        self.until(lambda: not serving.reload_requested)
         self.assertEqual(
             (serving.reload_pending, serving.discovery.address), (False, configuration.address(NOWHERE, ""))
         )
 
 
-class Admission(Handed):
+class Admission(FrontEndCase):
     def test_time_spent_in_the_queue_is_not_left(self):
         """A request read 1,500 ms before its turn -> its worker is told at most what its client has left by then."""
         worker = self.worker()
--- a/tests/test_discovery_faults.py
+++ b/tests/test_discovery_faults.py
@@ -24,15 +24,37 @@
     "socket": ("EACCES", "EAFNOSUPPORT", "EINVAL", "EMFILE", "ENFILE", "ENOBUFS", "ENOMEM", "EPROTONOSUPPORT"),
     "setblocking": ("EBADF", "ENOMEM"),
     "connect_ex": (
-        ("EACCES", "EPERM", "EADDRINUSE", "EADDRNOTAVAIL", "EAFNOSUPPORT", "EAGAIN", "ECONNREFUSED")
-        + ("ENETUNREACH", "ETIMEDOUT", "ENOBUFS", "EHOSTUNREACH", "ENETDOWN")
+        (
+            "EACCES",
+            "EPERM",
+            "EADDRINUSE",
+            "EADDRNOTAVAIL",
+            "EAFNOSUPPORT",
+            "EAGAIN",
+            "ECONNREFUSED",
+            "ENETUNREACH",
+            "ETIMEDOUT",
+            "ENOBUFS",
+            "EHOSTUNREACH",
+            "ENETDOWN",
+        )
     ),
     "SO_ERROR": ("ECONNREFUSED", "ECONNRESET", "ETIMEDOUT", "EHOSTUNREACH", "ENETUNREACH", "EADDRNOTAVAIL"),
     "getsockopt": ("ENOBUFS", "ENOMEM"),
     "register": ("ENOMEM", "ENOSPC"),
     "send": (
-        ("ECONNRESET", "EPIPE", "ETIMEDOUT", "EHOSTUNREACH", "ENETUNREACH", "ENOBUFS", "ENOMEM", "ENOTCONN")
-        + ("EACCES", "ENETDOWN")
+        (
+            "ECONNRESET",
+            "EPIPE",
+            "ETIMEDOUT",
+            "EHOSTUNREACH",
+            "ENETUNREACH",
+            "ENOBUFS",
+            "ENOMEM",
+            "ENOTCONN",
+            "EACCES",
+            "ENETDOWN",
+        )
     ),
     "recv": ("ECONNRESET", "ECONNREFUSED", "ETIMEDOUT", "EHOSTUNREACH", "ENETUNREACH", "ENOTCONN"),
 }
@@ -166,7 +188,11 @@
         patcher.start()
         self.addCleanup(patcher.stop)
         made = discovery.DiscoveryClient(
-            self.loop, self.where(address or self.source.address), self.last, self.take, Mock(), 200.0, 1
+            self.loop,
+            discovery.DiscoverySettings(self.where(address or self.source.address), 200.0, 1),
+            self.last,
+            self.take,
+            Mock(),
         )
         made.open()
         return made
@@ -181,17 +207,17 @@
     def take(self, events):
         self.told += [event["offset"] for event in events if event["offset"] > self.last()]
 
-    def turn(self, made):
+    def run_once(self, made):
         waits = made.sock is None
         if waits:
             self.now += 10
-        self.loop.turn(0.0 if waits else 1.0, lambda: None)
+        self.loop.run_once(0.0 if waits else 1.0, lambda: None)
 
     def until_told(self, made, many=EVENTS):
         ends = time.monotonic() + rig.LONG
         while len(self.told) < many:
             self.assertLess(time.monotonic(), ends, f"told {self.told}, {dict(made.counts)}")
-            self.turn(made)
+            self.run_once(made)
         self.assertEqual(self.told[:many], list(range(1, many + 1)))
 
     def end(self, made):
@@ -225,13 +251,13 @@
 
         def check(calls, made):
             # A read that fails after the event has come costs nothing: the connection would have ended there.
-            self.assertGreater(made.counts["asked"], EVENTS - (calls.name == "recv"))
+            self.assertGreater(made.counts["connects"], EVENTS - (calls.name == "recv"))
 
         self.each(FATAL, check)
 
     def test_each_call_fails_and_the_connection_goes_on(self):
         """No further try is needed."""
-        self.each(PASSING, lambda calls, made: self.assertLessEqual(made.counts["asked"], EVENTS))
+        self.each(PASSING, lambda calls, made: self.assertLessEqual(made.counts["connects"], EVENTS))
 
     def test_each_call_fails_for_a_while(self):
         self.each(FATAL, lambda calls, made: None, times=4)
@@ -243,7 +269,7 @@
             with self.subTest(piece=piece):
                 made = self.follow(SystemCalls(piece=piece))
                 self.until_told(made)
-                self.assertLessEqual(made.counts["asked"], EVENTS)
+                self.assertLessEqual(made.counts["connects"], EVENTS)
                 self.end(made)
         self.assertGreaterEqual(self.source.asked, asked + 3 * EVENTS)
 
@@ -252,7 +278,7 @@
         self.each({"send": FATAL["send"]}, lambda calls, made: None, piece=PIECE)
         self.each(
             {"send": PASSING["send"]},
-            lambda calls, made: self.assertLessEqual(made.counts["asked"], EVENTS),
+            lambda calls, made: self.assertLessEqual(made.counts["connects"], EVENTS),
             piece=PIECE,
         )
 
@@ -264,17 +290,17 @@
             self.assertLess(time.monotonic(), ends)
             if made.connected:
                 self.now += 10
-            self.turn(made)
-        self.assertEqual(made.counts["asked"], 1)
+            self.run_once(made)
+        self.assertEqual(made.counts["connects"], 1)
         self.end(made)
 
     def test_what_nobody_foresaw_in_a_try_is_tried_again(self):
         made = self.follow(SystemCalls("socket", 1, errno.EMFILE))
         faults = []
-        self.loop.fault = faults.append
+        self.loop.on_error = faults.append
         with patch.object(discovery, "dial", Mock(side_effect=MemoryError)):
             while not faults:
-                self.turn(made)
+                self.run_once(made)
         self.until_told(made)
         made.close()
         self.loop.close()
@@ -292,7 +318,7 @@
                 self.before = open_descriptors()
                 made = self.follow(SystemCalls())
                 for _ in range(turns):
-                    self.turn(made)
+                    self.run_once(made)
                 made.follow(self.where(other.address))
                 asked, had = other.asked, len(self.told)
                 self.until_told(made, had + 2)
@@ -310,7 +336,7 @@
                 ends = time.monotonic() + rig.LONG
                 while calls.count < nth:
                     self.assertLess(time.monotonic(), ends)
-                    self.turn(made)
+                    self.run_once(made)
                 calls.times = 0
                 made.follow(self.where(self.source.address))
                 self.until_told(made)
@@ -323,12 +349,12 @@
         for _ in range(10):
             made.follow(self.where(self.source.address))
         while self.now < 3000:
-            self.turn(made)
-        asked = made.counts["asked"]
+            self.run_once(made)
+        asked = made.counts["connects"]
         while self.now < 4000:
-            self.turn(made)
-        self.assertLessEqual(made.counts["asked"] - asked, 1000 / 100 + 1)
-        self.assertGreaterEqual(made.counts["asked"] - asked, 1000 / 220 - 1)
+            self.run_once(made)
+        self.assertLessEqual(made.counts["connects"] - asked, 1000 / 100 + 1)
+        self.assertGreaterEqual(made.counts["connects"] - asked, 1000 / 220 - 1)
         calls.times = 0
         self.until_told(made)
         self.end(made)
@@ -339,7 +365,7 @@
         for at in range(20):
             made.follow(self.where(self.source.address))
             if at % 3 == 0:
-                self.loop.turn(0.0, lambda: None)
+                self.loop.run_once(0.0, lambda: None)
         self.until_told(made)
         self.end(made)
         self.assertTrue(until(lambda: threading.active_count() == threads))
--- a/tests/test_event_loop_faults.py
+++ b/tests/test_event_loop_faults.py
@@ -36,10 +36,10 @@
 
 
 class Handler:
-    """Notes what it is told."""
+    """Records its calls."""
 
-    def __init__(self, first=True):
-        self.first, self.told = first, []
+    def __init__(self, priority=event_loop.Priority.HIGH):
+        self.priority, self.told = priority, []
 
     def readable(self):
         self.told.append("readable")
@@ -69,9 +69,9 @@
             end.setblocking(False)
         return ends
 
-    def turn(self, span=0.0):
+    def run_once(self, span=0.0):
         self.now += span
-        self.loop.turn(0.0, lambda: None)
+        self.loop.run_once(0.0, lambda: None)
 
 
 class Add(Case):
@@ -94,7 +94,7 @@
                 used = mine if mine.fileno() == number else other
                 self.loop.add(used, fresh)
                 (other if used is mine else mine).send(b"x")
-                self.turn()
+                self.run_once()
                 self.loop.remove(used)
                 mine.close()
                 other.close()
@@ -107,7 +107,7 @@
         with self.assertRaises(FileExistsError):
             self.loop.add(mine, two)
         other.send(b"x")
-        self.turn()
+        self.run_once()
         self.assertEqual((one.told, two.told), (["readable"], []))
 
 
@@ -120,12 +120,12 @@
                     mine, _ = self.pair()
                     self.loop.add(mine, handler)
                     self.epoll.errors = {"modify": [failure(code)] * times}
-                    self.loop.want(mine, True)
+                    self.loop.set_interest(mine, True)
                     for _ in range(times):
-                        self.turn()
+                        self.run_once()
                         self.assertEqual(handler.told, [])
-                        self.turn(event_loop.MODIFY_RETRY)
-                    self.turn()
+                        self.run_once(event_loop.MODIFY_RETRY)
+                    self.run_once()
                     self.assertEqual(handler.told, ["writable"])
                     self.assertEqual((self.loop.unmodified, self.faults), ({}, []))
                     self.loop.remove(mine)
@@ -136,10 +136,10 @@
         mine, _ = self.pair()
         self.loop.add(mine, handler)
         self.epoll.errors = {"modify": [failure(errno.ENOMEM)]}
-        self.loop.want(mine, True)
-        self.loop.want(mine, False)
+        self.loop.set_interest(mine, True)
+        self.loop.set_interest(mine, False)
         for _ in range(3):
-            self.turn(event_loop.MODIFY_RETRY)
+            self.run_once(event_loop.MODIFY_RETRY)
         self.assertEqual(handler.told, [])
 
     def test_two_that_fail_one_after_the_other(self):
@@ -147,10 +147,10 @@
         mine, _ = self.pair()
         self.loop.add(mine, handler)
         self.epoll.errors = {"modify": [failure(errno.ENOMEM)] * 2}
-        self.loop.want(mine, False)
-        self.loop.want(mine, True)
-        self.turn(event_loop.MODIFY_RETRY)
-        self.turn()
+        self.loop.set_interest(mine, False)
+        self.loop.set_interest(mine, True)
+        self.run_once(event_loop.MODIFY_RETRY)
+        self.run_once()
         self.assertEqual((handler.told, self.loop.timers.heap), (["writable"], []))
 
     def test_another_socket_with_its_number_is_not_changed(self):
@@ -159,7 +159,7 @@
         number = mine.fileno()
         self.loop.add(mine, old)
         self.epoll.errors = {"modify": [failure(errno.ENOMEM)]}
-        self.loop.want(mine, True)
+        self.loop.set_interest(mine, True)
         self.loop.remove(mine)
         mine.close()
         again = socket.socket()
@@ -168,7 +168,7 @@
         self.loop.add(again, fresh)
         with patch.object(self.epoll, "modify", Mock(), create=True) as modify:
             for _ in range(3):
-                self.turn(event_loop.MODIFY_RETRY)
+                self.run_once(event_loop.MODIFY_RETRY)
             modify.assert_not_called()
         self.assertEqual((old.told, self.faults), ([], []))
 
@@ -176,7 +176,7 @@
         """A mistake of the caller: it is told."""
         mine, _ = self.pair()
         with self.assertRaises(FileNotFoundError):
-            self.loop.want(mine, True)
+            self.loop.set_interest(mine, True)
         self.assertEqual((self.loop.unmodified, self.loop.timers.heap), ({}, []))
 
 
@@ -190,9 +190,9 @@
                 self.epoll.errors = {"unregister": [failure(code)]}
                 self.loop.remove(mine)
                 other.send(b"x")
-                self.turn()
+                self.run_once()
                 mine.close()
-                self.turn()
+                self.run_once()
                 self.assertEqual((handler.told, self.loop.handlers, self.faults), ([], {}, []))
 
 
@@ -206,26 +206,26 @@
                 self.loop.add(mine, handler)
                 other.send(b"x")
                 self.epoll.errors = {"poll": [None] * (nth - 1) + [InterruptedError(errno.EINTR, "interrupted")]}
-                self.loop.at(self.now, due)
+                self.loop.call_at(self.now, due)
                 for _ in range(nth):
-                    self.loop.turn(0.0, between)
+                    self.loop.run_once(0.0, between)
                 self.assertEqual(handler.told, ["readable"] * (nth - 1))
                 due.assert_called_once_with()
                 self.assertEqual(between.call_count, nth)
-                self.turn()
+                self.run_once()
                 self.assertEqual(handler.told, ["readable"] * nth)
                 self.loop.remove(mine)
 
     def test_a_handler_whose_end_fails_too(self):
         """The others are served."""
-        bad, good = Handler(), Handler(first=False)
+        bad, good = Handler(), Handler(event_loop.Priority.NORMAL)
         bad.readable = Mock(side_effect=KeyError("unforeseen"))
         bad.broken = Mock(side_effect=failure(errno.EIO))
         for handler in (bad, good):
             mine, other = self.pair()
             self.loop.add(mine, handler)
             other.send(b"x")
-        self.turn()
+        self.run_once()
         self.assertEqual(good.told, ["readable"])
         self.assertEqual([type(fault) for fault in self.faults], [KeyError, OSError])
 
@@ -246,7 +246,7 @@
             (errno.ENOTCONN, b""),
         ):
             with self.subTest(errno.errorcode[code]):
-                self.assertEqual(event_loop.received(Mock(recv=Mock(side_effect=failure(code))), 100), given)
+                self.assertEqual(event_loop.receive(Mock(recv=Mock(side_effect=failure(code))), 100), given)
 
 
 class Dial(unittest.TestCase):
@@ -277,9 +277,23 @@
 
     def test_connect_gives_an_error(self):
         for code in (
-            (errno.EACCES, errno.EPERM, errno.EADDRINUSE, errno.EADDRNOTAVAIL, errno.EAFNOSUPPORT, errno.EAGAIN)
-            + (errno.EALREADY, errno.EBADF, errno.ECONNREFUSED, errno.EISCONN, errno.ENETUNREACH, errno.ENOTSOCK)
-            + (errno.EPROTOTYPE, errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ENOBUFS, errno.ECONNRESET)
+            errno.EACCES,
+            errno.EPERM,
+            errno.EADDRINUSE,
+            errno.EADDRNOTAVAIL,
+            errno.EAFNOSUPPORT,
+            errno.EAGAIN,
+            errno.EALREADY,
+            errno.EBADF,
+            errno.ECONNREFUSED,
+            errno.EISCONN,
+            errno.ENETUNREACH,
+            errno.ENOTSOCK,
+            errno.EPROTOTYPE,
+            errno.ETIMEDOUT,
+            errno.EHOSTUNREACH,
+            errno.ENOBUFS,
+            errno.ECONNRESET,
         ):
             with self.subTest(errno.errorcode[code]):
                 self.assertEqual(self.dial(connect_ex=Mock(return_value=code)), (None, code))
--- a/tests/test_gateway_shutdown.py
+++ b/tests/test_gateway_shutdown.py
@@ -13,7 +13,7 @@
 from tests.rig import CALL_OUTS, LONG, TERMS, Client, Peer, hello, lines_of, ok, until
 from tests.scripted_workers import silent
 from wickdyke.config.endpoint_file import EndpointRow, format_endpoints
-from wickdyke.transport.line_server import AddressInUse, listener
+from wickdyke.transport.line_server import AddressInUseError, listener
 
 
 class Shutdown(unittest.TestCase):
@@ -46,10 +46,10 @@
         def slow(sock, number):
             source = lines_of(sock)
             hello(sock, source)
-            for asked in source:
-                if asked["method"] == "run":
+            for request in source:
+                if request["method"] == "run":
                     go.wait(LONG)
-                    sock.sendall(ok(asked["id"]))
+                    sock.sendall(ok(request["id"]))
 
         with tempfile.TemporaryDirectory(prefix="wd-") as folder:
             process, path = self.serve(folder, slow)
@@ -60,11 +60,11 @@
             process.send_signal(signal.SIGTERM)
             self.assertTrue(until(lambda: not os.path.exists(path)))
             client.ask(2, "side")
-            got = client.answer()
-            self.assertEqual((got["id"], got["error"]["data"]["why"]), (2, "stopping"))
+            received = client.answer()
+            self.assertEqual((received["id"], received["error"]["data"]["why"]), (2, "stopping"))
             go.set()
-            got = client.answer()
-            self.assertEqual((got["id"], got["result"]["answer"]), (1, "ok"))
+            received = client.answer()
+            self.assertEqual((received["id"], received["result"]["answer"]), (1, "ok"))
             self.assertEqual(process.wait(LONG), 0)
             client.close()
 
@@ -85,7 +85,7 @@
         """A socket in use is kept; one that a killed process left is replaced; a file is not touched."""
         with tempfile.TemporaryDirectory(prefix="wd-") as folder:
             process, path = self.serve(folder, silent)
-            with self.assertRaisesRegex(AddressInUse, "somebody live"):
+            with self.assertRaisesRegex(AddressInUseError, "somebody live"):
                 listener(path)
             process.kill()
             process.wait()
@@ -96,7 +96,7 @@
             plain = os.path.join(folder, "plain")
             with open(plain, "w") as out:
                 out.write("x")
-            with self.assertRaisesRegex(AddressInUse, "no socket"):
+            with self.assertRaisesRegex(AddressInUseError, "no socket"):
                 listener(plain)
             self.assertTrue(os.path.exists(plain))
 
--- a/wickdyke/fault_injection/fake_store.py
+++ b/wickdyke/fault_injection/fake_store.py
@@ -59,7 +59,7 @@
     """Answers each fetch after its duration, later when many run at once."""
 
     def __init__(self, config: FakeStoreConfig) -> None:
-        """Listens from now on; raises AddressInUse, or OSError where the trace can't be opened."""
+        """Listens from now on; raises AddressInUseError, or OSError where the trace can't be opened."""
         self.config = config
         self.record = TraceRecorder(config.trace, "store")
         self.lock = threading.RLock()
--- a/wickdyke/fault_injection/fake_worker/transport.py
+++ b/wickdyke/fault_injection/fake_worker/transport.py
@@ -16,7 +16,7 @@
     """Serves gateways on the worker's socket. All messages are handled under the worker's lock."""
 
     def __init__(self, worker: FakeWorker) -> None:
-        """Listens from now on; raises AddressInUse."""
+        """Listens from now on; raises AddressInUseError."""
         self.worker = worker
         self.handlers: dict[str, Callable[[LineConnection, jsonrpc.Request], None]] = {
             "hello": self._hello,
--- a/wickdyke/jsonrpc/client_connection.py
+++ b/wickdyke/jsonrpc/client_connection.py
@@ -18,7 +18,7 @@
 from wickdyke.jsonrpc.requests import CheckedRequest, RequestChecker
 from wickdyke.protocol import client_messages, jsonrpc
 from wickdyke.protocol.framing import LineReader, LineTooLongError
-from wickdyke.transport.write_buffer import OutgoingMessage, PeerTooSlow, WriteBuffer
+from wickdyke.transport.write_buffer import OutgoingMessage, PeerTooSlowError, WriteBuffer
 
 READ_SIZE = 1 << 18  # bytes read at a time
 STACK_SIZE = 512 * 1024  # bytes of a thread's stack: enough for the decoder's greatest nesting, as measured
@@ -123,7 +123,7 @@
         """Writes without waiting; a client that does not read is disconnected."""
         try:
             self.write_buffer.put(OutgoingMessage(line))
-        except PeerTooSlow as error:
+        except PeerTooSlowError as error:
             self._log_disconnected(f"does not read: {error}")
             self.owner.counts["unread"] += 1
             self.write_buffer.close()
--- a/wickdyke/jsonrpc/worker_client.py
+++ b/wickdyke/jsonrpc/worker_client.py
@@ -32,7 +32,7 @@
 from wickdyke.protocol import jsonrpc, worker_messages
 from wickdyke.protocol.framing import LineTooLongError
 from wickdyke.routing.model import Outcome
-from wickdyke.transport.write_buffer import Expired, OutgoingMessage, PeerTooSlow, WriteBuffer
+from wickdyke.transport.write_buffer import MessageExpiredError, OutgoingMessage, PeerTooSlowError, WriteBuffer
 
 MIN_RECONNECT_PAUSE = 100.0  # ms between attempts to connect while no command waits: at first
 MAX_RECONNECT_PAUSE = 1000.0  # ms
@@ -115,7 +115,7 @@
             try:
                 if not self.write_buffer.put(OutgoingMessage(line, lambda: self._cancelled(command, done))):
                     return Withdrawal.PENDING
-            except (PeerTooSlow, OSError):
+            except (PeerTooSlowError, OSError):
                 self.write_buffer.close()
                 return Withdrawal.PENDING  # the reader reports it as lost
             self.commands.end(command.number)
@@ -185,10 +185,10 @@
         self.commands.begin(command, message)
         try:
             write_buffer.put(message)
-        except Expired:
+        except MessageExpiredError:
             self.commands.end(command.number)
             return Outcome.UNSENT
-        except (PeerTooSlow, OSError):
+        except (PeerTooSlowError, OSError):
             # The reader finds the connection ended and reports all that is in flight; this one is certain now.
             write_buffer.close()
             if not message.begun:
