--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""A front end on a small made-up fleet, and ways to drive it."""
+"""A router with a small fleet, and helpers that pass it inputs."""
 
 from wickdyke.routing.decisions import Cancel, Fail, FollowEndpoints, Forward, HealthCheck, LogNote, Prewarm, Reject
 from wickdyke.routing.inputs import AttemptFinished, RequestReceived, WorkerLoad
@@ -25,7 +25,7 @@
 
 
 class Fleet:
-    """One front end with workers a, b, c ...; `clock` is its time."""
+    """One front end with workers a, b, c ...; `clock` is its time (ms)."""
 
     def __init__(
         self,
@@ -33,47 +33,47 @@
         effect="idempotent",
         scope="all",
         front_ends=2,
-        call_outs=4,
+        attempts=4,
         seed=7,
-        ration=None,
-        overlap=False,
-        loads_on_call=True,
-        rows=None,
-        probe=False,
-        holds="ok",
-        report=("utilization", "in_flight"),
-        tells=True,
+        prewarm_quota=None,
+        hedging=False,
+        loads_on_demand=True,
+        endpoints=None,
+        health_checks=False,
+        prewarm_outcome="ok",
+        report_fields=("utilization", "in_flight"),
+        reports_concurrency=True,
         quotas=(),
-        crossing=0.0,
-        seat=0,
+        cross_zone_cost=0.0,
+        index=0,
     ):
-        self.clock, self.ids, self.holds, self.lanes = 1000.0, 0, holds, 2
-        self.method = RequestClass("m", effect, scope, 2000.0, 800.0, 0.0, 4000.0, 1.0, 0.2)
-        self.fe = Router(
+        self.clock, self.ids, self.prewarm_outcome, self.concurrency = 1000.0, 0, prewarm_outcome, 2
+        self.request_class = RequestClass("m", effect, scope, 2000.0, 800.0, 0.0, 4000.0, 1.0, 0.2)
+        self.router = Router(
             self.clock,
             seed,
-            [self.method],
+            [self.request_class],
             RouterSettings(
-                GatewayInstance(seat, front_ends, 0, report, False),
-                AttemptLimits(call_outs, overlap, True, probe, 0.0, 250.0),
-                FunctionCache((32000.0,), 10000.0, True, loads_on_call, 10000.0, True, tells),
+                GatewayInstance(index, front_ends, 0, report_fields, False),
+                AttemptLimits(attempts, hedging, True, health_checks, 0.0, 250.0),
+                FunctionCache((32000.0,), 10000.0, True, loads_on_demand, 10000.0, True, reports_concurrency),
                 SlowStart(0.2, 18000.0, 2.0, 2000.0),
-                ration or PrewarmQuota(0.0, 0.0, 0.0),
+                prewarm_quota or PrewarmQuota(0.0, 0.0, 0.0),
                 Discovery(True, 10000.0, 1000.0),
-                CostWeights(0.1, 0.05, 0.05, 0.01, crossing, 0.05),
+                CostWeights(0.1, 0.05, 0.05, 0.01, cross_zone_cost, 0.05),
                 TenantQuotas(quotas),
             ),
         )
-        self.list(rows if rows is not None else [row(name) for name in "abcdefghij"[:workers]])
+        self.list(endpoints if endpoints is not None else [row(name) for name in "abcdefghij"[:workers]])
 
     def reported(self, *values):
         """A worker's load report with these values, in the order of the settings' report fields."""
-        return WorkerLoad.from_values(self.fe.instance.report_fields, values)
+        return WorkerLoad.from_values(self.router.instance.report_fields, values)
 
     @property
     def cell(self):
         """The one cell that all its workers fit."""
-        (cell,) = self.fe.fleet.cells.values()
+        (cell,) = self.router.fleet.cells.values()
         return cell
 
     @property
@@ -84,43 +84,47 @@
     def placement(self):
         return self.cell.placement
 
-    def list(self, rows, whole=True):
-        self.fe.advance(self.clock)
-        self.fe.endpoints_changed(rows, whole)
+    def list(self, endpoints, whole=True):
+        self.router.advance(self.clock)
+        self.router.endpoints_changed(endpoints, whole)
         return self.pull()
 
     def pull(self):
-        """All decisions but the notes; holds found the copies standing."""
-        done = [d for d in iter(self.fe.decide, None) if not isinstance(d, LogNote)]
-        for each in [d for d in done if isinstance(d, Prewarm) and self.holds]:
-            self.fe.prewarm_finished(each.worker.endpoint.ident, each.function.name, self.holds, each.replicas, 1.0)
+        """All decisions but the notes; prewarms end at once with `prewarm_outcome`, if that is given."""
+        done = [d for d in iter(self.router.decide, None) if not isinstance(d, LogNote)]
+        for prewarm in [d for d in done if isinstance(d, Prewarm) and self.prewarm_outcome]:
+            self.router.prewarm_finished(
+                prewarm.worker.endpoint.ident, prewarm.function.name, self.prewarm_outcome, prewarm.replicas, 1.0
+            )
         return done
 
-    def take(self, function="p", left=4000.0, timing=None):
+    def take(self, function="p", time_left=4000.0, policy=None):
         self.ids += 1
-        self.fe.advance(self.clock)
-        received = RequestReceived(self.ids, left, self.method, function, 4000.0, self.lanes, None, None, False, timing)
-        self.fe.request_received(received)
+        self.router.advance(self.clock)
+        received = RequestReceived(
+            self.ids, time_left, self.request_class, function, 4000.0, self.concurrency, None, None, False, policy
+        )
+        self.router.request_received(received)
         return self.pull()
 
-    def end(self, request, outcome="ok", number=None, standing="stood", final=None):
+    def end(self, request, outcome="ok", number=None, load_note="stood", final=None):
         final = outcome == "ok" if final is None else final
         number = len(request.attempts) - 1 if number is None else number
-        standing = standing if outcome == "ok" else None
-        self.fe.advance(self.clock)
-        self.fe.attempt_finished(AttemptFinished(request.ident, number, outcome, final, standing, 0, None))
+        load_note = load_note if outcome == "ok" else None
+        self.router.advance(self.clock)
+        self.router.attempt_finished(AttemptFinished(request.ident, number, outcome, final, load_note, 0, None))
         return self.pull()
 
     def pass_time(self, ms, step=50.0):
         done = []
         for _ in range(round(ms / step)):
             self.clock += step
-            self.fe.advance(self.clock)
+            self.router.advance(self.clock)
             done += self.pull()
         return done
 
-    def serve(self, function="p", calls=20, ms=100.0, standing="stood"):
-        """Calls one after another, each answered ok; what was decided."""
+    def serve(self, function="p", calls=20, ms=100.0, load_note="stood"):
+        """Sends requests one after another, each answered ok; returns all decisions."""
         done = []
         for _ in range(calls):
             got = self.take(function)
@@ -128,7 +132,7 @@
             request = next((d.request for d in got if isinstance(d, Forward)), None)
             self.clock += ms
             if request is not None:
-                done += self.end(request, standing=standing)
+                done += self.end(request, load_note=load_note)
         return done
 
 
@@ -148,7 +152,7 @@
 
 
 def called(decisions):
-    """The ident of each worker called, in order."""
+    """The ident of each worker that a request was forwarded to, in order."""
     return [d.worker.endpoint.ident for d in decisions if isinstance(d, Forward)]
 
 
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -46,7 +46,7 @@
     def test_patience(self):
         """A call-out goes out with its attempt's time; without a route with none."""
         fleet = Fleet()
-        self.assertEqual(first(fleet.take(timing=timing())).timeout, 500.0)
+        self.assertEqual(first(fleet.take(policy=timing())).timeout, 500.0)
         self.assertIsNone(first(fleet.take()).timeout)
 
     def test_outcomes(self):
@@ -64,8 +64,8 @@
             (["cancelled", "full", "full"], {"retryable": frozenset()}, "idempotent", 2, "reject"),
         ):
             with self.subTest(outcomes=outcomes, more=more, effect=effect):
-                fleet = Fleet(workers=8, effect=effect, call_outs=4)
-                done = fleet.take(timing=timing(**more))
+                fleet = Fleet(workers=8, effect=effect, attempts=4)
+                done = fleet.take(policy=timing(**more))
                 rpc, all_done = first(done).request, list(done)
                 for outcome in outcomes:
                     if rpc.closed:
@@ -82,7 +82,7 @@
             ((0.0, 1.0, 1e9, 0.0), (0.0, 0.0)),
         ):
             fleet = Fleet(workers=8)
-            rpc = first(fleet.take(timing=timing(backoff=pause))).request
+            rpc = first(fleet.take(policy=timing(backoff=pause))).request
             for wait in least:
                 with self.subTest(pause=pause, wait=wait):
                     done, ended = fleet.end(rpc, "full", final=False), fleet.clock
@@ -90,8 +90,8 @@
                         if done:
                             break
                         fleet.clock += 1
-                        fleet.fe.advance(fleet.clock)
-                        done = fleet.pull() if fleet.clock >= fleet.fe.wake_at else []
+                        fleet.router.advance(fleet.clock)
+                        done = fleet.pull() if fleet.clock >= fleet.router.wake_at else []
                     self.assertIn("forward", verbs(done))
                     took = fleet.clock - ended
                     self.assertGreaterEqual(took, wait)
@@ -100,7 +100,7 @@
     def test_pause_past_the_end(self):
         """An RPC whose pause would outlast it is answered before its time is up."""
         fleet = Fleet(workers=8)
-        rpc = first(fleet.take(left=1000.0, timing=timing(backoff=(5000.0, 1.0, 1e9, 0.0)))).request
+        rpc = first(fleet.take(time_left=1000.0, policy=timing(backoff=(5000.0, 1.0, 1e9, 0.0)))).request
         fleet.end(rpc, "full", final=False)
         self.assertIn("reject", verbs(fleet.pass_time(1000)))
 
@@ -112,7 +112,7 @@
         def failing(many):
             calls = 0
             for _ in range(many):
-                done = fleet.take(f"p{fleet.ids % 5}", timing=terms)
+                done = fleet.take(f"p{fleet.ids % 5}", policy=terms)
                 rpc = first(done).request
                 calls += fail(fleet, rpc)
             return calls - many
@@ -129,7 +129,7 @@
             timing(budget_terms=(1e4, 0.0, floor), budget_key=name) for name, floor in (("poor", 1.0), ("rich", 9.0))
         )
         for terms, calls in ((poor, 2), (poor, 1), (rich, 3), (poor, 1), (rich, 3)):
-            rpc = first(fleet.take(timing=terms)).request
+            rpc = first(fleet.take(policy=terms)).request
             self.assertEqual(fail(fleet, rpc), calls)
 
     def test_budget_goes_on(self):
@@ -138,11 +138,11 @@
         before, after = (
             timing(budget_terms=(1e4, 0.5, 0.0), budget_key=name, priority=at) for at, name in enumerate(("r", "r"))
         )
-        old = first(fleet.take(timing=before)).request
+        old = first(fleet.take(policy=before)).request
         for _ in range(3):
-            fleet.end(first(fleet.take(timing=after)).request, "ok", final=True)
+            fleet.end(first(fleet.take(policy=after)).request, "ok", final=True)
         self.assertEqual(fail(fleet, old), 3)
-        self.assertEqual(fail(fleet, first(fleet.take(timing=after)).request), 1)
+        self.assertEqual(fail(fleet, first(fleet.take(policy=after)).request), 1)
 
     def test_time_outs_lower_the_limits(self):
         """(outcome, terms, busy share, standing) -> whether the limits on our call-outs fall: a route's attempts that
@@ -159,16 +159,19 @@
             with self.subTest(outcome=outcome, terms=terms, busy=busy):
                 fleet = Fleet(workers=1)
                 fleet.serve(calls=8)
-                worker = fleet.fe.workers["a"]
-                before = worker.concurrency_limit, fleet.fe.global_concurrency.concurrency_limit
+                worker = fleet.router.workers["a"]
+                before = worker.concurrency_limit, fleet.router.global_concurrency.concurrency_limit
                 for _ in range(12):
-                    fleet.fe.health_checked("a", "ok", fleet.reported(busy, 4.0))
-                    called = [d.request for d in fleet.take(timing=terms) if isinstance(d, Forward)]
+                    fleet.router.health_checked("a", "ok", fleet.reported(busy, 4.0))
+                    called = [d.request for d in fleet.take(policy=terms) if isinstance(d, Forward)]
                     while called and not called[0].closed:
                         fleet.clock += 120.0
                         fleet.end(called[0], outcome, final=terms is None)
                 self.assertEqual(
-                    (worker.concurrency_limit < before[0], fleet.fe.global_concurrency.concurrency_limit < before[1]),
+                    (
+                        worker.concurrency_limit < before[0],
+                        fleet.router.global_concurrency.concurrency_limit < before[1],
+                    ),
                     (lowered, lowered),
                 )
 
@@ -185,8 +188,8 @@
             (True, "idempotent", None, 300, 1),
         ):
             with self.subTest(overlap=overlap, effect=effect, second=second, ms=ms):
-                fleet = Fleet(workers=6, overlap=overlap, effect=effect)
-                rpc = first(fleet.take(timing=timing(hedge=second))).request
+                fleet = Fleet(workers=6, hedging=overlap, effect=effect)
+                rpc = first(fleet.take(policy=timing(hedge=second))).request
                 fleet.pass_time(ms)
                 workers = [co.replica.worker for co in rpc.attempts if co.outcome is None]
                 self.assertEqual(len(workers), out)
@@ -196,18 +199,18 @@
         """The loser is cancelled; its answer on the way changes nothing; a failed one leaves the other out."""
         for begins, want in ((("ok", 0), ["cancel"]), (("ok", 1), ["cancel"]), (("error", 0), [])):
             with self.subTest(begins=begins):
-                fleet = Fleet(workers=6, overlap=True)
-                rpc = first(fleet.take(timing=timing(hedge=(200.0, 2, 1.0)))).request
+                fleet = Fleet(workers=6, hedging=True)
+                rpc = first(fleet.take(policy=timing(hedge=(200.0, 2, 1.0)))).request
                 fleet.pass_time(300)
                 outcome, number = begins
                 self.assertEqual(verbs(fleet.end(rpc, outcome, number)), want)
                 self.assertEqual(verbs(fleet.end(rpc, "ok", 1 - number, final=True)), [])
-                self.assertNotIn(rpc.ident, fleet.fe.requests)
+                self.assertNotIn(rpc.ident, fleet.router.requests)
 
     def test_queue_and_priority(self):
         """What waits for a first place is denied after its queueing time; the dearest by priority goes first."""
-        fleet = Fleet(workers=1, holds=None)  # a placement may order a second copy: it is to have one lane
-        fleet.lanes = 1
+        fleet = Fleet(workers=1, prewarm_outcome=None)  # a placement may order a second copy: it is to have one lane
+        fleet.concurrency = 1
         served = fleet.serve(calls=5)
         self.assertTrue(called(served))
         low, high = (
@@ -215,10 +218,10 @@
             timing(priority=5, queue_timeout=2000.0, latency_objective=3000.0),
         )
         short = timing(queue_timeout=120.0, latency_objective=3000.0)
-        out = [first(fleet.take(timing=high)).request]
+        out = [first(fleet.take(policy=high)).request]
         for terms in (low, low, high, short):
-            fleet.take(timing=terms)
-        waiting = list(fleet.fe.dispatcher.waiting)
+            fleet.take(policy=terms)
+        waiting = list(fleet.router.dispatcher.waiting)
         self.assertEqual(len(waiting), 4)
         self.assertEqual(verbs(fleet.pass_time(100)).count("reject"), 0)
         self.assertIn("reject", verbs(fleet.pass_time(100)))
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -290,7 +290,7 @@
 
     def sent(self, clock_step, writers_step, known):
         """How many of 60 requests in a second the one worker gets that has just started."""
-        fleet, clocks = Fleet(rows=[], front_ends=1), Clocks(now=0.0)
+        fleet, clocks = Fleet(endpoints=[], front_ends=1), Clocks(now=0.0)
         clocks.now = fleet.clock
         clocks.writers = writers_step if known else 0.0
         row = late(started=clocks.stamp(100.0))
@@ -304,9 +304,9 @@
             view.send_raw(row)
         listing = view.roster.listed["a"][0]
         fleet.list([listing])
-        worker = fleet.fe.workers["a"]
-        self.assertTrue(fleet.fe.slow_start.is_warming_up(worker, fleet.clock))
-        self.assertFalse(fleet.fe.slow_start.is_warming_up(worker, fleet.clock + 18 * SECOND))
+        worker = fleet.router.workers["a"]
+        self.assertTrue(fleet.router.slow_start.is_warming_up(worker, fleet.clock))
+        self.assertFalse(fleet.router.slow_start.is_warming_up(worker, fleet.clock + 18 * SECOND))
         calls = 0
         for _ in range(60):
             calls += verbs(fleet.take()).count("forward")
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -40,7 +40,7 @@
         for effect, scope, outcome, verb in cases:
             with self.subTest(effect=effect, scope=scope, outcome=outcome):
                 rows = [row(name, zone=at, cell=at) for at, name in enumerate("abc")]
-                fleet = Fleet(effect=effect, scope=scope, rows=rows)
+                fleet = Fleet(effect=effect, scope=scope, endpoints=rows)
                 rpc = fleet.take()[0].request
                 if scope != "all":  # the one worker of the group is not to be used
                     rows = [
@@ -75,7 +75,7 @@
                 fleet = Fleet(workers=workers, effect=effect)
                 got, start = fleet.take(), fleet.clock
                 for _ in range(200):
-                    rpc = fleet.fe.requests.get(1)
+                    rpc = fleet.router.requests.get(1)
                     if rpc and rpc.attempts and rpc.attempts[-1].outcome is None:
                         fleet.clock += 1
                         got += fleet.end(rpc, outcome)
@@ -83,7 +83,7 @@
                 self.assertEqual([v for v in verbs(got) if v in ("reject", "fail")], [verb])
                 self.assertLess(verbs(got).count("forward"), 5)
                 self.assertGreater(fleet.clock, start + 4000)
-                self.assertFalse(fleet.fe.requests)
+                self.assertFalse(fleet.router.requests)
 
     def test_deadline_timeout_is_answered_at_once(self):
         for effect, verb in (("idempotent", "reject"), ("side-effecting", "fail")):
@@ -123,12 +123,12 @@
             with self.subTest(many=many):
                 ages, gap = [], 1000.0 * many / 60
                 for seed in range(many):
-                    fleet = Fleet(front_ends=many, seed=seed, seat=seed)
+                    fleet = Fleet(front_ends=many, seed=seed, index=seed)
                     fleet.pass_time(seed * gap / many, step=1.0 + seed * gap / many)
                     for _ in range(12):
                         fleet.serve(calls=1)
                         for name in "abcd":
-                            fleet.fe.health_checked(name, "ok", fleet.reported(0.4, 2.0))
+                            fleet.router.health_checked(name, "ok", fleet.reported(0.4, 2.0))
                         fleet.pass_time(gap - 100, step=gap - 100)
                     born = fleet.clock
                     fleet.list([row("z", started_at=born)])
@@ -203,7 +203,7 @@
         """(free, share, window): orders of any window never exceed free + share x RPCs taken in it."""
         for free, share, window in ((2.0, 0.1, 5000.0), (0.0, 0.05, 3000.0), (6.0, 0.0, 1000.0)):
             with self.subTest(free=free, share=share):
-                fleet = Fleet(ration=PrewarmQuota(free, share, window))
+                fleet = Fleet(prewarm_quota=PrewarmQuota(free, share, window))
                 holds, taken = [], []
                 for at in range(400):
                     taken.append(fleet.clock)
@@ -232,7 +232,7 @@
                 fleet = Fleet(workers=8)
                 used = []
                 for name in "abcdefgh" * 8:
-                    fleet.fe.health_checked(name, "ok", fleet.reported(0.1, 0.3))
+                    fleet.router.health_checked(name, "ok", fleet.reported(0.1, 0.3))
                 for at in range(300):
                     used += called(fleet.serve(f"p{at % 6}", calls=1, ms=gap))
                 self.assertLessEqual(len(set(used[-60:])), most)
@@ -249,14 +249,14 @@
             with self.subTest(outcome=outcome):
                 fleet = Fleet(workers=1)
                 fleet.take()
-                worker = fleet.fe.workers["a"]
+                worker = fleet.router.workers["a"]
                 before = worker.memory_budget
-                fleet.fe.prewarm_finished("a", "p", outcome, 1, 800.0)
+                fleet.router.prewarm_finished("a", "p", outcome, 1, 800.0)
                 compare(worker.memory_budget, before)
 
     def test_silent_worker_loses_its_good_latency(self):
         fleet = Fleet(workers=4)
-        fleet.lanes = 8
+        fleet.concurrency = 8
         first = called(fleet.serve(calls=150))[-1]
         for _ in range(6):
             fleet.take()
@@ -269,19 +269,19 @@
         fleet.serve(calls=20)
         rpc = fleet.take("new")[0].request
         worker = rpc.attempts[0].replica.worker
-        before = fleet.fe.latency.pace(worker)
+        before = fleet.router.latency.pace(worker)
         fleet.clock += 1500
-        fleet.end(rpc, standing="began")
-        self.assertAlmostEqual(fleet.fe.latency.pace(worker), before, places=2)
+        fleet.end(rpc, load_note="began")
+        self.assertAlmostEqual(fleet.router.latency.pace(worker), before, places=2)
 
     def test_looks_of_one_rpc_do_not_grow_with_the_fleet(self):
         """What an RPC for a new program, one for a known one and a tick look at, on 20 and on 90 workers."""
         counts = []
         for workers in (20, 90):
-            fleet = Fleet(rows=[row(f"w{n}") for n in range(workers)], front_ends=50)
+            fleet = Fleet(endpoints=[row(f"w{n}") for n in range(workers)], front_ends=50)
             fleet.serve(calls=60)
-            fleet.fe.schedule.next_at, looks = float("inf"), []
-            for part, name in ((fleet.fe.slow_start, "admits"), (fleet.fe.outliers, "is_silent")):
+            fleet.router.schedule.next_at, looks = float("inf"), []
+            for part, name in ((fleet.router.slow_start, "admits"), (fleet.router.outliers, "is_silent")):
                 setattr(part, name, Mock(wraps=getattr(part, name)))
                 looks.append(getattr(part, name))
             fleet.take("new")
@@ -294,7 +294,7 @@
         """(RPCs in ten seconds) -> probes at most, with 40 workers."""
         for rpcs, most in ((0, 8), (20, 18), (100, 58)):
             with self.subTest(rpcs=rpcs):
-                fleet = Fleet(rows=[row(f"w{n}") for n in range(40)], front_ends=50, probe=True)
+                fleet = Fleet(endpoints=[row(f"w{n}") for n in range(40)], front_ends=50, health_checks=True)
                 got = [d for _ in range(rpcs) for d in fleet.serve(calls=1)]
                 got += fleet.pass_time(10000 - fleet.clock + 1000)
                 self.assertTrue(0 < verbs(got).count("health_check") <= most, verbs(got).count("health_check"))
@@ -303,20 +303,20 @@
         """Fills go on between the last call and the end of its idle life."""
         fleet = Fleet()
         fleet.take()
-        fleet.fe.health_checked("a", "ok", fleet.reported(0.5, 2.0))
+        fleet.router.health_checked("a", "ok", fleet.reported(0.5, 2.0))
         fleet.pass_time(9900, step=300)
-        self.assertTrue(fleet.fe.functions)
+        self.assertTrue(fleet.router.functions)
 
     def test_forgets_what_was_asked_for_once(self):
         fleet = Fleet()
         for at in range(50):
             fleet.serve(f"once{at}", calls=1, ms=10.0)
         fleet.pass_time(40000, step=500)
-        self.assertFalse(fleet.fe.functions)
-        self.assertFalse(any(w.replicas for w in fleet.fe.workers.values()))
+        self.assertFalse(fleet.router.functions)
+        self.assertFalse(any(w.replicas for w in fleet.router.workers.values()))
 
     def test_lot_is_the_same_for_all(self):
-        one, two = Fleet(seed=1).fe, Fleet(seed=2).fe
+        one, two = Fleet(seed=1).router, Fleet(seed=2).router
         for fe in (one, two):
             fe.request_received(RequestReceived(1, 4000.0, fe.request_classes[0], "p", 1.0, 1, None, None, False))
         self.assertEqual(
@@ -327,7 +327,7 @@
 
 REPLAY = """
 from tests.helpers import Fleet
-fleet = Fleet(workers=5, probe=True)
+fleet = Fleet(workers=5, health_checks=True)
 out = []
 for at in range(200):
     out += fleet.serve(f"p{at * 7 % 13}", calls=1, ms=30.0)
@@ -362,14 +362,14 @@
         ):
             with self.subTest(ms=ms, standing=standing):
                 fleet = Fleet(workers=1)
-                fleet.lanes = 8
+                fleet.concurrency = 8
                 fleet.serve(calls=2)
-                worker = fleet.fe.workers["a"]
+                worker = fleet.router.workers["a"]
                 before = worker.concurrency_limit
                 rpcs = [d.request for _ in range(7) for d in fleet.take() if isinstance(d, Forward)]
                 fleet.clock += ms
                 for rpc in rpcs:
-                    fleet.end(rpc, standing=standing)
+                    fleet.end(rpc, load_note=standing)
                 compare(worker.concurrency_limit, before)
                 self.assertGreater(worker.concurrency_limit, before * 0.2)
 
@@ -383,9 +383,9 @@
             ("draining", 0.6, True, True),
         ):
             with self.subTest(state=state, busy=busy, on_call=on_call):
-                fleet = Fleet(workers=3, loads_on_call=on_call)
+                fleet = Fleet(workers=3, loads_on_demand=on_call)
                 home = called(fleet.serve(calls=200))[-1]
-                for place in fleet.fe.functions["p"].replicas if state == "ready" else ():
+                for place in fleet.router.functions["p"].replicas if state == "ready" else ():
                     place.worker.concurrency_limit *= place.loaded == 0
                 for worker in fleet.ready:
                     worker.utilization = busy
@@ -398,19 +398,19 @@
             fleet.list([row(name)])
             fleet.serve(calls=3)
             fleet.pass_time(600)
-        ring, met, known = fleet.fe.functions["p"].ranking, fleet.fe.outliers.last_outcomes, fleet.fe.fleet
+        ring, met, known = fleet.router.functions["p"].ranking, fleet.router.outliers.last_outcomes, fleet.router.fleet
         kept = (ring, met, known.workers, known.ring.owners, known.positions, known.ring.size_counts)
         self.assertEqual([len(each) for each in kept], [1] * 6)
 
     def test_homes_leave_a_closed_worker(self):
         fleet = Fleet(workers=6)
         for name in "abcdef" * 8:
-            fleet.fe.health_checked(name, "ok", fleet.reported(0.2, 0.6))
+            fleet.router.health_checked(name, "ok", fleet.reported(0.2, 0.6))
         for at in range(400):
             fleet.serve(f"p{at % 5}", calls=1, ms=60.0)
         opened = set(fleet.placement.active)
         self.assertLess(len(opened), 6)
-        placed = {p.worker for program in fleet.fe.functions.values() for p in program.replicas if p.placed}
+        placed = {p.worker for program in fleet.router.functions.values() for p in program.replicas if p.placed}
         self.assertLessEqual(placed, opened)
 
     def test_load_times_are_learnt(self):
@@ -430,17 +430,17 @@
             with self.subTest(hint=hint, seen=seen):
                 fleet = Fleet()
                 fleet.take()
-                program = fleet.fe.functions["p"]
+                program = fleet.router.functions["p"]
                 program.load_hint = hint
                 for took in seen:
-                    fleet.fe.latency.record_load(program, took, *told)
-                self.assertEqual(fleet.fe.latency.load_time(program), want)
+                    fleet.router.latency.record_load(program, took, *told)
+                self.assertEqual(fleet.router.latency.load_time(program), want)
 
     def test_a_miss_site_is_asked_by_a_call_then_given_a_hold(self):
         """What follows the call-out that asks: ok spends no order; a miss brings one hold, then the call."""
         for outcome, holds, calls in (("ok", 0, 0), ("miss", 1, 1)):
             with self.subTest(outcome=outcome):
-                fleet = Fleet(workers=1, loads_on_call=False, holds=None)
+                fleet = Fleet(workers=1, loads_on_demand=False, prewarm_outcome=None)
                 got = fleet.take()
                 self.assertEqual(verbs(got), ["forward"])
                 got = fleet.end(got[0].request, outcome) + fleet.pass_time(100)
@@ -448,7 +448,7 @@
 
     def test_further_copies_are_left_to_workers_where_call_outs_ask(self):
         for loads_on_call in (True, False):
-            fleet = Fleet(workers=3, loads_on_call=loads_on_call, front_ends=1, holds=None)
+            fleet = Fleet(workers=3, loads_on_demand=loads_on_call, front_ends=1, prewarm_outcome=None)
             got = [d for _ in range(30) for d in fleet.take() + fleet.pass_time(20, 10)]
             for rpc in [d.request for d in got if isinstance(d, Forward)]:
                 got += fleet.end(rpc)
@@ -456,17 +456,17 @@
             self.assertEqual(any(d.replicas > 1 for d in got if isinstance(d, Prewarm)), loads_on_call)
 
     def test_what_was_called_once_is_not_held_ahead(self):  # too late for its own RPC, too, to order one
-        fleet = Fleet(workers=6, loads_on_call=False, holds=None, front_ends=50, tells=False)
+        fleet = Fleet(workers=6, loads_on_demand=False, prewarm_outcome=None, front_ends=50, reports_concurrency=False)
         got, held = fleet.take() + fleet.pass_time(600), 0
         for rpc in [got[0].request] * 3:
             held += verbs(fleet.end(rpc, "miss")).count("prewarm")
-            fleet.fe.schedule.next_at = fleet.fe.wake_at = fleet.clock
+            fleet.router.schedule.next_at = fleet.router.wake_at = fleet.clock
             held += verbs(fleet.pass_time(50)).count("prewarm")
         self.assertEqual(held, 0)
 
     def test_after_misses_the_hold_goes_to_the_first_home_by_lot(self):
         for seed in range(4):  # of each front end's own
-            fleet = Fleet(workers=6, loads_on_call=False, holds=None, call_outs=4, seed=seed)
+            fleet = Fleet(workers=6, loads_on_demand=False, prewarm_outcome=None, attempts=4, seed=seed)
             got = fleet.take()
             for place in [replica_of(got[0].request.function, worker) for worker in fleet.ready[:3]]:
                 place.placed = True
@@ -476,7 +476,7 @@
             self.assertEqual(held[0].worker, first)
 
     def test_one_call_out_is_kept_for_after_the_hold(self):
-        fleet = Fleet(workers=3, loads_on_call=False, holds=None, call_outs=1)
+        fleet = Fleet(workers=3, loads_on_demand=False, prewarm_outcome=None, attempts=1)
         self.assertEqual(verbs(fleet.take()), ["prewarm"])
 
 
@@ -493,8 +493,8 @@
             (("utilization", "queued"), (0.5, 7.0), 0.5, 9.0),
         ):
             with self.subTest(fields=fields, values=values):
-                fleet = Fleet(workers=2, report=fields)
-                worker, latency = fleet.fe.workers["a"], fleet.fe.latency
+                fleet = Fleet(workers=2, report_fields=fields)
+                worker, latency = fleet.router.workers["a"], fleet.router.latency
                 latency.cores_per_size = 4.0 / worker.endpoint.size
                 latency.record_report(worker, fleet.reported(*values), fleet.clock)
                 report = worker.load_reports[-1]
@@ -504,17 +504,17 @@
         """(RPCs a second promised) -> RPCs at once of each of 4 workers, at 200 ms each; a guess where nothing is."""
         for quotas, want in (((), 4.0), ((16.0, 16.0), 2.0), ((64.0,), 4.0), ((320.0,), 20.0)):
             with self.subTest(quotas=quotas):
-                fleet = Fleet(workers=4, report=("in_flight",), quotas=quotas)
-                fleet.fe.latency.survey(fleet.cell, [fleet.cell], 200.0, fleet.clock)
-                self.assertAlmostEqual(fleet.fe.latency.cores(fleet.fe.workers["a"]), want)
+                fleet = Fleet(workers=4, report_fields=("in_flight",), quotas=quotas)
+                fleet.router.latency.survey(fleet.cell, [fleet.cell], 200.0, fleet.clock)
+                self.assertAlmostEqual(fleet.router.latency.cores(fleet.router.workers["a"]), want)
 
     def test_a_program_spreads_where_no_company_is_told(self):
         """(company told) -> homes of a program that needs 0.6 of a worker's part."""
         for tells, homes in ((True, 1), (False, 3)):
             with self.subTest(tells=tells):
-                fleet = Fleet(workers=6, loads_on_call=False, tells=tells)
+                fleet = Fleet(workers=6, loads_on_demand=False, reports_concurrency=tells)
                 fleet.take()
-                program, workers, placement = fleet.fe.functions["p"], fleet.ready, fleet.placement
+                program, workers, placement = fleet.router.functions["p"], fleet.ready, fleet.placement
                 placement.mean_capacity, placement.active, one = (
                     1.0,
                     dict.fromkeys(workers),
@@ -527,15 +527,15 @@
         """(loads on call) -> whether twenty front ends go to different workers with a program that is new to them."""
         for on_call, several in ((True, False), (False, True)):
             with self.subTest(on_call=on_call):
-                went = {called(Fleet(workers=8, loads_on_call=on_call, seed=seed).take())[0] for seed in range(20)}
+                went = {called(Fleet(workers=8, loads_on_demand=on_call, seed=seed).take())[0] for seed in range(20)}
                 self.assertEqual(len(went) > 1, several)
 
     def test_only_homes_are_probed_in_turn(self):
         fleet = Fleet(workers=8)
-        self.assertEqual(len(fleet.fe.health_checker.rota), 8)
+        self.assertEqual(len(fleet.router.health_checker.rota), 8)
         fleet.serve(calls=20)
-        homes = {place.worker for place in fleet.fe.functions["p"].replicas if place.placed}
-        self.assertEqual(set(fleet.fe.health_checker.rota), homes)
+        homes = {place.worker for place in fleet.router.functions["p"].replicas if place.placed}
+        self.assertEqual(set(fleet.router.health_checker.rota), homes)
 
     def test_demand_counts_since_the_start(self):
         """(ms since the start) -> lanes that ten calls of 200 ms keep busy, over the time that there was."""
@@ -546,7 +546,7 @@
                     fleet.take()
                 fleet.placement.demand_estimator.since = fleet.clock - age
                 self.assertAlmostEqual(
-                    fleet.placement.demand_estimator.own_lanes(fleet.fe.functions["p"], fleet.clock), lanes
+                    fleet.placement.demand_estimator.own_lanes(fleet.router.functions["p"], fleet.clock), lanes
                 )
 
     def test_a_zone_is_a_fleet_of_its_own_where_crossing_costs(self):
@@ -559,7 +559,7 @@
             (0.05, False, 3, {0, 1}),
         ):
             with self.subTest(crossing=crossing, on_call=on_call, ill=ill):
-                fleet = Fleet(rows=rows, crossing=crossing, loads_on_call=on_call)
+                fleet = Fleet(endpoints=rows, cross_zone_cost=crossing, loads_on_demand=on_call)
                 for worker in [w for w in fleet.ready if w.endpoint.zone == 0][:ill]:
                     worker.ejections = 1
                 self.assertEqual({w.endpoint.zone for w in fleet.placement.scope.update(fleet.clock)}, zones)
@@ -575,11 +575,11 @@
             (0.9, None, 1, 0.125),
         ):
             with self.subTest(mine=mine, far=far, periods=periods):
-                fleet = Fleet(rows=rows, crossing=0.05, loads_on_call=False)
+                fleet = Fleet(endpoints=rows, cross_zone_cost=0.05, loads_on_demand=False)
                 placement, ready = fleet.placement, fleet.ready
                 for worker in ready:
                     if (busy := far if worker.endpoint.zone else mine) is not None:
-                        fleet.fe.latency.record_report(worker, fleet.reported(busy, 4.0), fleet.clock)
+                        fleet.router.latency.record_report(worker, fleet.reported(busy, 4.0), fleet.clock)
                 for _ in range(periods):
                     placement.scope.update(fleet.clock)
                 self.assertEqual((placement.scope.reach, placement.scope.workers == ready), (reach, reach > 0))
@@ -603,40 +603,42 @@
                 fleet = Fleet(workers=2)
                 for age, share in ((old, 1.0), (young, 0.5)):
                     for worker in fleet.ready:
-                        fleet.fe.latency.record_report(worker, fleet.reported(share, 4.0), fleet.clock - age)
-                fleet.fe.schedule.next_at = fleet.fe.wake_at = fleet.clock
+                        fleet.router.latency.record_report(worker, fleet.reported(share, 4.0), fleet.clock - age)
+                fleet.router.schedule.next_at = fleet.router.wake_at = fleet.clock
                 fleet.pull()
-                self.assertEqual(fleet.fe.global_concurrency.load_reports[-1].utilization, busy)
+                self.assertEqual(fleet.router.global_concurrency.load_reports[-1].utilization, busy)
 
     def test_hints_of_work_count_whatever_becomes_of_the_rpc(self):
         fleet = Fleet()
         for ident, work in enumerate((100.0, 300.0), 1):
-            fleet.fe.request_received(RequestReceived(ident, 4000.0, fleet.method, "p", 4000.0, 2, None, work, False))
-        self.assertEqual(fleet.fe.latency.usual_work(fleet.fe.functions["p"]), 200.0)
+            fleet.router.request_received(
+                RequestReceived(ident, 4000.0, fleet.request_class, "p", 4000.0, 2, None, work, False)
+            )
+        self.assertEqual(fleet.router.latency.usual_work(fleet.router.functions["p"]), 200.0)
 
     def test_what_nobody_has_tells_nothing_of_workers_and_earns_no_orders(self):
         """(whether the program was answered before) -> worker shunned after errors, RPCs that count for orders."""
         for proven in (True, False):
             with self.subTest(proven=proven):
-                fleet = Fleet(workers=1, ration=PrewarmQuota(1.0, 1.0, 5000.0))
+                fleet = Fleet(workers=1, prewarm_quota=PrewarmQuota(1.0, 1.0, 5000.0))
                 fleet.serve(calls=1 if proven else 0)
-                before = len(fleet.fe.prewarm_limiter.requests)
+                before = len(fleet.router.prewarm_limiter.requests)
                 for _ in range(4):
                     for rpc in [d.request for d in fleet.take() if isinstance(d, Forward)]:
                         fleet.end(rpc, "error", final=True)
                 fleet.pass_time(600)
-                worker = fleet.fe.workers["a"]
+                worker = fleet.router.workers["a"]
                 self.assertEqual(
-                    (bool(worker.ejections), len(fleet.fe.prewarm_limiter.requests) - before > 0), (proven, proven)
+                    (bool(worker.ejections), len(fleet.router.prewarm_limiter.requests) - before > 0), (proven, proven)
                 )
-                self.assertEqual(any(place.placed for place in fleet.fe.functions["p"].replicas), proven)
+                self.assertEqual(any(place.placed for place in fleet.router.functions["p"].replicas), proven)
 
     def test_requests_for_functions_nobody_has_earn_no_load_orders(self):
         """Where attempts ask for copies: (functions asked for, whether one exists) -> most orders of a window."""
         ration = PrewarmQuota(3.0, 0.2, 5000.0)
         for unknown, known in ((60, False), (60, True), (0, True)):
             with self.subTest(unknown=unknown, known=known):
-                fleet = Fleet(workers=4, loads_on_call=False, ration=ration, holds=None)
+                fleet = Fleet(workers=4, loads_on_demand=False, prewarm_quota=ration, prewarm_outcome=None)
                 done, legitimate = [], 0
                 for number in range(60):
                     asked = ([f"nobody-has-{number}"] if unknown else []) + (["p"] if known else [])
@@ -648,53 +650,59 @@
                                 got += fleet.end(decision.request, "ok" if name == "p" else "miss", final=name == "p")
                             elif isinstance(decision, Prewarm):
                                 found = "ok" if decision.function.name == "p" else "error"
-                                fleet.fe.prewarm_finished(
+                                fleet.router.prewarm_finished(
                                     decision.worker.endpoint.ident, decision.function.name, found, 1, 1.0
                                 )
                         done += got
                     done += fleet.pass_time(20, step=20.0)
                 orders = verbs(done).count("prewarm")
                 self.assertLessEqual(orders, ration.free + ration.share * legitimate)
-                self.assertEqual(len(fleet.fe.prewarm_limiter.requests), legitimate)
+                self.assertEqual(len(fleet.router.prewarm_limiter.requests), legitimate)
 
     def test_what_was_taken_before_the_first_answer_earns_orders_with_it(self):
         """(what proves that the function exists, ms after the first request) -> requests counted in the window."""
         for proof, wait, counted in (("answer", 100, 3), ("order", 100, 3), ("answer", 5100, 1), ("miss", 100, 0)):
             with self.subTest(proof=proof, wait=wait):
-                fleet = Fleet(workers=1, loads_on_call=False, ration=PrewarmQuota(3.0, 0.2, 5000.0), holds=None)
+                fleet = Fleet(
+                    workers=1, loads_on_demand=False, prewarm_quota=PrewarmQuota(3.0, 0.2, 5000.0), prewarm_outcome=None
+                )
                 fleet.serve("other", calls=1)
-                fleet.fe.prewarm_limiter.requests.clear()
+                fleet.router.prewarm_limiter.requests.clear()
                 first = fleet.take()[0].request
                 fleet.take()
                 fleet.pass_time(wait)
                 fleet.take()
                 if proof == "order":
-                    fleet.fe.prewarm_finished("a", "p", "ok", 1, 1.0)
+                    fleet.router.prewarm_finished("a", "p", "ok", 1, 1.0)
                 else:
                     fleet.end(first, "ok" if proof == "answer" else "miss", number=0)
-                self.assertEqual(len(fleet.fe.prewarm_limiter.requests), counted)
-                self.assertEqual(list(fleet.fe.prewarm_limiter.requests), sorted(fleet.fe.prewarm_limiter.requests))
+                self.assertEqual(len(fleet.router.prewarm_limiter.requests), counted)
+                self.assertEqual(
+                    list(fleet.router.prewarm_limiter.requests), sorted(fleet.router.prewarm_limiter.requests)
+                )
 
     def test_answers_within_one_reading_of_the_clock(self):
         """Attempts that took no time at all by the clock leave every later placement and choice possible."""
         for tells in (True, False):
             for work in (None, 50.0):
                 with self.subTest(tells=tells, work=work):
-                    fleet = Fleet(workers=2, tells=tells)
+                    fleet = Fleet(workers=2, reports_concurrency=tells)
                     for number in range(200):
-                        fleet.fe.advance(fleet.clock)
-                        fleet.fe.request_received(
-                            RequestReceived(1000 + number, 4000.0, fleet.method, "p", 4000.0, 2, None, work, False)
+                        fleet.router.advance(fleet.clock)
+                        fleet.router.request_received(
+                            RequestReceived(
+                                1000 + number, 4000.0, fleet.request_class, "p", 4000.0, 2, None, work, False
+                            )
                         )
                         for rpc in [d.request for d in fleet.pull() if isinstance(d, Forward)]:
-                            fleet.fe.attempt_finished(
+                            fleet.router.attempt_finished(
                                 AttemptFinished(rpc.ident, 0, "ok", True, "stood", 3, fleet.reported(0.5, 2.0))
                             )
                         fleet.pull()
                         if number % 20 == 0:
                             fleet.pass_time(1000, step=500.0)
-                    self.assertGreater(fleet.fe.latency.average_pace, 0.0)
-                    self.assertTrue(fleet.fe.latency.usual_work(fleet.fe.functions["p"]) > 0.0)
+                    self.assertGreater(fleet.router.latency.average_pace, 0.0)
+                    self.assertTrue(fleet.router.latency.usual_work(fleet.router.functions["p"]) > 0.0)
                     self.assertIn("forward", verbs(fleet.take()))
 
     def test_what_would_be_late_at_a_full_home_is_denied_at_once(self):
@@ -707,9 +715,11 @@
             (0.95, 60.0, 0, True, "forward"),
         ):
             with self.subTest(busy=busy, held=held, age=age, on_call=on_call):
-                fleet = Fleet(workers=1, loads_on_call=on_call)
+                fleet = Fleet(workers=1, loads_on_demand=on_call)
                 fleet.serve(calls=20)
-                fleet.fe.latency.record_report(fleet.fe.workers["a"], fleet.reported(busy, held), fleet.clock - age)
+                fleet.router.latency.record_report(
+                    fleet.router.workers["a"], fleet.reported(busy, held), fleet.clock - age
+                )
                 self.assertIn(verb, verbs(fleet.take()))
 
     def test_many_unreached_and_none_cut_are_no_restarts(self):
@@ -721,12 +731,12 @@
         ):
             with self.subTest(outcomes=outcomes):
                 fleet = Fleet(workers=10)
-                fleet.fe.advance(fleet.clock)
+                fleet.router.advance(fleet.clock)
                 fleet.take()
                 for worker, outcome in zip(fleet.ready, outcomes, strict=True):
-                    fleet.fe.outliers.record(worker, outcome, fleet.clock)
+                    fleet.router.outliers.record(worker, outcome, fleet.clock)
                 last = fleet.ready[-1]
-                self.assertEqual((last.warming_since is not None, last in fleet.fe.outliers.ejected), (lost, lost))
+                self.assertEqual((last.warming_since is not None, last in fleet.router.outliers.ejected), (lost, lost))
 
 
 class Symptoms(unittest.TestCase):
@@ -751,19 +761,19 @@
                 if heard:
                     fleet.end(next(d.request for d in fleet.take() if isinstance(d, Forward)))
                 if shunned:
-                    fleet.fe.outliers.eject(rpc.attempts[0].replica.worker, fleet.clock, "test")
+                    fleet.router.outliers.eject(rpc.attempts[0].replica.worker, fleet.clock, "test")
                 got += fleet.pass_time(1000)
                 cancelled = [d.attempt for d in got if isinstance(d, Cancel)]
                 self.assertEqual(rpc.attempts[0] in cancelled, back)
 
     def test_unanswered_probes_shun_and_an_answer_brings_the_trial(self):
-        fleet = Fleet(workers=3, probe=True)
+        fleet = Fleet(workers=3, health_checks=True)
         home = called(fleet.serve(calls=150))[-1]
         for _ in range(3):
-            fleet.fe.health_checked(home, "timeout", None)
+            fleet.router.health_checked(home, "timeout", None)
         fleet.pass_time(100)
         self.assertNotIn(home, called(fleet.serve(calls=10, ms=10.0)))
-        fleet.fe.health_checked(home, "ok", None)
+        fleet.router.health_checked(home, "ok", None)
         got = [d for _ in range(3) for d in fleet.take()]
         self.assertEqual(called(got).count(home), 1)
 
@@ -775,7 +785,7 @@
                 rpc = fleet.take()[0].request
                 worker = rpc.attempts[0].replica.worker
                 for _ in range(2):
-                    fleet.fe.outliers.eject(worker, fleet.clock, "test")
+                    fleet.router.outliers.eject(worker, fleet.clock, "test")
                 fleet.clock += ms
                 fleet.end(rpc)
                 self.assertEqual(worker.ejections, left)
@@ -784,10 +794,10 @@
         """(ms that an answer took which does not tell) -> samples of a load's time."""
         for ms, samples in ((230.0, 0), (1500.0, 1)):
             with self.subTest(ms=ms):
-                fleet = Fleet(workers=1, holds=None)
+                fleet = Fleet(workers=1, prewarm_outcome=None)
                 rpc = next(d.request for d in fleet.take() if isinstance(d, Forward))
                 fleet.clock += ms
-                fleet.end(rpc, standing=None)
+                fleet.end(rpc, load_note=None)
                 self.assertEqual(len(rpc.function.load_times), samples)
 
     def test_full_without_company_tells_of_memory(self):
@@ -798,16 +808,16 @@
                 home = called(fleet.serve(calls=100))[-1]
                 rpc = fleet.take()[0].request
                 place = rpc.attempts[0].replica
-                fleet.fe.attempt_finished(AttemptFinished(rpc.ident, 0, "full", False, None, company, None))
+                fleet.router.attempt_finished(AttemptFinished(rpc.ident, 0, "full", False, None, company, None))
                 self.assertEqual(place.loaded > 0, room)
                 self.assertEqual(home in called(fleet.take("new")) + called(fleet.take("newer")), room)
 
     def test_no_more_call_outs_than_lanes(self):
         fleet = Fleet(workers=3)
         fleet.serve(calls=200)
-        place = next(p for p in fleet.fe.functions["p"].replicas if p.loaded)
+        place = next(p for p in fleet.router.functions["p"].replicas if p.loaded)
         got = called([d for _ in range(9) for d in fleet.take()])
-        self.assertLessEqual(got.count(place.worker.endpoint.ident), place.loaded * fleet.lanes)
+        self.assertLessEqual(got.count(place.worker.endpoint.ident), place.loaded * fleet.concurrency)
 
     def test_denied_once_its_usual_latency_no_longer_fits(self):
         """(times that all RPCs take of their due) -> ms after which one that finds no room is denied."""
@@ -815,10 +825,10 @@
             with self.subTest(slow=slow):
                 fleet = Fleet(workers=1)
                 fleet.serve(calls=40)
-                fleet.fe.schedule.next_at = float("inf")
-                fleet.fe.latency.average_pace = slow
-                fleet.fe.workers["a"].concurrency_limit = 0.0
-                fleet.fe.dispatcher.limits = replace(fleet.fe.dispatcher.limits, retry_after=300.0)
+                fleet.router.schedule.next_at = float("inf")
+                fleet.router.latency.average_pace = slow
+                fleet.router.workers["a"].concurrency_limit = 0.0
+                fleet.router.dispatcher.limits = replace(fleet.router.dispatcher.limits, retry_after=300.0)
                 start, got = fleet.clock, fleet.take()
                 while "reject" not in verbs(got):
                     got = fleet.pass_time(50)
@@ -838,10 +848,10 @@
                 fleet.serve(calls=20)
                 rpc = fleet.take()[0].request
                 worker = rpc.attempts[0].replica.worker
-                before = fleet.fe.latency.pace(worker)
+                before = fleet.router.latency.pace(worker)
                 fleet.clock += ms
                 fleet.end(rpc, outcome)
-                self.assertEqual(fleet.fe.latency.pace(worker) > before, slower)
+                self.assertEqual(fleet.router.latency.pace(worker) > before, slower)
 
     def test_a_connection_lost_makes_the_worker_cold(self):
         """(outcome) -> whether it counts as started anew, before the list tells."""
@@ -852,7 +862,7 @@
                 rpc = fleet.take()[0].request
                 worker = rpc.attempts[0].replica.worker
                 fleet.end(rpc, outcome)
-                self.assertEqual(fleet.fe.slow_start.is_warming_up(worker, fleet.clock), cold)
+                self.assertEqual(fleet.router.slow_start.is_warming_up(worker, fleet.clock), cold)
 
     def test_the_fleets_demand_for_a_program(self):
         """(our lanes, our part, company by worker) -> least and most lanes of the fleet."""
@@ -865,7 +875,7 @@
             with self.subTest(own=own, company=company):
                 fleet = Fleet(workers=2)
                 fleet.take()
-                program, (a, b) = fleet.fe.functions["p"], fleet.fe.workers.values()
+                program, (a, b) = fleet.router.functions["p"], fleet.router.workers.values()
                 program.concurrency_samples.extend((worker, many) for many in company for worker in (a, b))
                 self.assertTrue(least <= fleet.placement.demand_estimator.fleet_lanes(program, own, part) <= most)
 
@@ -875,11 +885,11 @@
             with self.subTest(ms=ms, busy=busy):
                 fleet = Fleet(workers=6, front_ends=200)
                 for at in range(12):
-                    fleet.fe.health_checked(
+                    fleet.router.health_checked(
                         "f", "ok", fleet.reported(busy, 6.0)
                     )  # elsewhere: at a busy home they would be denied
                     fleet.serve(f"p{at}", calls=2, ms=ms)
-                self.assertEqual(fleet.fe.global_concurrency.concurrency_limit < 9.0, limited)
+                self.assertEqual(fleet.router.global_concurrency.concurrency_limit < 9.0, limited)
 
     def test_little_used_programs_stay_at_home(self):
         """(load, of a room of 1 what is left at the first by lot) -> whether it is chosen anew."""
@@ -887,7 +897,7 @@
             with self.subTest(load=load, left=left):
                 fleet = Fleet(workers=3, front_ends=3)
                 fleet.take()
-                program, workers = fleet.fe.functions["p"], list(fleet.fe.workers.values())
+                program, workers = fleet.router.functions["p"], list(fleet.router.workers.values())
                 home = min(workers, key=lambda w: rendezvous_rank(program, w))
                 fleet.placement.mean_capacity, fleet.placement.active = 1.0, dict.fromkeys(workers)
                 room = {w: left if w is home else 1.0 for w in workers}
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -223,7 +223,7 @@
         fleet = Fleet(workers=1, front_ends=1)
         for _ in range(8):
             fleet.serve(calls=5)
-            fleet.fe.health_checked("a", "ok", fleet.reported(0.5, 2.0))
+            fleet.router.health_checked("a", "ok", fleet.reported(0.5, 2.0))
             fleet.pass_time(200)
         return fleet
 
@@ -268,13 +268,13 @@
                 ]
                 worker = rpcs[0].attempts[0].replica.worker
                 fleet.end(rpcs[0], outcome)
-                self.assertTrue(fleet.fe.slow_start.is_warming_up(worker, fleet.clock))
+                self.assertTrue(fleet.router.slow_start.is_warming_up(worker, fleet.clock))
                 self.assertTrue(all(at >= fleet.clock for at, _ in worker.slow_start_sends))  # a retry at most
                 worker.slow_start_sends.clear()
                 for _ in range(3):
-                    fleet.fe.slow_start.attempt_sent(worker, rpcs[0], fleet.clock)
+                    fleet.router.slow_start.attempt_sent(worker, rpcs[0], fleet.clock)
                 fleet.pass_time(50)
-                fleet.fe.slow_start.connection_lost(worker, fleet.clock)
+                fleet.router.slow_start.connection_lost(worker, fleet.clock)
                 self.assertEqual(len(worker.slow_start_sends), 3)
 
 
