--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -1,4 +1,4 @@
-"""What the module does by a route's timing: attempts, pauses, outcomes, second copies, budgets, queueing, priority."""
+"""What the router does by a route's policy: attempts, backoff, outcomes, hedging, budgets, queueing, priority."""
 
 import unittest
 
@@ -33,24 +33,24 @@
     return next(d for d, word in zip(decisions, verbs(decisions), strict=True) if word == verb)
 
 
-def fail(fleet, rpc):
-    """Each call-out times out until the RPC is closed; how many there were."""
+def fail(fleet, request):
+    """Each attempt times out until the request is closed; how many there were."""
     for calls in range(1, 20):
-        fleet.end(rpc, "timeout", final=False)
-        if rpc.closed:
+        fleet.end(request, "timeout", final=False)
+        if request.closed:
             return calls
     raise AssertionError("never closed")
 
 
 class Attempts(unittest.TestCase):
     def test_patience(self):
-        """A call-out goes out with its attempt's time; without a route with none."""
+        """A attempt goes out with its attempt's time; without a route with none."""
         fleet = Fleet()
         self.assertEqual(first(fleet.take(policy=timing())).timeout, 500.0)
         self.assertIsNone(first(fleet.take()).timeout)
 
     def test_outcomes(self):
-        """(outcomes one after another, timing, effect) -> call-outs in all, and the final answer."""
+        """(outcomes one after another, timing, effect) -> attempts in all, and the final answer."""
         for outcomes, more, effect, calls, final in (
             (["timeout"] * 5, {}, "idempotent", 3, "reject"),
             (["timeout"] * 5, {"attempts": 1}, "idempotent", 1, "reject"),
@@ -66,11 +66,11 @@
             with self.subTest(outcomes=outcomes, more=more, effect=effect):
                 fleet = Fleet(workers=8, effect=effect, attempts=4)
                 done = fleet.take(policy=timing(**more))
-                rpc, all_done = first(done).request, list(done)
+                request, all_done = first(done).request, list(done)
                 for outcome in outcomes:
-                    if rpc.closed:
+                    if request.closed:
                         break
-                    all_done += fleet.end(rpc, outcome, final=False)
+                    all_done += fleet.end(request, outcome, final=False)
                 self.assertEqual((verbs(all_done).count("forward"), verbs(all_done)[-1]), (calls, final))
 
     def test_pauses(self):
@@ -82,10 +82,10 @@
             ((0.0, 1.0, 1e9, 0.0), (0.0, 0.0)),
         ):
             fleet = Fleet(workers=8)
-            rpc = first(fleet.take(policy=timing(backoff=pause))).request
+            request = first(fleet.take(policy=timing(backoff=pause))).request
             for wait in least:
                 with self.subTest(pause=pause, wait=wait):
-                    done, ended = fleet.end(rpc, "full", final=False), fleet.clock
+                    done, ended = fleet.end(request, "full", final=False), fleet.clock
                     for _ in range(2000):
                         if done:
                             break
@@ -98,14 +98,14 @@
                     self.assertLessEqual(took, wait * (1 + pause[3]) + 50)
 
     def test_pause_past_the_end(self):
-        """An RPC whose pause would outlast it is answered before its time is up."""
+        """A request whose pause would outlast it is answered before its time is up."""
         fleet = Fleet(workers=8)
-        rpc = first(fleet.take(time_left=1000.0, policy=timing(backoff=(5000.0, 1.0, 1e9, 0.0)))).request
-        fleet.end(rpc, "full", final=False)
+        request = first(fleet.take(time_left=1000.0, policy=timing(backoff=(5000.0, 1.0, 1e9, 0.0)))).request
+        fleet.end(request, "full", final=False)
         self.assertIn("reject", verbs(fleet.pass_time(1000)))
 
     def test_budget(self):
-        """Further attempts are at most the floor and the share of the RPCs within the window; then none; then again."""
+        """Retries are at most the floor and the share of the requests within the window; then none; then again."""
         fleet = Fleet(workers=8)
         terms = timing(budget_terms=(10000.0, 0.1, 2.0))
 
@@ -113,8 +113,8 @@
             calls = 0
             for _ in range(many):
                 done = fleet.take(f"p{fleet.ids % 5}", policy=terms)
-                rpc = first(done).request
-                calls += fail(fleet, rpc)
+                request = first(done).request
+                calls += fail(fleet, request)
             return calls - many
 
         self.assertEqual(failing(100), 2 + 10)
@@ -129,11 +129,11 @@
             timing(budget_terms=(1e4, 0.0, floor), budget_key=name) for name, floor in (("poor", 1.0), ("rich", 9.0))
         )
         for terms, calls in ((poor, 2), (poor, 1), (rich, 3), (poor, 1), (rich, 3)):
-            rpc = first(fleet.take(policy=terms)).request
-            self.assertEqual(fail(fleet, rpc), calls)
+            request = first(fleet.take(policy=terms)).request
+            self.assertEqual(fail(fleet, request), calls)
 
     def test_budget_goes_on(self):
-        """A file read anew: RPCs of the route as it stands now pay for one that was taken before, and it for them."""
+        """After a reload, requests of the route as it is now pay for an earlier one, and it pays for them."""
         fleet = Fleet(workers=8)
         before, after = (
             timing(budget_terms=(1e4, 0.5, 0.0), budget_key=name, priority=at) for at, name in enumerate(("r", "r"))
@@ -145,8 +145,8 @@
         self.assertEqual(fail(fleet, first(fleet.take(policy=after)).request), 1)
 
     def test_time_outs_lower_the_limits(self):
-        """(outcome, terms, busy share, standing) -> whether the limits on our call-outs fall: a route's attempts that
-        are over say that answers are late, though none was; a cancel, an RPC's own end and a load say nothing."""
+        """(outcome, terms, busy share, standing) -> whether the limits on our attempts fall: a route's attempts that
+        are over say that answers are late, though none was; a cancel, a request's own end and a load say nothing."""
         for outcome, terms, busy, lowered in (
             ("timeout", timing(attempts=1), 0.95, True),
             ("timeout", timing(attempts=3), 0.95, True),
@@ -176,7 +176,7 @@
                 )
 
     def test_second_copies(self):
-        """(overlap, effect, second, time passed) -> call-outs out; never more than saved up, never at one worker."""
+        """(overlap, effect, second, time passed) -> attempts out; never more than saved up, never at one worker."""
         for overlap, effect, second, ms, out in (
             (True, "idempotent", (200.0, 2, 1.0), 150, 1),
             (True, "idempotent", (200.0, 2, 1.0), 300, 2),
@@ -189,9 +189,9 @@
         ):
             with self.subTest(overlap=overlap, effect=effect, second=second, ms=ms):
                 fleet = Fleet(workers=6, hedging=overlap, effect=effect)
-                rpc = first(fleet.take(policy=timing(hedge=second))).request
+                request = first(fleet.take(policy=timing(hedge=second))).request
                 fleet.pass_time(ms)
-                workers = [co.replica.worker for co in rpc.attempts if co.outcome is None]
+                workers = [attempt.replica.worker for attempt in request.attempts if attempt.outcome is None]
                 self.assertEqual(len(workers), out)
                 self.assertEqual(len(set(workers)), out)
 
@@ -200,12 +200,12 @@
         for begins, want in ((("ok", 0), ["cancel"]), (("ok", 1), ["cancel"]), (("error", 0), [])):
             with self.subTest(begins=begins):
                 fleet = Fleet(workers=6, hedging=True)
-                rpc = first(fleet.take(policy=timing(hedge=(200.0, 2, 1.0)))).request
+                request = first(fleet.take(policy=timing(hedge=(200.0, 2, 1.0)))).request
                 fleet.pass_time(300)
                 outcome, number = begins
-                self.assertEqual(verbs(fleet.end(rpc, outcome, number)), want)
-                self.assertEqual(verbs(fleet.end(rpc, "ok", 1 - number, final=True)), [])
-                self.assertNotIn(rpc.ident, fleet.router.requests)
+                self.assertEqual(verbs(fleet.end(request, outcome, number)), want)
+                self.assertEqual(verbs(fleet.end(request, "ok", 1 - number, final=True)), [])
+                self.assertNotIn(request.ident, fleet.router.requests)
 
     def test_queue_and_priority(self):
         """What waits for a first place is denied after its queueing time; the dearest by priority goes first."""
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -31,7 +31,7 @@
 
 class Rules(unittest.TestCase):
     def test_what_follows_an_outcome(self):
-        """(effect, scope, outcome) -> the verbs that may follow the first call-out."""
+        """(effect, scope, outcome) -> the verbs that may follow the first attempt."""
         cases = [("idempotent", "all", outcome, "forward") for outcome in NEVER + MAYBE]
         cases += [("side-effecting", "all", outcome, "forward") for outcome in NEVER]
         cases += [("side-effecting", "all", outcome, "fail") for outcome in MAYBE]
@@ -41,15 +41,15 @@
             with self.subTest(effect=effect, scope=scope, outcome=outcome):
                 rows = [row(name, zone=at, cell=at) for at, name in enumerate("abc")]
                 fleet = Fleet(effect=effect, scope=scope, endpoints=rows)
-                rpc = fleet.take()[0].request
+                request = fleet.take()[0].request
                 if scope != "all":  # the one worker of the group is not to be used
                     rows = [
                         row("abc"[at], zone=at, cell=at, state="draining")
                         for at in range(3)
-                        if "abc"[at] == rpc.attempts[0].replica.worker.endpoint.ident
+                        if "abc"[at] == request.attempts[0].replica.worker.endpoint.ident
                     ]
                     fleet.list(rows, whole=False)
-                got = fleet.end(rpc, outcome) or fleet.pass_time(2500)
+                got = fleet.end(request, outcome) or fleet.pass_time(2500)
                 self.assertEqual([v for v in verbs(got) if v not in ("prewarm", "cancel")][:1], [verb])
 
     def test_tokened_window(self):
@@ -57,12 +57,12 @@
         for wait, verb in ((1900.0, "forward"), (2100.0, "reject")):
             with self.subTest(wait=wait):
                 fleet = Fleet(effect="tokened")
-                rpc = fleet.take()[0].request
+                request = fleet.take()[0].request
                 fleet.clock += wait
-                self.assertIn(verb, verbs(fleet.end(rpc, "error")))
+                self.assertIn(verb, verbs(fleet.end(request, "error")))
 
     def test_every_rpc_gets_one_answer(self):
-        """(workers, what each call-out comes to) -> the last word, in time and only once."""
+        """(workers, what each attempt comes to) -> the last word, in time and only once."""
         for workers, outcome, effect, verb in (
             (0, None, "idempotent", "reject"),
             (0, None, "side-effecting", "reject"),
@@ -75,10 +75,10 @@
                 fleet = Fleet(workers=workers, effect=effect)
                 got, start = fleet.take(), fleet.clock
                 for _ in range(200):
-                    rpc = fleet.router.requests.get(1)
-                    if rpc and rpc.attempts and rpc.attempts[-1].outcome is None:
+                    request = fleet.router.requests.get(1)
+                    if request and request.attempts and request.attempts[-1].outcome is None:
                         fleet.clock += 1
-                        got += fleet.end(rpc, outcome)
+                        got += fleet.end(request, outcome)
                     got += fleet.pass_time(50)
                 self.assertEqual([v for v in verbs(got) if v in ("reject", "fail")], [verb])
                 self.assertLess(verbs(got).count("forward"), 5)
@@ -89,12 +89,12 @@
         for effect, verb in (("idempotent", "reject"), ("side-effecting", "fail")):
             with self.subTest(effect=effect):
                 fleet = Fleet(effect=effect)
-                rpc = fleet.take()[0].request
+                request = fleet.take()[0].request
                 fleet.clock += 4000
-                self.assertIn(verb, verbs(fleet.end(rpc, "timeout")))
+                self.assertIn(verb, verbs(fleet.end(request, "timeout")))
 
     def test_drains(self):
-        """From the moment of being told nothing new goes there, neither RPC nor hold."""
+        """From the moment of being told nothing new goes there, neither request nor hold."""
         for state, whole in (("draining", False), ("gone", False), ("missing", True)):
             with self.subTest(state=state):
                 fleet = Fleet(workers=3)
@@ -106,7 +106,7 @@
                 self.assertNotIn(first, [d.worker.endpoint.ident for d in got if isinstance(d, Prewarm)])
 
     def test_cold_worker_gets_little(self):
-        """(age of the new worker in ms, most it may get of 40 RPCs at once)."""
+        """(age of the new worker in ms, most it may get of 40 requests at once)."""
         for age, most in ((0.0, 2), (17000.0, 40)):
             with self.subTest(age=age):
                 fleet = Fleet(workers=1)
@@ -118,7 +118,7 @@
                 self.assertTrue(got)
 
     def test_cold_worker_stands_what_all_front_ends_send(self):
-        """(front ends that carry 60 RPCs a second together) -> what all send to the one worker left, cold."""
+        """(front ends that carry 60 requests a second together) -> what all send to the one worker left, cold."""
         for many in (20, 80):
             with self.subTest(many=many):
                 ages, gap = [], 1000.0 * many / 60
@@ -141,7 +141,7 @@
                 self.assertGreater(len(ages), 10)
 
     def test_cold_ramp_holds_for_the_fleet(self):
-        """(settings, ms of work, cores) -> what all front ends send that always have an RPC for the one cold worker, in
+        """(settings, ms of work, cores) -> what all front ends send that always have a request for one cold worker, in
         any span of the window, never over N + 2 x root of N + 2, N being what the settings allow as it begins."""
         least, site, most = (
             SlowStart(0.17, 12000.0, 2.0, 1000.0),
@@ -181,8 +181,8 @@
             few = (deque(maxlen=8) for _ in range(4))
             return Worker(Endpoint(name, 0, 0, 0, "ready", size, born), *few, 1e4, 8.0, born, name_hash(name))
 
-        rpc = Mock()
-        rpc.request_class.durations, rpc.request_class.latency_objective = [work], 4 * work
+        request = Mock()
+        request.request_class.durations, request.request_class.latency_objective = [work], 4 * work
         front_ends, sent = [], []
         for seat in range(many):
             guards = SlowStartGuard(warm, GatewayInstance(seat, many, 0, (), False))
@@ -194,23 +194,23 @@
             front_ends.append((guards, worker("z", 5000.0)))
         for now in range(5000, int(5000 + warm.ramp), 50):
             for guards, cold in front_ends:
-                while guards.admits(cold, rpc, float(now)):
+                while guards.admits(cold, request, float(now)):
                     cold.slow_start_sends.append(WorkSample(float(now), work))
                     sent.append(now - 5000)
         return sent
 
     def test_ration(self):
-        """(free, share, window): orders of any window never exceed free + share x RPCs taken in it."""
+        """(free, share, window): orders of any window never exceed free + share x requests taken in it."""
         for free, share, window in ((2.0, 0.1, 5000.0), (0.0, 0.05, 3000.0), (6.0, 0.0, 1000.0)):
             with self.subTest(free=free, share=share):
                 fleet = Fleet(prewarm_quota=PrewarmQuota(free, share, window))
                 holds, taken = [], []
                 for at in range(400):
                     taken.append(fleet.clock)
-                    got = fleet.take(f"p{at % 40}")  # copies are never found, so holds are always wanted
-                    for rpc in [d.request for d in got if isinstance(d, Forward)]:
+                    got = fleet.take(f"p{at % 40}")  # replicas are never found, so holds are always wanted
+                    for request in [d.request for d in got if isinstance(d, Forward)]:
                         fleet.clock += 5 * (at < 40)
-                        got += fleet.end(rpc, "miss" if at >= 40 else "ok")  # each was answered once
+                        got += fleet.end(request, "miss" if at >= 40 else "ok")  # each was answered once
                     got += fleet.pass_time(25, step=25)
                     for _ in [d for d in got if isinstance(d, Prewarm)]:
                         holds.append(fleet.clock)
@@ -226,7 +226,7 @@
         self.assertEqual(len(set(called(fleet.serve(calls=260))[-60:])), 1)
 
     def test_packs_at_low_load(self):
-        """(calls a second of each of six programs) -> workers used at most."""
+        """(calls a second of each of six functions) -> workers used at most."""
         for gap, most in ((200.0, 3), (60.0, 4)):
             with self.subTest(gap=gap):
                 fleet = Fleet(workers=8)
@@ -239,9 +239,9 @@
 
     def test_spills_on_full_and_not_to_the_same(self):
         fleet = Fleet(workers=3)
-        rpc = fleet.take()[0].request
-        got = fleet.end(rpc, "full") + fleet.end(rpc, "full")
-        self.assertEqual(len({co.replica.worker for co in rpc.attempts}), 3)
+        request = fleet.take()[0].request
+        got = fleet.end(request, "full") + fleet.end(request, "full")
+        self.assertEqual(len({attempt.replica.worker for attempt in request.attempts}), 3)
         self.assertEqual(verbs(got)[:2], ["forward", "forward"])
 
     def test_budget_grows_and_shrinks(self):
@@ -267,15 +267,15 @@
     def test_sample_with_a_load_is_not_a_slow_worker(self):
         fleet = Fleet(workers=3)
         fleet.serve(calls=20)
-        rpc = fleet.take("new")[0].request
-        worker = rpc.attempts[0].replica.worker
+        request = fleet.take("new")[0].request
+        worker = request.attempts[0].replica.worker
         before = fleet.router.latency.pace(worker)
         fleet.clock += 1500
-        fleet.end(rpc, load_note="began")
+        fleet.end(request, load_note="began")
         self.assertAlmostEqual(fleet.router.latency.pace(worker), before, places=2)
 
     def test_looks_of_one_rpc_do_not_grow_with_the_fleet(self):
-        """What an RPC for a new program, one for a known one and a tick look at, on 20 and on 90 workers."""
+        """What a request for a new function, one for a known one and a tick look at, on 20 and on 90 workers."""
         counts = []
         for workers in (20, 90):
             fleet = Fleet(endpoints=[row(f"w{n}") for n in range(workers)], front_ends=50)
@@ -291,7 +291,7 @@
         self.assertLess(counts[1], counts[0] + 10)
 
     def test_probes_go_by_own_traffic(self):
-        """(RPCs in ten seconds) -> probes at most, with 40 workers."""
+        """(requests in ten seconds) -> probes at most, with 40 workers."""
         for rpcs, most in ((0, 8), (20, 18), (100, 58)):
             with self.subTest(rpcs=rpcs):
                 fleet = Fleet(endpoints=[row(f"w{n}") for n in range(40)], front_ends=50, health_checks=True)
@@ -368,13 +368,13 @@
                 before = worker.concurrency_limit
                 rpcs = [d.request for _ in range(7) for d in fleet.take() if isinstance(d, Forward)]
                 fleet.clock += ms
-                for rpc in rpcs:
-                    fleet.end(rpc, load_note=standing)
+                for request in rpcs:
+                    fleet.end(request, load_note=standing)
                 compare(worker.concurrency_limit, before)
                 self.assertGreater(worker.concurrency_limit, before * 0.2)
 
     def test_waits_for_a_full_home_and_leaves_one_that_drains(self):
-        """(state of the home, how busy others are, loads on call) -> whether a call goes elsewhere while the home is
+        """(state of the home, how busy others are, loads on demand) -> whether a call goes elsewhere while the home is
         at its limit."""
         for state, busy, on_call, elsewhere in (
             ("ready", 0.6, True, False),
@@ -410,11 +410,11 @@
             fleet.serve(f"p{at % 5}", calls=1, ms=60.0)
         opened = set(fleet.placement.active)
         self.assertLess(len(opened), 6)
-        placed = {p.worker for program in fleet.router.functions.values() for p in program.replicas if p.placed}
+        placed = {p.worker for function in fleet.router.functions.values() for p in function.replicas if p.placed}
         self.assertLessEqual(placed, opened)
 
     def test_load_times_are_learnt(self):
-        """(hint, loads seen, whether a call-out is told to have begun them) -> how long a load is held to take; after
+        """(hint, loads seen, whether a attempt is told to have begun them) -> how long a load is held to take; after
         four the hint counts no more."""
         for hint, seen, want, *told in (
             (5000.0, [], 5000.0),
@@ -430,14 +430,14 @@
             with self.subTest(hint=hint, seen=seen):
                 fleet = Fleet()
                 fleet.take()
-                program = fleet.router.functions["p"]
-                program.load_hint = hint
+                function = fleet.router.functions["p"]
+                function.load_hint = hint
                 for took in seen:
-                    fleet.router.latency.record_load(program, took, *told)
-                self.assertEqual(fleet.router.latency.load_time(program), want)
+                    fleet.router.latency.record_load(function, took, *told)
+                self.assertEqual(fleet.router.latency.load_time(function), want)
 
     def test_a_miss_site_is_asked_by_a_call_then_given_a_hold(self):
-        """What follows the call-out that asks: ok spends no order; a miss brings one hold, then the call."""
+        """What follows the attempt that asks: ok spends no order; a miss brings one hold, then the call."""
         for outcome, holds, calls in (("ok", 0, 0), ("miss", 1, 1)):
             with self.subTest(outcome=outcome):
                 fleet = Fleet(workers=1, loads_on_demand=False, prewarm_outcome=None)
@@ -450,16 +450,16 @@
         for loads_on_call in (True, False):
             fleet = Fleet(workers=3, loads_on_demand=loads_on_call, front_ends=1, prewarm_outcome=None)
             got = [d for _ in range(30) for d in fleet.take() + fleet.pass_time(20, 10)]
-            for rpc in [d.request for d in got if isinstance(d, Forward)]:
-                got += fleet.end(rpc)
+            for request in [d.request for d in got if isinstance(d, Forward)]:
+                got += fleet.end(request)
             got += fleet.pass_time(1500)
             self.assertEqual(any(d.replicas > 1 for d in got if isinstance(d, Prewarm)), loads_on_call)
 
-    def test_what_was_called_once_is_not_held_ahead(self):  # too late for its own RPC, too, to order one
+    def test_what_was_called_once_is_not_held_ahead(self):  # too late for its own request, too, to order one
         fleet = Fleet(workers=6, loads_on_demand=False, prewarm_outcome=None, front_ends=50, reports_concurrency=False)
         got, held = fleet.take() + fleet.pass_time(600), 0
-        for rpc in [got[0].request] * 3:
-            held += verbs(fleet.end(rpc, "miss")).count("prewarm")
+        for request in [got[0].request] * 3:
+            held += verbs(fleet.end(request, "miss")).count("prewarm")
             fleet.router.schedule.next_at = fleet.router.wake_at = fleet.clock
             held += verbs(fleet.pass_time(50)).count("prewarm")
         self.assertEqual(held, 0)
@@ -501,7 +501,7 @@
                 self.assertEqual((worker.utilization, report.utilization, report.in_flight), (busy, busy, held))
 
     def test_cores_by_what_tenants_are_promised(self):
-        """(RPCs a second promised) -> RPCs at once of each of 4 workers, at 200 ms each; a guess where nothing is."""
+        """(requests a second promised) -> concurrency of each of 4 workers, at 200 ms each; a default where none is."""
         for quotas, want in (((), 4.0), ((16.0, 16.0), 2.0), ((64.0,), 4.0), ((320.0,), 20.0)):
             with self.subTest(quotas=quotas):
                 fleet = Fleet(workers=4, report_fields=("in_flight",), quotas=quotas)
@@ -509,22 +509,22 @@
                 self.assertAlmostEqual(fleet.router.latency.cores(fleet.router.workers["a"]), want)
 
     def test_a_program_spreads_where_no_company_is_told(self):
-        """(company told) -> homes of a program that needs 0.6 of a worker's part."""
+        """(company told) -> homes of a function that needs 0.6 of a worker's part."""
         for tells, homes in ((True, 1), (False, 3)):
             with self.subTest(tells=tells):
                 fleet = Fleet(workers=6, loads_on_demand=False, reports_concurrency=tells)
                 fleet.take()
-                program, workers, placement = fleet.router.functions["p"], fleet.ready, fleet.placement
+                function, workers, placement = fleet.router.functions["p"], fleet.ready, fleet.placement
                 placement.mean_capacity, placement.active, one = (
                     1.0,
                     dict.fromkeys(workers),
                     dict.fromkeys(workers, 1.0),
                 )
-                got = choose_workers(placement, program, 0.6, one, one, dict.fromkeys(workers, 9e9))
+                got = choose_workers(placement, function, 0.6, one, one, dict.fromkeys(workers, 9e9))
                 self.assertEqual(len(got), homes)
 
     def test_front_ends_ask_at_several_homes_before_their_first_fill(self):
-        """(loads on call) -> whether twenty front ends go to different workers with a program that is new to them."""
+        """(loads on demand) -> whether twenty front ends choose different workers for a function that is new to them."""
         for on_call, several in ((True, False), (False, True)):
             with self.subTest(on_call=on_call):
                 went = {called(Fleet(workers=8, loads_on_demand=on_call, seed=seed).take())[0] for seed in range(20)}
@@ -550,7 +550,7 @@
                 )
 
     def test_a_zone_is_a_fleet_of_its_own_where_crossing_costs(self):
-        """(price of crossing, loads on call, workers of the zone shunned) -> the zones in which programs are placed."""
+        """(cost of crossing, loads on demand, workers of the zone ejected) -> zones in which functions are placed."""
         rows = [row(name, zone=at % 2) for at, name in enumerate("abcdefgh")]
         for crossing, on_call, ill, zones in (
             (0.0, False, 0, {0, 1}),
@@ -597,7 +597,7 @@
                 self.assertEqual({w.endpoint.zone for w in placement.scope.workers}, {0})
 
     def test_the_fleet_is_as_busy_as_fresh_reports_say(self):
-        """(ms since reports of 1.0, of 0.5) -> the busy share that counts for the limit on all call-outs."""
+        """(ms since reports of 1.0, of 0.5) -> the busy share that counts for the limit on all attempts."""
         for old, young, busy in ((5000.0, 100.0, 0.5), (2000.0, 100.0, 0.75), (5000.0, 5000.0, 0.0)):
             with self.subTest(old=old, young=young):
                 fleet = Fleet(workers=2)
@@ -617,15 +617,15 @@
         self.assertEqual(fleet.router.latency.usual_work(fleet.router.functions["p"]), 200.0)
 
     def test_what_nobody_has_tells_nothing_of_workers_and_earns_no_orders(self):
-        """(whether the program was answered before) -> worker shunned after errors, RPCs that count for orders."""
+        """(whether the function was answered before) -> worker ejected after errors, requests that count for orders."""
         for proven in (True, False):
             with self.subTest(proven=proven):
                 fleet = Fleet(workers=1, prewarm_quota=PrewarmQuota(1.0, 1.0, 5000.0))
                 fleet.serve(calls=1 if proven else 0)
                 before = len(fleet.router.prewarm_limiter.requests)
                 for _ in range(4):
-                    for rpc in [d.request for d in fleet.take() if isinstance(d, Forward)]:
-                        fleet.end(rpc, "error", final=True)
+                    for request in [d.request for d in fleet.take() if isinstance(d, Forward)]:
+                        fleet.end(request, "error", final=True)
                 fleet.pass_time(600)
                 worker = fleet.router.workers["a"]
                 self.assertEqual(
@@ -634,7 +634,7 @@
                 self.assertEqual(any(place.placed for place in fleet.router.functions["p"].replicas), proven)
 
     def test_requests_for_functions_nobody_has_earn_no_load_orders(self):
-        """Where attempts ask for copies: (functions asked for, whether one exists) -> most orders of a window."""
+        """Where attempts ask for replicas: (functions asked for, whether one exists) -> most orders of a window."""
         ration = PrewarmQuota(3.0, 0.2, 5000.0)
         for unknown, known in ((60, False), (60, True), (0, True)):
             with self.subTest(unknown=unknown, known=known):
@@ -694,9 +694,9 @@
                                 1000 + number, 4000.0, fleet.request_class, "p", 4000.0, 2, None, work, False
                             )
                         )
-                        for rpc in [d.request for d in fleet.pull() if isinstance(d, Forward)]:
+                        for request in [d.request for d in fleet.pull() if isinstance(d, Forward)]:
                             fleet.router.attempt_finished(
-                                AttemptFinished(rpc.ident, 0, "ok", True, "stood", 3, fleet.reported(0.5, 2.0))
+                                AttemptFinished(request.ident, 0, "ok", True, "stood", 3, fleet.reported(0.5, 2.0))
                             )
                         fleet.pull()
                         if number % 20 == 0:
@@ -706,7 +706,7 @@
                     self.assertIn("forward", verbs(fleet.take()))
 
     def test_what_would_be_late_at_a_full_home_is_denied_at_once(self):
-        """(busy, held there, age of the report in ms, loads on call) -> the verb."""
+        """(busy, held there, age of the report in ms, loads on demand) -> the verb."""
         for busy, held, age, on_call, verb in (
             (0.95, 60.0, 0, False, "reject"),
             (0.5, 60.0, 0, False, "forward"),
@@ -723,7 +723,7 @@
                 self.assertIn(verb, verbs(fleet.take()))
 
     def test_many_unreached_and_none_cut_are_no_restarts(self):
-        """(outcomes at as many workers, one each) -> whether the copies there count as lost."""
+        """(outcomes at as many workers, one each) -> whether the replicas there count as lost."""
         for outcomes, lost in (
             (["ok"] * 6 + ["unreached"] * 4, False),
             (["ok"] * 9 + ["unreached"], True),
@@ -743,9 +743,9 @@
     """Each failure found in a round, as what a front end sees of it."""
 
     def test_takes_rpcs_back_from_a_shunned_worker_that_says_nothing(self):
-        """(effect, whether it is shunned, whether others were answered since, workers) -> whether the RPC is taken
+        """(effect, whether it is ejected, whether others were answered since, workers) -> whether the request is taken
         back: not from a slow worker, where it may run on, nor from the only one, to which it would not go again."""
-        for effect, shunned, heard, workers, back in (
+        for effect, ejected, heard, workers, back in (
             ("idempotent", True, False, 2, True),
             ("idempotent", False, False, 2, False),
             ("idempotent", False, True, 2, False),
@@ -753,18 +753,18 @@
             ("idempotent", True, False, 1, False),
             ("side-effecting", True, False, 2, False),
         ):
-            with self.subTest(effect=effect, shunned=shunned, heard=heard, workers=workers):
+            with self.subTest(effect=effect, ejected=ejected, heard=heard, workers=workers):
                 fleet = Fleet(workers=workers, effect=effect)
                 fleet.serve(calls=20)
-                rpc = fleet.take()[0].request
+                request = fleet.take()[0].request
                 got = fleet.pass_time(100)
                 if heard:
                     fleet.end(next(d.request for d in fleet.take() if isinstance(d, Forward)))
-                if shunned:
-                    fleet.router.outliers.eject(rpc.attempts[0].replica.worker, fleet.clock, "test")
+                if ejected:
+                    fleet.router.outliers.eject(request.attempts[0].replica.worker, fleet.clock, "test")
                 got += fleet.pass_time(1000)
                 cancelled = [d.attempt for d in got if isinstance(d, Cancel)]
-                self.assertEqual(rpc.attempts[0] in cancelled, back)
+                self.assertEqual(request.attempts[0] in cancelled, back)
 
     def test_unanswered_probes_shun_and_an_answer_brings_the_trial(self):
         fleet = Fleet(workers=3, health_checks=True)
@@ -782,12 +782,12 @@
         for ms, left in ((100, 2), (6000, 1)):
             with self.subTest(ms=ms):
                 fleet = Fleet(workers=1)
-                rpc = fleet.take()[0].request
-                worker = rpc.attempts[0].replica.worker
+                request = fleet.take()[0].request
+                worker = request.attempts[0].replica.worker
                 for _ in range(2):
                     fleet.router.outliers.eject(worker, fleet.clock, "test")
                 fleet.clock += ms
-                fleet.end(rpc)
+                fleet.end(request)
                 self.assertEqual(worker.ejections, left)
 
     def test_a_copy_that_stood_unknown_is_no_load(self):
@@ -795,20 +795,20 @@
         for ms, samples in ((230.0, 0), (1500.0, 1)):
             with self.subTest(ms=ms):
                 fleet = Fleet(workers=1, prewarm_outcome=None)
-                rpc = next(d.request for d in fleet.take() if isinstance(d, Forward))
+                request = next(d.request for d in fleet.take() if isinstance(d, Forward))
                 fleet.clock += ms
-                fleet.end(rpc, load_note=None)
-                self.assertEqual(len(rpc.function.load_times), samples)
+                fleet.end(request, load_note=None)
+                self.assertEqual(len(request.function.load_times), samples)
 
     def test_full_without_company_tells_of_memory(self):
-        """(RPCs of the program held there) -> whether the copy still counts and others may load there."""
+        """(requests of the function held there) -> whether the copy still counts and others may load there."""
         for company, room in ((0, False), (3, True)):
             with self.subTest(company=company):
                 fleet = Fleet(workers=2)
                 home = called(fleet.serve(calls=100))[-1]
-                rpc = fleet.take()[0].request
-                place = rpc.attempts[0].replica
-                fleet.router.attempt_finished(AttemptFinished(rpc.ident, 0, "full", False, None, company, None))
+                request = fleet.take()[0].request
+                place = request.attempts[0].replica
+                fleet.router.attempt_finished(AttemptFinished(request.ident, 0, "full", False, None, company, None))
                 self.assertEqual(place.loaded > 0, room)
                 self.assertEqual(home in called(fleet.take("new")) + called(fleet.take("newer")), room)
 
@@ -820,7 +820,7 @@
         self.assertLessEqual(got.count(place.worker.endpoint.ident), place.loaded * fleet.concurrency)
 
     def test_denied_once_its_usual_latency_no_longer_fits(self):
-        """(times that all RPCs take of their due) -> ms after which one that finds no room is denied."""
+        """(times that all requests take of their due) -> ms after which one that finds no room is denied."""
         for slow, least, most in ((1.0, 500, 800), (5.0, 0, 400)):
             with self.subTest(slow=slow):
                 fleet = Fleet(workers=1)
@@ -846,11 +846,11 @@
             with self.subTest(outcome=outcome, ms=ms):
                 fleet = Fleet(workers=1)
                 fleet.serve(calls=20)
-                rpc = fleet.take()[0].request
-                worker = rpc.attempts[0].replica.worker
+                request = fleet.take()[0].request
+                worker = request.attempts[0].replica.worker
                 before = fleet.router.latency.pace(worker)
                 fleet.clock += ms
-                fleet.end(rpc, outcome)
+                fleet.end(request, outcome)
                 self.assertEqual(fleet.router.latency.pace(worker) > before, slower)
 
     def test_a_connection_lost_makes_the_worker_cold(self):
@@ -859,9 +859,9 @@
             with self.subTest(outcome=outcome):
                 fleet = Fleet(workers=2)
                 fleet.serve(calls=20)
-                rpc = fleet.take()[0].request
-                worker = rpc.attempts[0].replica.worker
-                fleet.end(rpc, outcome)
+                request = fleet.take()[0].request
+                worker = request.attempts[0].replica.worker
+                fleet.end(request, outcome)
                 self.assertEqual(fleet.router.slow_start.is_warming_up(worker, fleet.clock), cold)
 
     def test_the_fleets_demand_for_a_program(self):
@@ -875,9 +875,9 @@
             with self.subTest(own=own, company=company):
                 fleet = Fleet(workers=2)
                 fleet.take()
-                program, (a, b) = fleet.router.functions["p"], fleet.router.workers.values()
-                program.concurrency_samples.extend((worker, many) for many in company for worker in (a, b))
-                self.assertTrue(least <= fleet.placement.demand_estimator.fleet_lanes(program, own, part) <= most)
+                function, (a, b) = fleet.router.functions["p"], fleet.router.workers.values()
+                function.concurrency_samples.extend((worker, many) for many in company for worker in (a, b))
+                self.assertTrue(least <= fleet.placement.demand_estimator.fleet_lanes(function, own, part) <= most)
 
     def test_late_answers_limit_all_our_call_outs(self):
         """(ms of each answer, busy share) -> whether what one front end has out at all workers is limited."""
@@ -897,10 +897,10 @@
             with self.subTest(load=load, left=left):
                 fleet = Fleet(workers=3, front_ends=3)
                 fleet.take()
-                program, workers = fleet.router.functions["p"], list(fleet.router.workers.values())
-                home = min(workers, key=lambda w: rendezvous_rank(program, w))
+                function, workers = fleet.router.functions["p"], list(fleet.router.workers.values())
+                home = min(workers, key=lambda w: rendezvous_rank(function, w))
                 fleet.placement.mean_capacity, fleet.placement.active = 1.0, dict.fromkeys(workers)
                 room = {w: left if w is home else 1.0 for w in workers}
                 budget, part = dict.fromkeys(workers, 9e9), dict.fromkeys(workers, 1.0)
-                got = choose_workers(fleet.placement, program, load, part, room, budget)
+                got = choose_workers(fleet.placement, function, load, part, room, budget)
                 self.assertEqual(got == [home], first)
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -185,8 +185,8 @@
 
     def attempts(self, many: int, warmup: SlowStart, name: str) -> list[float]:
         """When they sent to one server in slow start; they carried half of what the servers can do, evenly."""
-        rpc, sent, pairs = Mock(), [], []
-        rpc.request_class.durations, rpc.request_class.latency_objective = [self.WORK], 0.0
+        request, sent, pairs = Mock(), [], []
+        request.request_class.durations, request.request_class.latency_objective = [self.WORK], 0.0
         busy = many // 3
         for number in range(busy):
             guards = SlowStartGuard(warmup, GatewayInstance(number, many, 0, (), False))
@@ -198,8 +198,8 @@
             pairs.append((guards, worker))
         for now in range(5000, int(5000 + warmup.ramp), 50):
             for guards, worker in pairs:
-                while guards.admits(worker, rpc, float(now)):
-                    guards.attempt_sent(worker, rpc, float(now))
+                while guards.admits(worker, request, float(now)):
+                    guards.attempt_sent(worker, request, float(now))
                     sent.append(now - 5000.0)
         return sent
 
