--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -524,7 +524,7 @@
                 self.assertEqual(len(got), homes)
 
     def test_front_ends_ask_at_several_homes_before_their_first_fill(self):
-        """(loads on demand) -> whether twenty front ends choose different workers for a function that is new to them."""
+        """(loads on demand) -> whether 20 front ends choose different workers for a function that is new to them."""
         for on_call, several in ((True, False), (False, True)):
             with self.subTest(on_call=on_call):
                 went = {called(Fleet(workers=8, loads_on_demand=on_call, seed=seed).take())[0] for seed in range(20)}
