--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -2,6 +2,7 @@
 
 import ast
 import re
+import tomllib
 import unittest
 from graphlib import CycleError, TopologicalSorter
 from pathlib import Path
@@ -75,6 +76,12 @@
         except CycleError as error:
             self.fail(f"circle of imports: {' -> '.join(error.args[1])}")
 
+    def test_the_deploy_file_names_every_module_of_the_decisions(self) -> None:
+        """`policy` lists what the simulator and the gateways share."""
+        policy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text(encoding="utf-8"))["policy"]
+        modules = {str(path.relative_to(ROOT)) for path in (ROOT / PACKAGE / "routing").glob("*.py")}
+        self.assertEqual(set(policy), {path for path in modules if not path.endswith("__init__.py")})
+
     def test_the_decisions_import_the_standard_library_alone(self) -> None:
         """What the simulator runs needs no package that is installed."""
         allowed = (f"{PACKAGE}.routing", f"{PACKAGE}.config.deployment_settings", f"{PACKAGE}.simulator")
