--- a/tests/test_concurrency.py
+++ b/tests/test_concurrency.py
@@ -14,9 +14,9 @@
             with self.subTest(outcome=outcome):
                 fleet = Fleet(workers=1)
                 fleet.take()
-                worker = fleet.fe.workers["a"]
+                worker = fleet.router.workers["a"]
                 before = worker.memory_budget
-                fleet.fe.prewarm_finished("a", "p", outcome, 1, 800.0)
+                fleet.router.prewarm_finished("a", "p", outcome, 1, 800.0)
                 compare(worker.memory_budget, before)
 
     def test_late_answers_lower_the_limit_once_a_queue(self):
@@ -29,31 +29,31 @@
         ):
             with self.subTest(ms=ms, standing=standing):
                 fleet = Fleet(workers=1)
-                fleet.lanes = 8
+                fleet.concurrency = 8
                 fleet.serve(calls=2)
-                worker = fleet.fe.workers["a"]
+                worker = fleet.router.workers["a"]
                 before = worker.concurrency_limit
                 rpcs = [d.request for _ in range(7) for d in fleet.take() if isinstance(d, Forward)]
                 fleet.clock += ms
-                for rpc in rpcs:
-                    fleet.end(rpc, standing=standing)
+                for request in rpcs:
+                    fleet.end(request, load_note=standing)
                 compare(worker.concurrency_limit, before)
                 self.assertGreater(worker.concurrency_limit, before * 0.2)
 
     def test_cores_by_what_tenants_are_promised(self):
-        """(RPCs a second promised) -> RPCs at once of each of 4 workers, at 200 ms each; a guess where nothing is."""
+        """(requests a second promised) -> concurrency of each of 4 workers, at 200 ms each; a default where none is."""
         for quotas, want in (((), 4.0), ((16.0, 16.0), 2.0), ((64.0,), 4.0), ((320.0,), 20.0)):
             with self.subTest(quotas=quotas):
-                fleet = Fleet(workers=4, report=("in_flight",), quotas=quotas)
-                fleet.fe.latency.survey(fleet.cell, [fleet.cell], 200.0, fleet.clock)
-                self.assertAlmostEqual(fleet.fe.latency.cores(fleet.fe.workers["a"]), want)
+                fleet = Fleet(workers=4, report_fields=("in_flight",), quotas=quotas)
+                fleet.router.latency.survey(fleet.cell, [fleet.cell], 200.0, fleet.clock)
+                self.assertAlmostEqual(fleet.router.latency.cores(fleet.router.workers["a"]), want)
 
     def test_no_more_call_outs_than_lanes(self):
         fleet = Fleet(workers=3)
         fleet.serve(calls=200)
-        place = next(p for p in fleet.fe.functions["p"].replicas if p.loaded)
+        place = next(p for p in fleet.router.functions["p"].replicas if p.loaded)
         got = called([d for _ in range(9) for d in fleet.take()])
-        self.assertLessEqual(got.count(place.worker.endpoint.ident), place.loaded * fleet.lanes)
+        self.assertLessEqual(got.count(place.worker.endpoint.ident), place.loaded * fleet.concurrency)
 
     def test_late_answers_limit_all_our_call_outs(self):
         """(ms of each answer, busy share) -> whether what one front end has out at all workers is limited."""
@@ -61,11 +61,11 @@
             with self.subTest(ms=ms, busy=busy):
                 fleet = Fleet(workers=6, front_ends=200)
                 for at in range(12):
-                    fleet.fe.health_checked(
+                    fleet.router.health_checked(
                         "f", "ok", fleet.reported(busy, 6.0)
                     )  # elsewhere: at a busy home they would be denied
                     fleet.serve(f"p{at}", calls=2, ms=ms)
-                self.assertEqual(fleet.fe.global_concurrency.concurrency_limit < 9.0, limited)
+                self.assertEqual(fleet.router.global_concurrency.concurrency_limit < 9.0, limited)
 
 
 if __name__ == "__main__":
--- a/tests/test_latency.py
+++ b/tests/test_latency.py
@@ -10,7 +10,7 @@
 
     def test_silent_worker_loses_its_good_latency(self):
         fleet = Fleet(workers=4)
-        fleet.lanes = 8
+        fleet.concurrency = 8
         first = called(fleet.serve(calls=150))[-1]
         for _ in range(6):
             fleet.take()
@@ -21,15 +21,15 @@
     def test_sample_with_a_load_is_not_a_slow_worker(self):
         fleet = Fleet(workers=3)
         fleet.serve(calls=20)
-        rpc = fleet.take("new")[0].request
-        worker = rpc.attempts[0].replica.worker
-        before = fleet.fe.latency.pace(worker)
+        request = fleet.take("new")[0].request
+        worker = request.attempts[0].replica.worker
+        before = fleet.router.latency.pace(worker)
         fleet.clock += 1500
-        fleet.end(rpc, standing="began")
-        self.assertAlmostEqual(fleet.fe.latency.pace(worker), before, places=2)
+        fleet.end(request, load_note="began")
+        self.assertAlmostEqual(fleet.router.latency.pace(worker), before, places=2)
 
     def test_load_times_are_learnt(self):
-        """(hint, loads seen, whether a call-out is told to have begun them) -> how long a load is held to take; after
+        """(hint, loads seen, whether a attempt is told to have begun them) -> how long a load is held to take; after
         four the hint counts no more."""
         for hint, seen, want, *told in (
             (5000.0, [], 5000.0),
@@ -45,11 +45,11 @@
             with self.subTest(hint=hint, seen=seen):
                 fleet = Fleet()
                 fleet.take()
-                program = fleet.fe.functions["p"]
-                program.load_hint = hint
+                function = fleet.router.functions["p"]
+                function.load_hint = hint
                 for took in seen:
-                    fleet.fe.latency.record_load(program, took, *told)
-                self.assertEqual(fleet.fe.latency.load_time(program), want)
+                    fleet.router.latency.record_load(function, took, *told)
+                self.assertEqual(fleet.router.latency.load_time(function), want)
 
     def test_an_answer_given_up_counts_for_the_pace(self):
         """(outcome, ms) -> whether the worker counts as slower; not where the client only left early."""
@@ -62,12 +62,12 @@
             with self.subTest(outcome=outcome, ms=ms):
                 fleet = Fleet(workers=1)
                 fleet.serve(calls=20)
-                rpc = fleet.take()[0].request
-                worker = rpc.attempts[0].replica.worker
-                before = fleet.fe.latency.pace(worker)
+                request = fleet.take()[0].request
+                worker = request.attempts[0].replica.worker
+                before = fleet.router.latency.pace(worker)
                 fleet.clock += ms
-                fleet.end(rpc, outcome)
-                self.assertEqual(fleet.fe.latency.pace(worker) > before, slower)
+                fleet.end(request, outcome)
+                self.assertEqual(fleet.router.latency.pace(worker) > before, slower)
 
 
 if __name__ == "__main__":
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -19,31 +19,31 @@
     def test_homes_leave_a_closed_worker(self):
         fleet = Fleet(workers=6)
         for name in "abcdef" * 8:
-            fleet.fe.health_checked(name, "ok", fleet.reported(0.2, 0.6))
+            fleet.router.health_checked(name, "ok", fleet.reported(0.2, 0.6))
         for at in range(400):
             fleet.serve(f"p{at % 5}", calls=1, ms=60.0)
         opened = set(fleet.placement.active)
         self.assertLess(len(opened), 6)
-        placed = {p.worker for program in fleet.fe.functions.values() for p in program.replicas if p.placed}
+        placed = {p.worker for function in fleet.router.functions.values() for p in function.replicas if p.placed}
         self.assertLessEqual(placed, opened)
 
     def test_a_program_spreads_where_no_company_is_told(self):
-        """(company told) -> homes of a program that needs 0.6 of a worker's part."""
+        """(company told) -> homes of a function that needs 0.6 of a worker's part."""
         for tells, homes in ((True, 1), (False, 3)):
             with self.subTest(tells=tells):
-                fleet = Fleet(workers=6, loads_on_call=False, tells=tells)
+                fleet = Fleet(workers=6, loads_on_demand=False, reports_concurrency=tells)
                 fleet.take()
-                program, workers, placement = fleet.fe.functions["p"], fleet.ready, fleet.placement
+                function, workers, placement = fleet.router.functions["p"], fleet.ready, fleet.placement
                 placement.mean_capacity, placement.active, one = (
                     1.0,
                     dict.fromkeys(workers),
                     dict.fromkeys(workers, 1.0),
                 )
-                got = choose_workers(placement, program, 0.6, one, one, dict.fromkeys(workers, 9e9))
+                got = choose_workers(placement, function, 0.6, one, one, dict.fromkeys(workers, 9e9))
                 self.assertEqual(len(got), homes)
 
     def test_a_zone_is_a_fleet_of_its_own_where_crossing_costs(self):
-        """(price of crossing, loads on call, workers of the zone shunned) -> the zones in which programs are placed."""
+        """(cost of crossing, loads on demand, workers of the zone ejected) -> zones in which functions are placed."""
         rows = [row(name, zone=at % 2) for at, name in enumerate("abcdefgh")]
         for crossing, on_call, ill, zones in (
             (0.0, False, 0, {0, 1}),
@@ -52,7 +52,7 @@
             (0.05, False, 3, {0, 1}),
         ):
             with self.subTest(crossing=crossing, on_call=on_call, ill=ill):
-                fleet = Fleet(rows=rows, crossing=crossing, loads_on_call=on_call)
+                fleet = Fleet(endpoints=rows, cross_zone_cost=crossing, loads_on_demand=on_call)
                 for worker in [w for w in fleet.ready if w.endpoint.zone == 0][:ill]:
                     worker.ejections = 1
                 self.assertEqual({w.endpoint.zone for w in fleet.placement.scope.update(fleet.clock)}, zones)
@@ -68,11 +68,11 @@
             (0.9, None, 1, 0.125),
         ):
             with self.subTest(mine=mine, far=far, periods=periods):
-                fleet = Fleet(rows=rows, crossing=0.05, loads_on_call=False)
+                fleet = Fleet(endpoints=rows, cross_zone_cost=0.05, loads_on_demand=False)
                 placement, ready = fleet.placement, fleet.ready
                 for worker in ready:
                     if (busy := far if worker.endpoint.zone else mine) is not None:
-                        fleet.fe.latency.record_report(worker, fleet.reported(busy, 4.0), fleet.clock)
+                        fleet.router.latency.record_report(worker, fleet.reported(busy, 4.0), fleet.clock)
                 for _ in range(periods):
                     placement.scope.update(fleet.clock)
                 self.assertEqual((placement.scope.reach, placement.scope.workers == ready), (reach, reach > 0))
@@ -93,21 +93,21 @@
         """(ms that an answer took which does not tell) -> samples of a load's time."""
         for ms, samples in ((230.0, 0), (1500.0, 1)):
             with self.subTest(ms=ms):
-                fleet = Fleet(workers=1, holds=None)
-                rpc = next(d.request for d in fleet.take() if isinstance(d, Forward))
+                fleet = Fleet(workers=1, prewarm_outcome=None)
+                request = next(d.request for d in fleet.take() if isinstance(d, Forward))
                 fleet.clock += ms
-                fleet.end(rpc, standing=None)
-                self.assertEqual(len(rpc.function.load_times), samples)
+                fleet.end(request, load_note=None)
+                self.assertEqual(len(request.function.load_times), samples)
 
     def test_full_without_company_tells_of_memory(self):
-        """(RPCs of the program held there) -> whether the copy still counts and others may load there."""
+        """(requests of the function held there) -> whether the copy still counts and others may load there."""
         for company, room in ((0, False), (3, True)):
             with self.subTest(company=company):
                 fleet = Fleet(workers=2)
                 home = called(fleet.serve(calls=100))[-1]
-                rpc = fleet.take()[0].request
-                place = rpc.attempts[0].replica
-                fleet.fe.attempt_finished(AttemptFinished(rpc.ident, 0, "full", False, None, company, None))
+                request = fleet.take()[0].request
+                place = request.attempts[0].replica
+                fleet.router.attempt_finished(AttemptFinished(request.ident, 0, "full", False, None, company, None))
                 self.assertEqual(place.loaded > 0, room)
                 self.assertEqual(home in called(fleet.take("new")) + called(fleet.take("newer")), room)
 
@@ -117,12 +117,12 @@
             with self.subTest(load=load, left=left):
                 fleet = Fleet(workers=3, front_ends=3)
                 fleet.take()
-                program, workers = fleet.fe.functions["p"], list(fleet.fe.workers.values())
-                home = min(workers, key=lambda w: rendezvous_rank(program, w))
+                function, workers = fleet.router.functions["p"], list(fleet.router.workers.values())
+                home = min(workers, key=lambda w: rendezvous_rank(function, w))
                 fleet.placement.mean_capacity, fleet.placement.active = 1.0, dict.fromkeys(workers)
                 room = {w: left if w is home else 1.0 for w in workers}
                 budget, part = dict.fromkeys(workers, 9e9), dict.fromkeys(workers, 1.0)
-                got = choose_workers(fleet.placement, program, load, part, room, budget)
+                got = choose_workers(fleet.placement, function, load, part, room, budget)
                 self.assertEqual(got == [home], first)
 
 
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -15,7 +15,7 @@
     """What follows the end of an attempt: retries, rejections, answers and cancellations."""
 
     def test_what_follows_an_outcome(self):
-        """(effect, scope, outcome) -> the verbs that may follow the first call-out."""
+        """(effect, scope, outcome) -> the verbs that may follow the first attempt."""
         cases = [("idempotent", "all", outcome, "forward") for outcome in NEVER + MAYBE]
         cases += [("side-effecting", "all", outcome, "forward") for outcome in NEVER]
         cases += [("side-effecting", "all", outcome, "fail") for outcome in MAYBE]
@@ -24,16 +24,16 @@
         for effect, scope, outcome, verb in cases:
             with self.subTest(effect=effect, scope=scope, outcome=outcome):
                 rows = [row(name, zone=at, cell=at) for at, name in enumerate("abc")]
-                fleet = Fleet(effect=effect, scope=scope, rows=rows)
-                rpc = fleet.take()[0].request
+                fleet = Fleet(effect=effect, scope=scope, endpoints=rows)
+                request = fleet.take()[0].request
                 if scope != "all":  # the one worker of the group is not to be used
                     rows = [
                         row("abc"[at], zone=at, cell=at, state="draining")
                         for at in range(3)
-                        if "abc"[at] == rpc.attempts[0].replica.worker.endpoint.ident
+                        if "abc"[at] == request.attempts[0].replica.worker.endpoint.ident
                     ]
                     fleet.list(rows, whole=False)
-                got = fleet.end(rpc, outcome) or fleet.pass_time(2500)
+                got = fleet.end(request, outcome) or fleet.pass_time(2500)
                 self.assertEqual([v for v in verbs(got) if v not in ("prewarm", "cancel")][:1], [verb])
 
     def test_tokened_window(self):
@@ -41,12 +41,12 @@
         for wait, verb in ((1900.0, "forward"), (2100.0, "reject")):
             with self.subTest(wait=wait):
                 fleet = Fleet(effect="tokened")
-                rpc = fleet.take()[0].request
+                request = fleet.take()[0].request
                 fleet.clock += wait
-                self.assertIn(verb, verbs(fleet.end(rpc, "error")))
+                self.assertIn(verb, verbs(fleet.end(request, "error")))
 
     def test_every_rpc_gets_one_answer(self):
-        """(workers, what each call-out comes to) -> the last word, in time and only once."""
+        """(workers, what each attempt comes to) -> the last word, in time and only once."""
         for workers, outcome, effect, verb in (
             (0, None, "idempotent", "reject"),
             (0, None, "side-effecting", "reject"),
@@ -59,26 +59,26 @@
                 fleet = Fleet(workers=workers, effect=effect)
                 got, start = fleet.take(), fleet.clock
                 for _ in range(200):
-                    rpc = fleet.fe.requests.get(1)
-                    if rpc and rpc.attempts and rpc.attempts[-1].outcome is None:
+                    request = fleet.router.requests.get(1)
+                    if request and request.attempts and request.attempts[-1].outcome is None:
                         fleet.clock += 1
-                        got += fleet.end(rpc, outcome)
+                        got += fleet.end(request, outcome)
                     got += fleet.pass_time(50)
                 self.assertEqual([v for v in verbs(got) if v in ("reject", "fail")], [verb])
                 self.assertLess(verbs(got).count("forward"), 5)
                 self.assertGreater(fleet.clock, start + 4000)
-                self.assertFalse(fleet.fe.requests)
+                self.assertFalse(fleet.router.requests)
 
     def test_deadline_timeout_is_answered_at_once(self):
         for effect, verb in (("idempotent", "reject"), ("side-effecting", "fail")):
             with self.subTest(effect=effect):
                 fleet = Fleet(effect=effect)
-                rpc = fleet.take()[0].request
+                request = fleet.take()[0].request
                 fleet.clock += 4000
-                self.assertIn(verb, verbs(fleet.end(rpc, "timeout")))
+                self.assertIn(verb, verbs(fleet.end(request, "timeout")))
 
     def test_drains(self):
-        """From the moment of being told nothing new goes there, neither RPC nor hold."""
+        """From the moment of being told nothing new goes there, neither request nor hold."""
         for state, whole in (("draining", False), ("gone", False), ("missing", True)):
             with self.subTest(state=state):
                 fleet = Fleet(workers=3)
@@ -91,15 +91,15 @@
 
     def test_spills_on_full_and_not_to_the_same(self):
         fleet = Fleet(workers=3)
-        rpc = fleet.take()[0].request
-        got = fleet.end(rpc, "full") + fleet.end(rpc, "full")
-        self.assertEqual(len({co.replica.worker for co in rpc.attempts}), 3)
+        request = fleet.take()[0].request
+        got = fleet.end(request, "full") + fleet.end(request, "full")
+        self.assertEqual(len({attempt.replica.worker for attempt in request.attempts}), 3)
         self.assertEqual(verbs(got)[:2], ["forward", "forward"])
 
     def test_takes_rpcs_back_from_a_shunned_worker_that_says_nothing(self):
-        """(effect, whether it is shunned, whether others were answered since, workers) -> whether the RPC is taken
+        """(effect, whether it is ejected, whether others were answered since, workers) -> whether the request is taken
         back: not from a slow worker, where it may run on, nor from the only one, to which it would not go again."""
-        for effect, shunned, heard, workers, back in (
+        for effect, ejected, heard, workers, back in (
             ("idempotent", True, False, 2, True),
             ("idempotent", False, False, 2, False),
             ("idempotent", False, True, 2, False),
@@ -107,29 +107,29 @@
             ("idempotent", True, False, 1, False),
             ("side-effecting", True, False, 2, False),
         ):
-            with self.subTest(effect=effect, shunned=shunned, heard=heard, workers=workers):
+            with self.subTest(effect=effect, ejected=ejected, heard=heard, workers=workers):
                 fleet = Fleet(workers=workers, effect=effect)
                 fleet.serve(calls=20)
-                rpc = fleet.take()[0].request
+                request = fleet.take()[0].request
                 got = fleet.pass_time(100)
                 if heard:
                     fleet.end(next(d.request for d in fleet.take() if isinstance(d, Forward)))
-                if shunned:
-                    fleet.fe.outliers.eject(rpc.attempts[0].replica.worker, fleet.clock, "test")
+                if ejected:
+                    fleet.router.outliers.eject(request.attempts[0].replica.worker, fleet.clock, "test")
                 got += fleet.pass_time(1000)
                 cancelled = [d.attempt for d in got if isinstance(d, Cancel)]
-                self.assertEqual(rpc.attempts[0] in cancelled, back)
+                self.assertEqual(request.attempts[0] in cancelled, back)
 
     def test_denied_once_its_usual_latency_no_longer_fits(self):
-        """(times that all RPCs take of their due) -> ms after which one that finds no room is denied."""
+        """(times that all requests take of their due) -> ms after which one that finds no room is denied."""
         for slow, least, most in ((1.0, 500, 800), (5.0, 0, 400)):
             with self.subTest(slow=slow):
                 fleet = Fleet(workers=1)
                 fleet.serve(calls=40)
-                fleet.fe.schedule.next_at = float("inf")
-                fleet.fe.latency.average_pace = slow
-                fleet.fe.workers["a"].concurrency_limit = 0.0
-                fleet.fe.dispatcher.limits = replace(fleet.fe.dispatcher.limits, retry_after=300.0)
+                fleet.router.schedule.next_at = float("inf")
+                fleet.router.latency.average_pace = slow
+                fleet.router.workers["a"].concurrency_limit = 0.0
+                fleet.router.dispatcher.limits = replace(fleet.router.dispatcher.limits, retry_after=300.0)
                 start, got = fleet.clock, fleet.take()
                 while "reject" not in verbs(got):
                     got = fleet.pass_time(50)
@@ -137,7 +137,7 @@
                 self.assertTrue(0.0 < next(d.retry_after for d in got if isinstance(d, Reject)) <= 300.0)
 
     def test_what_would_be_late_at_a_full_home_is_denied_at_once(self):
-        """(busy, held there, age of the report in ms, loads on call) -> the verb."""
+        """(busy, held there, age of the report in ms, loads on demand) -> the verb."""
         for busy, held, age, on_call, verb in (
             (0.95, 60.0, 0, False, "reject"),
             (0.5, 60.0, 0, False, "forward"),
@@ -146,9 +146,11 @@
             (0.95, 60.0, 0, True, "forward"),
         ):
             with self.subTest(busy=busy, held=held, age=age, on_call=on_call):
-                fleet = Fleet(workers=1, loads_on_call=on_call)
+                fleet = Fleet(workers=1, loads_on_demand=on_call)
                 fleet.serve(calls=20)
-                fleet.fe.latency.record_report(fleet.fe.workers["a"], fleet.reported(busy, held), fleet.clock - age)
+                fleet.router.latency.record_report(
+                    fleet.router.workers["a"], fleet.reported(busy, held), fleet.clock - age
+                )
                 self.assertIn(verb, verbs(fleet.take()))
 
     def test_answers_within_one_reading_of_the_clock(self):
@@ -156,21 +158,23 @@
         for tells in (True, False):
             for work in (None, 50.0):
                 with self.subTest(tells=tells, work=work):
-                    fleet = Fleet(workers=2, tells=tells)
+                    fleet = Fleet(workers=2, reports_concurrency=tells)
                     for number in range(200):
-                        fleet.fe.advance(fleet.clock)
-                        fleet.fe.request_received(
-                            RequestReceived(1000 + number, 4000.0, fleet.method, "p", 4000.0, 2, None, work, False)
+                        fleet.router.advance(fleet.clock)
+                        fleet.router.request_received(
+                            RequestReceived(
+                                1000 + number, 4000.0, fleet.request_class, "p", 4000.0, 2, None, work, False
+                            )
                         )
-                        for rpc in [d.request for d in fleet.pull() if isinstance(d, Forward)]:
-                            fleet.fe.attempt_finished(
-                                AttemptFinished(rpc.ident, 0, "ok", True, "stood", 3, fleet.reported(0.5, 2.0))
+                        for request in [d.request for d in fleet.pull() if isinstance(d, Forward)]:
+                            fleet.router.attempt_finished(
+                                AttemptFinished(request.ident, 0, "ok", True, "stood", 3, fleet.reported(0.5, 2.0))
                             )
                         fleet.pull()
                         if number % 20 == 0:
                             fleet.pass_time(1000, step=500.0)
-                    self.assertGreater(fleet.fe.latency.average_pace, 0.0)
-                    self.assertTrue(fleet.fe.latency.usual_work(fleet.fe.functions["p"]) > 0.0)
+                    self.assertGreater(fleet.router.latency.average_pace, 0.0)
+                    self.assertTrue(fleet.router.latency.usual_work(fleet.router.functions["p"]) > 0.0)
                     self.assertIn("forward", verbs(fleet.take()))
 
 
--- a/tests/test_routing_slow_start.py
+++ b/tests/test_routing_slow_start.py
@@ -21,7 +21,7 @@
     """How much is sent to workers that are warming up."""
 
     def test_cold_worker_gets_little(self):
-        """(age of the new worker in ms, most it may get of 40 RPCs at once)."""
+        """(age of the new worker in ms, most it may get of 40 requests at once)."""
         for age, most in ((0.0, 2), (17000.0, 40)):
             with self.subTest(age=age):
                 fleet = Fleet(workers=1)
@@ -33,17 +33,17 @@
                 self.assertTrue(got)
 
     def test_cold_worker_stands_what_all_front_ends_send(self):
-        """(front ends that carry 60 RPCs a second together) -> what all send to the one worker left, cold."""
+        """(front ends that carry 60 requests a second together) -> what all send to the one worker left, cold."""
         for many in (20, 80):
             with self.subTest(many=many):
                 ages, gap = [], 1000.0 * many / 60
                 for seed in range(many):
-                    fleet = Fleet(front_ends=many, seed=seed, seat=seed)
+                    fleet = Fleet(front_ends=many, seed=seed, index=seed)
                     fleet.pass_time(seed * gap / many, step=1.0 + seed * gap / many)
                     for _ in range(12):
                         fleet.serve(calls=1)
                         for name in "abcd":
-                            fleet.fe.health_checked(name, "ok", fleet.reported(0.4, 2.0))
+                            fleet.router.health_checked(name, "ok", fleet.reported(0.4, 2.0))
                         fleet.pass_time(gap - 100, step=gap - 100)
                     born = fleet.clock
                     fleet.list([row("z", started_at=born)])
@@ -56,7 +56,7 @@
                 self.assertGreater(len(ages), 10)
 
     def test_cold_ramp_holds_for_the_fleet(self):
-        """(settings, ms of work, cores) -> what all front ends send that always have an RPC for the one cold worker, in
+        """(settings, ms of work, cores) -> what all front ends send that always have a request for one cold worker, in
         any span of the window, never over N + 2 x root of N + 2, N being what the settings allow as it begins."""
         least, site, most = (
             SlowStart(0.17, 12000.0, 2.0, 1000.0),
@@ -96,8 +96,8 @@
             few = (deque(maxlen=8) for _ in range(4))
             return Worker(Endpoint(name, 0, 0, 0, "ready", size, born), *few, 1e4, 8.0, born, name_hash(name))
 
-        rpc = Mock()
-        rpc.request_class.durations, rpc.request_class.latency_objective = [work], 4 * work
+        request = Mock()
+        request.request_class.durations, request.request_class.latency_objective = [work], 4 * work
         front_ends, sent = [], []
         for seat in range(many):
             guards = SlowStartGuard(warm, GatewayInstance(seat, many, 0, (), False))
@@ -109,7 +109,7 @@
             front_ends.append((guards, worker("z", 5000.0)))
         for now in range(5000, int(5000 + warm.ramp), 50):
             for guards, cold in front_ends:
-                while guards.admits(cold, rpc, float(now)):
+                while guards.admits(cold, request, float(now)):
                     cold.slow_start_sends.append(WorkSample(float(now), work))
                     sent.append(now - 5000)
         return sent
@@ -120,13 +120,13 @@
             with self.subTest(outcome=outcome):
                 fleet = Fleet(workers=2)
                 fleet.serve(calls=20)
-                rpc = fleet.take()[0].request
-                worker = rpc.attempts[0].replica.worker
-                fleet.end(rpc, outcome)
-                self.assertEqual(fleet.fe.slow_start.is_warming_up(worker, fleet.clock), cold)
+                request = fleet.take()[0].request
+                worker = request.attempts[0].replica.worker
+                fleet.end(request, outcome)
+                self.assertEqual(fleet.router.slow_start.is_warming_up(worker, fleet.clock), cold)
 
     def test_many_unreached_and_none_cut_are_no_restarts(self):
-        """(outcomes at as many workers, one each) -> whether the copies there count as lost."""
+        """(outcomes at as many workers, one each) -> whether the replicas there count as lost."""
         for outcomes, lost in (
             (["ok"] * 6 + ["unreached"] * 4, False),
             (["ok"] * 9 + ["unreached"], True),
@@ -134,12 +134,12 @@
         ):
             with self.subTest(outcomes=outcomes):
                 fleet = Fleet(workers=10)
-                fleet.fe.advance(fleet.clock)
+                fleet.router.advance(fleet.clock)
                 fleet.take()
                 for worker, outcome in zip(fleet.ready, outcomes, strict=True):
-                    fleet.fe.outliers.record(worker, outcome, fleet.clock)
+                    fleet.router.outliers.record(worker, outcome, fleet.clock)
                 last = fleet.ready[-1]
-                self.assertEqual((last.warming_since is not None, last in fleet.fe.outliers.ejected), (lost, lost))
+                self.assertEqual((last.warming_since is not None, last in fleet.router.outliers.ejected), (lost, lost))
 
 
 if __name__ == "__main__":
