--- a/tests/rig.py
+++ b/tests/rig.py
@@ -236,7 +236,7 @@
     return EVENT_NAMES[type(event)], *(getattr(event, name) for name in event.__slots__)
 
 
-class Told:
+class EventRecorder:
     """Keeps the events that a worker client or a client server posts."""
 
     def __init__(self):
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -238,7 +238,7 @@
         clocks = Clocks()
         clocks.ours, clocks.writers = ours, writers
         view = View(clocks, [late("a", clocks.stamp(200.0))])
-        told = {"a": clocks.stamp(200.0)}  # the stamps that each name was told with last
+        stamps = {"a": clocks.stamp(200.0)}  # the stamps that each name was told with last
         births = {"a": view.roster.listed["a"][0].started_at}  # and the time that this start was given
         for what, with_ in acts:
             last = view.roster.last_events
@@ -249,16 +249,16 @@
             elif what == "connect":
                 view.connected_at = clocks.now
             elif what == "start":
-                if told.get(with_[0]) != clocks.stamp(with_[1]):
+                if stamps.get(with_[0]) != clocks.stamp(with_[1]):
                     births.pop(with_[0], None)
-                told[with_[0]] = clocks.stamp(with_[1])
-                view.send_raw(late(with_[0], told[with_[0]]))
-            elif what == "again" and with_ in told:
-                view.send_raw(late(with_, told[with_]))
-            elif what == "delete" and with_ in told:
-                view.send_raw(late(with_, told[with_], lifecycle="DELETED"))
+                stamps[with_[0]] = clocks.stamp(with_[1])
+                view.send_raw(late(with_[0], stamps[with_[0]]))
+            elif what == "again" and with_ in stamps:
+                view.send_raw(late(with_, stamps[with_]))
+            elif what == "delete" and with_ in stamps:
+                view.send_raw(late(with_, stamps[with_], lifecycle="DELETED"))
             elif what == "whole":
-                view.send_raw(*(late(name, told[name]) for name in sorted(with_) if name in told), reset=True)
+                view.send_raw(*(late(name, stamps[name]) for name in sorted(with_) if name in stamps), reset=True)
             fresh = clocks.now - view.connected_at <= endpoint_list.PROMPT
             most = endpoint_list.PROMPT + fresh * min(endpoint_list.OUTAGE, clocks.now - last)
             for name, (listing, _) in view.roster.listed.items():
--- a/tests/test_concurrency.py
+++ b/tests/test_concurrency.py
@@ -22,21 +22,21 @@
     def test_late_answers_lower_the_limit_once_a_queue(self):
         """(how the answers of one queue came) -> what becomes of the limit; a load says nothing of it."""
         at_least = self.assertGreaterEqual
-        for ms, standing, compare in (
+        for ms, load_note, compare in (
             (700.0, "stood", self.assertLess),
             (100.0, "stood", at_least),
             (700.0, "awaited", at_least),
         ):
-            with self.subTest(ms=ms, standing=standing):
+            with self.subTest(ms=ms, load_note=load_note):
                 fleet = Fleet(workers=1)
                 fleet.concurrency = 8
                 fleet.serve(calls=2)
                 worker = fleet.router.workers["a"]
                 before = worker.concurrency_limit
-                rpcs = [d.request for _ in range(7) for d in fleet.take() if isinstance(d, Forward)]
+                requests = [d.request for _ in range(7) for d in fleet.take() if isinstance(d, Forward)]
                 fleet.clock += ms
-                for request in rpcs:
-                    fleet.end(request, load_note=standing)
+                for request in requests:
+                    fleet.end(request, load_note=load_note)
                 compare(worker.concurrency_limit, before)
                 self.assertGreater(worker.concurrency_limit, before * 0.2)
 
@@ -52,8 +52,8 @@
         fleet = Fleet(workers=3)
         fleet.serve(calls=200)
         place = next(p for p in fleet.router.functions["p"].replicas if p.loaded)
-        got = called([d for _ in range(9) for d in fleet.take()])
-        self.assertLessEqual(got.count(place.worker.endpoint.ident), place.loaded * fleet.concurrency)
+        forwarded = called([d for _ in range(9) for d in fleet.take()])
+        self.assertLessEqual(forwarded.count(place.worker.endpoint.ident), place.loaded * fleet.concurrency)
 
     def test_late_answers_limit_all_our_call_outs(self):
         """(ms of each answer, busy share) -> whether what one front end has out at all workers is limited."""
--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -12,7 +12,7 @@
 
 from tests import platform_rig as rig
 from tests.front_end_rig import ASCII_A, ASCII_B, FullListener, LoopCase
-from tests.rig import Peer, Told, hello, lines_of, ok
+from tests.rig import EventRecorder, Peer, hello, lines_of, ok
 from tests.scripted_socket import Socket
 from wickdyke.jsonrpc import worker_client as jsonrpc_client
 from wickdyke.jsonrpc import worker_command as jsonrpc_command
@@ -53,12 +53,12 @@
     )
 
 
-def ask(ident=ASCII_A, body=b"x"):
+def client_fields(ident=ASCII_A, body=b"x"):
     """What a client asked."""
     return SimpleNamespace(params=SimpleNamespace(ident=ident, idempotency_key="", input=body, load_ms=None))
 
 
-def told_left(parts):
+def time_left_sent(parts):
     """The `ttl` of a command `invoke`."""
     return int(dict(pair.split(b"=") for pair in parts[2].split(b","))[b"ttl"])
 
@@ -99,14 +99,14 @@
         return here
 
     def command(self, left, ident=ASCII_A, body=b"x"):
-        return self.protocol.attempt_command(attempt(), ask(ident, body), left)
+        return self.protocol.attempt_command(attempt(), client_fields(ident, body), left)
 
     def test_told_at_most_what_is_left(self):
         """(ms left as it is sent) -> ttl, or None where it is not sent."""
         for left, ttl in ((1500.0, 1500), (1499.99, 1499), (1.5, 1), (0.4, 1), (0.0, None), (-3.0, None)):
             with self.subTest(left):
                 line = self.command(left).render()
-                self.assertEqual(line and told_left([None, None, line.split(b"\r\n")[6]]), ttl)
+                self.assertEqual(line and time_left_sent([None, None, line.split(b"\r\n")[6]]), ttl)
 
     def test_a_connection_that_comes_up_late(self):
         upstream, held = self.held()
@@ -114,7 +114,7 @@
         self.assertEqual(len(upstream.connections[0].pending), 1)
         self.clock.now += 1000.5
         self.until(lambda: held)
-        self.assertEqual(told_left(held[0][1]), 499)
+        self.assertEqual(time_left_sent(held[0][1]), 499)
 
     def test_a_connection_that_comes_up_after_the_time_is_up(self):
         """It ends as never sent, and the connection is there for others."""
@@ -125,11 +125,11 @@
         self.assertEqual(self.told, [(ASCII_A, "unsent")])
         upstream.send(self.command(800.0, ASCII_B))
         self.until(lambda: held)
-        self.assertEqual((held[0][1][1], told_left(held[0][1]), self.pool.used), (ASCII_B, 800, 1))
+        self.assertEqual((held[0][1][1], time_left_sent(held[0][1]), self.pool.used), (ASCII_B, 800, 1))
 
     def test_a_second_dial(self):
         """The first is never up: rendered with what is left at the second, and not connected again when nothing is."""
-        for gone, told in ((700.0, 800), (1500.0, None)):
+        for gone, expected in ((700.0, 800), (1500.0, None)):
             with self.subTest(gone):
                 upstream, held = self.held()
                 here = self.elsewhere(upstream)
@@ -137,16 +137,16 @@
                 upstream.target = here
                 self.clock.now += gone
                 upstream.connections[0]._timed_out()
-                if told is None:
+                if expected is None:
                     self.assertEqual((self.told, upstream.connections, self.pool.used), ([(ASCII_A, "unsent")], [], 0))
                     continue
                 self.until(lambda held=held: held)
-                self.assertEqual(told_left(held[0][1]), told)
+                self.assertEqual(time_left_sent(held[0][1]), expected)
                 upstream.close()
 
     def test_what_waits_in_the_buffer(self):
         """(ms it waits behind another) -> rendered with what is left as its first byte goes; over, it is never sent."""
-        for waits, told in ((600.0, 900), (1600.0, None)):
+        for waits, expected in ((600.0, 900), (1600.0, None)):
             with self.subTest(waits):
                 upstream, held = self.held()
                 upstream.send(self.command(9000.0))
@@ -157,13 +157,13 @@
                 self.assertFalse(order.message.begun)
                 self.clock.now += waits
                 conn.write_buffer.sock = conn.sock
-                if told is None:
+                if expected is None:
                     self.until(lambda: self.told)
                     self.assertEqual((self.told, list(conn.open)), ([(ASCII_B, "unsent")], [ASCII_A]))
                     self.assertFalse(upstream.withdraw_unsent(order))
                 else:
                     self.until(lambda held=held: len(held) == 2)
-                    self.assertEqual(told_left(held[1][1]), told)
+                    self.assertEqual(time_left_sent(held[1][1]), expected)
                 self.assertEqual((conn.write_buffer.bytes_waiting, conn.closed), (0, False))
                 upstream.close()
 
@@ -221,38 +221,38 @@
             self.go.wait(20)
             source = lines_of(sock)
             hello(sock, source)
-            for asked in source:
-                self.runs.append(asked["params"])
-                sock.sendall(ok(asked["id"]))
+            for request in source:
+                self.runs.append(request["params"])
+                sock.sendall(ok(request["id"]))
 
-        peer, told = Peer(self.folder, "w", play), Told()
+        peer, events = Peer(self.folder, "w", play), EventRecorder()
         upstream = jsonrpc_client.WorkerClient(
-            "w", peer.path, jsonrpc_client.WorkerClientSettings("g", 20000.0, 16 << 20, 32 << 20), told
+            "w", peer.path, jsonrpc_client.WorkerClientSettings("g", 20000.0, 16 << 20, 32 << 20), events
         )
         self.addCleanup(upstream.close)
         self.addCleanup(peer.close)
-        return upstream, told
+        return upstream, events
 
     def command(self, left):
-        return self.protocol.attempt_command(attempt(), ask(body=msgspec.Raw(b'"x"')), left)
+        return self.protocol.attempt_command(attempt(), client_fields(body=msgspec.Raw(b'"x"')), left)
 
     def test_a_hello_that_comes_late(self):
         """(ms until it comes) -> rendered with what is left; where nothing is, never sent."""
-        upstream, told = self.upstream()
+        upstream, events = self.upstream()
         for left in (1500.0, 400.0):
             upstream.send(self.command(left))
         self.clock.now += 600.5
         self.go.set()
-        ends = sorted(told.next("finished")[3] for _ in range(2))
+        ends = sorted(events.next("finished")[3] for _ in range(2))
         self.assertEqual((ends, [run["time_left_ms"] for run in self.runs]), (["ok", "unsent"], [899.5]))
 
     def test_over_behind_what_the_worker_does_not_read(self):
         """It never began: it ends as never sent, once, also where the worker client is to end with it."""
-        upstream, told = self.upstream()
+        upstream, events = self.upstream()
         self.go.set()
-        told.next("connected")
+        events.next("connected")
         upstream.send(self.command(900.0))  # returns once the worker client has its outbox
-        self.assertEqual(told.next("finished")[3], "ok")
+        self.assertEqual(events.next("finished")[3], "ok")
         order = self.command(900.0)
         put = upstream.write_buffer.put
 
@@ -268,7 +268,7 @@
         self.clock.now += 900.0
         upstream.state = jsonrpc_client.ClientState.DRAINING
         put(OutgoingMessage(b"\n"))  # wakes the thread
-        self.assertEqual(told.next("finished")[2:4], (order, "unsent"))
+        self.assertEqual(events.next("finished")[2:4], (order, "unsent"))
         upstream.thread.join(20)
         self.assertFalse(upstream.thread.is_alive())
         self.assertEqual(len(self.runs), 1)
--- a/tests/test_demand.py
+++ b/tests/test_demand.py
@@ -31,18 +31,18 @@
 
     def test_the_fleets_demand_for_a_program(self):
         """(our lanes, our part, company by worker) -> least and most lanes of the fleet."""
-        for own, part, company, least, most in (
+        for own, part, concurrency, lowest, highest in (
             (0.02, 0.005, [], 0.02, 0.02),
             (0.02, 0.005, [0] * 8, 0.0, 0.5),
             (0.05, 0.005, [3] * 8, 5.0, 7.0),
             (1.0, 1.0, [0] * 8, 1.0, 1.0),
         ):
-            with self.subTest(own=own, company=company):
+            with self.subTest(own=own, concurrency=concurrency):
                 fleet = Fleet(workers=2)
                 fleet.take()
                 function, (a, b) = fleet.router.functions["p"], fleet.router.workers.values()
-                function.concurrency_samples.extend((worker, many) for many in company for worker in (a, b))
-                self.assertTrue(least <= fleet.placement.demand_estimator.fleet_lanes(function, own, part) <= most)
+                function.concurrency_samples.extend((worker, many) for many in concurrency for worker in (a, b))
+                self.assertTrue(lowest <= fleet.placement.demand_estimator.fleet_lanes(function, own, part) <= highest)
 
     def test_the_fleet_is_as_busy_as_fresh_reports_say(self):
         """(ms since reports of 1.0, of 0.5) -> the busy share that counts for the limit on all attempts."""
@@ -95,9 +95,9 @@
             fleet.list([row(name)])
             fleet.serve(calls=3)
             fleet.pass_time(600)
-        ring, met, known = fleet.router.functions["p"].ranking, fleet.router.outliers.last_outcomes, fleet.router.fleet
-        kept = (ring, met, known.workers, known.ring.owners, known.positions, known.ring.size_counts)
-        self.assertEqual([len(each) for each in kept], [1] * 6)
+        ring, met, index = fleet.router.functions["p"].ranking, fleet.router.outliers.last_outcomes, fleet.router.fleet
+        kept = (ring, met, index.workers, index.ring.owners, index.positions, index.ring.size_counts)
+        self.assertEqual([len(entries) for entries in kept], [1] * 6)
 
 
 if __name__ == "__main__":
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -48,9 +48,9 @@
         (cell,) = fleet.cells.values()
         for name in names(20):
             self.assertEqual((fleet.home(name).cell, fleet.home(name).nearest), (cell, None))
-            each = function(name)
-            lots = {w: ranking.rendezvous_rank(each, w) for w in cell.ready}
-            self.assertEqual(ranking.Candidates(cell.ready).ranked(each), sorted(cell.ready, key=lots.get))
+            entry = function(name)
+            lots = {w: ranking.rendezvous_rank(entry, w) for w in cell.ready}
+            self.assertEqual(ranking.Candidates(cell.ready).ranked(entry), sorted(cell.ready, key=lots.get))
 
     def test_cells_are_bounded_and_split_late(self):
         for many in SIZES:
@@ -67,7 +67,7 @@
     def test_front_ends_agree_whatever_order_the_changes_came_in(self):
         rows, chance = [listing(number, size=1.0 + number % 3) for number in range(900)], random.Random(5)
         want = fleet_of(rows)
-        asked = names(300)
+        requested = names(300)
         for seed in range(3):
             chance.shuffle(rows)
             fleet = fleet_of([listing(number) for number in range(2000, 2000 + 400 * seed)])
@@ -77,7 +77,7 @@
                 fleet.update(rows[at : at + 7], False)
             fleet.update(rows, True)
             self.assertEqual(shape(fleet), shape(want))
-            for name in asked:
+            for name in requested:
                 self.assertEqual(first_of(fleet, name), first_of(want, name))
                 near = [[(c.depth, c.prefix) for c in f.near(function(name), 3)] for f in (fleet, want)]
                 self.assertEqual(near[0], near[1])
@@ -92,26 +92,26 @@
             [replace(row, state="gone") for row in rows[:300]],
         ):
             with self.subTest(state=more[0].state, size=more[0].size, many=len(more)):
-                fleet, known = fleet_of(rows), [function(name) for name in names(1500)]
-                for each in known:
-                    fleet.enter(each)
+                fleet, functions = fleet_of(rows), [function(name) for name in names(1500)]
+                for entry in functions:
+                    fleet.enter(entry)
                 fleet.update(more, False)
                 at_once = fleet_of([row for row in {row.ident: row for row in [*rows, *more]}.values()])
-                for each in known:
-                    cell, home = fleet.home_of(each), at_once.home(each.name)
+                for entry in functions:
+                    cell, home = fleet.home_of(entry), at_once.home(entry.name)
                     self.assertEqual((cell.depth, cell.prefix), (home.cell.depth, home.cell.prefix))
-                    first = [worker and worker.endpoint.ident for worker in (each.nearest, home.nearest)]
+                    first = [worker and worker.endpoint.ident for worker in (entry.nearest, home.nearest)]
                     self.assertEqual(first[0], first[1])
 
     def test_shares_follow_size(self):
         """(workers, sizes) -> the busiest worker's functions of 160,000, over its even share: 1.3 at most; with 1,000
         workers numbers drawn evenly give 1.28 already, and the ring may add a tenth."""
-        for many, sizes, most in ((200, (2.0, 4.0, 8.0), 1.3), (1000, (4.0,), 1.1 * 1.28)):
+        for many, sizes, ceiling in ((200, (2.0, 4.0, 8.0), 1.3), (1000, (4.0,), 1.1 * 1.28)):
             with self.subTest(many=many, sizes=sizes):
                 rows = [listing(number, size=sizes[number % len(sizes)]) for number in range(many)]
                 fleet, total = fleet_of(rows), sum(row.size for row in rows)
                 counts = Counter(first_of(fleet, name) for name in names(160000))
-                self.assertLessEqual(max(counts[row.ident] / (160000 * row.size / total) for row in rows), most)
+                self.assertLessEqual(max(counts[row.ident] / (160000 * row.size / total) for row in rows), ceiling)
                 for kind in sizes:
                     mine = sum(counts[row.ident] for row in rows if row.size == kind)
                     even = 160000 * sum(row.size for row in rows if row.size == kind) / total
@@ -125,41 +125,41 @@
             self.assertLessEqual(counts[cell] / (40000 * len(cell.members) / 5000), 1.3)
 
     def test_what_moves_when_workers_join_and_leave(self):
-        rows, asked = [listing(number) for number in range(1000)], names(20000)
+        rows, requested = [listing(number) for number in range(1000)], names(20000)
         fleet = fleet_of(rows)
-        before = {name: first_of(fleet, name) for name in asked}
+        before = {name: first_of(fleet, name) for name in requested}
         fleet.update([listing(7001), listing(7002)], False)
-        after = {name: first_of(fleet, name) for name in asked}
-        moved = [name for name in asked if after[name] != before[name]]
+        after = {name: first_of(fleet, name) for name in requested}
+        moved = [name for name in requested if after[name] != before[name]]
         self.assertTrue(moved)
         self.assertLessEqual({after[name] for name in moved}, {listing(7001).ident, listing(7002).ident})
         self.assertLessEqual(len(moved), 1.5 * 20000 * 2 / 1002)
         fleet.update([listing(number, state="gone") for number in (7001, 7002)], False)
-        self.assertEqual({name: first_of(fleet, name) for name in asked}, before)
+        self.assertEqual({name: first_of(fleet, name) for name in requested}, before)
 
     def test_what_moves_when_a_zone_goes_and_comes_back(self):
-        rows, asked = [listing(number) for number in range(1100)], names(5000)
+        rows, requested = [listing(number) for number in range(1100)], names(5000)
         fleet = fleet_of(rows)
-        before = {name: first_of(fleet, name) for name in asked}
+        before = {name: first_of(fleet, name) for name in requested}
         lost = {row.ident for row in rows if row.zone == 3}
         fleet.update([replace(row, state="gone") for row in rows if row.zone == 3], False)
-        for name in asked:
+        for name in requested:
             if before[name] in lost:
                 self.assertNotIn(first_of(fleet, name), lost)
             else:
                 self.assertEqual(first_of(fleet, name), before[name])
         fleet.update([row for row in rows if row.zone == 3], False)
-        self.assertEqual({name: first_of(fleet, name) for name in asked}, before)
+        self.assertEqual({name: first_of(fleet, name) for name in requested}, before)
 
     def test_a_cell_that_splits_moves_no_first_worker(self):
-        fleet, asked, number = fleet_of([listing(number) for number in range(600)]), names(2000), 600
+        fleet, requested, number = fleet_of([listing(number) for number in range(600)]), names(2000), 600
         while True:
-            cells, before = set(fleet.cells), {name: first_of(fleet, name) for name in asked}
+            cells, before = set(fleet.cells), {name: first_of(fleet, name) for name in requested}
             fleet.update([listing(number)], False)
             if set(fleet.cells) != cells:
                 break
             number += 1
-        moved = {first_of(fleet, name) for name in asked if first_of(fleet, name) != before[name]}
+        moved = {first_of(fleet, name) for name in requested if first_of(fleet, name) != before[name]}
         self.assertLessEqual(moved, {listing(number).ident})
 
     def test_there_is_always_a_next_cell_the_same_for_all(self):
--- a/tests/test_health_checks.py
+++ b/tests/test_health_checks.py
@@ -10,12 +10,14 @@
 
     def test_probes_go_by_own_traffic(self):
         """(requests in ten seconds) -> probes at most, with 40 workers."""
-        for rpcs, most in ((0, 8), (20, 18), (100, 58)):
-            with self.subTest(rpcs=rpcs):
+        for requests, highest in ((0, 8), (20, 18), (100, 58)):
+            with self.subTest(requests=requests):
                 fleet = Fleet(endpoints=[row(f"w{n}") for n in range(40)], front_ends=50, health_checks=True)
-                got = [d for _ in range(rpcs) for d in fleet.serve(calls=1)]
-                got += fleet.pass_time(10000 - fleet.clock + 1000)
-                self.assertTrue(0 < verbs(got).count("health_check") <= most, verbs(got).count("health_check"))
+                decisions = [d for _ in range(requests) for d in fleet.serve(calls=1)]
+                decisions += fleet.pass_time(10000 - fleet.clock + 1000)
+                self.assertTrue(
+                    0 < verbs(decisions).count("health_check") <= highest, verbs(decisions).count("health_check")
+                )
 
     def test_only_homes_are_probed_in_turn(self):
         fleet = Fleet(workers=8)
@@ -32,8 +34,8 @@
         fleet.pass_time(100)
         self.assertNotIn(home, called(fleet.serve(calls=10, ms=10.0)))
         fleet.router.health_checked(home, "ok", None)
-        got = [d for _ in range(3) for d in fleet.take()]
-        self.assertEqual(called(got).count(home), 1)
+        decisions = [d for _ in range(3) for d in fleet.take()]
+        self.assertEqual(called(decisions).count(home), 1)
 
     def test_an_answer_from_before_the_shun_does_not_end_it(self):
         """(ms after the shun that an ok comes) -> shuns left of two."""
--- a/tests/test_idle_connections.py
+++ b/tests/test_idle_connections.py
@@ -52,12 +52,12 @@
     def check(self, client, name, word, within, settle=True):
         """The next request of that class: its one final answer, and no second execution unless that is safe."""
         client.send(request(2, name, d=str(within)))
-        number, got, _ = self.final(client, within + 50, settle)
-        self.assertEqual((number, got in word), (2, True), got)
+        number, answered, _ = self.final(client, within + 50, settle)
+        self.assertEqual((number, answered in word), (2, True), answered)
         self.no_more(client)
         executed = self.executed.count(b"%016x" % 2)
         self.assertLessEqual(executed, 1)
-        self.assertEqual(executed, got == "answer")
+        self.assertEqual(executed, answered == "answer")
         self.assertEqual(self.faults(), [])
 
     def test_ended_before_the_next_request(self):
@@ -93,11 +93,11 @@
 
                     with patch.object(worker_connection.WorkerConnection, "alive", look):
                         client.send(request(2, name))
-                        number, got, _ = self.final(client, 1550)
+                        number, answered, _ = self.final(client, 1550)
                     self.assertEqual((number, len(ended)), (2, 1))
-                    self.assertIn(got, ("answer",) if name == "look" else ("answer", "fault"))
+                    self.assertIn(answered, ("answer",) if name == "look" else ("answer", "fault"))
                     self.no_more(client)
-                    self.assertEqual(self.executed.count(b"%016x" % 2), got == "answer")
+                    self.assertEqual(self.executed.count(b"%016x" % 2), answered == "answer")
                     self.end()
 
     def test_forgotten(self):
--- a/tests/test_jsonrpc_connection_faults.py
+++ b/tests/test_jsonrpc_connection_faults.py
@@ -7,7 +7,7 @@
 import unittest
 from unittest.mock import patch
 
-from tests.rig import Peer, Told, willing
+from tests.rig import EventRecorder, Peer, willing
 from tests.worker_fault_rig import MEMORY, SHORT
 from wickdyke.config import address as addresses
 from wickdyke.gateway.interfaces import CommandKind
@@ -52,13 +52,13 @@
 
     def upstream(self):
         self.made += 1
-        peer, told = Peer(self.folder, f"w{self.made}", willing), Told()
+        peer, events = Peer(self.folder, f"w{self.made}", willing), EventRecorder()
         self.addCleanup(peer.close)
         upstream = jsonrpc_client.WorkerClient(
-            "w", peer.path, jsonrpc_client.WorkerClientSettings("g", 20000.0, 16 << 20, 32 << 20), told
+            "w", peer.path, jsonrpc_client.WorkerClientSettings("g", 20000.0, 16 << 20, 32 << 20), events
         )
         self.addCleanup(upstream.close)
-        return upstream, told
+        return upstream, events
 
     def test_a_connection_that_this_machine_does_not_make(self):
         """(errno) -> what waits ends as never sent, the worker is not told as unheard, and the next is served."""
@@ -74,23 +74,23 @@
                     return connect(address, within)
 
                 with patch.object(jsonrpc_client.addresses, "connect", fails_first):
-                    upstream, told = self.upstream()
+                    upstream, events = self.upstream()
                     upstream.send(first := jsonrpc_client.Command(CommandKind.ATTEMPT, 1, "run", b"{}"))
                     go.set()
-                    self.assertEqual(told.events.get(timeout=20)[2:4], (first, "unsent"))
+                    self.assertEqual(events.events.get(timeout=20)[2:4], (first, "unsent"))
                     upstream.send(second := jsonrpc_client.Command(CommandKind.ATTEMPT, 2, "run", b"{}"))
-                    self.assertEqual(told.events.get(timeout=20)[0], "connected")
-                    self.assertEqual(told.events.get(timeout=20)[2:4], (second, "ok"))
+                    self.assertEqual(events.events.get(timeout=20)[0], "connected")
+                    self.assertEqual(events.events.get(timeout=20)[2:4], (second, "ok"))
                     upstream.close()
 
     def test_what_proves_that_nobody_is_there(self):
         for code in (errno.ECONNREFUSED, errno.ENOENT, errno.ECONNRESET):
             with self.subTest(errno.errorcode[code]):
                 with patch.object(jsonrpc_client.addresses, "connect", side_effect=OSError(code, os.strerror(code))):
-                    upstream, told = self.upstream()
-                    told.next("unreachable")
+                    upstream, events = self.upstream()
+                    events.next("unreachable")
                     upstream.send(jsonrpc_client.Command(CommandKind.ATTEMPT, 1, "run", b"{}"))
-                    self.assertEqual(told.next("finished")[3], "unreached")
+                    self.assertEqual(events.next("finished")[3], "unreached")
                     upstream.close()
 
     def test_a_read_that_finds_no_memory_or_is_short(self):
@@ -103,10 +103,10 @@
                     return FailingReads(connect(address, within), code)
 
                 with patch.object(jsonrpc_client.addresses, "connect", faulty):
-                    upstream, told = self.upstream()
-                    told.next("connected")
+                    upstream, events = self.upstream()
+                    events.next("connected")
                     upstream.send(jsonrpc_client.Command(CommandKind.ATTEMPT, 1, "run", b"{}"))
-                    self.assertEqual(told.next("finished", "lost")[3:4], ("ok",))
+                    self.assertEqual(events.next("finished", "lost")[3:4], ("ok",))
                     upstream.close()
 
 
--- a/tests/test_latency.py
+++ b/tests/test_latency.py
@@ -14,8 +14,8 @@
         first = called(fleet.serve(calls=150))[-1]
         for _ in range(6):
             fleet.take()
-        got = fleet.pass_time(2000)
-        self.assertIn("cancel", verbs(got))
+        decisions = fleet.pass_time(2000)
+        self.assertIn("cancel", verbs(decisions))
         self.assertNotIn(first, called(fleet.take()))
 
     def test_sample_with_a_load_is_not_a_slow_worker(self):
@@ -29,9 +29,9 @@
         self.assertAlmostEqual(fleet.router.latency.pace(worker), before, places=2)
 
     def test_load_times_are_learnt(self):
-        """(hint, loads seen, whether a attempt is told to have begun them) -> how long a load is held to take; after
+        """(hint, loads seen, whether an attempt triggered them) -> how long a load is held to take; after
         four the hint counts no more."""
-        for hint, seen, want, *told in (
+        for hint, seen, want, *triggered in (
             (5000.0, [], 5000.0),
             (5000.0, [100.0] * 3, 5000.0),
             (5000.0, [100.0] * 4, 100.0),
@@ -47,8 +47,8 @@
                 fleet.take()
                 function = fleet.router.functions["p"]
                 function.load_hint = hint
-                for took in seen:
-                    fleet.router.latency.record_load(function, took, *told)
+                for duration in seen:
+                    fleet.router.latency.record_load(function, duration, *triggered)
                 self.assertEqual(fleet.router.latency.load_time(function), want)
 
     def test_an_answer_given_up_counts_for_the_pace(self):
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -39,8 +39,8 @@
                     dict.fromkeys(workers),
                     dict.fromkeys(workers, 1.0),
                 )
-                got = choose_workers(placement, function, 0.6, one, one, dict.fromkeys(workers, 9e9))
-                self.assertEqual(len(got), homes)
+                chosen = choose_workers(placement, function, 0.6, one, one, dict.fromkeys(workers, 9e9))
+                self.assertEqual(len(chosen), homes)
 
     def test_a_zone_is_a_fleet_of_its_own_where_crossing_costs(self):
         """(cost of crossing, loads on demand, workers of the zone ejected) -> zones in which functions are placed."""
@@ -101,13 +101,13 @@
 
     def test_full_without_company_tells_of_memory(self):
         """(requests of the function held there) -> whether the copy still counts and others may load there."""
-        for company, room in ((0, False), (3, True)):
-            with self.subTest(company=company):
+        for concurrent, room in ((0, False), (3, True)):
+            with self.subTest(concurrent=concurrent):
                 fleet = Fleet(workers=2)
                 home = called(fleet.serve(calls=100))[-1]
                 request = fleet.take()[0].request
                 place = request.attempts[0].replica
-                fleet.router.attempt_finished(AttemptFinished(request.ident, 0, "full", False, None, company, None))
+                fleet.router.attempt_finished(AttemptFinished(request.ident, 0, "full", False, None, concurrent, None))
                 self.assertEqual(place.loaded > 0, room)
                 self.assertEqual(home in called(fleet.take("new")) + called(fleet.take("newer")), room)
 
@@ -122,8 +122,8 @@
                 fleet.placement.mean_capacity, fleet.placement.active = 1.0, dict.fromkeys(workers)
                 room = {w: left if w is home else 1.0 for w in workers}
                 budget, part = dict.fromkeys(workers, 9e9), dict.fromkeys(workers, 1.0)
-                got = choose_workers(fleet.placement, function, load, part, room, budget)
-                self.assertEqual(got == [home], first)
+                chosen = choose_workers(fleet.placement, function, load, part, room, budget)
+                self.assertEqual(chosen == [home], first)
 
 
 if __name__ == "__main__":
--- a/tests/test_platform_parsers.py
+++ b/tests/test_platform_parsers.py
@@ -18,8 +18,10 @@
     """Thrift requests and their frames."""
 
     def test_reads_requests(self):
-        got = thrift.read(GOOD)
-        self.assertEqual((got.verb, got.number, got.fields, got.body), ("dispatch", 7, {"c": "look"}, b"hi"))
+        parsed = thrift.read(GOOD)
+        self.assertEqual(
+            (parsed.verb, parsed.number, parsed.fields, parsed.body), ("dispatch", 7, {"c": "look"}, b"hi")
+        )
         self.assertEqual(thrift.read(rig.cancel(3, 9)[4:]).about, 9)
         extra = GOOD[:-1] + b"\x0f\x00\x09\x08" + struct.pack(">iii", 2, 5, 6) + b"\x00"  # a list nobody knows
         self.assertEqual(thrift.read(extra).body, b"hi")
@@ -50,8 +52,8 @@
         stream = rig.framed(b"abc") + rig.framed(b"de")
         for size in (1, 2, 5, 100):
             frames = thrift.Frames()
-            got = [f for at in range(0, len(stream), size) for f in frames.feed(stream[at : at + size])]
-            self.assertEqual((got, frames.begun), ([b"abc", b"de"], False))
+            parsed = [f for at in range(0, len(stream), size) for f in frames.feed(stream[at : at + size])]
+            self.assertEqual((parsed, frames.begun), ([b"abc", b"de"], False))
         for length in (-1, 0, thrift.MAX_FRAME_SIZE + 1, 60 << 20):
             with self.subTest(length), self.assertRaises(thrift.MalformedMessageError):
                 thrift.Frames().feed(struct.pack(">i", length))
@@ -66,8 +68,8 @@
         stream = rig.bulk(b"a", b"ACK", b"-", b"x\r\ny") + rig.bulk(b"b", b"AGAIN", b"why=c", b"")
         for size in (1, 3, 7, 1000):
             answers = resp.Answers()
-            got = [a for at in range(0, len(stream), size) for a in answers.feed(stream[at : at + size])]
-            self.assertEqual(got, [[b"a", b"ACK", b"-", b"x\r\ny"], [b"b", b"AGAIN", b"why=c", b""]])
+            parsed = [a for at in range(0, len(stream), size) for a in answers.feed(stream[at : at + size])]
+            self.assertEqual(parsed, [[b"a", b"ACK", b"-", b"x\r\ny"], [b"b", b"AGAIN", b"why=c", b""]])
             self.assertFalse(answers.begun)
 
     def test_spoilt_answers_are_known_before_they_are_kept(self):
@@ -92,7 +94,7 @@
     def test_endings(self):
         """(answer) -> outcome, standing, company, copies, report; or spoilt."""
         names = ("utilization", "in_flight")
-        for answer, told in (
+        for answer, expected in (
             ([b"i", b"ACK", b"why=w,ahead=3,rep=inflight:7;util:0.61", b"x"], ("ok", "stood", 3, 0, (0.61, 7.0))),
             ([b"i", b"ACK", b"rep=outstanding:7;utilization:0.61", b""], ("ok", None, 0, 0, (0.61, 7.0))),
             ([b"i", b"NOENT", b"why=f", b""], ("miss", "load failed", 0, 0, None)),
@@ -107,13 +109,15 @@
             ([b"i", b"ACK", b"\xff=1", b""], None),
         ):
             with self.subTest(answer):
-                if told is None:
+                if expected is None:
                     self.assertRaises(resp.InvalidAnswerError, worker_results.read_result, answer, names)
                 else:
-                    got = worker_results.read_result(answer, names)
-                    reported = got.report and got.report.reported
-                    self.assertEqual((got.outcome, got.load_note, got.concurrent, got.replicas, reported), told)
-                    self.assertEqual(got.report, WorkerLoad.from_values(names, told[-1]))
+                    parsed = worker_results.read_result(answer, names)
+                    reported = parsed.report and parsed.report.reported
+                    self.assertEqual(
+                        (parsed.outcome, parsed.load_note, parsed.concurrent, parsed.replicas, reported), expected
+                    )
+                    self.assertEqual(parsed.report, WorkerLoad.from_values(names, expected[-1]))
 
 
 class List(unittest.TestCase):
@@ -123,8 +127,8 @@
         stream = b': pulse\n\nid: 3\ndata: {"a":\ndata: 1}\n\nid: 4\r\ndata: b\r\n\r\nid: 5\ndata: half'
         for size in (1, 4, 1000):
             events = sse.Events()
-            got = [e for at in range(0, len(stream), size) for e in events.feed(stream[at : at + size])]
-            self.assertEqual([(e.ident, e.data) for e in got], [("3", '{"a":\n1}'), ("4", "b")])
+            parsed = [e for at in range(0, len(stream), size) for e in events.feed(stream[at : at + size])]
+            self.assertEqual([(e.ident, e.data) for e in parsed], [("3", '{"a":\n1}'), ("4", "b")])
         with self.assertRaises(sse.EventTooLargeError):
             sse.Events().feed(b"data: " + b"x" * (sse.MAX_EVENT_SIZE + 1))
 
@@ -197,8 +201,8 @@
         def sse_reads(data, size):
             events = sse.Events()
             for at in range(0, len(data), size):
-                for found in events.feed(data[at : at + size]):
-                    endpoint_list.EndpointList((), (), lambda: 0.0).apply([endpoint_list.parse_event(found.data)], 0.0)
+                for event in events.feed(data[at : at + size]):
+                    endpoint_list.EndpointList((), (), lambda: 0.0).apply([endpoint_list.parse_event(event.data)], 0.0)
 
         reads = {"thrift": thrift_reads, "resp": resp_reads, "sse": sse_reads}
         errors = {
--- a/tests/test_platform_service.py
+++ b/tests/test_platform_service.py
@@ -57,20 +57,20 @@
             path = os.path.join(folder, "config.json")
             with open(path, "w") as out:
                 json.dump(rig.config("127.0.0.1:1", "127.0.0.1:2"), out)
-            got = configuration.read(path)
+            config = configuration.read(path)
         self.assertEqual(
             (
-                [m.effect for m in got.request_classes],
-                got.request_classes[0].latency_objective,
-                got.instance.count,
-                got.instance.report_fields,
-                got.sockets,
+                [m.effect for m in config.request_classes],
+                config.request_classes[0].latency_objective,
+                config.instance.count,
+                config.instance.report_fields,
+                config.sockets,
             ),
             (["idempotent", "side-effecting"], 500.0, 2, ("utilization", "in_flight"), 256),
         )
-        self.assertEqual(got.bounds.open_requests, 1024)  # of 64 MB
+        self.assertEqual(config.bounds.open_requests, 1024)  # of 64 MB
         self.assertEqual(
-            (got.attempt_limits.cancel, got.attempt_limits.hedging, got.prewarm_quota.free, got.kinds),
+            (config.attempt_limits.cancel, config.attempt_limits.hedging, config.prewarm_quota.free, config.kinds),
             (True, False, 6.0, ("std", "slow")),
         )
 
--- a/tests/test_prewarming.py
+++ b/tests/test_prewarming.py
@@ -17,59 +17,61 @@
         for free, share, window in ((2.0, 0.1, 5000.0), (0.0, 0.05, 3000.0), (6.0, 0.0, 1000.0)):
             with self.subTest(free=free, share=share):
                 fleet = Fleet(prewarm_quota=PrewarmQuota(free, share, window))
-                holds, taken = [], []
+                prewarms, taken = [], []
                 for at in range(400):
                     taken.append(fleet.clock)
-                    got = fleet.take(f"p{at % 40}")  # replicas are never found, so holds are always wanted
-                    for request in [d.request for d in got if isinstance(d, Forward)]:
+                    decisions = fleet.take(f"p{at % 40}")  # replicas are never found, so holds are always wanted
+                    for request in [d.request for d in decisions if isinstance(d, Forward)]:
                         fleet.clock += 5 * (at < 40)
-                        got += fleet.end(request, "miss" if at >= 40 else "ok")  # each was answered once
-                    got += fleet.pass_time(25, step=25)
-                    for _ in [d for d in got if isinstance(d, Prewarm)]:
-                        holds.append(fleet.clock)
-                        recent = [t for t in holds if fleet.clock - t < window]
-                        took = [t for t in taken if fleet.clock - t < window]
-                        self.assertLessEqual(len(recent), free + share * len(took) + 1e-9)
-                self.assertTrue(holds)
+                        decisions += fleet.end(request, "miss" if at >= 40 else "ok")  # each was answered once
+                    decisions += fleet.pass_time(25, step=25)
+                    for _ in [d for d in decisions if isinstance(d, Prewarm)]:
+                        prewarms.append(fleet.clock)
+                        recent = [t for t in prewarms if fleet.clock - t < window]
+                        recent_taken = [t for t in taken if fleet.clock - t < window]
+                        self.assertLessEqual(len(recent), free + share * len(recent_taken) + 1e-9)
+                self.assertTrue(prewarms)
 
     def test_a_miss_site_is_asked_by_a_call_then_given_a_hold(self):
         """What follows the attempt that asks: ok spends no order; a miss brings one hold, then the call."""
-        for outcome, holds, calls in (("ok", 0, 0), ("miss", 1, 1)):
+        for outcome, prewarms, calls in (("ok", 0, 0), ("miss", 1, 1)):
             with self.subTest(outcome=outcome):
                 fleet = Fleet(workers=1, loads_on_demand=False, prewarm_outcome=None)
-                got = fleet.take()
-                self.assertEqual(verbs(got), ["forward"])
-                got = fleet.end(got[0].request, outcome) + fleet.pass_time(100)
-                self.assertEqual((verbs(got).count("prewarm"), verbs(got).count("forward")), (holds, calls))
+                decisions = fleet.take()
+                self.assertEqual(verbs(decisions), ["forward"])
+                decisions = fleet.end(decisions[0].request, outcome) + fleet.pass_time(100)
+                self.assertEqual(
+                    (verbs(decisions).count("prewarm"), verbs(decisions).count("forward")), (prewarms, calls)
+                )
 
     def test_further_copies_are_left_to_workers_where_call_outs_ask(self):
         for loads_on_call in (True, False):
             fleet = Fleet(workers=3, loads_on_demand=loads_on_call, front_ends=1, prewarm_outcome=None)
-            got = [d for _ in range(30) for d in fleet.take() + fleet.pass_time(20, 10)]
-            for request in [d.request for d in got if isinstance(d, Forward)]:
-                got += fleet.end(request)
-            got += fleet.pass_time(1500)
-            self.assertEqual(any(d.replicas > 1 for d in got if isinstance(d, Prewarm)), loads_on_call)
+            decisions = [d for _ in range(30) for d in fleet.take() + fleet.pass_time(20, 10)]
+            for request in [d.request for d in decisions if isinstance(d, Forward)]:
+                decisions += fleet.end(request)
+            decisions += fleet.pass_time(1500)
+            self.assertEqual(any(d.replicas > 1 for d in decisions if isinstance(d, Prewarm)), loads_on_call)
 
     def test_what_was_called_once_is_not_held_ahead(self):  # too late for its own request, too, to order one
         fleet = Fleet(workers=6, loads_on_demand=False, prewarm_outcome=None, front_ends=50, reports_concurrency=False)
-        got, held = fleet.take() + fleet.pass_time(600), 0
-        for request in [got[0].request] * 3:
-            held += verbs(fleet.end(request, "miss")).count("prewarm")
+        decisions, orders = fleet.take() + fleet.pass_time(600), 0
+        for request in [decisions[0].request] * 3:
+            orders += verbs(fleet.end(request, "miss")).count("prewarm")
             fleet.router.schedule.next_at = fleet.router.wake_at = fleet.clock
-            held += verbs(fleet.pass_time(50)).count("prewarm")
-        self.assertEqual(held, 0)
+            orders += verbs(fleet.pass_time(50)).count("prewarm")
+        self.assertEqual(orders, 0)
 
     def test_after_misses_the_hold_goes_to_the_first_home_by_lot(self):
         for seed in range(4):  # of each front end's own
             fleet = Fleet(workers=6, loads_on_demand=False, prewarm_outcome=None, attempts=4, seed=seed)
-            got = fleet.take()
-            for place in [replica_of(got[0].request.function, worker) for worker in fleet.ready[:3]]:
+            decisions = fleet.take()
+            for place in [replica_of(decisions[0].request.function, worker) for worker in fleet.ready[:3]]:
                 place.placed = True
-            first = min(fleet.ready[:3], key=lambda w: rendezvous_rank(got[0].request.function, w))
-            while not (held := [d for d in got if isinstance(d, Prewarm)]):
-                got = fleet.end(got[-1].request, "miss") + fleet.pass_time(50)
-            self.assertEqual(held[0].worker, first)
+            first = min(fleet.ready[:3], key=lambda w: rendezvous_rank(decisions[0].request.function, w))
+            while not (orders := [d for d in decisions if isinstance(d, Prewarm)]):
+                decisions = fleet.end(decisions[-1].request, "miss") + fleet.pass_time(50)
+            self.assertEqual(orders[0].worker, first)
 
     def test_one_call_out_is_kept_for_after_the_hold(self):
         fleet = Fleet(workers=3, loads_on_demand=False, prewarm_outcome=None, attempts=1)
@@ -95,26 +97,28 @@
     def test_requests_for_functions_nobody_has_earn_no_load_orders(self):
         """Where attempts ask for replicas: (functions asked for, whether one exists) -> most orders of a window."""
         ration = PrewarmQuota(3.0, 0.2, 5000.0)
-        for unknown, known in ((60, False), (60, True), (0, True)):
-            with self.subTest(unknown=unknown, known=known):
+        for unknown, existing in ((60, False), (60, True), (0, True)):
+            with self.subTest(unknown=unknown, existing=existing):
                 fleet = Fleet(workers=4, loads_on_demand=False, prewarm_quota=ration, prewarm_outcome=None)
-                done, legitimate = [], 0
+                all_decisions, legitimate = [], 0
                 for number in range(60):
-                    asked = ([f"nobody-has-{number}"] if unknown else []) + (["p"] if known else [])
-                    for name in asked:
-                        got = fleet.take(name)
+                    requested = ([f"nobody-has-{number}"] if unknown else []) + (["p"] if existing else [])
+                    for name in requested:
+                        decisions = fleet.take(name)
                         legitimate += name == "p"
-                        for decision in got:
+                        for decision in decisions:
                             if isinstance(decision, Forward):
-                                got += fleet.end(decision.request, "ok" if name == "p" else "miss", final=name == "p")
+                                decisions += fleet.end(
+                                    decision.request, "ok" if name == "p" else "miss", final=name == "p"
+                                )
                             elif isinstance(decision, Prewarm):
-                                found = "ok" if decision.function.name == "p" else "error"
+                                outcome = "ok" if decision.function.name == "p" else "error"
                                 fleet.router.prewarm_finished(
-                                    decision.worker.endpoint.ident, decision.function.name, found, 1, 1.0
+                                    decision.worker.endpoint.ident, decision.function.name, outcome, 1, 1.0
                                 )
-                        done += got
-                    done += fleet.pass_time(20, step=20.0)
-                orders = verbs(done).count("prewarm")
+                        all_decisions += decisions
+                    all_decisions += fleet.pass_time(20, step=20.0)
+                orders = verbs(all_decisions).count("prewarm")
                 self.assertLessEqual(orders, ration.free + ration.share * legitimate)
                 self.assertEqual(len(fleet.router.prewarm_limiter.requests), legitimate)
 
@@ -144,8 +148,10 @@
         """(loads on demand) -> whether 20 front ends choose different workers for a function that is new to them."""
         for on_call, several in ((True, False), (False, True)):
             with self.subTest(on_call=on_call):
-                went = {called(Fleet(workers=8, loads_on_demand=on_call, seed=seed).take())[0] for seed in range(20)}
-                self.assertEqual(len(went) > 1, several)
+                first_workers = {
+                    called(Fleet(workers=8, loads_on_demand=on_call, seed=seed).take())[0] for seed in range(20)
+                }
+                self.assertEqual(len(first_workers) > 1, several)
 
 
 if __name__ == "__main__":
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -33,8 +33,8 @@
                         if "abc"[at] == request.attempts[0].replica.worker.endpoint.ident
                     ]
                     fleet.list(rows, whole=False)
-                got = fleet.end(request, outcome) or fleet.pass_time(2500)
-                self.assertEqual([v for v in verbs(got) if v not in ("prewarm", "cancel")][:1], [verb])
+                decisions = fleet.end(request, outcome) or fleet.pass_time(2500)
+                self.assertEqual([v for v in verbs(decisions) if v not in ("prewarm", "cancel")][:1], [verb])
 
     def test_tokened_window(self):
         """No repeat once the workers have forgotten the mark; a denial where all drop repeats."""
@@ -57,15 +57,15 @@
         ):
             with self.subTest(workers=workers, outcome=outcome, effect=effect):
                 fleet = Fleet(workers=workers, effect=effect)
-                got, start = fleet.take(), fleet.clock
+                decisions, start = fleet.take(), fleet.clock
                 for _ in range(200):
                     request = fleet.router.requests.get(1)
                     if request and request.attempts and request.attempts[-1].outcome is None:
                         fleet.clock += 1
-                        got += fleet.end(request, outcome)
-                    got += fleet.pass_time(50)
-                self.assertEqual([v for v in verbs(got) if v in ("reject", "fail")], [verb])
-                self.assertLess(verbs(got).count("forward"), 5)
+                        decisions += fleet.end(request, outcome)
+                    decisions += fleet.pass_time(50)
+                self.assertEqual([v for v in verbs(decisions) if v in ("reject", "fail")], [verb])
+                self.assertLess(verbs(decisions).count("forward"), 5)
                 self.assertGreater(fleet.clock, start + 4000)
                 self.assertFalse(fleet.router.requests)
 
@@ -85,16 +85,16 @@
                 first = called(fleet.serve())[-1]
                 rows = [row(first, state=state)] if not whole else [row(n) for n in "abc" if n != first]
                 fleet.list(rows, whole=whole)
-                got = fleet.serve(calls=30) + fleet.pass_time(3000)
-                self.assertNotIn(first, called(got))
-                self.assertNotIn(first, [d.worker.endpoint.ident for d in got if isinstance(d, Prewarm)])
+                decisions = fleet.serve(calls=30) + fleet.pass_time(3000)
+                self.assertNotIn(first, called(decisions))
+                self.assertNotIn(first, [d.worker.endpoint.ident for d in decisions if isinstance(d, Prewarm)])
 
     def test_spills_on_full_and_not_to_the_same(self):
         fleet = Fleet(workers=3)
         request = fleet.take()[0].request
-        got = fleet.end(request, "full") + fleet.end(request, "full")
+        decisions = fleet.end(request, "full") + fleet.end(request, "full")
         self.assertEqual(len({attempt.replica.worker for attempt in request.attempts}), 3)
-        self.assertEqual(verbs(got)[:2], ["forward", "forward"])
+        self.assertEqual(verbs(decisions)[:2], ["forward", "forward"])
 
     def test_takes_rpcs_back_from_a_shunned_worker_that_says_nothing(self):
         """(effect, whether it is ejected, whether others were answered since, workers) -> whether the request is taken
@@ -111,18 +111,18 @@
                 fleet = Fleet(workers=workers, effect=effect)
                 fleet.serve(calls=20)
                 request = fleet.take()[0].request
-                got = fleet.pass_time(100)
+                decisions = fleet.pass_time(100)
                 if heard:
                     fleet.end(next(d.request for d in fleet.take() if isinstance(d, Forward)))
                 if ejected:
                     fleet.router.outliers.eject(request.attempts[0].replica.worker, fleet.clock, "test")
-                got += fleet.pass_time(1000)
-                cancelled = [d.attempt for d in got if isinstance(d, Cancel)]
+                decisions += fleet.pass_time(1000)
+                cancelled = [d.attempt for d in decisions if isinstance(d, Cancel)]
                 self.assertEqual(request.attempts[0] in cancelled, back)
 
     def test_denied_once_its_usual_latency_no_longer_fits(self):
         """(times that all requests take of their due) -> ms after which one that finds no room is denied."""
-        for slow, least, most in ((1.0, 500, 800), (5.0, 0, 400)):
+        for slow, earliest, latest in ((1.0, 500, 800), (5.0, 0, 400)):
             with self.subTest(slow=slow):
                 fleet = Fleet(workers=1)
                 fleet.serve(calls=40)
@@ -130,11 +130,11 @@
                 fleet.router.latency.average_pace = slow
                 fleet.router.workers["a"].concurrency_limit = 0.0
                 fleet.router.dispatcher.limits = replace(fleet.router.dispatcher.limits, retry_after=300.0)
-                start, got = fleet.clock, fleet.take()
-                while "reject" not in verbs(got):
-                    got = fleet.pass_time(50)
-                self.assertTrue(least <= fleet.clock - start <= most, fleet.clock - start)
-                self.assertTrue(0.0 < next(d.retry_after for d in got if isinstance(d, Reject)) <= 300.0)
+                start, decisions = fleet.clock, fleet.take()
+                while "reject" not in verbs(decisions):
+                    decisions = fleet.pass_time(50)
+                self.assertTrue(earliest <= fleet.clock - start <= latest, fleet.clock - start)
+                self.assertTrue(0.0 < next(d.retry_after for d in decisions if isinstance(d, Reject)) <= 300.0)
 
     def test_what_would_be_late_at_a_full_home_is_denied_at_once(self):
         """(busy, held there, age of the report in ms, loads on demand) -> the verb."""
--- a/tests/test_route_config.py
+++ b/tests/test_route_config.py
@@ -44,12 +44,12 @@
 
     def test_inherited(self):
         """A value is that of the nearest route that states it; the method's comes last."""
-        got = read_routes(
+        routes = read_routes(
             '(route "base" (attempts 2) (attempt 1 s) (priority 1)) (route "mid" (like "base") '
             '(takes (method "idem")) (priority 2)) (route "leaf" (like "mid") (takes (method "idem") '
             '(program "p*")) (queue 30 ms) (deadline 3 s))'
         )
-        effective = got.find("idem", "pq")
+        effective = routes.find("idem", "pq")
         self.assertEqual(effective.route.name, "leaf")
         self.assertEqual(
             (
@@ -62,7 +62,7 @@
             (2, 2, 30.0, 3000.0, 750.0),
         )
         self.assertEqual(sorted(effective.origins), ["attempt", "attempts", "deadline", "priority", "queue"])
-        self.assertEqual(got.find("tok", "pq").route.name, "base")
+        self.assertEqual(routes.find("tok", "pq").route.name, "base")
 
     @settings(max_examples=200, deadline=None)
     @given(
--- a/tests/test_router_scale.py
+++ b/tests/test_router_scale.py
@@ -64,19 +64,19 @@
             fleets = [simulated_fleet(many) for many in (1000, 3000)]
             before = tracemalloc.get_traced_memory()[0]
             fleets.append(simulated_fleet(5000))
-            each = (tracemalloc.get_traced_memory()[0] - before) / 5000
+            per_worker = (tracemalloc.get_traced_memory()[0] - before) / 5000
         finally:
             tracemalloc.stop()
-        self.assertLessEqual(each, 2048)
+        self.assertLessEqual(per_worker, 2048)
 
     def test_what_is_not_called_within_an_idle_life_is_forgotten(self):
         fleet = simulated_fleet(1000, idle_timeout=5000.0)
         fleet.clients(60.0, Draw(160000, 0.0, 7), 8000.0)
         fleet.run(8000.0)
-        known = fleet.fronts[0].router.functions
-        self.assertTrue(known)
+        functions = fleet.fronts[0].router.functions
+        self.assertTrue(functions)
         fleet.run(8000.0 + 5000.0 + 8 * periods.PERIOD)
-        self.assertFalse(known)
+        self.assertFalse(functions)
         self.assertFalse(any(cell.functions for cell in fleet.fronts[0].router.fleet.cells.values()))
 
     def test_no_more_functions_are_known_than_the_bound(self):
@@ -86,7 +86,7 @@
             for name in names(500):
                 fleet.submit_request(front, name)
                 fleet.run(fleet.now + 10.0)
-                out = sum(place.in_flight > 0 for known in front.router.functions.values() for place in known.replicas)
+                out = sum(place.in_flight > 0 for entry in front.router.functions.values() for place in entry.replicas)
                 self.assertLessEqual(len(front.router.functions), 200 + out)
             fleet.run(fleet.now + 10000.0)
         self.assertEqual((fleet.violations, front.costs.answers["ok"]), ([], 500))
@@ -99,12 +99,12 @@
             front_end = front.router
             for worker in front_end.workers.values():
                 worker.concurrency_limit = 0.0
-            asked = [(name, fleet.submit_request(front, name)) for name in names(60)]
-            waiting = [front_end.requests[ident].function for _, ident in asked]
-            forgotten = [each for each in waiting if front_end.functions.get(each.name) is not each]
+            submitted = [(name, fleet.submit_request(front, name)) for name in names(60)]
+            waiting = [front_end.requests[ident].function for _, ident in submitted]
+            forgotten = [entry for entry in waiting if front_end.functions.get(entry.name) is not entry]
             self.assertTrue(forgotten)
-            for each in forgotten[:10]:
-                fleet.submit_request(front, each.name)
+            for entry in forgotten[:10]:
+                fleet.submit_request(front, entry.name)
             fleet.announce([listing(number) for number in range(1000, 1100)])
             for worker in front_end.workers.values():
                 worker.concurrency_limit = 8.0
--- a/tests/test_routing_slow_start.py
+++ b/tests/test_routing_slow_start.py
@@ -22,15 +22,15 @@
 
     def test_cold_worker_gets_little(self):
         """(age of the new worker in ms, most it may get of 40 requests at once)."""
-        for age, most in ((0.0, 2), (17000.0, 40)):
+        for age, highest in ((0.0, 2), (17000.0, 40)):
             with self.subTest(age=age):
                 fleet = Fleet(workers=1)
                 fleet.serve(calls=30)
                 fleet.list([row("z", started_at=fleet.clock - age)], whole=False)
                 fleet.list([row("a", state="draining")], whole=False)
-                got = called([d for n in range(40) for d in fleet.take(f"q{n}")])
-                self.assertLessEqual(len(got), most)
-                self.assertTrue(got)
+                forwarded = called([d for n in range(40) for d in fleet.take(f"q{n}")])
+                self.assertLessEqual(len(forwarded), highest)
+                self.assertTrue(forwarded)
 
     def test_cold_worker_stands_what_all_front_ends_send(self):
         """(front ends that carry 60 requests a second together) -> what all send to the one worker left, cold."""
@@ -58,18 +58,18 @@
     def test_cold_ramp_holds_for_the_fleet(self):
         """(settings, ms of work, cores) -> what all front ends send that always have a request for one cold worker, in
         any span of the window, never over N + 2 x root of N + 2, N being what the settings allow as it begins."""
-        least, site, most = (
+        lowest, site, highest = (
             SlowStart(0.17, 12000.0, 2.0, 1000.0),
             SlowStart(0.2, 18000.0, 2.0, 2000.0),
             SlowStart(0.45, 5000.0, 4.0, 2000.0),
         )
         for warm, work, size in (
-            (least, 330.0, 3.0),
-            (least, 1500.0, 2.0),
+            (lowest, 330.0, 3.0),
+            (lowest, 1500.0, 2.0),
             (site, 60.0, 6.0),
             (site, 330.0, 3.0),
-            (most, 60.0, 6.0),
-            (most, 1500.0, 2.0),
+            (highest, 60.0, 6.0),
+            (highest, 1500.0, 2.0),
         ):
             for many in (20, 30, 200):
                 with self.subTest(warm=warm, work=work, size=size, many=many):
@@ -99,31 +99,31 @@
         request = Mock()
         request.request_class.durations, request.request_class.latency_objective = [work], 4 * work
         front_ends, sent = [], []
-        for seat in range(many):
-            guards = SlowStartGuard(warm, GatewayInstance(seat, many, 0, (), False))
+        for number in range(many):
+            guards = SlowStartGuard(warm, GatewayInstance(number, many, 0, (), False))
             old = worker("old", None)
-            part = 2 * hash_fraction(name_hash("part"), seat)  # of the mean
+            part = 2 * hash_fraction(name_hash("part"), number)  # of the mean
             guards.served.append(WorkSample(5000.0, 12 * size * 0.5 * 5000 / many * part))
             guards.survey([Cell(0, 0, ready=[old], size=size, utilization=(0.5, 1))], 5000.0)
             guards.rate /= 12
             front_ends.append((guards, worker("z", 5000.0)))
         for now in range(5000, int(5000 + warm.ramp), 50):
-            for guards, cold in front_ends:
-                while guards.admits(cold, request, float(now)):
-                    cold.slow_start_sends.append(WorkSample(float(now), work))
+            for guards, worker in front_ends:
+                while guards.admits(worker, request, float(now)):
+                    worker.slow_start_sends.append(WorkSample(float(now), work))
                     sent.append(now - 5000)
         return sent
 
     def test_a_connection_lost_makes_the_worker_cold(self):
         """(outcome) -> whether it counts as started anew, before the list tells."""
-        for outcome, cold in (("cut", True), ("unreached", True), ("error", False), ("full", False)):
+        for outcome, warming_up in (("cut", True), ("unreached", True), ("error", False), ("full", False)):
             with self.subTest(outcome=outcome):
                 fleet = Fleet(workers=2)
                 fleet.serve(calls=20)
                 request = fleet.take()[0].request
                 worker = request.attempts[0].replica.worker
                 fleet.end(request, outcome)
-                self.assertEqual(fleet.router.slow_start.is_warming_up(worker, fleet.clock), cold)
+                self.assertEqual(fleet.router.slow_start.is_warming_up(worker, fleet.clock), warming_up)
 
     def test_many_unreached_and_none_cut_are_no_restarts(self):
         """(outcomes at as many workers, one each) -> whether the replicas there count as lost."""
--- a/tests/test_worker.py
+++ b/tests/test_worker.py
@@ -106,8 +106,8 @@
         ):
             with self.subTest(asked=asked):
                 beside = gateway.send(sleep=0.05) if same else None
-                got, answer = gateway.run(left=left, **asked)
-                self.assertEqual((got, words if words in str(answer) else answer), (code, words))
+                exit_code, answer = gateway.run(left=left, **asked)
+                self.assertEqual((exit_code, words if words in str(answer) else answer), (code, words))
                 if beside:
                     self.assertIn("result", gateway.answer(beside))
                 self.assertEqual(gateway.run()[1]["pid"] == first, same)
--- a/tests/test_worker_client.py
+++ b/tests/test_worker_client.py
@@ -7,7 +7,7 @@
 import threading
 import unittest
 
-from tests.rig import Peer, Told, hello, lines_of, ok, until
+from tests.rig import EventRecorder, Peer, hello, lines_of, ok, until
 from wickdyke.gateway.interfaces import CommandKind
 from wickdyke.jsonrpc.worker_client import WorkerClient, WorkerClientSettings
 from wickdyke.jsonrpc.worker_command import Command
@@ -97,7 +97,7 @@
     def connect(self, play, connect_timeout=5000.0, line=16 << 20):
         self.count += 1
         peer = Peer(self.folder, f"w{self.count}", play)
-        posted = Told()
+        posted = EventRecorder()
         client = WorkerClient("w", peer.path, WorkerClientSettings("g", connect_timeout, line, 32 << 20), posted)
         self.addCleanup(client.close)
         self.addCleanup(peer.close)
@@ -160,7 +160,7 @@
             with self.subTest(case=name):
                 self.assertEqual(self.run_once(play, connect_timeout=150.0)[1], "unreached")
         settings = WorkerClientSettings("g", 1000.0, 1 << 20, 1 << 20)
-        client = WorkerClient("w", os.path.join(self.folder, "nobody"), settings, posted := Told())
+        client = WorkerClient("w", os.path.join(self.folder, "nobody"), settings, posted := EventRecorder())
         self.addCleanup(client.close)
         client.send(Command(CommandKind.ATTEMPT, None, "run", b"{}"))
         self.assertEqual(posted.next("finished")[3], "unreached")
--- a/tests/test_write_buffer_expiry.py
+++ b/tests/test_write_buffer_expiry.py
@@ -87,10 +87,10 @@
         box = WriteBuffer(here, 64 << 20, "box")
         self.addCleanup(box.close)
         big = b"x" * (4 << 20)
-        asked, self.text = threading.Event(), b"one"
+        render_called, self.text = threading.Event(), b"one"
 
         def render():
-            asked.set()
+            render_called.set()
             return self.text
 
         over = threading.Event()
@@ -98,10 +98,10 @@
         box.put(waits := OutgoingMessage(render))
         box.put(gone := OutgoingMessage(lambda: b"gone" if self.text == b"one" else None, expired=over.set))
         self.text = b"two"
-        got = b""
-        while len(got) < len(big) + 3:
-            got += there.recv(1 << 20)
-        self.assertEqual(got[len(big) :], b"two")
+        received = b""
+        while len(received) < len(big) + 3:
+            received += there.recv(1 << 20)
+        self.assertEqual(received[len(big) :], b"two")
         self.assertTrue(over.wait(20))
         self.assertEqual((waits.begun, gone.begun, box.bytes_waiting), (True, False, 0))
 
