--- a/wickdyke/routing/inputs.py
+++ b/wickdyke/routing/inputs.py
@@ -24,8 +24,8 @@
 
     @classmethod
     def from_values(cls, fields: Sequence[str], values: Sequence[float] | None) -> "WorkerLoad | None":
-        """The report of these values, in the order of `fields`; None where there are none."""
-        if not fields or not values:
+        """The report of these values, in the order of `fields`; None where `values` is None."""
+        if values is None:
             return None
         named = dict(zip(fields, values, strict=False)).get
         return cls(named("utilization"), named("in_flight"), named("queued", 0.0), named("pinned", 0.0), tuple(values))
--- a/wickdyke/routing/latency.py
+++ b/wickdyke/routing/latency.py
@@ -16,7 +16,7 @@
     Worker,
 )
 from wickdyke.routing.samples import mean, sum_by_key
-from wickdyke.routing.settings import FunctionCache, TenantQuotas
+from wickdyke.routing.settings import FunctionCache, GatewayInstance, TenantQuotas
 
 SAMPLE_AGE = 15000.0  # ms for which a latency sample counts
 LATENCY_SAMPLES_KEPT = 40  # of a worker
@@ -58,9 +58,10 @@
     A worker's pace is the measured latency of its answers over the work in them: 1 on the average worker.
     """
 
-    def __init__(self, cache: FunctionCache, quotas: TenantQuotas) -> None:
+    def __init__(self, cache: FunctionCache, instance: GatewayInstance, quotas: TenantQuotas) -> None:
         """An estimator without samples."""
         self.idle_timeout = cache.idle_timeout
+        self.has_report_fields = bool(instance.report_fields)
         self.promised_rate = sum(quotas.quotas)
         self.average_pace = 1.0
         self.pace_by_kind: dict[int, float] = {}
@@ -138,7 +139,7 @@
 
         Of utilization and requests in flight each stands in for the other where only one is given.
         """
-        if load is None:
+        if load is None or not load.reported or not self.has_report_fields:
             return
         utilization, in_flight, queued, pinned, _ = load
         if in_flight is not None:
--- a/wickdyke/routing/router.py
+++ b/wickdyke/routing/router.py
@@ -70,7 +70,7 @@
         self.random = SeededRandom(seed)
         self.discovery = settings.discovery
         self.following = settings.discovery.pushed
-        self.latency = LatencyEstimator(cache, settings.tenant_quotas)
+        self.latency = LatencyEstimator(cache, instance, settings.tenant_quotas)
         self.slow_start = SlowStartGuard(settings.slow_start, instance)
         self.prewarm_limiter = PrewarmLimiter(settings.prewarm_quota)
         self.outliers = OutlierDetector(self.notes.append, self.latency, self.slow_start)
