--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -27,7 +27,7 @@
 class Fleet:
     """One front end with workers a, b, c ...; `clock` is its time (ms)."""
 
-    def __init__(
+    def __init__(  # noqa: PLR0913 - one keyword for each part of a deployment
         self,
         workers=4,
         effect="idempotent",
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -114,7 +114,7 @@
 class Running:
     """A gateway in this process, its folder and its workers; a context manager that closes all of them."""
 
-    def __init__(
+    def __init__(  # noqa: PLR0913 - one keyword for each setting
         self,
         workers=(willing,),
         soft="4 s",
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -231,6 +231,27 @@
         st.tuples(st.just("whole"), st.sets(st.sampled_from("abc"))),
     )
 
+    def do_step(self, view, clocks, stamps, births, step):
+        """Does one step; `stamps` and `births` follow what is sent of each name."""
+        what, with_ = step
+        if what in ("ours", "writers"):
+            setattr(clocks, what, getattr(clocks, what) + with_)
+        elif what == "wait":
+            clocks.now += with_
+        elif what == "connect":
+            view.connected_at = clocks.now
+        elif what == "start":
+            if stamps.get(with_[0]) != clocks.stamp(with_[1]):
+                births.pop(with_[0], None)
+            stamps[with_[0]] = clocks.stamp(with_[1])
+            view.send_raw(late(with_[0], stamps[with_[0]]))
+        elif what == "again" and with_ in stamps:
+            view.send_raw(late(with_, stamps[with_]))
+        elif what == "delete" and with_ in stamps:
+            view.send_raw(late(with_, stamps[with_], lifecycle="DELETED"))
+        elif what == "whole":
+            view.send_raw(*(late(name, stamps[name]) for name in sorted(with_) if name in stamps), reset=True)
+
     @settings(max_examples=400, deadline=None, derandomize=True)
     @given(step, step, st.lists(act, max_size=25))
     def test_ages_stay_possible(self, ours, writers, acts):
@@ -242,23 +263,7 @@
         births = {"a": view.roster.listed["a"][0].started_at}  # and the time that this start was given
         for what, with_ in acts:
             last = view.roster.last_events
-            if what in ("ours", "writers"):
-                setattr(clocks, what, getattr(clocks, what) + with_)
-            elif what == "wait":
-                clocks.now += with_
-            elif what == "connect":
-                view.connected_at = clocks.now
-            elif what == "start":
-                if stamps.get(with_[0]) != clocks.stamp(with_[1]):
-                    births.pop(with_[0], None)
-                stamps[with_[0]] = clocks.stamp(with_[1])
-                view.send_raw(late(with_[0], stamps[with_[0]]))
-            elif what == "again" and with_ in stamps:
-                view.send_raw(late(with_, stamps[with_]))
-            elif what == "delete" and with_ in stamps:
-                view.send_raw(late(with_, stamps[with_], lifecycle="DELETED"))
-            elif what == "whole":
-                view.send_raw(*(late(name, stamps[name]) for name in sorted(with_) if name in stamps), reset=True)
+            self.do_step(view, clocks, stamps, births, (what, with_))
             fresh = clocks.now - view.connected_at <= endpoint_list.PROMPT
             most = endpoint_list.PROMPT + fresh * min(endpoint_list.OUTAGE, clocks.now - last)
             for name, (listing, _) in view.roster.listed.items():
--- a/tests/test_discovery_faults.py
+++ b/tests/test_discovery_faults.py
@@ -71,6 +71,45 @@
 RETURNED = ("connect_ex", "SO_ERROR")  # these give their error and don't raise it
 
 
+class FaultySocket(socket.socket):
+    """A socket whose calls may fail, as `calls` (of a subclass) lays down."""
+
+    calls = None
+
+    def __init__(self, *args, **more):
+        self.calls.enter("socket")
+        super().__init__(*args, **more)
+
+    def setblocking(self, flag):
+        self.calls.enter("setblocking")
+        super().setblocking(flag)
+
+    def connect_ex(self, address):
+        if not self.calls.fails("connect_ex"):
+            return super().connect_ex(address)
+        if self.calls.code == errno.EINTR:
+            super().connect_ex(address)  # it goes on being made
+        return self.calls.code
+
+    def getsockopt(self, *args):
+        self.calls.enter("getsockopt")
+        return self.calls.code if self.calls.fails("SO_ERROR") else super().getsockopt(*args)
+
+    def send(self, data, *flags):
+        self.calls.enter("send")
+        return super().send(data[: self.calls.piece] if self.calls.piece else data, *flags)
+
+    def recv(self, *args):
+        self.calls.enter("recv")
+        return super().recv(*args)
+
+    def close(self):
+        fails = self.fileno() >= 0 and self.calls.fails("close")
+        super().close()  # Linux frees the descriptor also where it reports an error
+        if fails:
+            raise OSError(self.calls.code, os.strerror(self.calls.code))
+
+
 class SystemCalls:
     """Fails the `nth` call of that name, `times` times. `piece`: bytes that a send takes at most."""
 
@@ -90,43 +129,7 @@
 
     def socket_class(self):
         """A socket class whose calls may fail."""
-        calls = self
-
-        class Socket(socket.socket):
-            def __init__(self, *args, **more):
-                calls.enter("socket")
-                super().__init__(*args, **more)
-
-            def setblocking(self, flag):
-                calls.enter("setblocking")
-                super().setblocking(flag)
-
-            def connect_ex(self, address):
-                if not calls.fails("connect_ex"):
-                    return super().connect_ex(address)
-                if calls.code == errno.EINTR:
-                    super().connect_ex(address)  # it goes on being made
-                return calls.code
-
-            def getsockopt(self, *args):
-                calls.enter("getsockopt")
-                return calls.code if calls.fails("SO_ERROR") else super().getsockopt(*args)
-
-            def send(self, data, *flags):
-                calls.enter("send")
-                return super().send(data[: calls.piece] if calls.piece else data, *flags)
-
-            def recv(self, *args):
-                calls.enter("recv")
-                return super().recv(*args)
-
-            def close(self):
-                fails = self.fileno() >= 0 and calls.fails("close")
-                super().close()  # Linux frees the descriptor also where it reports an error
-                if fails:
-                    raise OSError(calls.code, os.strerror(calls.code))
-
-        return Socket
+        return type("Socket", (FaultySocket,), {"calls": self})
 
     def epoll(self, real):
         """An epoll whose calls may fail."""
--- a/tests/test_platform_parsers.py
+++ b/tests/test_platform_parsers.py
@@ -176,6 +176,26 @@
 class Random(unittest.TestCase):
     """Codecs before cut, changed and random bytes: what they give or their one error, and bounded memory."""
 
+    def thrift_reads(self, data, size):
+        frames = thrift.Frames()
+        for at in range(0, len(data), size):
+            for frame in frames.feed(data[at : at + size]):
+                thrift.read(frame)
+            self.assertLessEqual(len(frames.buffer), thrift.MAX_FRAME_SIZE + 4 + size)
+
+    def resp_reads(self, data, size):
+        answers = resp.Answers()
+        for at in range(0, len(data), size):
+            for answer in answers.feed(data[at : at + size]):
+                worker_results.read_result(answer, ("busy",))
+            self.assertLessEqual(len(answers.buffer), resp.MAX_PART_SIZE + 2 + size)
+
+    def sse_reads(self, data, size):
+        events = sse.Events()
+        for at in range(0, len(data), size):
+            for event in events.feed(data[at : at + size]):
+                endpoint_list.EndpointList((), (), lambda: 0.0).apply([endpoint_list.parse_event(event.data)], 0.0)
+
     def test_nothing_but_the_one_error(self):
         hash_fractions = random.Random(11)
         whole = {
@@ -184,27 +204,7 @@
             "sse": b'id: 1\ndata: {"offset": 1}\n\n: x\n\n' * 3,
         }
 
-        def thrift_reads(data, size):
-            frames = thrift.Frames()
-            for at in range(0, len(data), size):
-                for frame in frames.feed(data[at : at + size]):
-                    thrift.read(frame)
-                self.assertLessEqual(len(frames.buffer), thrift.MAX_FRAME_SIZE + 4 + size)
-
-        def resp_reads(data, size):
-            answers = resp.Answers()
-            for at in range(0, len(data), size):
-                for answer in answers.feed(data[at : at + size]):
-                    worker_results.read_result(answer, ("busy",))
-                self.assertLessEqual(len(answers.buffer), resp.MAX_PART_SIZE + 2 + size)
-
-        def sse_reads(data, size):
-            events = sse.Events()
-            for at in range(0, len(data), size):
-                for event in events.feed(data[at : at + size]):
-                    endpoint_list.EndpointList((), (), lambda: 0.0).apply([endpoint_list.parse_event(event.data)], 0.0)
-
-        reads = {"thrift": thrift_reads, "resp": resp_reads, "sse": sse_reads}
+        reads = {"thrift": self.thrift_reads, "resp": self.resp_reads, "sse": self.sse_reads}
         errors = {
             "thrift": thrift.MalformedMessageError,
             "resp": resp.InvalidAnswerError,
--- a/tests/test_platform_worker_client.py
+++ b/tests/test_platform_worker_client.py
@@ -13,6 +13,40 @@
 from wickdyke.transport.event_loop import clock
 
 
+def writes(raw):
+    """A worker that answers a command with the bytes that `raw` makes of its parts."""
+    return lambda worker, sock, parts: parts[0] == b"invoke" and (sock.sendall(raw(parts)), True)[1]
+
+
+def resets(worker, sock, parts):
+    """A worker that resets the connection of a command."""
+    if parts[0] == b"invoke":
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+        sock.shutdown(socket.SHUT_RD)
+        sock.close()
+        return True
+    return None
+
+
+def dies(worker, sock, parts):
+    """A worker that stops listening and resets the connection of a command."""
+    if parts[0] == b"invoke":
+        worker.listener.shutdown(socket.SHUT_RDWR)
+        worker.listener.close()
+    return resets(worker, sock, parts)
+
+
+writes_half = writes(lambda p: rig.bulk(p[1], b"ACK", b"-", b"whole")[:-4])
+
+
+def stops_short(worker, sock, parts):
+    """A worker that ends the connection in the middle of an answer."""
+    if writes_half(worker, sock, parts):
+        sock.shutdown(socket.SHUT_RDWR)
+        return True
+    return None
+
+
 class WorkerConnections(LoopCase):
     """Connections to a worker: outcomes, cancels, the pool, drains."""
 
@@ -46,31 +80,6 @@
     def test_what_is_known_of_an_attempt(self):
         """(what the worker does, whether another connection stands) -> the outcome told."""
 
-        def writes(raw):
-            return lambda worker, sock, parts: parts[0] == b"invoke" and (sock.sendall(raw(parts)), True)[1]
-
-        def resets(worker, sock, parts):
-            if parts[0] == b"invoke":
-                sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-                sock.shutdown(socket.SHUT_RD)
-                sock.close()
-                return True
-            return None
-
-        def dies(worker, sock, parts):
-            if parts[0] == b"invoke":
-                worker.listener.shutdown(socket.SHUT_RDWR)
-                worker.listener.close()
-            return resets(worker, sock, parts)
-
-        half = writes(lambda p: rig.bulk(p[1], b"ACK", b"-", b"whole")[:-4])
-
-        def stops_short(worker, sock, parts):
-            if half(worker, sock, parts):
-                sock.shutdown(socket.SHUT_RDWR)
-                return True
-            return None
-
         for name, play, beside, outcome in (
             ("served", None, False, "ok"),
             ("reset", resets, False, "error"),
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -139,7 +139,9 @@
 class WholeFleet(unittest.TestCase):
     """Real decisions of all front ends, on six servers that are made."""
 
-    def played(self, many, warmup, restarted=6, used=0.6, burst=1.0, gone=1000.0, told=(300.0, 600.0), skew=False):
+    def played(  # noqa: PLR0913 - one keyword for each property of the day
+        self, many, warmup, restarted=6, used=0.6, burst=1.0, gone=1000.0, told=(300.0, 600.0), skew=False
+    ):
         """The fleet after that day, of `many` front ends, one of which has six times the others' traffic if `skew`."""
         settings = Settings(
             front_ends=many,
