--- a/deploy/store.sexp
+++ b/deploy/store.sexp
@@ -2,5 +2,5 @@
 (store
   (listen "run/store.sock")
   (folder "run/store")      ; archives, as `wickdyke pack` writes them
-  (pace 100 MB)             ; a second, for all readers together
-  (readers 64))             ; more are turned away, and their loads fail for now
+  (pace 100 MB)             ; bandwidth a second, for all readers together
+  (readers 64))             ; more are rejected, and their loads fail for now
