--- a/deploy/gateway.sexp
+++ b/deploy/gateway.sexp
@@ -30,7 +30,7 @@
   (ration (free 0) (share 0) (window 0 s))      ; * quota of prewarms: so many, and a share of the requests
   (drain-grace 1 s)                             ; nothing new to a draining worker later than this
   (tariff (waste 0) (late 0) (fetch 0) (probe 0) (crossing 0) (idle-memory 0)) ; *
-  ; (tenant "a" (quota 500))                     a tenant: requests a second that all gateways owe it
+  ; (tenant "a" (quota 500))                     a tenant and its quota: requests a second, over all gateways
   (answer-way 20 ms)                            ; * reserved of each deadline for the answer's transit
   (isolation                                    ; * circuit breakers (docs/oncall.md)
     (loads (workers 2) (window 30 s) (first 1 s) (most 1 min))   ; functions whose load failed at so many workers
--- a/deploy/shape.sexp
+++ b/deploy/shape.sexp
@@ -3,7 +3,7 @@
 (shape
   (zone "east") (zone "west") (at "east")
   (kind "plain" (memory 16 GB))
-  (tenant "shops" (quota 400))                  ; requests a second that all gateways owe it
+  (tenant "shops" (quota 400))                  ; its quota: requests a second, over all gateways
   (tenant "depots" (quota 150))
   (report held loads pinned)                    ; fields of load reports; held is used where busy is missing
   (call-outs (most 5) (retry-after 1 s) (idle-close 20 s))
