--- a/tests/front_end_rig.py
+++ b/tests/front_end_rig.py
@@ -22,7 +22,7 @@
     """What is stepped by a loop in the test's own thread."""
 
     def setUp(self):
-        self.loop, self.told = EventLoop(), []
+        self.loop, self.recorded = EventLoop(), []
         self.addCleanup(self.loop.close)
 
     def until(self, done, what="it"):
--- a/tests/test_client_connection_ends.py
+++ b/tests/test_client_connection_ends.py
@@ -22,7 +22,7 @@
         self.addCleanup(patch.stopall)
         for module in (event_loop, client_server, client_connection):
             patch.object(module, "clock", lambda: self.now).start()
-        self.loop, self.told = event_loop.EventLoop(), []
+        self.loop, self.recorded = event_loop.EventLoop(), []
         self.addCleanup(self.loop.close)
         methods = [RequestClass("look", "idempotent", "all", 0.0, 500.0, 0.0, 4000.0, 1.0, 0.1)]
         self.address = rig.free_address()
@@ -30,7 +30,7 @@
         self.front = client_server.ClientServer(
             self.loop,
             client_server.ClientServerSettings((host, int(port)), methods, 2),
-            self.told.append,
+            self.recorded.append,
             lambda: "",
             Mock(),
         )
@@ -53,8 +53,8 @@
     def asked(self, client, data, many=1):
         """Sends, and gives the request that came last of so many."""
         client.send(data)
-        self.until(lambda: len(self.told) == many, "a request")
-        return self.told[-1].pending
+        self.until(lambda: len(self.recorded) == many, "a request")
+        return self.recorded[-1].pending
 
     def there(self, client):
         """Waits until what the client did is there to be read."""
@@ -91,7 +91,7 @@
         """In the same bytes, in later ones, and cut in two."""
         for cut in (0, 9, None):
             with self.subTest(cut):
-                self.told.clear()
+                self.recorded.clear()
                 client = self.client()
                 ask = self.asked(client, rig.dispatch(1, rig.fields(A)) + rig.dispatch(2, rig.fields(B)), 2)
                 wrong, cancels = rig.dispatch(2, rig.fields(C)), rig.cancel(3, 2)
@@ -100,8 +100,8 @@
                 self.until(lambda: next(iter(self.front.clients.values())).ending)
                 if cut is not None:
                     client.send(cancels[cut:])
-                self.until(lambda: len(self.told) == 3, "the cancel")
-                self.assertEqual(plain(self.told[-1]), ("cancelled", ask))
+                self.until(lambda: len(self.recorded) == 3, "the cancel")
+                self.assertEqual(plain(self.recorded[-1]), ("cancelled", ask))
                 self.assertEqual(list(self.front.open), [A.encode()])
                 client.close()
                 self.until(lambda: not self.front.clients)
@@ -114,7 +114,7 @@
         self.there(next(iter(self.front.clients.values())))
         self.now += client_server.SILENCE_TIMEOUT + 2 * client_server.SWEEP_INTERVAL
         self.front._sweep()
-        self.assertEqual([type(event) for event in self.told], [RequestReceived])
+        self.assertEqual([type(event) for event in self.recorded], [RequestReceived])
         self.assertTrue(self.front.clients)
 
     def test_room_is_not_made_of_one_whose_answer_is_on_its_way(self):
@@ -154,7 +154,7 @@
         """A close or a cancel that waits to be read counts."""
         for leaves in ("close", "cancel"):
             with self.subTest(leaves):
-                self.told.clear()
+                self.recorded.clear()
                 client = self.client()
                 ask = self.asked(client, rig.dispatch(1, rig.fields(A)))
                 self.assertTrue(ask.still_wanted())
@@ -167,7 +167,7 @@
                 self.now += 100
                 self.assertFalse(ask.still_wanted())
                 want = ("closed", [ask]) if leaves == "close" else ("cancelled", ask)
-                self.assertEqual([plain(event) for event in self.told[1:]], [want])
+                self.assertEqual([plain(event) for event in self.recorded[1:]], [want])
 
 
 class Attempts(TimedFrontEndCase):
--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -76,7 +76,7 @@
 
     def upstream(self, address, dial=60000.0):
         def notify(event):
-            self.told.append((event.command.ident, event.outcome))
+            self.recorded.append((event.command.ident, event.outcome))
 
         made = worker_client.WorkerClient(
             "w", address, notify, self.loop, self.pool, worker_client.WorkerClientSettings(dial, 10000.0, ())
@@ -89,7 +89,7 @@
         held = []
         worker = rig.Worker(lambda _, sock, parts: (held.append((sock, parts)), True)[1])
         self.addCleanup(worker.close)
-        self.told.clear()
+        self.recorded.clear()
         return self.upstream(worker.address), held
 
     def elsewhere(self, upstream):
@@ -121,8 +121,8 @@
         upstream, held = self.held()
         upstream.send(self.command(1500.0))
         self.clock.now += 1500.0
-        self.until(lambda: self.told)
-        self.assertEqual(self.told, [(ASCII_A, "unsent")])
+        self.until(lambda: self.recorded)
+        self.assertEqual(self.recorded, [(ASCII_A, "unsent")])
         upstream.send(self.command(800.0, ASCII_B))
         self.until(lambda: held)
         self.assertEqual((held[0][1][1], time_left_sent(held[0][1]), self.pool.used), (ASCII_B, 800, 1))
@@ -138,7 +138,9 @@
                 self.clock.now += gone
                 upstream.connections[0]._timed_out()
                 if expected is None:
-                    self.assertEqual((self.told, upstream.connections, self.pool.used), ([(ASCII_A, "unsent")], [], 0))
+                    self.assertEqual(
+                        (self.recorded, upstream.connections, self.pool.used), ([(ASCII_A, "unsent")], [], 0)
+                    )
                     continue
                 self.until(lambda held=held: held)
                 self.assertEqual(time_left_sent(held[0][1]), expected)
@@ -158,8 +160,8 @@
                 self.clock.now += waits
                 conn.write_buffer.sock = conn.sock
                 if expected is None:
-                    self.until(lambda: self.told)
-                    self.assertEqual((self.told, list(conn.open)), ([(ASCII_B, "unsent")], [ASCII_A]))
+                    self.until(lambda: self.recorded)
+                    self.assertEqual((self.recorded, list(conn.open)), ([(ASCII_B, "unsent")], [ASCII_A]))
                     self.assertFalse(upstream.withdraw_unsent(order))
                 else:
                     self.until(lambda held=held: len(held) == 2)
@@ -201,7 +203,7 @@
         upstream.send(order := self.command(10.0))
         self.clock.now += 20.0
         self.assertTrue(upstream.withdraw_unsent(order))
-        self.assertEqual((self.told, upstream.connections[0].commands_in_flight), ([], 0))
+        self.assertEqual((self.recorded, upstream.connections[0].commands_in_flight), ([], 0))
 
 
 class JsonRpc(unittest.TestCase):
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -14,7 +14,7 @@
     """The bus on a loop whose time the test sets."""
 
     def setUp(self):
-        self.now, self.told = 0.0, []
+        self.now, self.recorded = 0.0, []
         self.addCleanup(patch.stopall)
         for module in (event_loop, discovery):
             patch.object(module, "clock", lambda: self.now).start()
@@ -29,7 +29,7 @@
             self.loop,
             discovery.DiscoverySettings((host, int(port)), most, seed),
             lambda: 7,
-            self.told.extend,
+            self.recorded.extend,
             Mock(),
         )
         self.addCleanup(made.close)
--- a/tests/test_discovery_faults.py
+++ b/tests/test_discovery_faults.py
@@ -173,7 +173,7 @@
     """Time is the test's: it goes on only while the list waits to be asked for again."""
 
     def setUp(self):
-        self.now, self.told = 0.0, []
+        self.now, self.recorded = 0.0, []
         self.source = Source()
         self.addCleanup(self.source.close)
         self.before = open_descriptors()
@@ -184,7 +184,7 @@
 
     def follow(self, calls, address=None):
         """A bus on a loop whose system calls may fail."""
-        self.told.clear()
+        self.recorded.clear()
         self.loop = event_loop.EventLoop()
         self.loop.epoll = calls.epoll(self.loop.epoll)
         fakes = SimpleNamespace(**{**vars(socket), "socket": calls.socket_class()})
@@ -206,10 +206,10 @@
         return host, int(port)
 
     def last(self):
-        return self.told[-1] if self.told else 0
+        return self.recorded[-1] if self.recorded else 0
 
     def take(self, events):
-        self.told += [event["offset"] for event in events if event["offset"] > self.last()]
+        self.recorded += [event["offset"] for event in events if event["offset"] > self.last()]
 
     def run_once(self, made):
         waits = made.sock is None
@@ -219,10 +219,10 @@
 
     def until_told(self, made, many=EVENTS):
         ends = time.monotonic() + rig.LONG
-        while len(self.told) < many:
-            self.assertLess(time.monotonic(), ends, f"told {self.told}, {dict(made.counts)}")
+        while len(self.recorded) < many:
+            self.assertLess(time.monotonic(), ends, f"told {self.recorded}, {dict(made.counts)}")
             self.run_once(made)
-        self.assertEqual(self.told[:many], list(range(1, many + 1)))
+        self.assertEqual(self.recorded[:many], list(range(1, many + 1)))
 
     def end(self, made):
         made.close()
@@ -326,7 +326,7 @@
                 for _ in range(turns):
                     self.run_once(made)
                 made.follow(self.where(other.address))
-                asked, had = other.asked, len(self.told)
+                asked, had = other.asked, len(self.recorded)
                 self.until_told(made, had + 2)
                 self.assertGreaterEqual(other.asked, asked + 2)
                 self.end(made)
--- a/tests/test_endpoint_list_changes.py
+++ b/tests/test_endpoint_list_changes.py
@@ -17,7 +17,7 @@
     def lists(self):
         return self.made(rig.Bus())
 
-    def told(self, number):
+    def await_event(self, number):
         self.until(lambda: self.serving.endpoints.offset >= number, f"event {number}")
 
     def test_a_new_configuration_while_a_worker_drains(self):
@@ -35,7 +35,7 @@
                 self.until(lambda new=new: len(new.offsets) == 1)
                 self.assertEqual(new.offsets, [2 if where == "old" else 1])
                 new.event(drains)
-                self.told(2)
+                self.await_event(2)
                 client = self.client()
                 for at in range(6):
                     client.send(rig.dispatch(at + 1, rig.fields(f"{at:016x}"), b"x"))
@@ -53,7 +53,7 @@
         start = int(time.time() * 1000) - 500
         here = rig.instance("w1", two.address, startedAtMs=start)
         source.event(rig.event(2, here))
-        self.told(2)
+        self.await_event(2)
         for name in ("w0", "w1"):
             serving.coordinator.workers.client(name)
         books, links = dict(serving.coordinator.router.workers), dict(serving.coordinator.workers.clients)
@@ -63,14 +63,14 @@
         source.event(rig.event(3, *both, reset=True))
         source.event(rig.event(3, both[0], reset=True))  # the number came before: it changes nothing
         source.event(rig.event(4, {**both[0], "lifecycle": "DRAINING"}, both[1], reset=True))
-        self.told(4)
+        self.await_event(4)
         workers = serving.coordinator.router.workers
         self.assertEqual(
             (workers, serving.coordinator.workers.clients, workers["w1"].warming_since), (books, links, cold)
         )
         self.assertEqual(workers["w0"].endpoint.state, "draining")
         source.event(rig.event(5, both[0], {**here, "startedAtMs": start + 400}))  # drain over; another start
-        self.told(5)
+        self.await_event(5)
         self.assertEqual((workers["w0"].endpoint.state, workers["w0"]), ("ready", books["w0"]))
         self.assertIsNot(workers["w1"], books["w1"])
         self.assertAlmostEqual(workers["w1"].warming_since, cold + 400, 3)
@@ -92,7 +92,7 @@
                 )
             ).encode()
         )
-        self.told(4)
+        self.await_event(4)
         self.assertEqual(serving.coordinator.router.workers, before)
         self.assertEqual(serving.coordinator.router.workers["w0"].endpoint.state, "ready")
 
--- a/tests/test_event_loop.py
+++ b/tests/test_event_loop.py
@@ -23,18 +23,18 @@
             priority=priority,
             readable=lambda: act(mine),
             writable=lambda: None,
-            broken=lambda: (self.loop.remove(mine), self.told.append("broken")),
+            broken=lambda: (self.loop.remove(mine), self.recorded.append("broken")),
         )
         self.loop.add(mine, made)
         return made
 
     def test_who_floods_does_not_keep_workers_waiting(self):
         for _ in range(20):
-            self.handler(lambda sock: (time.sleep(0.02), self.told.append("client")))  # always more to read
-        self.handler(lambda sock: self.told.append("worker"), priority=Priority.HIGH)
+            self.handler(lambda sock: (time.sleep(0.02), self.recorded.append("client")))  # always more to read
+        self.handler(lambda sock: self.recorded.append("worker"), priority=Priority.HIGH)
         for _ in range(3):
-            self.loop.run_once(10.0, lambda: self.told.append("desk"))
-        self.assertEqual(self.told, ["worker", "desk", "client"] * 3)
+            self.loop.run_once(10.0, lambda: self.recorded.append("desk"))
+        self.assertEqual(self.recorded, ["worker", "desk", "client"] * 3)
 
     def test_one_that_breaks_ends_alone(self):
         def breaks(sock):
@@ -43,10 +43,10 @@
         faults = []
         self.loop.on_error = faults.append
         self.handler(breaks)
-        self.handler(lambda sock: (sock.recv(1), self.told.append("read")))
+        self.handler(lambda sock: (sock.recv(1), self.recorded.append("read")))
         self.loop.call_at(0.0, breaks, None)
-        self.until(lambda: len(self.told) == 2)
-        self.assertEqual((sorted(self.told), len(faults)), (["broken", "read"], 2))
+        self.until(lambda: len(self.recorded) == 2)
+        self.assertEqual((sorted(self.recorded), len(faults)), (["broken", "read"], 2))
         self.assertEqual(len(self.loop.handlers), 1)
 
 
--- a/tests/test_event_loop_faults.py
+++ b/tests/test_event_loop_faults.py
@@ -39,16 +39,16 @@
     """Records its calls."""
 
     def __init__(self, priority=event_loop.Priority.HIGH):
-        self.priority, self.told = priority, []
+        self.priority, self.recorded = priority, []
 
     def readable(self):
-        self.told.append("readable")
+        self.recorded.append("readable")
 
     def writable(self):
-        self.told.append("writable")
+        self.recorded.append("writable")
 
     def broken(self):
-        self.told.append("broken")
+        self.recorded.append("broken")
 
 
 class Case(unittest.TestCase):
@@ -102,7 +102,7 @@
                 self.loop.remove(used)
                 mine.close()
                 other.close()
-                self.assertEqual((failed.told, fresh.told, self.loop.handlers), ([], ["readable"], {}))
+                self.assertEqual((failed.recorded, fresh.recorded, self.loop.handlers), ([], ["readable"], {}))
 
     def test_a_second_add_leaves_the_first(self):
         one, two = Handler(), Handler()
@@ -112,7 +112,7 @@
             self.loop.add(mine, two)
         other.send(b"x")
         self.run_once()
-        self.assertEqual((one.told, two.told), (["readable"], []))
+        self.assertEqual((one.recorded, two.recorded), (["readable"], []))
 
 
 class Want(Case):
@@ -129,10 +129,10 @@
                     self.loop.set_interest(mine, True)
                     for _ in range(times):
                         self.run_once()
-                        self.assertEqual(handler.told, [])
+                        self.assertEqual(handler.recorded, [])
                         self.run_once(event_loop.MODIFY_RETRY)
                     self.run_once()
-                    self.assertEqual(handler.told, ["writable"])
+                    self.assertEqual(handler.recorded, ["writable"])
                     self.assertEqual((self.loop.unmodified, self.faults), ({}, []))
                     self.loop.remove(mine)
 
@@ -146,7 +146,7 @@
         self.loop.set_interest(mine, False)
         for _ in range(3):
             self.run_once(event_loop.MODIFY_RETRY)
-        self.assertEqual(handler.told, [])
+        self.assertEqual(handler.recorded, [])
 
     def test_two_that_fail_one_after_the_other(self):
         handler = Handler()
@@ -157,7 +157,7 @@
         self.loop.set_interest(mine, True)
         self.run_once(event_loop.MODIFY_RETRY)
         self.run_once()
-        self.assertEqual((handler.told, self.loop.timers.heap), (["writable"], []))
+        self.assertEqual((handler.recorded, self.loop.timers.heap), (["writable"], []))
 
     def test_another_socket_with_its_number_is_not_changed(self):
         old, fresh = Handler(), Handler()
@@ -176,7 +176,7 @@
             for _ in range(3):
                 self.run_once(event_loop.MODIFY_RETRY)
             modify.assert_not_called()
-        self.assertEqual((old.told, self.faults), ([], []))
+        self.assertEqual((old.recorded, self.faults), ([], []))
 
     def test_a_socket_that_is_not_watched(self):
         """A mistake of the caller: it is told."""
@@ -201,7 +201,7 @@
                 self.run_once()
                 mine.close()
                 self.run_once()
-                self.assertEqual((handler.told, self.loop.handlers, self.faults), ([], {}, []))
+                self.assertEqual((handler.recorded, self.loop.handlers, self.faults), ([], {}, []))
 
 
 class Turn(Case):
@@ -219,11 +219,11 @@
                 self.loop.call_at(self.now, due)
                 for _ in range(nth):
                     self.loop.run_once(0.0, between)
-                self.assertEqual(handler.told, ["readable"] * (nth - 1))
+                self.assertEqual(handler.recorded, ["readable"] * (nth - 1))
                 due.assert_called_once_with()
                 self.assertEqual(between.call_count, nth)
                 self.run_once()
-                self.assertEqual(handler.told, ["readable"] * nth)
+                self.assertEqual(handler.recorded, ["readable"] * nth)
                 self.loop.remove(mine)
 
     def test_a_handler_whose_end_fails_too(self):
@@ -236,7 +236,7 @@
             self.loop.add(mine, handler)
             other.send(b"x")
         self.run_once()
-        self.assertEqual(good.told, ["readable"])
+        self.assertEqual(good.recorded, ["readable"])
         self.assertEqual([type(fault) for fault in self.faults], [KeyError, OSError])
 
 
--- a/tests/test_platform_client_server.py
+++ b/tests/test_platform_client_server.py
@@ -23,7 +23,7 @@
         self.front = client_server.ClientServer(
             self.loop,
             client_server.ClientServerSettings((host, int(port)), methods, 20),
-            self.told.append,
+            self.recorded.append,
             lambda: "",
             Mock(),
         )
@@ -43,8 +43,8 @@
     def test_a_request_reaches_the_coordinator_as_it_was_sent(self):
         client = self.client()
         client.send(rig.dispatch(1, rig.fields(), b"\x00\xff"))
-        self.until(lambda: self.told)
-        (received,) = self.told
+        self.until(lambda: self.recorded)
+        (received,) = self.recorded
         ask = received.pending
         call = ask.params
         self.assertEqual(
@@ -63,10 +63,10 @@
         ask.reject("late")  # one answer only
         self.assertEqual(self.answer(client), (1, "answer", b"done"))
         for word in ("shed", "fault"):
-            self.told.clear()
+            self.recorded.clear()
             client.send(rig.dispatch(2 if word == "shed" else 3, rig.fields()))
-            self.until(lambda: self.told)
-            ask = self.told[0].pending
+            self.until(lambda: self.recorded)
+            ask = self.recorded[0].pending
             ask.reject("x") if word == "shed" else ask.fail("x")
             self.assertEqual(self.answer(client)[1], word)
 
@@ -104,36 +104,36 @@
                 client = self.client()
                 client.send(raw)
                 self.assertEqual(self.answer(client)[1], word)
-                self.assertEqual([event for event in self.told if isinstance(event, RequestReceived)], [])
+                self.assertEqual([event for event in self.recorded if isinstance(event, RequestReceived)], [])
 
     def test_numbers_and_ids_that_are_open(self):
         """A second request under an open id is refused; under an open number the connection ends after it."""
         client = self.client()
         client.send(rig.dispatch(1, rig.fields()) + rig.dispatch(2, rig.fields(), b"other"))
         self.assertEqual(self.answer(client)[:2], (2, "exception"))
-        self.assertEqual(len(self.told), 1)
+        self.assertEqual(len(self.recorded), 1)
         client.send(rig.dispatch(2, rig.fields("a" * 16)))
         self.assertEqual(self.answer(client)[1], "exception")
-        self.told[0].pending.reject("x")
+        self.recorded[0].pending.reject("x")
         self.assertEqual(self.answer(client)[1], "shed")
         self.assertEqual(self.answer(client)[1], "closed")
-        self.assertEqual((len(self.told), self.front.open), (1, {}))
+        self.assertEqual((len(self.recorded), self.front.open), (1, {}))
 
     def test_over_32_open(self):
         client = self.client()
         client.send(b"".join(rig.dispatch(n, rig.fields(f"{n:016x}")) for n in range(1, 35)))
         self.assertEqual([self.answer(client)[:2] for _ in range(2)], [(33, "exception"), (34, "exception")])
-        self.assertEqual(len(self.told), 32)
+        self.assertEqual(len(self.recorded), 32)
 
     def test_taken_back_before_its_turn_it_is_no_load(self):
         client = self.client()
         client.send(b"".join(rig.dispatch(n, rig.fields(f"{n:016x}")) + rig.cancel(n, n) for n in range(1, 9)))
-        self.until(lambda: len(self.told) == 16)
-        self.assertTrue(all(event.pending.closed for event in self.told))
+        self.until(lambda: len(self.recorded) == 16)
+        self.assertTrue(all(event.pending.closed for event in self.recorded))
         client.send(rig.dispatch(9, rig.fields()))
-        self.until(lambda: len(self.told) == 17)
+        self.until(lambda: len(self.recorded) == 17)
         client.close()
-        self.until(lambda: isinstance(self.told[-1], ClientClosed))
+        self.until(lambda: isinstance(self.recorded[-1], ClientClosed))
         self.assertEqual((self.front.open, self.front.clients), ({}, {}))
 
     def test_silence_and_half_a_frame_end_in_time_and_who_asked_once_stays(self):
@@ -165,7 +165,7 @@
         self.answer(first)
         busy = self.client()
         busy.send(rig.dispatch(1, rig.fields()))
-        self.until(lambda: self.told)
+        self.until(lambda: self.recorded)
         silent = [self.client() for _ in range(18)]
         self.until(lambda: len(self.front.clients) == 20)
         for client in self.front.clients.values():
@@ -176,7 +176,7 @@
         self.assertEqual(self.answer(silent[0])[1], "closed")
         first.send(rig.alive(2))
         self.assertEqual(self.answer(first)[1], "bad")
-        self.told[0].pending.succeed(b"", 1)
+        self.recorded[0].pending.succeed(b"", 1)
         self.assertEqual(self.answer(busy)[1], "answer")
 
 
--- a/tests/test_platform_worker_client.py
+++ b/tests/test_platform_worker_client.py
@@ -57,7 +57,7 @@
         upstream = worker_client.WorkerClient(
             "w",
             self.worker.address,
-            lambda event: self.told.append(plain(event)),
+            lambda event: self.recorded.append(plain(event)),
             self.loop,
             self.pool,
             worker_client.WorkerClientSettings(dial, 10000.0, ("utilization", "in_flight")),
@@ -74,8 +74,8 @@
         return worker_command.Command(kind, None, ident, resp.command(*verb))
 
     def ended(self, many=1):
-        self.until(lambda: len(self.told) >= many, "an end")
-        return [(event[2].ident, event[3]) for event in self.told]
+        self.until(lambda: len(self.recorded) >= many, "an end")
+        return [(event[2].ident, event[3]) for event in self.recorded]
 
     def test_what_is_known_of_an_attempt(self):
         """(what the worker does, whether another connection stands) -> the outcome told."""
@@ -98,17 +98,17 @@
             ("full", writes(lambda p: rig.bulk(p[1], b"AGAIN", b"-", b"")), False, "full"),
         ):
             with self.subTest(name):
-                self.told.clear()
+                self.recorded.clear()
                 upstream = self.upstream(play)
                 if beside:
                     upstream.send(self.command(b"t1", CommandKind.HEALTH_CHECK))
                     self.ended()
-                    self.told.clear()
+                    self.recorded.clear()
                 upstream.send(self.command())
                 self.assertEqual(self.ended(), [(b"9b1f03aa5c7e2d41", outcome)])
                 for _ in range(5):
                     self.loop.run_once(5.0, lambda: None)
-                self.assertEqual(len(self.told), 1)  # one end for each, whatever else comes
+                self.assertEqual(len(self.recorded), 1)  # one end for each, whatever else comes
 
     def test_a_command_that_got_lost_beside_others_is_no_cut(self):
         upstream = self.upstream(lambda worker, sock, parts: parts[0] == b"prewarm" and (sock.sendall(b"??"), True)[1])
@@ -121,7 +121,7 @@
         """(connections that are reset when new) -> served by a later one, or known never to have run."""
         for many, outcome in ((1, "ok"), (2, "ok"), (9, "unsent")):
             with self.subTest(many):
-                self.told.clear()
+                self.recorded.clear()
                 upstream, met = self.upstream(), []
                 serve = self.worker._serve
 
@@ -136,7 +136,7 @@
                 self.worker._serve = new
                 upstream.send(self.command())
                 time.sleep(0.1)  # it comes up and is reset before the loop looks
-                while not self.told:
+                while not self.recorded:
                     self.loop.run_once(100.0, lambda: time.sleep(0.05))
                 self.assertEqual(self.ended(), [(b"9b1f03aa5c7e2d41", outcome)])
 
@@ -170,9 +170,9 @@
         self.assertEqual(self.worker.received(b"abort"), [[b"abort", b"a" * 16]])
         upstream.send(self.command(b"a" * 16))  # its late answer may still come there, and would end this one
         self.assertEqual(self.ended(), [(b"a" * 16, "unsent")])
-        self.told.clear()
+        self.recorded.clear()
         self.assertEqual(upstream.cancel(other, lambda: None), "cancelled")
-        self.assertEqual((self.pool.used, self.told), (0, []))
+        self.assertEqual((self.pool.used, self.recorded), (0, []))
         upstream.send(self.command(b"c" * 16))
         self.assertEqual(self.ended(), [(b"c" * 16, "ok")])
 
@@ -225,7 +225,7 @@
         upstream.send(self.command())
         self.until(lambda: held)
         upstream.drain()
-        self.assertEqual((self.told, self.pool.used), ([], 1))
+        self.assertEqual((self.recorded, self.pool.used), ([], 1))
         held[0][0].sendall(rig.bulk(held[0][1][1], b"ACK", b"-", b"x"))
         self.assertEqual(self.ended(), [(b"9b1f03aa5c7e2d41", "ok")])
         self.assertEqual(self.pool.used, 0)
--- a/tests/test_worker_connecting.py
+++ b/tests/test_worker_connecting.py
@@ -21,7 +21,7 @@
         made = worker_client.WorkerClient(
             "w",
             address,
-            lambda event: self.told.append((event.command.ident, event.outcome)),
+            lambda event: self.recorded.append((event.command.ident, event.outcome)),
             self.loop,
             self.pool,
             worker_client.WorkerClientSettings(dial, 10000.0, ()),
@@ -39,7 +39,7 @@
         held = []
         worker = rig.Worker(lambda _, sock, parts: (held.append((sock, parts)), True)[1])
         self.addCleanup(worker.close)
-        self.told.clear()
+        self.recorded.clear()
         return self.upstream(worker.address, dial=60000.0), held
 
     def elsewhere(self, upstream):
@@ -54,11 +54,13 @@
         dials = []
         init = worker_connection.WorkerConnection.__init__
         with patch.object(
-            worker_connection.WorkerConnection, "__init__", lambda *to: (dials.append(list(self.told)), init(*to))[1]
+            worker_connection.WorkerConnection,
+            "__init__",
+            lambda *to: (dials.append(list(self.recorded)), init(*to))[1],
         ):
             upstream.send(self.command())
-            self.until(lambda: self.told)
-        self.assertEqual((dials, self.told), ([[], []], [(ASCII_A, "unreached")]))
+            self.until(lambda: self.recorded)
+        self.assertEqual((dials, self.recorded), ([[], []], [(ASCII_A, "unreached")]))
 
     def test_late_ones_that_were_begun_together_count_once(self):
         upstream = self.upstream(FullListener(self).address, dial=60000.0)
@@ -66,9 +68,9 @@
             upstream.send(self.command(b"%016d" % at))
         for conn in list(upstream.connections):
             conn._timed_out()
-        self.assertEqual((upstream.reachability.timeouts_in_row, self.told, len(upstream.connections)), (1, [], 5))
+        self.assertEqual((upstream.reachability.timeouts_in_row, self.recorded, len(upstream.connections)), (1, [], 5))
         upstream.connections[0]._timed_out()
-        self.assertEqual([outcome for _, outcome in self.told], ["unreached"])
+        self.assertEqual([outcome for _, outcome in self.recorded], ["unreached"])
 
     def test_one_that_came_up_takes_the_misses_back(self):
         worker = rig.Worker()
@@ -76,8 +78,8 @@
         upstream = self.upstream(worker.address, dial=60000.0)
         upstream.reachability.timeouts_in_row = 1
         upstream.send(self.command())
-        self.until(lambda: self.told)
-        self.assertEqual((self.told, upstream.reachability.timeouts_in_row), ([(ASCII_A, "ok")], 0))
+        self.until(lambda: self.recorded)
+        self.assertEqual((self.recorded, upstream.reachability.timeouts_in_row), ([(ASCII_A, "ok")], 0))
 
     def test_what_waits_for_a_connection_goes_on_one_that_idles(self):
         upstream, held = self.held()
@@ -90,19 +92,19 @@
             self.until(lambda at=at: len(held) > at)
             held[at][0].sendall(rig.bulk(held[at][1][1], b"ACK", b"-", b""))
         self.assertIs(held[0][0], held[1][0])
-        self.until(lambda: len(self.told) == 2)
-        self.assertEqual(self.told, [(ASCII_A, "ok"), (ASCII_B, "ok")])
+        self.until(lambda: len(self.recorded) == 2)
+        self.assertEqual(self.recorded, [(ASCII_A, "ok"), (ASCII_B, "ok")])
 
     def test_a_drain_ends_what_has_not_gone(self):
         """(told how) -> what waits for a connection ends as never sent; nothing goes out later."""
         for how in ("withdraw_all_unsent", "drain"):
             with self.subTest(how):
-                self.told.clear()
+                self.recorded.clear()
                 upstream = self.upstream(FullListener(self).address, dial=60000.0)
                 upstream.send(self.command())
                 upstream.send(self.command(b"t1", CommandKind.PREWARM))
                 getattr(upstream, how)()
-                self.assertEqual(sorted(self.told), [(ASCII_A, "unsent"), (b"t1", "unsent")])
+                self.assertEqual(sorted(self.recorded), [(ASCII_A, "unsent"), (b"t1", "unsent")])
                 self.assertEqual(
                     [conn.commands_in_flight for conn in upstream.all_connections()],
                     [0] * len(upstream.all_connections()),
@@ -115,11 +117,11 @@
         with no_descriptor():
             upstream.send(self.command())
             upstream.send(self.command(b"t1", CommandKind.HEALTH_CHECK))
-        self.assertEqual(self.told, [(ASCII_A, "unsent"), (b"t1", "unsent")])
+        self.assertEqual(self.recorded, [(ASCII_A, "unsent"), (b"t1", "unsent")])
         self.assertEqual((self.pool.used, upstream.all_connections()), (0, []))
         upstream.send(self.command(ASCII_B))
-        self.until(lambda: len(self.told) == 3)
-        self.assertEqual(self.told[2], (ASCII_B, "ok"))
+        self.until(lambda: len(self.recorded) == 3)
+        self.assertEqual(self.recorded[2], (ASCII_B, "ok"))
 
     def test_doubt_where_no_descriptor_is_left(self):
         """The only connection ends with an attempt on it, and none can be made: that tells of no restart."""
@@ -129,9 +131,9 @@
         upstream.send(self.command())
         self.until(lambda: upstream.connections and upstream.connections[0].up)
         with no_descriptor():
-            self.until(lambda: self.told)
+            self.until(lambda: self.recorded)
         self.assertEqual(
-            (self.told, upstream.probe.unresolved, upstream.probe.connection), ([(ASCII_A, "error")], [], None)
+            (self.recorded, upstream.probe.unresolved, upstream.probe.connection), ([(ASCII_A, "error")], [], None)
         )
 
     def test_a_late_check_is_made_again_before_a_worker_is_gone(self):
@@ -145,12 +147,12 @@
                 held[0][0].shutdown(socket.SHUT_RDWR)
                 self.until(lambda upstream=upstream: upstream.probe.connection is not None)
                 for _ in range(misses):
-                    self.assertEqual(self.told, [])
+                    self.assertEqual(self.recorded, [])
                     if misses == 1:
                         upstream.target = here
                     upstream.probe.connection._timed_out()
-                self.until(lambda: self.told)
-                self.assertEqual(self.told, [(ASCII_A, outcome)])
+                self.until(lambda: self.recorded)
+                self.assertEqual(self.recorded, [(ASCII_A, outcome)])
 
     def test_doubted_and_taken_back_retired_or_over(self):
         """(what meets an attempt in doubt) -> one end at most, and nothing kept."""
@@ -173,7 +175,7 @@
                 for _ in range(2):
                     if upstream.probe.connection is not None:
                         upstream.probe.connection._timed_out()
-                self.assertEqual(self.told, [(ASCII_A, "cut")] if how == "retire" else [])
+                self.assertEqual(self.recorded, [(ASCII_A, "cut")] if how == "retire" else [])
                 self.assertEqual((upstream.probe.unresolved, upstream.closed), ([], how == "retire"))
 
     def test_an_answer_that_stops_short(self):
@@ -200,16 +202,16 @@
         self.until(lambda: socks)
         full = rig.bulk(ASCII_A, b"AGAIN", b"-", b"")
         socks[0][0].sendall(full)
-        self.until(lambda: self.told)
+        self.until(lambda: self.recorded)
         upstream.send(self.command())
         self.until(lambda: len(socks) == 2)
         self.assertIsNot(socks[0][0], socks[1][0])
         socks[0][0].sendall(full)
         self.until(lambda: self.pool.counts["strays"])
-        self.assertEqual(self.told, [(ASCII_A, "full")])
+        self.assertEqual(self.recorded, [(ASCII_A, "full")])
         socks[1][0].sendall(rig.bulk(ASCII_A, b"ACK", b"-", b""))
-        self.until(lambda: len(self.told) == 2)
-        self.assertEqual(self.told[1], (ASCII_A, "ok"))
+        self.until(lambda: len(self.recorded) == 2)
+        self.assertEqual(self.recorded[1], (ASCII_A, "ok"))
 
 
 if __name__ == "__main__":
--- a/tests/test_worker_connection_faults.py
+++ b/tests/test_worker_connection_faults.py
@@ -16,7 +16,7 @@
             whole = Faults(chokes=chokes)
             with self.prepare(whole):
                 self.run_path(worker, healthy)
-            self.assertEqual([outcome for _, outcome in self.told], ["ok"] * 7)
+            self.assertEqual([outcome for _, outcome in self.recorded], ["ok"] * 7)
             for name, codes in ERRORS.items():
                 # An unregister is on the path of a connection that ends: the last comes with the end of the test.
                 self.assertGreaterEqual(whole.calls[name], 1, name)
--- a/tests/test_worker_reachability.py
+++ b/tests/test_worker_reachability.py
@@ -22,10 +22,10 @@
             self.addCleanup(started.stop)
 
     def outcome(self, upstream, at):
-        before = len(self.told)
+        before = len(self.recorded)
         upstream.send(self.command(at))
         self.end(before + 1)
-        return self.told[-1][1]
+        return self.recorded[-1][1]
 
     def test_refused_is_a_worker_that_is_away(self):
         for name in ("connect", "SO_ERROR"):
@@ -73,10 +73,10 @@
             upstream.send(command := self.command(0))
             self.until(lambda: self.faults.begun)
             command.connection.end("ended by the worker")
-            self.assertEqual((self.told, upstream.probe.unresolved, upstream.probe.count), ([], [command], 1))
+            self.assertEqual((self.recorded, upstream.probe.unresolved, upstream.probe.count), ([], [command], 1))
             self.end(1)
             self.assertEqual(
-                (self.told, upstream.probe.unresolved, upstream.probe.count), ([(IDENTS[0], "error")], [], 0)
+                (self.recorded, upstream.probe.unresolved, upstream.probe.count), ([(IDENTS[0], "error")], [], 0)
             )
             upstream.close()
 
@@ -96,7 +96,7 @@
             upstream.send(self.command(0))
             upstream.connections[0].broken()
             self.end(1)
-            self.assertIn(self.told[0][1], ("ok", "unsent"))
+            self.assertIn(self.recorded[0][1], ("ok", "unsent"))
             upstream.close()
 
     def test_a_cut_of_our_own_tells_nothing_of_the_worker(self):
@@ -106,7 +106,7 @@
             upstream.send(self.command(0))
             upstream.disconnect()
             self.end(1)
-            self.assertEqual((self.told, self.pool.used), ([(IDENTS[0], "ok")], 1))
+            self.assertEqual((self.recorded, self.pool.used), ([(IDENTS[0], "ok")], 1))
             upstream.close()
             self.assertEqual(self.pool.used, 0)
 
--- a/tests/worker_fault_rig.py
+++ b/tests/worker_fault_rig.py
@@ -142,7 +142,7 @@
     def prepare(self, faults):
         self.loop.close()
         self.broken = []
-        self.loop, self.told, self.faults, self.pool = (
+        self.loop, self.recorded, self.faults, self.pool = (
             event_loop.EventLoop(self.broken.append),
             [],
             faults,
@@ -154,7 +154,7 @@
 
     def upstream(self, worker):
         def notify(event):
-            self.told.append((event.command.ident, event.outcome))
+            self.recorded.append((event.command.ident, event.outcome))
 
         return worker_client.WorkerClient(
             "w", worker.address, notify, self.loop, self.pool, worker_client.WorkerClientSettings(60000.0, 60000.0, ())
@@ -168,7 +168,7 @@
         return worker_command.Command(kind, None, ident, resp.command(*parts))
 
     def end(self, many):
-        self.until(lambda: len(self.told) >= many, f"an end of {many}, only {self.told},")
+        self.until(lambda: len(self.recorded) >= many, f"an end of {many}, only {self.recorded},")
 
     def run_path(self, worker, healthy):
         """Two attempts at once and a probe beside them, then two one after the other, then one to another worker."""
@@ -186,7 +186,7 @@
         other.send(self.command(6))
         self.end(7)
         self.judge(upstream, other)
-        served = dict(self.told)
+        served = dict(self.recorded)
         self.assertEqual((served[IDENTS[5]], served[IDENTS[6]]), ("ok", "ok"))
         for each in (upstream, other):
             each.close()
@@ -194,15 +194,15 @@
         self.assertEqual(self.pool.worker_clients, set())
         for _ in range(3):
             self.loop.run_once(0, lambda: None)
-        self.assertEqual(len(self.told), 7)
+        self.assertEqual(len(self.recorded), 7)
         return upstream
 
     def judge(self, upstream, other):
         """One end for each order, which is true, and the books of connections are right."""
-        idents = [ident for ident, _ in self.told]
-        self.assertEqual(len(idents), len(set(idents)), self.told)
+        idents = [ident for ident, _ in self.recorded]
+        self.assertEqual(len(idents), len(set(idents)), self.recorded)
         refused = self.faults.code == errno.ECONNREFUSED
-        for ident, outcome in self.told:
+        for ident, outcome in self.recorded:
             if outcome in NEVER_RAN:
                 self.assertNotIn(ident, self.faults.begun, outcome)
             if not refused:  # the worker lives, and nothing said otherwise
