--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -21,6 +21,7 @@
 
 
 def row(ident, **more):
+    """A row of the endpoint list: ROW with these fields."""
     return Endpoint(ident, **{**ROW, **more})
 
 
@@ -148,6 +149,7 @@
 
 
 def verbs(decisions):
+    """The word of each decision, as WORDS has it."""
     return [WORDS[type(d)] for d in decisions]
 
 
--- a/tests/platform_rig.py
+++ b/tests/platform_rig.py
@@ -50,6 +50,7 @@
 
 
 def instance(name, address, **more):
+    """A ready instance of the platform's list."""
     return {
         "instanceId": name,
         "hostPort": address,
@@ -64,10 +65,12 @@
 
 
 def event(offset, *instances, reset=False):
+    """An event of the list that changes these instances, or replaces all with `reset`."""
     return {"offset": offset, "topology": {"generation": offset, "reset": reset, "instances": list(instances)}}
 
 
 def config(listen, bus, *instances, **more):
+    """A configuration of a front end, with these instances' fields."""
     return {
         "name": "n0",
         "listen": listen,
@@ -81,6 +84,7 @@
 
 
 def free_address():
+    """A loopback address that no socket is bound to now."""
     with socket.socket() as sock:
         sock.bind(("127.0.0.1", 0))
         return f"127.0.0.1:{sock.getsockname()[1]}"
@@ -90,35 +94,43 @@
 
 
 def text(value):
+    """A Thrift string."""
     value = value.encode() if isinstance(value, str) else value
     return struct.pack(">i", len(value)) + value
 
 
 def table(fields):
+    """A Thrift map of strings to strings."""
     return b"\x0b\x0b" + struct.pack(">i", len(fields)) + b"".join(text(k) + text(v) for k, v in fields.items())
 
 
 def message(verb, number, args, kind=1):
+    """A Thrift message without its frame; `kind` 1 is a call, 4 is one without an answer."""
     return struct.pack(">I", 0x80010000 | kind) + text(verb) + struct.pack(">i", number) + args
 
 
 def framed(data):
+    """Bytes behind their length."""
     return struct.pack(">i", len(data)) + data
 
 
 def fields(ident="9b1f03aa5c7e2d41", name="look", **more):
+    """The fields of a valid request, with those of `more` instead."""
     return {"c": name, "i": ident, "d": "1500", "o": "7f3a9c21e0b4d655", "tags": "memory_mb:512;lanes:2", **more}
 
 
 def dispatch(number, given, body=b"hello"):
+    """The frame of a request."""
     return framed(message("dispatch", number, b"\x0d\x00\x01" + table(given) + b"\x0b\x00\x02" + text(body) + b"\x00"))
 
 
 def cancel(number, about):
+    """The frame that cancels the request with the number `about`."""
     return framed(message("cancelRequest", number, b"\x08\x00\x01" + struct.pack(">i", about) + b"\x00", 4))
 
 
 def alive(number):
+    """The frame of a liveness check."""
     return framed(message("alive", number, b"\x02\x00\x01\x01\x00"))
 
 
@@ -179,6 +191,7 @@
 
 
 def bulk(*parts):
+    """A RESP array of bulk strings."""
     return b"*%d\r\n" % len(parts) + b"".join(b"$%d\r\n%b\r\n" % (len(p), p) for p in parts)
 
 
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -30,6 +30,7 @@
 
 
 def first(decisions, verb="forward"):
+    """The first decision that `verb` names."""
     return next(d for d, word in zip(decisions, verbs(decisions), strict=True) if word == verb)
 
 
--- a/tests/test_client_connection_faults.py
+++ b/tests/test_client_connection_faults.py
@@ -107,6 +107,7 @@
 
 
 def descriptors():
+    """The names of the open descriptors."""
     return set(os.listdir("/proc/self/fd"))
 
 
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -53,6 +53,7 @@
 
 
 def late(name="a", started=0.0, **more):
+    """A row of the list whose instance started at `started` (ms)."""
     return rig.instance(name, "h:1", startedAtMs=started, **more)
 
 
--- a/tests/test_endpoint_list.py
+++ b/tests/test_endpoint_list.py
@@ -11,10 +11,12 @@
 
 
 def row(state="ready", start=0, address="a", name="w"):
+    """A row of the list."""
     return EndpointRow(name, address, "z2", "k2", 1, 4.0, state, start)
 
 
 def hello(start, up=0.0, draining=False):
+    """A hello of worker w."""
     return WorkerHello(1, "w", start, up, draining)
 
 
--- a/tests/test_event_loop_faults.py
+++ b/tests/test_event_loop_faults.py
@@ -15,6 +15,7 @@
 
 
 def failure(code):
+    """The error of a system call."""
     return OSError(code, os.strerror(code))
 
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -19,12 +19,14 @@
 
 
 def fleet_of(rows):
+    """A fleet of these rows."""
     fleet = Fleet(WHOLE, CAPACITY, POINTS, made, lambda cell: None)
     fleet.update(rows, True)
     return fleet
 
 
 def first_of(fleet, name):
+    """The worker that ranks first for a function."""
     return fleet.home(name).nearest.endpoint.ident
 
 
--- a/tests/test_listener_faults.py
+++ b/tests/test_listener_faults.py
@@ -53,6 +53,7 @@
 
 
 def failure(code):
+    """The error of a system call."""
     return OSError(code, os.strerror(code))
 
 
@@ -80,6 +81,7 @@
 
 
 def faulty_socket(**how):
+    """A FaultySocket class with these attributes."""
     return type("Faulty", (FaultySocket,), how)
 
 
--- a/tests/test_router_scale.py
+++ b/tests/test_router_scale.py
@@ -15,6 +15,7 @@
 
 
 def simulated_fleet(workers, front_ends=1, **more):
+    """A simulated fleet with this many workers, all announced."""
     fleet = SimulatedFleet(Settings(memory=1e9, **more), [], front_ends)
     fleet.announce([listing(number) for number in range(workers)])
     fleet.run(1.0)
--- a/tests/test_simulator.py
+++ b/tests/test_simulator.py
@@ -19,6 +19,7 @@
 
 
 def play(text):
+    """The exit code, output and errors of the simulator for this input."""
     run = subprocess.run([sys.executable, "-m", "wickdyke.simulator"], input=text.encode(), capture_output=True)
     return run.returncode, run.stdout.decode(), run.stderr.decode()
 
--- a/tests/test_worker_client.py
+++ b/tests/test_worker_client.py
@@ -40,6 +40,7 @@
 
 
 def dies_on_run(sock, number):
+    """A worker that resets the connection at its first request."""
     source = lines_of(sock)
     hello(sock, source, start=number)
     next(source)
@@ -47,6 +48,7 @@
 
 
 def half_answer(sock, number):
+    """A worker that resets the connection in the middle of an answer."""
     source = lines_of(sock)
     hello(sock, source)
     sock.sendall(ok(next(source)["id"])[:20])
@@ -71,6 +73,7 @@
 
 
 def no_hello(sock, number):
+    """A worker that reads and answers nothing."""
     for _ in lines_of(sock):
         pass
 
@@ -83,6 +86,7 @@
 
 
 def error(code, data=b"null"):
+    """What makes an error response for a request number."""
     return lambda n: jsonrpc.error_response(n, code, "x", data) + b"\n"
 
 
