--- a/bench/recording.py
+++ b/bench/recording.py
@@ -57,9 +57,12 @@
 
 
 def _compress(source_path: str, path: str) -> None:
-    with open(source_path, "rb") as source, open(path, "wb") as sink:
-        with gzip.GzipFile(fileobj=sink, mode="wb", mtime=0) as packed:  # no time: the same fleet gives the same bytes
-            packed.write(source.read())
+    with (
+        open(source_path, "rb") as source,
+        open(path, "wb") as sink,
+        gzip.GzipFile(fileobj=sink, mode="wb", mtime=0) as packed,  # no time: the same fleet gives the same bytes
+    ):
+        packed.write(source.read())
 
 
 if __name__ == "__main__":
--- a/bench/simulated_worker.py
+++ b/bench/simulated_worker.py
@@ -29,6 +29,9 @@
 
 REPORT_FIELDS = ("utilization", "in_flight")
 RACK = 40  # workers that share a rack
+PREWARM_QUOTA = PrewarmQuota(6.0, 0.2, 5000.0)
+SLOW_START = SlowStart(0.2, 18000.0, 2.0, 2000.0)
+DISCOVERY = Discovery(True, 10000.0, 500.0)
 
 
 @dataclass(slots=True, frozen=True)
@@ -48,9 +51,9 @@
     class_count: int = 1
     cross_zone_cost: float = 0.0  # of an attempt in another zone
     loads_on_demand: bool = True
-    prewarm_quota: PrewarmQuota = PrewarmQuota(6.0, 0.2, 5000.0)
-    slow_start: SlowStart = SlowStart(0.2, 18000.0, 2.0, 2000.0)
-    discovery: Discovery = Discovery(True, 10000.0, 500.0)
+    prewarm_quota: PrewarmQuota = PREWARM_QUOTA
+    slow_start: SlowStart = SLOW_START
+    discovery: Discovery = DISCOVERY
 
     def request_classes(self) -> list[RequestClass]:
         """The classes of requests."""
@@ -90,10 +93,12 @@
     """Draws functions: evenly, or by Zipf's law with that exponent."""
 
     def __init__(self, functions: int, exponent: float, seed: int) -> None:
-        self.functions, self.random = functions, random.Random(seed)
+        self.functions = functions
+        self.random = random.Random(seed)
         self.sums = list(itertools.accumulate((rank + 1) ** -exponent for rank in range(functions))) if exponent else []
 
     def __call__(self) -> str:
+        """The name of the function that the next request is for."""
         if not self.sums:
             return f"{self.random.randrange(self.functions):016x}"
         (rank,) = self.random.choices(range(self.functions), cum_weights=self.sums)
