--- a/tests/test_listed_workers.py
+++ b/tests/test_listed_workers.py
@@ -22,11 +22,11 @@
         """A list that can't be read leaves the last good one in force, and is logged once."""
         with Running() as running:
             for text in ("(workers (worker", "", '(workers (worker "w0" (adress "x")))', "(workers)) ", "\xff(("):
-                lines_before = running.log_output.getvalue().count("list unusable")
+                lines_before = running.log_output.getvalue().count("endpoint list unusable")
                 running.write(text)
                 self.assertTrue(
                     until(
-                        lambda lines_before=lines_before: running.log_output.getvalue().count("list unusable")
+                        lambda lines_before=lines_before: running.log_output.getvalue().count("endpoint list unusable")
                         == lines_before + 1
                     )
                 )
@@ -34,9 +34,9 @@
                 client.ask(1)
                 self.assertIn("result", client.answer())
                 client.close()
-            self.assertEqual(running.log_output.getvalue().count("list unusable"), 5)
+            self.assertEqual(running.log_output.getvalue().count("endpoint list unusable"), 5)
             os.unlink(os.path.join(running.folder, "workers.sexp"))
-            self.assertTrue(until(lambda: running.log_output.getvalue().count("list unusable") == 6))
+            self.assertTrue(until(lambda: running.log_output.getvalue().count("endpoint list unusable") == 6))
             self.assertEqual(len(list(running.coordinator.router.fleet.ready())), 1)
 
     def test_changed_rows(self):
--- a/wickdyke/gateway/context.py
+++ b/wickdyke/gateway/context.py
@@ -50,4 +50,6 @@
             self.counts["faults"] += 1
             last = traceback.extract_tb(error.__traceback__)[-1]
             where = f"{os.path.basename(last.filename)}:{last.lineno}"
-            self.log.error("fault in the coordinator", reason=f"{type(error).__name__}: {error}", where=where)
+            self.log.error(
+                "unhandled exception in the coordinator", reason=f"{type(error).__name__}: {error}", where=where
+            )
--- a/wickdyke/jsonrpc/service.py
+++ b/wickdyke/jsonrpc/service.py
@@ -65,7 +65,7 @@
         self.policy_transition = PolicyTransition()
         self.watchers: list[FileWatcher[list[endpoint_file.EndpointRow]] | FileWatcher[route_config.Routes]] = [
             FileWatcher(
-                "list",
+                "endpoint list",
                 config.endpoints_path,
                 config.endpoints_poll_interval,
                 self._read_endpoints,
--- a/wickdyke/platform/client_server.py
+++ b/wickdyke/platform/client_server.py
@@ -112,7 +112,7 @@
         """Counts a request that is invalid; logs the first, the tenth, the hundredth."""
         self.counts["invalid"] += 1
         if str(self.counts["invalid"]).strip("0") == "1":
-            self.log.warning("request unusable", why=why, so_far=self.counts["invalid"])
+            self.log.warning("request unusable", reason=why, so_far=self.counts["invalid"])
 
     def is_serving(self) -> bool:
         """Returns whether requests are admitted."""
--- a/wickdyke/platform/discovery.py
+++ b/wickdyke/platform/discovery.py
@@ -135,7 +135,7 @@
         self.loop.call_at(clock() + backoff * jitter, self._retry, self.retry_number)
         if why != self.logged_failure:
             self.logged_failure = why
-            self.log.warning("endpoint list disconnected", why=why, bus=":".join(map(str, self.address)))
+            self.log.warning("endpoint list disconnected", reason=why, bus=":".join(map(str, self.address)))
 
     def _retry(self, number: int) -> None:
         if number != self.retry_number:
--- a/wickdyke/platform/service.py
+++ b/wickdyke/platform/service.py
@@ -104,8 +104,8 @@
     def _log_fault(self, error: Exception) -> None:
         last = traceback.extract_tb(error.__traceback__)[-1]
         self.log.error(
-            "fault in the loop",
-            why=f"{type(error).__name__}: {error}"[:200],
+            "unhandled exception in the event loop",
+            reason=f"{type(error).__name__}: {error}"[:200],
             where=f"{os.path.basename(last.filename)}:{last.lineno}",
         )
 
@@ -166,13 +166,13 @@
         except configurations.UnreadableConfigurationError as error:
             # The signal is sent once and must not be lost, though descriptors or memory may be short for a moment.
             if not self.reload_pending:
-                self.log.warning("configuration not read yet", why=str(error), kept="the last good one")
+                self.log.warning("configuration not read yet", reason=str(error), in_force="the last good one")
             self.reload_pending = True
             self.loop.call_at(clock() + REREAD_AFTER, self._reload_later)
             return
         except ConfigurationError as error:
             self.reload_pending = False
-            self.log.warning("configuration unusable", why=str(error), kept="the last good one")
+            self.log.warning("configuration unusable", reason=str(error), in_force="the last good one")
             return
         self.reload_pending = False
         self.log.info("configuration read", bus=":".join(map(str, address)))
@@ -249,7 +249,7 @@
         while self.run_once():
             pass
         self.log.info(
-            "stopped", took_ms=round(clock() - (self.shutdown_requested_at or 0.0)), **dict(self.coordinator.counts)
+            "stopped", elapsed_ms=round(clock() - (self.shutdown_requested_at or 0.0)), **dict(self.coordinator.counts)
         )
 
 
--- a/wickdyke/worker/replica_loader.py
+++ b/wickdyke/worker/replica_loader.py
@@ -88,7 +88,7 @@
 
     def _log_failure(self, replica: Replica, reason: str, elapsed_ms: int) -> None:
         self.log.warning(
-            "load failed", why=reason, function=replica.function.name, replica=replica.number, elapsed_ms=elapsed_ms
+            "load failed", reason=reason, function=replica.function.name, replica=replica.number, elapsed_ms=elapsed_ms
         )
 
     def _fetch_and_start(self, replica: Replica) -> None:
--- a/wickdyke/worker/replica_supervisor.py
+++ b/wickdyke/worker/replica_supervisor.py
@@ -77,7 +77,7 @@
         if process is None:
             return
         if reason:
-            self.log.warning("replica ended", function=replica.function.name, replica=replica.number, why=reason)
+            self.log.warning("replica ended", function=replica.function.name, replica=replica.number, reason=reason)
         self.parent.end_replica(replica.number)
         process.write_buffer.close()
         self.cache.release(process.digest)
--- a/wickdyke/worker/runtime.py
+++ b/wickdyke/worker/runtime.py
@@ -120,7 +120,7 @@
     def _watch_parent(self) -> None:
         self.replicas.watch_parent()
         if not self.closed.is_set():
-            self.log.error("parent ended", why="its process is gone")  # and with it all replicas
+            self.log.error("parent ended", reason="its process is gone")  # and with it all replicas
             os._exit(PARENT_ENDED_EXIT_CODE)
 
     def _measure_periodically(self) -> None:
