--- a/bench/echo_worker.py
+++ b/bench/echo_worker.py
@@ -16,7 +16,7 @@
     """Answers a request with the result of its method; others are ignored."""
     result = RESULTS.get(request.method)
     if result is not None:
-        connection.say(jsonrpc.result_response(request.ident, result))
+        connection.send(jsonrpc.result_response(request.ident, result))
 
 
 if __name__ == "__main__":
--- a/wickdyke/fault_injection/fake_store.py
+++ b/wickdyke/fault_injection/fake_store.py
@@ -84,7 +84,7 @@
         with self.lock:
             if len(self.fetches) >= self.config.max_fetches:
                 self.record("refused")
-                connection.say(jsonrpc.error_response(request.ident, OVERLOADED, "crowded"))
+                connection.send(jsonrpc.error_response(request.ident, OVERLOADED, "crowded"))
                 return
             slowdown = max(1.0, (len(self.fetches) + 1) / self.config.full_speed_fetches)
             due_at = max(clock(), self.stalled_until) + fetch.duration_ms * slowdown
@@ -97,7 +97,7 @@
                 while not self.fetches or self.fetches[0].due_at > clock():
                     self.changed.wait((self.fetches[0].due_at - clock()) / 1000 if self.fetches else None)
                 fetch = heapq.heappop(self.fetches)
-            fetch.connection.say(jsonrpc.result_response(fetch.request_id, b"{}"))
+            fetch.connection.send(jsonrpc.result_response(fetch.request_id, b"{}"))
 
 
 def main() -> None:
--- a/wickdyke/fault_injection/fake_worker/prewarms.py
+++ b/wickdyke/fault_injection/fake_worker/prewarms.py
@@ -35,7 +35,7 @@
             ready = self.replicas.ready_count(prewarm.function)
             if ready >= prewarm.replicas:
                 result = jsonrpc.encode(worker_messages.PrewarmResult(ready))
-                prewarm.connection.say(jsonrpc.result_response(prewarm.request_id, result))
+                prewarm.connection.send(jsonrpc.result_response(prewarm.request_id, result))
             elif len(self.replicas.replicas_of(prewarm.function)) < prewarm.replicas:
                 self.reject(prewarm, worker_messages.FAILED, "a load failed")
             else:
@@ -45,4 +45,4 @@
     def reject(self, prewarm: PendingPrewarm, code: int, reason: str) -> None:
         """Answers with an error whose data states how many replicas are loaded."""
         result = jsonrpc.encode(worker_messages.PrewarmResult(self.replicas.ready_count(prewarm.function)))
-        prewarm.connection.say(jsonrpc.error_response(prewarm.request_id, code, reason, result))
+        prewarm.connection.send(jsonrpc.error_response(prewarm.request_id, code, reason, result))
--- a/wickdyke/fault_injection/fake_worker/responses.py
+++ b/wickdyke/fault_injection/fake_worker/responses.py
@@ -1,4 +1,4 @@
-"""The answers of a fake worker to its gateways. A connection's `say` never waits."""
+"""The answers of a fake worker to its gateways. A connection's `send` never waits."""
 
 import msgspec
 
@@ -11,7 +11,7 @@
 
 def send_result(connection: LineConnection, request_id: jsonrpc.Ident, result: object) -> None:
     """Answers a request with a message of the protocol."""
-    connection.say(jsonrpc.result_response(request_id, jsonrpc.encode(result)))
+    connection.send(jsonrpc.result_response(request_id, jsonrpc.encode(result)))
 
 
 def send_attempt_result(attempt: RunningAttempt, report: dict[str, float]) -> None:
@@ -32,4 +32,4 @@
     """Rejects an attempt with an error code of the protocol."""
     data = worker_messages.RunErrorData(min(MAX_REPORTED_CONCURRENCY, attempt.concurrent), report, draining)
     key = attempt.key
-    key.connection.say(jsonrpc.error_response(key.request_id, code, reason, jsonrpc.encode(data)))
+    key.connection.send(jsonrpc.error_response(key.request_id, code, reason, jsonrpc.encode(data)))
--- a/wickdyke/fault_injection/fake_worker/transport.py
+++ b/wickdyke/fault_injection/fake_worker/transport.py
@@ -32,7 +32,7 @@
         with self.worker.lock:
             handler = self.handlers.get(request.method)
             if handler is None:
-                connection.say(jsonrpc.error_response(request.ident, jsonrpc.METHOD_NOT_FOUND, "Method not found"))
+                connection.send(jsonrpc.error_response(request.ident, jsonrpc.METHOD_NOT_FOUND, "Method not found"))
                 return
             handler(connection, request)
 
@@ -41,8 +41,8 @@
             self.worker.connection_closed(connection)
 
     def _hello(self, connection: LineConnection, request: jsonrpc.Request) -> None:
-        connection.who = msgspec.json.decode(request.params, type=worker_messages.GatewayHello).gateway
-        self.worker.trace.hello(connection.who)
+        connection.peer = msgspec.json.decode(request.params, type=worker_messages.GatewayHello).gateway
+        self.worker.trace.hello(connection.peer)
         if not self.worker.faults.hanging:
             responses.send_result(connection, request.ident, self.worker.describe())
 
@@ -60,7 +60,7 @@
 
     def _prewarm(self, connection: LineConnection, request: jsonrpc.Request) -> None:
         order = msgspec.json.decode(request.params, type=worker_messages.PrewarmRequest)
-        self.worker.trace.prewarm_received(connection.who, order)
+        self.worker.trace.prewarm_received(connection.peer, order)
         if not self.worker.faults.hanging:
             prewarm = PendingPrewarm(connection, request.ident, order.function, order.replicas)
             self.worker.prewarm(prewarm, order)
--- a/wickdyke/fault_injection/fake_worker/worker.py
+++ b/wickdyke/fault_injection/fake_worker/worker.py
@@ -108,8 +108,8 @@
 
     def connection_closed(self, connection: LineConnection) -> None:
         """Ends all attempts of the connection."""
-        if connection.who:
-            self.trace.connection_closed(connection.who)
+        if connection.peer:
+            self.trace.connection_closed(connection.peer)
         attempts = [attempt for attempt in self.attempts.values() if attempt.key.connection is connection]
         for attempt in [attempt for attempt in attempts if not attempt.ended]:
             self._end(attempt, AttemptEnd.CONNECTION_CLOSED)
@@ -183,7 +183,7 @@
         """Starts the loads that are missing to an order, which is answered when they are done."""
         if self.draining and order.replicas:
             connection, request_id = prewarm.connection, prewarm.request_id
-            connection.say(jsonrpc.error_response(request_id, worker_messages.DRAINING, "draining"))
+            connection.send(jsonrpc.error_response(request_id, worker_messages.DRAINING, "draining"))
             return
         replicas = self.replicas.register(order.function)
         for replica in replicas[: order.replicas]:
--- a/wickdyke/fault_injection/fake_worker/worker_trace.py
+++ b/wickdyke/fault_injection/fake_worker/worker_trace.py
@@ -33,7 +33,7 @@
             "run",
             received_at,
             mark=attempt.input.mark,
-            gateway=attempt.key.connection.who,
+            gateway=attempt.key.connection.peer,
             program=attempt.function,
             work=attempt.input.work_ms,
             token=attempt.request.idempotency_key,
@@ -43,11 +43,11 @@
 
     def attempt_cancelled(self, attempt: RunningAttempt) -> None:
         """A gateway cancelled an attempt."""
-        self.record("cancel", mark=attempt.input.mark, gateway=attempt.key.connection.who, job=attempt.number)
+        self.record("cancel", mark=attempt.input.mark, gateway=attempt.key.connection.peer, job=attempt.number)
 
     def attempt_ended(self, attempt: RunningAttempt, result: str) -> None:
         """An attempt ended, with an AttemptEnd or the outcome of a rejection."""
-        self.record("end", mark=attempt.input.mark, gateway=attempt.key.connection.who, how=result, job=attempt.number)
+        self.record("end", mark=attempt.input.mark, gateway=attempt.key.connection.peer, how=result, job=attempt.number)
 
     def prewarm_received(self, gateway: str, prewarm: worker_messages.PrewarmRequest) -> None:
         """A gateway ordered replicas, or queried how many are loaded."""
--- a/wickdyke/transport/line_server.py
+++ b/wickdyke/transport/line_server.py
@@ -72,15 +72,15 @@
 
 
 class LineConnection:
-    """One connection. `say` may be called from any thread and never waits: a peer that reads too little is closed."""
+    """One connection. `send` may be called from any thread and never waits: a peer that reads too little is closed."""
 
     def __init__(self, sock: socket.socket, unread: int = MAX_UNREAD) -> None:
         self.sock = sock
         self.write_buffer = WriteBuffer(sock, unread, "wire")
         self.open = True
-        self.who = ""  # the peer's name, where it has given one
+        self.peer = ""  # the peer's name, where it has given one
 
-    def say(self, body: bytes) -> None:
+    def send(self, body: bytes) -> None:
         """Sends one line, or closes the connection where that fails."""
         try:
             self.write_buffer.put(OutgoingMessage(body + b"\n"))
@@ -182,6 +182,6 @@
     def _handle(self, connection: LineConnection, line: bytes) -> None:
         for request in jsonrpc.parse_requests(line):
             if isinstance(request, jsonrpc.MalformedRequestError):
-                connection.say(jsonrpc.malformed_request_response(request))
+                connection.send(jsonrpc.malformed_request_response(request))
             else:
                 self.on_request(connection, request)
--- a/wickdyke/worker/gateway_server.py
+++ b/wickdyke/worker/gateway_server.py
@@ -58,34 +58,34 @@
         method = self.methods.get(request.method)
         if method is None:
             if not request.is_notification:
-                connection.say(jsonrpc.error_response(request.ident, jsonrpc.METHOD_NOT_FOUND, "Method not found"))
+                connection.send(jsonrpc.error_response(request.ident, jsonrpc.METHOD_NOT_FOUND, "Method not found"))
             return
         try:
             method(connection, request)
         except msgspec.MsgspecError as error:
             if not request.is_notification:
                 text = f"Invalid params: {error}"[:ERROR_LENGTH]
-                connection.say(jsonrpc.error_response(request.ident, jsonrpc.INVALID_PARAMS, text))
+                connection.send(jsonrpc.error_response(request.ident, jsonrpc.INVALID_PARAMS, text))
 
     def _hello(self, connection: LineConnection, request: jsonrpc.Request) -> None:
-        connection.who = msgspec.json.decode(request.params, type=worker_messages.GatewayHello).gateway
-        self.record("hello", gateway=connection.who, start=self.start)
+        connection.peer = msgspec.json.decode(request.params, type=worker_messages.GatewayHello).gateway
+        self.record("hello", gateway=connection.peer, start=self.start)
         up_ms = monotonic_ms() - self.started_at
         draining = self.runner.schedule.draining
         answer = worker_messages.WorkerHello(worker_messages.VERSION, self.name, self.start, up_ms, draining)
-        connection.say(jsonrpc.result_response(request.ident, jsonrpc.encode(answer)))
+        connection.send(jsonrpc.result_response(request.ident, jsonrpc.encode(answer)))
 
     def _check_health(self, connection: LineConnection, request: jsonrpc.Request) -> None:
         with self.runner.lock:
             body = jsonrpc.encode(worker_messages.HealthReport(self.open_requests.load_report()))
-        connection.say(jsonrpc.result_response(request.ident, body))
+        connection.send(jsonrpc.result_response(request.ident, body))
 
     def _run(self, connection: LineConnection, request: jsonrpc.Request) -> None:
         run = msgspec.json.decode(request.params, type=worker_messages.RunRequest)
         key = RequestKey(connection, request.ident)
         with self.runner.event() as schedule:
             if key in self.open_requests or request.ident is None:
-                connection.say(jsonrpc.error_response(None, jsonrpc.INVALID_REQUEST, "an id that is in use, or none"))
+                connection.send(jsonrpc.error_response(None, jsonrpc.INVALID_REQUEST, "an id that is in use, or none"))
                 return
             self.open_requests.add(key, run)
             schedule.submit(key, run.function, run.memory_mb, run.concurrency, run.time_left_ms)
@@ -94,7 +94,7 @@
         prewarm = msgspec.json.decode(request.params, type=worker_messages.PrewarmRequest)
         with self.runner.event() as schedule:
             self.record(
-                "hold", gateway=connection.who, program=prewarm.function, copies=prewarm.replicas, start=self.start
+                "hold", gateway=connection.peer, program=prewarm.function, copies=prewarm.replicas, start=self.start
             )
             key = RequestKey(connection, request.ident)
             schedule.prewarm(key, prewarm.function, prewarm.memory_mb, prewarm.concurrency, prewarm.replicas)
@@ -113,8 +113,8 @@
 
     def _disconnected(self, connection: LineConnection) -> None:
         with self.runner.event() as schedule:
-            if connection.who:
-                self.record("hung-up", gateway=connection.who)
+            if connection.peer:
+                self.record("hung-up", gateway=connection.peer)
             for key in self.open_requests.of_connection(connection):
                 self.open_requests.withdraw(key, RequestEnd.DISCONNECTED)
                 schedule.cancel(key)
--- a/wickdyke/worker/open_requests.py
+++ b/wickdyke/worker/open_requests.py
@@ -92,7 +92,7 @@
         self.record(
             "run",
             mark=mark.mark,
-            gateway=key.connection.who,
+            gateway=key.connection.peer,
             program=run.function,
             work=mark.work_ms,
             token=run.idempotency_key,
@@ -115,7 +115,7 @@
         if request is None:
             return
         if cause == RequestEnd.CANCELLED:
-            self.record("cancel", mark=request.mark, gateway=key.connection.who, job=request.number)
+            self.record("cancel", mark=request.mark, gateway=key.connection.peer, job=request.number)
         self._record_end(key, request, cause)
 
     def answer(self, request: Request, output: msgspec.Raw) -> None:
@@ -124,7 +124,7 @@
         self._record_end(key, self.open.pop(key), RequestEnd.ANSWERED)
         concurrent = min(CONCURRENT_LIMIT, request.concurrent)
         result = worker_messages.RunResult(output, request.load_note, concurrent, self.load_report())
-        key.connection.say(jsonrpc.result_response(key.ident, jsonrpc.encode(result)))
+        key.connection.send(jsonrpc.result_response(key.ident, jsonrpc.encode(result)))
 
     def fail(self, request: Request, message: str) -> None:
         """Sends the function's error. In the recording the request was answered, as the function did run."""
@@ -149,10 +149,10 @@
             request.requests_in_replica,
         )
         error = jsonrpc.error_response(key.ident, ERROR_CODES[rejection], message, jsonrpc.encode(data))
-        key.connection.say(error)
+        key.connection.send(error)
 
     def _record_end(self, key: RequestKey, request: OpenRequest, end: RequestEnd | Rejection) -> None:
-        self.record("end", mark=request.mark, gateway=key.connection.who, how=end, job=request.number)
+        self.record("end", mark=request.mark, gateway=key.connection.peer, how=end, job=request.number)
 
 
 def request_key(request: Request | PrewarmRequest) -> RequestKey:
@@ -164,7 +164,7 @@
     """Answers that `ready` replicas can serve."""
     key = request_key(prewarm)
     body = jsonrpc.encode(worker_messages.PrewarmResult(ready))
-    key.connection.say(jsonrpc.result_response(key.ident, body))
+    key.connection.send(jsonrpc.result_response(key.ident, body))
 
 
 def reject_prewarm(prewarm: PrewarmRequest, rejection: Rejection, ready: int) -> None:
@@ -172,7 +172,7 @@
     key = request_key(prewarm)
     body = jsonrpc.encode(worker_messages.PrewarmResult(ready))
     error = jsonrpc.error_response(key.ident, PREWARM_ERROR_CODES[rejection], ERROR_MESSAGES[rejection], body)
-    key.connection.say(error)
+    key.connection.send(error)
 
 
 def _record_nothing(kind: str, /, **values: object) -> None:
