--- a/tests/test_circuit_breaker.py
+++ b/tests/test_circuit_breaker.py
@@ -26,8 +26,8 @@
                 for event in events:
                     now += apart
                     breakers.loaded("p") if event == "+" else breakers.failed("p", event, now)
-                self.assertEqual(breakers.wait("p", now) is not None, is_open)
-                self.assertIsNone(breakers.wait("q", now))
+                self.assertEqual(breakers.try_acquire("p", now) is not None, is_open)
+                self.assertIsNone(breakers.try_acquire("q", now))
 
     def test_trials_after_growing_pauses(self):
         """One request passes after each pause, which doubles up to the longest; a success closes the breaker."""
@@ -36,34 +36,34 @@
         pause = breakers.failed("p", "b", now)
         for expected_pause in (1000.0, 2000.0, 4000.0, 4000.0):
             self.assertEqual(pause, expected_pause)
-            self.assertEqual(breakers.wait("p", now), expected_pause)
-            self.assertEqual(breakers.wait("p", now + expected_pause - 1), 1.0)
+            self.assertEqual(breakers.try_acquire("p", now), expected_pause)
+            self.assertEqual(breakers.try_acquire("p", now + expected_pause - 1), 1.0)
             now += expected_pause
-            self.assertIsNone(breakers.wait("p", now))
-            self.assertEqual(breakers.wait("p", now), 1000.0)  # one trial at a time
-            self.assertIsNotNone(breakers.wait("p", now + 999))
+            self.assertIsNone(breakers.try_acquire("p", now))
+            self.assertEqual(breakers.try_acquire("p", now), 1000.0)  # one trial at a time
+            self.assertIsNotNone(breakers.try_acquire("p", now + 999))
             pause = breakers.failed("p", "a", now + 5)
             now += 5
         now += pause
-        self.assertIsNone(breakers.wait("p", now))
+        self.assertIsNone(breakers.try_acquire("p", now))
         self.assertTrue(breakers.loaded("p"))
-        self.assertIsNone(breakers.wait("p", now))
+        self.assertIsNone(breakers.try_acquire("p", now))
         self.assertIsNone(breakers.failed("p", "a", now))  # failures are counted from zero
 
     def test_trial_without_result_is_repeated(self):
         """A trial that was rejected elsewhere or never answered does not block the next one."""
         breakers = FunctionBreakers(1, 1e9, Backoff(1000.0, 4000.0))
         breakers.failed("p", "a", 0.0)
-        self.assertIsNone(breakers.wait("p", 1000.0))
-        self.assertIsNotNone(breakers.wait("p", 1999.0))
-        self.assertIsNone(breakers.wait("p", 2000.0))
+        self.assertIsNone(breakers.try_acquire("p", 1000.0))
+        self.assertIsNotNone(breakers.try_acquire("p", 1999.0))
+        self.assertIsNone(breakers.try_acquire("p", 2000.0))
 
     def test_late_failures_do_not_lengthen_the_pause(self):
         """Loads that began before the breaker opened and fail later do not lengthen the pause."""
         breakers = FunctionBreakers(2, 1e9, Backoff(1000.0, 60000.0))
         for worker in "abcdefgh":
             breakers.failed("p", worker, 10.0)
-        self.assertEqual(breakers.wait("p", 10.0), 1000.0)
+        self.assertEqual(breakers.try_acquire("p", 10.0), 1000.0)
 
     def test_longest_pause_grows_with_gateways(self):
         """(gateways) -> the longest pause: together they try no more often than once in the first pause."""
@@ -73,7 +73,7 @@
                 for _ in range(30):
                     pause = breakers.failed("p", "a", now)
                     now += pause
-                    self.assertIsNone(breakers.wait("p", now))
+                    self.assertIsNone(breakers.try_acquire("p", now))
                 self.assertEqual(pause, most)
 
     @settings(max_examples=200, deadline=None, derandomize=True)
@@ -98,7 +98,7 @@
             elif what == "fail":
                 if breakers.failed("p", worker, now) is not None:
                     is_open = True
-            elif breakers.wait("p", now) is None and is_open:
+            elif breakers.try_acquire("p", now) is None and is_open:
                 self.assertTrue(last is None or now - last >= 1000.0)
                 last = now
 
@@ -120,20 +120,20 @@
                 for requests in requests_in_replicas:
                     now += apart
                     breakers.replica_ended("p", b"x", requests, now)
-                self.assertEqual(breakers.wait("p", b"x", now) is not None, is_open)
+                self.assertEqual(breakers.try_acquire("p", b"x", now) is not None, is_open)
                 self.assertEqual("p" in breakers.open_by_function, is_open)
-                self.assertIsNone(breakers.wait("p", b"y", now))
-                self.assertIsNone(breakers.wait("q", b"x", now))
+                self.assertIsNone(breakers.try_acquire("p", b"y", now))
+                self.assertIsNone(breakers.try_acquire("q", b"x", now))
 
     def test_trial_closes_or_reopens_the_breaker(self):
         """A trial that ends no replica closes the breaker; one that does lengthens the pause."""
         breakers = RequestBreakers(1, 1e9, Backoff(1000.0, 60000.0))
         self.assertEqual(breakers.replica_ended("p", b"x", 1, 0.0), 1000.0)
-        self.assertIsNone(breakers.wait("p", b"x", 1000.0))
+        self.assertIsNone(breakers.try_acquire("p", b"x", 1000.0))
         self.assertEqual(breakers.replica_ended("p", b"x", 1, 1001.0), 2000.0)
-        self.assertIsNone(breakers.wait("p", b"x", 3001.0))
+        self.assertIsNone(breakers.try_acquire("p", b"x", 3001.0))
         self.assertTrue(breakers.succeeded("p", b"x"))
-        self.assertEqual((breakers.wait("p", b"x", 3002.0), breakers.open_by_function), (None, {}))
+        self.assertEqual((breakers.try_acquire("p", b"x", 3002.0), breakers.open_by_function), (None, {}))
 
     def test_tracked_requests_are_bounded(self):
         """The number of tracked requests is bounded, and the counts of open breakers stay right."""
--- a/wickdyke/circuit_breaker/breakers.py
+++ b/wickdyke/circuit_breaker/breakers.py
@@ -83,8 +83,12 @@
         breaker.trial_at = None
         return pause
 
-    def wait(self, breaker: Breaker, now: float) -> float | None:
-        """None where a request may pass (as the trial, once the pause is over), else ms until it may be retried."""
+    def try_acquire(self, breaker: Breaker, now: float) -> float | None:
+        """Asks to let one request pass; returns None where it may, else ms until it may be retried.
+
+        Once the pause of an open breaker is over, the first request that asks claims the trial of the half-open
+        breaker: it may pass, and all others wait until the trial has a result, or for `first` ms.
+        """
         if not breaker.is_open:
             return None
         if now < breaker.paused_until:
@@ -142,10 +146,13 @@
         loads = self.tracked.pop(function, None)
         return loads is not None and loads.breaker.is_open
 
-    def wait(self, function: str, now: float) -> float | None:
-        """None where a request for it may pass, else ms until it may be retried."""
+    def try_acquire(self, function: str, now: float) -> float | None:
+        """Asks to let a request for it pass; returns None where it may, else ms until it may be retried.
+
+        Where the breaker is half-open, the request claims its trial.
+        """
         loads = self.tracked.get(function)
-        return None if loads is None else self.backoff.wait(loads.breaker, now)
+        return None if loads is None else self.backoff.try_acquire(loads.breaker, now)
 
 
 @dataclass(slots=True, frozen=True)
@@ -215,13 +222,14 @@
             del self.open_by_function[function]
         return True
 
-    def wait(self, function: str, digest: bytes, now: float) -> float | None:
-        """None where the request may pass, else ms until it may be retried.
+    def try_acquire(self, function: str, digest: bytes, now: float) -> float | None:
+        """Asks to let the request pass; returns None where it may, else ms until it may be retried.
 
-        To be called only for functions in `open_by_function`, since a digest takes time.
+        Where its breaker is half-open, the request claims the trial. To be called only for functions in
+        `open_by_function`, since a digest takes time.
         """
         attribution = self.tracked.get((function, digest))
-        return None if attribution is None else self.backoff.wait(attribution.breaker, now)
+        return None if attribution is None else self.backoff.try_acquire(attribution.breaker, now)
 
     def is_open(self, function: str, digest: bytes) -> bool:
         """Whether the request's breaker is open, with or without a trial."""
--- a/wickdyke/gateway/circuit_breaker.py
+++ b/wickdyke/gateway/circuit_breaker.py
@@ -47,11 +47,11 @@
 
     def rejection(self, function: str, request_input: bytes | None, now: float) -> Rejection | None:
         """The answer to a request that is not to be tried now; None where it may be."""
-        if (wait := self.functions.wait(function, now)) is not None:
+        if (wait := self.functions.try_acquire(function, now)) is not None:
             return Rejection(RejectionReason.LOAD_FAILED, wait)
         if request_input is None or function not in self.requests.open_by_function:
             return None  # the digest of a large input takes time: only where it may be needed
-        if (wait := self.requests.wait(function, input_digest(request_input), now)) is not None:
+        if (wait := self.requests.try_acquire(function, input_digest(request_input), now)) is not None:
             return Rejection(RejectionReason.POISON, wait)
         return None
 
--- a/wickdyke/platform/connection_pool.py
+++ b/wickdyke/platform/connection_pool.py
@@ -41,8 +41,8 @@
         self.worker_clients: set[PooledClient] = set()  # those with a connection
         self.counts: Counter[str] = Counter()
 
-    def has_room(self) -> bool:
-        """Returns whether one more connection is allowed; where none is, ends the one that was idle longest first."""
+    def make_room(self) -> bool:
+        """Ends the connection that was idle longest if the pool is full; returns whether one more is allowed."""
         if self.used >= self.capacity:
             connections = (connection for client in self.worker_clients for connection in client.all_connections())
             idle = [connection for connection in connections if not connection.commands_in_flight and connection.up]
--- a/wickdyke/platform/worker_client.py
+++ b/wickdyke/platform/worker_client.py
@@ -93,7 +93,7 @@
                 if connection.alive():
                     return connection
                 connection.end("ended while idle")
-        if self.pool.has_room():
+        if self.pool.make_room():
             connection = WorkerConnection(self)
             if not connection.failed:
                 self.connections.append(connection)
@@ -115,7 +115,7 @@
         ):
             connection.end("idle")
         if self.shared is None or not self.shared.accepts(ident):
-            if not self.pool.has_room():
+            if not self.pool.make_room():
                 return None
             connection = WorkerConnection(self)
             if connection.failed:
@@ -166,7 +166,7 @@
             self.probe.add(commands)
 
     def _connect_probe(self) -> WorkerConnection | None:
-        if not self.pool.has_room():
+        if not self.pool.make_room():
             return None
         connection = WorkerConnection(self)
         if not connection.failed:
