--- a/wickdyke/config/deployment_settings.py
+++ b/wickdyke/config/deployment_settings.py
@@ -117,7 +117,7 @@
     "x0": "pinned",
     "x1": "loads",
 }
-truth = one_of({"true": True, "false": False})
+boolean = one_of({"true": True, "false": False})
 effect = one_of(EFFECT_WORDS)
 scope = one_of({"all": Scope.ALL, "zone": Scope.ZONE, "cell": Scope.CELL})
 weight_unit = one_of({"request": False, "work": True})
@@ -232,9 +232,9 @@
 def _attempt_limits(settings: DeploymentSettings) -> AttemptLimits:
     return AttemptLimits(
         attempts=settings.get("limits.send-cap", count),
-        hedging=settings.get("limits.second-copies", truth),
-        cancel=settings.get("limits.cancelling", truth),
-        health_checks=settings.get("limits.probing", truth),
+        hedging=settings.get("limits.second-copies", boolean),
+        cancel=settings.get("limits.cancelling", boolean),
+        health_checks=settings.get("limits.probing", boolean),
         retry_after=_longest_retry_after(settings),
         connect_timeout=settings.get("limits.dial-timeout", span),
         idle_timeout=settings.get("limits.idle-close", span, DEFAULT_IDLE_TIMEOUT),
@@ -243,7 +243,7 @@
 
 def _longest_retry_after(settings: DeploymentSettings) -> float:
     """The longest time to retry after that an answer may state, in ms; 0 where answers state none."""
-    if not settings.get("limits.retry-after", truth, False):
+    if not settings.get("limits.retry-after", boolean, False):
         return 0.0
     return settings.get("limits.max-retry-after", span, 0.0)
 
@@ -252,11 +252,11 @@
     return FunctionCache(
         memory=settings.numbers("family-info.memory-mb-by-kind"),
         idle_timeout=settings.get("family-info.idle-life", span),
-        may_prewarm=settings.get("family-info.may-load", truth),
+        may_prewarm=settings.get("family-info.may-load", boolean),
         loads_on_demand=settings.get("family-info.if-cold", action_without_replica),
         prewarm_timeout=settings.get("family-info.load-wait", span),
-        reports_warmth=settings.get("family-info.warm-notes", truth),
-        reports_concurrency=settings.get("family-info.says-company", truth),
+        reports_warmth=settings.get("family-info.warm-notes", boolean),
+        reports_concurrency=settings.get("family-info.says-company", boolean),
     )
 
 
--- a/wickdyke/gateway/attempts.py
+++ b/wickdyke/gateway/attempts.py
@@ -122,7 +122,7 @@
         if pending is None:
             return
         context = self.context
-        context.timers.at(context.now() + context.config.answer_margin / 2, self.requests.left_open, router_id)
+        context.timers.at(context.now() + context.config.answer_margin / 2, self.requests.answer_overdue, router_id)
         context.driver.has_input = True
         for attempt, command in list(pending.commands.items()):
             context.guarded(self._stop_waiting, pending, command)
--- a/wickdyke/gateway/pending_requests.py
+++ b/wickdyke/gateway/pending_requests.py
@@ -133,7 +133,7 @@
                 answer = Failure(reason) if pending.attempts_sent else Rejection(reason)
                 self.context.guarded(self.answer_undecided, pending, answer)
 
-    def left_open(self, router_id: int) -> None:
+    def answer_overdue(self, router_id: int) -> None:
         """Answers a request that the router left open past its deadline: a fault, which is logged."""
         pending = self.by_id.get(router_id)
         if pending is not None and not pending.closed:
--- a/wickdyke/platform/service.py
+++ b/wickdyke/platform/service.py
@@ -61,7 +61,7 @@
 
 
 class Service:
-    """One front end. `run` serves until a signal requests the shutdown and nothing is owed to clients."""
+    """One front end. `run` serves until a signal requests the shutdown and each request has been answered."""
 
     def __init__(self, configuration: Configuration, path: str, log: Log) -> None:
         self.configuration = configuration
@@ -175,7 +175,7 @@
             self.log.warning("configuration unusable", reason=str(error), in_force="the last good one")
             return
         self.reload_pending = False
-        self.log.info("configuration read", bus=":".join(map(str, address)))
+        self.log.info("discovery address read", bus=":".join(map(str, address)))
         self.discovery.follow(address)
 
     def _reload_later(self) -> None:
@@ -239,7 +239,7 @@
         self.coordinator.answer_all(RejectionReason.STOPPING)
 
     def _settled(self, late: bool) -> bool:
-        """Returns whether nothing is owed to clients. Until it is late, attempts in flight are waited for as well."""
+        """Returns whether each request is answered. Until it is late, attempts in flight are waited for as well."""
         if late:
             return self.coordinator.events.empty() and self.client_server.flushed()
         return self.coordinator.idle() and self.client_server.flushed()
--- a/wickdyke/platform/worker_client.py
+++ b/wickdyke/platform/worker_client.py
@@ -19,7 +19,9 @@
 from wickdyke.transport.event_loop import EventLoop, clock
 
 MAX_SENDS = 3  # connections that one command is handed to before a byte of it was sent
-LOST_ANSWER = {  # how a command whose answer was lost ends, at a worker that lives
+# How a command ends whose connection failed before its answer arrived, at a worker that is alive. The lost answer of an
+# attempt or health check counts as an error of the worker; at a worker that is down, it counts as a lost connection.
+LOST_ANSWER = {
     CommandKind.ATTEMPT: Outcome.ERROR,
     CommandKind.HEALTH_CHECK: Outcome.ERROR,
     CommandKind.PREWARM: Outcome.TIMEOUT,
