--- a/wickdyke/fault_injection/rule_checker/double_effects.py
+++ b/wickdyke/fault_injection/rule_checker/double_effects.py
@@ -13,7 +13,7 @@
     for mark, attempts in run.attempts.items():
         request = run.requests.get(mark)
         if request is None:
-            yield _finding(attempts[0].received, f"{mark} was called out and never asked")
+            yield _finding(attempts[0].received, f"{mark} was sent to a worker, but never by a client")
             continue
         method = run.settings.methods[request.sent.method]
         for number, attempt in enumerate(attempts):
--- a/wickdyke/fault_injection/rule_checker/drains.py
+++ b/wickdyke/fault_injection/rule_checker/drains.py
@@ -33,5 +33,5 @@
     since = draining_since.get(event.writer)
     grace_ms = run.settings.drain_grace_ms + run.settings.transit_ms
     if since is not None and event.time_ms > since + grace_ms:
-        text = f"{message} {event.time_ms - since:.3f} ms after {event.writer} was told to drain or be gone"
+        text = f"{message} {event.time_ms - since:.3f} ms after {event.writer} was published as draining or gone"
         yield finding_at(Rule.DRAINS_KEPT, event, text)
--- a/wickdyke/fault_injection/rule_checker/lost_requests.py
+++ b/wickdyke/fault_injection/rule_checker/lost_requests.py
@@ -10,7 +10,7 @@
 def check(run: ObservedRun) -> Iterator[Finding]:
     """Requests without an answer, late, repeated, invalid and unsolicited answers."""
     for answer in run.unsolicited_answers:
-        yield _finding(answer, f"{answer.mark} answered and never asked")
+        yield _finding(answer, f"{answer.mark} was answered, but never sent by a client")
     for request in run.requests.values():
         if request.answers:
             yield from _check_answers(request)
--- a/wickdyke/fault_injection/rule_checker/observations.py
+++ b/wickdyke/fault_injection/rule_checker/observations.py
@@ -29,7 +29,7 @@
     Attributes:
         received: its arrival.
         ended_at: when the worker ended it (ms, monotonic), None where it did not.
-        result: what its end says.
+        result: how it ended.
         released_at: when the gateway could know that it is over: by its answer or its own cancel.
     """
 
@@ -89,7 +89,7 @@
 
 @dataclass(slots=True, frozen=True)
 class _AttemptKey:
-    """What tells apart the attempts of a trace."""
+    """What identifies an attempt of a trace."""
 
     # Danger: one request may be at a worker a second time, over another connection, before the cancel of the first
     # attempt is noted there. Workers number their attempts, and an end or cancel belongs to its number.
--- a/wickdyke/fault_injection/rule_checker/trace_events.py
+++ b/wickdyke/fault_injection/rule_checker/trace_events.py
@@ -24,7 +24,7 @@
 
 
 class AttemptResult(Enum):
-    """What the end of an attempt says about it."""
+    """How an attempt ended."""
 
     NEVER_RAN = auto()
     ANSWER_LOST = auto()  # the worker ended it, the gateway has no answer
@@ -75,7 +75,7 @@
 
 @dataclass(slots=True, frozen=True)
 class AttemptReceived(TraceEvent):
-    """A worker received an attempt; `number` tells apart its attempts of one request."""
+    """A worker received an attempt; `number` distinguishes its attempts of one request."""
 
     mark: str
     number: int | None
@@ -139,7 +139,7 @@
 
 @dataclass(slots=True, frozen=True)
 class GatewayStarted(TraceEvent):
-    """A gateway started, which knows nothing of what came before."""
+    """A gateway started, which knows nothing of earlier events."""
 
     gateway: str
 
--- a/wickdyke/gateway/circuit_breaker.py
+++ b/wickdyke/gateway/circuit_breaker.py
@@ -43,7 +43,7 @@
             requests.window,
             Backoff(requests.first_pause, requests.longest_pause, gateways),
         )
-        self.unsettled: dict[str, list[LostAttempt]] = {}  # by worker, until it is known whether that went down
+        self.unsettled: dict[str, list[LostAttempt]] = {}  # by worker, until it is known whether that is down
 
     def rejection(self, function: str, request_input: bytes | None, now: float) -> Rejection | None:
         """The answer to a request that is not to be tried now; None where it may be."""
@@ -97,7 +97,7 @@
         return len(lost) == 1
 
     def settle(self, worker: str, start: int | None, now: float) -> None:
-        """Whether the worker behind lost connections went down is known by now.
+        """It is known by now whether the worker of lost connections is down.
 
         `start` is that of its connection, None where there is none. For a connection lost while the worker lives no
         request is blamed.
--- a/wickdyke/gateway/interfaces.py
+++ b/wickdyke/gateway/interfaces.py
@@ -178,7 +178,7 @@
 
 
 class Command:
-    """One message to a worker that is owed an answer. `key` is the coordinator's."""
+    """One message to a worker that expects an answer. `key` is the coordinator's."""
 
     __slots__ = ("key", "kind", "worker_client")
 
@@ -195,8 +195,8 @@
 class CommandResult:
     """How a command ended, and what the worker reported with it.
 
-    `concurrent`: requests of the function in flight at the worker as the attempt came; `requests_in_replica`: how many
-    were in a replica that ended.
+    `concurrent`: requests of the function in flight at the worker when the attempt arrived; `requests_in_replica`: how
+    many were in a replica that ended.
     """
 
     outcome: Outcome
--- a/wickdyke/gateway/isolation.py
+++ b/wickdyke/gateway/isolation.py
@@ -19,7 +19,7 @@
 from wickdyke.gateway.worker_registry import WorkerRegistry
 from wickdyke.routing.model import Attempt, Effect, Outcome
 
-RESTART_TIME = 1000.0  # ms after a connection ended by which it is back, or its worker went down
+RESTART_TIME = 1000.0  # ms after a connection ended by which it is back, or its worker is down
 
 
 class Isolation(Protocol):
--- a/wickdyke/jsonrpc/endpoint_list.py
+++ b/wickdyke/jsonrpc/endpoint_list.py
@@ -107,7 +107,7 @@
         return self._changed(name)
 
     def draining(self, name: str) -> list[Endpoint]:
-        """A worker reported that it drains: it counts as draining whatever the list says."""
+        """A worker reported that it drains: it counts as draining whatever its state in the list."""
         worker = self.workers.get(name)
         if worker is None:
             return []
--- a/wickdyke/jsonrpc/requests.py
+++ b/wickdyke/jsonrpc/requests.py
@@ -1,4 +1,4 @@
-"""Checks what clients send: a `call` becomes a request with all its figures, or an error that says what is wrong."""
+"""Checks what clients send: a `call` becomes a request with all its figures, or an error that describes the fault."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
--- a/wickdyke/jsonrpc/worker_command.py
+++ b/wickdyke/jsonrpc/worker_command.py
@@ -19,7 +19,7 @@
 
 
 class Command(interfaces.Command):
-    """One message that is owed a response, as it is sent.
+    """One message to a worker that expects a response, as it is sent.
 
     `params` is its bytes, or a function that renders them for the ms that are left until `deadline` (monotonic ms).
     `number` is its id on the connection.
--- a/wickdyke/platform/client_connection.py
+++ b/wickdyke/platform/client_connection.py
@@ -49,7 +49,7 @@
     def is_serving(self) -> bool:
         """Returns whether requests are admitted."""
 
-    def count_invalid(self, why: str) -> None:
+    def count_invalid(self, reason: str) -> None:
         """Counts a request that is invalid."""
 
     def time_for(self, time_left: float) -> float:
@@ -75,12 +75,12 @@
         """Sends its final answer, with the worker's output."""
         self._answer(thrift.answer("dispatch", self.ident, output))
 
-    def reject(self, why: str, retry_after: float | None = None) -> None:
+    def reject(self, reason: str, retry_after: float | None = None) -> None:
         """Sends its final answer: it was rejected, and nothing was done."""
         fields = {} if retry_after is None else {"w": str(max(1, round(retry_after)))}
         self._answer(thrift.shed("dispatch", self.ident, fields))
 
-    def fail(self, why: str) -> None:
+    def fail(self, reason: str) -> None:
         """Sends its final answer: it failed, and may have been carried out or not."""
         self._answer(thrift.fault("dispatch", self.ident, {}))
 
@@ -199,11 +199,11 @@
         if self.ending and self.idle():
             self.close()
 
-    def _reject_connection(self, number: int | None, why: str) -> None:
+    def _reject_connection(self, number: int | None, reason: str) -> None:
         """Sends an error, with the number where it is known, then ends: nothing after it can be trusted."""
         self.server.counts["unreadable"] += 1
         if number is None or number not in self.open:
-            self.write(thrift.problem("dispatch", number or 0, why))
+            self.write(thrift.problem("dispatch", number or 0, reason))
         self.end()
 
     def _handle_frame(self, frame: bytes) -> None:
--- a/wickdyke/platform/client_server.py
+++ b/wickdyke/platform/client_server.py
@@ -108,11 +108,11 @@
         """Whether the listener is closed."""
         return self.listener_state is ListenerState.CLOSED
 
-    def count_invalid(self, why: str) -> None:
+    def count_invalid(self, reason: str) -> None:
         """Counts a request that is invalid; logs the first, the tenth, the hundredth."""
         self.counts["invalid"] += 1
         if str(self.counts["invalid"]).strip("0") == "1":
-            self.log.warning("request unusable", reason=why, so_far=self.counts["invalid"])
+            self.log.warning("request unusable", reason=reason, so_far=self.counts["invalid"])
 
     def is_serving(self) -> bool:
         """Returns whether requests are admitted."""
@@ -243,8 +243,8 @@
         Those that have sent nothing for a while are first, then those that were answered, last those that are new or
         are sending.
         """
-        # The request of a new connection is probably on its way: closed for the next one, which fares no better, no
-        # client would get through, nor one that connects for each request. The price: an idle client connects again.
+        # The first request of a new connection is probably in transit. If new connections were closed in favour of
+        # newer ones, no request would arrive while many clients connect. The cost: an idle client has to reconnect.
         old = clock() - NEW_CONNECTION_TIME
 
         def value(client: ClientConnection) -> int:
@@ -263,7 +263,7 @@
         return False
 
     def _can_be_closed(self, client: ClientConnection) -> bool:
-        """Returns whether no request of it is open, and no answer on its way that it may still read."""
+        """Returns whether no request of it is open, and no answer in transit that its client may still read."""
         return not client.open and (client.write_buffer.empty() or clock() - client.last_used_at > SILENCE_TIMEOUT)
 
     def _sweep(self) -> None:
@@ -280,7 +280,7 @@
                     client.close()
 
     def _overdue(self, client: ClientConnection, now: float) -> bool:
-        # Hundreds that connect and send nothing, or half a frame, or never read, would take all descriptors. The price:
+        # Clients that connect and send nothing or half a frame, or never read, could use up all descriptors. The cost:
         # a client that connects long before its first request has its connection closed.
         if client.ending:  # its requests end by their own times; then it has as long to read the last answer
             return not client.open and now - max(client.waiting_since, client.last_used_at) > SILENCE_TIMEOUT
--- a/wickdyke/platform/connection_pool.py
+++ b/wickdyke/platform/connection_pool.py
@@ -18,8 +18,8 @@
     def commands_in_flight(self) -> int:
         """Commands that it was handed and that have not ended."""
 
-    def end(self, why: str) -> None:
-        """Ends it; `why` is for the counts."""
+    def end(self, reason: str) -> None:
+        """Ends it; `reason` is for the counts."""
 
 
 class PooledClient(Protocol):
--- a/wickdyke/platform/discovery.py
+++ b/wickdyke/platform/discovery.py
@@ -122,7 +122,7 @@
             return
         self.loop.call_at(self.last_activity + self.connect_timeout, self._check_timeout, self.attempt_number)
 
-    def _retry_later(self, why: str) -> None:
+    def _retry_later(self, reason: str) -> None:
         # Backoff with jitter: hundreds of front ends that lost discovery at one moment would else connect in step,
         # for as long as it is away or answers only with errors. It may return with a drain just after an attempt: so
         # `backoff_limit` stays within the time in which a drain has to be heeded.
@@ -133,9 +133,9 @@
         jitter = 0.5 + 0.5 * self.random.random()
         self.retry_number += 1
         self.loop.call_at(clock() + backoff * jitter, self._retry, self.retry_number)
-        if why != self.logged_failure:
-            self.logged_failure = why
-            self.log.warning("endpoint list disconnected", reason=why, bus=":".join(map(str, self.address)))
+        if reason != self.logged_failure:
+            self.logged_failure = reason
+            self.log.warning("endpoint list disconnected", reason=reason, bus=":".join(map(str, self.address)))
 
     def _retry(self, number: int) -> None:
         if number != self.retry_number:
--- a/wickdyke/platform/thrift.py
+++ b/wickdyke/platform/thrift.py
@@ -50,8 +50,8 @@
 class MalformedMessageError(Exception):
     """The data is no valid message; `number` is that of the request where it is known."""
 
-    def __init__(self, why: str, number: int | None = None) -> None:
-        super().__init__(why)
+    def __init__(self, reason: str, number: int | None = None) -> None:
+        super().__init__(reason)
         self.number = number
 
 
@@ -270,11 +270,11 @@
     return _declared_exception(2, verb, number, fields)
 
 
-def problem(verb: str, number: int, why: str, code: int = PROTOCOL_ERROR) -> bytes:
+def problem(verb: str, number: int, reason: str, code: int = PROTOCOL_ERROR) -> bytes:
     """Renders the frame of an application exception."""
     return _frame(
         EXCEPTION,
         verb,
         number,
-        _FIELD.pack(STRING, 1) + _string(why.encode()) + _FIELD.pack(I32, 2) + _I32.pack(code) + bytes((STOP,)),
+        _FIELD.pack(STRING, 1) + _string(reason.encode()) + _FIELD.pack(I32, 2) + _I32.pack(code) + bytes((STOP,)),
     )
--- a/wickdyke/platform/worker_command.py
+++ b/wickdyke/platform/worker_command.py
@@ -24,7 +24,7 @@
 
 
 class Command(interfaces.Command):
-    """One message that is owed an answer.
+    """One message to a worker that expects an answer.
 
     `content` is its bytes, or a function that renders them for the whole ms (one at least) that are left until
     `deadline` (monotonic ms). `sends` counts the connections it was handed to.
--- a/wickdyke/platform/worker_connection.py
+++ b/wickdyke/platform/worker_connection.py
@@ -75,7 +75,7 @@
         self.loop = worker_client.loop
         self.state = ConnectionState.CONNECTING
         self.stale = False  # accepts no more commands, and ends with the last one in flight
-        self.open: dict[bytes, Command] = {}  # handed to the write buffer, and owed an answer
+        self.open: dict[bytes, Command] = {}  # handed to the write buffer, and not answered yet
         self.pending: list[Command] = []  # until it is established
         self.ended_ids: deque[bytes] = deque(maxlen=ENDED_IDS_KEPT)
         self.answers = resp.Answers()
@@ -350,8 +350,8 @@
         self.last_used_at = self.last_read_at
         self.worker_client.finish(command, result.outcome, result)
 
-    def end(self, why: str, cause: EndCause = EndCause.PLAIN) -> None:
-        """Ends the connection and all commands on it. `why` is counted where it was not established."""
+    def end(self, reason: str, cause: EndCause = EndCause.PLAIN) -> None:
+        """Ends the connection and all commands on it. `reason` is counted where it was not established."""
         if self.state is ConnectionState.CLOSED:
             return
         was_established = self.state is ConnectionState.ESTABLISHED
@@ -365,7 +365,7 @@
         self.worker_client.pool.used -= 1
         self.worker_client.pool.counts["lost_in_use"] += bool(in_flight)
         if not was_established:
-            self._count(why.replace(": ", "_").replace(" ", "_"))
+            self._count(reason.replace(": ", "_").replace(" ", "_"))
         self.worker_client.connection_ended(self)
         self._end_pending(pending, was_established or cause in (EndCause.RESET_EARLY, EndCause.INCONCLUSIVE))
         self._end_in_flight(in_flight, cause)
--- a/wickdyke/worker/cache_directory.py
+++ b/wickdyke/worker/cache_directory.py
@@ -61,7 +61,7 @@
             self.listed = True
 
     def record_use(self, name: str) -> None:
-        """Stores the use in the file time, for the next start: later than all before, even if the clock went back."""
+        """Stores the use in the file time, for the next start: later than all before, also if the clock is set back."""
         with self.use_time_lock:
             self.last_use_time = use_time = max(time.time_ns(), self.last_use_time + USE_TIME_STEP)
         # Where this fails, the order in memory is right all the same; at the next start it is a guess.
--- a/wickdyke/worker/replica_messages.py
+++ b/wickdyke/worker/replica_messages.py
@@ -1,7 +1,7 @@
 """Messages between a worker, its warm parent and its replicas, which are processes of the same machine and release.
 
 Worker and replica exchange JSON lines on a socket pair, worker and parent one JSON message a packet. The field `type`
-tells the messages apart. `request` is the number that the worker gives a request for its replica.
+distinguishes the messages. `request` is the number that the worker gives a request for its replica.
 """
 
 import msgspec
