--- a/wickdyke/gateway/circuit_breaker.py
+++ b/wickdyke/gateway/circuit_breaker.py
@@ -97,9 +97,9 @@
         return len(lost) == 1
 
     def settle(self, worker: str, start: int | None, now: float) -> None:
-        """It is known by now whether the worker of lost connections is down.
+        """To be called once it is known whether the worker of lost connections is down.
 
-        `start` is that of its connection, None where there is none. For a connection lost while the worker lives no
+        `start` is that of its connection, None where there is none. For a connection lost while the worker is alive no
         request is blamed.
         """
         down = [lost for lost in self.unsettled.pop(worker, []) if lost.start != start]
@@ -107,5 +107,5 @@
             self.replica_ended(lost.function, lost.digest, len(down), now)
 
     def is_open(self, function: str, request_digest: bytes) -> bool:
-        """Whether such a request is not to go on, also where it was admitted before."""
+        """Whether further attempts of such a request are prevented, also where it was admitted before."""
         return self.requests.is_open(function, request_digest)
--- a/wickdyke/gateway/file_watcher.py
+++ b/wickdyke/gateway/file_watcher.py
@@ -24,7 +24,7 @@
 
 
 class _Marker(Enum):
-    """What stands in the place of a file's version."""
+    """Takes the place of a version where no version of the file is known."""
 
     UNKNOWN = "unknown"  # not read yet, or to be read again in any case
     MISSING = "missing"  # there is no file
--- a/wickdyke/gateway/isolation.py
+++ b/wickdyke/gateway/isolation.py
@@ -125,8 +125,8 @@
         return endpoints.start_of(worker) if isinstance(endpoints, HelloEndpointList) else None
 
     def _rejection_in_flight(self, attempt: Attempt, function: str, digest: bytes) -> Rejection | None:
-        # Admitted before the breaker opened, it would go on from replica to replica by its attempts. Only an
-        # idempotent one may be rejected: there it is as good as to fail it.
+        # A request admitted before the breaker opened would be attempted on one replica after another. Only an
+        # idempotent one may be rejected now: a retry of it is harmless, as a rejection promises.
         request = attempt.request
         if request.closed or request.request_class.effect != Effect.IDEMPOTENT:
             return None
--- a/wickdyke/gateway/log.py
+++ b/wickdyke/gateway/log.py
@@ -116,7 +116,7 @@
         return lines, False
 
     def _put(self, lines: list[str]) -> int:
-        """Writes lines; returns how many were written whole. Never raises: the thread is to go on in any case."""
+        """Writes lines; returns how many were written whole. Never raises, so that the thread continues in any case."""
         pieces = [(line + "\n").encode("utf-8", "backslashreplace") for line in lines]
         if self.torn and pieces:
             pieces[0] = b"\n" + pieces[0]
--- a/wickdyke/platform/client_server.py
+++ b/wickdyke/platform/client_server.py
@@ -189,7 +189,7 @@
 
     def _register(self, client: ClientConnection) -> None:
         """Has the loop serve a connection. While that fails it is polled, and closed by the sweep if it is silent."""
-        # A close for a passing ENOMEM, ENOSPC or ENOBUFS would lose its first request unread. The price, where the
+        # Closing it on a transient ENOMEM, ENOSPC or ENOBUFS would lose its first request unread. The cost, while the
         # shortage lasts, is a timer for each connection.
         if client.closed:
             return
@@ -212,7 +212,7 @@
 
     def _pause(self, span: float) -> None:
         """Accepts nothing for `span` ms: the kernel would report again and again what can't be accepted."""
-        # The price: where a descriptor is freed meanwhile, the connections that wait are accepted that much later.
+        # The cost: if a descriptor is freed during the pause, waiting connections are still accepted only after it.
         if self.sock is None or self.accept_paused or self.shut_down:
             return
         self.accept_paused = True
@@ -320,9 +320,9 @@
     def close_idle(self, at_once: bool = False) -> bool:
         """Closes each idle connection, right after a last read that found nothing; returns whether none is left.
 
-        With `at_once` no request is waited for that may be on its way.
+        With `at_once` it does not wait for requests that may be in transit.
         """
-        # A connection left open until the process has ended acknowledges requests that nobody reads. Between
+        # A connection left open until the process exits acknowledges requests that are never read. Between
         # the read and the close one may still cross, within microseconds: the client sends it again (PROTOCOL).
         # A shutdown for reading before that read would not prevent it: Linux acknowledges what arrives after it, too.
         for client in list(self.clients.values()):
--- a/wickdyke/platform/discovery.py
+++ b/wickdyke/platform/discovery.py
@@ -123,9 +123,9 @@
         self.loop.call_at(self.last_activity + self.connect_timeout, self._check_timeout, self.attempt_number)
 
     def _retry_later(self, reason: str) -> None:
-        # Backoff with jitter: hundreds of front ends that lost discovery at one moment would else connect in step,
-        # for as long as it is away or answers only with errors. It may return with a drain just after an attempt: so
-        # `backoff_limit` stays within the time in which a drain has to be heeded.
+        # Backoff with jitter: hundreds of front ends that lost discovery at one moment would otherwise reconnect in
+        # step while it is down or answers only with errors. It may be back, with a drain, just after an attempt failed:
+        # so `backoff_limit` stays within the time within which a drain has to take effect.
         was_stable = self.up and clock() - self.up_since > SILENCE_TIMEOUT
         self.failures = 1 if was_stable else self.failures + 1
         exponent = min(self.failures - 1, MAX_BACKOFF_EXPONENT)
--- a/wickdyke/platform/liveness_probe.py
+++ b/wickdyke/platform/liveness_probe.py
@@ -1,7 +1,7 @@
-"""Settles commands whose answers were lost with the last connection to a worker: did the worker end, or they alone?
+"""Settles commands whose answers were lost with the last connection to a worker: is the worker down?
 
-The end of a connection shows nothing about the process behind it. So a new one is made: where it is established, the
-worker lives.
+The end of a connection does not show whether the worker's process ended. So a new connection is opened: if it is
+established, the worker is alive.
 """
 
 from collections.abc import Callable
--- a/wickdyke/transport/event_loop.py
+++ b/wickdyke/transport/event_loop.py
@@ -110,8 +110,8 @@
     except (BlockingIOError, InterruptedError):
         return None
     except OSError as error:
-        # Without memory the data stays in the kernel and can be read later. To end the connection would lose the
-        # requests on it. The price is an attempt in each iteration for as long as there is no memory.
+        # Without memory the data stays in the kernel and can be read later. Ending the connection would lose the
+        # requests on it. The cost is an attempt in each iteration for as long as there is no memory.
         return None if error.errno in (errno.ENOMEM, errno.ENOBUFS) else b""
 
 
--- a/wickdyke/transport/line_server.py
+++ b/wickdyke/transport/line_server.py
@@ -66,7 +66,7 @@
     try:
         if not stat.S_ISSOCK(os.lstat(address).st_mode):
             raise AddressInUseError(f"{address}: a file that is no socket stands there, expected none")
-        os.unlink(address)  # nobody holds the lock: a killed process left it
+        os.unlink(address)  # the lock was free: a killed process left it
     except FileNotFoundError:
         pass
 
