--- a/wickdyke/fault_injection/rule_checker/checker.py
+++ b/wickdyke/fault_injection/rule_checker/checker.py
@@ -30,7 +30,7 @@
         )
 
     def outcomes(self) -> dict[str, Counter[str]]:
-        """By method, how many requests were sent, ok in time, ok late, denied (rejected), aborted (failed), lost."""
+        """By method, the requests asked (sent), ok in time, ok late, denied (rejected), aborted (failed), lost."""
         return outcomes.count_outcomes(self.run)
 
     def latencies(self) -> dict[str, list[float]]:
