--- a/wickdyke/gateway/circuit_breaker.py
+++ b/wickdyke/gateway/circuit_breaker.py
@@ -43,15 +43,15 @@
             requests.window,
             Backoff(requests.first_pause, requests.longest_pause, gateways),
         )
-        self.unsettled: dict[str, list[LostAttempt]] = {}  # by worker, until it is known whether that went down
+        self.unsettled: dict[str, list[LostAttempt]] = {}  # by worker, until it is known whether that is down
 
     def rejection(self, function: str, request_input: bytes | None, now: float) -> Rejection | None:
         """The answer to a request that is not to be tried now; None where it may be."""
-        if (wait := self.functions.wait(function, now)) is not None:
+        if (wait := self.functions.try_acquire(function, now)) is not None:
             return Rejection(RejectionReason.LOAD_FAILED, wait)
         if request_input is None or function not in self.requests.open_by_function:
             return None  # the digest of a large input takes time: only where it may be needed
-        if (wait := self.requests.wait(function, input_digest(request_input), now)) is not None:
+        if (wait := self.requests.try_acquire(function, input_digest(request_input), now)) is not None:
             return Rejection(RejectionReason.POISON, wait)
         return None
 
@@ -97,9 +97,9 @@
         return len(lost) == 1
 
     def settle(self, worker: str, start: int | None, now: float) -> None:
-        """Whether the worker behind lost connections went down is known by now.
+        """To be called once it is known whether the worker of lost connections is down.
 
-        `start` is that of its connection, None where there is none. For a connection lost while the worker lives no
+        `start` is that of its connection, None where there is none. For a connection lost while the worker is alive no
         request is blamed.
         """
         down = [lost for lost in self.unsettled.pop(worker, []) if lost.start != start]
@@ -107,5 +107,5 @@
             self.replica_ended(lost.function, lost.digest, len(down), now)
 
     def is_open(self, function: str, request_digest: bytes) -> bool:
-        """Whether such a request is not to go on, also where it was admitted before."""
+        """Whether further attempts of such a request are prevented, also where it was admitted before."""
         return self.requests.is_open(function, request_digest)
--- a/wickdyke/platform/client_server.py
+++ b/wickdyke/platform/client_server.py
@@ -108,11 +108,11 @@
         """Whether the listener is closed."""
         return self.listener_state is ListenerState.CLOSED
 
-    def count_invalid(self, why: str) -> None:
+    def count_invalid(self, reason: str) -> None:
         """Counts a request that is invalid; logs the first, the tenth, the hundredth."""
         self.counts["invalid"] += 1
         if str(self.counts["invalid"]).strip("0") == "1":
-            self.log.warning("request unusable", why=why, so_far=self.counts["invalid"])
+            self.log.warning("request unusable", reason=reason, so_far=self.counts["invalid"])
 
     def is_serving(self) -> bool:
         """Returns whether requests are admitted."""
@@ -189,7 +189,7 @@
 
     def _register(self, client: ClientConnection) -> None:
         """Has the loop serve a connection. While that fails it is polled, and closed by the sweep if it is silent."""
-        # A close for a passing ENOMEM, ENOSPC or ENOBUFS would lose its first request unread. The price, where the
+        # Closing it on a transient ENOMEM, ENOSPC or ENOBUFS would lose its first request unread. The cost, while the
         # shortage lasts, is a timer for each connection.
         if client.closed:
             return
@@ -212,7 +212,7 @@
 
     def _pause(self, span: float) -> None:
         """Accepts nothing for `span` ms: the kernel would report again and again what can't be accepted."""
-        # The price: where a descriptor is freed meanwhile, the connections that wait are accepted that much later.
+        # The cost: if a descriptor is freed during the pause, waiting connections are still accepted only after it.
         if self.sock is None or self.accept_paused or self.shut_down:
             return
         self.accept_paused = True
@@ -243,8 +243,8 @@
         Those that have sent nothing for a while are first, then those that were answered, last those that are new or
         are sending.
         """
-        # The request of a new connection is probably on its way: closed for the next one, which fares no better, no
-        # client would get through, nor one that connects for each request. The price: an idle client connects again.
+        # The first request of a new connection is probably in transit. If new connections were closed in favour of
+        # newer ones, no request would arrive while many clients connect. The cost: an idle client has to reconnect.
         old = clock() - NEW_CONNECTION_TIME
 
         def value(client: ClientConnection) -> int:
@@ -263,7 +263,7 @@
         return False
 
     def _can_be_closed(self, client: ClientConnection) -> bool:
-        """Returns whether no request of it is open, and no answer on its way that it may still read."""
+        """Returns whether no request of it is open, and no answer in transit that its client may still read."""
         return not client.open and (client.write_buffer.empty() or clock() - client.last_used_at > SILENCE_TIMEOUT)
 
     def _sweep(self) -> None:
@@ -280,7 +280,7 @@
                     client.close()
 
     def _overdue(self, client: ClientConnection, now: float) -> bool:
-        # Hundreds that connect and send nothing, or half a frame, or never read, would take all descriptors. The price:
+        # Clients that connect and send nothing or half a frame, or never read, could use up all descriptors. The cost:
         # a client that connects long before its first request has its connection closed.
         if client.ending:  # its requests end by their own times; then it has as long to read the last answer
             return not client.open and now - max(client.waiting_since, client.last_used_at) > SILENCE_TIMEOUT
@@ -320,9 +320,9 @@
     def close_idle(self, at_once: bool = False) -> bool:
         """Closes each idle connection, right after a last read that found nothing; returns whether none is left.
 
-        With `at_once` no request is waited for that may be on its way.
+        With `at_once` it does not wait for requests that may be in transit.
         """
-        # A connection left open until the process has ended acknowledges requests that nobody reads. Between
+        # A connection left open until the process exits acknowledges requests that are never read. Between
         # the read and the close one may still cross, within microseconds: the client sends it again (PROTOCOL).
         # A shutdown for reading before that read would not prevent it: Linux acknowledges what arrives after it, too.
         for client in list(self.clients.values()):
--- a/wickdyke/platform/worker_client.py
+++ b/wickdyke/platform/worker_client.py
@@ -19,7 +19,9 @@
 from wickdyke.transport.event_loop import EventLoop, clock
 
 MAX_SENDS = 3  # connections that one command is handed to before a byte of it was sent
-LOST_ANSWER = {  # how a command whose answer was lost ends, at a worker that lives
+# How a command ends whose connection failed before its answer arrived, at a worker that is alive. The lost answer of an
+# attempt or health check counts as an error of the worker; at a worker that is down, it counts as a lost connection.
+LOST_ANSWER = {
     CommandKind.ATTEMPT: Outcome.ERROR,
     CommandKind.HEALTH_CHECK: Outcome.ERROR,
     CommandKind.PREWARM: Outcome.TIMEOUT,
@@ -93,7 +95,7 @@
                 if connection.alive():
                     return connection
                 connection.end("ended while idle")
-        if self.pool.has_room():
+        if self.pool.make_room():
             connection = WorkerConnection(self)
             if not connection.failed:
                 self.connections.append(connection)
@@ -115,7 +117,7 @@
         ):
             connection.end("idle")
         if self.shared is None or not self.shared.accepts(ident):
-            if not self.pool.has_room():
+            if not self.pool.make_room():
                 return None
             connection = WorkerConnection(self)
             if connection.failed:
@@ -166,7 +168,7 @@
             self.probe.add(commands)
 
     def _connect_probe(self) -> WorkerConnection | None:
-        if not self.pool.has_room():
+        if not self.pool.make_room():
             return None
         connection = WorkerConnection(self)
         if not connection.failed:
