--- a/tests/test_log_faults.py
+++ b/tests/test_log_faults.py
@@ -228,7 +228,7 @@
                     for number in range(6):
                         made.record_input(float(number), "left", (number,))
                     self.assertEqual(made.broken, at <= 6)
-                    expected = [("recording ended", {"path": self.path("tape"), "why": os.strerror(error)})]
+                    expected = [("recording ended", {"path": self.path("tape"), "reason": os.strerror(error)})]
                     self.assertEqual(log.lines, expected if at <= 6 else [])
                     if at <= 6:
                         self.assertTrue(made.entries.empty())
@@ -263,7 +263,7 @@
                 go_on.set()
                 made.close()
         self.assertEqual(
-            log.lines, [("recording ended", {"path": self.path("tape"), "why": "5 entries wait to be written"})]
+            log.lines, [("recording ended", {"path": self.path("tape"), "reason": "5 entries wait to be written"})]
         )
 
     def test_a_file_that_can_not_be_opened(self):
@@ -274,7 +274,7 @@
                 made = recording.DecisionRecorder(self.path("tape"), log)
             made.record_input(1.0, "left", ("a",))
             made.close()
-            self.assertEqual(log.lines, [("recording ended", {"path": self.path("tape"), "why": os.strerror(error)})])
+            self.assertEqual(log.lines, [("recording ended", {"path": self.path("tape"), "reason": os.strerror(error)})])
             self.assertTrue(made.entries.empty())
         self.assertRaises(OSError, recording.DecisionRecorder, self.path("none", "tape"), Log())
 
--- a/wickdyke/gateway/recording.py
+++ b/wickdyke/gateway/recording.py
@@ -139,7 +139,7 @@
             is_first = not self.broken
             self.broken = True
         if is_first and self.log is not None:
-            self.log.error("recording ended", path=self.path, why=reason)
+            self.log.error("recording ended", path=self.path, reason=reason)
 
     def _write(self) -> None:
         encoder = msgspec.json.Encoder()
