--- a/tests/test_log_faults.py
+++ b/tests/test_log_faults.py
@@ -274,7 +274,9 @@
                 made = recording.DecisionRecorder(self.path("tape"), log)
             made.record_input(1.0, "left", ("a",))
             made.close()
-            self.assertEqual(log.lines, [("recording ended", {"path": self.path("tape"), "reason": os.strerror(error)})])
+            self.assertEqual(
+                log.lines, [("recording ended", {"path": self.path("tape"), "reason": os.strerror(error)})]
+            )
             self.assertTrue(made.entries.empty())
         self.assertRaises(OSError, recording.DecisionRecorder, self.path("none", "tape"), Log())
 
