--- a/tests/test_log_faults.py
+++ b/tests/test_log_faults.py
@@ -1,6 +1,5 @@
 """Logs, recordings and traces where their writes fail or take no more: no request waits for them or gets an error."""
 
-import contextlib
 import errno
 import io
 import os
@@ -295,7 +294,13 @@
 
     def setUp(self):
         super().setUp()
-        self.enterContext(contextlib.redirect_stderr(io.StringIO()))  # each failed write is reported there
+        standard_error = self.enterContext(open(self.path("standard-error"), "wb", 0))  # noqa: SIM115 - the context ends it
+        self.enterContext(mock.patch.object(trace, "STANDARD_ERROR", standard_error.fileno()))
+
+    def reported(self):
+        """The lines that were written to standard error."""
+        with open(self.path("standard-error"), "rb") as source:
+            return source.read().splitlines()
 
     def test_each_write_fails(self):
         """A line that was not written raises for its writer, and its trace is invalid."""
@@ -318,6 +323,8 @@
                         os.close(record.file)
                         os.unlink(path)
                         os.unlink(path + trace.INCOMPLETE)
+        self.assertEqual(len(self.reported()), 2 * 5 * 2)
+        self.assertTrue(all(b" of w was not written (" in line for line in self.reported()))
 
     def test_no_mark_can_be_made(self):
         """Where no mark can be made, the trace is not found under its name."""
