--- a/tests/test_log_faults.py
+++ b/tests/test_log_faults.py
@@ -294,7 +294,7 @@
 
     def setUp(self):
         super().setUp()
-        standard_error = self.enterContext(open(self.path("standard-error"), "wb", 0))  # noqa: SIM115 - the context ends it
+        standard_error = self.enterContext(open(self.path("standard-error"), "wb", 0))
         self.enterContext(mock.patch.object(trace, "STANDARD_ERROR", standard_error.fileno()))
 
     def reported(self):
