--- a/tests/route_fixtures.py
+++ b/tests/route_fixtures.py
@@ -1,4 +1,4 @@
-"""Request classes, environments and routes for the tests of routes."""
+"""Request classes, environments and parsed routes for the tests of route policies."""
 
 from dataclasses import replace
 
@@ -20,12 +20,12 @@
 
 
 def read_routes(text, environment=STRICT):
-    """The checked routes of a text: the fields of one route for method idem, or whole routes."""
+    """Parses and validates a text: either whole routes, or the fields of one route for method idem."""
     if not text.startswith("(route"):
         text = f'(route "r" (takes (method "idem")) {text})'
     return route_config.build(sexpr.parse(f"(routes {text})", "f"), "f", REQUEST_CLASSES, environment)
 
 
 def request_class(name):
-    """The request class of that name."""
+    """Returns the request class of that name."""
     return next(request_class for request_class in REQUEST_CLASSES if request_class.name == name)
--- a/tests/test_route_matching.py
+++ b/tests/test_route_matching.py
@@ -1,4 +1,4 @@
-"""Which route a request goes by, and which routes are ambiguous."""
+"""Tests of the selection of a request's route and the detection of ambiguous routes."""
 
 import unittest
 
@@ -6,9 +6,10 @@
 
 
 class MatchingTest(unittest.TestCase):
-    """The most specific route, ambiguities, and the cost of a lookup."""
+    """The most specific route, ambiguous patterns, and the number of lookups of a search."""
 
-    def test_most_specific(self):
+    def test_most_specific_route(self):
+        """(request) -> the route that is found."""
         table = RouteTable(
             [
                 (pattern, pattern)
@@ -40,6 +41,7 @@
         self.assertIsNone(RouteTable([]).find("m", "p"))
 
     def test_ambiguities(self):
+        """(patterns) -> the number of ambiguous pairs."""
         for patterns, count in (
             ([Pattern("m"), Pattern(function="p")], 1),
             ([Pattern("m"), Pattern("m", "p")], 0),
@@ -54,15 +56,15 @@
             with self.subTest(patterns=patterns):
                 self.assertEqual(len(find_ambiguities(patterns)), count)
 
-    def test_lookups_do_not_grow(self):
+    def test_lookups_do_not_grow_with_routes(self):
         """The lookups of a search depend on the lengths of names, not on the number of routes."""
         lookups = []
         for count in (10, 1000, 10000):
-            patterns = [Pattern("m", f"p{at}/*") for at in range(count - 1)] + [Pattern("m")]
+            patterns = [Pattern("m", f"p{index}/*") for index in range(count - 1)] + [Pattern("m")]
             table = RouteTable([(pattern, pattern) for pattern in patterns])
             self.assertEqual(table.find("m", "p7/x"), Pattern("m", "p7/*"))
             lookups.append(table.lookups)
-        self.assertLessEqual(max(lookups), lookups[0] + 4, lookups)  # one for each length of a name's number
+        self.assertLessEqual(max(lookups), lookups[0] + 4, lookups)  # one for each length of the number in a name
 
 
 if __name__ == "__main__":
--- a/tests/test_route_transition.py
+++ b/tests/test_route_transition.py
@@ -1,4 +1,4 @@
-"""Changes of a routes file: what may come into force while requests of the earlier file are open."""
+"""Tests of changes of a routes file while requests received under the earlier file are open."""
 
 import unittest
 
@@ -8,75 +8,87 @@
 
 
 class TransitionTest(unittest.TestCase):
-    """Changes of a file in force, by what open requests depend on."""
+    """Changes of the routes in force that would strand open requests, and changes that would not."""
 
-    BARE = "(budget (window 10 s) (share 0.1))"
-    OLD = f'(route "r" (takes (method "idem")) (attempts 2) (attempt 1 s) {BARE})'
+    SHARE_ONLY_BUDGET = "(budget (window 10 s) (share 0.1))"
+    OLD_ROUTE = f'(route "r" (takes (method "idem")) (attempts 2) (attempt 1 s) {SHARE_ONLY_BUDGET})'
 
     def test_one_change(self):
-        """(file in force, new file) -> words of the diagnostic; none where it may come into force."""
-        old, bare = self.OLD, self.BARE
-        other = '(route "s" (takes (method "idem")) (attempts 2) (attempt 1 s))'
-        for was, new, words in (
-            (old, other, ('route "r" is gone', "floor 0", "(floor 1)", "4000 ms later")),
-            (old, '(route "r" (takes (method "idem")))', ("a budget no more",)),
-            (old, old.replace("(attempts 2)", "").replace(bare, ""), ("a budget no more",)),
-            (old, old.replace("10 s", "9 s"), ("over 9000 ms instead of 10000 ms",)),
+        """(routes in force, new routes) -> texts of the diagnostic; none where the new routes are accepted."""
+        old_route, share_only_budget = self.OLD_ROUTE, self.SHARE_ONLY_BUDGET
+        other_route = '(route "s" (takes (method "idem")) (attempts 2) (attempt 1 s))'
+        for current, new_routes, expected_texts in (
+            (old_route, other_route, ('route "r" is removed', "floor 0", "(floor 1)", "4000 ms later")),
+            (old_route, '(route "r" (takes (method "idem")))', ("no longer has a retry budget",)),
             (
-                old,
-                old.replace('"idem"', '"side"').replace("(attempts", "(again full) (attempts"),
-                ("none of the RPCs",),
+                old_route,
+                old_route.replace("(attempts 2)", "").replace(share_only_budget, ""),
+                ("no longer has a retry budget",),
             ),
+            (old_route, old_route.replace("10 s", "9 s"), ("over 9000 ms instead of 10000 ms",)),
             (
-                old.replace('"idem"', '"idem") (program "a*"'),
-                old.replace('"idem"', '"idem") (program "b*"'),
-                ("none of the RPCs",),
+                old_route,
+                old_route.replace('"idem"', '"side"').replace("(attempts", "(again full) (attempts"),
+                ("matches none of the requests",),
             ),
             (
-                old.replace('"idem"', '"idem") (program "a/*"'),
-                old + '(route "s" (takes (method "idem") (program "a*")))',
-                ("leaves all the RPCs", 'route "r"'),
+                old_route.replace('"idem"', '"idem") (program "a*"'),
+                old_route.replace('"idem"', '"idem") (program "b*"'),
+                ("matches none of the requests",),
             ),
-            (old.replace("(share 0.1)", "(share 0.1) (floor 0.9)"), other, ("floor 0.9",)),
-            # near misses
-            (old.replace("(share 0.1)", "(share 0.1) (floor 1)"), other, ()),
-            (old.replace(bare, ""), other, ()),
-            (old, old, ()),
-            (old, old.replace("0.1", "0.2"), ()),
-            (old, old.replace("(share 0.1)", "(share 0.1) (floor 1)"), ()),
-            (old, old.replace("(attempts 2) (attempt 1 s)", "(attempts 3) (attempt 900 ms) (priority 3)"), ()),
-            (old.replace('"idem"', '"idem") (program "a*"'), old.replace('"idem"', '"idem") (program "ab*"'), ()),
-            (old, old + '(route "s" (takes (method "idem") (program "a*")))', ()),
-            (other, old, ()),
+            (
+                old_route.replace('"idem"', '"idem") (program "a/*"'),
+                old_route + '(route "s" (takes (method "idem") (program "a*")))',
+                ("loses all the requests it matched", 'route "r"'),
+            ),
+            (old_route.replace("(share 0.1)", "(share 0.1) (floor 0.9)"), other_route, ("floor 0.9",)),
+            # accepted, each close to a rejected change
+            (old_route.replace("(share 0.1)", "(share 0.1) (floor 1)"), other_route, ()),
+            (old_route.replace(share_only_budget, ""), other_route, ()),
+            (old_route, old_route, ()),
+            (old_route, old_route.replace("0.1", "0.2"), ()),
+            (old_route, old_route.replace("(share 0.1)", "(share 0.1) (floor 1)"), ()),
+            (
+                old_route,
+                old_route.replace("(attempts 2) (attempt 1 s)", "(attempts 3) (attempt 900 ms) (priority 3)"),
+                (),
+            ),
+            (
+                old_route.replace('"idem"', '"idem") (program "a*"'),
+                old_route.replace('"idem"', '"idem") (program "ab*"'),
+                (),
+            ),
+            (old_route, old_route + '(route "s" (takes (method "idem") (program "a*")))', ()),
+            (other_route, old_route, ()),
         ):
-            with self.subTest(was=was, new=new):
+            with self.subTest(current=current, new_routes=new_routes):
                 transition = PolicyTransition()
-                transition.activate(read_routes(was).retry_budget_users(), 0.0)
-                found = []
+                transition.activate(read_routes(current).retry_budget_users(), 0.0)
+                diagnostics = []
                 try:
-                    route_transition.check_transition(read_routes(new), "f", transition, 1.0)
+                    route_transition.check_transition(read_routes(new_routes), "f", transition, 1.0)
                 except sexpr.InvalidConfigError as error:
-                    found = [str(diagnostic) for diagnostic in error.diagnostics]
+                    diagnostics = [str(diagnostic) for diagnostic in error.diagnostics]
                     self.assertNotIsInstance(error, sexpr.IncompleteInputError)
-                self.assertEqual(len(found), bool(words), found)
-                for word in words:
-                    self.assertIn(word, found[0])
+                self.assertEqual(len(diagnostics), bool(expected_texts), diagnostics)
+                for expected_text in expected_texts:
+                    self.assertIn(expected_text, diagnostics[0])
 
     def test_two_changes(self):
-        """A budget may go in two steps; the second waits for requests received before the first, to the moment."""
-        floor = self.OLD.replace("(share 0.1)", "(share 0.1) (floor 1)")
-        other = '(route "s" (takes (method "idem")) (attempts 2) (attempt 1 s))'
+        """A budget can be removed in two steps; the second is rejected exactly while older requests may be open."""
+        with_floor = self.OLD_ROUTE.replace("(share 0.1)", "(share 0.1) (floor 1)")
+        other_route = '(route "s" (takes (method "idem")) (attempts 2) (attempt 1 s))'
         transition = PolicyTransition()
-        transition.activate(read_routes(self.OLD).retry_budget_users(), 0.0)
-        route_transition.check_transition(read_routes(floor), "f", transition, 1000.0)
-        transition.activate(read_routes(floor).retry_budget_users(), 1000.0)
-        for now, passes in ((1000.0, False), (4999.0, False), (5000.0, True)):
+        transition.activate(read_routes(self.OLD_ROUTE).retry_budget_users(), 0.0)
+        route_transition.check_transition(read_routes(with_floor), "f", transition, 1000.0)
+        transition.activate(read_routes(with_floor).retry_budget_users(), 1000.0)
+        for now, accepted in ((1000.0, False), (4999.0, False), (5000.0, True)):
             with self.subTest(now=now):
-                if passes:
-                    route_transition.check_transition(read_routes(other), "f", transition, now)
+                if accepted:
+                    route_transition.check_transition(read_routes(other_route), "f", transition, now)
                 else:
                     with self.assertRaises(sexpr.IncompleteInputError) as caught:
-                        route_transition.check_transition(read_routes(other), "f", transition, now)
+                        route_transition.check_transition(read_routes(other_route), "f", transition, now)
                     self.assertIn(f"pass in {5000 - now:.0f} ms", str(caught.exception))
 
 
--- a/tests/test_route_validation.py
+++ b/tests/test_route_validation.py
@@ -1,4 +1,4 @@
-"""Which routes are rejected and which are accepted, with near misses on both sides."""
+"""Tests of the validation of routes: for each rule, values just beyond it and values that just meet it."""
 
 import random
 import unittest
@@ -14,13 +14,13 @@
 
 
 class RouteValidationTest(unittest.TestCase):
-    """Rejected and accepted routes files."""
+    """Routes files that are rejected or accepted."""
 
     def test_rejected(self):
-        """(fields of a route, environment) -> words of the one diagnostic."""
-        side, tok = (f'(route "r" (takes (method "{name}")) ' for name in ("side", "tok"))
-        for text, environment, words in (
-            # past the deadline: queue + tick + n x (attempt + dial) + pauses + (n - 1) x tick + answer-way
+        """(fields of a route, environment) -> texts in the only diagnostic."""
+        side_route, tok_route = (f'(route "r" (takes (method "{name}")) ' for name in ("side", "tok"))
+        for text, environment, expected_texts in (
+            # worst case after the deadline: queue + tick + n x (attempt + dial) + pauses + (n - 1) x tick + answer-way
             ("(attempt 3831 ms)", STRICT, ("attempt 3831", "= 4001 ms", "4000 ms", "(attempt 3830 ms)")),
             ("(attempt 3830 ms) (queue 1 ms)", STRICT, ("queue 1 ", "4001 ms")),
             ("(attempt 3 s) (queue 831 ms)", STRICT, ("4001 ms", "(queue 830 ms)")),
@@ -39,24 +39,28 @@
             ("(soft-deadline 4 s)", STRICT, ("soft deadline of 4000", "before the deadline")),
             ("(deadline 750 ms)", STRICT, ("750", "before the deadline")),
             ("(soft-deadline 5 s)", STRICT, ("5000", "4000")),
-            # counts
-            ("(attempts 4)", STRICT, ("4 attempts", "3 call-outs", "(attempts 3)")),
+            # attempts and pauses
+            ("(attempts 4)", STRICT, ("4 attempts", "at most 3 attempts", "(attempts 3)")),
             ("(attempts 0)", STRICT, ("0", "1 to 100")),
             ("(attempts 1.5)", STRICT, ("whole number",)),
-            (f"(attempts 2) {RETRIES}", STRICT, ("timeout tried again", "(attempt TIME)")),
+            (f"(attempts 2) {RETRIES}", STRICT, ("retry after timeout", "(attempt TIME)")),
             ("(attempts 2) (attempt 1 s) (pause (first 50 ms) (most 40 ms))", STRICT, ("50 ms", "(first 40 ms)")),
-            # two at once
-            ("(attempts 2) (attempt 1 s) (second (after 300 ms))", STRICT, ("forbids", "300", "leave")),
+            # hedging and attempts that linger
+            ("(attempts 2) (attempt 1 s) (second (after 300 ms))", STRICT, ("forbids", "300", "remove (second ...)")),
             ("(attempts 2) (second (after-share 0.5))", STRICT, ("375", "forbids")),
-            ("(attempts 2) (second (after 1 s)) (attempt 1 s)", OPEN, ("before the attempt's", "(after 999 ms)")),
-            ("(second (after 300 ms))", OPEN, ("2 at once of 1", "(attempts 2)")),
-            ("(attempts 2) (second (after 300 ms) (at-once 3))", OPEN, ("3 at once of 2", "(attempts 3)")),
-            ("(attempts 2) (second (after 3980 ms))", OPEN, ("3980", "gives up")),
+            ("(attempts 2) (second (after 1 s)) (attempt 1 s)", OPEN, ("before the attempt timeout", "(after 999 ms)")),
+            ("(second (after 300 ms))", OPEN, ("2 concurrent attempts of 1", "(attempts 2)")),
+            ("(attempts 2) (second (after 300 ms) (at-once 3))", OPEN, ("3 concurrent attempts of 2", "(attempts 3)")),
+            ("(attempts 2) (second (after 3980 ms))", OPEN, ("3980", "answered by the deadline")),
             ("(attempts 2) (second (after 300 ms) (at-once 1))", OPEN, ("1", "2 to 10")),
             ("(attempts 2) (second (after 300 ms) (after-share 0.5))", OPEN, ("both", "either")),
             ("(attempts 2) (second)", OPEN, ("neither", "either")),
             ("(attempts 2) (second always)", OPEN, ("always", "never")),
-            (f"(attempts 2) (attempt 1 s) {RETRIES}", LOOSE, ("does not cancel", "cancel yes", "beside it")),
+            (
+                f"(attempts 2) (attempt 1 s) {RETRIES}",
+                LOOSE,
+                ("does not cancel", "cancel yes", "while attempt 1 is in flight"),
+            ),
             (
                 f"(attempts 2) (attempt 1 s (linger 200 ms)) (pause (first 199 ms)) {RETRIES}",
                 LOOSE,
@@ -67,21 +71,25 @@
                 replace(LOOSE, answer_transit=3000.0),
                 ("= 5", "deadline"),
             ),
-            # effects
-            (side + "(attempts 2) (again cut))", STRICT, ("side-effecting", "cut", "runs again")),
-            (side + "(attempts 2) (again full error))", STRICT, ("error", "(again full)")),
-            (side + "(attempts 2) (attempt 1 s) (again timeout))", STRICT, ("timeout", "side-effecting")),
-            (side + "(attempts 2) (second (after 300 ms)))", OPEN, ("second copy", "side-effecting")),
-            (tok + "(attempts 2) (attempt 851 ms) (again cut))", STRICT, ("1001 ms", "window, 1000")),
-            (tok + "(attempts 2) (attempt 850 ms) (pause (first 1 ms)) (again cut))", STRICT, ("1001",)),
-            (tok + "(attempts 3) (attempt 300 ms) (pause (first 51 ms)) (again cut))", STRICT, ("1002",)),
-            # budgets
-            ("(attempts 2) (budget (window 0 s) (floor 1))", STRICT, ("0 ms", "a window")),
+            # effects of methods
+            (side_route + "(attempts 2) (again cut))", STRICT, ("side-effecting", "cut", "runs again")),
+            (side_route + "(attempts 2) (again full error))", STRICT, ("error", "(again full)")),
+            (side_route + "(attempts 2) (attempt 1 s) (again timeout))", STRICT, ("timeout", "side-effecting")),
+            (side_route + "(attempts 2) (second (after 300 ms)))", OPEN, ("hedging of method", "side-effecting")),
+            (
+                tok_route + "(attempts 2) (attempt 851 ms) (again cut))",
+                STRICT,
+                ("1001 ms", "deduplication window, 1000"),
+            ),
+            (tok_route + "(attempts 2) (attempt 850 ms) (pause (first 1 ms)) (again cut))", STRICT, ("1001",)),
+            (tok_route + "(attempts 3) (attempt 300 ms) (pause (first 51 ms)) (again cut))", STRICT, ("1002",)),
+            # retry budgets
+            ("(attempts 2) (budget (window 0 s) (floor 1))", STRICT, ("0 ms", "a window longer")),
             ("(attempts 2) (budget (window 10 s))", STRICT, ("floor of 0 and no share", "(floor 1)")),
             ("(attempts 2) (budget (window 10 s) (floor 0.9))", STRICT, ("0.9", "(floor 1)")),
             ("(budget (window 10 s) (floor 1))", STRICT, ("one attempt in all", "(attempts 2)")),
             ("(attempts 2) (budget (floor 1))", STRICT, ("without window",)),
-            # routes
+            # patterns and names of routes
             ('(route "r" (takes (method "idme")))', STRICT, ("idme", "idem, side, tok")),
             ('(route "r" (takes (method "x*")))', STRICT, ("x*", "no RPC")),
             (
@@ -103,7 +111,7 @@
             ('(route "a" (like "b"))', STRICT, ('like "b"', "a route of this file")),
             ('(route "a" (like "a"))', STRICT, ("like itself", "circle")),
             ('(route (takes (method "idem")))', STRICT, ("without a name",)),
-            # the form
+            # syntax
             ("(attempt 500)", STRICT, ("500 without a unit", "500 ms")),
             ("(attempt 500 ms (lingr 3 ms))", STRICT, ("lingr", "(linger TIME)")),
             ("(atempt 500 ms)", STRICT, ("atempt", "did you mean attempt")),
@@ -123,12 +131,12 @@
                 message = str(raised.exception)
                 if not text.startswith("(pause 30"):
                     self.assertEqual(len(raised.exception.diagnostics), 1, message)
-                for word in words:
-                    self.assertIn(word, message)
+                for expected_text in expected_texts:
+                    self.assertIn(expected_text, message)
 
     def test_accepted(self):
-        """(fields of a route, environment): the near misses of the above, and plain ones."""
-        side, tok = (f'(route "r" (takes (method "{name}")) ' for name in ("side", "tok"))
+        """(fields of a route, environment): values that just meet a rule of `test_rejected`, and ordinary ones."""
+        side_route, tok_route = (f'(route "r" (takes (method "{name}")) ' for name in ("side", "tok"))
         for text, environment in (
             ("", STRICT),
             ("(attempt 3830 ms)", STRICT),
@@ -153,12 +161,12 @@
             (f"(attempts 2) (attempt 1 s (linger 200 ms)) (pause (first 200 ms)) {RETRIES}", LOOSE),
             (f"(attempts 2) (attempt 1 s) {RETRIES}", replace(LOOSE, allows_overlap=True)),
             ("(attempts 2) (attempt 1 s) (again full cut)", LOOSE),
-            (side + "(attempts 3) (again full miss unreached unsent))", STRICT),
-            (side + "(again cut))", STRICT),
-            (side + "(attempts 3) (again nothing))", STRICT),
-            (tok + "(attempts 2) (attempt 850 ms) (again cut))", STRICT),
-            (tok + "(attempts 3) (attempt 300 ms) (pause (first 50 ms)) (again cut))", STRICT),
-            (tok + "(attempts 2) (again cut))", STRICT),
+            (side_route + "(attempts 3) (again full miss unreached unsent))", STRICT),
+            (side_route + "(again cut))", STRICT),
+            (side_route + "(attempts 3) (again nothing))", STRICT),
+            (tok_route + "(attempts 2) (attempt 850 ms) (again cut))", STRICT),
+            (tok_route + "(attempts 3) (attempt 300 ms) (pause (first 50 ms)) (again cut))", STRICT),
+            (tok_route + "(attempts 2) (again cut))", STRICT),
             ("(attempts 2) (budget (window 10 s) (floor 1))", STRICT),
             ("(attempts 2) (budget (window 10 s) (share 0.01))", STRICT),
             ("(priority -3)", STRICT),
@@ -174,43 +182,49 @@
 
 
 class PolicyValidationTest(unittest.TestCase):
-    """The nearest policies that are accepted, and the rules they keep."""
+    """Suggested policies are valid, and valid policies keep the rules."""
 
-    def test_nearest_passes(self):
-        """The policies that a violation suggests are accepted, and their neighbours are not."""
-        chance = random.Random(5)
-        tried = 0
+    def test_suggestions_are_the_nearest_valid_policies(self):
+        """Suggested attempt timeouts and numbers of attempts are valid; an attempt timeout 1 ms longer is not."""
+        rng = random.Random(5)
+        checked = 0
         for _ in range(3000):
             policy = Policy(
                 10.0,
-                chance.uniform(300, 5000),
-                chance.uniform(50, 3000),
+                rng.uniform(300, 5000),
+                rng.uniform(50, 3000),
                 None,
-                chance.randint(1, 3),
-                BackoffPolicy(chance.uniform(0, 300), chance.choice([1, 2, 3]), 400.0, chance.uniform(0, 1)),
-                queue_timeout=chance.choice([None, 100.0]),
+                rng.randint(1, 3),
+                BackoffPolicy(rng.uniform(0, 300), rng.choice([1, 2, 3]), 400.0, rng.uniform(0, 1)),
+                queue_timeout=rng.choice([None, 100.0]),
             )
-            (violation, *_), many = (
+            (violation, *_), max_attempts = (
                 validation.validate(policy, request_class("idem"), STRICT) or [None],
                 policy.max_attempts,
             )
             if violation is None or "(attempt " not in violation.suggestion:
                 continue
-            tried += 1
-            near = float(violation.suggestion.split("(attempt ")[1].split(" ms")[0])
+            checked += 1
+            suggested_timeout = float(violation.suggestion.split("(attempt ")[1].split(" ms")[0])
             self.assertEqual(
-                validation.validate(replace(policy, attempt_timeout=near), request_class("idem"), STRICT), []
+                validation.validate(replace(policy, attempt_timeout=suggested_timeout), request_class("idem"), STRICT),
+                [],
             )
             self.assertTrue(
-                validation.validate(replace(policy, attempt_timeout=near + 1), request_class("idem"), STRICT)
+                validation.validate(
+                    replace(policy, attempt_timeout=suggested_timeout + 1), request_class("idem"), STRICT
+                )
             )
             if "(attempts " in violation.suggestion:
-                fits = int(violation.suggestion.split("(attempts ")[1].split(")")[0])
-                self.assertLess(fits, many)
+                suggested_attempts = int(violation.suggestion.split("(attempts ")[1].split(")")[0])
+                self.assertLess(suggested_attempts, max_attempts)
                 self.assertEqual(
-                    validation.validate(replace(policy, max_attempts=fits), request_class("idem"), STRICT), []
+                    validation.validate(
+                        replace(policy, max_attempts=suggested_attempts), request_class("idem"), STRICT
+                    ),
+                    [],
                 )
-        self.assertGreater(tried, 500)
+        self.assertGreater(checked, 500)
 
     @settings(max_examples=400, deadline=None)
     @given(
@@ -230,36 +244,38 @@
         st.sampled_from(["idem", "side", "tok"]),
         st.randoms(use_true_random=False),
     )
-    def test_accepted_keep_the_rules(self, fields, environment, name, chance):
-        """Accepted policies, played under worst cases, end in time, without two attempts at once or a second effect."""
+    def test_accepted_policies_keep_the_rules(self, fields, environment, name, rng):
+        """Simulated requests under accepted policies are in time, without concurrent attempts or a second effect."""
         policy, method = Policy(10.0, 4000.0, linger=None, **fields), request_class(name)
         if validation.validate(policy, method, environment):
             return
-        at, ran, first_ran = (policy.queue_timeout or 0.0) + environment.tick * chance.random(), False, 0.0
-        for nth in range(1, policy.max_attempts + 1):
-            if nth > 1:
-                at += policy.backoff.shortest_wait(nth - 1) * (
-                    1 + policy.backoff.jitter * chance.choice([0, chance.random(), 1])
+        now, has_run, first_run_at = (policy.queue_timeout or 0.0) + environment.tick * rng.random(), False, 0.0
+        for attempt in range(1, policy.max_attempts + 1):
+            if attempt > 1:
+                now += policy.backoff.shortest_wait(attempt - 1) * (
+                    1 + policy.backoff.jitter * rng.choice([0, rng.random(), 1])
                 )
-                at += environment.tick * chance.choice([0, 1])
-            self.assertFalse(ran and method.effect == "side-effecting", "a second effect")
-            if ran and method.effect == "tokened":
-                self.assertLessEqual(at - first_ran, method.dedupe_window + 1e-6)
-            how = chance.choice(RETRYABLE_OUTCOMES)
-            sent = at
-            at += (policy.attempt_timeout + environment.connect_timeout) * (1 if how == "timeout" else chance.random())
-            if how not in NEVER_RAN and not ran:
-                ran, first_ran = True, sent
+                now += environment.tick * rng.choice([0, 1])
+            self.assertFalse(has_run and method.effect == "side-effecting", "a second effect")
+            if has_run and method.effect == "tokened":
+                self.assertLessEqual(now - first_run_at, method.dedupe_window + 1e-6)
+            outcome = rng.choice(RETRYABLE_OUTCOMES)
+            sent_at = now
+            now += (policy.attempt_timeout + environment.connect_timeout) * (
+                1 if outcome == "timeout" else rng.random()
+            )
+            if outcome not in NEVER_RAN and not has_run:
+                has_run, first_run_at = True, sent_at
             if (
-                how == "timeout"
+                outcome == "timeout"
                 and not environment.timeout_cancels
                 and not environment.allows_overlap
-                and how in policy.retryable
+                and outcome in policy.retryable
             ):
-                self.assertEqual(nth, policy.max_attempts, "another beside one that is still out")
-            if how not in policy.retryable:
+                self.assertEqual(attempt, policy.max_attempts, "an attempt while an earlier one is in flight")
+            if outcome not in policy.retryable:
                 break
-        self.assertLessEqual(at + environment.answer_transit, policy.deadline + 1e-6)
+        self.assertLessEqual(now + environment.answer_transit, policy.deadline + 1e-6)
 
 
 if __name__ == "__main__":
--- a/tests/test_routes_in_force.py
+++ b/tests/test_routes_in_force.py
@@ -79,7 +79,7 @@
 
             running.route(other)
             self.assertTrue(until(lambda: unusable_lines() == 1))
-            self.assertIn('route \\"r\\" is gone', running.log_output.getvalue())
+            self.assertIn('route \\"r\\" is removed', running.log_output.getvalue())
             running.route(bare % " (floor 1)")
             self.assertTrue(
                 until(
--- a/wickdyke/config/route_config.py
+++ b/wickdyke/config/route_config.py
@@ -117,7 +117,7 @@
                 location = effective.origins.get(violation.field, route.location)
                 if (location, violation) not in reported:  # a line that many routes inherit is reported once
                     reported.add((location, violation))
-                    found = f'in route "{route.name}" {violation.found}'
+                    found = f'in route "{route.name}" {violation.actual}'
                     diagnostics.add(location, found, violation.expected, _suggested_fix(violation))
     return policies
 
@@ -126,5 +126,5 @@
     """The nearest policy that passes, and the course that shows the harm."""
     parts = [f"nearest: {violation.suggestion}"] if violation.suggestion else []
     if violation.timeline:
-        parts.append("as in: " + ", ".join(f"at {event.at:g} ms {event.description}" for event in violation.timeline))
+        parts.append("as in: " + ", ".join(f"at {event.time:g} ms {event.description}" for event in violation.timeline))
     return "; ".join(parts)
--- a/wickdyke/config/route_transition.py
+++ b/wickdyke/config/route_transition.py
@@ -23,14 +23,14 @@
             "a change that leaves them a budget",
             _suggested_fix(requests, now),
         )
-    if stranded and all(requests.until is not None for requests in stranded):
+    if stranded and all(requests.open_until is not None for requests in stranded):
         raise IncompleteInputError(diagnostics.entries)
     diagnostics.raise_if_any()
 
 
 def _suggested_fix(requests: StrandedRequests, now: float) -> str:
-    if requests.until is not None:
-        return f"this will pass in {requests.until - now:.0f} ms"
+    if requests.open_until is not None:
+        return f"this will pass in {requests.open_until - now:.0f} ms"
     budget = requests.budget
     return (
         f"nearest: first (budget (window {budget.window:g} ms) (share {budget.share:g}) (floor 1)), and this "
--- a/wickdyke/route_policy/__init__.py
+++ b/wickdyke/route_policy/__init__.py
@@ -1,1 +1,1 @@
-"""Route policies: the arithmetic of deadlines, attempts, retries and hedges. Pure: no I/O, no clock."""
+"""Route policies: matching, validation, worst-case timing and changes at run time. Does no I/O, reads no clock."""
--- a/wickdyke/route_policy/matching.py
+++ b/wickdyke/route_policy/matching.py
@@ -1,6 +1,6 @@
-"""Which route a request goes by: the most specific that matches it.
+"""Finds the most specific route that matches a request, and routes that are ambiguous.
 
-The number of table lookups depends on the length of the names, not on the number of routes.
+The number of table lookups of a search depends on the lengths of the declared prefixes, not on the number of routes.
 """
 
 from collections.abc import Collection, Iterator
@@ -13,14 +13,14 @@
 
 
 def pattern_covers(wider: str, narrower: str) -> bool:
-    """Whether `wider` matches all that `narrower` matches. A pattern is a name, or a prefix and a star."""
+    """Whether `wider` matches every name that `narrower` matches. A pattern is a name, or a prefix and a star."""
     if wider.endswith(WILDCARD):
         return narrower.startswith(wider[:-1])
     return wider == narrower
 
 
 class PatternParts(NamedTuple):
-    """The parts of a pattern in the order in which the specific one takes precedence."""
+    """The parts of a pattern by precedence: a more specific function counts before a more specific method or tenant."""
 
     function: str
     method: str
@@ -37,21 +37,23 @@
 
     @property
     def parts(self) -> PatternParts:
-        """The parts by precedence."""
+        """The parts of the pattern by precedence."""
         return PatternParts(self.function, self.method, self.tenant)
 
     def covers(self, other: "Pattern") -> bool:
-        """Whether it matches all that the other matches."""
-        return all(pattern_covers(own, others) for own, others in zip(self.parts, other.parts, strict=True))
+        """Whether this pattern matches every request that the other matches."""
+        return all(
+            pattern_covers(own_part, other_part) for own_part, other_part in zip(self.parts, other.parts, strict=True)
+        )
 
     def intersection(self, other: "Pattern") -> "Pattern | None":
-        """The pattern of what both match, or None."""
+        """The pattern of the requests that both patterns match; None if there are none."""
         parts = []
-        for own, others in zip(self.parts, other.parts, strict=True):
-            if pattern_covers(own, others):
-                parts.append(others)
-            elif pattern_covers(others, own):
-                parts.append(own)
+        for own_part, other_part in zip(self.parts, other.parts, strict=True):
+            if pattern_covers(own_part, other_part):
+                parts.append(other_part)
+            elif pattern_covers(other_part, own_part):
+                parts.append(own_part)
             else:
                 return None
         function, method, tenant = parts
@@ -60,7 +62,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Ambiguity:
-    """Two patterns, by their index, neither of which is the more specific, and what both match."""
+    """The indices of two patterns neither of which is more specific, and the pattern of what both match."""
 
     first: int
     second: int
@@ -68,24 +70,27 @@
 
 
 def find_ambiguities(patterns: list[Pattern]) -> list[Ambiguity]:
-    """Pairs of patterns that match the same requests though neither is the more specific, in order of their index.
+    """Returns the pairs of patterns that overlap though neither is more specific, in the order of their indices.
 
-    A pair is left out if a third pattern is exactly what both match.
+    Omits a pair if a third pattern is exactly its overlap, since that one takes precedence there.
     """
-    declared = set(patterns)
+    declared_patterns = set(patterns)
     ambiguities = []
     for first, second in _pairs_by_function(patterns):
-        pattern, rival = patterns[first], patterns[second]
-        if pattern != rival and (rival.covers(pattern) or pattern.covers(rival)):
+        pattern, other = patterns[first], patterns[second]
+        if pattern != other and (other.covers(pattern) or pattern.covers(other)):
             continue
-        overlap = pattern.intersection(rival)
-        if overlap is not None and (rival == pattern or overlap not in declared):
+        overlap = pattern.intersection(other)
+        if overlap is not None and (other == pattern or overlap not in declared_patterns):
             ambiguities.append(Ambiguity(min(first, second), max(first, second), overlap))
     return sorted(ambiguities, key=lambda ambiguity: (ambiguity.first, ambiguity.second))
 
 
 def _pairs_by_function(patterns: list[Pattern]) -> Iterator[tuple[int, int]]:
-    """Each pair of which one function pattern covers the other, once; thousands of functions are not all compared."""
+    """Yields each pair of indices once whose function patterns cover one another.
+
+    Groups patterns by function, since comparing every pair is too slow with thousands of functions.
+    """
     by_function: dict[str, list[int]] = {}
     for index, pattern in enumerate(patterns):
         by_function.setdefault(pattern.function, []).append(index)
@@ -97,56 +102,56 @@
                 yield index, other
 
 
-def covering_patterns(pattern: str, declared: Collection[str]) -> list[str]:
-    """The declared patterns that cover this one, the longest first, itself included."""
-    stem = pattern.removesuffix(WILDCARD)
-    covering = [pattern] if pattern in declared else []
-    for end in range(len(stem), -1, -1):
-        wider = stem[:end] + WILDCARD
-        if wider in declared and wider != pattern:
+def covering_patterns(pattern: str, declared_patterns: Collection[str]) -> list[str]:
+    """Returns the declared patterns that cover this one, itself included if declared, the longest first."""
+    prefix = pattern.removesuffix(WILDCARD)
+    covering = [pattern] if pattern in declared_patterns else []
+    for end in range(len(prefix), -1, -1):
+        wider = prefix[:end] + WILDCARD
+        if wider in declared_patterns and wider != pattern:
             covering.append(wider)
     return covering
 
 
-class _PartIndex:
-    """The declared patterns of one part (function, method or tenant)."""
+class _PatternIndex:
+    """Index of the declared patterns of one part (function, method or tenant)."""
 
-    def __init__(self, declared: set[str]) -> None:
-        self.declared = declared
-        wildcards = (pattern for pattern in declared if pattern.endswith(WILDCARD))
+    def __init__(self, patterns: set[str]) -> None:
+        self.patterns = patterns
+        wildcards = (pattern for pattern in patterns if pattern.endswith(WILDCARD))
         self.prefix_lengths = sorted({len(pattern) - 1 for pattern in wildcards}, reverse=True)
 
     @property
     def lookups(self) -> int:
-        """How many lookups one search takes."""
+        """The number of lookups that one search takes."""
         return 1 + len(self.prefix_lengths)
 
-    def matching(self, name: str) -> list[str]:
-        """The declared patterns that match a name, the most specific first."""
-        matches = [name] if name in self.declared else []
+    def matching_patterns(self, name: str) -> list[str]:
+        """Returns the declared patterns that match a name, the most specific first."""
+        matches = [name] if name in self.patterns else []
         for length in self.prefix_lengths:
             pattern = name[:length] + WILDCARD
-            if length <= len(name) and pattern in self.declared:
+            if length <= len(name) and pattern in self.patterns:
                 matches.append(pattern)
         return matches
 
 
 class RouteTable(Generic[RouteT]):
-    """Routes by their patterns. `lookups` counts the table lookups of the last search."""
+    """Finds routes by their patterns. `lookups` is the number of table lookups of the last search."""
 
     def __init__(self, routes: list[tuple[Pattern, RouteT]]) -> None:
         self.routes = {pattern.parts: route for pattern, route in routes}
-        self.functions = _PartIndex({parts.function for parts in self.routes})
-        self.methods = _PartIndex({parts.method for parts in self.routes})
-        self.tenants = _PartIndex({parts.tenant for parts in self.routes})
+        self.function_index = _PatternIndex({parts.function for parts in self.routes})
+        self.method_index = _PatternIndex({parts.method for parts in self.routes})
+        self.tenant_index = _PatternIndex({parts.tenant for parts in self.routes})
         self.lookups = 0
 
     def find(self, method: str, function: str, tenant: str = "") -> RouteT | None:
-        """The most specific route that matches a request, or None. The first if several are equally specific."""
-        methods = self.methods.matching(method)
-        tenants = self.tenants.matching(tenant)
-        functions = self.functions.matching(function)
-        self.lookups = self.methods.lookups + self.tenants.lookups + self.functions.lookups
+        """Returns the most specific route that matches a request, by function, then method, then tenant; or None."""
+        methods = self.method_index.matching_patterns(method)
+        tenants = self.tenant_index.matching_patterns(tenant)
+        functions = self.function_index.matching_patterns(function)
+        self.lookups = self.method_index.lookups + self.tenant_index.lookups + self.function_index.lookups
         for function_pattern in functions:
             for method_pattern in methods:
                 for tenant_pattern in tenants:
--- a/wickdyke/route_policy/policy.py
+++ b/wickdyke/route_policy/policy.py
@@ -1,10 +1,10 @@
-"""What a route states of the timing of its requests, and the longest time that such a request can take."""
+"""The policy of a route for its requests, and the worst-case duration of a request under it."""
 
 from dataclasses import dataclass, replace
 
 from wickdyke.routing.model import Outcome
 
-# Outcomes of an attempt after which its request may be retried, in the order in which messages list them.
+# Outcomes of an attempt that a policy may retry, in the order in which error messages list them.
 RETRYABLE_OUTCOMES = (
     Outcome.FULL,
     Outcome.MISS,
@@ -20,10 +20,10 @@
 
 @dataclass(slots=True, frozen=True)
 class BackoffPolicy:
-    """The wait before a retry, in ms.
+    """Exponential backoff before a retry, in ms.
 
-    The first retry waits `initial`, each further one `growth` times as long, up to `maximum`. A random part of up to
-    `jitter` times that wait is added.
+    The first retry waits `initial`, each further one `growth` times as long as the one before, up to `maximum`. A
+    random time of up to `jitter` times that wait is added.
     """
 
     initial: float = 0.0
@@ -32,19 +32,19 @@
     jitter: float = 0.0
 
     def shortest_wait(self, retry: int) -> float:
-        """The shortest wait (ms) before a retry; the first retry is number 1."""
+        """Returns the shortest wait (ms) before a retry; the first retry is number 1."""
         return min(self.maximum, self.initial * self.growth ** (retry - 1))
 
     def longest_wait(self, retry: int) -> float:
-        """The longest wait (ms) before a retry; the first retry is number 1."""
+        """Returns the longest wait (ms) before a retry; the first retry is number 1."""
         return self.shortest_wait(retry) * (1 + self.jitter)
 
 
 @dataclass(slots=True, frozen=True)
 class HedgePolicy:
-    """Hedging: another attempt is sent beside one that has had no answer `after` ms.
+    """Hedging: sends a further attempt where one has had no answer for `after` ms.
 
-    At most `max_concurrent` attempts of a request are out at once; `request_share` of the requests may be hedged.
+    At most `max_concurrent` attempts of a request are in flight at once; `request_share` of the requests may be hedged.
     """
 
     after: float
@@ -54,7 +54,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RetryBudgetPolicy:
-    """Within `window` ms a route may send `floor` retries, and `share` for each of its requests."""
+    """The retries that a route may send within `window` ms: `floor`, plus `share` for each request it receives."""
 
     window: float
     share: float
@@ -63,11 +63,11 @@
 
 @dataclass(slots=True, frozen=True)
 class Policy:
-    """All that holds for a request of a route. Times are ms.
+    """The policy of a route for its requests. Times are ms.
 
-    Without `attempt_timeout` an attempt may last as long as the request. `linger` is how long a worker may go on after
-    a timeout that does not cancel, None if that is unknown. Without `queue_timeout` a request waits for its first
-    attempt until it would be late.
+    Without `attempt_timeout` an attempt may last as long as the request. `linger` is how long a worker may go on with
+    an attempt that timed out without being cancelled, None if unknown. Without `queue_timeout` a request waits for its
+    first attempt until it can no longer meet its deadline.
     """
 
     latency_objective: float
@@ -85,11 +85,12 @@
 
 @dataclass(slots=True, frozen=True)
 class Environment:
-    """The figures of the deployment that policies are checked against. Times are ms.
+    """The properties of the deployment that policies are validated against. Times are ms.
 
-    `allows_overlap`: two attempts of a request may be out at once. `timeout_cancels`: an attempt that times out is
-    cancelled; a worker that does not read has its connection closed after `connect_timeout`. `answer_transit` is the
-    time an answer takes to the client, `tick` the interval at which waiting requests are looked at.
+    `allows_overlap`: two attempts of a request may be in flight at once. `timeout_cancels`: an attempt that times out
+    is cancelled; if the worker does not read the cancellation, its connection is closed after `connect_timeout`.
+    `answer_transit` is the time that an answer takes to the client, `tick` the interval at which waiting requests are
+    checked, `max_attempts` the largest number of attempts that a policy may allow.
     """
 
     allows_overlap: bool
@@ -102,7 +103,7 @@
 
 @dataclass(slots=True, frozen=True)
 class TimeComponent:
-    """One addend of a worst-case time: `count` times `duration` ms, named as in the routes file."""
+    """A component of a worst-case duration: `count` times `duration` ms, named as in the routes file."""
 
     name: str
     duration: float
@@ -110,16 +111,17 @@
 
     @property
     def total(self) -> float:
-        """What it adds to the sum, in ms."""
+        """The total duration of the component, in ms."""
         return self.duration * self.count
 
 
 def worst_case_components(policy: Policy, environment: Environment, attempts: int | None = None) -> list[TimeComponent]:
-    """The longest time from the arrival of a request to its answer at the client, as a list of addends.
+    """Returns the components of the longest time from the arrival of a request until its answer reaches the client.
 
-    The request waits its whole queue timeout and is looked at a tick later. Each attempt takes its whole timeout, and
-    the connect timeout more where it can't be cancelled and its connection is closed instead. Each retry waits its
-    backoff with all its jitter, and is looked at a tick after that. `attempts` replaces those of the policy.
+    The request waits for its whole queue timeout and is checked one tick later. Each attempt takes its whole timeout,
+    plus the connect timeout after which its connection is closed if it can't be cancelled. Each retry waits for its
+    backoff with the largest jitter, and is checked one tick later. `attempts` replaces the number of attempts of the
+    policy.
     """
     count = policy.max_attempts if attempts is None else attempts
     components = [
@@ -138,24 +140,24 @@
 
 
 def total_time(components: list[TimeComponent]) -> float:
-    """The sum of the addends, in ms."""
+    """Returns the sum of the components, in ms."""
     return sum(component.total for component in components)
 
 
 def format_sum(components: list[TimeComponent]) -> str:
-    """The sum and its addends as text; addends of 0 are left out."""
-    addends = [
+    """Formats the components and their sum; components of 0 ms are left out."""
+    terms = [
         f"{component.name} {component.count} x {component.duration:g}"
         if component.count > 1
         else f"{component.name} {component.duration:g}"
         for component in components
         if component.total
     ]
-    return " + ".join(addends) + f" = {total_time(components):g} ms"
+    return " + ".join(terms) + f" = {total_time(components):g} ms"
 
 
 def max_attempts_within_deadline(policy: Policy, environment: Environment) -> int:
-    """The largest number of attempts whose worst case ends by the deadline; 0 if not even one does."""
+    """Returns the largest number of attempts whose worst case meets the deadline; 0 if not even one attempt does."""
     for attempts in range(policy.max_attempts, 0, -1):
         if total_time(worst_case_components(policy, environment, attempts)) <= policy.deadline:
             return attempts
@@ -163,6 +165,6 @@
 
 
 def max_attempt_timeout_within_deadline(policy: Policy, environment: Environment) -> float:
-    """The longest attempt timeout (ms) with which all attempts end by the deadline; below 0 if there is none."""
-    other = total_time(worst_case_components(replace(policy, attempt_timeout=0.0), environment))
-    return (policy.deadline - other) / policy.max_attempts
+    """Returns the longest attempt timeout (ms) whose worst case meets the deadline; below 0 if there is none."""
+    overhead = total_time(worst_case_components(replace(policy, attempt_timeout=0.0), environment))
+    return (policy.deadline - overhead) / policy.max_attempts
--- a/wickdyke/route_policy/validation.py
+++ b/wickdyke/route_policy/validation.py
@@ -1,6 +1,4 @@
-"""Whether a route's policy can break a rule: each violation with the sum that shows it and the nearest policy that
-passes.
-"""
+"""Validates the policy of a route. Each violation shows the values behind it and the nearest policy that is valid."""
 
 import math
 from collections.abc import Iterator
@@ -22,9 +20,9 @@
 
 @dataclass(slots=True, frozen=True)
 class TimelineEvent:
-    """What happens to a request `at` ms after it was received."""
+    """An event of a request, `time` ms after the request was received."""
 
-    at: float
+    time: float
     description: str
 
 
@@ -33,41 +31,43 @@
 
 @dataclass(slots=True, frozen=True)
 class Violation:
-    """Why a policy is rejected: the field at fault as the routes file calls it, what was found, what was expected.
+    """Why a policy is invalid: the field as the routes file names it, its actual value and the expected one.
 
-    `suggestion` is the nearest that passes, `timeline` a course of events that shows the harm; either may be empty.
+    `suggestion` is the nearest valid value, `timeline` a sequence of events that breaks the rule; both may be empty.
     """
 
     field: str
-    found: str
+    actual: str
     expected: str
     suggestion: str = ""
     timeline: Timeline = ()
 
 
 def worst_case_timeline(policy: Policy, environment: Environment) -> Timeline:
-    """The longest course that a request can take under this policy."""
-    events = [TimelineEvent(0.0, "taken")]
-    at = (0.0 if policy.queue_timeout is None else policy.queue_timeout) + environment.tick
+    """Returns the timeline of the longest request that this policy allows."""
+    timeline = [TimelineEvent(0.0, "the request is received")]
+    time = (0.0 if policy.queue_timeout is None else policy.queue_timeout) + environment.tick
     for attempt in range(1, policy.max_attempts + 1):
         if attempt > 1:
-            at += policy.backoff.longest_wait(attempt - 1) + environment.tick
-        events.append(TimelineEvent(at, f"attempt {attempt} is sent"))
+            time += policy.backoff.longest_wait(attempt - 1) + environment.tick
+        timeline.append(TimelineEvent(time, f"attempt {attempt} is sent"))
         if policy.attempt_timeout is not None:
-            at += policy.attempt_timeout + environment.connect_timeout
-            ended = f"attempt {attempt} is over: its time is up, and its link cut for want of a cancel"
-            events.append(TimelineEvent(at, ended))
-    events.append(TimelineEvent(at + environment.answer_transit, "the answer is there"))
-    return tuple(events)
+            time += policy.attempt_timeout + environment.connect_timeout
+            description = (
+                f"attempt {attempt} has timed out and its connection is closed because it could not be cancelled"
+            )
+            timeline.append(TimelineEvent(time, description))
+    timeline.append(TimelineEvent(time + environment.answer_transit, "the answer reaches the client"))
+    return tuple(timeline)
 
 
 def validate(policy: Policy, request_class: RequestClass, environment: Environment) -> list[Violation]:
-    """All violations of a route's policy for one class of requests, each once."""
+    """Returns the violations of a route's policy for one request class, each once."""
     return [
         *_deadline_violations(policy, environment),
-        *_count_violations(policy, environment),
+        *_retry_violations(policy, environment),
         *_hedge_violations(policy, environment),
-        *_lingering_attempt_violations(policy, environment),
+        *_uncancelled_attempt_violations(policy, environment),
         *_effect_violations(policy, request_class, environment),
         *_retry_budget_violations(policy),
     ]
@@ -93,7 +93,7 @@
 
 
 def _suggest_within_deadline(policy: Policy, environment: Environment) -> str:
-    """Fewer attempts, a shorter attempt or a shorter queue that meet the deadline; a longer deadline if none does."""
+    """Suggests fewer attempts or a shorter attempt or queue timeout that meet the deadline; else a longer deadline."""
     worst_case = total_time(worst_case_components(policy, environment))
     suggestions = []
     attempts = max_attempts_within_deadline(policy, environment)
@@ -108,26 +108,26 @@
     return " or ".join(suggestions) or f"(deadline {math.ceil(worst_case)} ms)"
 
 
-def _count_violations(policy: Policy, environment: Environment) -> Iterator[Violation]:
+def _retry_violations(policy: Policy, environment: Environment) -> Iterator[Violation]:
     if policy.max_attempts > environment.max_attempts:
         yield Violation(
             "attempts",
             f"{policy.max_attempts} attempts",
-            f"at most the {environment.max_attempts} call-outs of (call-outs (most ...))",
+            f"at most {environment.max_attempts} attempts, as set by (call-outs (most ...))",
             f"(attempts {environment.max_attempts})",
         )
     if policy.backoff.maximum < policy.backoff.initial:
         yield Violation(
             "pause",
-            f"a first pause of {policy.backoff.initial:g} ms over the most of {policy.backoff.maximum:g} ms",
-            "the first at most the most",
+            f"a first pause of {policy.backoff.initial:g} ms, longer than the longest of {policy.backoff.maximum:g} ms",
+            "(first ...) not longer than (most ...)",
             f"(first {policy.backoff.maximum:g} ms)",
         )
     if Outcome.TIMEOUT in policy.retryable and policy.attempt_timeout is None and policy.max_attempts > 1:
         yield Violation(
             "again",
-            "timeout tried again, and no time for one attempt",
-            "(attempt TIME): without it the time-out is the RPC's own end",
+            "a retry after timeout without an attempt timeout",
+            "(attempt TIME): without it an attempt times out only at the deadline of its request",
         )
 
 
@@ -139,59 +139,61 @@
         yield Violation(
             "second",
             _describe_hedge(hedge),
-            "none: this deployment forbids two call-outs at once",
-            "leave (second ...) out",
+            "no hedging: this deployment forbids concurrent attempts of a request",
+            "remove (second ...)",
             (
-                TimelineEvent(0.0, "taken, sent"),
-                TimelineEvent(hedge.after, "a second copy is sent beside the first"),
+                TimelineEvent(0.0, "attempt 1 is sent"),
+                TimelineEvent(hedge.after, "attempt 2 is sent while attempt 1 is in flight"),
             ),
         )
     elif policy.max_attempts < hedge.max_concurrent:
         yield Violation(
             "second",
-            f"{hedge.max_concurrent} at once of {policy.max_attempts} attempts in all",
-            "an attempt for each copy",
+            f"{hedge.max_concurrent} concurrent attempts of {policy.max_attempts} in all",
+            "at least as many attempts as may be concurrent",
             f"(attempts {hedge.max_concurrent})",
         )
     elif policy.attempt_timeout is not None and hedge.after >= policy.attempt_timeout:
         yield Violation(
             "second",
             _describe_hedge(hedge),
-            f"one before the attempt's time is up, {policy.attempt_timeout:g} ms",
+            f"one before the attempt timeout, {policy.attempt_timeout:g} ms",
             f"(after {policy.attempt_timeout - 1:g} ms)",
         )
     elif hedge.after >= policy.deadline - environment.answer_transit:
-        yield Violation("second", _describe_hedge(hedge), f"one before the client gives up, {policy.deadline:g} ms")
+        yield Violation(
+            "second", _describe_hedge(hedge), f"one that can be answered by the deadline, {policy.deadline:g} ms"
+        )
 
 
 def _describe_hedge(hedge: HedgePolicy) -> str:
-    return f"a second copy after {hedge.after:g} ms"
+    return f"a hedged attempt after {hedge.after:g} ms"
 
 
-def _lingering_attempt_violations(policy: Policy, environment: Environment) -> Iterator[Violation]:
-    """A retry that can be sent while the worker is still at an attempt that timed out and was not cancelled."""
+def _uncancelled_attempt_violations(policy: Policy, environment: Environment) -> Iterator[Violation]:
+    """Yields a violation if a retry can be sent while a worker still runs an attempt that timed out uncancelled."""
     if environment.allows_overlap or environment.timeout_cancels:
         return
     if policy.attempt_timeout is None or policy.max_attempts < 2 or Outcome.TIMEOUT not in policy.retryable:
         return
     shortest_wait = min(policy.backoff.shortest_wait(retry) for retry in range(1, policy.max_attempts))
     if policy.linger is None:
-        lingers = "for as long as its worker likes"
-        suggestion = "(linger TIME) of the attempt and a pause as long, or (cancel yes)"
+        duration = "for an unknown time"
+        suggestion = "(linger TIME) in (attempt ...) and a pause at least as long, or (cancel yes)"
     elif shortest_wait < policy.linger:
-        lingers = f"for {policy.linger:g} ms more"
+        duration = f"for {policy.linger:g} ms more"
         suggestion = f"(pause (first {policy.linger:g} ms))"
     else:
         return
     yield Violation(
         "pause",
-        f"a pause of {shortest_wait:g} ms after a time-out that does not cancel, its call-out out {lingers}",
-        "no two call-outs at once",
+        f"a pause of {shortest_wait:g} ms after a timeout that does not cancel the attempt, which may run {duration}",
+        "no concurrent attempts of a request",
         suggestion,
         (
             TimelineEvent(0.0, "attempt 1 is sent"),
-            TimelineEvent(policy.attempt_timeout, "its time is up; it is still out"),
-            TimelineEvent(policy.attempt_timeout + shortest_wait, "attempt 2 is sent beside it"),
+            TimelineEvent(policy.attempt_timeout, "attempt 1 has timed out and is still in flight"),
+            TimelineEvent(policy.attempt_timeout + shortest_wait, "attempt 2 is sent while attempt 1 is in flight"),
         ),
     )
 
@@ -207,20 +209,20 @@
     if policy.hedge is not None:
         yield Violation(
             "second",
-            f'a second copy of "{request_class.name}"',
-            "none: it is side-effecting",
-            "leave (second ...) out",
+            f'hedging of method "{request_class.name}"',
+            "no hedging: the method is side-effecting",
+            "remove (second ...)",
         )
     may_have_run = sorted(policy.retryable - NEVER_RAN)
     if may_have_run and policy.max_attempts > 1:
         yield Violation(
             "again",
-            f'"{request_class.name}" tried again after {", ".join(may_have_run)}',
-            "only what never ran: it is side-effecting",
+            f'a retry of method "{request_class.name}" after {", ".join(may_have_run)}',
+            "retries only after outcomes with which the function never ran: the method is side-effecting",
             f"(again {' '.join(sorted(policy.retryable & NEVER_RAN)) or 'full'})",
             (
                 TimelineEvent(0.0, "attempt 1 is sent and runs"),
-                TimelineEvent(1.0, f"it ends as {may_have_run[0]}"),
+                TimelineEvent(1.0, f"attempt 1 ends with outcome {may_have_run[0]}"),
                 TimelineEvent(2.0 + policy.backoff.shortest_wait(1), "attempt 2 is sent and runs again"),
             ),
         )
@@ -229,20 +231,20 @@
 def _deduplication_violations(
     policy: Policy, request_class: RequestClass, environment: Environment
 ) -> Iterator[Violation]:
-    """A retry that can be sent after the window in which workers know the idempotency key."""
+    """Yields a violation if a retry can be sent after the window in which workers remember the idempotency key."""
     retries_what_may_have_run = policy.max_attempts > 1 and bool(policy.retryable - NEVER_RAN)
     if not retries_what_may_have_run or policy.attempt_timeout is None:
-        return  # without an attempt timeout the router itself sends no retry past the window
-    attempts_and_waits = worst_case_components(policy, environment)[2:-1]  # without queue, first tick and answer-way
+        return  # without an attempt timeout the router sends no retry after the window
+    attempts_and_waits = worst_case_components(policy, environment)[2:-1]  # without queue, first tick and transit
     last_sent = total_time(attempts_and_waits) - policy.attempt_timeout - environment.connect_timeout
     if last_sent > request_class.dedupe_window:
         yield Violation(
             "attempts",
-            f'"{request_class.name}" sent again up to {last_sent:g} ms after its first attempt',
-            f"at most its window, {request_class.dedupe_window:g} ms",
+            f'a retry of method "{request_class.name}" up to {last_sent:g} ms after its first attempt',
+            f"at most its deduplication window, {request_class.dedupe_window:g} ms",
             timeline=(
                 TimelineEvent(0.0, "attempt 1 is sent and runs"),
-                TimelineEvent(last_sent, f"attempt {policy.max_attempts} is sent past the window"),
+                TimelineEvent(last_sent, f"attempt {policy.max_attempts} is sent after the window has ended"),
             ),
         )
 
@@ -252,18 +254,18 @@
     if budget is None:
         return
     if not budget.window:
-        yield Violation("budget", "a budget over a window of 0 ms", "a window", "(window 10 s)")
+        yield Violation("budget", "a retry budget with a window of 0 ms", "a window longer than 0 ms", "(window 10 s)")
     elif budget.floor < 1 and not budget.share:
         yield Violation(
             "budget",
-            f"a floor of {budget.floor:g} and no share",
-            "a budget that can pay one further attempt",
+            f"a retry budget with a floor of {budget.floor:g} and no share",
+            "a retry budget that allows a further attempt",
             "(floor 1)",
         )
     elif policy.max_attempts == 1 and policy.hedge is None:
         yield Violation(
             "budget",
-            "a budget and one attempt in all",
-            "further attempts that it could pay",
-            "(attempts 2), or leave (budget ...) out",
+            "a retry budget with one attempt in all",
+            "further attempts that it can allow",
+            "(attempts 2), or remove (budget ...)",
         )
