--- a/wickdyke/circuit_breaker/__init__.py
+++ b/wickdyke/circuit_breaker/__init__.py
@@ -1,1 +1,1 @@
-"""State machines of circuit breakers for functions that do not load and requests that end replicas; without I/O."""
+"""Circuit breakers for functions that fail to load and requests that end their replicas. Does no I/O."""
--- a/wickdyke/gateway/circuit_breaker.py
+++ b/wickdyke/gateway/circuit_breaker.py
@@ -57,12 +57,12 @@
 
     def loaded(self, function: str) -> None:
         """The function is loaded somewhere."""
-        if self.functions.loaded(function):
+        if self.functions.record_load(function):
             self.log.info("function breaker closed", function=function)
 
     def load_failed(self, function: str, worker: str, now: float) -> None:
         """A load of the function failed at that worker."""
-        pause = self.functions.failed(function, worker, now)
+        pause = self.functions.record_failure(function, worker, now)
         if pause is not None:
             self.log.warning(
                 "function breaker opened",
@@ -73,14 +73,14 @@
 
     def succeeded(self, function: str, request_input: bytes) -> None:
         """A request for the function ended without harm."""
-        if function in self.requests.open_by_function and self.requests.succeeded(
+        if function in self.requests.open_by_function and self.requests.record_success(
             function, input_digest(request_input)
         ):
             self.log.info("request breaker closed", function=function)
 
     def replica_ended(self, function: str, request_digest: bytes, requests_in_replica: int, now: float) -> None:
         """The replica that a request was in ended, with so many requests in it."""
-        pause = self.requests.replica_ended(function, request_digest, requests_in_replica, now)
+        pause = self.requests.record_replica_end(function, request_digest, requests_in_replica, now)
         if pause is not None:
             self.log.warning(
                 "request breaker opened",
--- a/wickdyke/gateway/isolation.py
+++ b/wickdyke/gateway/isolation.py
@@ -132,4 +132,4 @@
             return None
         if not self.breaker.is_open(function, digest):
             return None
-        return Rejection(RejectionReason.POISON, self.breaker.requests.backoff.first)
+        return Rejection(RejectionReason.POISON, self.breaker.requests.backoff.first_pause)
