--- a/wickdyke/simulator/__init__.py
+++ b/wickdyke/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""The simulator adapter: hosts routers on the simulator's wire. It translates and decides nothing."""
+"""The simulator adapter: runs routers over the simulator's protocol. It translates messages and decides nothing."""
--- a/wickdyke/simulator/codec.py
+++ b/wickdyke/simulator/codec.py
@@ -1,4 +1,4 @@
-"""Codec of the simulator's wire: messages are read into the router's types, decisions are written as lines."""
+"""Codec of the simulator's protocol: decodes messages into the router's types and encodes decisions as lines."""
 
 from collections.abc import Callable, Iterable, Iterator
 from dataclasses import dataclass
@@ -19,23 +19,23 @@
 from wickdyke.routing.decisions import Decision
 from wickdyke.routing.model import Endpoint, EndpointState, LoadNote, Outcome
 
-MAX_TEXT_SHOWN = 40  # characters of a value that an error message repeats
+MAX_TEXT_SHOWN = 40  # characters of a value that an error message quotes
 MICROS_PER_MS = 1000
-WORK_IS_KNOWN = 1  # bit of a NEW_REQUEST
-IS_REPEAT = 2  # bit of a NEW_REQUEST
-Fields = tuple[tuple[str, Callable[[str], Any]], ...]  # (label, reader) for each value of a message
+WORK_KNOWN_BIT = 1  # in the bits of a NEW_REQUEST
+REPEAT_BIT = 2  # in the bits of a NEW_REQUEST
+Fields = tuple[tuple[str, Callable[[str], Any]], ...]  # (label, decoder) for each value of a message
 
 
-def raw(text: str) -> bytes:
-    """Reads hex digits."""
+def hex_bytes(text: str) -> bytes:
+    """Decodes hex digits; raises ValueError with the expected format."""
     try:
         return bytes.fromhex(text)
     except ValueError:
         raise ValueError("hex digits") from None
 
 
-def report(text: str) -> tuple[float, ...]:
-    """Reads a load report."""
+def load_report(text: str) -> tuple[float, ...]:
+    """Decodes the values of a load report; raises ValueError with the expected format."""
     return tuple(number(part) for part in text.split(","))
 
 
@@ -51,10 +51,10 @@
     "none_here": Outcome.MISS,
 }
 LOAD_NOTES = {1: LoadNote.STOOD, 2: LoadNote.BEGAN, 3: LoadNote.AWAITED, 4: LoadNote.FAILED}
-NOTE_CODES = 8  # a note is the concurrency times this, plus the code of what the load did
-STATES = {"3": EndpointState.READY, "0": EndpointState.DRAINING, "2": EndpointState.GONE}
-outcome = one_of(OUTCOMES)
-EVENTS: dict[str, Fields] = {
+NOTE_CODE_RANGE = 8  # a note is the number of concurrent requests times this, plus the code of a load note
+ENDPOINT_STATES = {"3": EndpointState.READY, "0": EndpointState.DRAINING, "2": EndpointState.GONE}
+decode_outcome = one_of(OUTCOMES)
+EVENT_FIELDS: dict[str, Fields] = {
     "HALT": (("instance", count),),
     "FLEET": (
         ("instance", count),
@@ -87,58 +87,58 @@
         ("id", count),
         ("round-no", count),
         ("worker", word),
-        ("reason", outcome),
+        ("reason", decode_outcome),
         ("latency", span),
         ("complete", flag),
         ("note", optional(count)),
-        ("health-info", optional(report)),
+        ("health-info", optional(load_report)),
     ),
     "ABORTED": (("instance", count), ("id", count)),
     "WAKEUP": (("instance", count), ("cookie", count)),
     "PING_RESULT": (
         ("instance", count),
         ("worker", word),
-        ("reason", outcome),
+        ("reason", decode_outcome),
         ("latency", span),
-        ("health-info", optional(report)),
+        ("health-info", optional(load_report)),
     ),
-    "MEMO": (("instance", count), ("src", count), ("raw", optional(raw))),
+    "MEMO": (("instance", count), ("src", count), ("raw", optional(hex_bytes))),
     "BROUGHT_UP": (
         ("instance", count),
-        ("reason", outcome),
+        ("reason", decode_outcome),
         ("worker", word),
         ("instances", count),
         ("latency", span),
         ("routine", word),
     ),
 }
-ROW = (
+ROW_FIELDS = (
     ("worker", word),
     ("rack-zone", count),
     ("sku", count),
     ("cluster", optional(integer)),
-    ("lifecycle", one_of(STATES)),
+    ("lifecycle", one_of(ENDPOINT_STATES)),
     ("capacity-hint", optional(number)),
     ("born", optional(integer)),
 )
 
 
-def read_values(name: str, values: list[str], fields: Fields) -> list[Any]:
-    """Reads the values of one message."""
+def decode_values(name: str, values: list[str], fields: Fields) -> list[Any]:
+    """Decodes the values of one message; raises InvalidInputError if their number or one of them is invalid."""
     if len(values) != len(fields):
         raise InvalidInputError(f"{name}: expected {len(fields)} values, got {len(values)}")
-    read = []
-    for (label, reader), text in zip(fields, values, strict=True):
+    decoded = []
+    for (label, decode), text in zip(fields, values, strict=True):
         try:
-            read.append(reader(text))
+            decoded.append(decode(text))
         except ValueError as error:
             raise InvalidInputError(f"{name}: {label} is {text[:MAX_TEXT_SHOWN]!r}, expected {error}") from None
-    return read
+    return decoded
 
 
-def read_endpoint(values: list[str]) -> Endpoint:
-    """Reads one entry of the endpoint list."""
-    ident, zone, kind, cell, state, size, started_at = read_values("ROW", values, ROW)
+def decode_endpoint(values: list[str]) -> Endpoint:
+    """Decodes one row of the endpoint list."""
+    ident, zone, kind, cell, state, size, started_at = decode_values("ROW", values, ROW_FIELDS)
     return Endpoint(
         ident,
         zone,
@@ -150,78 +150,81 @@
     )
 
 
-def read_note(value: int | None) -> tuple[LoadNote | None, int]:
-    """The load note of a note's code, and the requests of the function in flight at the worker."""
-    concurrent, code = divmod(value or 0, NOTE_CODES)
+def decode_note(value: int | None) -> tuple[LoadNote | None, int]:
+    """Decodes a note: returns its load note, if any, and the requests of the function in flight at the worker."""
+    concurrent, code = divmod(value or 0, NOTE_CODE_RANGE)
     return LOAD_NOTES.get(code), concurrent
 
 
-def micros(ms: float | None) -> str:
-    """A span (ms) in the wire's unit; "-" for None."""
+def format_micros(ms: float | None) -> str:
+    """Formats a duration in ms as whole microseconds, the unit of the protocol; "-" for None."""
     return "-" if ms is None else str(round(ms * MICROS_PER_MS))
 
 
 @dataclass(slots=True, frozen=True)
-class Wake:
-    """The instance is to be advanced after `delay` ms; the simulator returns the cookie then."""
+class SetTimer:
+    """Sets the timer of an instance: the simulator sends a WAKEUP with the cookie after `delay` ms."""
 
     delay: float
     cookie: int
 
 
 @dataclass(slots=True, frozen=True)
-class Fault:
-    """The instance has failed."""
+class InstanceFailure:
+    """Reports that an instance has failed."""
 
     reason: str
 
 
-Reply = Decision | Wake | Fault
+Reply = Decision | SetTimer | InstanceFailure
 
 
 def _one_line(text: str) -> str:
     return text.replace("\t", " ").replace("\n", " ")
 
 
-def _forward(decision: decisions.Forward) -> tuple[str, ...]:
-    return "ROUTE", str(decision.request.ident), decision.worker.endpoint.ident, micros(decision.timeout)
+def _encode_forward(decision: decisions.Forward) -> tuple[str, ...]:
+    return "ROUTE", str(decision.request.ident), decision.worker.endpoint.ident, format_micros(decision.timeout)
 
 
-def _cancel(decision: decisions.Cancel) -> tuple[str, ...]:
+def _encode_cancel(decision: decisions.Cancel) -> tuple[str, ...]:
     return "CALL_OFF", str(decision.attempt.request.ident), str(decision.attempt.number)
 
 
-def _prewarm(decision: decisions.Prewarm) -> tuple[str, ...]:
+def _encode_prewarm(decision: decisions.Prewarm) -> tuple[str, ...]:
     return "PRELOAD", decision.worker.endpoint.ident, decision.function.name, str(decision.replicas)
 
 
-WRITERS: dict[type, Callable[[Any], tuple[str, ...]]] = {
-    decisions.Forward: _forward,
-    decisions.Cancel: _cancel,
-    decisions.Reject: lambda reject: ("SAY_NO", str(reject.request.ident), micros(reject.retry_after)),
+ENCODERS: dict[type, Callable[[Any], tuple[str, ...]]] = {
+    decisions.Forward: _encode_forward,
+    decisions.Cancel: _encode_cancel,
+    decisions.Reject: lambda reject: ("SAY_NO", str(reject.request.ident), format_micros(reject.retry_after)),
     decisions.Fail: lambda fail: ("ERROR", str(fail.request.ident)),
-    decisions.Prewarm: _prewarm,
+    decisions.Prewarm: _encode_prewarm,
     decisions.HealthCheck: lambda check: ("INSPECT", check.worker.endpoint.ident),
     decisions.FollowEndpoints: lambda follow: ("TAIL", "1" if follow.enabled else "0"),
     decisions.LogNote: lambda note: ("REMARK", _one_line(note.text)),
-    Wake: lambda wake: ("SET_TIMER", micros(wake.delay), str(wake.cookie)),
-    Fault: lambda fault: ("EXCEPTION", _one_line(fault.reason)),
+    SetTimer: lambda timer: ("SET_TIMER", format_micros(timer.delay), str(timer.cookie)),
+    InstanceFailure: lambda failure: ("EXCEPTION", _one_line(failure.reason)),
 }
 
 
-def write_line(instance: int, reply: Reply) -> str:
-    """Writes one line of a reply."""
-    name, *values = WRITERS[type(reply)](reply)
+def encode_line(instance: int, reply: Reply) -> str:
+    """Encodes one line of a reply."""
+    name, *values = ENCODERS[type(reply)](reply)
     return "\t".join((name, str(instance), *values)) + "\n"
 
 
-def read_lines(source: Iterable[str]) -> Iterator[tuple[int, list[str]]]:
-    """The lines of the input, numbered and split into their values."""
-    number_read = 0
+def read_lines(lines: Iterable[str]) -> Iterator[tuple[int, list[str]]]:
+    """Yields the number and the values of each line of the input.
+
+    Raises InvalidInputError where a line has no end or is not UTF-8 text.
+    """
+    line_number = 0
     try:
-        for number_read, text in enumerate(source, 1):
+        for line_number, text in enumerate(lines, 1):
             if not text.endswith("\n"):
-                raise InvalidInputError(f"line {number_read}: {text[:MAX_TEXT_SHOWN]!r}: expected the line to end")
-            yield number_read, text[:-1].split("\t")
+                raise InvalidInputError(f"line {line_number}: {text[:MAX_TEXT_SHOWN]!r}: expected a newline at the end")
+            yield line_number, text[:-1].split("\t")
     except UnicodeDecodeError:
-        raise InvalidInputError(f"line {number_read + 1}: expected UTF-8 text") from None
+        raise InvalidInputError(f"line {line_number + 1}: expected UTF-8 text") from None
--- a/wickdyke/simulator/host.py
+++ b/wickdyke/simulator/host.py
@@ -1,4 +1,4 @@
-"""Hosts many gateway instances that share nothing, and hands each batch's events to them."""
+"""Hosts independent gateway instances and passes the events of each batch to them."""
 
 import math
 from collections.abc import Iterable, Iterator
@@ -19,56 +19,56 @@
 from wickdyke.simulator import codec
 
 Lines = Iterator[tuple[int, list[str]]]
-MIN_DELAY = 0.001  # ms of a timer: one of 0 would never let the clock go on
+MIN_TIMER_DELAY = 0.001  # ms; with a delay of 0 the simulated clock would never advance
 
 
 class Instance:
-    """One gateway instance and the timer that the wire holds for it."""
+    """A gateway instance and its pending timer in the simulator."""
 
     def __init__(self, router: Router) -> None:
-        """An instance without a timer."""
+        """Creates an instance without a pending timer."""
         self.router = router
-        self.timer: float | None = None  # when it is due (ms)
-        self.cookie = 0
+        self.timer_due_at: float | None = None  # ms of the simulated clock
+        self.cookie = 0  # identifies the last timer
 
 
 @dataclass(slots=True)
 class Batch:
-    """The instances that a batch has events for, in their order, and the reasons of those that failed."""
+    """The instances that a batch has events for, in their order, and the reasons of the failures of instances."""
 
-    touched: dict[int, None] = field(default_factory=dict)
-    faults: dict[int, str] = field(default_factory=dict)
+    affected_instances: dict[int, None] = field(default_factory=dict)
+    failures: dict[int, str] = field(default_factory=dict)
 
     def fail(self, ident: int, error: Exception) -> None:
         """Records the failure of one instance, which must not affect the others."""
-        self.faults[ident] = f"{type(error).__name__}: {error}"
+        self.failures[ident] = f"{type(error).__name__}: {error}"
 
 
 class Host:
-    """The instances of this process."""
+    """The gateway instances of this process, by their identifier."""
 
     def __init__(self) -> None:
-        """A host without instances, before its first batch."""
+        """Creates a host without instances, before its first batch."""
         self.instances: dict[int, Instance] = {}
         self.now = -math.inf
         self.line_number = 0
 
-    def replies(self, source: Iterable[str]) -> Iterator[str]:
-        """One reply for each batch. Raises InvalidInputError with the number of the line."""
-        lines = codec.read_lines(source)
+    def replies(self, input_lines: Iterable[str]) -> Iterator[str]:
+        """Yields one reply for each batch. Raises InvalidInputError with the line number if the input is malformed."""
+        lines = codec.read_lines(input_lines)
         for number, (name, *values) in lines:
             self.line_number = number
             try:
-                yield self._batch(lines, name, values)
+                yield self._process_batch(lines, name, values)
             except InvalidInputError as error:
                 text = str(error)
                 raise InvalidInputError(
                     text if text.startswith("line ") else f"line {self.line_number}: {text}"
                 ) from None
 
-    # ---- one batch ----
+    # ---- batches ----
 
-    def _batch(self, lines: Lines, name: str, values: list[str]) -> str:
+    def _process_batch(self, lines: Lines, name: str, values: list[str]) -> str:
         self._set_clock(name, values)
         batch = Batch()
         while True:
@@ -79,14 +79,14 @@
         if values:
             raise InvalidInputError("END: expected no values")
         reply: list[str] = []
-        for ident in batch.touched:
+        for ident in batch.affected_instances:
             reply += self._reply_lines(ident, batch)
         return "".join(reply) + "ACK\n"
 
     def _set_clock(self, name: str, values: list[str]) -> None:
         if name != "MARK":
-            raise InvalidInputError(f"{name[: codec.MAX_TEXT_SHOWN]!r}, expected MARK")
-        (now,) = codec.read_values("MARK", values, (("clock", span),))
+            raise InvalidInputError(f"found {name[: codec.MAX_TEXT_SHOWN]!r}, expected MARK")
+        (now,) = codec.decode_values("MARK", values, (("clock", span),))
         if now < self.now:
             raise InvalidInputError(f"MARK: the clock is {now}, expected at least {self.now}")
         self.now = now
@@ -95,118 +95,124 @@
         for number, (name, *values) in lines:
             self.line_number = number
             return name, values
-        raise InvalidInputError(f"line {self.line_number + 1}: the input stops inside a batch, expected END")
+        raise InvalidInputError(f"line {self.line_number + 1}: the input ends inside a batch, expected END")
 
     def _reply_lines(self, ident: int, batch: Batch) -> list[str]:
         reply: list[str] = []
         instance = self.instances.get(ident)
-        if instance is not None and ident not in batch.faults:
+        if instance is not None and ident not in batch.failures:
             try:
-                reply += [codec.write_line(ident, each) for each in self._decisions(instance)]
-            except Exception as error:  # noqa: BLE001 - whatever fails in one instance is reported for that instance
+                reply += [
+                    codec.encode_line(ident, instance_reply) for instance_reply in self._instance_replies(instance)
+                ]
+            except Exception as error:  # noqa: BLE001 - any error in an instance is reported as its failure
                 batch.fail(ident, error)
-        if ident in batch.faults:
-            reply.append(codec.write_line(ident, codec.Fault(batch.faults[ident])))
+        if ident in batch.failures:
+            reply.append(codec.encode_line(ident, codec.InstanceFailure(batch.failures[ident])))
         return reply
 
-    def _decisions(self, instance: Instance) -> Iterator[codec.Reply]:
+    def _instance_replies(self, instance: Instance) -> Iterator[codec.Reply]:
         router = instance.router
         while (decision := router.decide()) is not None:
             yield decision
         wake_at = router.wake_at
-        if wake_at is not None and (instance.timer is None or wake_at < instance.timer):
-            instance.timer = wake_at
+        if wake_at is not None and (instance.timer_due_at is None or wake_at < instance.timer_due_at):
+            instance.timer_due_at = wake_at
             instance.cookie += 1
-            yield codec.Wake(max(MIN_DELAY, wake_at - self.now), instance.cookie)
+            yield codec.SetTimer(max(MIN_TIMER_DELAY, wake_at - self.now), instance.cookie)
 
     # ---- events ----
 
     def _apply_event(self, lines: Lines, name: str, values: list[str], batch: Batch) -> None:
         if name == "POWER_ON":
-            self._start(values, batch)
+            self._start_instance(values, batch)
             return
-        if name not in codec.EVENTS:
-            raise InvalidInputError(f"{name[: codec.MAX_TEXT_SHOWN]!r}, expected an event or END")
+        if name not in codec.EVENT_FIELDS:
+            raise InvalidInputError(f"found {name[: codec.MAX_TEXT_SHOWN]!r}, expected an event or END")
         event_line = self.line_number
-        ident, *fields = codec.read_values(name, values, codec.EVENTS[name])
+        ident, *fields = codec.decode_values(name, values, codec.EVENT_FIELDS[name])
         instance = self.instances.get(ident)
         if instance is None:
-            raise InvalidInputError(f"{name}: the instance {ident} is not known, expected one that was started")
+            raise InvalidInputError(f"{name}: found instance {ident}, expected one that was started")
         if name == "HALT":
             del self.instances[ident]
-            batch.touched.pop(ident, None)
+            batch.affected_instances.pop(ident, None)
             return
         if name == "FLEET":
             mode, revision, entries = fields
-            fields = [mode, revision, self._endpoints(lines, entries or 0)]
-        batch.touched[ident] = None
+            fields = [mode, revision, self._decode_endpoints(lines, entries or 0)]
+        batch.affected_instances[ident] = None
         try:
-            self._inform(instance, name, fields)
+            self._dispatch_event(instance, name, fields)
         except InvalidInputError as error:
             raise InvalidInputError(f"line {event_line}: {error}") from None
-        except Exception as error:  # noqa: BLE001 - as above
+        except Exception as error:  # noqa: BLE001 - any error in an instance is reported as its failure
             batch.fail(ident, error)
 
-    def _start(self, values: list[str], batch: Batch) -> None:
+    def _start_instance(self, values: list[str], batch: Batch) -> None:
         if len(values) < 2:
             raise InvalidInputError("POWER_ON: expected an instance, a seed and the settings")
-        ident, seed = codec.read_values("POWER_ON", values[:2], (("instance", count), ("seed", count)))
+        ident, seed = codec.decode_values("POWER_ON", values[:2], (("instance", count), ("seed", count)))
         settings = from_pairs(values[2:])
         router = Router(self.now, seed, request_classes(settings), router_settings(settings))
-        batch.touched[ident] = None
+        batch.affected_instances[ident] = None
         self.instances[ident] = Instance(router)
 
-    def _endpoints(self, lines: Lines, entries: int) -> list[Endpoint]:
+    def _decode_endpoints(self, lines: Lines, entries: int) -> list[Endpoint]:
         endpoints = []
         for _ in range(entries):
             name, values = self._next_line(lines)
             if name != "ROW":
-                raise InvalidInputError(f"{name[: codec.MAX_TEXT_SHOWN]!r}, expected a ROW ({entries} were announced)")
-            endpoints.append(codec.read_endpoint(values))
+                raise InvalidInputError(
+                    f"found {name[: codec.MAX_TEXT_SHOWN]!r}, expected ROW ({entries} rows were announced)"
+                )
+            endpoints.append(codec.decode_endpoint(values))
         return endpoints
 
-    def _inform(self, instance: Instance, name: str, fields: list[Any]) -> None:  # noqa: C901 - one case for each event
-        """Passes one event to the router."""
+    def _dispatch_event(self, instance: Instance, name: str, fields: list[Any]) -> None:  # noqa: C901 - one case per event
+        """Passes an event to the router of an instance."""
         router = instance.router
         router.advance(self.now)
         match name, fields:
             case "NEW_REQUEST", _:
                 _request_received(router, fields)
-            case "REPORT_BACK", [ident, number, _, outcome, _, last, note, report]:
-                load_note, concurrent = codec.read_note(note)
-                load = _worker_load(router, report)
-                router.attempt_finished(AttemptFinished(ident, number, outcome, last, load_note, concurrent, load))
-            case "FIRST_BYTE", [ident, number, _, _]:
-                router.answer_begun(ident, number)
+            case "REPORT_BACK", [ident, attempt_number, _, outcome, _, final, note, load_report]:
+                load_note, concurrent = codec.decode_note(note)
+                load = _worker_load(router, load_report)
+                router.attempt_finished(
+                    AttemptFinished(ident, attempt_number, outcome, final, load_note, concurrent, load)
+                )
+            case "FIRST_BYTE", [ident, attempt_number, _, _]:
+                router.answer_begun(ident, attempt_number)
             case "ABORTED", [ident]:
                 router.client_gone(ident)
             case "WAKEUP", [cookie]:
                 if cookie == instance.cookie:
-                    instance.timer = None
-            case "PING_RESULT", [worker, outcome, _, report]:
-                router.health_checked(worker, outcome, _worker_load(router, report))
+                    instance.timer_due_at = None
+            case "PING_RESULT", [worker, outcome, _, load_report]:
+                router.health_checked(worker, outcome, _worker_load(router, load_report))
             case "BROUGHT_UP", [outcome, worker, replicas, latency, function]:
                 router.prewarm_finished(worker, function, outcome, replicas, latency)
             case "FLEET", [mode, _, endpoints]:
                 router.endpoints_changed(endpoints, {"0": False, "3": None}.get(mode, True))
             case "MEMO", _:
-                pass  # instances exchange nothing
+                pass  # instances exchange no state
 
 
 def _request_received(router: Router, fields: list[Any]) -> None:
-    ident, bits, left, request_class, function, work, _, memory, load, concurrency = fields
-    if request_class >= len(router.request_classes):
-        raise InvalidInputError(f"NEW_REQUEST: class is {request_class}, expected one of the settings")
+    ident, bits, time_left, class_index, function, work, _, memory, load_time, concurrency = fields
+    if class_index >= len(router.request_classes):
+        raise InvalidInputError(f"NEW_REQUEST: class is {class_index}, expected the index of one in the settings")
     received = RequestReceived(
         ident=ident,
-        time_left=left,
-        request_class=router.request_classes[request_class],
+        time_left=time_left,
+        request_class=router.request_classes[class_index],
         function_name=function,
         memory=memory,
         concurrency=max(1, int(concurrency)),
-        load_hint=load,
-        work=work if bits & codec.WORK_IS_KNOWN else None,
-        is_repeat=bool(bits & codec.IS_REPEAT),
+        load_hint=load_time,
+        work=work if bits & codec.WORK_KNOWN_BIT else None,
+        is_repeat=bool(bits & codec.REPEAT_BIT),
     )
     router.request_received(received)
 
