--- a/wickdyke/route_policy/validation.py
+++ b/wickdyke/route_policy/validation.py
@@ -167,7 +167,7 @@
 
 
 def _describe_hedge(hedge: HedgePolicy) -> str:
-    return f"a hedged attempt after {hedge.after:g} ms"
+    return f"a hedge after {hedge.after:g} ms"
 
 
 def _uncancelled_attempt_violations(policy: Policy, environment: Environment) -> Iterator[Violation]:
--- a/wickdyke/simulator/codec.py
+++ b/wickdyke/simulator/codec.py
@@ -58,7 +58,7 @@
     "HALT": (("instance", count),),
     "FLEET": (
         ("instance", count),
-        ("mode", one_of({m: m for m in "0123"})),
+        ("mode", one_of({mode: mode for mode in "0123"})),
         ("revision", optional(integer)),
         ("entries", optional(count)),
     ),
