--- a/bench/hot_path.py
+++ b/bench/hot_path.py
@@ -108,7 +108,9 @@
             request = in_flight.pop(0)
             load = WorkerLoad.from_values(REPORT_FIELDS, (0.4, 5.0))  # made for each answer, as gateways do
             number = len(request.attempts) - 1
-            router.attempt_finished(AttemptFinished(request.ident, number, Outcome.OK, True, LoadNote.STOOD, 0, load))
+            router.attempt_finished(
+                AttemptFinished(request.ident, number, Outcome.OK, True, LoadNote.ALREADY_LOADED, 0, load)
+            )
             carry_out()
     return (time.process_time() - started) * 1e6 / REQUESTS
 
--- a/bench/scale.py
+++ b/bench/scale.py
@@ -198,7 +198,7 @@
     function_count = len(router.functions)
     bytes_loaded = product_bytes()
     # What goes with the functions, while the records of their workers stay.
-    router.fleet.drop(list(router.functions.values()))
+    router.fleet.remove_functions(list(router.functions.values()))
     dropped = function_count - len(router.functions)
     return {
         "bytes_a_function": (bytes_loaded - bytes_listed) / max(1, function_count),
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -78,8 +78,8 @@
         return cell
 
     @property
-    def ready(self):
-        return self.cell.ready
+    def ready_workers(self):
+        return self.cell.ready_workers
 
     @property
     def placement(self):
--- a/tests/readiness_rig.py
+++ b/tests/readiness_rig.py
@@ -5,11 +5,11 @@
 from tests.helpers import Fleet
 from wickdyke.routing.decisions import HealthCheck, Prewarm
 from wickdyke.routing.model import Outcome
-from wickdyke.routing.readiness import GRACE_PART, NEVER, NOTIFIED_AFTER
+from wickdyke.routing.readiness import GRACE_FRACTION, NEVER, OUTAGE_NOTICE_DELAY
 
 GRACE = 1000.0  # ms, for a drain, in the settings of Fleet
-WORKER_LEASE = GRACE_PART * GRACE
-LIST_LEASE = NOTIFIED_AFTER + WORKER_LEASE
+WORKER_LEASE = GRACE_FRACTION * GRACE
+LIST_LEASE = OUTAGE_NOTICE_DELAY + WORKER_LEASE
 
 
 class ReadinessCase(unittest.TestCase):
@@ -20,7 +20,7 @@
         router = self.front_end.router
         router.health_checker.check_in_turn = lambda tick, now: None  # those for load reports, which nobody answers
         for worker in router.workers.values():
-            worker.asked_at = None
+            worker.check_sent_at = None
         return self.front_end
 
     def heard(self, at=None):
@@ -43,7 +43,7 @@
     def refresh(self, worker):
         """The worker is asked, and proves ready."""
         record = self.front_end.router.workers[worker]
-        self.front_end.router.readiness.health_checker.ask(record, self.front_end.clock)
+        self.front_end.router.readiness.health_checker.check_now(record, self.front_end.clock)
         self.front_end.pull()
         return self.answer(worker)
 
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -173,7 +173,9 @@
 
     def __enter__(self):
         self.gateway.open()
-        assert until(lambda: len(list(self.coordinator.router.fleet.ready())) == len(self.peers)), "workers not listed"
+        assert until(lambda: len(list(self.coordinator.router.fleet.ready_workers())) == len(self.peers)), (
+            "workers not listed"
+        )
         return self
 
     def __exit__(self, *exception):
--- a/tests/test_client_server.py
+++ b/tests/test_client_server.py
@@ -337,7 +337,7 @@
             gateway = Gateway(made.config, made.log)
             gateway.open()
             try:
-                self.assertTrue(until(lambda: any(gateway.coordinator.router.fleet.ready())))
+                self.assertTrue(until(lambda: any(gateway.coordinator.router.fleet.ready_workers())))
                 with socket.create_connection(("127.0.0.1", port), LONG) as sock:
                     sock.sendall(CALL % 1)
                     self.assertIn(b'"ok"', sock.makefile("rb").readline())
--- a/tests/test_concurrency.py
+++ b/tests/test_concurrency.py
@@ -45,15 +45,15 @@
         for quotas, want in (((), 4.0), ((16.0, 16.0), 2.0), ((64.0,), 4.0), ((320.0,), 20.0)):
             with self.subTest(quotas=quotas):
                 fleet = Fleet(workers=4, report_fields=("in_flight",), quotas=quotas)
-                fleet.router.latency.survey(fleet.cell, [fleet.cell], 200.0, fleet.clock)
+                fleet.router.latency.update_estimates(fleet.cell, [fleet.cell], 200.0, fleet.clock)
                 self.assertAlmostEqual(fleet.router.latency.cores(fleet.router.workers["a"]), want)
 
     def test_no_more_call_outs_than_lanes(self):
         fleet = Fleet(workers=3)
         fleet.serve(calls=200)
-        place = next(p for p in fleet.router.functions["p"].replicas if p.loaded)
+        place = next(p for p in fleet.router.functions["p"].replicas if p.loaded_replicas)
         forwarded = called([d for _ in range(9) for d in fleet.take()])
-        self.assertLessEqual(forwarded.count(place.worker.endpoint.ident), place.loaded * fleet.concurrency)
+        self.assertLessEqual(forwarded.count(place.worker.endpoint.ident), place.loaded_replicas * fleet.concurrency)
 
     def test_late_answers_limit_all_our_call_outs(self):
         """(ms of each answer, busy share) -> whether what one front end has out at all workers is limited."""
--- a/tests/test_demand.py
+++ b/tests/test_demand.py
@@ -18,7 +18,7 @@
                     fleet.take()
                 fleet.placement.demand_estimator.since = fleet.clock - age
                 self.assertAlmostEqual(
-                    fleet.placement.demand_estimator.own_lanes(fleet.router.functions["p"], fleet.clock), lanes
+                    fleet.placement.demand_estimator.own_demand(fleet.router.functions["p"], fleet.clock), lanes
                 )
 
     def test_hints_of_work_count_whatever_becomes_of_the_rpc(self):
@@ -42,7 +42,7 @@
                 fleet.take()
                 function, (a, b) = fleet.router.functions["p"], fleet.router.workers.values()
                 function.concurrency_samples.extend((worker, many) for many in concurrency for worker in (a, b))
-                self.assertTrue(lowest <= fleet.placement.demand_estimator.fleet_lanes(function, own, part) <= highest)
+                self.assertTrue(lowest <= fleet.placement.demand_estimator.fleet_demand(function, own, part) <= highest)
 
     def test_the_fleet_is_as_busy_as_fresh_reports_say(self):
         """(ms since reports of 1.0, of 0.5) -> the busy share that counts for the limit on all attempts."""
@@ -50,7 +50,7 @@
             with self.subTest(old=old, young=young):
                 fleet = Fleet(workers=2)
                 for age, share in ((old, 1.0), (young, 0.5)):
-                    for worker in fleet.ready:
+                    for worker in fleet.ready_workers:
                         fleet.router.latency.record_report(worker, fleet.reported(share, 4.0), fleet.clock - age)
                 fleet.router.schedule.next_at = fleet.router.wake_at = fleet.clock
                 fleet.pull()
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -27,7 +27,7 @@
 
 def first_of(fleet, name):
     """The worker that ranks first for a function."""
-    return fleet.home(name).nearest.endpoint.ident
+    return fleet.home(name).nearest_worker.endpoint.ident
 
 
 def shape(fleet):
@@ -49,10 +49,12 @@
         fleet = fleet_of([listing(number, size=1.0 + number % 4) for number in range(WHOLE)])
         (cell,) = fleet.cells.values()
         for name in names(20):
-            self.assertEqual((fleet.home(name).cell, fleet.home(name).nearest), (cell, None))
+            self.assertEqual((fleet.home(name).cell, fleet.home(name).nearest_worker), (cell, None))
             entry = function(name)
-            lots = {w: ranking.rendezvous_rank(entry, w) for w in cell.ready}
-            self.assertEqual(ranking.Candidates(cell.ready).ranked(entry), sorted(cell.ready, key=lots.get))
+            lots = {w: ranking.rendezvous_rank(entry, w) for w in cell.ready_workers}
+            self.assertEqual(
+                ranking.Candidates(cell.ready_workers).ranked(entry), sorted(cell.ready_workers, key=lots.get)
+            )
 
     def test_cells_are_bounded_and_split_late(self):
         for many in SIZES:
@@ -81,7 +83,7 @@
             self.assertEqual(shape(fleet), shape(want))
             for name in requested:
                 self.assertEqual(first_of(fleet, name), first_of(want, name))
-                near = [[(c.depth, c.prefix) for c in f.near(function(name), 3)] for f in (fleet, want)]
+                near = [[(c.depth, c.prefix) for c in f.nearest_cells(function(name), 3)] for f in (fleet, want)]
                 self.assertEqual(near[0], near[1])
 
     def test_a_home_looked_up_before_a_change_is_that_looked_up_after_it(self):
@@ -96,13 +98,13 @@
             with self.subTest(state=more[0].state, size=more[0].size, many=len(more)):
                 fleet, functions = fleet_of(rows), [function(name) for name in names(1500)]
                 for entry in functions:
-                    fleet.enter(entry)
+                    fleet.add_function(entry)
                 fleet.update(more, False)
                 at_once = fleet_of([row for row in {row.ident: row for row in [*rows, *more]}.values()])
                 for entry in functions:
                     cell, home = fleet.home_of(entry), at_once.home(entry.name)
                     self.assertEqual((cell.depth, cell.prefix), (home.cell.depth, home.cell.prefix))
-                    first = [worker and worker.endpoint.ident for worker in (entry.nearest, home.nearest)]
+                    first = [worker and worker.endpoint.ident for worker in (entry.nearest_worker, home.nearest_worker)]
                     self.assertEqual(first[0], first[1])
 
     def test_shares_follow_size(self):
@@ -173,9 +175,9 @@
                 name, lost = names(1)[0], set()
                 while left:
                     home = fleet.home(name)
-                    self.assertEqual(first_of(other, name), home.nearest.endpoint.ident)
-                    self.assertTrue(home.cell.ready)
-                    away = [replace(w.endpoint, state=state) for w in home.cell.ready]
+                    self.assertEqual(first_of(other, name), home.nearest_worker.endpoint.ident)
+                    self.assertTrue(home.cell.ready_workers)
+                    away = [replace(w.endpoint, state=state) for w in home.cell.ready_workers]
                     lost.update(row.ident for row in away)
                     fleet.update(away, False)
                     other.update(away[::-1], False)
--- a/tests/test_health_checks.py
+++ b/tests/test_health_checks.py
@@ -21,10 +21,10 @@
 
     def test_only_homes_are_probed_in_turn(self):
         fleet = Fleet(workers=8)
-        self.assertEqual(len(fleet.router.health_checker.rota), 8)
+        self.assertEqual(len(fleet.router.health_checker.check_rotation), 8)
         fleet.serve(calls=20)
-        homes = {place.worker for place in fleet.router.functions["p"].replicas if place.placed}
-        self.assertEqual(set(fleet.router.health_checker.rota), homes)
+        homes = {place.worker for place in fleet.router.functions["p"].replicas if place.is_placed}
+        self.assertEqual(set(fleet.router.health_checker.check_rotation), homes)
 
     def test_unanswered_probes_shun_and_an_answer_brings_the_trial(self):
         fleet = Fleet(workers=3, health_checks=True)
--- a/tests/test_latency.py
+++ b/tests/test_latency.py
@@ -23,10 +23,10 @@
         fleet.serve(calls=20)
         request = fleet.take("new")[0].request
         worker = request.attempts[0].replica.worker
-        before = fleet.router.latency.pace(worker)
+        before = fleet.router.latency.slowdown(worker)
         fleet.clock += 1500
         fleet.end(request, load_note="began")
-        self.assertAlmostEqual(fleet.router.latency.pace(worker), before, places=2)
+        self.assertAlmostEqual(fleet.router.latency.slowdown(worker), before, places=2)
 
     def test_load_times_are_learnt(self):
         """(hint, loads seen, whether an attempt triggered them) -> how long a load is held to take; after
@@ -64,10 +64,10 @@
                 fleet.serve(calls=20)
                 request = fleet.take()[0].request
                 worker = request.attempts[0].replica.worker
-                before = fleet.router.latency.pace(worker)
+                before = fleet.router.latency.slowdown(worker)
                 fleet.clock += ms
                 fleet.end(request, outcome)
-                self.assertEqual(fleet.router.latency.pace(worker) > before, slower)
+                self.assertEqual(fleet.router.latency.slowdown(worker) > before, slower)
 
 
 if __name__ == "__main__":
--- a/tests/test_listed_workers.py
+++ b/tests/test_listed_workers.py
@@ -39,7 +39,7 @@
             self.assertEqual(running.log_output.getvalue().count("endpoint list unusable"), 5)
             os.unlink(os.path.join(running.folder, "workers.sexp"))
             self.assertTrue(until(lambda: running.log_output.getvalue().count("endpoint list unusable") == 6))
-            self.assertEqual(len(list(running.coordinator.router.fleet.ready())), 1)
+            self.assertEqual(len(list(running.coordinator.router.fleet.ready_workers())), 1)
 
     def test_changed_rows(self):
         """(rows written) -> which workers are ready then."""
@@ -61,7 +61,7 @@
                     self.assertTrue(
                         until(
                             lambda ready=ready: sorted(
-                                w.endpoint.ident for w in running.coordinator.router.fleet.ready()
+                                w.endpoint.ident for w in running.coordinator.router.fleet.ready_workers()
                             )
                             == ready
                         )
@@ -74,9 +74,9 @@
             for at in range(40):
                 client.ask(at, program=f"p{at}")
                 self.assertIn("result", client.answer())
-                if not any(w.endpoint.ident == "w0" for w in running.coordinator.router.fleet.ready()):
+                if not any(w.endpoint.ident == "w0" for w in running.coordinator.router.fleet.ready_workers()):
                     break
-            self.assertEqual([w.endpoint.ident for w in running.coordinator.router.fleet.ready()], ["w1"])
+            self.assertEqual([w.endpoint.ident for w in running.coordinator.router.fleet.ready_workers()], ["w1"])
             client.close()
 
     def test_a_worker_that_drains_while_the_list_can_not_be_read(self):
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -24,7 +24,7 @@
             fleet.serve(f"p{at % 5}", calls=1, ms=60.0)
         opened = set(fleet.placement.active)
         self.assertLess(len(opened), 6)
-        placed = {p.worker for function in fleet.router.functions.values() for p in function.replicas if p.placed}
+        placed = {p.worker for function in fleet.router.functions.values() for p in function.replicas if p.is_placed}
         self.assertLessEqual(placed, opened)
 
     def test_a_program_spreads_where_no_company_is_told(self):
@@ -33,7 +33,7 @@
             with self.subTest(tells=tells):
                 fleet = Fleet(workers=6, loads_on_demand=False, reports_concurrency=tells)
                 fleet.take()
-                function, workers, placement = fleet.router.functions["p"], fleet.ready, fleet.placement
+                function, workers, placement = fleet.router.functions["p"], fleet.ready_workers, fleet.placement
                 placement.mean_capacity, placement.active, one = (
                     1.0,
                     dict.fromkeys(workers),
@@ -53,7 +53,7 @@
         ):
             with self.subTest(crossing=crossing, on_call=on_call, ill=ill):
                 fleet = Fleet(endpoints=rows, cross_zone_cost=crossing, loads_on_demand=on_call)
-                for worker in [w for w in fleet.ready if w.endpoint.zone == 0][:ill]:
+                for worker in [w for w in fleet.ready_workers if w.endpoint.zone == 0][:ill]:
                     worker.ejections = 1
                 self.assertEqual({w.endpoint.zone for w in fleet.placement.scope.update(fleet.clock)}, zones)
 
@@ -69,13 +69,15 @@
         ):
             with self.subTest(mine=mine, far=far, periods=periods):
                 fleet = Fleet(endpoints=rows, cross_zone_cost=0.05, loads_on_demand=False)
-                placement, ready = fleet.placement, fleet.ready
+                placement, ready = fleet.placement, fleet.ready_workers
                 for worker in ready:
                     if (busy := far if worker.endpoint.zone else mine) is not None:
                         fleet.router.latency.record_report(worker, fleet.reported(busy, 4.0), fleet.clock)
                 for _ in range(periods):
                     placement.scope.update(fleet.clock)
-                self.assertEqual((placement.scope.reach, placement.scope.workers == ready), (reach, reach > 0))
+                self.assertEqual(
+                    (placement.scope.other_zones_weight, placement.scope.workers == ready), (reach, reach > 0)
+                )
                 heads = {
                     placement.ranking(Function(f"p{n}", None, 1.0, 1, 0.0, *[deque()] * 4, name_hash(f"p{n}")))[
                         0
@@ -108,7 +110,7 @@
                 request = fleet.take()[0].request
                 place = request.attempts[0].replica
                 fleet.router.attempt_finished(AttemptFinished(request.ident, 0, "full", False, None, concurrent, None))
-                self.assertEqual(place.loaded > 0, room)
+                self.assertEqual(place.loaded_replicas > 0, room)
                 self.assertEqual(home in called(fleet.take("new")) + called(fleet.take("newer")), room)
 
     def test_little_used_programs_stay_at_home(self):
--- a/tests/test_platform_traffic.py
+++ b/tests/test_platform_traffic.py
@@ -62,7 +62,7 @@
         until(lambda: worker.received(b"prewarm"))
         (place,) = serving.coordinator.router.functions["7f3a9c21e0b4d655"].replicas
         until(lambda: place.prewarm_sent_at is None)
-        self.assertEqual(place.loaded, 1)
+        self.assertEqual(place.loaded_replicas, 1)
         client.close()
         until(lambda: not told.in_flight and not serving.coordinator.requests.by_id)
         self.assertEqual(serving.client_server.open, {})
--- a/tests/test_prewarming.py
+++ b/tests/test_prewarming.py
@@ -66,9 +66,9 @@
         for seed in range(4):  # of each front end's own
             fleet = Fleet(workers=6, loads_on_demand=False, prewarm_outcome=None, attempts=4, seed=seed)
             decisions = fleet.take()
-            for place in [replica_of(decisions[0].request.function, worker) for worker in fleet.ready[:3]]:
-                place.placed = True
-            first = min(fleet.ready[:3], key=lambda w: rendezvous_rank(decisions[0].request.function, w))
+            for place in [replica_of(decisions[0].request.function, worker) for worker in fleet.ready_workers[:3]]:
+                place.is_placed = True
+            first = min(fleet.ready_workers[:3], key=lambda w: rendezvous_rank(decisions[0].request.function, w))
             while not (orders := [d for d in decisions if isinstance(d, Prewarm)]):
                 decisions = fleet.end(decisions[-1].request, "miss") + fleet.pass_time(50)
             self.assertEqual(orders[0].worker, first)
@@ -92,7 +92,7 @@
                 self.assertEqual(
                     (bool(worker.ejections), len(fleet.router.prewarm_limiter.requests) - before > 0), (proven, proven)
                 )
-                self.assertEqual(any(place.placed for place in fleet.router.functions["p"].replicas), proven)
+                self.assertEqual(any(place.is_placed for place in fleet.router.functions["p"].replicas), proven)
 
     def test_requests_for_functions_nobody_has_earn_no_load_orders(self):
         """Where attempts ask for replicas: (functions asked for, whether one exists) -> most orders of a window."""
--- a/tests/test_readiness_refusals.py
+++ b/tests/test_readiness_refusals.py
@@ -8,7 +8,7 @@
 from wickdyke.routing.health_checks import CHECK_EVERY
 from wickdyke.routing.model import Outcome
 from wickdyke.routing.prewarming import PrewarmPlan
-from wickdyke.routing.readiness import ANSWER_PATIENCE, CURRENT_FOR, NEVER
+from wickdyke.routing.readiness import MAX_ANSWER_WAIT, MAX_DISCOVERY_SILENCE, NEVER
 
 
 class Refusals(ReadinessCase):
@@ -27,7 +27,7 @@
         self.heard()
         self.refresh("a")
         record = fleet.router.workers["a"]
-        fleet.router.readiness.health_checker.ask(record, fleet.clock)
+        fleet.router.readiness.health_checker.check_now(record, fleet.clock)
         self.answer("a", Outcome.NOT_READY)
         self.assertEqual(set(called(fleet.serve(calls=5))), {"b"})
 
@@ -45,7 +45,7 @@
         fleet = self.fleet(2)
         self.heard(NEVER)
         (first,) = asked(fleet.take())
-        decisions = fleet.pass_time(ANSWER_PATIENCE + 50.0)
+        decisions = fleet.pass_time(MAX_ANSWER_WAIT + 50.0)
         self.assertEqual(len(set(asked(decisions)) - {first}), 1)
 
     def test_no_worker_is_asked_twice_at_a_time(self):
@@ -85,11 +85,11 @@
         record = fleet.router.workers["a"]
         fleet.clock += 2000.0
         new = fleet.clock - 500.0
-        fleet.router.readiness.health_checker.ask(record, fleet.clock)
+        fleet.router.readiness.health_checker.check_now(record, fleet.clock)
         self.answer("a", Outcome.OK, new)
         self.assertFalse(fleet.router.may_send(record, fleet.clock))
         self.heard()
-        fleet.router.readiness.health_checker.ask(record, fleet.clock)
+        fleet.router.readiness.health_checker.check_now(record, fleet.clock)
         self.answer("a", Outcome.OK, new)
         self.assertTrue(fleet.router.may_send(record, fleet.clock))
         self.assertEqual(record.warming_since, fleet.clock)
@@ -106,7 +106,7 @@
 
     def test_a_process_that_ended_while_news_may_be_missing_is_left_out(self):
         """(ms since discovery was heard) -> whether the worker is left out when its process ends."""
-        for age, left_out in ((CURRENT_FOR - 1.0, False), (CURRENT_FOR, True)):
+        for age, left_out in ((MAX_DISCOVERY_SILENCE - 1.0, False), (MAX_DISCOVERY_SILENCE, True)):
             with self.subTest(age):
                 fleet = self.fleet(1)
                 self.heard()
@@ -121,7 +121,7 @@
         heard_at = fleet.clock
         self.expire()
         record = fleet.router.workers["a"]
-        fleet.router.readiness.health_checker.ask(record, fleet.clock)
+        fleet.router.readiness.health_checker.check_now(record, fleet.clock)
         self.answer("a", Outcome.OK, heard_at + 10.0)
         self.assertEqual(record.warming_since, fleet.clock)
 
@@ -131,7 +131,7 @@
         heard_at = fleet.clock
         self.expire()
         record = fleet.router.workers["a"]
-        fleet.router.readiness.health_checker.ask(record, fleet.clock)
+        fleet.router.readiness.health_checker.check_now(record, fleet.clock)
         self.answer("a", Outcome.OK, heard_at - 10.0)
         self.assertIsNone(record.warming_since)
 
@@ -159,7 +159,7 @@
         fleet = self.start()
         replica = next(iter(fleet.router.functions["p"].replicas))
         worker = replica.worker.endpoint.ident
-        fleet.router.planned.append(PrewarmPlan(replica, 1, False))
+        fleet.router.planned_prewarms.append(PrewarmPlan(replica, 1, False))
         decisions = fleet.pull()
         self.assertEqual((prewarmed(decisions), asked(decisions)), ([], [worker]))
         self.assertEqual(prewarmed(self.answer(worker)), [worker])
@@ -170,10 +170,10 @@
                 fleet = self.start()
                 replica = next(iter(fleet.router.functions["p"].replicas))
                 worker = replica.worker.endpoint.ident
-                fleet.router.planned.append(PrewarmPlan(replica, 1, False))
+                fleet.router.planned_prewarms.append(PrewarmPlan(replica, 1, False))
                 fleet.pull()
                 self.assertNotIn(worker, prewarmed(self.answer(worker, outcome)))
-                self.assertEqual(fleet.router.prewarmer.held, {})
+                self.assertEqual(fleet.router.prewarmer.held_plans, {})
 
     def test_a_draining_worker_gets_none_for_as_long_as_it_is_up(self):
         """Requests go on for 30 s; one worker always says that it is not ready."""
@@ -212,10 +212,10 @@
             fleet.clock += 50.0
             step(None)
         for _ in range(3):
-            router.readiness.health_checker.ask(router.workers["a"], fleet.clock)
+            router.readiness.health_checker.check_now(router.workers["a"], fleet.clock)
             step("health_checked", "a", Outcome.OK, None, NEVER)
         for _ in range(3):
-            router.readiness.health_checker.ask(router.workers["b"], fleet.clock)
+            router.readiness.health_checker.check_now(router.workers["b"], fleet.clock)
             step("health_checked", "b", Outcome.NOT_READY, None, NEVER)
         step("discovery_heard", fleet.clock)
         step(None)
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -127,7 +127,7 @@
                 fleet = Fleet(workers=1)
                 fleet.serve(calls=40)
                 fleet.router.schedule.next_at = float("inf")
-                fleet.router.latency.average_pace = slow
+                fleet.router.latency.average_slowdown = slow
                 fleet.router.workers["a"].concurrency_limit = 0.0
                 fleet.router.dispatcher.limits = replace(fleet.router.dispatcher.limits, retry_after=300.0)
                 start, decisions = fleet.clock, fleet.take()
@@ -173,7 +173,7 @@
                         fleet.pull()
                         if number % 20 == 0:
                             fleet.pass_time(1000, step=500.0)
-                    self.assertGreater(fleet.router.latency.average_pace, 0.0)
+                    self.assertGreater(fleet.router.latency.average_slowdown, 0.0)
                     self.assertTrue(fleet.router.latency.usual_work(fleet.router.functions["p"]) > 0.0)
                     self.assertIn("forward", verbs(fleet.take()))
 
--- a/tests/test_router_scale.py
+++ b/tests/test_router_scale.py
@@ -76,7 +76,7 @@
         fleet.run(8000.0)
         functions = fleet.fronts[0].router.functions
         self.assertTrue(functions)
-        fleet.run(8000.0 + 5000.0 + 8 * periods.PERIOD)
+        fleet.run(8000.0 + 5000.0 + 8 * periods.PLACEMENT_PERIOD)
         self.assertFalse(functions)
         self.assertFalse(any(cell.functions for cell in fleet.fronts[0].router.fleet.cells.values()))
 
@@ -156,9 +156,9 @@
                 fleet, name, chosen = simulated_fleet(600, front_ends=3), names(1)[0], set()
                 for front in fleet.fronts:
                     front_end = front.router
-                    home, second = list(front_end.fleet.near(function(name), 2))
+                    home, second = list(front_end.fleet.nearest_cells(function(name), 2))
                     away = []
-                    for worker in home.ready:
+                    for worker in home.ready_workers:
                         if wrong == "shunned":
                             front_end.outliers.eject(worker, fleet.now, "test")
                         elif wrong == "cold":
--- a/tests/test_routing_slow_start.py
+++ b/tests/test_routing_slow_start.py
@@ -103,9 +103,9 @@
             guards = SlowStartGuard(warm, GatewayInstance(number, many, 0, (), False))
             old = worker("old", None)
             part = 2 * hash_fraction(name_hash("part"), number)  # of the mean
-            guards.served.append(WorkSample(5000.0, 12 * size * 0.5 * 5000 / many * part))
-            guards.survey([Cell(0, 0, ready=[old], size=size, utilization=(0.5, 1))], 5000.0)
-            guards.rate /= 12
+            guards.served_work.append(WorkSample(5000.0, 12 * size * 0.5 * 5000 / many * part))
+            guards.update_estimates([Cell(0, 0, ready_workers=[old], size=size, utilization=(0.5, 1))], 5000.0)
+            guards.work_rate /= 12
             front_ends.append((guards, worker("z", 5000.0)))
         for now in range(5000, int(5000 + warm.ramp), 50):
             for guards, worker in front_ends:
@@ -136,9 +136,9 @@
                 fleet = Fleet(workers=10)
                 fleet.router.advance(fleet.clock)
                 fleet.take()
-                for worker, outcome in zip(fleet.ready, outcomes, strict=True):
+                for worker, outcome in zip(fleet.ready_workers, outcomes, strict=True):
                     fleet.router.outliers.record(worker, outcome, fleet.clock)
-                last = fleet.ready[-1]
+                last = fleet.ready_workers[-1]
                 self.assertEqual((last.warming_since is not None, last in fleet.router.outliers.ejected), (lost, lost))
 
 
--- a/tests/test_selection.py
+++ b/tests/test_selection.py
@@ -91,8 +91,8 @@
                 fleet = Fleet(workers=3, loads_on_demand=on_call)
                 home = called(fleet.serve(calls=200))[-1]
                 for place in fleet.router.functions["p"].replicas if state == "ready" else ():
-                    place.worker.concurrency_limit *= place.loaded == 0
-                for worker in fleet.ready:
+                    place.worker.concurrency_limit *= place.loaded_replicas == 0
+                for worker in fleet.ready_workers:
                     worker.utilization = busy
                 fleet.list([row(home, state=state)], whole=False)
                 self.assertEqual(bool(called(fleet.take())), elsewhere)
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -193,8 +193,8 @@
         for number in range(busy):
             guards = SlowStartGuard(warmup, GatewayInstance(number, many, 0, (), False))
             size = self.SERVERS * self.SIZE
-            guards.served.append(WorkSample(5000.0, size * 0.5 * 5000.0 / busy))
-            guards.survey([Cell(0, 0, size=size, utilization=(0.5 * self.SERVERS, self.SERVERS))], 5000.0)
+            guards.served_work.append(WorkSample(5000.0, size * 0.5 * 5000.0 / busy))
+            guards.update_estimates([Cell(0, 0, size=size, utilization=(0.5 * self.SERVERS, self.SERVERS))], 5000.0)
             worker = Worker.from_endpoint(Endpoint(name, 0, 0, 0, "ready", self.SIZE, 5000.0), 1e4, 8.0)
             worker.open_records(RecordLengths(8, 8, 8, 8))
             pairs.append((guards, worker))
--- a/tests/test_work_held_back.py
+++ b/tests/test_work_held_back.py
@@ -13,7 +13,7 @@
 from wickdyke.gateway.interfaces import CommandKind
 from wickdyke.platform import connection_pool, worker_client, worker_command
 from wickdyke.routing.model import Outcome
-from wickdyke.routing.readiness import NOTIFIED_AFTER
+from wickdyke.routing.readiness import OUTAGE_NOTICE_DELAY
 
 GRACE = rig.SETTINGS["rules"]["stop-sending-within"] / 1000  # ms
 
@@ -31,7 +31,7 @@
         upstream = serving.coordinator.workers.clients["w0"]
         self.until(lambda: any(connection.pending for connection in upstream.connections))
         (waiting,) = [connection for connection in upstream.connections if connection.pending]
-        self.now += NOTIFIED_AFTER + GRACE
+        self.now += OUTAGE_NOTICE_DELAY + GRACE
         for dialled in full.first:
             dialled.close()
         full.sock.setblocking(False)
--- a/wickdyke/gateway/coordinator.py
+++ b/wickdyke/gateway/coordinator.py
@@ -230,7 +230,7 @@
         outcomes = [attempt.outcome for attempt in request.attempts if attempt.outcome]
         if outcomes:
             return Outcome(outcomes[-1])
-        return RejectionReason.DISCOVERY_LOST if self.router.readiness.in_doubt else RejectionReason.NO_PLACE
+        return RejectionReason.DISCOVERY_LOST if self.router.readiness.list_was_expired else RejectionReason.NO_PLACE
 
     # ---- workers ----
 
--- a/wickdyke/jsonrpc/service.py
+++ b/wickdyke/jsonrpc/service.py
@@ -23,7 +23,7 @@
 from wickdyke.route_policy.policy import Environment
 from wickdyke.route_policy.transition import PolicyTransition
 from wickdyke.routing.model import EndpointState
-from wickdyke.routing.periods import TICK
+from wickdyke.routing.periods import TICK_INTERVAL
 from wickdyke.transport import termination
 
 # s that a thread may keep the interpreter. Threads switch often and briefly: at the standard 5 ms an answer would wait
@@ -38,7 +38,7 @@
     """What routes are checked against: the deployment's figures, and how often the router is advanced."""
     limits = config.attempt_limits
     return Environment(
-        limits.hedging, limits.cancel, limits.connect_timeout, config.answer_margin, TICK, limits.attempts
+        limits.hedging, limits.cancel, limits.connect_timeout, config.answer_margin, TICK_INTERVAL, limits.attempts
     )
 
 
--- a/wickdyke/platform/worker_results.py
+++ b/wickdyke/platform/worker_results.py
@@ -15,7 +15,12 @@
     b"READY": Outcome.OK,
     b"AILING": Outcome.NOT_READY,
 }
-NOTES = {"w": LoadNote.STOOD, "c": LoadNote.BEGAN, "j": LoadNote.AWAITED, "f": LoadNote.FAILED}
+NOTES = {
+    "w": LoadNote.ALREADY_LOADED,
+    "c": LoadNote.STARTED_LOAD,
+    "j": LoadNote.AWAITED_LOAD,
+    "f": LoadNote.LOAD_FAILED,
+}
 ANSWER_PARTS = 4  # id, word, fields, body
 MAX_VALUE = 1e12  # of a field of a load report
 # Reports name their fields by the protocol's words or by those of the settings.
--- a/wickdyke/routing/concurrency.py
+++ b/wickdyke/routing/concurrency.py
@@ -1,7 +1,7 @@
 """An adaptive limit on attempts in flight: lowered while answers come late at a full worker, raised as it is used."""
 
 from wickdyke.routing.in_flight import ConcurrencyLimited, active_attempts
-from wickdyke.routing.latency import OBJECTIVE_SHARES_KEPT
+from wickdyke.routing.latency import MAX_OBJECTIVE_SHARES
 from wickdyke.routing.model import (
     Attempt,
     ObjectiveShare,
@@ -10,9 +10,9 @@
 
 INITIAL_LIMIT = 8.0  # attempts
 MIN_LIMIT = 1.0  # attempts
-TARGET_SHARE = 0.33  # of the latency objective that answers should take on average
-MIN_KEPT_BY_CUT = 0.5  # part of the limit that one cut leaves at least
-RAISED_FROM = 0.7  # part of the limit in use from which it is raised
+TARGET_OBJECTIVE_SHARE = 0.33  # of the latency objective that answers should take on average
+MIN_DECREASE_FACTOR = 0.5  # part of the limit that one cut leaves at least
+RAISE_THRESHOLD = 0.7  # part of the limit in use from which it is raised
 FULL_UTILIZATION = 0.85  # from which late answers show a queue at the worker
 
 
@@ -23,15 +23,15 @@
     shorter time-out than that would end before they are late, and the limit would grow while the worker is overloaded:
     so those count as late too. That lowers the limit wrongly where answers are lost, or the time-out is too short.
     """
-    spent = (now - attempt.sent_at) / attempt.request.request_class.latency_objective
-    pool.objective_shares.append(ObjectiveShare(max(timed_out, spent), active))
+    objective_share = (now - attempt.sent_at) / attempt.request.request_class.latency_objective
+    pool.objective_shares.append(ObjectiveShare(max(timed_out, objective_share), active))
     average = mean([sample.share for sample in pool.objective_shares], 0.0)
-    if len(pool.objective_shares) == OBJECTIVE_SHARES_KEPT and average > TARGET_SHARE and _is_full(pool):
+    if len(pool.objective_shares) == MAX_OBJECTIVE_SHARES and average > TARGET_OBJECTIVE_SHARE and _is_full(pool):
         used = min(pool.concurrency_limit, 1 + mean([sample.active for sample in pool.objective_shares], 0.0))
-        pool.concurrency_limit = max(MIN_LIMIT, used * max(MIN_KEPT_BY_CUT, TARGET_SHARE / average))
+        pool.concurrency_limit = max(MIN_LIMIT, used * max(MIN_DECREASE_FACTOR, TARGET_OBJECTIVE_SHARE / average))
         pool.limit_lowered_at = now
         pool.objective_shares.clear()
-    elif active_attempts(pool, now) >= pool.concurrency_limit * RAISED_FROM and average <= TARGET_SHARE:
+    elif active_attempts(pool, now) >= pool.concurrency_limit * RAISE_THRESHOLD and average <= TARGET_OBJECTIVE_SHARE:
         pool.concurrency_limit += 1 / pool.concurrency_limit
 
 
--- a/wickdyke/routing/control_budget.py
+++ b/wickdyke/routing/control_budget.py
@@ -19,11 +19,11 @@
         """Adds the tokens of a request."""
         self.tokens = min(MAX_TOKENS, self.tokens + TOKENS_PER_REQUEST)
 
-    def covers_one(self) -> bool:
+    def has_token(self) -> bool:
         """Whether there is a token."""
         return self.tokens >= 1
 
-    def has_spare(self) -> bool:
+    def has_spare_tokens(self) -> bool:
         """Whether there are enough tokens for checks that no decision depends on."""
         return self.tokens > SPARE_TOKENS
 
--- a/wickdyke/routing/demand.py
+++ b/wickdyke/routing/demand.py
@@ -7,10 +7,10 @@
 from wickdyke.routing.samples import mean
 from wickdyke.routing.settings import FunctionCache
 
-CALLS_KEPT = 64  # of a function
+MAX_REQUEST_TIMES = 64  # of a function
 PRIOR_SAMPLES = 16  # reports or answers that the prior of an estimate weighs
 STARTUP_AGE = 1000.0  # ms added to the age of this front end, so that its first calls do not look like a high rate
-MIN_LANES = 1e-9  # keeps divisors above 0
+MIN_DEMAND = 1e-9  # keeps divisors above 0
 
 
 class DemandEstimator:
@@ -23,17 +23,17 @@
         self.idle_timeout = cache.idle_timeout
         self.reports_concurrency = cache.reports_concurrency
 
-    def own_lanes(self, function: Function, now: float) -> float:
+    def own_demand(self, function: Function, now: float) -> float:
         """Lanes that our own requests of the function keep busy."""
-        recent = [at for at in function.recent_calls if now - at < self.idle_timeout]
+        recent = [at for at in function.request_times if now - at < self.idle_timeout]
         # After a start, few calls over a whole idle timeout would look like little demand, and all functions would be
         # placed on one worker.
         age = now - self.since + STARTUP_AGE
-        span = now - recent[0] if len(recent) == CALLS_KEPT else min(self.idle_timeout, age)
-        latency = max(self.latency.usual_work(function) * self.latency.average_pace, MIN_LANES)
+        span = now - recent[0] if len(recent) == MAX_REQUEST_TIMES else min(self.idle_timeout, age)
+        latency = max(self.latency.usual_work(function) * self.latency.average_slowdown, MIN_DEMAND)
         return len(recent) / max(span, 1.0) * latency
 
-    def fleet_lanes(self, function: Function, own: float, share: float) -> float:
+    def fleet_demand(self, function: Function, own: float, share: float) -> float:
         """Lanes that all front ends' requests of the function keep busy; `own` of them are ours, our usual `share`.
 
         Two estimates weighed by their variances: our own lanes over our share, and the requests of the function that
@@ -46,7 +46,7 @@
         if not samples_by_worker:
             return own if self.reports_concurrency else scaled
         beside = sum(concurrent / samples_by_worker[worker] for worker, concurrent in samples)
-        calls = own * self.idle_timeout / self.latency.usual_work(function) / self.latency.average_pace
+        calls = own * self.idle_timeout / self.latency.usual_work(function) / self.latency.average_slowdown
         scaled_variance = scaled**2 * (1 - share) / calls
         beside_variance = (beside + 1 / PRIOR_SAMPLES) * len(samples_by_worker) / len(samples)
         return (scaled * beside_variance + beside * scaled_variance) / (scaled_variance + beside_variance)
@@ -56,5 +56,5 @@
         in_flight = [
             report.in_flight for worker in workers for report in worker.load_reports if report.in_flight is not None
         ]
-        part = min(1.0, own / max(mean(in_flight, 0.0) * len(workers), own, MIN_LANES))
+        part = min(1.0, own / max(mean(in_flight, 0.0) * len(workers), own, MIN_DEMAND))
         return (part * len(in_flight) + PRIOR_SAMPLES * even) / (len(in_flight) + PRIOR_SAMPLES)
--- a/wickdyke/routing/dispatcher.py
+++ b/wickdyke/routing/dispatcher.py
@@ -1,4 +1,4 @@
-"""Dispatches each open request: it is forwarded, kept waiting, hedged, withdrawn, rejected or failed."""
+"""Dispatches open requests: forwards, queues, hedges, withdraws, rejects or fails them."""
 
 from collections import deque
 from collections.abc import Callable
@@ -9,9 +9,9 @@
 from wickdyke.routing.fleet import Fleet
 from wickdyke.routing.in_flight import GlobalConcurrency, active_attempts, begin_activity, begin_attempt
 from wickdyke.routing.latency import (
+    MAX_REPORT_AGE,
     MIN_OVERDUE,
     OVERDUE_FACTOR,
-    REPORT_AGE,
     WORKER_RECORDS,
     LatencyEstimator,
 )
@@ -26,7 +26,7 @@
     Worker,
 )
 from wickdyke.routing.outliers import OutlierDetector
-from wickdyke.routing.periods import TICK
+from wickdyke.routing.periods import TICK_INTERVAL
 from wickdyke.routing.placement import FILL_UTILIZATION
 from wickdyke.routing.prewarming import Prewarmer, PrewarmLimiter, PrewarmPlan
 from wickdyke.routing.readiness import Readiness
@@ -35,13 +35,13 @@
 from wickdyke.routing.settings import AttemptLimits, FunctionCache
 from wickdyke.routing.slow_start import SlowStartGuard
 
-MIN_TIME_FOR_ATTEMPT = 2 * TICK  # ms before its deadline up to which a request may be attempted
-RETRY_INTERVAL = 3 * TICK  # ms between searches for a worker for a retry
-LATE_FACTOR = 1.5  # a request is late where this many times its expected latency exceeds its objective
+MIN_TIME_FOR_ATTEMPT = 2 * TICK_INTERVAL  # ms that must remain until a request's deadline for another attempt
+RETRY_INTERVAL = 3 * TICK_INTERVAL  # ms between searches for a worker for a retry
+LATE_FACTOR = 1.5  # a request counts as late where its expected latency times this exceeds its objective
 
 
 class RequestKind(NamedTuple):
-    """Requests of one kind find the same replicas."""
+    """What a replica search depends on: requests of the same kind find the same replicas."""
 
     function: Function
     request_class: RequestClass
@@ -50,7 +50,7 @@
 
 @dataclass(slots=True)
 class Dispatcher:
-    """Owns the open requests. Its decisions are appended to `decisions`."""
+    """Owns the open requests and appends decisions on them to `decisions`."""
 
     limits: AttemptLimits
     cache: FunctionCache
@@ -65,9 +65,9 @@
     global_concurrency: GlobalConcurrency
     decisions: deque[Decision]
     requests: dict[int, Request] = field(default_factory=dict)
-    pending: deque[Request] = field(default_factory=deque)  # to be dispatched now
-    waiting: list[Request] = field(default_factory=list)  # until the next tick
-    unplaceable: set[RequestKind] = field(default_factory=set)  # for which there is no replica at this time
+    pending: deque[Request] = field(default_factory=deque)  # requests to dispatch now
+    waiting: list[Request] = field(default_factory=list)  # requests to dispatch again at the next tick
+    unplaceable: set[RequestKind] = field(default_factory=set)  # kinds for which no replica was found at this time
 
     def open(self, request: Request) -> None:
         """Adds a new request."""
@@ -75,19 +75,19 @@
         self.pending.append(request)
 
     def attempt_failed(self, request: Request) -> None:
-        """Dispatches a request again, of which an attempt ended without a final answer."""
+        """Queues a request for dispatch after one of its attempts ended without a final answer."""
         if not request.queued:
             request.queued = True
             self.pending.append(request)
 
     def retry_waiting(self, rank: Callable[[Request], tuple[float, float]]) -> None:
-        """Dispatches all waiting requests again, in the order of their rank."""
+        """Queues all waiting requests for dispatch, in ascending order of `rank`."""
         self.waiting.sort(key=rank)
         self.pending.extend(self.waiting)
         self.waiting = []
 
     def close(self, request: Request) -> None:
-        """Closes a request that has its answer, or whose client has left; its attempts in flight are cancelled."""
+        """Closes a request that is answered or whose client is gone, and cancels its attempts in flight."""
         request.closed = True
         in_flight = [attempt for attempt in request.attempts if attempt.outcome is None]
         if self.limits.cancel:
@@ -123,11 +123,11 @@
     # ---- finding a replica ----
 
     def find_replica(self, request: Request, excluded: set[Worker], now: float) -> Replica | None:
-        """A replica for the next attempt, at none of the `excluded` workers; None where there is none now."""
+        """Returns a replica for the next attempt, not on an `excluded` worker; None where there is none now."""
         if now >= request.deadline - MIN_TIME_FOR_ATTEMPT or self._all_attempts_in_use(now):
             return None
-        # A search for each of thousands of waiting requests would take longer than a tick. The first without a replica
-        # decides for all of its kind, until the next input.
+        # With thousands of waiting requests, one search for each would take longer than a tick. A failed search
+        # therefore counts for all requests of the same kind, until the next input.
         kind = RequestKind(request.function, request.request_class, not request.attempts)
         if kind in self.unplaceable:
             return None
@@ -144,20 +144,20 @@
 
     def _choose(self, request: Request, excluded: set[Worker], now: float) -> Replica | None:
         can_serve = self._filter(request, excluded, now)
-        if self.outliers.network_fault:  # while new connections fail, connected workers are preferred
+        if self.outliers.network_fault:  # prefer workers with open connections while new connections fail
             idle_timeout = self.limits.idle_timeout
 
             def is_connected(worker: Worker) -> bool:
-                return worker.last_heard != 0.0 and now - worker.last_heard < idle_timeout and can_serve(worker)
+                return worker.last_answer_at != 0.0 and now - worker.last_answer_at < idle_timeout and can_serve(worker)
 
             if connected := self.selector.choose(request, is_connected, now):
                 return connected
         return self.selector.choose(request, can_serve, now)
 
     def _choose_proved(self, preferred: Replica, request: Request, excluded: set[Worker], now: float) -> Replica | None:
-        """A loaded replica of a worker that is proved ready. Without one, the worker of the preferred one is asked.
+        """Returns a loaded replica on a worker that is proved ready, or checks the `preferred` worker and returns None.
 
-        To ask each worker that has the lowest latency would cost a health check for nearly each request.
+        Checking whichever worker has the lowest latency would cost a health check for almost every request.
         """
         can_serve = self._filter(request, excluded, now)
 
@@ -166,7 +166,7 @@
 
         proved = self.selector.choose_loaded(request, is_proved, now)
         if proved is None:
-            self.readiness.require(preferred.worker, now)
+            self.readiness.require_ready(preferred.worker, now)
         return proved
 
     def _filter(self, request: Request, excluded: set[Worker], now: float) -> Callable[[Worker], bool]:
@@ -198,22 +198,22 @@
     # ---- forwarding ----
 
     def _rejected_early(self, replica: Replica, request: Request, now: float) -> bool:
-        """Whether a first attempt would be late at a worker that is full already.
+        """Returns whether to reject a request because its first attempt would be late at a worker that is full.
 
-        In an overload each of many front ends sends little, and queues make all answers late. Requests are rejected
-        needlessly where the last report was of a short burst.
+        In an overload each of many front ends sends little, and queueing at the workers makes all answers late.
+        Requests are rejected needlessly where the last load report covered a short burst.
         """
         if request.attempts or self.cache.loads_on_demand or not replica.worker.load_reports:
             return False
         report = replica.worker.load_reports[-1]
-        full = now - report.received_at < REPORT_AGE and (report.utilization or 0.0) >= FILL_UTILIZATION
+        full = now - report.received_at < MAX_REPORT_AGE and (report.utilization or 0.0) >= FILL_UTILIZATION
         if not full or not self.latency.is_loaded(replica, now):
             return False
         expected = self.latency.expected_latency(replica, request, now)
         return now + LATE_FACTOR * expected > request.objective_at
 
     def _forward_or_prewarm(self, replica: Replica, request: Request, now: float) -> bool:
-        """Forwards the request, unless it has to wait for a prewarm of the replica; whether it was forwarded."""
+        """Forwards the request, unless it must wait for a prewarm of the replica; returns whether it was forwarded."""
         prewarmed = replica.prewarm_sent_at is not None and replica.prewarm_sent_at < now
         if (
             self.cache.loads_on_demand
@@ -225,15 +225,15 @@
                 request.retry_budget.retries.append(now)
             self.forward(request, replica, now)
             return True
-        if replica.prewarm_sent_at is None:  # an attempt would miss, and might overtake the prewarm
+        if replica.prewarm_sent_at is None:  # an attempt now would miss, or could overtake the prewarm
             self.prewarmer.send(PrewarmPlan(replica, 1, False), now)
         return False
 
     def _may_risk_miss(self, replica: Replica, request: Request, now: float) -> bool:
-        """Whether an attempt may be sent although the function may not be loaded there.
+        """Returns whether an attempt may be sent although the function may not be loaded on that worker.
 
-        Otherwise each of many front ends would spend its quota on replicas that others have prewarmed. A miss proves
-        that none is loaded; it costs latency where misses are slow.
+        Otherwise each of many front ends would spend its prewarm quota on replicas that other front ends have already
+        prewarmed. A miss proves that the function is not loaded, but adds latency where misses are slow.
         """
         load_time = self.latency.load_time(replica.function)
         another_left = len(request.attempts) + 1 < attempts_allowed(request, self.limits)
@@ -250,7 +250,7 @@
         active_in_total = active_attempts(self.global_concurrency, now)
         overdue_at = now + max(MIN_OVERDUE, OVERDUE_FACTOR * expected)
         number = len(request.attempts)
-        attempt = Attempt(  # by position: keywords would take twice the time
+        attempt = Attempt(  # positional arguments, as keyword arguments take twice the time
             request, number, replica, now, expected, warm, active_at_worker, active_in_total, overdue_at
         )
         begin_attempt(attempt)
@@ -275,8 +275,8 @@
         return not self._is_late(request, now)
 
     def _is_late(self, request: Request, now: float) -> bool:
-        """Whether its usual latency exceeds its objective, or it has queued for longer than its route allows."""
-        usual = self.latency.expected_work(request) * self.latency.average_pace
+        """Returns whether the usual latency exceeds the objective, or the route's queue time-out has passed."""
+        usual = self.latency.expected_work(request) * self.latency.average_slowdown
         late = now + usual >= request.objective_at
         policy = request.route_policy
         if not policy:
@@ -294,7 +294,7 @@
 
     def _give_up(self, request: Request) -> None:
         if may_reject(request):
-            usual = self.latency.expected_work(request) * self.latency.average_pace
+            usual = self.latency.expected_work(request) * self.latency.average_slowdown
             self.decisions.append(Reject(request, min(self.limits.retry_after, usual) or None))
         else:
             self.decisions.append(Fail(request))
@@ -303,10 +303,10 @@
     # ---- hedging and withdrawing ----
 
     def hedge(self, request: Request, now: float) -> None:
-        """Sends a further attempt while the last one is unanswered, as far as its route's policy and tokens allow.
+        """Sends another attempt while the last one is unanswered, if the route's policy and hedge tokens allow.
 
-        A worker may be slow or lose answers. Under load hedging doubles the work. The first answer counts, the other
-        attempts are cancelled.
+        This guards against workers that are slow or lose answers; under load it doubles the work. The first answer
+        counts, and the other attempts are cancelled.
         """
         hedging = request.route_policy.hedge if request.route_policy else None
         budget = request.retry_budget
@@ -322,10 +322,10 @@
             self.forward(request, replica, now)
 
     def withdraw_from(self, worker: Worker, now: float) -> None:
-        """Cancels the attempts that an ejected worker has not answered, where another worker may serve them.
+        """Cancels the unanswered attempts at an ejected worker that another worker may serve.
 
-        Otherwise a request would spend its time at a worker that hangs. Work that continues after a cancel is done
-        twice: so never where a worker is only slow and answers others.
+        Otherwise a request would use up its time at a worker that hangs. A worker may continue the work after a
+        cancel, so that it is done twice: attempts stay where a worker is only slow and answers other requests.
         """
         if not self.limits.cancel or worker.ejected_until <= now:
             return
@@ -340,7 +340,7 @@
             return False
         if len(request.attempts) >= attempts_allowed(request, self.limits):
             return False
-        if worker.last_heard > attempt.sent_at or not within_retry_budget(request, Outcome.CANCELLED, now):
+        if worker.last_answer_at > attempt.sent_at or not within_retry_budget(request, Outcome.CANCELLED, now):
             return False
         withdrawn_from = {other.replica.worker for other in request.attempts if other.withdrawn} | {worker}
-        return any(other.ejected_until <= now for other in self.fleet.ready(withdrawn_from))
+        return any(other.ejected_until <= now for other in self.fleet.ready_workers(withdrawn_from))
--- a/wickdyke/routing/fleet.py
+++ b/wickdyke/routing/fleet.py
@@ -29,7 +29,7 @@
 from wickdyke.routing.replicas import forget_replicas
 
 PATH_BITS = 64
-FORGOTTEN_PART = 1 / 8  # of a cell's functions, where there are too many
+EVICTED_FRACTION = 1 / 8  # of a cell's functions, where there are too many
 
 
 @dataclass(slots=True, frozen=True)
@@ -37,14 +37,14 @@
     """A function's cell, and its nearest worker there; None in a fleet of one cell, where ranks alone decide."""
 
     cell: Cell
-    nearest: Worker | None = None
+    nearest_worker: Worker | None = None
 
 
 @dataclass(slots=True, frozen=True)
 class FleetChanges:
     """The effects of an update: workers that are gone, and cells whose ready workers have changed."""
 
-    gone: list[Worker]
+    removed: list[Worker]
     cells: list[Cell]
 
 
@@ -77,8 +77,8 @@
         self.ring = HashRing()
         self.positions: dict[str, tuple[int, int]] = {}  # path, point on the ring
         self.next_cell = 0
-        self.touched: dict[Cell, None] = {}
-        self.ended: list[Cell] = []
+        self.touched_cells: dict[Cell, None] = {}
+        self.removed_cells: list[Cell] = []
 
     # ---- the endpoint list ----
 
@@ -86,32 +86,32 @@
         """Enters the `whole` list, or changed entries; the cost is linear in the entries."""
         named = {endpoint.ident: endpoint for endpoint in endpoints}
         missing = [ident for ident in self.workers if ident not in named] if whole else []
-        gone = [self._remove(ident) for ident in missing]
+        removed = [self._remove(ident) for ident in missing]
         for ident, endpoint in named.items():
             worker = self.workers.get(ident)
             if worker and _replaces(endpoint, worker):
-                gone.append(self._remove(ident))
+                removed.append(self._remove(ident))
         for endpoint in named.values():
             if endpoint.state != EndpointState.GONE:
                 self._put(endpoint)
-        return self._changes(gone)
+        return self._changes(removed)
 
-    def _changes(self, gone: list[Worker]) -> FleetChanges:
-        live = [cell for cell in self.touched if self.cells.get((cell.depth, cell.prefix)) is cell]
+    def _changes(self, removed: list[Worker]) -> FleetChanges:
+        live = [cell for cell in self.touched_cells if self.cells.get((cell.depth, cell.prefix)) is cell]
         changed = []
         for cell in live:
             if cell.refresh():
                 changed.append(cell)
-            if cell.ready:
+            if cell.ready_workers:
                 self.cells_without_workers.discard(cell)
             else:
                 self.cells_without_workers.add(cell)
-        ended = self.ended
-        self.touched = {}
-        self.ended = []
-        self.cells_without_workers.difference_update(ended)
-        self.version += bool(live or ended)
-        return FleetChanges(gone, changed)
+        removed_cells = self.removed_cells
+        self.touched_cells = {}
+        self.removed_cells = []
+        self.cells_without_workers.difference_update(removed_cells)
+        self.version += bool(live or removed_cells)
+        return FleetChanges(removed, changed)
 
     def _put(self, endpoint: Endpoint) -> None:
         worker = self.workers.get(endpoint.ident)
@@ -122,7 +122,7 @@
             self.ring.resize(endpoint.ident, size_of(endpoint))
             self.version += 1
         worker.endpoint = endpoint
-        self.touched[self.cell_of(endpoint.ident)] = None
+        self.touched_cells[self.cell_of(endpoint.ident)] = None
 
     def _add(self, endpoint: Endpoint) -> None:
         ident = endpoint.ident
@@ -132,7 +132,7 @@
         self.ring.insert(point, ident, size_of(endpoint))
         cell = self.cell_of(ident)
         cell.members[ident] = worker
-        self.touched[cell] = None
+        self.touched_cells[cell] = None
         if len(self.workers) > self.single_cell_limit:
             self._split(cell)
 
@@ -141,7 +141,7 @@
         _, point = self.positions.pop(ident)
         self.ring.remove(point, ident)
         del cell.members[ident]
-        self.touched[cell] = None
+        self.touched_cells[cell] = None
         if len(self.workers) == self.single_cell_limit:
             self._replace(list(self.cells.values()), [Cell(0, 0, dict(self.workers))])
         while cell.depth and len(self.workers) > self.single_cell_limit and (joined := self._merge(cell)):
@@ -182,10 +182,10 @@
     def _replace(self, old: list[Cell], new: list[Cell]) -> None:
         for cell in old:
             del self.cells[cell.depth, cell.prefix]
-            self.ended.append(cell)
+            self.removed_cells.append(cell)
         for cell in new:
             self._open(cell)
-            self.touched[cell] = None
+            self.touched_cells[cell] = None
         for cell in old:  # until they are settled, or called again
             new[0].functions.update(cell.functions)
             for function in cell.functions.values():
@@ -195,44 +195,44 @@
         self.cells[cell.depth, cell.prefix] = cell
         cell.placement = self.make_placement(cell)
 
-    def in_turn(self, count: int) -> list[Cell]:
+    def cells_in_turn(self, count: int) -> list[Cell]:
         """Of the next `count` cells, those with functions; each call continues where the last one ended."""
         cells = list(self.cells.values())
         start = self.next_cell % len(cells)
         self.next_cell = start + count
         return [cell for cell in islice(chain(cells[start:], cells[:start]), count) if cell.functions]
 
-    def ready(self, excluded: Collection[Worker] = ()) -> Iterator[Worker]:
+    def ready_workers(self, excluded: Collection[Worker] = ()) -> Iterator[Worker]:
         """The workers that the list states as ready, without the `excluded` ones."""
-        everyone = chain.from_iterable(cell.ready for cell in self.cells.values())
+        everyone = chain.from_iterable(cell.ready_workers for cell in self.cells.values())
         return (worker for worker in everyone if worker not in excluded)
 
     # ---- functions ----
 
-    def enter(self, function: Function) -> Cell:
+    def add_function(self, function: Function) -> Cell:
         """Adds a function; returns its home."""
         self.functions[function.name] = function
         return self.home_of(function)
 
-    def drop(self, functions: Iterable[Function]) -> None:
+    def remove_functions(self, functions: Iterable[Function]) -> None:
         """Removes functions, except those with an attempt in flight."""
         for function in functions:
             if not any(replica.in_flight for replica in function.replicas):
                 forget_replicas(list(function.replicas))
                 del self.functions[function.name], function.cell.functions[function.name]
 
-    def shrink(self, maximum: int) -> None:
+    def evict_functions(self, maximum: int) -> None:
         """Removes the least recently called functions of the largest cell, where there are more than `maximum`."""
         if len(self.functions) > maximum:
             largest = max((cell.functions for cell in self.cells.values()), key=len)
-            count = ceil(len(largest) * FORGOTTEN_PART)
-            self.drop(nsmallest(count, largest.values(), lambda function: function.last_called))
+            count = ceil(len(largest) * EVICTED_FRACTION)
+            self.remove_functions(nsmallest(count, largest.values(), lambda function: function.last_request_at))
 
     def home_of(self, function: Function) -> Cell:
         """The cell of a function, computed again only where the list has changed since."""
         if function.fleet_version != self.version:
             home = self.home(function.name) or Home(function.cell or next(iter(self.cells.values())))
-            if home.cell is not function.cell or home.nearest is not function.nearest:
+            if home.cell is not function.cell or home.nearest_worker is not function.nearest_worker:
                 self._move(function, home)
             function.fleet_version = self.version
         cell: Cell = function.cell
@@ -245,16 +245,16 @@
                 del function.cell.functions[function.name]
             home.cell.functions[function.name] = function
         function.cell = home.cell
-        function.nearest = home.nearest
+        function.nearest_worker = home.nearest_worker
         function.ranked_from = None
 
-    def settle(self, cell: Cell, before: float) -> None:
+    def refresh_functions(self, cell: Cell, before: float) -> None:
         """Moves functions whose home has changed out of the cell; removes those last called before that time (ms)."""
         for function in [moved for moved in cell.functions.values() if moved.fleet_version != self.version]:
             self.home_of(function)
-        self.drop([function for function in cell.functions.values() if function.last_called < before])
+        self.remove_functions([function for function in cell.functions.values() if function.last_request_at < before])
 
-    def near(self, function: Function, maximum: int) -> Iterator[Cell]:
+    def nearest_cells(self, function: Function, maximum: int) -> Iterator[Cell]:
         """The nearest cells of a function, its home first, at most `maximum`."""
         cells = [self.home_of(function)]
         yield cells[0]
--- a/wickdyke/routing/health_checks.py
+++ b/wickdyke/routing/health_checks.py
@@ -20,48 +20,50 @@
         self.enabled = enabled
         self.budget = budget
         self.decisions = decisions
-        self.rota: deque[Worker] = deque()  # workers on whose reports decisions depend, in turn
-        self.unanswered: list[Worker] = []
+        self.check_rotation: deque[Worker] = deque()  # workers on whose reports decisions depend, in turn
+        self.unresponsive_workers: list[Worker] = []
 
     def check(self, worker: Worker, every: float, now: float) -> None:
         """Checks the worker, unless a report was received or a check sent within `every` ms."""
         reported = worker.load_reports[-1].received_at if worker.load_reports else 0.0
         if (
             self.enabled
-            and self.budget.covers_one()
+            and self.budget.has_token()
             and worker.endpoint.state == EndpointState.READY
-            and now - max(reported, worker.last_checked) >= every
+            and now - max(reported, worker.last_check_at) >= every
         ):
             self.budget.spend()
             self._send(worker, now)
 
-    def ask(self, worker: Worker, now: float) -> None:
+    def check_now(self, worker: Worker, now: float) -> None:
         """Checks the worker at once, as work waits for its answer, unless a check of it is in flight."""
-        if self.enabled and worker.endpoint.state == EndpointState.READY and worker.asked_at is None:
+        if self.enabled and worker.endpoint.state == EndpointState.READY and worker.check_sent_at is None:
             self._send(worker, now)
 
     def _send(self, worker: Worker, now: float) -> None:
-        worker.last_checked = now
-        worker.asked_at = now
+        worker.last_check_at = now
+        worker.check_sent_at = now
         self.decisions.append(HealthCheck(worker))
 
     def check_in_turn(self, tick: float, now: float) -> None:
         """Continues through the rota, at a pace that checks each worker every CHECK_EVERY ms; `tick` ms have passed."""
-        if not self.budget.has_spare():
+        if not self.budget.has_spare_tokens():
             return
-        for _ in range(ceil(len(self.rota) * tick / CHECK_EVERY)):
-            self.rota.rotate(-1)
-            self.check(self.rota[0], CHECK_EVERY, now)
+        for _ in range(ceil(len(self.check_rotation) * tick / CHECK_EVERY)):
+            self.check_rotation.rotate(-1)
+            self.check(self.check_rotation[0], CHECK_EVERY, now)
 
-    def watch(self, workers: Iterable[Worker]) -> None:
+    def set_rotation(self, workers: Iterable[Worker]) -> None:
         """Sets the workers to be checked in turn."""
-        self.rota = deque(workers)
+        self.check_rotation = deque(workers)
 
-    def finished(self, worker: Worker, outcome: Outcome, now: float) -> None:
+    def check_finished(self, worker: Worker, outcome: Outcome, now: float) -> None:
         """Enters how a check of the worker ended."""
         if outcome == Outcome.OK and worker.failed_checks:  # it answers again: it may be tried now
             worker.ejected_until = min(worker.ejected_until, now)
         worker.failed_checks = worker.failed_checks + 1 if outcome == Outcome.TIMEOUT else 0
-        self.unanswered = [other for other in self.unanswered if other.failed_checks and other is not worker]
+        self.unresponsive_workers = [
+            other for other in self.unresponsive_workers if other.failed_checks and other is not worker
+        ]
         if worker.failed_checks:
-            self.unanswered.append(worker)
+            self.unresponsive_workers.append(worker)
--- a/wickdyke/routing/latency.py
+++ b/wickdyke/routing/latency.py
@@ -18,22 +18,22 @@
 from wickdyke.routing.samples import mean, sum_by_key
 from wickdyke.routing.settings import FunctionCache, GatewayInstance, TenantQuotas
 
-SAMPLE_AGE = 15000.0  # ms for which a latency sample counts
-LATENCY_SAMPLES_KEPT = 40  # of a worker
-RESULTS_KEPT = 8  # of a worker
-REPORTS_KEPT = 8  # of a worker
-OBJECTIVE_SHARES_KEPT = 8  # of a worker; its limit is adapted from that many
-WORKER_RECORDS = RecordLengths(LATENCY_SAMPLES_KEPT, RESULTS_KEPT, REPORTS_KEPT, OBJECTIVE_SHARES_KEPT)
-DURATIONS_KEPT = 16  # of a function, of a request class, of loads
+MAX_SAMPLE_AGE = 15000.0  # ms for which a latency sample counts
+MAX_LATENCY_SAMPLES = 40  # of a worker
+MAX_RESULT_SAMPLES = 8  # of a worker
+MAX_LOAD_REPORTS = 8  # of a worker
+MAX_OBJECTIVE_SHARES = 8  # of a worker; its limit is adapted from that many
+WORKER_RECORDS = RecordLengths(MAX_LATENCY_SAMPLES, MAX_RESULT_SAMPLES, MAX_LOAD_REPORTS, MAX_OBJECTIVE_SHARES)
+MAX_DURATION_SAMPLES = 16  # of a function, of a request class, of loads
 PRIOR_ANSWERS = 6.0  # answers that the pace of its kind weighs in a worker's pace
-REPORT_AGE = 4000.0  # ms over which a load report fades
+MAX_REPORT_AGE = 4000.0  # ms over which a load report fades
 DEFAULT_LOAD_TIME = 1000.0  # ms, before any load was measured
 MIN_LOAD_TIME = 50.0  # ms: what took less was no load
 MIN_LOADS_WITHOUT_HINT = 4  # measured loads of a function from which its hint no longer counts
-DEFAULT_WORK_PART = 0.25  # of the latency objective, before any answer was received
-MIN_REMAINING_LOAD_PART = 0.2  # of the load time, for a load that should have ended
-KIND_PRIOR = 16  # the average pace weighs 1/16 of all work in a kind's pace
-CORE_SAMPLES_KEPT = 400
+DEFAULT_WORK_FRACTION = 0.25  # of the latency objective, before any answer was received
+MIN_REMAINING_LOAD_FRACTION = 0.2  # of the load time, for a load that should have ended
+KIND_PRIOR_DIVISOR = 16  # the average pace weighs 1/16 of all work in a kind's pace
+MAX_CORE_SAMPLES = 400
 MIN_CORE_SAMPLES = 16  # above which they count
 DEFAULT_CORES = 4.0  # requests that a worker runs at once, without any evidence
 CORES_QUANTILE = 0.1  # low, as requests that wait for concurrency or loads use no core
@@ -63,11 +63,11 @@
         self.idle_timeout = cache.idle_timeout
         self.has_report_fields = bool(instance.report_fields)
         self.promised_rate = sum(quotas.quotas)
-        self.average_pace = 1.0
-        self.pace_by_kind: dict[int, float] = {}
+        self.average_slowdown = 1.0
+        self.slowdown_by_kind: dict[int, float] = {}
         self.cores_per_size = 0.0
-        self.load_times: deque[float] = deque(maxlen=DURATIONS_KEPT)
-        self.core_samples: deque[float] = deque(maxlen=CORE_SAMPLES_KEPT)
+        self.load_times: deque[float] = deque(maxlen=MAX_DURATION_SAMPLES)
+        self.core_samples: deque[float] = deque(maxlen=MAX_CORE_SAMPLES)
 
     # ---- work and pace ----
 
@@ -80,44 +80,48 @@
     def usual_work(self, function: Function) -> float:
         """ms that a request of the function takes on the average worker, the mean of its class counts as one sample."""
         request_class = function.request_class
-        usual = mean(request_class.durations, request_class.latency_objective * DEFAULT_WORK_PART)
+        usual = mean(request_class.durations, request_class.latency_objective * DEFAULT_WORK_FRACTION)
         return (sum(function.durations) + usual) / (len(function.durations) + 1)
 
-    def pace(self, worker: Worker) -> float:
+    def slowdown(self, worker: Worker) -> float:
         """Latency over work at that worker, drawn towards the pace of its kind where few answers were received."""
         prior = PRIOR_ANSWERS * worker.sampled_work / (len(worker.latency_samples) or 1) or 1.0
-        return (worker.sampled_latency + prior * self.usual_pace(worker)) / (worker.sampled_work + prior)
+        return (worker.sampled_latency + prior * self.usual_slowdown(worker)) / (worker.sampled_work + prior)
 
-    def usual_pace(self, worker: Worker) -> float:
+    def usual_slowdown(self, worker: Worker) -> float:
         """The pace of workers of its kind."""
-        return self.pace_by_kind.get(worker.endpoint.kind, self.average_pace)
+        return self.slowdown_by_kind.get(worker.endpoint.kind, self.average_slowdown)
 
     def cores(self, worker: Worker) -> float:
         """Requests that the worker runs at once without slowing down."""
         return max(1.0, self.cores_per_size * worker.endpoint.size)
 
-    def survey(self, cell: Cell, cells: list[Cell], mean_work: float, now: float) -> None:
+    def update_estimates(self, cell: Cell, cells: list[Cell], mean_work: float, now: float) -> None:
         """Sums up the samples of a cell's workers, and estimates paces and cores from all cells' last surveys.
 
         `mean_work` is the ms that a request of the cell's functions takes on the average worker.
         """
-        workers = cell.ready
-        cell.pool = {worker.endpoint.kind: (0.0, 0.0) for worker in workers}
+        workers = cell.ready_workers
+        cell.latency_sums_by_kind = {worker.endpoint.kind: (0.0, 0.0) for worker in workers}
         for worker in workers:
             if worker.latency_samples:
-                worker.sum_samples(now - SAMPLE_AGE)
-                latency, work = cell.pool[worker.endpoint.kind]
-                cell.pool[worker.endpoint.kind] = latency + worker.sampled_latency, work + worker.sampled_work
-        self._update_paces(cells)
+                worker.sum_samples(now - MAX_SAMPLE_AGE)
+                latency, work = cell.latency_sums_by_kind[worker.endpoint.kind]
+                cell.latency_sums_by_kind[worker.endpoint.kind] = (
+                    latency + worker.sampled_latency,
+                    work + worker.sampled_work,
+                )
+        self._update_slowdowns(cells)
         self._update_cores(workers, cells, mean_work)
 
-    def _update_paces(self, cells: list[Cell]) -> None:
-        kinds = sum_by_key(cell.pool for cell in cells)
+    def _update_slowdowns(self, cells: list[Cell]) -> None:
+        kinds = sum_by_key(cell.latency_sums_by_kind for cell in cells)
         if total_work := sum(work for _, work in kinds.values()):
-            self.average_pace = sum(latency for latency, _ in kinds.values()) / total_work
-            prior = total_work / KIND_PRIOR  # a kind with few answers counts as average
-            self.pace_by_kind = {
-                kind: (latency + prior * self.average_pace) / (work + prior) for kind, (latency, work) in kinds.items()
+            self.average_slowdown = sum(latency for latency, _ in kinds.values()) / total_work
+            prior = total_work / KIND_PRIOR_DIVISOR  # a kind with few answers counts as average
+            self.slowdown_by_kind = {
+                kind: (latency + prior * self.average_slowdown) / (work + prior)
+                for kind, (latency, work) in kinds.items()
             }
 
     def _update_cores(self, workers: list[Worker], cells: list[Cell], mean_work: float) -> None:
@@ -128,7 +132,7 @@
             # Reports with only one of utilization and requests in flight are no evidence of cores, and in the first
             # seconds there are none. The rates promised to tenants are; the estimate is wrong where far less or more
             # is promised than the fleet can serve.
-            ready = max(1, sum(len(cell.ready) for cell in cells))
+            ready = max(1, sum(len(cell.ready_workers) for cell in cells))
             promised = self.promised_rate / 1000 * mean_work / PROMISED_UTILIZATION / ready
             size = mean([worker.endpoint.size for worker in workers], 1.0)
             cores = (promised or DEFAULT_CORES) / size
@@ -176,12 +180,12 @@
 
     def is_loaded(self, replica: Replica, now: float) -> bool:
         """Whether the function is assumed loaded there: used within the idle timeout."""
-        return replica.loaded > 0 and (replica.in_flight > 0 or now - replica.last_used < self.idle_timeout)
+        return replica.loaded_replicas > 0 and (replica.in_flight > 0 or now - replica.last_used < self.idle_timeout)
 
     def _remaining_load(self, replica: Replica, now: float) -> float:
         load_time = 0.0 if self.is_loaded(replica, now) else self.load_time(replica.function)
         elapsed = 0.0 if replica.loading_since is None else now - replica.loading_since
-        return max(load_time * MIN_REMAINING_LOAD_PART, load_time - elapsed)
+        return max(load_time * MIN_REMAINING_LOAD_FRACTION, load_time - elapsed)
 
     # ---- latency of a request ----
 
@@ -191,10 +195,10 @@
         others = 0.0  # attempts of other front ends in flight there
         if worker.load_reports:
             report = worker.load_reports[-1]
-            fade = max(0.0, 1 - (now - report.received_at) / REPORT_AGE)
+            fade = max(0.0, 1 - (now - report.received_at) / MAX_REPORT_AGE)
             others = max(0.0, (report.in_flight or 0.0) - report.own_in_flight) * fade
         crowding = 1 + (len(worker.in_flight) + others) / self.cores(worker)
-        return self.expected_work(request) * self.pace(worker) * crowding + self._remaining_load(replica, now)
+        return self.expected_work(request) * self.slowdown(worker) * crowding + self._remaining_load(replica, now)
 
     def record_attempt(self, attempt: Attempt, outcome: Outcome, now: float) -> None:
         """Enters how long an attempt at a loaded replica took.
@@ -209,7 +213,7 @@
         if outcome == Outcome.OK or given_up:
             latency = elapsed if outcome == Outcome.OK else min(elapsed, OVERDUE_FACTOR * attempt.expected_latency)
             worker.latency_samples.append(LatencySample(now, latency, self.expected_work(request)))
-            worker.sum_samples(now - SAMPLE_AGE)
+            worker.sum_samples(now - MAX_SAMPLE_AGE)
         if outcome == Outcome.OK and request.work is None:
             for durations in (request.function.durations, request.request_class.durations):
-                durations.append(elapsed / self.pace(worker))
+                durations.append(elapsed / self.slowdown(worker))
--- a/wickdyke/routing/model.py
+++ b/wickdyke/routing/model.py
@@ -60,10 +60,10 @@
 class LoadNote(StrEnum):
     """What an answer states of the replica that served it."""
 
-    STOOD = "stood"  # it was loaded already
-    BEGAN = "began"  # this attempt started the load
-    AWAITED = "awaited"  # it waited for a load in progress
-    FAILED = "load failed"
+    ALREADY_LOADED = "stood"  # it was loaded already
+    STARTED_LOAD = "began"  # this attempt started the load
+    AWAITED_LOAD = "awaited"  # it waited for a load in progress
+    LOAD_FAILED = "load failed"
 
 
 NEVER_RAN = frozenset({Outcome.FULL, Outcome.UNREACHED, Outcome.UNSENT, Outcome.MISS})
@@ -81,7 +81,7 @@
     """Whether what ended `at` (ms) ended well."""
 
     at: float
-    good: bool
+    succeeded: bool
 
 
 class ObjectiveShare(NamedTuple):
@@ -227,9 +227,9 @@
     ejections: int = 0
     failed_checks: int = 0
     memory_short_until: float = 0.0
-    last_heard: float = 0.0
-    last_checked: float = 0.0
-    asked_at: float | None = None  # when the health check in flight was sent
+    last_answer_at: float = 0.0
+    last_check_at: float = 0.0
+    check_sent_at: float | None = None  # when the health check in flight was sent
     ready_at: float = float("-inf")  # when it was ready, as far as it has shown that itself
     not_ready_since: float | None = None  # it said so, or its process had ended
     same_process_since: float = float("-inf")  # as far as its connections have shown
@@ -297,19 +297,19 @@
     memory: float
     concurrency: int  # requests that one replica runs at once
     load_hint: float
-    recent_calls: Samples[float]  # when it was called (ms)
+    request_times: Samples[float]  # when it was called (ms)
     durations: Samples[float]  # ms of work of recent requests
     load_times: Samples[float]  # ms
     concurrency_samples: Samples[tuple[Worker, int]]  # (worker, requests of this function in flight there)
     name_hash: int = 0
     replicas: list["Replica"] = field(default_factory=list)
-    last_called: float = 0.0
+    last_request_at: float = 0.0
     placed_at: float = float("-inf")
     ranking: list[Worker] = field(default_factory=list)
     ranked_from: Any = None
     verified: bool = False  # a request of it was answered, or it was loaded
     cell: Any = None
-    nearest: Worker | None = None
+    nearest_worker: Worker | None = None
     fleet_version: int = -1
 
 
@@ -319,9 +319,9 @@
 
     function: Function
     worker: Worker
-    loaded: int = 0
-    wanted: int = 0
-    placed: bool = False
+    loaded_replicas: int = 0
+    wanted_replicas: int = 0
+    is_placed: bool = False
     last_used: float = 0.0
     prewarm_sent_at: float | None = None
     loading_since: float | None = None
@@ -331,7 +331,7 @@
 
     def concurrency(self) -> int:
         """Requests that may run there at once."""
-        return max(1, self.loaded) * self.function.concurrency
+        return max(1, self.loaded_replicas) * self.function.concurrency
 
 
 @dataclass(slots=True, eq=False, repr=False)
--- a/wickdyke/routing/outliers.py
+++ b/wickdyke/routing/outliers.py
@@ -13,21 +13,21 @@
 from wickdyke.routing.replicas import clear_replicas
 from wickdyke.routing.slow_start import SlowStartGuard
 
-FIRST_EJECTION = 1500.0  # ms, doubled each time
-MAX_EJECTION = 4000.0  # ms
+FIRST_EJECTION_TIME = 1500.0  # ms, doubled each time
+MAX_EJECTION_TIME = 4000.0  # ms
 MIN_FAILURES = 3  # failures that eject a worker
 FAILURE_SHARE = 0.5  # part of the results above which failures eject it
-RESULT_AGE = 5000.0  # ms for which a result counts
+MAX_RESULT_AGE = 5000.0  # ms for which a result counts
 NETWORK_FAULT_SHARE = 0.25  # of the recent workers unreached, and no connection lost: it is the network
 SILENCE_THRESHOLD = 26.0  # expected latencies of silence, over all attempts, from which a worker counts as silent
 MAX_SILENCE_PER_ATTEMPT = 6.0  # expected latencies
 SILENCE_PER_FAILED_CHECK = 9.0  # expected latencies
 MIN_EXPECTED_LATENCY = 80.0  # ms
-SILENT_LOADS = 2  # load times after which an ejected worker counts as silent again
-ANSWERED = frozenset({Outcome.OK, Outcome.ERROR, Outcome.FULL, Outcome.MISS})  # the worker answered
-REACHABILITY_OUTCOMES = ANSWERED | {Outcome.UNREACHED, Outcome.CONNECTION_LOST}
+SILENT_LOAD_TIMES = 2  # load times after which an ejected worker counts as silent again
+ANSWERED_OUTCOMES = frozenset({Outcome.OK, Outcome.ERROR, Outcome.FULL, Outcome.MISS})  # the worker answered
+REACHABILITY_OUTCOMES = ANSWERED_OUTCOMES | {Outcome.UNREACHED, Outcome.CONNECTION_LOST}
 RESULT_OUTCOMES = frozenset({Outcome.OK, Outcome.ERROR, Outcome.CONNECTION_LOST, Outcome.UNREACHED})
-FAILURES = frozenset({Outcome.ERROR, Outcome.CONNECTION_LOST})
+FAILURE_OUTCOMES = frozenset({Outcome.ERROR, Outcome.CONNECTION_LOST})
 
 
 class OutlierDetector:
@@ -61,7 +61,7 @@
             self.last_outcomes[worker] = now, outcome
         unreached = outcome == Outcome.UNREACHED
         if (unreached or self.network_fault) and self._detect_network_fault(now) and unreached:
-            worker.ejected_until = now + MAX_EJECTION
+            worker.ejected_until = now + MAX_EJECTION_TIME
             return
         if unreached or outcome == Outcome.CONNECTION_LOST:
             # The list shows only later that a worker has restarted, with nothing loaded. After a break of the network
@@ -69,8 +69,8 @@
             clear_replicas(worker)
             self.slow_start.connection_lost(worker, now)
             self.readiness.process_ended(worker, now)
-        if outcome in ANSWERED:
-            worker.last_heard = now
+        if outcome in ANSWERED_OUTCOMES:
+            worker.last_answer_at = now
             worker.failed_checks = 0
         self._readmit(worker, outcome, now)
         self._eject_if_failing(worker, outcome, now)
@@ -85,13 +85,13 @@
     def _eject_if_failing(self, worker: Worker, outcome: Outcome, now: float) -> None:
         if outcome in RESULT_OUTCOMES:
             worker.recent_results.append(ResultSample(now, outcome == Outcome.OK))
-        recent = [result.good for result in worker.recent_results if now - result.at < RESULT_AGE]
+        recent = [result.succeeded for result in worker.recent_results if now - result.at < MAX_RESULT_AGE]
         failures = recent.count(False)
         if worker.ejected_until > now:
             return
         often = failures >= MIN_FAILURES and failures > FAILURE_SHARE * len(recent)
         again = failures > 0 and worker.ejections > 0
-        failing = outcome in FAILURES and (often or again)
+        failing = outcome in FAILURE_OUTCOMES and (often or again)
         if outcome == Outcome.UNREACHED or failing:
             self.eject(worker, now, f"{outcome}, {failures} of {len(recent)} bad")
 
@@ -102,7 +102,7 @@
         workers vanish at once.
         """
         self.last_outcomes = {
-            worker: (at, outcome) for worker, (at, outcome) in self.last_outcomes.items() if now - at < RESULT_AGE
+            worker: (at, outcome) for worker, (at, outcome) in self.last_outcomes.items() if now - at < MAX_RESULT_AGE
         }
         counts = Counter(outcome for _, outcome in self.last_outcomes.values())
         unreached = counts[Outcome.UNREACHED]
@@ -129,10 +129,12 @@
         """Whether it has answered nothing for far longer than expected."""
         if worker.ejections:  # a replica pushed out of memory would have loaded again
             return any(
-                now - attempt.sent_at > SILENT_LOADS * self.latency.load_time(attempt.request.function)
+                now - attempt.sent_at > SILENT_LOAD_TIMES * self.latency.load_time(attempt.request.function)
                 for attempt in worker.in_flight
             )
-        unanswered = [attempt for attempt in worker.in_flight if worker.last_heard <= attempt.sent_at and attempt.warm]
+        unanswered = [
+            attempt for attempt in worker.in_flight if worker.last_answer_at <= attempt.sent_at and attempt.warm
+        ]
         silences = (
             (now - attempt.sent_at) / max(attempt.expected_latency, MIN_EXPECTED_LATENCY) for attempt in unanswered
         )
@@ -141,7 +143,7 @@
 
     def eject(self, worker: Worker, now: float, reason: str) -> None:
         """Sends the worker nothing for a while, longer each time; `reason` is logged."""
-        worker.ejected_until = now + min(MAX_EJECTION, FIRST_EJECTION * 2**worker.ejections)
+        worker.ejected_until = now + min(MAX_EJECTION_TIME, FIRST_EJECTION_TIME * 2**worker.ejections)
         worker.ejections += 1
         self.ejected[worker] = None
         self.log_note(f"worker {worker.endpoint.ident} ejected for {worker.ejected_until - now:.0f} ms: {reason}")
--- a/wickdyke/routing/placement.py
+++ b/wickdyke/routing/placement.py
@@ -22,12 +22,12 @@
 FAIR_SHARE_SLACK = 1.2  # times its even part of our load that a worker is given
 KEEP_FACTOR = 1.4  # times that part that it may keep
 SMALL_LOAD = 0.15  # part of a worker's free capacity: a smaller load may exceed it
-CLOSE_LOAD = 0.75  # part of the capacity of its workers less one, over which a function keeps them all
-HOT_FACTOR = 1.2  # times the mean utilization over which a worker is given nothing new
+MAX_LOAD_AFTER_REMOVAL = 0.75  # part of the capacity of its workers less one, over which a function keeps them all
+HOT_UTILIZATION_FACTOR = 1.2  # times the mean utilization over which a worker is given nothing new
 MIN_HOT_UTILIZATION = 0.8  # utilization below which no worker counts as hot
-MAX_CAPACITY_PART = 0.2  # of a worker's capacity that one function takes where workers do not report concurrency
+MAX_CAPACITY_FRACTION = 0.2  # of a worker's capacity that one function takes where workers do not report concurrency
 MAX_FALLBACK_WORKERS = 8  # compared where none has free capacity
-MIN_KEEPER_CALLS = 3.0  # calls by other front ends within an idle timeout that keep a replica loaded
+MIN_REQUESTS_KEEPING_LOADED = 3.0  # calls by other front ends within an idle timeout that keep a replica loaded
 MIN_CAPACITY = 1e-9  # lanes, where a capacity or a share divides
 
 
@@ -45,7 +45,7 @@
     free_memory: dict[Worker, float]  # MB that are left of our part
     kept_workers: dict[Function, list[Worker]]  # workers that functions placed recently stay on
 
-    def take(self, function: Function, workers: list[Worker], replicas: int) -> None:
+    def reserve(self, function: Function, workers: list[Worker], replicas: int) -> None:
         """Uses up what so many replicas of the function take on each of its workers."""
         load = self.demand[function] / len(workers)
         for worker in workers:
@@ -90,36 +90,36 @@
     def run(self, cells: list[Cell], now: float) -> None:
         """Places all functions called within the idle timeout anew, those in most demand first."""
         used = self._functions_in_use(now)
-        self._survey(used, cells, now)
+        self._update_estimates(used, cells, now)
         this_pass = self._begin_pass(used, now)
         for function in sorted(this_pass.demand, key=lambda used: (-this_pass.demand[used], used.name)):
             self._place(function, this_pass, now)
 
     def _functions_in_use(self, now: float) -> list[Function]:
-        called = self.cell.called_since(now - self.cache.idle_timeout)
+        called = self.cell.functions_requested_since(now - self.cache.idle_timeout)
         return [function for function in called if function.verified or self.explicit_loads]
 
-    def _survey(self, used: list[Function], cells: list[Cell], now: float) -> None:
-        calls = sum(len(function.recent_calls) for function in used)
-        work = sum(len(function.recent_calls) * self.latency.usual_work(function) for function in used)
-        self.latency.survey(self.cell, cells, work / max(1, calls), now)
+    def _update_estimates(self, used: list[Function], cells: list[Cell], now: float) -> None:
+        calls = sum(len(function.request_times) for function in used)
+        work = sum(len(function.request_times) * self.latency.usual_work(function) for function in used)
+        self.latency.update_estimates(self.cell, cells, work / max(1, calls), now)
 
     # ---- what a pass begins with ----
 
     def _begin_pass(self, used: list[Function], now: float) -> PlacementPass:
         workers = self.scope.update(now)
-        own_demand = {function: self.demand_estimator.own_lanes(function, now) for function in used}
+        own_demand = {function: self.demand_estimator.own_demand(function, now) for function in used}
         own_total = sum(own_demand.values())
         share = self._share(workers, own_total)
-        cores_per_lane = self._cores_per_lane(workers, own_total, share)
+        cores_per_request = self._cores_per_request(workers, own_total, share)
         fleet_demand = {
-            function: max(self.demand_estimator.fleet_lanes(function, load, share), load)
+            function: max(self.demand_estimator.fleet_demand(function, load, share), load)
             for function, load in own_demand.items()
         }
-        demand = {function: load * cores_per_lane * share for function, load in fleet_demand.items()}
+        demand = {function: load * cores_per_request * share for function, load in fleet_demand.items()}
         memory = {function: function.memory * load / fleet_demand[function] for function, load in own_demand.items()}
         healthy = [worker for worker in workers if not worker.ejections] or workers
-        self._select_active(workers, healthy, own_total * cores_per_lane / share, sum(memory.values()))
+        self._select_active(workers, healthy, own_total * cores_per_request / share, sum(memory.values()))
         capacity = self._capacity(healthy, sum(demand.values()), share)
         self.own_share = share
         self.mean_capacity = max(MIN_CAPACITY, mean([capacity[worker] for worker in self.active], 1.0))
@@ -137,10 +137,10 @@
 
     def _share(self, workers: list[Worker], own_total: float) -> float:
         """Our part of what the workers do; an even part is assumed where few reports were received."""
-        even = min(1.0, len(self.cell.ready) / len(workers) / self.front_ends)
+        even = min(1.0, len(self.cell.ready_workers) / len(workers) / self.front_ends)
         return self.demand_estimator.own_share(workers, own_total, even)
 
-    def _cores_per_lane(self, workers: list[Worker], own_total: float, share: float) -> float:
+    def _cores_per_request(self, workers: list[Worker], own_total: float, share: float) -> float:
         """Busy cores over busy lanes: crowding makes requests stay longer, but takes no more cores."""
         reported = mean([worker.utilization for worker in workers if worker.load_reports], 0.0)
         busy_cores = reported * sum(map(self.latency.cores, workers)) * share
@@ -151,7 +151,7 @@
         active = [worker for worker in selected if not worker.ejections] or healthy
         self.active = dict.fromkeys(active)
         reported = mean([worker.utilization for worker in active if worker.load_reports], 0.0)
-        self.hot_utilization = max(MIN_HOT_UTILIZATION, HOT_FACTOR * reported)
+        self.hot_utilization = max(MIN_HOT_UTILIZATION, HOT_UTILIZATION_FACTOR * reported)
 
     def _capacity(self, healthy: list[Worker], demand: float, share: float) -> dict[Worker, float]:
         """Lanes that we may use of each worker: our even part with some slack, or our share of its cores."""
@@ -166,7 +166,7 @@
         keep_for = KEEP_WORKERS_FOR / max(1 - share, MIN_CAPACITY)  # a front end that is alone keeps them
         return {
             function: [
-                replica.worker for replica in function.replicas if replica.placed and replica.worker in self.active
+                replica.worker for replica in function.replicas if replica.is_placed and replica.worker in self.active
             ]
             for function in demand
             if now - function.placed_at < keep_for
@@ -180,16 +180,16 @@
         replicas = self._replicas_needed(function, this_pass, len(chosen))
         if function not in this_pass.kept_workers:
             function.placed_at = now
-        this_pass.take(function, chosen, replicas)
+        this_pass.reserve(function, chosen, replicas)
         for worker in chosen:
             replica_of(function, worker)
-        kept_by_others = self._others_calls(function, this_pass, len(chosen)) > MIN_KEEPER_CALLS
+        kept_by_others = self._other_front_ends_requests(function, this_pass, len(chosen)) > MIN_REQUESTS_KEEPING_LOADED
         for replica in function.replicas:
             # More replicas on a worker would spend the few prewarms that the quota allows: where attempts may miss,
             # workers add replicas themselves as concurrency is used up. Where they do not, requests queue.
-            replica.placed = replica.worker in chosen
-            replica.wanted = 1 if self.explicit_loads else replicas
-            if replica.placed and kept_by_others:
+            replica.is_placed = replica.worker in chosen
+            replica.wanted_replicas = 1 if self.explicit_loads else replicas
+            if replica.is_placed and kept_by_others:
                 self._assume_kept_loaded(replica, now)
 
     def _replicas_needed(self, function: Function, this_pass: PlacementPass, workers: int) -> int:
@@ -197,7 +197,7 @@
         lanes = this_pass.demand[function] / workers / this_pass.share
         return max(1, ceil((lanes + HEADROOM * sqrt(lanes)) / function.concurrency))
 
-    def _others_calls(self, function: Function, this_pass: PlacementPass, workers: int) -> float:
+    def _other_front_ends_requests(self, function: Function, this_pass: PlacementPass, workers: int) -> float:
         """Calls by other front ends that each of so many workers receives within an idle timeout."""
         others_lanes = this_pass.fleet_demand[function] - this_pass.own_demand[function]
         return others_lanes / self.latency.usual_work(function) * self.cache.idle_timeout / workers
@@ -209,7 +209,7 @@
         else:
             assumed = bool(replica.last_used)
         if assumed and replica.worker.memory_short_until <= now:
-            replica.loaded = max(1, replica.loaded)
+            replica.loaded_replicas = max(1, replica.loaded_replicas)
             replica.last_used = now
 
     def choose_workers(
@@ -261,7 +261,7 @@
     def _workers_needed(self, load: float, kept: int) -> int:
         """How many workers a load of that many lanes is spread over; all that it keeps while they are well used."""
         capacity = self.mean_capacity
-        part = 1.0 if self.cache.reports_concurrency else MAX_CAPACITY_PART
+        part = 1.0 if self.cache.reports_concurrency else MAX_CAPACITY_FRACTION
         needed = max(1, ceil(load / capacity / part))
-        well_used = load > (kept - 1) * capacity * CLOSE_LOAD
+        well_used = load > (kept - 1) * capacity * MAX_LOAD_AFTER_REMOVAL
         return max(needed, kept if well_used else 0)
--- a/wickdyke/routing/placement_schedule.py
+++ b/wickdyke/routing/placement_schedule.py
@@ -5,18 +5,18 @@
 from wickdyke.routing.cells import Cell
 from wickdyke.routing.fleet import Fleet
 from wickdyke.routing.in_flight import GlobalConcurrency
-from wickdyke.routing.latency import REPORT_AGE
+from wickdyke.routing.latency import MAX_REPORT_AGE
 from wickdyke.routing.model import (
     LoadReport,
 )
-from wickdyke.routing.periods import PERIOD, TICK
+from wickdyke.routing.periods import PLACEMENT_PERIOD, TICK_INTERVAL
 from wickdyke.routing.samples import pooled_mean
 from wickdyke.routing.seeded_random import SeededRandom
 from wickdyke.routing.settings import FunctionCache
 from wickdyke.routing.slow_start import SlowStartGuard
 
 PERIOD_JITTER = 0.2  # part by which periods differ, so that front ends are not in step
-FEW_CALLS = 16  # in a period; with fewer it is made longer
+FEW_REQUESTS = 16  # in a period; with fewer it is made longer
 MAX_PERIOD_FACTOR = 4.0
 FORGET_AFTER = 3  # idle timeouts after which a function is forgotten, in a fleet of one cell
 MAX_CELLS_COMPARED = 32  # for one placement
@@ -32,34 +32,34 @@
     global_concurrency: GlobalConcurrency
     random: SeededRandom
     next_at: float  # ms, when the next cell is due
-    surveyed_at: float  # ms, of the last estimates over all cells
+    last_estimate_at: float  # ms, of the last estimates over all cells
 
     def due_cell(self, now: float) -> Cell | None:
         """The cell that is to be placed now, surveyed; sets when the next is due."""
         cells = list(self.fleet.cells.values())
-        used = self.fleet.in_turn(MAX_CELLS_COMPARED) or cells[:1]
+        used = self.fleet.cells_in_turn(MAX_CELLS_COMPARED) or cells[:1]
         cell = max(used, key=lambda candidate: candidate.lateness(now))
         if len(cells) > MAX_CELLS_COMPARED and cell.lateness(now) < 1:
-            self.next_at = now + (TICK if self.fleet.functions else PERIOD)
+            self.next_at = now + (TICK_INTERVAL if self.fleet.functions else PLACEMENT_PERIOD)
             return None
         self._reschedule(cell, cells, used, now)
-        self.fleet.settle(cell, now - self.cache.idle_timeout * (FORGET_AFTER if len(cells) == 1 else 1))
-        cell.sum_reports(now - REPORT_AGE)
-        if len(cells) == 1 or now - self.surveyed_at >= PERIOD:
-            self._survey(cells, now)
+        self.fleet.refresh_functions(cell, now - self.cache.idle_timeout * (FORGET_AFTER if len(cells) == 1 else 1))
+        cell.sum_reports(now - MAX_REPORT_AGE)
+        if len(cells) == 1 or now - self.last_estimate_at >= PLACEMENT_PERIOD:
+            self._update_estimates(cells, now)
         return cell
 
     def _reschedule(self, cell: Cell, cells: list[Cell], used: list[Cell], now: float) -> None:
-        factor = min(MAX_PERIOD_FACTOR, max(1.0, FEW_CALLS / (1 + cell.calls_since)))
+        factor = min(MAX_PERIOD_FACTOR, max(1.0, FEW_REQUESTS / (1 + cell.requests_since_placement)))
         jitter = 1 - PERIOD_JITTER / 2 + PERIOD_JITTER * self.random.fraction()
         cell.placed_at = now
-        cell.period = PERIOD * factor * jitter
-        cell.calls_since = 0
+        cell.period = PLACEMENT_PERIOD * factor * jitter
+        cell.requests_since_placement = 0
         next_due = min(candidate.due() for candidate in used) if len(cells) <= MAX_CELLS_COMPARED else now
-        self.next_at = max(now + TICK, next_due)
+        self.next_at = max(now + TICK_INTERVAL, next_due)
 
-    def _survey(self, cells: list[Cell], now: float) -> None:
-        self.surveyed_at = now
-        self.slow_start.survey(cells, now)
+    def _update_estimates(self, cells: list[Cell], now: float) -> None:
+        self.last_estimate_at = now
+        self.slow_start.update_estimates(cells, now)
         utilization = pooled_mean([cell.reported_utilization for cell in cells], 0.0)
         self.global_concurrency.load_reports.append(LoadReport(now, utilization, None, 0.0, 0))
--- a/wickdyke/routing/prewarming.py
+++ b/wickdyke/routing/prewarming.py
@@ -13,13 +13,13 @@
 from wickdyke.routing.samples import trim_times
 from wickdyke.routing.settings import FunctionCache, PrewarmQuota
 
-RENEW_AFTER = 0.7  # of the idle timeout after which a replica is prewarmed again to keep it
-LOST_AFTER = 4.0  # load times after which a load without a result counts as lost
+RENEWAL_IDLE_FRACTION = 0.7  # of the idle timeout after which a replica is prewarmed again to keep it
+LOST_LOAD_FACTOR = 4.0  # load times after which a load without a result counts as lost
 MAX_NEW_PER_WORKER = 2  # new replicas in each period
 MAX_REPLICAS = 16  # that one prewarm asks for
-RESERVED_FOR_NEW = 0.34  # part of the quota that renewals may not use
-MAX_HELD = 8  # prewarms that wait for their workers to prove ready
-WINDOW_EDGE = 1e-3  # ms by which a prewarm counts for longer, to the safe side at the very edge
+FRACTION_FOR_NEW = 0.34  # part of the quota that renewals may not use
+MAX_HELD_PLANS = 8  # prewarms that wait for their workers to prove ready
+WINDOW_MARGIN = 1e-3  # ms by which a prewarm counts for longer, to the safe side at the very edge
 
 
 @dataclass(slots=True, frozen=True)
@@ -54,7 +54,7 @@
         if not function.verified:
             function.verified = True
             since = now - self.quota.window
-            for at in function.recent_calls:
+            for at in function.request_times:
                 if at > since:
                     insort(self.requests, at)
 
@@ -67,11 +67,11 @@
         if worker.endpoint.state != EndpointState.READY:
             return False
         self.trim(now)
-        trim_times(self.sent, now - self.quota.window - WINDOW_EDGE)
+        trim_times(self.sent, now - self.quota.window - WINDOW_MARGIN)
         if not self.quota.window:
             return True
         allowed = self.quota.free + self.quota.share * len(self.requests)
-        return len(self.sent) + 1 <= allowed * (1 - RESERVED_FOR_NEW * renewal)
+        return len(self.sent) + 1 <= allowed * (1 - FRACTION_FOR_NEW * renewal)
 
 
 class Prewarmer:
@@ -93,17 +93,17 @@
         self.latency = latency
         self.decisions = decisions
         self.readiness = readiness
-        self.held: dict[Replica, PrewarmPlan] = {}  # until their workers have answered
+        self.held_plans: dict[Replica, PrewarmPlan] = {}  # until their workers have answered
 
     def plan(self, cell: Cell, now: float) -> list[PrewarmPlan]:
         """The prewarms wanted for the functions of a cell, those with most requests first."""
         plans: list[PrewarmPlan] = []
         new_replicas: Counter[Worker] = Counter()
-        for function in sorted(cell.functions.values(), key=lambda called: (-len(called.recent_calls), called.name)):
-            if now - function.last_called >= self.cache.idle_timeout:
+        for function in sorted(cell.functions.values(), key=lambda called: (-len(called.request_times), called.name)):
+            if now - function.last_request_at >= self.cache.idle_timeout:
                 continue
             for replica in function.replicas:
-                if replica.placed and replica.prewarm_sent_at is None and replica.full_until <= now:
+                if replica.is_placed and replica.prewarm_sent_at is None and replica.full_until <= now:
                     self._plan_replica(replica, new_replicas, plans, now)
         return plans
 
@@ -112,19 +112,19 @@
     ) -> None:
         function = replica.function
         loaded = self.latency.is_loaded(replica, now)
-        renewal = loaded and replica.loaded >= replica.wanted
-        called_again = len(function.recent_calls) > 1  # else its one request, after its miss, sends the prewarm itself
+        renewal = loaded and replica.loaded_replicas >= replica.wanted_replicas
+        called_again = len(function.request_times) > 1  # else its one request, after its miss, sends the prewarm itself
         if renewal:
-            wanted = called_again and now - replica.last_used >= RENEW_AFTER * self.cache.idle_timeout
+            wanted = called_again and now - replica.last_used >= RENEWAL_IDLE_FRACTION * self.cache.idle_timeout
         else:
             since = replica.loading_since
-            lost = since is None or now - since > LOST_AFTER * self.latency.load_time(function)
+            lost = since is None or now - since > LOST_LOAD_FACTOR * self.latency.load_time(function)
             may_load = called_again or self.cache.loads_on_demand
             few_new = new_replicas[replica.worker] < MAX_NEW_PER_WORKER
             wanted = may_load and few_new and (loaded or lost)
         if wanted:
             new_replicas[replica.worker] += not renewal
-            plans.append(PrewarmPlan(replica, replica.wanted, renewal))
+            plans.append(PrewarmPlan(replica, replica.wanted_replicas, renewal))
 
     def send(self, plan: PrewarmPlan, now: float) -> None:
         """Sends a prewarm, if it is within the quota and covered by the control budget.
@@ -132,24 +132,24 @@
         Where its worker has to prove ready first, it is held back until the worker has answered.
         """
         replica = plan.replica
-        covered = self.budget.covers_one() or not self.cache.loads_on_demand
+        covered = self.budget.has_token() or not self.cache.loads_on_demand
         if not covered or not self.limiter.may_send(replica.worker, plan.renewal, now):
             return
-        if not self.readiness.require(replica.worker, now):
-            if len(self.held) < MAX_HELD and self.readiness.may_choose(replica.worker, now):
-                self.held[replica] = plan
+        if not self.readiness.require_ready(replica.worker, now):
+            if len(self.held_plans) < MAX_HELD_PLANS and self.readiness.may_choose(replica.worker, now):
+                self.held_plans[replica] = plan
             return
         self.limiter.sent.append(now)
         self.budget.spend()
         replica.prewarm_sent_at = now
-        if not plan.renewal and not replica.loaded:
+        if not plan.renewal and not replica.loaded_replicas:
             replica.loading_since = now
         replicas = min(plan.replicas, MAX_REPLICAS)
         self.decisions.append(Prewarm(replica.worker, replica.function, replicas))
 
     def release(self, worker: Worker) -> list[PrewarmPlan]:
         """The prewarms that were held back for an answer of that worker."""
-        plans = [plan for replica, plan in self.held.items() if replica.worker is worker]
+        plans = [plan for replica, plan in self.held_plans.items() if replica.worker is worker]
         for plan in plans:
-            del self.held[plan.replica]
+            del self.held_plans[plan.replica]
         return plans
--- a/wickdyke/routing/ranking.py
+++ b/wickdyke/routing/ranking.py
@@ -28,13 +28,13 @@
     Where a zone is given, workers of other zones count as if their size were the part `elsewhere` of itself.
     """
 
-    def __init__(self, workers: list[Worker], zone: int | None = None, elsewhere: float = 1.0) -> None:
+    def __init__(self, workers: list[Worker], zone: int | None = None, other_zones_weight: float = 1.0) -> None:
         """Workers of other zones than `zone` count with the part `elsewhere` of their size."""
         self.workers = workers
         self.zoned = zone is not None
         self.hashes = [worker.name_hash for worker in workers]
         self.sizes = [size_of(worker.endpoint) for worker in workers]
-        self.parts = [elsewhere if zone not in (None, worker.endpoint.zone) else 1.0 for worker in workers]
+        self.parts = [other_zones_weight if zone not in (None, worker.endpoint.zone) else 1.0 for worker in workers]
 
     def ranked(self, function: Function) -> list[Worker]:
         """The workers by rank, after the function's nearest; by rank alone where a zone is given."""
@@ -42,7 +42,7 @@
         ranks = [-log(fraction) / size for fraction, size in zip(fractions, self.sizes, strict=True)]
         if self.zoned:
             ranks = [rank / part for rank, part in zip(ranks, self.parts, strict=True)]
-        elif function.nearest in self.workers:
-            ranks[self.workers.index(function.nearest)] = FIRST_RANK
+        elif function.nearest_worker in self.workers:
+            ranks[self.workers.index(function.nearest_worker)] = FIRST_RANK
         order = sorted(range(len(ranks)), key=ranks.__getitem__)
         return [self.workers[index] for index in order]
--- a/wickdyke/routing/replicas.py
+++ b/wickdyke/routing/replicas.py
@@ -23,6 +23,6 @@
 def clear_replicas(worker: Worker) -> None:
     """Nothing is loaded or loading on that worker any more."""
     for replica in worker.replicas.values():
-        replica.loaded = 0
+        replica.loaded_replicas = 0
         replica.loading_since = None
         replica.last_used = 0.0
--- a/wickdyke/routing/results.py
+++ b/wickdyke/routing/results.py
@@ -14,7 +14,7 @@
 )
 from wickdyke.routing.outliers import OutlierDetector
 from wickdyke.routing.prewarming import PrewarmLimiter
-from wickdyke.routing.selection import FULL_WAIT
+from wickdyke.routing.selection import MAX_FULL_WAIT
 from wickdyke.routing.settings import FunctionCache
 from wickdyke.routing.slow_start import SlowStartGuard
 
@@ -39,7 +39,7 @@
         _, _, outcome, _, load_note, concurrent, load = finished
         worker = attempt.replica.worker
         function = attempt.request.function
-        if load_note in (LoadNote.BEGAN, LoadNote.AWAITED):
+        if load_note in (LoadNote.STARTED_LOAD, LoadNote.AWAITED_LOAD):
             end_activity(attempt, (worker, self.global_concurrency), now)
             attempt.warm = False
         self._adapt_limits(attempt, outcome, now)
@@ -47,14 +47,14 @@
         if attempt.outcome is None:
             self.global_concurrency.in_flight.remove(attempt)
         finish_attempt(attempt, outcome)
-        if attempt.warm or load_note == LoadNote.STOOD:
+        if attempt.warm or load_note == LoadNote.ALREADY_LOADED:
             self.latency.record_attempt(attempt, outcome, now)
         if outcome == Outcome.OK:
-            self._served(attempt, load_note, concurrent, now)
+            self._attempt_served(attempt, load_note, concurrent, now)
         elif outcome == Outcome.MISS:
-            _missed(attempt.replica, now)
+            _record_miss(attempt.replica, now)
         elif outcome == Outcome.FULL:
-            self._full(attempt.replica, concurrent, now)
+            self._attempt_rejected(attempt.replica, concurrent, now)
         # Requests of functions that do not exist or are broken would make workers look unhealthy. That hides a worker
         # that fails all functions which only it has served.
         is_evidence = function.verified or outcome != Outcome.ERROR
@@ -73,33 +73,33 @@
             if attempt.sent_at >= pool.limit_lowered_at:
                 adapt_limit(pool, attempt, active, timed_out, now)
 
-    def _served(self, attempt: Attempt, load_note: LoadNote | None, concurrent: int, now: float) -> None:
+    def _attempt_served(self, attempt: Attempt, load_note: LoadNote | None, concurrent: int, now: float) -> None:
         request = attempt.request
         replica = attempt.replica
         function = request.function
         if self.cache.reports_concurrency:
             function.concurrency_samples.append((replica.worker, concurrent))
         self.slow_start.request_served(request, now)
-        if replica.loading_since is not None and load_note in (LoadNote.BEGAN, None) and not attempt.warm:
+        if replica.loading_since is not None and load_note in (LoadNote.STARTED_LOAD, None) and not attempt.warm:
             elapsed = now - replica.loading_since - self.latency.expected_work(request)
-            self.latency.record_load(function, elapsed, load_note == LoadNote.BEGAN)
-        replica.loaded = max(1, replica.loaded)
+            self.latency.record_load(function, elapsed, load_note == LoadNote.STARTED_LOAD)
+        replica.loaded_replicas = max(1, replica.loaded_replicas)
         replica.last_used = now
         replica.loading_since = None
         self.prewarm_limiter.verify(function, now)
 
-    def _full(self, replica: Replica, concurrent: int, now: float) -> None:
+    def _attempt_rejected(self, replica: Replica, concurrent: int, now: float) -> None:
         # Full workers answer at once and would attract more. That costs capacity where they are full only briefly.
         function = replica.function
         worker = replica.worker
-        gap = (now - function.recent_calls[0]) / len(function.recent_calls)
-        pause = max(FULL_WAIT, gap * (1 - function.cell.placement.own_share))
+        gap = (now - function.request_times[0]) / len(function.request_times)
+        pause = max(MAX_FULL_WAIT, gap * (1 - function.cell.placement.own_share))
         replica.full_until = now + min(pause, self.cache.idle_timeout / 2)
         if not concurrent and self.cache.reports_concurrency and not replica.in_flight:  # no memory for a replica
             if worker.memory_short_until <= now:
                 worker.memory_budget *= BUDGET_SHRINK
             worker.memory_short_until = now + MEMORY_SHORT_FOR
-            replica.loaded = 0
+            replica.loaded_replicas = 0
             replica.last_used = 0.0
 
     def prewarm_finished(self, replica: Replica, outcome: Outcome, replicas: int, elapsed: float, now: float) -> None:
@@ -109,22 +109,22 @@
         replica.prewarm_sent_at = None
         replica.loading_since = None
         if outcome == Outcome.OK:
-            self.latency.record_load(function, 0.0 if replica.loaded else elapsed)
-            worker.last_heard = now
-            replica.loaded = replicas
+            self.latency.record_load(function, 0.0 if replica.loaded_replicas else elapsed)
+            worker.last_answer_at = now
+            replica.loaded_replicas = replicas
             replica.last_used = now
             self.prewarm_limiter.verify(function, now)
             maximum = self.cache.memory_on(worker.endpoint)
             worker.memory_budget = min(worker.memory_budget * BUDGET_GROWTH, maximum)
         elif outcome in (Outcome.FULL, Outcome.ERROR):
-            replica.loaded = replicas
+            replica.loaded_replicas = replicas
             replica.full_until = now + self.cache.idle_timeout / 8
             worker.memory_budget = max(worker.memory_budget * BUDGET_SHRINK, function.memory)
         else:
             self.outliers.record(worker, outcome, now)
 
 
-def _missed(replica: Replica, now: float) -> None:
-    replica.loaded = 0
+def _record_miss(replica: Replica, now: float) -> None:
+    replica.loaded_replicas = 0
     replica.loading_since = None
     replica.last_miss = now
--- a/wickdyke/routing/router.py
+++ b/wickdyke/routing/router.py
@@ -1,7 +1,8 @@
-"""The router: a state machine that is fed inputs and returns decisions.
+"""The router: a deterministic state machine that takes inputs and returns decisions.
 
-The host advances its time and passes inputs, which only update its state; then it calls `decide` until that returns
-None, and carries out the decisions. `wake_at` is when to advance it next if there is no input before.
+The host advances the router's time and passes inputs, which only update state. It then calls `decide` until that
+returns None, and carries out the decisions. `wake_at` is the time at which the host must advance the router if there is
+no earlier input.
 """
 
 from collections import deque
@@ -10,13 +11,19 @@
 from wickdyke.routing.concurrency import INITIAL_LIMIT
 from wickdyke.routing.control_budget import ControlBudget
 from wickdyke.routing.decisions import Decision, FollowEndpoints, LogNote
-from wickdyke.routing.demand import CALLS_KEPT
+from wickdyke.routing.demand import MAX_REQUEST_TIMES
 from wickdyke.routing.dispatcher import Dispatcher
 from wickdyke.routing.fleet import Fleet
 from wickdyke.routing.health_checks import CHECK_EVERY, CHECK_SOON, HealthChecker
 from wickdyke.routing.in_flight import GlobalConcurrency
 from wickdyke.routing.inputs import AttemptFinished, RequestReceived, WorkerLoad
-from wickdyke.routing.latency import DURATIONS_KEPT, OBJECTIVE_SHARES_KEPT, REPORTS_KEPT, LatencyEstimator, is_overdue
+from wickdyke.routing.latency import (
+    MAX_DURATION_SAMPLES,
+    MAX_LOAD_REPORTS,
+    MAX_OBJECTIVE_SHARES,
+    LatencyEstimator,
+    is_overdue,
+)
 from wickdyke.routing.model import (
     Endpoint,
     Function,
@@ -26,7 +33,7 @@
     Worker,
 )
 from wickdyke.routing.outliers import MIN_EXPECTED_LATENCY, OutlierDetector
-from wickdyke.routing.periods import TICK
+from wickdyke.routing.periods import TICK_INTERVAL
 from wickdyke.routing.placement import Placement
 from wickdyke.routing.placement_schedule import PlacementSchedule
 from wickdyke.routing.prewarming import Prewarmer, PrewarmLimiter, PrewarmPlan
@@ -39,15 +46,17 @@
 from wickdyke.routing.settings import AttemptLimits, RouterSettings
 from wickdyke.routing.slow_start import SlowStartGuard
 
-SINGLE_CELL_LIMIT = 128  # workers of a fleet that is one cell
-CELL_CAPACITY = 48  # workers of a cell in a larger fleet
-POINTS_PER_FUNCTION = 16  # on the hash ring
-MAX_FUNCTIONS = 16384
-MAX_WAITING_FOR_ANSWER = 64  # requests that are decided again at once when a worker has proved ready
+SINGLE_CELL_LIMIT = 128  # workers; a fleet of at most this size is a single cell
+CELL_CAPACITY = 48  # maximum number of workers of a cell in a larger fleet
+POINTS_PER_FUNCTION = 16  # points of a function on the hash ring
+MAX_FUNCTIONS = 16384  # functions that the router keeps
+# Waiting requests up to which all of them are dispatched again at once when a worker answers a health check while the
+# endpoint list is expired; more wait for the next tick.
+MAX_RETRIED_ON_ANSWER = 64
 
 
 class Router:
-    """The decisions of one front end; they depend on its settings, seed and inputs alone."""
+    """Makes the decisions of one front end, which depend only on its settings, seed and inputs."""
 
     def __init__(
         self,
@@ -56,7 +65,7 @@
         request_classes: list[RequestClass],
         settings: RouterSettings,
     ) -> None:
-        """A router that begins at `now` (ms) with an empty endpoint list; `seed` fixes its random draws."""
+        """Creates a router that starts at `now` (ms) with an empty endpoint list; `seed` fixes its random numbers."""
         instance = settings.instance
         cache = settings.function_cache
         self.now = now
@@ -65,25 +74,25 @@
         self.instance = instance
         self.cache = cache
         for request_class in request_classes:
-            request_class.durations = deque(maxlen=DURATIONS_KEPT)
-        self.notes: deque[str] = deque()
+            request_class.durations = deque(maxlen=MAX_DURATION_SAMPLES)
+        self.log_notes: deque[str] = deque()
         self.decisions: deque[Decision] = deque()
-        self.planned: deque[PrewarmPlan] = deque()
+        self.planned_prewarms: deque[PrewarmPlan] = deque()
         self.random = SeededRandom(seed)
         self.discovery = settings.discovery
-        self.following = settings.discovery.pushed
+        self.following_endpoints = settings.discovery.pushed
         self.latency = LatencyEstimator(cache, instance, settings.tenant_quotas)
         self.slow_start = SlowStartGuard(settings.slow_start, instance)
         self.prewarm_limiter = PrewarmLimiter(settings.prewarm_quota)
         self.control_budget = ControlBudget()
         self.health_checker = HealthChecker(settings.attempt_limits.health_checks, self.control_budget, self.decisions)
         self.readiness = Readiness(
-            settings.discovery.drain_grace, self.slow_start, self.health_checker, self.notes.append
+            settings.discovery.drain_grace, self.slow_start, self.health_checker, self.log_notes.append
         )
-        self.outliers = OutlierDetector(self.notes.append, self.latency, self.slow_start, self.readiness)
+        self.outliers = OutlierDetector(self.log_notes.append, self.latency, self.slow_start, self.readiness)
         self.retry_budgets = RetryBudgets()
         self.global_concurrency = GlobalConcurrency(
-            load_reports=deque(maxlen=REPORTS_KEPT), objective_shares=deque(maxlen=OBJECTIVE_SHARES_KEPT)
+            load_reports=deque(maxlen=MAX_LOAD_REPORTS), objective_shares=deque(maxlen=MAX_OBJECTIVE_SHARES)
         )
 
         self.fleet = self._make_fleet(settings, now)
@@ -100,7 +109,7 @@
         return Fleet(SINGLE_CELL_LIMIT, CELL_CAPACITY, POINTS_PER_FUNCTION, make_worker, make_placement)
 
     def _assemble(self, limits: AttemptLimits, now: float) -> None:
-        """Builds the parts that decide, from those that hold state."""
+        """Creates the components that make decisions from those that hold state."""
         cache = self.cache
         latency = self.latency
         fleet = self.fleet
@@ -128,45 +137,49 @@
 
     @property
     def workers(self) -> dict[str, Worker]:
-        """The listed workers by their identifier."""
+        """Returns the listed workers by identifier."""
         return self.fleet.workers
 
     @property
     def functions(self) -> dict[str, Function]:
-        """The functions in use, by name."""
+        """Returns the functions in use by name."""
         return self.fleet.functions
 
     @property
     def requests(self) -> dict[int, Request]:
-        """The requests that are open, or have attempts in flight."""
+        """Returns the requests that are open or have attempts in flight, by identifier."""
         return self.dispatcher.requests
 
-    # ---- inputs: they only update the state ----
+    # ---- inputs, which only update state ----
 
     def advance(self, now: float) -> None:
-        """Sets the time (ms)."""
+        """Sets the router's time (ms)."""
         self.now = now
         self.dispatcher.unplaceable.clear()
 
     def endpoints_changed(self, endpoints: list[Endpoint], whole: bool | None) -> None:
-        """Enters the `whole` endpoint list, or changed entries; with None it has to be subscribed to again."""
+        """Applies entries of the endpoint list.
+
+        `whole`: True where `endpoints` is the complete list, False where it holds changed entries, and None where the
+        subscription has ended and must be renewed.
+        """
         if whole is None:
-            self.following = self.discovery.pushed
+            self.following_endpoints = self.discovery.pushed
         changes = self.fleet.update(endpoints, bool(whole))
-        for worker in changes.gone:
+        for worker in changes.removed:
             self.outliers.forget(worker)
             self.readiness.forget(worker)
             self.prewarmer.release(worker)
             self.slow_start.carry_over(worker, self.workers.get(worker.endpoint.ident))
         for cell in changes.cells:
-            self.health_checker.watch(cell.ready)
-            cell.placement.scope.invalidate()  # sizes may have changed
+            self.health_checker.set_rotation(cell.ready_workers)
+            cell.placement.scope.invalidate()  # the same workers may have new sizes
             cell.placement.scope.update(self.now)
 
     def discovery_heard(self, at: float) -> None:
-        """Discovery has reported all there was at that time (ms); -inf where the list is of unknown age.
+        """Records that the endpoint list was complete at `at` (ms); -inf where its age is unknown.
 
-        A host that never passes this has a list that does not expire.
+        The list never expires where the host never calls this method.
         """
         expired = self.readiness.list_expired(self.now)
         self.readiness.discovery_heard(at)
@@ -174,21 +187,21 @@
             self.wake_at = self.now
 
     def discovery_lost(self, at: float) -> None:
-        """The host did not run from that time on (ms), and has no connection to discovery now."""
+        """Records that the host was suspended from `at` (ms) on and is now disconnected from discovery."""
         self.readiness.discovery_lost(at)
         self.wake_at = min(self.wake_at, max(self.now, self.readiness.list_valid_until))
 
     def request_received(self, received: RequestReceived) -> None:
-        """Opens a request, and makes its function known if it is new."""
+        """Opens a request, and adds its function if that is new."""
         ident, time_left, request_class, name, _, _, _, work, is_repeat, policy = received
         now = self.now
         function = self.functions.get(name)
         if function is None:
             function = self._new_function(received)
-        function.last_called = now
-        function.recent_calls.append(now)
+        function.last_request_at = now
+        function.request_times.append(now)
         self.control_budget.request_received()
-        self.fleet.home_of(function).calls_since += 1
+        self.fleet.home_of(function).requests_since_placement += 1
         wanted = policy.latency_objective if policy else request_class.latency_objective
         objective = now + min(time_left, wanted + request_class.objective_per_work * (work or 0.0))
         request = Request(ident, function, request_class, now, now + time_left, objective, work, is_repeat, policy)
@@ -199,7 +212,7 @@
             function.durations.append(work)
             request_class.durations.append(work)
         self.dispatcher.open(request)
-        self.wake_at = min(self.wake_at, now + TICK)
+        self.wake_at = min(self.wake_at, now + TICK_INTERVAL)
 
     def _new_function(self, received: RequestReceived) -> Function:
         function = Function(
@@ -208,24 +221,24 @@
             memory=received.memory,
             concurrency=received.concurrency,
             load_hint=received.load_hint or 0,
-            recent_calls=Recent(CALLS_KEPT),
-            durations=Recent(DURATIONS_KEPT),
-            load_times=Recent(DURATIONS_KEPT),
-            concurrency_samples=Recent(DURATIONS_KEPT),
+            request_times=Recent(MAX_REQUEST_TIMES),
+            durations=Recent(MAX_DURATION_SAMPLES),
+            load_times=Recent(MAX_DURATION_SAMPLES),
+            concurrency_samples=Recent(MAX_DURATION_SAMPLES),
             name_hash=name_hash(received.function_name),
-            last_called=self.now,
+            last_request_at=self.now,
         )
-        self.fleet.enter(function)
-        self.fleet.shrink(MAX_FUNCTIONS)
+        self.fleet.add_function(function)
+        self.fleet.evict_functions(MAX_FUNCTIONS)
         return function
 
     def answer_begun(self, ident: int, number: int) -> None:
-        """The first byte of an answer was sent to the client: the request gets no other answer."""
+        """Closes a request whose answer's first byte was sent to the client: no other answer may follow."""
         if ident in self.requests:
             self.requests[ident].closed = True
 
     def attempt_finished(self, finished: AttemptFinished) -> None:
-        """Enters how an attempt ended; ignored where the request is not open, or the attempt was never sent."""
+        """Records the outcome of an attempt; ignored where the request is not open or the attempt was never sent."""
         now = self.now
         request = self.requests.get(finished.ident)
         if request is None or finished.number >= len(request.attempts):
@@ -245,12 +258,12 @@
             self.dispatcher.attempt_failed(request)
 
     def client_gone(self, ident: int) -> None:
-        """The client closed its connection or cancelled the request."""
+        """Closes a request whose client closed its connection or cancelled the request."""
         if request := self.requests.get(ident):
             self.dispatcher.close(request)
 
     def prewarm_finished(self, worker_ident: str, name: str, outcome: Outcome, replicas: int, elapsed: float) -> None:
-        """Enters a prewarm that ended after `elapsed` ms, with so many replicas loaded."""
+        """Records the outcome of a prewarm that took `elapsed` ms and left `replicas` replicas loaded."""
         worker, function = self.workers.get(worker_ident), self.functions.get(name)
         replica = worker.replicas.get(function) if worker and function else None
         if replica is not None:
@@ -261,60 +274,60 @@
     def health_checked(
         self, ident: str, outcome: Outcome, load: WorkerLoad | None, same_process_since: float | None = None
     ) -> None:
-        """Enters how a health check of the worker of that identifier ended, with the load that it reported.
+        """Records the outcome of a health check of the worker `ident`, with the load that it reported.
 
-        `same_process_since`: as far as the worker's connections show, its process has run since then (ms).
+        `same_process_since`: the earliest time (ms) since which the worker's connections show the same process.
         """
         worker = self.workers.get(ident)
         if worker is None:
             return
         now = self.now
         self.latency.record_report(worker, load, now)
-        self.health_checker.finished(worker, outcome, now)
+        self.health_checker.check_finished(worker, outcome, now)
         if outcome == Outcome.UNREACHED:
             self.outliers.record(worker, outcome, now)
         elif outcome == Outcome.CONNECTION_LOST:
             self.readiness.process_ended(worker, now)
         self.readiness.checked(worker, outcome, same_process_since, now)
-        self.wake_at = min(self.wake_at, now + TICK)
+        self.wake_at = min(self.wake_at, now + TICK_INTERVAL)
         if self.readiness.list_expired(now):
             self._readiness_answered(worker, outcome)
 
     def _readiness_answered(self, worker: Worker, outcome: Outcome) -> None:
-        """Decides again what may have waited for the worker's answer."""
-        held = self.prewarmer.release(worker)
+        """Reconsiders the prewarms and requests that may have waited for the worker's answer."""
+        released_plans = self.prewarmer.release(worker)
         if self.readiness.may_send(worker, self.now):
-            self.planned.extend(held)
+            self.planned_prewarms.extend(released_plans)
         answered = outcome in (Outcome.OK, Outcome.NOT_READY)
-        if answered and len(self.dispatcher.waiting) <= MAX_WAITING_FOR_ANSWER:  # else at the next tick
+        if answered and len(self.dispatcher.waiting) <= MAX_RETRIED_ON_ANSWER:  # otherwise at the next tick
             self.dispatcher.retry_waiting(self._rank)
 
     # ---- decisions ----
 
     def decide(self) -> Decision | None:
-        """The next decision, or None where there is none now."""
+        """Returns the next decision, or None where there is none at this time."""
         if self.now >= self.wake_at:
             self._tick()
-        while not (self.notes or self.decisions):
+        while not (self.log_notes or self.decisions):
             if self.dispatcher.pending:
                 self.dispatcher.dispatch(self.dispatcher.pending.popleft(), self.now)
-            elif self.planned:
-                self.prewarmer.send(self.planned.popleft(), self.now)
+            elif self.planned_prewarms:
+                self.prewarmer.send(self.planned_prewarms.popleft(), self.now)
             else:
                 return None
-        return LogNote(self.notes.popleft()) if self.notes else self.decisions.popleft()
+        return LogNote(self.log_notes.popleft()) if self.log_notes else self.decisions.popleft()
 
     def _tick(self) -> None:
         now = self.now
-        if not self.following:
-            self.following = True
+        if not self.following_endpoints:
+            self.following_endpoints = True
             self.decisions.append(FollowEndpoints(True))
         if self.readiness.update(now):
-            self.readiness.ask_workers_in_use(self.workers.values(), now)
+            self.readiness.check_workers_in_use(self.workers.values(), now)
         self._check_silent_workers(now)
         for worker in [*self.outliers.ejected, *self.readiness.not_ready]:
             self.health_checker.check(worker, CHECK_EVERY, now)
-        self.health_checker.check_in_turn(TICK, now)
+        self.health_checker.check_in_turn(TICK_INTERVAL, now)
         hedgeable = [attempt.request for attempt in self.global_concurrency.in_flight if attempt.request.route_policy]
         if self.retry_budgets:
             for request in dict.fromkeys(hedgeable):
@@ -322,46 +335,49 @@
         self.dispatcher.retry_waiting(self._rank)
         if now >= self.schedule.next_at:
             self._place(now)
-        busy = self.requests or self.health_checker.unanswered
-        self.wake_at = min(self.schedule.next_at, now + TICK if busy else self.schedule.next_at)
-        if not self.readiness.in_doubt:
+        busy = self.requests or self.health_checker.unresponsive_workers
+        self.wake_at = min(self.schedule.next_at, now + TICK_INTERVAL if busy else self.schedule.next_at)
+        if not self.readiness.list_was_expired:
             self.wake_at = min(self.wake_at, self.readiness.list_valid_until)
         if self.readiness.not_ready:
             self.wake_at = min(self.wake_at, now + CHECK_EVERY)
 
     def may_send(self, worker: Worker, now: float) -> bool:
-        """Whether new work may go out to the worker at that time (ms): what was decided earlier may be sent later."""
+        """Returns whether new work may be sent to the worker at `now` (ms).
+
+        The host checks this before it sends, which may be later than the decision to send.
+        """
         return self.readiness.may_send(worker, now)
 
     def _check_silent_workers(self, now: float) -> None:
-        # No other attempt can be overdue yet.
+        # No attempt outside this list can be overdue yet.
         suspects = [
             attempt.replica.worker
             for attempt in self.global_concurrency.in_flight
             if now - attempt.sent_at >= MIN_EXPECTED_LATENCY or attempt.replica.worker.ejections
         ]
-        for worker in dict.fromkeys(suspects + self.health_checker.unanswered):
+        for worker in dict.fromkeys(suspects + self.health_checker.unresponsive_workers):
             self.dispatcher.withdraw_from(worker, now)
             if worker.ejected_until <= now and self.outliers.is_silent(worker, now):
                 self.outliers.eject(worker, now, f"silent with {len(worker.in_flight)} in flight")
             oldest = worker.in_flight[0] if worker.in_flight else None
-            if oldest and worker.last_heard <= oldest.sent_at and is_overdue(oldest, now):
-                self.health_checker.check(worker, CHECK_SOON, now)  # a decision depends on it
+            if oldest and worker.last_answer_at <= oldest.sent_at and is_overdue(oldest, now):
+                self.health_checker.check(worker, CHECK_SOON, now)  # its result decides whether to eject the worker
 
     def _rank(self, request: Request) -> tuple[float, float]:
-        """Order of waiting requests: by the priority of their route, then by weight, or by weight over work."""
+        """Returns the sort key of a waiting request: its route's priority, then its weight, or its weight over work."""
         priority = request.route_policy.priority if request.route_policy else 0
         work = 1 if self.instance.weight_by_work else self.latency.expected_work(request)
         return -priority, -request.request_class.priority_weight / work
 
     def _place(self, now: float) -> None:
         cell = self.schedule.due_cell(now)
-        if cell is None or not cell.ready:
+        if cell is None or not cell.ready_workers:
             return
         cell.placement.run(list(self.fleet.cells.values()), now)
         if self.cache.may_prewarm:
-            self.planned.extend(self.prewarmer.plan(cell, now))
-        # No decision depends on reports of workers without a placed function.
+            self.planned_prewarms.extend(self.prewarmer.plan(cell, now))
+        # Only workers with a placed function are checked in turn: no decision depends on the reports of others.
         replicas = (replica for function in cell.functions.values() for replica in function.replicas)
-        homes = {replica.worker: None for replica in replicas if replica.placed}
-        self.health_checker.watch(homes or cell.ready)
+        homes = {replica.worker: None for replica in replicas if replica.is_placed}
+        self.health_checker.set_rotation(homes or cell.ready_workers)
--- a/wickdyke/routing/selection.py
+++ b/wickdyke/routing/selection.py
@@ -20,9 +20,9 @@
 from wickdyke.routing.replicas import replica_of
 from wickdyke.routing.seeded_random import SeededRandom
 
-TIE_PART = 0.02  # latencies that differ by less count as equal
+TIE_FRACTION = 0.02  # latencies that differ by less count as equal
 TIE_STEPS = 99  # of the random draw between those
-FULL_WAIT = 250.0  # ms for which a full replica is waited for
+MAX_FULL_WAIT = 250.0  # ms for which a full replica is waited for
 MAX_FIRST_CHOICES = 5  # agreed workers that a new function's first request may go to
 MAX_WORKERS_COMPARED = 8  # of each ranking, for one request
 FURTHER_CELLS = 2  # that a function may use beside its home
@@ -55,10 +55,10 @@
         """The replica, new if need be, of a worker that `can_serve`; None where the request has to wait."""
         function = request.function
         placement = self.fleet.home_of(function).placement
-        if trial := self._ejected_worker_to_try(request, placement, can_serve):
+        if trial := self._recovering_worker_to_try(request, placement, can_serve):
             return replica_of(function, trial)
         withdrawn_from = _withdrawn_from(request)
-        usable = _usable(request, withdrawn_from, can_serve)
+        usable = _usable_replicas(request, withdrawn_from, can_serve)
         if replica := self._best_existing(request, usable, placement, now):
             return replica
         loaded_but_full = _loaded_but_full(usable, placement, now)
@@ -79,11 +79,11 @@
     def choose_loaded(self, request: Request, can_serve: CanServe, now: float) -> Replica | None:
         """The best replica that is loaded and has capacity, of a worker that `can_serve`."""
         placement = self.fleet.home_of(request.function).placement
-        usable = _usable(request, _withdrawn_from(request), can_serve)
+        usable = _usable_replicas(request, _withdrawn_from(request), can_serve)
         loaded = [replica for replica in usable if placement.latency.is_loaded(replica, now)]
         return self._best_existing(request, loaded, placement, now)
 
-    def _ejected_worker_to_try(self, request: Request, placement: Placement, can_serve: CanServe) -> Worker | None:
+    def _recovering_worker_to_try(self, request: Request, placement: Placement, can_serve: CanServe) -> Worker | None:
         """An ejected worker of the function's home, whose ejection is over: one request tries it."""
         if request.attempts or request.request_class.effect != Effect.IDEMPOTENT:
             return None
@@ -97,9 +97,9 @@
         """The best replica with capacity: placed before others, loaded before loading, untried before tried."""
         with_capacity = [replica for replica in usable if _has_capacity(replica, now)]
         loaded = [replica for replica in with_capacity if placement.latency.is_loaded(replica, now)]
-        tried = _tried(request, placement)
+        tried = _tried_workers(request, placement)
         untried = [replica for replica in loaded if replica.worker not in tried]
-        placed = [replica for replica in untried if replica.placed]
+        placed = [replica for replica in untried if replica.is_placed]
         if candidates := placed or untried or loaded:
             return self._lowest_latency(request, candidates, placement, now)
         loading = [replica for replica in with_capacity if _is_or_may_be_loading(replica, placement, now)]
@@ -116,7 +116,7 @@
     ) -> Replica:
         def latency(replica: Replica) -> float:
             expected = placement.latency.expected_latency(replica, request, now)
-            return expected * (1 + TIE_PART * self.random.below(TIE_STEPS) / TIE_STEPS)
+            return expected * (1 + TIE_FRACTION * self.random.below(TIE_STEPS) / TIE_STEPS)
 
         return min(replicas, key=latency)
 
@@ -127,7 +127,7 @@
         memory where the crowding ends sooner than a load.
         """
         function = request.function
-        for cell in self.fleet.near(function, 1 + FURTHER_CELLS):
+        for cell in self.fleet.nearest_cells(function, 1 + FURTHER_CELLS):
             ranking = cell.placement.ranking(function)
             active = cell.placement.active
             for workers in ((worker for worker in ranking if worker in active), ranking):
@@ -140,7 +140,7 @@
         # Until its first placement each of hundreds of front ends would send to the same agreed worker, as it would
         # when all start at once. That costs memory for functions with few requests: they may be loaded at several.
         is_new = not (request.attempts or request.function.replicas)
-        tried = _tried(request, placement)
+        tried = _tried_workers(request, placement)
         untried = [worker for worker in free if worker not in tried] or free
         if placement.explicit_loads and is_new:
             return untried[self.random.below(min(MAX_FIRST_CHOICES, len(untried)))]
@@ -152,7 +152,7 @@
     return {attempt.replica.worker for attempt in request.attempts if attempt.withdrawn}
 
 
-def _usable(request: Request, withdrawn_from: set[Worker], can_serve: CanServe) -> list[Replica]:
+def _usable_replicas(request: Request, withdrawn_from: set[Worker], can_serve: CanServe) -> list[Replica]:
     """The function's replicas on workers that can serve the request."""
     return [
         replica
@@ -161,7 +161,7 @@
     ]
 
 
-def _tried(request: Request, placement: Placement) -> set[Worker]:
+def _tried_workers(request: Request, placement: Placement) -> set[Worker]:
     """Workers not to be tried again; one that only missed may have been prewarmed since."""
     return {
         attempt.replica.worker
@@ -175,14 +175,14 @@
     return [
         replica
         for replica in replicas
-        if placement.latency.is_loaded(replica, now) and replica.full_until <= now + FULL_WAIT
+        if placement.latency.is_loaded(replica, now) and replica.full_until <= now + MAX_FULL_WAIT
     ]
 
 
 def _is_or_may_be_loading(replica: Replica, placement: Placement, now: float) -> bool:
     if replica.loading_since is not None:
         return True
-    return replica.placed and has_memory_for(replica.worker, replica.function, placement, now)
+    return replica.is_placed and has_memory_for(replica.worker, replica.function, placement, now)
 
 
 def _any_below_limit(replicas: list[Replica], now: float) -> bool:
--- a/wickdyke/routing/slow_start.py
+++ b/wickdyke/routing/slow_start.py
@@ -4,13 +4,13 @@
 from math import ceil, gcd
 
 from wickdyke.routing.cells import Cell
-from wickdyke.routing.latency import DEFAULT_WORK_PART, WORKER_RECORDS
+from wickdyke.routing.latency import DEFAULT_WORK_FRACTION, WORKER_RECORDS
 from wickdyke.routing.model import EndpointState, Request, Worker, WorkSample
 from wickdyke.routing.samples import mean, pooled_mean, trim
 from wickdyke.routing.seeded_random import hash_fraction
 from wickdyke.routing.settings import GatewayInstance, SlowStart
 
-MARGIN = 0.6  # part of a warming worker's capacity that is used
+USED_CAPACITY_FRACTION = 0.6  # part of a warming worker's capacity that is used
 MIN_UTILIZATION = 0.3  # that our rate is divided by
 SERVED_WINDOW = 5000.0  # ms for which served requests count
 SIZE_DECAY = 0.9  # part of the fleet's size that is kept at each survey after it shrank
@@ -26,9 +26,9 @@
         self.settings = settings
         self.instance_fraction = _spread_index(instance) / instance.count
         self.even_share = 1 / instance.count
-        self.served: deque[WorkSample] = deque()
-        self.rate = 0.0  # work that we would send per size of a worker and ms if the fleet were fully used
-        self.size = 0.0  # of the fleet
+        self.served_work: deque[WorkSample] = deque()
+        self.work_rate = 0.0  # work that we would send per size of a worker and ms if the fleet were fully used
+        self.fleet_size = 0.0  # of the fleet
 
     def is_warming_up(self, worker: Worker, now: float) -> bool:
         """Whether the worker is in its slow start."""
@@ -62,16 +62,16 @@
 
     def request_served(self, request: Request, now: float) -> None:
         """Counts a request that was answered ok."""
-        self.served.append(WorkSample(now, self.mean_work(request)))
+        self.served_work.append(WorkSample(now, self.mean_work(request)))
 
-    def survey(self, cells: list[Cell], now: float) -> None:
+    def update_estimates(self, cells: list[Cell], now: float) -> None:
         """Estimates our rate from the requests served recently and the utilization of all workers."""
-        trim(self.served, now - SERVED_WINDOW)
+        trim(self.served_work, now - SERVED_WINDOW)
         utilization = pooled_mean([cell.utilization for cell in cells], 1.0)
         size = sum(cell.size for cell in cells)
-        self.size = max(size, self.size * SIZE_DECAY, MIN_SIZE)
+        self.fleet_size = max(size, self.fleet_size * SIZE_DECAY, MIN_SIZE)
         utilization = min(1.0, max(MIN_UTILIZATION, utilization))
-        self.rate = sum(sample.work for sample in self.served) / self.size / SERVED_WINDOW / utilization
+        self.work_rate = sum(sample.work for sample in self.served_work) / self.fleet_size / SERVED_WINDOW / utilization
 
     def admits(self, worker: Worker, request: Request, now: float) -> bool:
         """Whether the worker is ready and, while it is warming up, may be sent this request now."""
@@ -85,7 +85,7 @@
         age = now - worker.warming_since
         trim(sends, now - settings.window)
         share = settings.multiple * (settings.start_share + (1 - settings.start_share) * age / settings.ramp)
-        allowed = MARGIN * share * self.rate * worker.endpoint.size * settings.window
+        allowed = USED_CAPACITY_FRACTION * share * self.work_rate * worker.endpoint.size * settings.window
         if allowed >= work:
             return sum(send.work for send in sends) + work <= allowed
         return not sends and self._has_turn(worker, allowed / work, age)
@@ -102,7 +102,7 @@
     def mean_work(self, request: Request) -> float:
         """Mean work (ms) of requests of this class."""
         request_class = request.request_class
-        return max(1.0, mean(request_class.durations, request_class.latency_objective * DEFAULT_WORK_PART))
+        return max(1.0, mean(request_class.durations, request_class.latency_objective * DEFAULT_WORK_FRACTION))
 
 
 def _spread_index(instance: GatewayInstance) -> int:
--- a/wickdyke/simulator/codec.py
+++ b/wickdyke/simulator/codec.py
@@ -50,7 +50,7 @@
     "stale_send": Outcome.UNSENT,
     "none_here": Outcome.MISS,
 }
-LOAD_NOTES = {1: LoadNote.STOOD, 2: LoadNote.BEGAN, 3: LoadNote.AWAITED, 4: LoadNote.FAILED}
+LOAD_NOTES = {1: LoadNote.ALREADY_LOADED, 2: LoadNote.STARTED_LOAD, 3: LoadNote.AWAITED_LOAD, 4: LoadNote.LOAD_FAILED}
 NOTE_CODES = 8  # a note is the concurrency times this, plus the code of what the load did
 STATES = {"3": EndpointState.READY, "0": EndpointState.DRAINING, "2": EndpointState.GONE}
 outcome = one_of(OUTCOMES)
