--- a/wickdyke/routing/active_workers.py
+++ b/wickdyke/routing/active_workers.py
@@ -1,4 +1,4 @@
-"""The workers of a cell that functions are placed on: those of its zones, and of them the fewest for the load."""
+"""The workers of a cell that functions are placed on: the fewest for the load, in this front end's zone if possible."""
 
 from itertools import accumulate
 from math import log
@@ -9,40 +9,41 @@
 from wickdyke.routing.ranking import Candidates
 from wickdyke.routing.samples import mean
 
-TARGET_UTILIZATION = 0.4  # up to which an active worker is to be used
-MAX_LOAD_AFTER_REMOVAL = 0.75  # a worker is removed only if the others could carry the load over this
-SLOWDOWN_GRADE_FACTOR = 1.3  # between grades of paces; coarse, so that all front ends order workers alike
-CROWDED_UTILIZATION = 0.85  # of our zone, from which other zones are used
-RELIEVED_UTILIZATION = 0.75  # of our zone, below which they are no longer
-MIN_UTILIZATION_DIFFERENCE = 0.2  # by which the other zones' utilization has to be lower
-INITIAL_OTHER_ZONES_WEIGHT = 0.125  # part with which other zones' workers count at first
-MIN_HEALTHY_FRACTION = 0.5  # of our zone's workers; with fewer healthy ones all zones count
-UNLIMITED_WORKERS = 10**6  # workers
+TARGET_UTILIZATION = 0.4  # utilization at which active workers are meant to run
+MAX_LOAD_AFTER_REMOVAL = 0.75  # a worker is removed only if the others could carry the load divided by this
+SLOWDOWN_GRADE_FACTOR = 1.3  # ratio of adjacent slowdown grades; coarse, so that all front ends order workers alike
+CROWDED_UTILIZATION = 0.85  # utilization of the own zone from which other zones are used
+RELIEVED_UTILIZATION = 0.75  # utilization of the own zone below which other zones are used less again
+MIN_UTILIZATION_DIFFERENCE = 0.2  # by which the other zones' utilization must be lower for them to be used
+INITIAL_OTHER_ZONES_WEIGHT = 0.125  # part of their size with which other zones' workers count at first
+MIN_HEALTHY_FRACTION = 0.5  # part of the own zone's workers; where no more than this are healthy, all zones count fully
+UNLIMITED_WORKERS = 10**6  # initial number of active workers, above the size of any fleet
 
 
 class CandidateScope:
     """The workers that functions of a cell may be placed on.
 
-    Where crossing zones has a cost, each zone is placed by itself, as homes all over the fleet would make attempts
-    cross. Other zones' workers count in part (`reach`) while ours is more crowded. That is worse where replicas in each
-    zone fill the memory.
+    Where traffic between zones has a cost, each front end places functions in its own zone, as placements across the
+    fleet would send attempts to other zones. While the own zone is overloaded and others are not, the other zones'
+    workers count with a part of their size (`other_zones_weight`). The disadvantage is memory: a function needs
+    replicas in each zone.
     """
 
     def __init__(self, cell: Cell, zone: int | None) -> None:
-        """The scope of a cell; with `zone` None all zones count as one."""
+        """Creates the scope of a cell for front ends of `zone`; None where zones make no difference."""
         self.cell = cell
         self.zone = zone
-        self.other_zones_weight = 0.0  # part with which other zones' workers count now
-        self.ranked_other_zones_weight = 0.0  # the same, as `candidates` were made
+        self.other_zones_weight = 0.0  # part of their size with which other zones' workers count now
+        self.ranked_other_zones_weight = 0.0  # the weight for which `candidates` was created
         self.workers: list[Worker] = []
         self.candidates = Candidates([])
 
     def invalidate(self) -> None:
-        """To be called when the cell's workers, or their sizes, have changed."""
+        """Forces new candidates at the next update; call it when the cell's workers or their sizes have changed."""
         self.workers = []
 
     def update(self, now: float) -> list[Worker]:
-        """The workers in scope now (ms)."""
+        """Updates and returns the workers in scope at `now` (ms)."""
         workers = self.cell.ready_workers
         own = [worker for worker in workers if self.zone in (None, worker.endpoint.zone)]
         self._adjust_other_zones_weight(workers, now)
@@ -70,37 +71,37 @@
 
 
 class ActiveWorkers:
-    """The fewest workers, of the fastest kinds first, that carry a load; all front ends order them alike."""
+    """Selects the fewest workers that carry a load, the fastest kinds first; all front ends order them alike."""
 
     def __init__(self, latency: LatencyEstimator) -> None:
-        """No workers are selected yet."""
+        """Creates a selection without workers."""
         self.latency = latency
-        self.capacity: dict[Worker, float] = {}  # lanes of the average worker that each is worth
+        self.capacity: dict[Worker, float] = {}  # concurrency of each worker, relative to the speed of the average one
         self.count = UNLIMITED_WORKERS
 
     def select(self, workers: list[Worker], load: float, memory: float) -> list[Worker]:
-        """Those that carry `load` lanes at the target utilization and have `memory` MB in their budgets."""
+        """Returns workers that carry `load` at the target utilization and have `memory` MB in their budgets."""
         grades = self._grades(workers)
         order = sorted(workers, key=lambda worker: (grades[worker.endpoint.kind], worker.endpoint.ident))
         self.capacity = {
             worker: self.latency.cores(worker) / SLOWDOWN_GRADE_FACTOR ** grades[worker.endpoint.kind]
             for worker in order
         }
-        lanes = accumulate(self.capacity[worker] * TARGET_UTILIZATION for worker in order)
+        capacities = accumulate(self.capacity[worker] * TARGET_UTILIZATION for worker in order)
         budgets = accumulate(worker.memory_budget for worker in order)
-        sums = list(zip(lanes, budgets, strict=True))
+        sums = list(zip(capacities, budgets, strict=True))
 
-        def workers_for(needed_lanes: float) -> int:
+        def workers_for(needed_capacity: float) -> int:
             counts = (
                 count
-                for count, (lanes_sum, memory_sum) in enumerate(sums, 1)
-                if lanes_sum >= needed_lanes and memory_sum >= memory
+                for count, (capacity_sum, memory_sum) in enumerate(sums, 1)
+                if capacity_sum >= needed_capacity and memory_sum >= memory
             )
             return next(counts, len(sums))
 
         self.count -= (
             workers_for(load / MAX_LOAD_AFTER_REMOVAL) < self.count
-        )  # one a period, and only with capacity to spare
+        )  # removes one per period, with capacity to spare
         self.count = max(workers_for(load), min(self.count, len(order)))
         return order[: self.count]
 
--- a/wickdyke/routing/concurrency.py
+++ b/wickdyke/routing/concurrency.py
@@ -1,4 +1,4 @@
-"""An adaptive limit on attempts in flight: lowered while answers come late at a full worker, raised as it is used."""
+"""Adaptive limits on attempts in flight: lowered while answers are late at full workers, raised as they are used up."""
 
 from wickdyke.routing.in_flight import ConcurrencyLimited, active_attempts
 from wickdyke.routing.latency import MAX_OBJECTIVE_SHARES
@@ -10,18 +10,19 @@
 
 INITIAL_LIMIT = 8.0  # attempts
 MIN_LIMIT = 1.0  # attempts
-TARGET_OBJECTIVE_SHARE = 0.33  # of the latency objective that answers should take on average
-MIN_DECREASE_FACTOR = 0.5  # part of the limit that one cut leaves at least
-RAISE_THRESHOLD = 0.7  # part of the limit in use from which it is raised
-FULL_UTILIZATION = 0.85  # from which late answers show a queue at the worker
+TARGET_OBJECTIVE_SHARE = 0.33  # part of the latency objective that answers should take on average
+MIN_DECREASE_FACTOR = 0.5  # smallest factor by which the limit is lowered at once
+RAISE_THRESHOLD = 0.7  # part of the limit that must be in use for it to be raised
+FULL_UTILIZATION = 0.85  # utilization from which late answers are evidence of a queue at the worker
 
 
 def adapt_limit(pool: ConcurrencyLimited, attempt: Attempt, active: int, timed_out: bool, now: float) -> None:
-    """Adapts the limit to an answer, or to an attempt that its route's time-out ended.
+    """Adapts the limit to an answer, or to an attempt that ended by its route's time-out.
 
-    `active`: our attempts that were active there as it was sent. A full queue makes all answers late. Attempts with a
-    shorter time-out than that would end before they are late, and the limit would grow while the worker is overloaded:
-    so those count as late too. That lowers the limit wrongly where answers are lost, or the time-out is too short.
+    `active` is the number of this front end's attempts that were active in the pool when the attempt was sent. A full
+    queue makes all answers late. Attempts with a time-out that is shorter than that delay would end before they count
+    as late, and the limit would grow while the worker is overloaded; attempts that time out therefore count as late.
+    This lowers the limit wrongly where answers are lost or the time-out is too short.
     """
     objective_share = (now - attempt.sent_at) / attempt.request.request_class.latency_objective
     pool.objective_shares.append(ObjectiveShare(max(timed_out, objective_share), active))
@@ -36,7 +37,7 @@
 
 
 def _is_full(pool: ConcurrencyLimited) -> bool:
-    """Whether its cores are used up; otherwise concurrency or loads delayed the answers."""
+    """Returns whether the pool's cores are used up; otherwise concurrency limits or loads delayed the answers."""
     if not pool.load_reports:
         return True
     utilization = pool.load_reports[-1].utilization
--- a/wickdyke/routing/control_budget.py
+++ b/wickdyke/routing/control_budget.py
@@ -1,18 +1,19 @@
-"""What front ends may spend on health checks and prewarms.
+"""The budget of a front end for health checks and prewarms.
 
-Those of many front ends would cost more than the requests themselves, so their rate follows that of our own requests.
+The health checks and prewarms of many front ends would cost more than the requests themselves, so their rate is
+proportional to that of the front end's own requests.
 """
 
-TOKENS_PER_REQUEST = 0.5  # one token is one health check or prewarm
+TOKENS_PER_REQUEST = 0.5  # one token pays for one health check or prewarm
 MAX_TOKENS = 8.0
-SPARE_TOKENS = MAX_TOKENS / 2  # above which also workers are checked that no decision depends on
+SPARE_TOKENS = MAX_TOKENS / 2  # above this number, health checks that no decision waits for are sent too
 
 
 class ControlBudget:
-    """A token bucket filled by requests; health checks and prewarms draw on it."""
+    """A token bucket that requests fill and that health checks and prewarms draw on."""
 
     def __init__(self) -> None:
-        """A full bucket."""
+        """Creates a full bucket."""
         self.tokens = MAX_TOKENS
 
     def request_received(self) -> None:
@@ -20,11 +21,11 @@
         self.tokens = min(MAX_TOKENS, self.tokens + TOKENS_PER_REQUEST)
 
     def has_token(self) -> bool:
-        """Whether there is a token."""
+        """Returns whether there is at least one token."""
         return self.tokens >= 1
 
     def has_spare_tokens(self) -> bool:
-        """Whether there are enough tokens for checks that no decision depends on."""
+        """Returns whether there are enough tokens for health checks that no decision waits for."""
         return self.tokens > SPARE_TOKENS
 
     def spend(self) -> None:
--- a/wickdyke/routing/demand.py
+++ b/wickdyke/routing/demand.py
@@ -1,4 +1,7 @@
-"""Estimates of the demand for a function: by our own requests, and by all front ends together."""
+"""Estimates of the demand for a function: by this front end's own requests, and by those of all front ends.
+
+Demand is the average number of requests that are in flight at once.
+"""
 
 from collections import Counter
 
@@ -7,38 +10,39 @@
 from wickdyke.routing.samples import mean
 from wickdyke.routing.settings import FunctionCache
 
-MAX_REQUEST_TIMES = 64  # of a function
-PRIOR_SAMPLES = 16  # reports or answers that the prior of an estimate weighs
-STARTUP_AGE = 1000.0  # ms added to the age of this front end, so that its first calls do not look like a high rate
-MIN_DEMAND = 1e-9  # keeps divisors above 0
+MAX_REQUEST_TIMES = 64  # request times kept of a function
+PRIOR_SAMPLES = 16  # reports or answers that the prior of an estimate counts as
+STARTUP_AGE = 1000.0  # ms added to the age of this front end, so that its first requests do not look like a high rate
+MIN_DEMAND = 1e-9  # lower bound of divisors
 
 
 class DemandEstimator:
-    """Demand in lanes: requests in flight on average."""
+    """Estimates demand from recent requests, answers and load reports."""
 
     def __init__(self, latency: LatencyEstimator, cache: FunctionCache, since: float) -> None:
-        """An estimator for calls that are counted since that time (ms)."""
+        """Creates an estimator; requests are counted since `since` (ms)."""
         self.latency = latency
         self.since = since
         self.idle_timeout = cache.idle_timeout
         self.reports_concurrency = cache.reports_concurrency
 
     def own_demand(self, function: Function, now: float) -> float:
-        """Lanes that our own requests of the function keep busy."""
+        """Returns the demand of this front end's own requests of the function."""
         recent = [at for at in function.request_times if now - at < self.idle_timeout]
-        # After a start, few calls over a whole idle timeout would look like little demand, and all functions would be
-        # placed on one worker.
+        # Shortly after a start, dividing the few requests by a whole idle timeout would give too little demand, and all
+        # functions would be placed on one worker.
         age = now - self.since + STARTUP_AGE
         span = now - recent[0] if len(recent) == MAX_REQUEST_TIMES else min(self.idle_timeout, age)
         latency = max(self.latency.usual_work(function) * self.latency.average_slowdown, MIN_DEMAND)
         return len(recent) / max(span, 1.0) * latency
 
     def fleet_demand(self, function: Function, own: float, share: float) -> float:
-        """Lanes that all front ends' requests of the function keep busy; `own` of them are ours, our usual `share`.
+        """Returns the demand of all front ends' requests of the function.
 
-        Two estimates weighed by their variances: our own lanes over our share, and the requests of the function that
-        were in flight beside ours by workers' answers. Without the second each of many front ends would load functions
-        with little demand.
+        `own` is the demand of own requests, `share` the usual own part. The result combines two estimates, weighted by
+        their variances: the own demand over the own share, and the other requests of the function that were in flight
+        at workers by their answers. Without the second one, each of many front ends would load functions with little
+        demand.
         """
         scaled = own / share
         samples = function.concurrency_samples
@@ -52,7 +56,7 @@
         return (scaled * beside_variance + beside * scaled_variance) / (scaled_variance + beside_variance)
 
     def own_share(self, workers: list[Worker], own: float, even: float) -> float:
-        """Our part of the lanes busy on those workers; drawn towards `even` where few reports were received."""
+        """Returns the own part of the workers' requests in flight, close to `even` where there are few reports."""
         in_flight = [
             report.in_flight for worker in workers for report in worker.load_reports if report.in_flight is not None
         ]
--- a/wickdyke/routing/health_checks.py
+++ b/wickdyke/routing/health_checks.py
@@ -1,4 +1,4 @@
-"""Health checks: requests to workers for a load report, as far as the control budget covers them."""
+"""Health checks: requests to workers for a load report, limited by the control budget."""
 
 from collections import deque
 from collections.abc import Iterable
@@ -9,22 +9,22 @@
 from wickdyke.routing.model import EndpointState, Outcome, Worker
 
 CHECK_EVERY = 1000.0  # ms between checks of a worker
-CHECK_SOON = 300.0  # ms between them where a decision depends on the result
+CHECK_SOON = 300.0  # ms between checks of a worker where a decision depends on the result
 
 
 class HealthChecker:
-    """Sends health checks, and keeps which workers did not answer them."""
+    """Sends health checks, and keeps track of the workers that did not answer them."""
 
     def __init__(self, enabled: bool, budget: ControlBudget, decisions: deque[Decision]) -> None:
-        """A checker that appends its checks to `decisions`."""
+        """Creates a checker that appends its checks to `decisions`."""
         self.enabled = enabled
         self.budget = budget
         self.decisions = decisions
-        self.check_rotation: deque[Worker] = deque()  # workers on whose reports decisions depend, in turn
+        self.check_rotation: deque[Worker] = deque()  # workers on whose reports decisions depend, checked in turn
         self.unresponsive_workers: list[Worker] = []
 
     def check(self, worker: Worker, every: float, now: float) -> None:
-        """Checks the worker, unless a report was received or a check sent within `every` ms."""
+        """Checks the worker, unless a report was received or a check was sent within the last `every` ms."""
         reported = worker.load_reports[-1].received_at if worker.load_reports else 0.0
         if (
             self.enabled
@@ -36,7 +36,10 @@
             self._send(worker, now)
 
     def check_now(self, worker: Worker, now: float) -> None:
-        """Checks the worker at once, as work waits for its answer, unless a check of it is in flight."""
+        """Checks the worker at once, regardless of the budget, unless a check of it is in flight.
+
+        Used where work waits for the worker's answer.
+        """
         if self.enabled and worker.endpoint.state == EndpointState.READY and worker.check_sent_at is None:
             self._send(worker, now)
 
@@ -46,7 +49,10 @@
         self.decisions.append(HealthCheck(worker))
 
     def check_in_turn(self, tick: float, now: float) -> None:
-        """Continues through the rota, at a pace that checks each worker every CHECK_EVERY ms; `tick` ms have passed."""
+        """Checks the next workers of the rotation, at a rate that checks each worker once in CHECK_EVERY ms.
+
+        `tick` is the time since the last call (ms).
+        """
         if not self.budget.has_spare_tokens():
             return
         for _ in range(ceil(len(self.check_rotation) * tick / CHECK_EVERY)):
@@ -54,12 +60,12 @@
             self.check(self.check_rotation[0], CHECK_EVERY, now)
 
     def set_rotation(self, workers: Iterable[Worker]) -> None:
-        """Sets the workers to be checked in turn."""
+        """Sets the workers that are checked in turn."""
         self.check_rotation = deque(workers)
 
     def check_finished(self, worker: Worker, outcome: Outcome, now: float) -> None:
-        """Enters how a check of the worker ended."""
-        if outcome == Outcome.OK and worker.failed_checks:  # it answers again: it may be tried now
+        """Records the outcome of a check of the worker."""
+        if outcome == Outcome.OK and worker.failed_checks:  # the worker answers again: its ejection ends
             worker.ejected_until = min(worker.ejected_until, now)
         worker.failed_checks = worker.failed_checks + 1 if outcome == Outcome.TIMEOUT else 0
         self.unresponsive_workers = [
--- a/wickdyke/routing/outliers.py
+++ b/wickdyke/routing/outliers.py
@@ -1,4 +1,4 @@
-"""Outlier detection: which workers are sent nothing for a while, by symptom: unreachable, failing or silent."""
+"""Outlier detection: temporarily ejects workers that are unreachable, fail or are silent."""
 
 from collections import Counter
 from collections.abc import Callable
@@ -13,25 +13,26 @@
 from wickdyke.routing.replicas import clear_replicas
 from wickdyke.routing.slow_start import SlowStartGuard
 
-FIRST_EJECTION_TIME = 1500.0  # ms, doubled each time
+FIRST_EJECTION_TIME = 1500.0  # ms, doubled at each ejection
 MAX_EJECTION_TIME = 4000.0  # ms
-MIN_FAILURES = 3  # failures that eject a worker
-FAILURE_SHARE = 0.5  # part of the results above which failures eject it
+MIN_FAILURES = 3  # recent failures from which a worker may be ejected
+FAILURE_SHARE = 0.5  # part of the recent results that failures must exceed to eject a worker
 MAX_RESULT_AGE = 5000.0  # ms for which a result counts
-NETWORK_FAULT_SHARE = 0.25  # of the recent workers unreached, and no connection lost: it is the network
-SILENCE_THRESHOLD = 26.0  # expected latencies of silence, over all attempts, from which a worker counts as silent
-MAX_SILENCE_PER_ATTEMPT = 6.0  # expected latencies
-SILENCE_PER_FAILED_CHECK = 9.0  # expected latencies
-MIN_EXPECTED_LATENCY = 80.0  # ms
-SILENT_LOAD_TIMES = 2  # load times after which an ejected worker counts as silent again
-ANSWERED_OUTCOMES = frozenset({Outcome.OK, Outcome.ERROR, Outcome.FULL, Outcome.MISS})  # the worker answered
+NETWORK_FAULT_SHARE = 0.25  # part of the recent workers; more unreached ones without a lost connection: network fault
+# Silence is measured in multiples of the expected latency.
+SILENCE_THRESHOLD = 26.0  # silence, summed over all attempts, from which a worker counts as silent
+MAX_SILENCE_PER_ATTEMPT = 6.0
+SILENCE_PER_FAILED_CHECK = 9.0
+MIN_EXPECTED_LATENCY = 80.0  # ms; lower bound of the expected latency by which silence is divided
+SILENT_LOAD_TIMES = 2  # load times without an answer after which an ejected worker counts as silent again
+ANSWERED_OUTCOMES = frozenset({Outcome.OK, Outcome.ERROR, Outcome.FULL, Outcome.MISS})  # the worker sent an answer
 REACHABILITY_OUTCOMES = ANSWERED_OUTCOMES | {Outcome.UNREACHED, Outcome.CONNECTION_LOST}
 RESULT_OUTCOMES = frozenset({Outcome.OK, Outcome.ERROR, Outcome.CONNECTION_LOST, Outcome.UNREACHED})
 FAILURE_OUTCOMES = frozenset({Outcome.ERROR, Outcome.CONNECTION_LOST})
 
 
 class OutlierDetector:
-    """Ejects workers, and readmits them once they answer."""
+    """Ejects workers, and readmits them once they answer successfully."""
 
     def __init__(
         self,
@@ -40,22 +41,22 @@
         slow_start: SlowStartGuard,
         readiness: Readiness,
     ) -> None:
-        """A detector without ejected workers; `log_note` writes a line to the log."""
+        """Creates a detector without ejected workers; `log_note` writes a line to the log."""
         self.log_note = log_note
         self.latency = latency
         self.slow_start = slow_start
         self.readiness = readiness
         self.ejected: dict[Worker, None] = {}
-        self.last_outcomes: dict[Worker, tuple[float, Outcome]] = {}  # of recent workers, with their time (ms)
+        self.last_outcomes: dict[Worker, tuple[float, Outcome]] = {}  # time (ms) and outcome, of recent workers
         self.network_fault = False
 
     def forget(self, worker: Worker) -> None:
-        """Drops a worker that is no longer listed."""
+        """Removes a worker that is no longer listed."""
         self.ejected.pop(worker, None)
         self.last_outcomes.pop(worker, None)
 
     def record(self, worker: Worker, outcome: Outcome, now: float) -> None:
-        """Enters how an attempt, a prewarm or a health check ended at a worker."""
+        """Records the outcome of an attempt, a prewarm or a health check at a worker."""
         worker.open_records(WORKER_RECORDS)
         if outcome in REACHABILITY_OUTCOMES:
             self.last_outcomes[worker] = now, outcome
@@ -64,8 +65,8 @@
             worker.ejected_until = now + MAX_EJECTION_TIME
             return
         if unreached or outcome == Outcome.CONNECTION_LOST:
-            # The list shows only later that a worker has restarted, with nothing loaded. After a break of the network
-            # this is wrong.
+            # The worker has probably restarted with nothing loaded, which the endpoint list shows only later. The
+            # assumption is wrong after a network interruption.
             clear_replicas(worker)
             self.slow_start.connection_lost(worker, now)
             self.readiness.process_ended(worker, now)
@@ -76,7 +77,8 @@
         self._eject_if_failing(worker, outcome, now)
 
     def _readmit(self, worker: Worker, outcome: Outcome, now: float) -> None:
-        if outcome == Outcome.OK and worker.ejections and worker.ejected_until <= now:  # not one sent before
+        # An answer during the ejection may belong to an attempt that was sent before it.
+        if outcome == Outcome.OK and worker.ejections and worker.ejected_until <= now:
             worker.ejections -= 1
             if not worker.ejections:
                 self.ejected.pop(worker, None)
@@ -96,10 +98,10 @@
             self.eject(worker, now, f"{outcome}, {failures} of {len(recent)} bad")
 
     def _detect_network_fault(self, now: float) -> bool:
-        """Whether new connections fail everywhere while none is lost: a fault of the network, not of the workers.
+        """Returns whether new connections fail widely while none is lost: a fault of the network, not of the workers.
 
-        If it were taken for restarts, all state of the workers would be dropped. The conclusion is wrong where many
-        workers vanish at once.
+        If such failures were taken for restarts, all state of the workers would be dropped. The conclusion is wrong
+        where many workers disappear at once.
         """
         self.last_outcomes = {
             worker: (at, outcome) for worker, (at, outcome) in self.last_outcomes.items() if now - at < MAX_RESULT_AGE
@@ -107,7 +109,7 @@
         counts = Counter(outcome for _, outcome in self.last_outcomes.values())
         unreached = counts[Outcome.UNREACHED]
         begins = unreached >= MIN_FAILURES and unreached > NETWORK_FAULT_SHARE * len(self.last_outcomes)
-        continues = self.network_fault and unreached > 0  # until all are reached
+        continues = self.network_fault and unreached > 0  # until no recent worker is unreached
         fault = not counts[Outcome.CONNECTION_LOST] and (begins or continues)
         if fault != self.network_fault:
             state = "fail" if fault else "work"
@@ -126,8 +128,8 @@
                 worker.warming_since = worker.endpoint.started_at
 
     def is_silent(self, worker: Worker, now: float) -> bool:
-        """Whether it has answered nothing for far longer than expected."""
-        if worker.ejections:  # a replica pushed out of memory would have loaded again
+        """Returns whether the worker has left attempts and health checks unanswered for far longer than expected."""
+        if worker.ejections:  # allows for loads: replicas may have been evicted in the meantime
             return any(
                 now - attempt.sent_at > SILENT_LOAD_TIMES * self.latency.load_time(attempt.request.function)
                 for attempt in worker.in_flight
@@ -142,7 +144,7 @@
         return failed_checks + sum(min(MAX_SILENCE_PER_ATTEMPT, silence) for silence in silences) >= SILENCE_THRESHOLD
 
     def eject(self, worker: Worker, now: float, reason: str) -> None:
-        """Sends the worker nothing for a while, longer each time; `reason` is logged."""
+        """Ejects the worker for a time that doubles with each ejection, up to MAX_EJECTION_TIME; logs `reason`."""
         worker.ejected_until = now + min(MAX_EJECTION_TIME, FIRST_EJECTION_TIME * 2**worker.ejections)
         worker.ejections += 1
         self.ejected[worker] = None
--- a/wickdyke/routing/placement.py
+++ b/wickdyke/routing/placement.py
@@ -1,4 +1,7 @@
-"""Places the functions of a cell on the fewest lowest-latency workers that their demand needs, within memory."""
+"""Places the functions of a cell on the fewest workers that their demand needs, the fastest first, within memory.
+
+Demand and capacity are measured in concurrency: the average number of requests that are being processed at once.
+"""
 
 from dataclasses import dataclass
 from math import ceil, inf, sqrt
@@ -16,37 +19,40 @@
 from wickdyke.routing.samples import mean
 from wickdyke.routing.settings import CostWeights, FunctionCache, GatewayInstance
 
-KEEP_WORKERS_FOR = 5000.0  # ms for which a function keeps its workers, over what is not our share
-FILL_UTILIZATION = 0.7  # utilization up to which a worker is given our part
-HEADROOM = 1.5  # standard deviations of its concurrency that a replica keeps free
-FAIR_SHARE_SLACK = 1.2  # times its even part of our load that a worker is given
-KEEP_FACTOR = 1.4  # times that part that it may keep
-SMALL_LOAD = 0.15  # part of a worker's free capacity: a smaller load may exceed it
-MAX_LOAD_AFTER_REMOVAL = 0.75  # part of the capacity of its workers less one, over which a function keeps them all
-HOT_UTILIZATION_FACTOR = 1.2  # times the mean utilization over which a worker is given nothing new
+KEEP_WORKERS_FOR = 5000.0  # ms for which a function stays on its workers, divided by 1 minus this front end's share
+FILL_UTILIZATION = 0.7  # utilization up to which this front end fills its part of a worker
+HEADROOM = 1.5  # standard deviations of the concurrency that are kept free
+FAIR_SHARE_SLACK = 1.2  # multiple of its even part of this front end's load that a worker may be given
+KEEP_FACTOR = 1.4  # multiple of a worker's capacity up to which functions stay on it
+SMALL_LOAD = 0.15  # part of the mean capacity; smaller loads may exceed a worker's free capacity
+MAX_LOAD_AFTER_REMOVAL = 0.75  # part of the capacity of one worker less, over which a function keeps all its workers
+HOT_UTILIZATION_FACTOR = 1.2  # multiple of the mean utilization above which a worker is given nothing new
 MIN_HOT_UTILIZATION = 0.8  # utilization below which no worker counts as hot
-MAX_CAPACITY_FRACTION = 0.2  # of a worker's capacity that one function takes where workers do not report concurrency
-MAX_FALLBACK_WORKERS = 8  # compared where none has free capacity
-MIN_REQUESTS_KEEPING_LOADED = 3.0  # calls by other front ends within an idle timeout that keep a replica loaded
-MIN_CAPACITY = 1e-9  # lanes, where a capacity or a share divides
+MAX_CAPACITY_FRACTION = 0.2  # part of a worker's capacity for one function where workers do not report concurrency
+MAX_FALLBACK_WORKERS = 8  # workers compared where none has free capacity
+MIN_REQUESTS_KEEPING_LOADED = 3.0  # other front ends' requests within an idle timeout that keep a replica loaded
+MIN_CAPACITY = 1e-9  # lower bound of capacities and shares that are divisors
 
 
 @dataclass(slots=True)
 class PlacementPass:
-    """What one pass over a cell's functions knows and uses up. Loads are lanes, memory is MB."""
-
-    own_demand: dict[Function, float]  # by our own requests
-    fleet_demand: dict[Function, float]  # by all front ends' requests
-    demand: dict[Function, float]  # our part of that, as cores are busy with it
-    memory: dict[Function, float]  # our part of a replica
-    share: float  # our part of what the workers do
-    capacity: dict[Worker, float]  # lanes that we may use of each worker
-    free_capacity: dict[Worker, float]  # lanes that are left of that
-    free_memory: dict[Worker, float]  # MB that are left of our part
-    kept_workers: dict[Function, list[Worker]]  # workers that functions placed recently stay on
+    """The inputs of one pass over a cell's functions, and the capacity left. Loads are concurrency, memory is MB.
+
+    "Own" and "share" refer to this front end.
+    """
+
+    own_demand: dict[Function, float]  # demand of own requests
+    fleet_demand: dict[Function, float]  # demand of all front ends' requests
+    demand: dict[Function, float]  # own share of the fleet's demand, in busy cores
+    memory: dict[Function, float]  # own part of a replica's memory
+    share: float  # own part of the workers' load
+    capacity: dict[Worker, float]  # load that this front end may put on each worker
+    free_capacity: dict[Worker, float]  # part of `capacity` that is left
+    free_memory: dict[Worker, float]  # MB of own memory budget that are left
+    kept_workers: dict[Function, list[Worker]]  # workers on which recently placed functions stay
 
     def reserve(self, function: Function, workers: list[Worker], replicas: int) -> None:
-        """Uses up what so many replicas of the function take on each of its workers."""
+        """Subtracts the load and the memory of `replicas` replicas of the function on each of `workers`."""
         load = self.demand[function] / len(workers)
         for worker in workers:
             self.free_capacity[worker] -= load
@@ -54,7 +60,7 @@
 
 
 class Placement:
-    """Where the functions of one cell are placed."""
+    """Assigns the functions of one cell to workers."""
 
     def __init__(
         self,
@@ -65,30 +71,30 @@
         costs: CostWeights,
         since: float,
     ) -> None:
-        """An empty placement; `since` is when requests began to be counted (ms)."""
+        """Creates an empty placement; requests are counted since `since` (ms)."""
         self.cell = cell
         self.latency = latency
         self.cache = cache
-        self.explicit_loads = not cache.loads_on_demand  # an attempt that misses costs a round trip only
+        self.explicit_loads = not cache.loads_on_demand  # a miss then costs only a round trip
         self.front_ends = instance.count
         zone = instance.zone if costs.cross_zone > 0 and self.explicit_loads else None
         self.scope = CandidateScope(cell, zone)
         self.demand_estimator = DemandEstimator(latency, cache, since)
         self.active_workers = ActiveWorkers(latency)
         self.active: dict[Worker, None] = {}  # the workers that functions are placed on, in order
-        self.mean_capacity = 1.0  # lanes of an active worker that we may use, on average
-        self.hot_utilization = inf  # above which a worker is given nothing new
-        self.own_share = 1.0  # our part of what the workers do
+        self.mean_capacity = 1.0  # load that this front end may put on an active worker, on average
+        self.hot_utilization = inf  # utilization above which a worker is given nothing new
+        self.own_share = 1.0  # this front end's part of the workers' load
 
     def ranking(self, function: Function) -> list[Worker]:
-        """The workers in scope in the function's own order, which all front ends agree on."""
+        """Returns the workers in scope in the function's order, which all front ends agree on."""
         candidates = self.scope.candidates
         if function.ranked_from is not candidates:
             function.ranking, function.ranked_from = candidates.ranked(function), candidates
         return function.ranking
 
     def run(self, cells: list[Cell], now: float) -> None:
-        """Places all functions called within the idle timeout anew, those in most demand first."""
+        """Places all functions requested within the idle timeout, in descending order of demand."""
         used = self._functions_in_use(now)
         self._update_estimates(used, cells, now)
         this_pass = self._begin_pass(used, now)
@@ -104,7 +110,7 @@
         work = sum(len(function.request_times) * self.latency.usual_work(function) for function in used)
         self.latency.update_estimates(self.cell, cells, work / max(1, calls), now)
 
-    # ---- what a pass begins with ----
+    # ---- inputs of a pass ----
 
     def _begin_pass(self, used: list[Function], now: float) -> PlacementPass:
         workers = self.scope.update(now)
@@ -136,12 +142,12 @@
         )
 
     def _share(self, workers: list[Worker], own_total: float) -> float:
-        """Our part of what the workers do; an even part is assumed where few reports were received."""
+        """Returns this front end's part of the workers' load; close to an even part where there are few reports."""
         even = min(1.0, len(self.cell.ready_workers) / len(workers) / self.front_ends)
         return self.demand_estimator.own_share(workers, own_total, even)
 
     def _cores_per_request(self, workers: list[Worker], own_total: float, share: float) -> float:
-        """Busy cores over busy lanes: crowding makes requests stay longer, but takes no more cores."""
+        """Returns busy cores per request in flight: contention prolongs requests, but uses no more cores."""
         reported = mean([worker.utilization for worker in workers if worker.load_reports], 0.0)
         busy_cores = reported * sum(map(self.latency.cores, workers)) * share
         return busy_cores / own_total if busy_cores and own_total else 1.0
@@ -154,7 +160,10 @@
         self.hot_utilization = max(MIN_HOT_UTILIZATION, HOT_UTILIZATION_FACTOR * reported)
 
     def _capacity(self, healthy: list[Worker], demand: float, share: float) -> dict[Worker, float]:
-        """Lanes that we may use of each worker: our even part with some slack, or our share of its cores."""
+        """Returns the load that this front end may put on each worker.
+
+        This is an even part of its demand with some slack, or its share of the worker's cores if that is larger.
+        """
         relative = self.active_workers.capacity
         even = FAIR_SHARE_SLACK * demand / sum(relative[worker] for worker in self.active)
         return {
@@ -163,7 +172,7 @@
         }
 
     def _kept_workers(self, demand: dict[Function, float], share: float, now: float) -> dict[Function, list[Worker]]:
-        keep_for = KEEP_WORKERS_FOR / max(1 - share, MIN_CAPACITY)  # a front end that is alone keeps them
+        keep_for = KEEP_WORKERS_FOR / max(1 - share, MIN_CAPACITY)  # a single front end keeps its workers
         return {
             function: [
                 replica.worker for replica in function.replicas if replica.is_placed and replica.worker in self.active
@@ -185,25 +194,25 @@
             replica_of(function, worker)
         kept_by_others = self._other_front_ends_requests(function, this_pass, len(chosen)) > MIN_REQUESTS_KEEPING_LOADED
         for replica in function.replicas:
-            # More replicas on a worker would spend the few prewarms that the quota allows: where attempts may miss,
-            # workers add replicas themselves as concurrency is used up. Where they do not, requests queue.
+            # Where attempts may miss, one replica is wanted: more would use up the few prewarms that the quota allows,
+            # and workers add replicas themselves as concurrency is used up. Where they do not, requests queue.
             replica.is_placed = replica.worker in chosen
             replica.wanted_replicas = 1 if self.explicit_loads else replicas
             if replica.is_placed and kept_by_others:
                 self._assume_kept_loaded(replica, now)
 
     def _replicas_needed(self, function: Function, this_pass: PlacementPass, workers: int) -> int:
-        """Replicas on each of so many workers that run the fleet's requests, with some headroom."""
-        lanes = this_pass.demand[function] / workers / this_pass.share
-        return max(1, ceil((lanes + HEADROOM * sqrt(lanes)) / function.concurrency))
+        """Returns the replicas on each of `workers` workers that the fleet's requests need, with some headroom."""
+        concurrency = this_pass.demand[function] / workers / this_pass.share
+        return max(1, ceil((concurrency + HEADROOM * sqrt(concurrency)) / function.concurrency))
 
     def _other_front_ends_requests(self, function: Function, this_pass: PlacementPass, workers: int) -> float:
-        """Calls by other front ends that each of so many workers receives within an idle timeout."""
-        others_lanes = this_pass.fleet_demand[function] - this_pass.own_demand[function]
-        return others_lanes / self.latency.usual_work(function) * self.cache.idle_timeout / workers
+        """Returns the requests of other front ends that each of `workers` workers receives within an idle timeout."""
+        others_demand = this_pass.fleet_demand[function] - this_pass.own_demand[function]
+        return others_demand / self.latency.usual_work(function) * self.cache.idle_timeout / workers
 
     def _assume_kept_loaded(self, replica: Replica, now: float) -> None:
-        """Others call it often enough to keep it loaded, unless our own attempts showed otherwise."""
+        """Assumes that other front ends' requests keep the replica loaded, unless own attempts showed otherwise."""
         if self.explicit_loads:
             assumed = now - replica.last_miss > self.latency.load_time(replica.function)
         else:
@@ -215,9 +224,10 @@
     def choose_workers(
         self, function: Function, load: float, kept: list[Worker], this_pass: PlacementPass
     ) -> list[Worker]:
-        """The workers for `load` lanes of the function: those of `kept` that can keep it, then others by its ranking.
+        """Returns the workers for `load` of the function: those of `kept` with capacity, then others by its ranking.
 
-        Where none has free capacity it stays where it is, or goes to the one with most of its first in the ranking.
+        Where no worker has free capacity, the function stays on `kept`, or goes to the worker with the most free
+        capacity of the first MAX_FALLBACK_WORKERS of its ranking.
         """
         needed = self._workers_needed(load, len(kept))
         load_each = load / needed
@@ -243,8 +253,8 @@
         ranking: list[Worker],
         this_pass: PlacementPass,
     ) -> None:
-        """Adds workers with free capacity until `needed` are chosen: those with free memory before the others."""
-        # A small load fills no cores, and must not move to and fro.
+        """Adds workers with free capacity until `needed` are chosen, those with free memory first."""
+        # A small load hardly uses cores, and must not move back and forth between workers.
         slack = KEEP_FACTOR - 1 if load_each < SMALL_LOAD * self.mean_capacity else 0.0
         short_of_memory: list[Worker] = []
         for worker in ranking:
@@ -259,9 +269,9 @@
         chosen += short_of_memory[: needed - len(chosen)]
 
     def _workers_needed(self, load: float, kept: int) -> int:
-        """How many workers a load of that many lanes is spread over; all that it keeps while they are well used."""
+        """Returns the number of workers for `load`; at least `kept` while the kept workers are well utilized."""
         capacity = self.mean_capacity
-        part = 1.0 if self.cache.reports_concurrency else MAX_CAPACITY_FRACTION
-        needed = max(1, ceil(load / capacity / part))
+        fraction = 1.0 if self.cache.reports_concurrency else MAX_CAPACITY_FRACTION
+        needed = max(1, ceil(load / capacity / fraction))
         well_used = load > (kept - 1) * capacity * MAX_LOAD_AFTER_REMOVAL
         return max(needed, kept if well_used else 0)
--- a/wickdyke/routing/placement_schedule.py
+++ b/wickdyke/routing/placement_schedule.py
@@ -1,4 +1,4 @@
-"""When each cell is placed again: one cell at a time, so that no turn takes long."""
+"""Schedules the placements of cells, one cell at a time to keep each run of the router short."""
 
 from dataclasses import dataclass
 
@@ -15,27 +15,27 @@
 from wickdyke.routing.settings import FunctionCache
 from wickdyke.routing.slow_start import SlowStartGuard
 
-PERIOD_JITTER = 0.2  # part by which periods differ, so that front ends are not in step
-FEW_REQUESTS = 16  # in a period; with fewer it is made longer
-MAX_PERIOD_FACTOR = 4.0
-FORGET_AFTER = 3  # idle timeouts after which a function is forgotten, in a fleet of one cell
-MAX_CELLS_COMPARED = 32  # for one placement
+PERIOD_JITTER = 0.2  # relative range of random periods, which keeps front ends out of step
+FEW_REQUESTS = 16  # requests in a period; with fewer the next period is longer
+MAX_PERIOD_FACTOR = 4.0  # limit on how many times longer a period becomes
+FORGET_AFTER = 3  # idle timeouts without requests after which a function is removed, in a fleet of one cell
+MAX_CELLS_COMPARED = 32  # cells compared for one placement
 
 
 @dataclass(slots=True)
 class PlacementSchedule:
-    """Picks the cell that is most overdue, and updates the estimates that all cells share."""
+    """Selects the cell whose placement is most overdue, and updates the estimates that all cells share."""
 
     fleet: Fleet
     cache: FunctionCache
     slow_start: SlowStartGuard
     global_concurrency: GlobalConcurrency
     random: SeededRandom
-    next_at: float  # ms, when the next cell is due
-    last_estimate_at: float  # ms, of the last estimates over all cells
+    next_at: float  # time of the next placement (ms)
+    last_estimate_at: float  # time of the last estimates over all cells (ms)
 
     def due_cell(self, now: float) -> Cell | None:
-        """The cell that is to be placed now, surveyed; sets when the next is due."""
+        """Returns the cell to place now, with updated estimates, or None; sets the time of the next placement."""
         cells = list(self.fleet.cells.values())
         used = self.fleet.cells_in_turn(MAX_CELLS_COMPARED) or cells[:1]
         cell = max(used, key=lambda candidate: candidate.lateness(now))
--- a/wickdyke/routing/prewarming.py
+++ b/wickdyke/routing/prewarming.py
@@ -1,4 +1,4 @@
-"""Prewarming: which replicas are to be loaded ahead of their requests, and how many prewarms may be sent."""
+"""Prewarming: which replicas to load ahead of their requests, and how many prewarms may be sent."""
 
 from bisect import insort
 from collections import Counter, deque
@@ -13,18 +13,18 @@
 from wickdyke.routing.samples import trim_times
 from wickdyke.routing.settings import FunctionCache, PrewarmQuota
 
-RENEWAL_IDLE_FRACTION = 0.7  # of the idle timeout after which a replica is prewarmed again to keep it
-LOST_LOAD_FACTOR = 4.0  # load times after which a load without a result counts as lost
-MAX_NEW_PER_WORKER = 2  # new replicas in each period
-MAX_REPLICAS = 16  # that one prewarm asks for
-FRACTION_FOR_NEW = 0.34  # part of the quota that renewals may not use
+RENEWAL_IDLE_FRACTION = 0.7  # part of the idle timeout after which a loaded replica is prewarmed again to keep it
+LOST_LOAD_FACTOR = 4.0  # multiple of the load time after which a load without a result counts as lost
+MAX_NEW_PER_WORKER = 2  # new replicas per worker and placement
+MAX_REPLICAS = 16  # replicas that one prewarm requests
+FRACTION_FOR_NEW = 0.34  # part of the quota that is reserved for new replicas; renewals may not use it
 MAX_HELD_PLANS = 8  # prewarms that wait for their workers to prove ready
-WINDOW_MARGIN = 1e-3  # ms by which a prewarm counts for longer, to the safe side at the very edge
+WINDOW_MARGIN = 1e-3  # ms by which a prewarm counts longer than the window, so that rounding never exceeds the quota
 
 
 @dataclass(slots=True, frozen=True)
 class PrewarmPlan:
-    """A prewarm that is wanted, of so many replicas on one worker; `renewal` where they are loaded already."""
+    """A planned prewarm of `replicas` replicas on one worker; `renewal`: whether they are already loaded."""
 
     replica: Replica
     replicas: int
@@ -32,17 +32,17 @@
 
 
 class PrewarmLimiter:
-    """Keeps prewarms within the quota: `free` ones and a share of the requests within its window.
+    """Limits prewarms to the quota: `free` prewarms plus a share of the requests within its window.
 
-    Only requests of verified functions count: requests of functions that do not exist or are broken would earn prewarms
-    otherwise. That delays a start in which no replica is loaded anywhere and no prewarm is free.
+    Only requests of verified functions count. Otherwise requests of functions that do not exist or are broken would
+    earn prewarms. The cost is a slower start where no replica is loaded anywhere and the quota has no free prewarms.
     """
 
     def __init__(self, quota: PrewarmQuota) -> None:
-        """A limiter that has seen no requests."""
+        """Creates a limiter without requests."""
         self.quota = quota
-        self.requests: deque[float] = deque()  # when they were received (ms)
-        self.sent: deque[float] = deque()  # when prewarms were sent (ms)
+        self.requests: deque[float] = deque()  # times at which counted requests were received (ms)
+        self.sent: deque[float] = deque()  # times at which prewarms were sent (ms)
 
     def request_received(self, function: Function, now: float) -> None:
         """Counts a request, if its function is verified."""
@@ -50,7 +50,7 @@
             self.requests.append(now)
 
     def verify(self, function: Function, now: float) -> None:
-        """Counts the function's requests within the window, once it was answered or loaded for the first time."""
+        """Marks a function as verified, once it was answered or loaded, and counts its requests within the window."""
         if not function.verified:
             function.verified = True
             since = now - self.quota.window
@@ -59,11 +59,11 @@
                     insort(self.requests, at)
 
     def trim(self, now: float) -> None:
-        """Drops the requests before the window."""
+        """Removes requests that are older than the window."""
         trim_times(self.requests, now - self.quota.window)
 
     def may_send(self, worker: Worker, renewal: bool, now: float) -> bool:
-        """Whether one more may be sent to that worker now."""
+        """Returns whether one more prewarm may be sent to the worker now."""
         if worker.endpoint.state != EndpointState.READY:
             return False
         self.trim(now)
@@ -75,7 +75,7 @@
 
 
 class Prewarmer:
-    """Plans prewarms for what is placed, and sends them as far as the quota and the control budget allow."""
+    """Plans prewarms for placed replicas, and sends them within the quota and the control budget."""
 
     def __init__(
         self,
@@ -86,17 +86,17 @@
         decisions: deque[Decision],
         readiness: Readiness,
     ) -> None:
-        """A prewarmer that appends what it sends to `decisions`."""
+        """Creates a prewarmer that appends its prewarms to `decisions`."""
         self.cache = cache
         self.limiter = limiter
         self.budget = budget
         self.latency = latency
         self.decisions = decisions
         self.readiness = readiness
-        self.held_plans: dict[Replica, PrewarmPlan] = {}  # until their workers have answered
+        self.held_plans: dict[Replica, PrewarmPlan] = {}  # plans that wait for their workers' answers
 
     def plan(self, cell: Cell, now: float) -> list[PrewarmPlan]:
-        """The prewarms wanted for the functions of a cell, those with most requests first."""
+        """Returns the prewarms for the functions of a cell, functions with the most recent requests first."""
         plans: list[PrewarmPlan] = []
         new_replicas: Counter[Worker] = Counter()
         for function in sorted(cell.functions.values(), key=lambda called: (-len(called.request_times), called.name)):
@@ -113,7 +113,7 @@
         function = replica.function
         loaded = self.latency.is_loaded(replica, now)
         renewal = loaded and replica.loaded_replicas >= replica.wanted_replicas
-        called_again = len(function.request_times) > 1  # else its one request, after its miss, sends the prewarm itself
+        called_again = len(function.request_times) > 1  # a single request triggers the prewarm by its miss
         if renewal:
             wanted = called_again and now - replica.last_used >= RENEWAL_IDLE_FRACTION * self.cache.idle_timeout
         else:
@@ -127,9 +127,9 @@
             plans.append(PrewarmPlan(replica, replica.wanted_replicas, renewal))
 
     def send(self, plan: PrewarmPlan, now: float) -> None:
-        """Sends a prewarm, if it is within the quota and covered by the control budget.
+        """Sends a prewarm, if the quota and the control budget allow it.
 
-        Where its worker has to prove ready first, it is held back until the worker has answered.
+        Where the worker has to prove ready first, the plan is held until the worker has answered.
         """
         replica = plan.replica
         covered = self.budget.has_token() or not self.cache.loads_on_demand
@@ -148,7 +148,7 @@
         self.decisions.append(Prewarm(replica.worker, replica.function, replicas))
 
     def release(self, worker: Worker) -> list[PrewarmPlan]:
-        """The prewarms that were held back for an answer of that worker."""
+        """Removes and returns the plans that were held for an answer of the worker."""
         plans = [plan for replica, plan in self.held_plans.items() if replica.worker is worker]
         for plan in plans:
             del self.held_plans[plan.replica]
--- a/wickdyke/routing/results.py
+++ b/wickdyke/routing/results.py
@@ -1,4 +1,4 @@
-"""Enters the results of attempts and prewarms in the records that decisions depend on."""
+"""Updates the records that decisions depend on with the results of attempts and prewarms."""
 
 from dataclasses import dataclass
 
@@ -18,14 +18,14 @@
 from wickdyke.routing.settings import FunctionCache
 from wickdyke.routing.slow_start import SlowStartGuard
 
-MEMORY_SHORT_FOR = 1000.0  # ms after a worker had no memory for a replica
+MEMORY_SHORT_FOR = 1000.0  # ms for which a worker that had no memory for a replica counts as short of memory
 BUDGET_GROWTH = 1.25  # factor of a worker's memory budget after a successful prewarm
-BUDGET_SHRINK = 0.7  # factor after one that was rejected or failed
+BUDGET_SHRINK = 0.7  # factor of the budget after a prewarm that was rejected or failed, or when memory is short
 
 
 @dataclass(slots=True)
 class ResultRecorder:
-    """Keeps replicas, estimates and memory budgets up to date."""
+    """Updates replicas, estimates and memory budgets with results."""
 
     cache: FunctionCache
     latency: LatencyEstimator
@@ -35,7 +35,7 @@
     global_concurrency: GlobalConcurrency
 
     def attempt_finished(self, attempt: Attempt, finished: AttemptFinished, now: float) -> None:
-        """Enters how an attempt ended at `now` (ms)."""
+        """Records the result of an attempt that ended at `now` (ms)."""
         _, _, outcome, _, load_note, concurrent, load = finished
         worker = attempt.replica.worker
         function = attempt.request.function
@@ -55,8 +55,8 @@
             _record_miss(attempt.replica, now)
         elif outcome == Outcome.FULL:
             self._attempt_rejected(attempt.replica, concurrent, now)
-        # Requests of functions that do not exist or are broken would make workers look unhealthy. That hides a worker
-        # that fails all functions which only it has served.
+        # Errors of functions that were never verified, which may not exist or may be broken, are not evidence against
+        # the worker. This hides a worker that fails all functions that no other worker has served.
         is_evidence = function.verified or outcome != Outcome.ERROR
         self.outliers.record(worker, outcome if is_evidence else Outcome.MISS, now)
         self.latency.record_report(worker, load, now)
@@ -67,7 +67,8 @@
         if not attempt.warm or not (outcome == Outcome.OK or timed_out):
             return
         pools: list[tuple[ConcurrencyLimited, int]] = [(attempt.replica.worker, attempt.active_at_worker)]
-        if not attempt.active_at_worker:  # beside others of ours its latency is evidence on that worker alone
+        # Next to other attempts of this front end at the worker, the latency tells only about that worker.
+        if not attempt.active_at_worker:
             pools.append((self.global_concurrency, attempt.active_in_total))
         for pool, active in pools:
             if attempt.sent_at >= pool.limit_lowered_at:
@@ -89,7 +90,8 @@
         self.prewarm_limiter.verify(function, now)
 
     def _attempt_rejected(self, replica: Replica, concurrent: int, now: float) -> None:
-        # Full workers answer at once and would attract more. That costs capacity where they are full only briefly.
+        # Full workers answer at once, and their low latency would attract more requests, so the replica is paused. The
+        # cost is capacity where the worker is full only briefly.
         function = replica.function
         worker = replica.worker
         gap = (now - function.request_times[0]) / len(function.request_times)
@@ -103,7 +105,7 @@
             replica.last_used = 0.0
 
     def prewarm_finished(self, replica: Replica, outcome: Outcome, replicas: int, elapsed: float, now: float) -> None:
-        """Enters how a prewarm ended after `elapsed` ms, with so many replicas loaded."""
+        """Records the result of a prewarm that took `elapsed` ms and left `replicas` replicas loaded."""
         worker = replica.worker
         function = replica.function
         replica.prewarm_sent_at = None
--- a/wickdyke/routing/retries.py
+++ b/wickdyke/routing/retries.py
@@ -1,15 +1,15 @@
-"""Whether and when a request may be attempted again, and what may be answered when it may not."""
+"""Rules of retries: whether and when a request may be attempted again, and how it may be answered when it may not."""
 
 from wickdyke.routing.model import Effect, Outcome, Request, RetryBudget, RoutePolicy, Scope, Worker
 from wickdyke.routing.samples import trim_times
 from wickdyke.routing.seeded_random import SeededRandom
 from wickdyke.routing.settings import AttemptLimits
 
-MAX_HEDGE_TOKENS = 4.0  # hedged requests saved up
+MAX_HEDGE_TOKENS = 4.0  # hedged attempts that a retry budget saves up
 
 
 class RetryBudgets:
-    """The retry budgets of routes, kept across files of routes by their key."""
+    """The retry budgets of routes by key, which persist when the route configuration is reloaded."""
 
     def __init__(self) -> None:
         self.by_key: dict[str, RetryBudget] = {}
@@ -18,7 +18,7 @@
         return bool(self.by_key)
 
     def request_received(self, policy: RoutePolicy, now: float) -> RetryBudget:
-        """Pays a request into its route's budget; the budget."""
+        """Credits a request to its route's budget; returns the budget."""
         budget = self.by_key.setdefault(policy.budget_key, RetryBudget())
         if policy.budget_terms:
             budget.requests.append(now)
@@ -28,14 +28,17 @@
 
 
 def attempts_allowed(request: Request, limits: AttemptLimits) -> int:
-    """Attempts that the request may have in all."""
+    """Returns the maximum number of attempts of the request."""
     if request.route_policy is None:
         return limits.attempts
     return min(limits.attempts, request.route_policy.attempts)
 
 
 def may_attempt_at(request: Request, worker: Worker, allowed: int, now: float) -> bool:
-    """Whether one more attempt of `allowed` in all, at that worker, respects the effect of the request's class."""
+    """Returns whether one more attempt at the worker is safe for the effect of the request's class.
+
+    `allowed` is the maximum number of attempts of the request.
+    """
     if request.closed or len(request.attempts) >= allowed or now >= request.deadline:
         return False
     may_have_run, request_class = request.may_have_run(), request.request_class
@@ -50,29 +53,30 @@
 
 
 def may_wait(request: Request) -> bool:
-    """Whether it may be kept for a later attempt."""
+    """Returns whether the request may wait for a later attempt."""
     return request.request_class.effect == Effect.IDEMPOTENT or not request.may_have_run()
 
 
 def may_reject(request: Request) -> bool:
-    """Whether the client may safely send it again, so that it may be rejected; otherwise it has failed."""
+    """Returns whether the client may safely repeat the request, so that it may be rejected; otherwise it has failed."""
     request_class = request.request_class
     deduplicated = request_class.effect == Effect.KEYED and request_class.scope == Scope.ALL
     return may_wait(request) or deduplicated
 
 
 def schedule_retry(request: Request, policy: RoutePolicy, outcome: Outcome, random: SeededRandom, now: float) -> None:
-    """Sets when the next attempt may be sent, by the backoff of its route."""
+    """Sets the earliest time of the next attempt by the backoff of the request's route."""
     first, growth, maximum, jitter = policy.backoff
     unjittered = min(maximum, first * growth ** (len(request.attempts) - 1))
     wait = unjittered * (1 + jitter * random.fraction())
-    request.not_before = now + (0.0 if outcome == Outcome.CANCELLED else wait)  # withdrawn: it has waited enough
+    request.not_before = now + (0.0 if outcome == Outcome.CANCELLED else wait)  # a withdrawn attempt has already waited
 
 
 def within_retry_budget(request: Request, outcome: Outcome | None, now: float) -> bool:
-    """Whether a further attempt is wanted after that outcome, and paid for.
+    """Returns whether the route retries after that outcome and its retry budget covers another attempt.
 
-    Retries multiply an overload, and failing workers. The budget hurts where it is far too small.
+    Without a budget, retries multiply the load in an overload or while workers fail. A budget that is far too small
+    fails requests that a retry would have served.
     """
     policy = request.route_policy
     budget = request.retry_budget
--- a/wickdyke/routing/selection.py
+++ b/wickdyke/routing/selection.py
@@ -1,4 +1,4 @@
-"""Which replica an attempt goes to: the placed worker of lowest latency, else one that all front ends agree on."""
+"""Selects the replica for an attempt: the placed one of lowest latency, else a worker that all front ends agree on."""
 
 from collections.abc import Callable, Iterable
 from itertools import islice
@@ -20,21 +20,21 @@
 from wickdyke.routing.replicas import replica_of
 from wickdyke.routing.seeded_random import SeededRandom
 
-TIE_FRACTION = 0.02  # latencies that differ by less count as equal
-TIE_STEPS = 99  # of the random draw between those
-MAX_FULL_WAIT = 250.0  # ms for which a full replica is waited for
-MAX_FIRST_CHOICES = 5  # agreed workers that a new function's first request may go to
-MAX_WORKERS_COMPARED = 8  # of each ranking, for one request
-FURTHER_CELLS = 2  # that a function may use beside its home
+TIE_FRACTION = 0.02  # relative difference of latencies below which they count as equal
+TIE_STEPS = 99  # values of the random number that breaks ties
+MAX_FULL_WAIT = 250.0  # ms for which a request waits for capacity at a full replica
+MAX_FIRST_CHOICES = 5  # first workers of the ranking that a new function's first request may go to
+MAX_WORKERS_COMPARED = 8  # workers of each ranking, for one request
+FURTHER_CELLS = 2  # cells that a function may use in addition to its home cell
 
 CanServe = Callable[[Worker], bool]
 
 
 def has_memory_for(worker: Worker, function: Function, placement: Placement, now: float) -> bool:
-    """Whether the worker is assumed to have memory for one more replica.
+    """Returns whether the worker is assumed to have memory for one more replica of the function.
 
-    With memory short each load evicts another, and requests miss in turn. The assumption is wrong where workers were
-    full for another reason; loaded replicas are used anyway.
+    When memory is short, each load evicts another replica, whose requests then miss. The assumption is wrong where
+    the worker rejected work for another reason; replicas that are already loaded are used regardless.
     """
     memory = placement.cache.memory_on(worker.endpoint)
     if worker.memory_short_until > now:
@@ -43,16 +43,16 @@
 
 
 class ReplicaSelector:
-    """Chooses a replica for a request's next attempt."""
+    """Selects a replica for a request's next attempt."""
 
     def __init__(self, fleet: Fleet, outliers: OutlierDetector, random: SeededRandom) -> None:
-        """A selector among the workers of `fleet`; `random` decides between equals."""
+        """Creates a selector among the workers of `fleet`; `random` breaks ties."""
         self.fleet = fleet
         self.outliers = outliers
         self.random = random
 
     def choose(self, request: Request, can_serve: CanServe, now: float) -> Replica | None:
-        """The replica, new if need be, of a worker that `can_serve`; None where the request has to wait."""
+        """Returns a replica, new if necessary, on a worker that `can_serve`; None where the request has to wait."""
         function = request.function
         placement = self.fleet.home_of(function).placement
         if trial := self._recovering_worker_to_try(request, placement, can_serve):
@@ -63,7 +63,7 @@
             return replica
         loaded_but_full = _loaded_but_full(usable, placement, now)
         if loaded_but_full and (placement.explicit_loads or _any_below_limit(loaded_but_full, now)):
-            return None  # a load elsewhere would take too long and crowd the package store
+            return None  # a load on another worker would take too long and add load on the package store
 
         def can_load(worker: Worker) -> bool:
             return (
@@ -77,14 +77,14 @@
         return self._new_replica(request, placement, can_load)
 
     def choose_loaded(self, request: Request, can_serve: CanServe, now: float) -> Replica | None:
-        """The best replica that is loaded and has capacity, of a worker that `can_serve`."""
+        """Returns the best replica that is loaded and has capacity, on a worker that `can_serve`; None without one."""
         placement = self.fleet.home_of(request.function).placement
         usable = _usable_replicas(request, _withdrawn_from(request), can_serve)
         loaded = [replica for replica in usable if placement.latency.is_loaded(replica, now)]
         return self._best_existing(request, loaded, placement, now)
 
     def _recovering_worker_to_try(self, request: Request, placement: Placement, can_serve: CanServe) -> Worker | None:
-        """An ejected worker of the function's home, whose ejection is over: one request tries it."""
+        """Returns an ejected worker of the function's home cell whose ejection time is over: one request probes it."""
         if request.attempts or request.request_class.effect != Effect.IDEMPOTENT:
             return None
         members = placement.cell.members
@@ -94,7 +94,7 @@
     def _best_existing(
         self, request: Request, usable: list[Replica], placement: Placement, now: float
     ) -> Replica | None:
-        """The best replica with capacity: placed before others, loaded before loading, untried before tried."""
+        """Returns the best replica with capacity: loaded before loading, untried before tried, placed before others."""
         with_capacity = [replica for replica in usable if _has_capacity(replica, now)]
         loaded = [replica for replica in with_capacity if placement.latency.is_loaded(replica, now)]
         tried = _tried_workers(request, placement)
@@ -106,8 +106,8 @@
         if not loading:
             return None
         if placement.explicit_loads and all(replica.loading_since is None for replica in loading):
-            # After misses each front end would load a replica elsewhere, and memory would fill: so the first by rank.
-            # That costs latency where that worker is crowded, until the replica is loaded.
+            # All front ends load at the worker of the lowest rank: otherwise, after misses, each would load a replica
+            # at another worker and fill the memory. The cost is latency where that worker is busy, until it has loaded.
             return min(loading, key=lambda replica: rendezvous_rank(request.function, replica.worker))
         return self._lowest_latency(request, loading, placement, now)
 
@@ -121,10 +121,10 @@
         return min(replicas, key=latency)
 
     def _new_replica(self, request: Request, placement: Placement, can_load: CanServe) -> Replica | None:
-        """A replica at a worker that can load one: at active workers before others, at home before the next cells.
+        """Returns a replica on a worker that can load one: active workers first, the home cell before the next cells.
 
-        A function whose only home is slow and at its limit would be rejected while other workers idle. That costs
-        memory where the crowding ends sooner than a load.
+        Without the next cells, requests would be rejected while the home cell is slow and at its limit and other
+        workers are idle. The cost is memory where the home cell recovers before the load ends.
         """
         function = request.function
         for cell in self.fleet.nearest_cells(function, 1 + FURTHER_CELLS):
@@ -137,8 +137,9 @@
         return None
 
     def _pick(self, request: Request, placement: Placement, free: list[Worker]) -> Worker:
-        # Until its first placement each of hundreds of front ends would send to the same agreed worker, as it would
-        # when all start at once. That costs memory for functions with few requests: they may be loaded at several.
+        # Before a function's first placement, hundreds of front ends would all send to the first worker of the ranking,
+        # as they would when all start at once. A random choice avoids that. The cost is memory: a function with few
+        # requests may be loaded on several workers.
         is_new = not (request.attempts or request.function.replicas)
         tried = _tried_workers(request, placement)
         untried = [worker for worker in free if worker not in tried] or free
@@ -148,12 +149,12 @@
 
 
 def _withdrawn_from(request: Request) -> set[Worker]:
-    """Workers that an attempt of the request was withdrawn from."""
+    """Returns the workers from which an attempt of the request was withdrawn."""
     return {attempt.replica.worker for attempt in request.attempts if attempt.withdrawn}
 
 
 def _usable_replicas(request: Request, withdrawn_from: set[Worker], can_serve: CanServe) -> list[Replica]:
-    """The function's replicas on workers that can serve the request."""
+    """Returns the function's replicas on workers that can serve the request."""
     return [
         replica
         for replica in request.function.replicas
@@ -162,7 +163,7 @@
 
 
 def _tried_workers(request: Request, placement: Placement) -> set[Worker]:
-    """Workers not to be tried again; one that only missed may have been prewarmed since."""
+    """Returns the workers not to be tried again; a worker that missed may have been prewarmed in the meantime."""
     return {
         attempt.replica.worker
         for attempt in request.attempts
@@ -171,7 +172,7 @@
 
 
 def _loaded_but_full(replicas: list[Replica], placement: Placement, now: float) -> list[Replica]:
-    """Loaded replicas that will have capacity soon enough to be waited for."""
+    """Returns the loaded replicas that are expected to have capacity within MAX_FULL_WAIT."""
     return [
         replica
         for replica in replicas
