--- a/tests/test_client_connection_ends.py
+++ b/tests/test_client_connection_ends.py
@@ -157,7 +157,7 @@
                 self.recorded.clear()
                 client = self.client()
                 ask = self.asked(client, rig.dispatch(1, rig.fields(A)))
-                self.assertTrue(ask.still_wanted())
+                self.assertTrue(ask.is_client_waiting())
                 ask.router_id = 1
                 if leaves == "close":
                     client.close()
@@ -165,7 +165,7 @@
                     client.send(rig.cancel(2, 1))
                 self.there(ask.client)
                 self.now += 100
-                self.assertFalse(ask.still_wanted())
+                self.assertFalse(ask.is_client_waiting())
                 want = ("closed", [ask]) if leaves == "close" else ("cancelled", ask)
                 self.assertEqual([plain(event) for event in self.recorded[1:]], [want])
 
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -231,7 +231,7 @@
             (b'{"a":' * 65 + b"1" + b"}" * 65, True),
         ):
             with self.subTest(text=text[:20]):
-                self.assertEqual(jsonrpc.too_deep(text), too_deep)
+                self.assertEqual(jsonrpc.is_nested_too_deep(text), too_deep)
 
 
 if __name__ == "__main__":
--- a/tests/test_isolation.py
+++ b/tests/test_isolation.py
@@ -125,7 +125,7 @@
                         client.ask(ident, "side", input={"n": "bad"})
                         self.assertEqual(client.answer()["error"]["data"]["answer"], "aborted")
                         self.assertTrue(
-                            until(lambda running=running: not running.coordinator.isolation.breaker.unsettled)
+                            until(lambda running=running: not running.coordinator.isolation.breaker.unresolved_losses)
                         )
                         if "p" in running.coordinator.isolation.breaker.requests.open_by_function:
                             break
--- a/tests/test_log.py
+++ b/tests/test_log.py
@@ -20,7 +20,7 @@
         with Running(sink=sink) as running:
             for at in range(logs.MAX_QUEUED_LINES + 5000):
                 running.log.info("filler", at=at, more="x" * 100)
-            self.assertTrue(until(lambda: running.log_writer.lost > 0))
+            self.assertTrue(until(lambda: running.log_writer.lost_lines > 0))
             client = running.client()
             for at in range(50):
                 client.ask(at, time_left_ms=5000)
--- a/tests/test_log_faults.py
+++ b/tests/test_log_faults.py
@@ -75,7 +75,7 @@
                                 log_writer.close(LONG)
                             self.assertFalse(log_writer.thread.is_alive())
                         whole, lost = self.counted(self.lines())
-                        self.assertEqual(len(set(whole)) + lost + log_writer.lost, 40)
+                        self.assertEqual(len(set(whole)) + lost + log_writer.lost_lines, 40)
                         self.assertEqual(len(whole), len(set(whole)))
                         numbers = [int(line[6:-1]) for line in whole]
                         self.assertEqual(numbers, sorted(numbers))
@@ -96,7 +96,7 @@
             log_writer = logs.LogWriter(sink)
             sink.wrong = wrong
             log_writer.msg("one")
-            self.assertTrue(until(lambda log_writer=log_writer: log_writer.lost == 1))
+            self.assertTrue(until(lambda log_writer=log_writer: log_writer.lost_lines == 1))
             sink.wrong = None
             log_writer.msg("two")
             log_writer.close(LONG)
@@ -105,7 +105,7 @@
         log_writer.msg("one")
         log_writer.msg("two")
         log_writer.close(LONG)
-        self.assertEqual((log_writer.lost, log_writer.thread.is_alive()), (2, False))
+        self.assertEqual((log_writer.lost_lines, log_writer.thread.is_alive()), (2, False))
 
     def test_text_that_utf8_can_not_encode(self):
         """Characters that UTF-8 can't encode are escaped."""
@@ -122,7 +122,7 @@
             with mock.patch.object(logs, "open", broken, create=True):
                 log_writer = logs.LogWriter(logs.open_sink(self.path("log")))
                 log_writer.msg("<one>")
-                self.assertTrue(until(lambda log_writer=log_writer: log_writer.lost == 1))
+                self.assertTrue(until(lambda log_writer=log_writer: log_writer.lost_lines == 1))
             log_writer.msg("<two>")
             log_writer.close(LONG)
             log_writer.sink.close()
@@ -136,7 +136,7 @@
         with os.fdopen(into, "w") as sink, Running(sink=sink) as running:
             os.close(out)
             running.log.info("one")
-            self.assertTrue(until(lambda: running.log_writer.lost > 0))
+            self.assertTrue(until(lambda: running.log_writer.lost_lines > 0))
             client = running.client()
             client.ask(1, time_left_ms=5000)
             self.assertIn("result", client.answer())
@@ -226,7 +226,7 @@
                     self.assertFalse(made.thread.is_alive())
                     for number in range(6):
                         made.record_input(float(number), "left", (number,))
-                    self.assertEqual(made.broken, at <= 6)
+                    self.assertEqual(made.has_ended, at <= 6)
                     expected = [("recording ended", {"path": self.path("tape"), "reason": os.strerror(error)})]
                     self.assertEqual(log.lines, expected if at <= 6 else [])
                     if at <= 6:
@@ -253,12 +253,12 @@
         """A full queue ends the recording too."""
         log = Log()
         go_on = threading.Event()
-        with mock.patch.object(recording, "MAX_QUEUED", 5):
+        with mock.patch.object(recording, "MAX_QUEUED_ENTRIES", 5):
             made = self.made(0, 1 << 30, log)
             with mock.patch.object(made.sink, "write", lambda data: go_on.wait(LONG)):
                 for number in range(20):
                     made.record_input(float(number), "left", (number,))
-                self.assertTrue(made.broken)
+                self.assertTrue(made.has_ended)
                 go_on.set()
                 made.close()
         self.assertEqual(
@@ -285,7 +285,7 @@
         made = recording.DecisionRecorder(self.path("tape"), log)
         made.record_input(1.0, "left", (object(),))
         made.close()
-        self.assertTrue(made.broken)
+        self.assertTrue(made.has_ended)
         self.assertEqual(len(log.lines), 1)
 
 
--- a/tests/test_recordings.py
+++ b/tests/test_recordings.py
@@ -28,7 +28,7 @@
             self.assertEqual(received, set(range(150)))
             client.close()
             running.gateway.client_server.shut()
-            running.coordinator.end()
+            running.coordinator.close()
             running.gateway.recorder.close()
             with open(running.config.recording_path, "rb") as source:
                 lines = source.readlines()
@@ -41,7 +41,7 @@
             self.assertIn("decided", recording.replay(changed)[1])
             cut_off = [*lines[:-1], lines[-1][:5]]
             self.assertIsNone(recording.replay(cut_off)[1])
-            running.gateway.coordinator.end = lambda: None  # ended already
+            running.gateway.coordinator.close = lambda: None  # ended already
 
     def test_unknown_load_note_is_replayed(self):
         """A gateway passes a load note on as the worker wrote it, so a recording may hold any word."""
@@ -56,7 +56,7 @@
         """A recording that can't be written as fast ends, with a mark; nothing waits for it."""
         with (
             tempfile.TemporaryDirectory(prefix="wd-") as folder,
-            unittest.mock.patch.object(recording, "MAX_QUEUED", 50),
+            unittest.mock.patch.object(recording, "MAX_QUEUED_ENTRIES", 50),
         ):
             path = os.path.join(folder, "fifo")
             os.mkfifo(path)
@@ -64,9 +64,9 @@
             made = recording.DecisionRecorder(path)
             for at in range(100000):
                 made.record_input(float(at), "left", ("x" * 100,))
-                if made.broken:
+                if made.has_ended:
                     break
-            self.assertTrue(made.broken)
+            self.assertTrue(made.has_ended)
             os.set_blocking(reader, True)
             received: list[bytes] = []
             drain = threading.Thread(target=lambda: received.extend(iter(lambda: os.read(reader, 1 << 16), b"")))
--- a/wickdyke/gateway/__init__.py
+++ b/wickdyke/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""The gateway: client connections take requests, the coordinator asks the router, worker clients send attempts."""
+"""The gateway: client connections receive requests, the router decides on them, worker clients send the attempts."""
--- a/wickdyke/gateway/attempts.py
+++ b/wickdyke/gateway/attempts.py
@@ -1,4 +1,4 @@
-"""The attempts of pending requests: sent to workers, withdrawn, timed out, and ended."""
+"""The attempts of pending requests: sends and withdraws them, and handles their timeouts and results."""
 
 from functools import partial
 
@@ -22,7 +22,7 @@
 
 
 class Attempts:
-    """Sends attempts, and informs the router of how each ended."""
+    """Sends attempts, and reports to the router how each one ended."""
 
     def __init__(
         self,
@@ -51,36 +51,39 @@
         command = self.protocol.attempt_command(attempt, pending, time_left)
         command.may_begin = partial(self._may_begin, pending, decision.worker)
         pending.commands[attempt] = command
-        wanted = self._is_wanted(pending)
-        client = self.workers.client(decision.worker.endpoint.ident) if wanted else None
+        is_wanted = self._is_wanted(pending)
+        client = self.workers.client(decision.worker.endpoint.ident) if is_wanted else None
         command.worker_client = client
         if client is None:
             self.context.post(CommandFinished(None, command, Outcome.UNSENT))
             return
         if timeout is not None and now + timeout < request.deadline:
-            self.context.timers.at(now + timeout, self._timed_out, pending, attempt)
+            self.context.timers.at(now + timeout, self._handle_timeout, pending, attempt)
         client.send(command)
 
     def _is_wanted(self, pending: PendingRequest) -> bool:
-        """Whether its client still waits: it may have left since an attempt was decided, and nothing begins for it."""
-        return not pending.closed and pending.still_wanted()
+        """Whether the client still waits for the request.
+
+        The client may leave after an attempt was decided; then no attempt is to be sent.
+        """
+        return not pending.closed and pending.is_client_waiting()
 
     def _may_begin(self, pending: PendingRequest, worker: Worker, now: float) -> bool:
-        """Whether the first byte of an attempt may be sent now, however long ago the attempt was decided."""
+        """Whether the first byte of an attempt may be sent now; the attempt may have been decided long ago."""
         return self.context.driver.router.may_send(worker, now) and self._is_wanted(pending)
 
     # ---- withdrawing ----
 
-    def _timed_out(self, pending: PendingRequest, attempt: Attempt) -> None:
+    def _handle_timeout(self, pending: PendingRequest, attempt: Attempt) -> None:
         if attempt not in pending.commands:
             return
         command = pending.commands[attempt]
         if self.context.config.attempt_limits.cancel:
             self._withdraw(pending, attempt, Outcome.TIMEOUT)
         elif command.worker_client is not None and command.worker_client.withdraw_unsent(command):
-            self._ended(pending, attempt, CommandResult(Outcome.UNSENT))
-        else:  # for the router it has ended; the checks of routes allow a timeout only where that is safe
-            self._ended(pending, attempt, CommandResult(Outcome.TIMEOUT))
+            self._finish(pending, attempt, CommandResult(Outcome.UNSENT))
+        else:  # the attempt may still run: route validation allows a timeout without cancels only where that is safe
+            self._finish(pending, attempt, CommandResult(Outcome.TIMEOUT))
 
     def cancel(self, decision: Cancel) -> None:
         """Withdraws an attempt that the router has cancelled."""
@@ -90,43 +93,43 @@
             self._withdraw(pending, attempt, Outcome.CANCELLED)
 
     def _withdraw(self, pending: PendingRequest, attempt: Attempt, outcome: Outcome) -> None:
-        # The next attempt beside one whose cancel still waits in our buffer would be a second at once. So the outcome
-        # is reported only when the cancel is with the kernel, or the connection is ended for it.
+        # While the cancel is still in our write buffer, the next attempt would run concurrently with this one. So the
+        # outcome is reported only once the cancel is written to the socket or the connection was closed instead.
         command = pending.commands[attempt]
         client = command.worker_client
 
-        def done() -> None:
+        def report_outcome() -> None:
             self.context.post(AttemptWithdrawn(pending, attempt, outcome))
 
         if client is None:
             return
-        match client.cancel(command, done):
+        match client.cancel(command, report_outcome):
             case Withdrawal.UNSENT:
                 self.context.post(AttemptWithdrawn(pending, attempt, Outcome.UNSENT))
             case Withdrawal.CANCELLED:
-                done()
+                report_outcome()
             case Withdrawal.PENDING:
                 timeout = self.context.config.attempt_limits.connect_timeout
                 self.context.timers.at(self.context.now() + timeout, self._disconnect, pending, attempt, client)
 
     def _disconnect(self, pending: PendingRequest, attempt: Attempt, client: AnyWorkerClient) -> None:
         if attempt in pending.commands:
-            reason = "it does not read, and an attempt is to end"
+            reason = "the worker does not read, so an attempt could not be cancelled"
             self.context.log.warning("worker disconnected", worker=client.name, reason=reason)
             client.disconnect()
 
-    def withdrawn(self, event: AttemptWithdrawn) -> None:
-        """An attempt was withdrawn, and will get no answer."""
+    def handle_withdrawn(self, event: AttemptWithdrawn) -> None:
+        """Handles the end of an attempt that was withdrawn and will get no answer."""
         if event.attempt in event.pending.commands:
-            self._ended(event.pending, event.attempt, CommandResult(event.outcome))
+            self._finish(event.pending, event.attempt, CommandResult(event.outcome))
 
     # ---- deadlines ----
 
-    def deadline_passed(self, router_id: int) -> None:
-        """The deadline of a request has passed: nothing is waited for any more.
+    def handle_deadline(self, router_id: int) -> None:
+        """Ends all attempts of a request whose deadline has passed.
 
-        For the router the client's time is up at the same moment, so what it decides on these outcomes is final. Of a
-        request that is answered, only attempts are left that could not be cancelled and may never end.
+        The router uses the same deadline, so its decision on these outcomes is final. A request that was answered
+        before has only attempts left that could not be cancelled and may never end.
         """
         pending = self.requests.by_id.get(router_id)
         if pending is None:
@@ -135,8 +138,8 @@
         context.timers.at(context.now() + context.config.answer_margin / 2, self.requests.answer_overdue, router_id)
         context.driver.has_input = True
         for attempt, command in list(pending.commands.items()):
-            context.guarded(self._stop_waiting, pending, command)
-            context.guarded(self._ended, pending, attempt, CommandResult(Outcome.TIMEOUT))
+            context.run_guarded(self._stop_waiting, pending, command)
+            context.run_guarded(self._finish, pending, attempt, CommandResult(Outcome.TIMEOUT))
 
     def _stop_waiting(self, pending: PendingRequest, command: Command) -> None:
         client = command.worker_client
@@ -145,30 +148,30 @@
         if self.context.config.attempt_limits.cancel:
             client.cancel(command, lambda: None)
         elif not client.withdraw_unsent(command):
-            # Where nothing may be cancelled, answers that never come would hold their places for good.
+            # Without cancels, an attempt that is never answered would occupy its connection forever.
             self.context.timers.at(self.context.now() + pending.time_left, client.abandon, command)
 
-    # ---- ends ----
+    # ---- results ----
 
-    def finished(self, attempt: Attempt, result: CommandResult) -> None:
-        """The command of an attempt ended."""
+    def handle_finished(self, attempt: Attempt, result: CommandResult) -> None:
+        """Handles the result of an attempt's command."""
         pending = self.requests.by_id.get(attempt.request.ident)
         if pending is None or attempt not in pending.commands:
             self.context.counts["late"] += 1
             return
         if result.outcome != Outcome.OK:
-            self._ended(pending, attempt, result)
+            self._finish(pending, attempt, result)
             rejection = self.isolation.attempt_failed(pending, attempt, result)
             if rejection is not None:
                 self.requests.answer_undecided(pending, rejection)
             return
-        answered = pending.closed
-        self.isolation.served(attempt, None if answered else pending.params.input)
-        if not answered:
+        is_closed = pending.closed
+        self.isolation.attempt_succeeded(attempt, None if is_closed else pending.params.input)
+        if not is_closed:
             self.requests.answer(pending, Success(result.output, len(attempt.request.attempts)))
-        self._ended(pending, attempt, result)
+        self._finish(pending, attempt, result)
 
-    def _ended(self, pending: PendingRequest, attempt: Attempt, result: CommandResult) -> None:
+    def _finish(self, pending: PendingRequest, attempt: Attempt, result: CommandResult) -> None:
         del pending.commands[attempt]
         self.context.counts[f"attempts_{result.outcome}"] += 1
         self.context.log.debug(
@@ -180,7 +183,7 @@
             elapsed_ms=round(self.context.now() - attempt.sent_at, 1),
         )
         try:
-            self.context.inform(
+            self.context.apply_input(
                 "attempt_finished",
                 AttemptFinished(
                     ident=attempt.request.ident,
--- a/wickdyke/gateway/circuit_breaker.py
+++ b/wickdyke/gateway/circuit_breaker.py
@@ -1,4 +1,4 @@
-"""The circuit breaker of one gateway: which functions and requests are not tried for now, by what workers answered."""
+"""The circuit breaker of one gateway: stops attempts for functions and requests that keep failing at the workers."""
 
 import hashlib
 from dataclasses import dataclass
@@ -12,7 +12,7 @@
 
 @dataclass(slots=True)
 class LostAttempt:
-    """An attempt whose connection ended: of which request, at which start of the worker."""
+    """An attempt whose connection was lost: the request's function and input digest, and the worker's start number."""
 
     function: str
     digest: bytes
@@ -20,12 +20,12 @@
 
 
 def input_digest(request_input: bytes) -> bytes:
-    """The digest by which inputs of requests are distinguished."""
+    """Returns the digest that identifies a request's input."""
     return hashlib.blake2b(request_input, digest_size=DIGEST_SIZE).digest()
 
 
 class CircuitBreaker:
-    """Functions that do not load and requests that end replicas, for one gateway."""
+    """Tracks the functions that fail to load and the requests that crash replicas, for one gateway."""
 
     digest = staticmethod(input_digest)
 
@@ -43,43 +43,43 @@
             requests.window,
             Backoff(requests.first_pause, requests.longest_pause, gateways),
         )
-        self.unsettled: dict[str, list[LostAttempt]] = {}  # by worker, until it is known whether that is down
+        self.unresolved_losses: dict[str, list[LostAttempt]] = {}  # by worker; kept until it is known to be up or down
 
     def rejection(self, function: str, request_input: bytes | None, now: float) -> Rejection | None:
-        """The answer to a request that is not to be tried now; None where it may be."""
+        """Returns the answer to a request that is to be rejected without an attempt, None where one may be made."""
         if (wait := self.functions.try_acquire(function, now)) is not None:
             return Rejection(RejectionReason.LOAD_FAILED, wait)
         if request_input is None or function not in self.requests.open_by_function:
-            return None  # the digest of a large input takes time: only where it may be needed
+            return None  # the digest of a large input takes time, so it is computed only where it may be needed
         if (wait := self.requests.try_acquire(function, input_digest(request_input), now)) is not None:
             return Rejection(RejectionReason.POISON, wait)
         return None
 
     def loaded(self, function: str) -> None:
-        """The function is loaded somewhere."""
+        """Records that a worker has the function loaded, which closes its breaker."""
         if self.functions.loaded(function):
             self.log.info("function breaker closed", function=function)
 
     def load_failed(self, function: str, worker: str, now: float) -> None:
-        """A load of the function failed at that worker."""
+        """Records that the function failed to load at that worker."""
         pause = self.functions.failed(function, worker, now)
         if pause is not None:
             self.log.warning(
                 "function breaker opened",
                 function=function,
                 pause_ms=round(pause),
-                reason="it loads nowhere: " + ", ".join(self.functions.failed_workers(function)),
+                reason="loading failed at workers: " + ", ".join(self.functions.failed_workers(function)),
             )
 
     def succeeded(self, function: str, request_input: bytes) -> None:
-        """A request for the function ended without harm."""
+        """Records that a request succeeded, which closes the breaker of its input."""
         if function in self.requests.open_by_function and self.requests.succeeded(
             function, input_digest(request_input)
         ):
             self.log.info("request breaker closed", function=function)
 
     def replica_ended(self, function: str, request_digest: bytes, requests_in_replica: int, now: float) -> None:
-        """The replica that a request was in ended, with so many requests in it."""
+        """Records that the replica of a request ended with `requests_in_replica` requests in it."""
         pause = self.requests.replica_ended(function, request_digest, requests_in_replica, now)
         if pause is not None:
             self.log.warning(
@@ -87,25 +87,28 @@
                 function=function,
                 digest=request_digest.hex(),
                 pause_ms=round(pause),
-                reason="replicas end under it",
+                reason="replicas end while executing the request",
             )
 
     def connection_lost(self, worker: str, start: int, function: str, request_digest: bytes) -> bool:
-        """A connection ended with the request in flight. True for the first of that worker: `settle` is due later."""
-        lost = self.unsettled.setdefault(worker, [])
+        """Records that a connection was lost with the request in flight.
+
+        Returns True for the worker's first unresolved loss: the caller is then to call `resolve_losses` later.
+        """
+        lost = self.unresolved_losses.setdefault(worker, [])
         lost.append(LostAttempt(function, request_digest, start))
         return len(lost) == 1
 
-    def settle(self, worker: str, start: int | None, now: float) -> None:
-        """To be called once it is known whether the worker of lost connections is down.
+    def resolve_losses(self, worker: str, start: int | None, now: float) -> None:
+        """Resolves the lost attempts of a worker once it is known whether the worker is down.
 
-        `start` is that of its connection, None where there is none. For a connection lost while the worker is alive no
-        request is blamed.
+        `start` is the worker's start number on its current connection, None where it has none. A connection lost
+        without a restart of the worker counts against no request.
         """
-        down = [lost for lost in self.unsettled.pop(worker, []) if lost.start != start]
+        down = [lost for lost in self.unresolved_losses.pop(worker, []) if lost.start != start]
         for lost in down:
             self.replica_ended(lost.function, lost.digest, len(down), now)
 
     def is_open(self, function: str, request_digest: bytes) -> bool:
-        """Whether further attempts of such a request are prevented, also where it was admitted before."""
+        """Whether the breaker is open for requests with this input, also for those admitted before it opened."""
         return self.requests.is_open(function, request_digest)
--- a/wickdyke/gateway/config.py
+++ b/wickdyke/gateway/config.py
@@ -1,4 +1,4 @@
-"""The settings that the coordinator reads; both gateways' own settings have them."""
+"""The settings that the coordinator reads; the settings of both gateways implement these interfaces."""
 
 from typing import Protocol
 
@@ -16,15 +16,15 @@
 
 
 class CoordinatorLimits(Protocol):
-    """What bounds the coordinator's memory."""
+    """The limits that bound the coordinator's memory."""
 
     @property
     def open_requests(self) -> int:
-        """How many requests may be open."""
+        """The maximum number of open requests."""
 
     @property
     def events(self) -> int:
-        """How many events may wait, until requests are rejected."""
+        """The length of the event queue from which requests are rejected."""
 
 
 class CoordinatorConfig(Protocol):
@@ -32,15 +32,15 @@
 
     @property
     def request_classes(self) -> list[RequestClass]:
-        """The request classes that clients may name."""
+        """The request classes that clients may select."""
 
     @property
     def instance(self) -> GatewayInstance:
-        """Which of how many gateways this is."""
+        """The index of this gateway and the number of gateways."""
 
     @property
     def attempt_limits(self) -> AttemptLimits:
-        """What bounds attempts."""
+        """The limits of attempts."""
 
     @property
     def function_cache(self) -> FunctionCache:
@@ -48,11 +48,11 @@
 
     @property
     def slow_start(self) -> SlowStart:
-        """How workers warm up."""
+        """How load is increased on workers that have just started."""
 
     @property
     def prewarm_quota(self) -> PrewarmQuota:
-        """How many prewarms may be sent."""
+        """The limits on sending prewarms."""
 
     @property
     def discovery(self) -> Discovery:
@@ -60,20 +60,20 @@
 
     @property
     def cost_weights(self) -> CostWeights:
-        """What the router's costs are weighted with."""
+        """The weights in the router's cost function."""
 
     @property
     def tenant_quotas(self) -> TenantQuotas:
-        """What each tenant may use."""
+        """The resource quotas of the tenants."""
 
     @property
     def bounds(self) -> CoordinatorLimits:
-        """What bounds the coordinator's memory."""
+        """The limits that bound the coordinator's memory."""
 
     @property
     def answer_margin(self) -> float:
-        """The time that an answer may take to its client."""
+        """The time reserved before a request's deadline for sending the answer to the client."""
 
     @property
     def health_check_timeout(self) -> float:
-        """The time until a health check times out."""
+        """The time after which a health check times out."""
--- a/wickdyke/gateway/context.py
+++ b/wickdyke/gateway/context.py
@@ -1,4 +1,4 @@
-"""What the coordinator and its parts share."""
+"""The state that the coordinator shares with its parts."""
 
 import os
 import time
@@ -19,13 +19,13 @@
 
 
 def clock() -> float:
-    """Monotonic time in ms."""
+    """Returns the monotonic time in ms."""
     return time.monotonic() * MS_PER_SECOND
 
 
 @dataclass(slots=True)
 class Context:
-    """The settings, the log, counts, timers, the router and the event queue of one coordinator."""
+    """The settings, log, counters, timers, router and event queue of one coordinator."""
 
     config: CoordinatorConfig
     log: Log
@@ -35,18 +35,18 @@
     counts: Counter[str] = field(default_factory=Counter)
 
     def now(self) -> float:
-        """Monotonic time in ms."""
+        """Returns the monotonic time in ms."""
         return clock()
 
-    def inform(self, name: str, *args: object) -> None:
-        """Gives the router one input: the one of that name."""
-        self.driver.inform(clock(), name, *args)
+    def apply_input(self, name: str, *args: object) -> None:
+        """Passes one input to the router; `name` is the router's method that takes the input."""
+        self.driver.apply_input(clock(), name, *args)
 
-    def guarded(self, action: Callable[Args, object], *args: Args.args, **options: Args.kwargs) -> None:
-        """Calls `action`; an exception is counted and logged, as it must not end the thread that all depend on."""
+    def run_guarded(self, action: Callable[Args, object], *args: Args.args, **options: Args.kwargs) -> None:
+        """Calls `action`, and counts and logs an exception: it must not end the thread that all requests depend on."""
         try:
             action(*args, **options)
-        except Exception as error:  # noqa: BLE001 - whatever it is, the other requests go on
+        except Exception as error:  # noqa: BLE001 - no exception may affect the other requests
             self.counts["faults"] += 1
             last = traceback.extract_tb(error.__traceback__)[-1]
             where = f"{os.path.basename(last.filename)}:{last.lineno}"
--- a/wickdyke/gateway/coordinator.py
+++ b/wickdyke/gateway/coordinator.py
@@ -1,8 +1,8 @@
-"""The coordinator: it owns the router and the pending requests, and carries out what the router decides.
+"""The coordinator: owns the router and the pending requests, and carries out the router's decisions.
 
-Events arrive by a queue; the router is informed of them, its decisions are read and carried out, and it is advanced at
-its `wake_at`. Nothing here decides and nothing here blocks: client connections and worker clients accept bytes without
-blocking. It is run by a thread of its own, or by an event loop.
+Events arrive through a queue. The coordinator passes them to the router as inputs, carries out the decisions that
+follow, and advances the router at its `wake_at`. It makes no decisions of its own and never blocks: client connections
+and worker clients accept bytes without blocking. It runs in a thread of its own or in an event loop.
 """
 
 import queue
@@ -41,15 +41,15 @@
 from wickdyke.routing.router import Router
 from wickdyke.transport.timers import Timers
 
-if TYPE_CHECKING:  # only one of the two gateways records
+if TYPE_CHECKING:  # only one of the two gateways makes recordings
     from wickdyke.gateway.recording import DecisionRecorder
 
-MAX_EVENTS_AT_ONCE = 512  # handled before the decisions on them are read
+MAX_EVENTS_PER_ROUND = 512  # events handled before the router's decisions are taken
 MS_PER_SECOND = 1000
 
 
 class Coordinator:
-    """Carries out what the router decides; docs/architecture.md shows its place."""
+    """Carries out the router's decisions; see docs/architecture.md for its place in the gateway."""
 
     def __init__(
         self,
@@ -73,8 +73,8 @@
         self.isolation.attach(self.context, self.workers)
         self.attempts = Attempts(self.context, protocol, self.requests, self.workers, self.isolation)
         self.thread = threading.Thread(target=self._run, name="coordinator", daemon=True)
-        # Called before anything is decided: waits, where this process did not run, until others have posted what they
-        # had not read by then, and returns whether it did.
+        # Called before decisions are taken. After a time in which this process did not run, it waits until the other
+        # threads have posted the events that they had not read by then. Returns whether it waited.
         self.catch_up: Callable[[], bool] = lambda: False
         self.actions = self._actions()
         self.handlers = self._handlers()
@@ -95,59 +95,59 @@
 
     def _handlers(self) -> dict[type, Callable[[Any], object]]:
         return {
-            events.RequestReceived: lambda event: self.requests.received(event.pending),
-            events.RequestCancelled: lambda event: self.requests.client_gone(event.pending),
+            events.RequestReceived: lambda event: self.requests.handle_received(event.pending),
+            events.RequestCancelled: lambda event: self.requests.handle_client_gone(event.pending),
             events.ClientClosed: self._client_closed,
             events.EndpointsReceived: lambda event: self.workers.apply(event.entries, self.context.now()),
-            events.DiscoveryHeard: lambda event: self.context.inform("discovery_heard", event.at),
-            events.DiscoveryLost: lambda event: self.context.inform("discovery_lost", event.at),
+            events.DiscoveryHeard: lambda event: self.context.apply_input("discovery_heard", event.at),
+            events.DiscoveryLost: lambda event: self.context.apply_input("discovery_lost", event.at),
             events.CommandFinished: self._command_finished,
-            events.AttemptWithdrawn: self.attempts.withdrawn,
+            events.AttemptWithdrawn: self.attempts.handle_withdrawn,
         }
 
     @property
     def router(self) -> Router:
-        """The router, for readers of its state."""
+        """The router, to read its state."""
         return self.driver.router
 
     @property
     def counts(self) -> Counter[str]:
-        """What happened how often, for the log."""
+        """The event counters, for the log."""
         return self.context.counts
 
     @property
     def timers(self) -> Timers:
-        """Calls that are due later."""
+        """The scheduled callbacks."""
         return self.context.timers
 
     # ---- called from other threads ----
 
     def open(self) -> None:
-        """Starts the thread."""
+        """Starts the coordinator's thread."""
         self.thread.start()
 
     def post(self, event: Event) -> None:
         """Queues an event."""
         self.events.put(event)
 
-    def busy(self) -> RejectionReason | None:
-        """Why no request can be accepted now; None where one can."""
+    def rejection_reason(self) -> RejectionReason | None:
+        """Returns why no request can be accepted now, None where one can."""
         if self.requests.stopping:
             return RejectionReason.STOPPING
         if self.requests.is_full():
             return RejectionReason.GATEWAY_FULL
         return RejectionReason.OVERRUN if self.events.qsize() >= self.config.bounds.events else None
 
-    def idle(self) -> bool:
-        """Whether no request is open and no event waits."""
+    def is_idle(self) -> bool:
+        """Whether no request is open and no event is queued."""
         return not self.requests.by_id and self.events.empty()
 
     def stop_admitting(self) -> None:
         """Rejects every request from now on."""
         self.requests.stopping = True
 
-    def end(self) -> None:
-        """Ends the thread and the worker clients."""
+    def close(self) -> None:
+        """Stops the thread and closes the worker clients."""
         self.events.put(None)
         self.thread.join()
         self.workers.close()
@@ -156,38 +156,38 @@
         while self.run_once(max(0.0, self.next_deadline() - self.context.now())):
             pass
 
-    # ---- for its thread, or for the event loop that runs it ----
+    # ---- called by the coordinator's thread, or by the event loop that runs it ----
 
     def next_deadline(self) -> float:
-        """When it is due next (monotonic ms), if no event arrives before."""
+        """Returns when `run_once` is due next (monotonic ms), unless an event arrives before."""
         return min(self.router.wake_at, self.timers.next_deadline(), self.requests.next_deadline())
 
     def run_once(self, wait: float = 0.0) -> bool:
-        """Handles the events that wait (after at most `wait` ms for a first one), timers that are due, and decisions.
+        """Handles queued events (waiting at most `wait` ms for a first one), due timers, and the router's decisions.
 
-        Returns False once it is to end.
+        Returns False once the coordinator is to stop.
         """
         if not self._handle_events(wait) or (self.catch_up() and not self._handle_events(0.0)):
             return False
-        guarded = self.context.guarded
+        run_guarded = self.context.run_guarded
         now = self.context.now()
         while (overdue := self.requests.pop_overdue(now)) is not None:
-            guarded(self.attempts.deadline_passed, overdue)
+            run_guarded(self.attempts.handle_deadline, overdue)
         for action, args in self.timers.due(now):
-            guarded(action, *args)
+            run_guarded(action, *args)
         if self.driver.is_due(now):
-            guarded(self._carry_out_decisions)
+            run_guarded(self._carry_out_decisions)
         return True
 
     def _handle_events(self, wait: float) -> bool:
-        # Under load a round of decisions costs more than the time between two events, and each event alone would wait
-        # for one. So the router is informed of all that wait by now, and then decides.
+        # Under load a round of decisions takes longer than the time between two events, so a round for each event
+        # would delay the next ones. All queued events are passed to the router first, then it decides once.
         try:
             event = self.events.get(True, wait / MS_PER_SECOND) if wait > 0 else self.events.get(False)
-            for remaining in range(MAX_EVENTS_AT_ONCE, 0, -1):
+            for remaining in range(MAX_EVENTS_PER_ROUND, 0, -1):
                 if event is None:
                     return False
-                self.context.guarded(self.handlers[type(event)], event)
+                self.context.run_guarded(self.handlers[type(event)], event)
                 if remaining > 1:
                     event = self.events.get(False)
         except queue.Empty:
@@ -196,22 +196,22 @@
 
     def _carry_out_decisions(self) -> None:
         for decision in self.driver.decisions(self.context.now()):
-            # An exception on one decision must not delay the others until the router is advanced again.
-            self.context.guarded(self.actions[type(decision)], decision)
+            # An exception in one decision must not delay the others until the router is next advanced.
+            self.context.run_guarded(self.actions[type(decision)], decision)
 
     def handle_at_once(self, event: Event) -> None:
-        """Handles an event before those that wait. For the event loop that runs it, outside of `run_once`."""
-        self.context.guarded(self.handlers[type(event)], event)
+        """Handles an event ahead of the queued ones. Called by the event loop, outside of `run_once`."""
+        self.context.run_guarded(self.handlers[type(event)], event)
 
     # ---- requests ----
 
     def answer_all(self, reason: RejectionReason) -> None:
-        """For the event loop that runs it: all open requests get their final answer, as the process ends."""
+        """Sends all open requests their final answer at shutdown. Called by the event loop."""
         self.requests.answer_all(reason)
 
     def _client_closed(self, event: events.ClientClosed) -> None:
         for pending in event.pending:
-            self.requests.client_gone(pending)
+            self.requests.handle_client_gone(pending)
 
     def _reject(self, decision: decisions.Reject) -> None:
         pending = self.requests.by_id[decision.request.ident]
@@ -226,7 +226,7 @@
         self.requests.forget(pending)
 
     def _reason(self, request: Request) -> AnswerReason:
-        """Why a request gets no answer from a worker: how its last attempt ended, if there was one."""
+        """Returns why a request got no answer from a worker: the outcome of its last attempt, if there was one."""
         outcomes = [attempt.outcome for attempt in request.attempts if attempt.outcome]
         if outcomes:
             return Outcome(outcomes[-1])
@@ -235,7 +235,7 @@
     # ---- workers ----
 
     def _endpoints_changed(self, endpoints: list[Endpoint]) -> None:
-        self.context.inform("endpoints_changed", endpoints, False)
+        self.context.apply_input("endpoints_changed", endpoints, False)
 
     # ---- commands ----
 
@@ -243,18 +243,20 @@
         result = self.protocol.result_of(event.command, event.outcome, event.answer, event.data)
         match event.command.key:
             case Attempt() as attempt:
-                self.attempts.finished(attempt, result)
+                self.attempts.handle_finished(attempt, result)
             case PrewarmKey() as key:
                 self._prewarm_finished(key, result)
             case worker:
                 self.counts[f"health_checks_{result.outcome}"] += 1
-                self.context.inform("health_checked", worker, result.outcome, result.report, result.same_process_since)
+                self.context.apply_input(
+                    "health_checked", worker, result.outcome, result.report, result.same_process_since
+                )
 
     def _prewarm_finished(self, key: PrewarmKey, result: CommandResult) -> None:
         self.counts[f"prewarms_{result.outcome}"] += 1
-        self.isolation.prewarmed(key.worker, key.function, result)
+        self.isolation.prewarm_finished(key.worker, key.function, result)
         elapsed = self.context.now() - key.sent_at
-        self.context.inform("prewarm_finished", key.worker, key.function, result.outcome, result.replicas, elapsed)
+        self.context.apply_input("prewarm_finished", key.worker, key.function, result.outcome, result.replicas, elapsed)
 
     def _prewarm(self, decision: decisions.Prewarm) -> None:
         name = decision.worker.endpoint.ident
@@ -283,7 +285,8 @@
             self._command_finished(events.CommandFinished(client, command, Outcome.TIMEOUT))
 
     def _follow_endpoints(self, decision: decisions.FollowEndpoints) -> None:
-        self.log.info("endpoint list followed", enabled=decision.enabled)  # its watcher pushes it in any case
+        # Only logged: the watcher of the endpoint list pushes changes in any case.
+        self.log.info("endpoint list followed", enabled=decision.enabled)
 
     def _log_note(self, decision: decisions.LogNote) -> None:
         note = logs.parse_note(decision.text)
--- a/wickdyke/gateway/events.py
+++ b/wickdyke/gateway/events.py
@@ -1,4 +1,4 @@
-"""What happens around the coordinator: posted to its queue by client connections, worker clients and discovery."""
+"""The coordinator's events, posted to its queue by client connections, worker clients and discovery."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -9,7 +9,7 @@
 
 @dataclass(slots=True, frozen=True, eq=False)
 class RequestReceived:
-    """A client sent a request, which was checked."""
+    """A client sent a request, which passed validation."""
 
     pending: PendingRequest
 
@@ -23,35 +23,35 @@
 
 @dataclass(slots=True, frozen=True, eq=False)
 class ClientClosed:
-    """A client's connection ended with these requests open."""
+    """A client's connection was closed while these requests were open."""
 
     pending: Sequence[PendingRequest]
 
 
 @dataclass(slots=True, frozen=True, eq=False)
 class EndpointsReceived:
-    """Entries of the endpoint list were received, as the list's own records."""
+    """Entries of the endpoint list were received; their type depends on the endpoint list."""
 
     entries: Sequence[object]
 
 
 @dataclass(slots=True, frozen=True, eq=False)
 class DiscoveryHeard:
-    """Discovery has reported all there was at that time (monotonic ms); -inf where the list is of unknown age."""
+    """Discovery has reported all changes up to `at` (monotonic ms); -inf where the age of the list is unknown."""
 
     at: float
 
 
 @dataclass(slots=True, frozen=True, eq=False)
 class DiscoveryLost:
-    """The process did not run from that time on (monotonic ms), and has no connection to discovery now."""
+    """The process was suspended from `at` on (monotonic ms) and now has no connection to discovery."""
 
     at: float
 
 
 @dataclass(slots=True, frozen=True, eq=False)
 class WorkerConnected:
-    """A worker was connected to, and sent its hello."""
+    """A connection to a worker was established, and the worker has sent its hello."""
 
     worker_client: AnyWorkerClient
     hello: WorkerHello
@@ -59,7 +59,7 @@
 
 @dataclass(slots=True, frozen=True, eq=False)
 class WorkerUnreachable:
-    """No connection to a worker could be made."""
+    """No connection to a worker could be established."""
 
     worker_client: AnyWorkerClient
     reason: str
@@ -67,7 +67,7 @@
 
 @dataclass(slots=True, frozen=True, eq=False)
 class WorkerConnectionLost:
-    """The connection to a worker ended."""
+    """The connection to a worker was lost."""
 
     worker_client: AnyWorkerClient
     reason: str
@@ -75,7 +75,7 @@
 
 @dataclass(slots=True, frozen=True, eq=False)
 class WorkerDraining:
-    """A worker reported that it drains."""
+    """A worker reported that it is draining."""
 
     worker_client: AnyWorkerClient
 
@@ -84,8 +84,8 @@
 class CommandFinished:
     """A command to a worker ended.
 
-    `answer` and `data` are what was received, as the worker protocol reads them. `worker_client` is None where the
-    command was sent to none.
+    `answer` and `data` are the received message in the form that the worker protocol's `result_of` reads.
+    `worker_client` is None where the command was sent to no worker.
     """
 
     worker_client: AnyWorkerClient | None
@@ -97,7 +97,7 @@
 
 @dataclass(slots=True, frozen=True, eq=False)
 class AttemptWithdrawn:
-    """An attempt was withdrawn, and will get no answer."""
+    """An attempt was withdrawn and will get no answer."""
 
     pending: PendingRequest
     attempt: Attempt
--- a/wickdyke/gateway/file_watcher.py
+++ b/wickdyke/gateway/file_watcher.py
@@ -1,4 +1,4 @@
-"""Follows a file: reads it whenever it changes, and keeps what was last good in force."""
+"""Watches a file: reads it whenever it changes, and keeps the last valid content in force."""
 
 import os
 import threading
@@ -16,7 +16,7 @@
 
 @dataclass(slots=True, frozen=True)
 class FileVersion:
-    """What changes with a file; replaced by another, it has another inode."""
+    """The file attributes that show a change; a file that was replaced has another inode."""
 
     modified_ns: int
     inode: int
@@ -24,20 +24,20 @@
 
 
 class _Marker(Enum):
-    """Takes the place of a version where no version of the file is known."""
+    """Stands for the version where none of the file is known."""
 
-    UNKNOWN = "unknown"  # not read yet, or to be read again in any case
-    MISSING = "missing"  # there is no file
+    UNKNOWN = "unknown"  # the file was not read yet, or is to be read again in any case
+    MISSING = "missing"  # the file does not exist
 
 
 Version = FileVersion | _Marker
 
 
 class FileWatcher(Generic[ContentT]):
-    """Reads a file whenever it changes. What can't be used is logged once and leaves the last good one in force.
+    """Reads a file whenever it changes. Invalid content is logged once, and the last valid content stays in force.
 
-    `read(path)` returns its content or raises InvalidConfigError; `use(content)` puts that in force and returns fields
-    for the log. `subject` names the file's content in the log. The file is looked at each `interval` ms.
+    `read(path)` returns the content or raises InvalidConfigError; `use(content)` puts it in force and returns fields
+    for the log. `subject` names the content in the log. The file is checked every `interval` ms.
     """
 
     def __init__(
@@ -55,23 +55,23 @@
         self.read = read
         self.use = use
         self.log = log
-        self.version: Version = _Marker.UNKNOWN  # of the file as last read
-        self.logged_version: Version = _Marker.UNKNOWN  # of the unusable file last logged
-        self.ended = threading.Event()
+        self.version: Version = _Marker.UNKNOWN  # the version last read
+        self.logged_version: Version = _Marker.UNKNOWN  # the invalid version last logged
+        self.stop_event = threading.Event()
         self.thread = threading.Thread(target=self._watch, name=subject, daemon=True)
 
     def open(self) -> None:
-        """Reads it once, then follows it."""
+        """Reads the file once, then starts the thread that watches it."""
         self.check()
         self.thread.start()
 
     def close(self) -> None:
-        """Ends the thread."""
-        self.ended.set()
+        """Stops the thread."""
+        self.stop_event.set()
         self.thread.join()
 
     def check(self) -> None:
-        """Reads the file, if it has changed."""
+        """Reads the file if it has changed."""
         version = self._current_version()
         if version == self.version:
             return
@@ -79,7 +79,8 @@
         try:
             content = self.read(self.path)
         except InvalidConfigError as error:
-            if isinstance(error, IncompleteInputError):  # it may be usable later, unchanged: read again, logged once
+            # An incomplete input may become valid without a change of this file, so it is read again each time.
+            if isinstance(error, IncompleteInputError):
                 self.version = _Marker.UNKNOWN
             if self.logged_version != version:
                 self.logged_version = version
@@ -103,5 +104,5 @@
         self.log.warning(f"{self.subject} unusable", reason=reason, in_force="the last good one")
 
     def _watch(self) -> None:
-        while not self.ended.wait(self.interval / MS_PER_SECOND):
+        while not self.stop_event.wait(self.interval / MS_PER_SECOND):
             self.check()
--- a/wickdyke/gateway/interfaces.py
+++ b/wickdyke/gateway/interfaces.py
@@ -1,7 +1,7 @@
-"""What the coordinator uses of its surroundings: pending requests, worker clients, their commands, the endpoint list.
+"""The interfaces that the coordinator depends on: pending requests, worker clients, commands and the endpoint list.
 
-The JSON-RPC gateway (`wickdyke/jsonrpc`) is one implementation, the platform's front end (`wickdyke/platform`) the
-other.
+Two packages implement them: the JSON-RPC gateway (`wickdyke/jsonrpc`) and the platform's front end
+(`wickdyke/platform`).
 """
 
 from collections.abc import Callable, Sequence
@@ -17,69 +17,69 @@
 
 
 class RejectionReason(StrEnum):
-    """Why the gateway itself rejects or fails a request: the word that the client reads in its answer."""
-
-    STOPPING = "stopping"  # the process ends
-    GATEWAY_FULL = "gateway-full"  # as many requests are open as may be
-    CONNECTION_FULL = "connection-full"  # as many requests are open on the client's connection as may be
-    TOO_MANY_CONNECTIONS = "too-many-connections"  # as many clients are connected as may be
-    OVERRUN = "overrun"  # too many events wait for the coordinator
-    NO_TIME = "no-time"  # its deadline has passed
+    """Why the gateway itself rejects or fails a request; the value is sent to the client as the answer's reason."""
+
+    STOPPING = "stopping"  # the process is shutting down
+    GATEWAY_FULL = "gateway-full"  # the limit of open requests is reached
+    CONNECTION_FULL = "connection-full"  # the limit of open requests on the client's connection is reached
+    TOO_MANY_CONNECTIONS = "too-many-connections"  # the limit of client connections is reached
+    OVERRUN = "overrun"  # the coordinator's event queue is too long
+    NO_TIME = "no-time"  # the request's deadline has passed
     NO_PLACE = "no-place"  # no worker could be chosen
     DISCOVERY_LOST = "discovery-lost"  # the endpoint list is too old, and no worker proved ready in time
-    LOAD_FAILED = "load-failed"  # the circuit breaker of its function is open
-    POISON = "poison"  # the circuit breaker of its input is open
-    FAULT = "fault"  # handling it raised an exception
-    LEFT_OPEN = "left-open"  # the router left it open past its deadline
+    LOAD_FAILED = "load-failed"  # the circuit breaker of the request's function is open
+    POISON = "poison"  # the circuit breaker of the request's input is open
+    FAULT = "fault"  # handling the request raised an exception
+    LEFT_OPEN = "left-open"  # the router did not decide the request before its deadline
 
 
-AnswerReason = RejectionReason | Outcome  # an outcome: how the last attempt ended
+AnswerReason = RejectionReason | Outcome  # an Outcome tells how the last attempt ended
 
 
 class Log(Protocol):
     """A structured log: each line is an event and its fields. Never raises and never blocks."""
 
     def bind(self, **fields: object) -> "Log":
-        """A log of the same lines, with these fields in each."""
+        """Returns a log that adds these fields to each line."""
 
     def debug(self, event: str, /, **fields: object) -> object:
         """Logs a step of one request."""
 
     def info(self, event: str, /, **fields: object) -> object:
-        """Logs what is normal."""
+        """Logs a normal event."""
 
     def warning(self, event: str, /, **fields: object) -> object:
-        """Logs what an operator should look at."""
+        """Logs an event that an operator should look at."""
 
     def error(self, event: str, /, **fields: object) -> object:
         """Logs a fault."""
 
 
 class Client(Protocol):
-    """The connection that a request was received on; `number` is that of the connection, for the log."""
+    """The connection that a request was received on; `number` identifies it in the log."""
 
     number: int
 
 
 class RequestParams(Protocol):
-    """What a client's request states, or the settings for it. Times are ms, memory is MB.
+    """The parameters of a client's request, with defaults from the settings. Times are ms, memory is MB.
 
-    `input` becomes None once the request is answered, as it may be of megabytes.
+    `input` is set to None once the request is answered, since it may hold megabytes.
     """
 
     input: bytes | None
 
     @property
     def function(self) -> str:
-        """The function that is to run."""
+        """The name of the function to run."""
 
     @property
     def memory_mb(self) -> float:
-        """The memory of one replica of it."""
+        """The memory of one replica of the function."""
 
     @property
     def concurrency(self) -> int:
-        """How many requests one replica runs at once."""
+        """The number of requests that one replica runs at once."""
 
     @property
     def load_ms(self) -> float | None:
@@ -87,21 +87,22 @@
 
     @property
     def work_ms(self) -> float | None:
-        """The expected time that the request itself takes."""
+        """The expected execution time of the request, without loading."""
 
     @property
     def is_repeat(self) -> bool:
-        """Whether the client has sent it before."""
+        """Whether the client has sent the request before."""
 
     @property
     def idempotency_key(self) -> str | None:
-        """The key by which a worker recognizes a request that it has carried out."""
+        """The key by which a worker recognizes a request that it has already executed."""
 
 
 class PendingRequest:
-    """One checked request of a client. The coordinator answers it once, or drops it when the client has left.
+    """One validated request of a client. The coordinator answers it once, or drops it when the client has left.
 
-    `time_left` (ms) counts from `received_at` (monotonic ms). `closed` once it has its answer, or the client has left.
+    `time_left` (ms) counts from `received_at` (monotonic ms). `closed` is true once the request has its answer or the
+    client has left.
     """
 
     __slots__ = (
@@ -133,33 +134,36 @@
         self.request_class = request_class
         self.params = params
         self.time_left = time_left
-        self.route_policy = route_policy  # as the routes are now; a file read later is for requests that come later
-        self.request: Request | None = None  # the router's record, once it was forwarded
-        self.router_id: int | None = None  # under which the router has it
+        self.route_policy = route_policy  # fixed on arrival: a route file read later applies to later requests only
+        self.request: Request | None = None  # the router's record; set when the first attempt is forwarded
+        self.router_id: int | None = None  # the request's id at the router
         self.attempts_sent = 0
-        self.commands: dict[Attempt, Command] = {}  # of its attempts in flight
+        self.commands: dict[Attempt, Command] = {}  # the commands of the attempts in flight
         self.closed = False
         self.received_at: float | None = None
 
-    def still_wanted(self) -> bool:
-        """Whether its client still waits for an answer, as far as can be determined now."""
+    def is_client_waiting(self) -> bool:
+        """Whether the client still waits for an answer, as far as can be determined now."""
         return True
 
     def succeed(self, output: bytes, attempts: int) -> None:
-        """Sends its final answer: the output of the worker, after so many attempts."""
+        """Sends a success as the final answer: the worker's output and the number of attempts made."""
         raise NotImplementedError
 
     def reject(self, reason: str, retry_after: float | None = None) -> None:
-        """Sends its final answer: it had no effect, and may be retried after `retry_after` ms."""
+        """Sends a rejection as the final answer: the request had no effect, and may be retried after `retry_after` ms.
+
+        Where that is None, the client is given no time.
+        """
         raise NotImplementedError
 
     def fail(self, reason: str) -> None:
-        """Sends its final answer: it may have had an effect or not."""
+        """Sends a failure as the final answer: the request may or may not have had an effect."""
         raise NotImplementedError
 
 
 class CommandKind(StrEnum):
-    """What a worker is sent."""
+    """The kinds of command that are sent to a worker."""
 
     ATTEMPT = "attempt"
     PREWARM = "prewarm"
@@ -175,18 +179,18 @@
     sent_at: float
 
 
-CommandKey = Attempt | PrewarmKey | str  # of an attempt, a prewarm, a health check (the worker's name)
+CommandKey = Attempt | PrewarmKey | str  # a str is the worker's name: the key of a health check
 
 
-def _always(now: float) -> bool:
+def _always_allowed(now: float) -> bool:
     return True
 
 
 class Command:
-    """One message to a worker that expects an answer. `key` is the coordinator's.
+    """One message to a worker that expects an answer. `key` identifies the command to the coordinator.
 
-    `may_begin` is called with the time (monotonic ms) just before the first byte is sent: where it returns False, the
-    command is not sent any more, and ends as unsent. A client that sends at once need not call it.
+    `may_begin` is called with the time (monotonic ms) just before the first byte is sent. If it returns False, the
+    command is not sent and ends as unsent. A worker client that sends without delay need not call it.
     """
 
     __slots__ = ("key", "kind", "may_begin", "worker_client")
@@ -194,7 +198,7 @@
     def __init__(self, kind: CommandKind, key: CommandKey) -> None:
         self.kind = kind
         self.key = key
-        self.may_begin: Callable[[float], bool] = _always
+        self.may_begin: Callable[[float], bool] = _always_allowed
         self.worker_client: AnyWorkerClient | None = None
 
 
@@ -203,11 +207,12 @@
 
 @dataclass(slots=True, frozen=True)
 class CommandResult:
-    """How a command ended, and what the worker reported with it.
+    """How a command ended, and the data that the worker returned with it.
 
-    `concurrent`: requests of the function in flight at the worker when the attempt arrived; `requests_in_replica`: how
-    many were in a replica that ended; `same_process_since`: as far as the worker's connections show, the process that
-    answered a health check has run since then (monotonic ms; None where the protocol does not keep it).
+    `concurrent` is the number of requests of the function in flight at the worker when the attempt arrived.
+    `requests_in_replica` is the number of requests in the replica if that ended. `same_process_since` is the time since
+    which, as far as the worker's connections show, the process that answered a health check has been running
+    (monotonic ms; None where the protocol does not track it).
     """
 
     outcome: Outcome
@@ -221,60 +226,60 @@
 
 
 class Withdrawal(StrEnum):
-    """What became of an attempt that was to be withdrawn."""
+    """The result of withdrawing an attempt."""
 
-    UNSENT = "unsent"  # no byte of it was sent: it never ran, and gets no answer
-    CANCELLED = "cancelled"  # the cancel is with the kernel: it may have run, and gets no answer
-    ENDED = "ended"  # it had ended before
-    PENDING = "pending"  # the cancel waits to be written
+    UNSENT = "unsent"  # no byte of the attempt was sent: it never ran, and no answer will come
+    CANCELLED = "cancelled"  # the cancel was written to the socket: the attempt may have run, and no answer will come
+    ENDED = "ended"  # the attempt had already ended
+    PENDING = "pending"  # the cancel is buffered and not yet written
 
 
 class WorkerClient(Protocol[CommandT_contra]):
-    """The connections to one worker. It posts one `CommandFinished` for each command."""
+    """The connections to one worker. Posts one `CommandFinished` for each command."""
 
     name: str
 
     def send(self, command: CommandT_contra, /) -> None:
-        """Sends it, or has it sent once connected."""
+        """Sends a command, or queues it until a connection is established."""
 
-    def cancel(self, command: CommandT_contra, done: Callable[[], None], /) -> Withdrawal:
-        """Withdraws an attempt; `done` is called once a cancel that is PENDING is with the kernel."""
+    def cancel(self, command: CommandT_contra, on_cancel_written: Callable[[], None], /) -> Withdrawal:
+        """Withdraws an attempt; `on_cancel_written` is called once a PENDING cancel is written to the socket."""
 
     def withdraw_unsent(self, command: CommandT_contra, /) -> bool:
-        """Takes back what has not begun to go out; True where it was so, and it has ended."""
+        """Withdraws a command of which no byte was sent, which ends it. Returns whether it was withdrawn."""
 
     def withdraw_all_unsent(self) -> None:
-        """Takes back all that has not begun to go out: it ends as unsent."""
+        """Withdraws all commands of which no byte was sent; they end as unsent."""
 
     def abandon(self, command: CommandT_contra, /) -> bool:
-        """Stops waiting for an answer; False where the command has ended already."""
+        """Stops waiting for a command's answer. Returns False where the command has already ended."""
 
     def disconnect(self) -> None:
-        """Ends its connections."""
+        """Closes the connections."""
 
     def drain(self) -> None:
-        """Sends no more; it ends with the last of what is in flight."""
+        """Sends no more commands, and closes once the last command in flight has ended."""
 
     def close(self) -> None:
-        """Ends it at once."""
+        """Closes the client at once."""
 
 
 @runtime_checkable
 class ConnectionState(Protocol):
-    """A worker client of one connection, which is made anew whenever it is lost."""
+    """A worker client with a single connection, which reconnects whenever that is lost."""
 
     @property
-    def up(self) -> bool:
+    def is_connected(self) -> bool:
         """Whether there is a connection."""
 
 
-# The coordinator passes a command only to the clients of the protocol that made it, whatever its own type.
+# The coordinator passes a command only to worker clients of the protocol that made it, so the type is left open.
 AnyWorkerClient = WorkerClient[Any]
 
 
 @dataclass(slots=True, frozen=True)
 class EndpointListChange:
-    """What an input changed: entries of the list, and where workers are (None: listed no more)."""
+    """The changes that an update made: changed endpoints, and changed addresses by worker (None: no longer listed)."""
 
     endpoints: list[Endpoint]
     addresses: dict[str, str | None]
@@ -284,24 +289,24 @@
     """The merged view of the listed workers."""
 
     def apply(self, entries: Sequence[EntryT_contra], now: float, /) -> EndpointListChange:
-        """Merges entries, and returns what they changed; `now` is monotonic ms."""
+        """Merges entries and returns the changes they made; `now` is monotonic ms."""
 
     def address(self, name: str) -> str | None:
-        """Where a listed worker is."""
+        """Returns the address of a worker, None where it is not listed."""
 
     def __len__(self) -> int:
-        """How many workers are listed."""
+        """Returns the number of listed workers."""
 
 
-AnyEndpointList = EndpointList[Any]  # its entries are passed on as they were received
+AnyEndpointList = EndpointList[Any]  # entries are passed on as they were received, so their type is left open
 
 
 class WorkerHello(Protocol):
-    """What a worker reports as it is connected to: its present start, the time since then (ms), whether it drains."""
+    """The message that a worker sends when a connection to it is established."""
 
     @property
     def start(self) -> int:
-        """The number of its present start."""
+        """The number of the worker's current start, which changes with each restart."""
 
     @property
     def up_ms(self) -> float:
@@ -309,21 +314,21 @@
 
     @property
     def draining(self) -> bool:
-        """Whether it takes no more requests."""
+        """Whether the worker accepts no more requests."""
 
 
 @runtime_checkable
 class HelloEndpointList(Protocol):
-    """An endpoint list that merges what the workers themselves report; each method returns the endpoints it changed."""
+    """An endpoint list that also merges the workers' own reports; each update returns the endpoints it changed."""
 
     def hello(self, name: str, hello: WorkerHello, now: float) -> list[Endpoint]:
-        """A worker was connected to."""
+        """Handles the hello of a worker that was connected to."""
 
     def unreachable(self, name: str, now: float) -> list[Endpoint]:
-        """No connection to a worker could be made."""
+        """Handles a failure to connect to a worker."""
 
     def draining(self, name: str) -> list[Endpoint]:
-        """A worker reported that it drains."""
+        """Handles a worker's report that it is draining."""
 
     def start_of(self, name: str) -> int | None:
-        """The number of a listed worker's present start."""
+        """Returns the number of a worker's current start, None where it is not known."""
--- a/wickdyke/gateway/isolation.py
+++ b/wickdyke/gateway/isolation.py
@@ -1,7 +1,7 @@
-"""Keeps functions that load nowhere, and requests that end replicas, from being tried: the coordinator's observer.
+"""Isolates functions that fail to load on every worker and requests that crash replicas.
 
-It observes how attempts and prewarms ended, and decides which requests are not to be tried. `CircuitBreaker` keeps the
-state.
+The coordinator reports how attempts and prewarms ended, and asks which requests are to be rejected without an attempt.
+`CircuitBreaker` keeps the state.
 """
 
 from typing import Protocol
@@ -19,51 +19,51 @@
 from wickdyke.gateway.worker_registry import WorkerRegistry
 from wickdyke.routing.model import Attempt, Effect, Outcome
 
-RESTART_TIME = 1000.0  # ms after a connection ended by which it is back, or its worker is down
+RECONNECT_TIMEOUT = 1000.0  # ms; a worker whose lost connection is not re-established by then is considered down
 
 
 class Isolation(Protocol):
-    """An observer of failures, which may have requests rejected."""
+    """Observes the results of attempts and prewarms, and may reject requests because of failures."""
 
     def attach(self, context: Context, workers: WorkerRegistry) -> None:
-        """Gives it the coordinator's parts that it uses; called once, before all else."""
+        """Sets the parts of the coordinator that are used; called once, before any other method."""
 
     def rejection(self, function: str, request_input: bytes | None, now: float) -> Rejection | None:
-        """The answer to a request that is not to be tried now; None where it may be."""
+        """Returns the answer to a request that is to be rejected without an attempt, None where one may be made."""
 
-    def served(self, attempt: Attempt, request_input: bytes | None) -> None:
-        """An attempt succeeded; `request_input` is None where another had succeeded before."""
+    def attempt_succeeded(self, attempt: Attempt, request_input: bytes | None) -> None:
+        """Handles the success of an attempt; `request_input` is None where the request was closed before."""
 
     def attempt_failed(self, pending: PendingRequest, attempt: Attempt, result: CommandResult) -> Rejection | None:
-        """An attempt did not succeed. Returns an answer where its request is to be rejected for that."""
+        """Handles an attempt that did not succeed. Returns an answer where its request is to be rejected for that."""
 
-    def prewarmed(self, worker: str, function: str, result: CommandResult) -> None:
-        """A prewarm ended."""
+    def prewarm_finished(self, worker: str, function: str, result: CommandResult) -> None:
+        """Handles the end of a prewarm."""
 
 
 class NoIsolation:
-    """Observes nothing: on the platform every decision is the router's."""
+    """Isolates nothing: in the platform's front end every decision is the router's."""
 
     def attach(self, context: Context, workers: WorkerRegistry) -> None:
-        """Nothing to do."""
+        """Does nothing."""
 
     def rejection(self, function: str, request_input: bytes | None, now: float) -> Rejection | None:
-        """Nothing is rejected."""
+        """Rejects nothing."""
         return None
 
-    def served(self, attempt: Attempt, request_input: bytes | None) -> None:
-        """Nothing to do."""
+    def attempt_succeeded(self, attempt: Attempt, request_input: bytes | None) -> None:
+        """Does nothing."""
 
     def attempt_failed(self, pending: PendingRequest, attempt: Attempt, result: CommandResult) -> Rejection | None:
-        """Nothing is rejected."""
+        """Rejects nothing."""
         return None
 
-    def prewarmed(self, worker: str, function: str, result: CommandResult) -> None:
-        """Nothing to do."""
+    def prewarm_finished(self, worker: str, function: str, result: CommandResult) -> None:
+        """Does nothing."""
 
 
 class BreakerIsolation:
-    """Feeds the circuit breaker, and has a request in flight rejected that it opens for."""
+    """Reports results to the circuit breaker, and rejects requests in flight for which it opens."""
 
     def __init__(self, breaker: CircuitBreaker) -> None:
         self.breaker = breaker
@@ -71,30 +71,30 @@
         self.workers: WorkerRegistry
 
     def attach(self, context: Context, workers: WorkerRegistry) -> None:
-        """Gives it the coordinator's parts that it uses; called once, before all else."""
+        """Sets the parts of the coordinator that are used; called once, before any other method."""
         self.context = context
         self.workers = workers
 
     def rejection(self, function: str, request_input: bytes | None, now: float) -> Rejection | None:
-        """The answer to a request that is not to be tried now; None where it may be."""
+        """Returns the answer to a request that is to be rejected without an attempt, None where one may be made."""
         return self.breaker.rejection(function, request_input, now)
 
-    def served(self, attempt: Attempt, request_input: bytes | None) -> None:
-        """The function is loaded somewhere; a request with that input does no harm."""
+    def attempt_succeeded(self, attempt: Attempt, request_input: bytes | None) -> None:
+        """Records that a worker has the function loaded, and that a request with this input crashes no replica."""
         function = attempt.request.function.name
         self.breaker.loaded(function)
         if request_input is not None:
             self.breaker.succeeded(function, request_input)
 
-    def prewarmed(self, worker: str, function: str, result: CommandResult) -> None:
-        """A load failed there, or the function is loaded."""
+    def prewarm_finished(self, worker: str, function: str, result: CommandResult) -> None:
+        """Records a failed or successful load of the function at the worker."""
         if result.outcome == Outcome.ERROR:
             self.breaker.load_failed(function, worker, self.context.now())
         elif result.outcome == Outcome.OK and result.replicas:
             self.breaker.loaded(function)
 
     def attempt_failed(self, pending: PendingRequest, attempt: Attempt, result: CommandResult) -> Rejection | None:
-        """Counts the failure against the function, or against the request."""
+        """Counts the failure against the function or against the request."""
         function = attempt.request.function.name
         worker = attempt.replica.worker.endpoint.ident
         if result.outcome == Outcome.MISS and self.context.config.function_cache.loads_on_demand:
@@ -102,7 +102,7 @@
         lost = result.outcome == Outcome.CONNECTION_LOST
         if pending.closed or not (result.requests_in_replica or lost):
             return None
-        # It is open: its input is dropped only once it is answered.
+        # The request is still open, so its input is still there: it is dropped with the answer.
         digest = self.breaker.digest(pending.params.input or b"")
         if result.requests_in_replica:
             self.breaker.replica_ended(function, digest, result.requests_in_replica, self.context.now())
@@ -113,20 +113,20 @@
     def _connection_lost(self, worker: str, function: str, digest: bytes) -> None:
         start = self._start_of(worker) or 0
         if self.breaker.connection_lost(worker, start, function, digest):
-            self.context.timers.at(self.context.now() + RESTART_TIME, self._settle, worker)
+            self.context.timers.at(self.context.now() + RECONNECT_TIMEOUT, self._resolve_losses, worker)
 
-    def _settle(self, worker: str) -> None:
+    def _resolve_losses(self, worker: str) -> None:
         client = self.workers.clients.get(worker)
-        is_connected = isinstance(client, ConnectionState) and client.up
-        self.breaker.settle(worker, self._start_of(worker) if is_connected else None, self.context.now())
+        is_connected = isinstance(client, ConnectionState) and client.is_connected
+        self.breaker.resolve_losses(worker, self._start_of(worker) if is_connected else None, self.context.now())
 
     def _start_of(self, worker: str) -> int | None:
         endpoints = self.workers.endpoints
         return endpoints.start_of(worker) if isinstance(endpoints, HelloEndpointList) else None
 
     def _rejection_in_flight(self, attempt: Attempt, function: str, digest: bytes) -> Rejection | None:
-        # A request admitted before the breaker opened would be attempted on one replica after another. Only an
-        # idempotent one may be rejected now: a retry of it is harmless, as a rejection promises.
+        # A request admitted before the breaker opened would be attempted on one replica after another. A rejection
+        # promises that a retry is harmless, so only an idempotent request may be rejected after an attempt.
         request = attempt.request
         if request.closed or request.request_class.effect != Effect.IDEMPOTENT:
             return None
--- a/wickdyke/gateway/log.py
+++ b/wickdyke/gateway/log.py
@@ -59,9 +59,9 @@
         """A sink of None (a process without standard error) loses all lines."""
         self.sink = sink
         self.lines: queue.Queue[str | None] = queue.Queue(MAX_QUEUED_LINES)
-        self.lost = 0
+        self.lost_lines = 0
         self.lock = threading.Lock()  # guards `lost`
-        self.torn = False  # whether the last line was written in part
+        self.ends_mid_line = False  # whether the last line was written in part
         self.thread = threading.Thread(target=self._write, name="log", daemon=True)
         self.thread.start()
 
@@ -85,15 +85,15 @@
 
     def _lose(self, lines: int) -> None:
         with self.lock:
-            self.lost += lines
+            self.lost_lines += lines
 
     def _write(self) -> None:
         more = True
         while more:
             lines, more = self._queued()
             with self.lock:
-                lost = self.lost
-                self.lost = 0
+                lost = self.lost_lines
+                self.lost_lines = 0
             if lost:
                 lines.insert(0, f'event="log lines lost" lines={lost}')
             # The line that reports lost ones counts as those: where it is not written, they are counted again.
@@ -118,7 +118,7 @@
     def _put(self, lines: list[str]) -> int:
         """Writes lines; returns how many were written whole. Never raises, so that the thread continues in any case."""
         pieces = [(line + "\n").encode("utf-8", "backslashreplace") for line in lines]
-        if self.torn and pieces:
+        if self.ends_mid_line and pieces:
             pieces[0] = b"\n" + pieces[0]
         data = memoryview(b"".join(pieces))
         done = 0
@@ -130,7 +130,7 @@
         ends = list(itertools.accumulate(map(len, pieces)))
         written = bisect.bisect_right(ends, done)
         if done:
-            self.torn = done not in ends
+            self.ends_mid_line = done not in ends
         return written
 
     def _write_some(self, data: memoryview) -> int:
--- a/wickdyke/gateway/pending_requests.py
+++ b/wickdyke/gateway/pending_requests.py
@@ -1,4 +1,4 @@
-"""The requests that are open: admitted, answered once, and forgotten with the last of their attempts."""
+"""The open requests: admitted, answered once, and removed when their last attempt has ended."""
 
 import heapq
 
@@ -12,7 +12,7 @@
 
 
 class PendingRequests:
-    """Owns the pending requests, by the router's id."""
+    """Owns the pending requests, by their id at the router."""
 
     def __init__(self, context: Context, isolation: Isolation) -> None:
         self.context = context
@@ -20,36 +20,36 @@
         self.by_id: dict[int, PendingRequest] = {}
         self.last_id = 0
         self.stopping = False
-        # When the time of each request is up. Numbers only: those of many seconds are kept, and the garbage collector
-        # would walk over them all if they held anything else.
+        # A heap of (deadline, id). The tuples hold only numbers, which keeps them untracked by the garbage collector:
+        # entries stay until their deadline, often for many seconds, and each full collection would traverse them all.
         self.deadlines: list[tuple[float, int]] = []
 
     def is_full(self) -> bool:
-        """Whether no more may be open."""
+        """Whether the limit of open requests is reached."""
         return len(self.by_id) >= self.context.config.bounds.open_requests
 
     # ---- admission ----
 
-    def received(self, pending: PendingRequest) -> None:
-        """A client's request was received."""
+    def handle_received(self, pending: PendingRequest) -> None:
+        """Handles the arrival of a client's request: admits or rejects it."""
         try:
             self._admit(pending)
         except Exception:
-            if pending.router_id is None and not pending.closed:  # nothing else would answer it
+            if pending.router_id is None and not pending.closed:  # nothing else would answer the request
                 pending.closed = True
                 pending.reject(RejectionReason.FAULT)
             raise
 
     def _admit(self, pending: PendingRequest) -> None:
-        if pending.closed:  # cancelled before it was handled: it is no load, and the router is not informed of it
+        if pending.closed:  # cancelled while queued: it is not counted as load, and the router does not see it
             return
         if self.stopping or self.is_full():
             pending.reject(RejectionReason.STOPPING if self.stopping else RejectionReason.GATEWAY_FULL)
             return
         now = self.context.now()
-        # The time that it waited to be handled is no time that its client has left.
-        waited = 0.0 if pending.received_at is None else now - pending.received_at
-        time_left = pending.time_left - waited - self.context.config.answer_margin
+        # The time in the event queue counts against the client's time limit.
+        wait_time = 0.0 if pending.received_at is None else now - pending.received_at
+        time_left = pending.time_left - wait_time - self.context.config.answer_margin
         if time_left <= 0:
             pending.reject(RejectionReason.NO_TIME)
             return
@@ -67,7 +67,7 @@
         self.by_id[self.last_id] = pending
         self.context.counts["requests"] += 1
         heapq.heappush(self.deadlines, (self.context.now() + time_left, self.last_id))
-        self.context.inform(
+        self.context.apply_input(
             "request_received",
             RequestReceived(
                 ident=self.last_id,
@@ -86,13 +86,13 @@
     # ---- deadlines ----
 
     def next_deadline(self) -> float:
-        """The next deadline of an open request (monotonic ms)."""
+        """Returns the earliest deadline of an open request (monotonic ms), infinity where none is open."""
         while self.deadlines and self.deadlines[0][1] not in self.by_id:
             heapq.heappop(self.deadlines)
         return self.deadlines[0][0] if self.deadlines else float("inf")
 
     def pop_overdue(self, now: float) -> int | None:
-        """The id of one whose deadline has passed by then, once; None where there is none."""
+        """Removes one deadline that has passed by `now` and returns its request's id; None where none has passed."""
         if not self.deadlines or self.deadlines[0][0] > now:
             return None
         return heapq.heappop(self.deadlines)[1]
@@ -100,7 +100,7 @@
     # ---- answers ----
 
     def answer(self, pending: PendingRequest, answer: FinalAnswer) -> None:
-        """Sends the final answer."""
+        """Sends the final answer, and withdraws the attempts that were not sent yet."""
         pending.closed = True
         self.context.counts[answer.count_name] += 1
         try:
@@ -110,7 +110,7 @@
         self.context.log.debug(
             "answered", request=pending.router_id, answer=type(answer).__name__, client=pending.client.number
         )
-        # It may be of megabytes, and an attempt that was withdrawn may take long to end.
+        # The input may hold megabytes, and a withdrawn attempt may take long to end.
         pending.params.input = None
 
     def answer_undecided(self, pending: PendingRequest, answer: FinalAnswer) -> None:
@@ -119,52 +119,53 @@
             self.answer(pending, answer)
         finally:
             try:
-                self.context.inform("client_gone", pending.router_id)
+                self.context.apply_input("client_gone", pending.router_id)
             finally:
                 self.forget(pending)
 
     def answer_all(self, reason: RejectionReason) -> None:
-        """Sends all open requests their final answer, as the process ends.
+        """Sends all open requests their final answer at shutdown.
 
-        A request is rejected where no attempt was sent, else it has failed.
+        A request is rejected where no attempt was sent; otherwise it fails.
         """
         for pending in list(self.by_id.values()):
             if not pending.closed:
                 answer = Failure(reason) if pending.attempts_sent else Rejection(reason)
-                self.context.guarded(self.answer_undecided, pending, answer)
+                self.context.run_guarded(self.answer_undecided, pending, answer)
 
     def answer_overdue(self, router_id: int) -> None:
-        """Answers a request that the router left open past its deadline: a fault, which is logged."""
+        """Fails a request that the router left open past its deadline, and logs that as a fault."""
         pending = self.by_id.get(router_id)
         if pending is not None and not pending.closed:
             self.context.counts["unanswered"] += 1
             self.context.log.error("request left open at its deadline", request=router_id)
             self.answer_undecided(pending, Failure(RejectionReason.LEFT_OPEN))
 
-    def client_gone(self, pending: PendingRequest) -> None:
-        """Its client cancelled it, or closed its connection."""
+    def handle_client_gone(self, pending: PendingRequest) -> None:
+        """Handles a client that cancelled its request or closed its connection."""
         if pending.closed:
             return
         pending.closed = True
         self.context.counts["clients_gone"] += 1
         if pending.router_id is not None:
-            self.context.inform("client_gone", pending.router_id)
+            self.context.apply_input("client_gone", pending.router_id)
             self.withdraw_unsent(pending)
             self.forget(pending)
 
     def withdraw_unsent(self, pending: PendingRequest) -> None:
-        """Takes back its attempts of which nothing was sent.
+        """Withdraws the request's attempts of which no byte was sent.
 
-        What waits for a connection would go out after its request has ended, also where nothing may be cancelled.
+        An attempt that waits for a connection would otherwise be sent after its request has ended. This also applies
+        where the settings allow no cancels.
         """
         for attempt, command in list(pending.commands.items()):
             if command.worker_client is not None and command.worker_client.withdraw_unsent(command):
                 self.context.post(AttemptWithdrawn(pending, attempt, Outcome.UNSENT))
 
     def forget(self, pending: PendingRequest) -> None:
-        """Drops it, if it is answered and has no attempt in flight."""
+        """Removes the request, if it is closed and has no attempt in flight."""
         if pending.closed and not pending.commands:
             if pending.router_id is not None:
                 self.by_id.pop(pending.router_id, None)
-            if pending.request is not None:  # closed: without the reference cycle it is freed at once
+            if pending.request is not None:  # breaks the reference cycle, so that the request is freed at once
                 pending.request.attempts.clear()
--- a/wickdyke/gateway/recording.py
+++ b/wickdyke/gateway/recording.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from wickdyke.gateway.recording_words import modern
+from wickdyke.gateway.recording_words import upgrade_entry
 from wickdyke.routing.decisions import (
     Cancel,
     Decision,
@@ -31,12 +31,12 @@
 from wickdyke.routing.router import Router
 from wickdyke.routing.settings import RouterSettings
 
-MAX_QUEUED = 200000  # entries; a recording that can't be written as fast is broken off
+MAX_QUEUED_ENTRIES = 200000  # entries; a recording that can't be written as fast is broken off
 TEMPORARY_ERRORS = (errno.ENOSPC, errno.EDQUOT, errno.EIO)  # of a folder that may work again later
 CLOSE_TIMEOUT = 5.0  # s
 
 
-def as_entry(decision: Decision) -> list[Any]:  # noqa: PLR0911 - one return for each type of decision
+def decision_entry(decision: Decision) -> list[Any]:  # noqa: PLR0911 - one return for each type of decision
     """A decision as it is stored: its word, and identifiers in place of records."""
     match decision:
         case Forward(request, worker, timeout):
@@ -88,8 +88,8 @@
         """Raises OSError where the file can never be opened; where that only fails for now, nothing is recorded."""
         self.path = path
         self.log = log
-        self.entries: queue.Queue[tuple[Any, ...] | None] = queue.Queue(MAX_QUEUED)
-        self.broken = False
+        self.entries: queue.Queue[tuple[Any, ...] | None] = queue.Queue(MAX_QUEUED_ENTRIES)
+        self.has_ended = False
         self.lock = threading.Lock()
         self.thread = threading.Thread(target=self._write, name="recording", daemon=True)
         try:
@@ -114,7 +114,7 @@
 
     def record_decision(self, decision: Decision) -> None:
         """Records one decision."""
-        self._put(("decided", as_entry(decision)))
+        self._put(("decided", decision_entry(decision)))
 
     def close(self) -> None:
         """Writes the queued entries and ends, within CLOSE_TIMEOUT s."""
@@ -126,18 +126,18 @@
         self.thread.join(max(0.0, ends - time.monotonic()))
 
     def _put(self, entry: tuple[Any, ...]) -> None:
-        if self.broken:
+        if self.has_ended:
             return
         try:
             self.entries.put_nowait(entry)
         except queue.Full:
-            self._end(f"{MAX_QUEUED} entries wait to be written")
+            self._end(f"{MAX_QUEUED_ENTRIES} entries wait to be written")
 
     def _end(self, reason: str) -> None:
         """Ends the recording; the reason is logged the first time."""
         with self.lock:
-            is_first = not self.broken
-            self.broken = True
+            is_first = not self.has_ended
+            self.has_ended = True
         if is_first and self.log is not None:
             self.log.error("recording ended", path=self.path, reason=reason)
 
@@ -147,7 +147,7 @@
             with self.sink as sink:
                 while (entry := self.entries.get()) is not None:
                     sink.write(encoder.encode(entry) + b"\n")
-                if self.broken:
+                if self.has_ended:
                     sink.write(encoder.encode(("broken off",)) + b"\n")
         # Also a value that can't be encoded ends the recording, not the gateway.
         except Exception as error:  # noqa: BLE001 - see above
@@ -171,7 +171,7 @@
 class ReplayResult(NamedTuple):
     """How many decisions were the same as recorded, and the first difference, if there is one."""
 
-    same: int
+    matched: int
     difference: str | None
 
 
@@ -181,20 +181,20 @@
     start = next(source, None)
     if not start or start[0] != "start":
         return ReplayResult(0, "found no start, expected it as the first entry")
-    player = _Player(*modern(start)[1:])
-    for entry in map(modern, source):
+    replayer = _Replayer(*upgrade_entry(start)[1:])
+    for entry in map(upgrade_entry, source):
         if entry[0] == "decided":
-            player.expect(entry[1])
+            replayer.expect(entry[1])
             continue
-        difference = player.compare()
+        difference = replayer.compare()
         if difference is not None:
-            return ReplayResult(player.same, difference)
-        player.apply(*entry[1:])
+            return ReplayResult(replayer.matched, difference)
+        replayer.apply(*entry[1:])
     # Decisions after the last input may have been cut off with the recording.
-    return ReplayResult(player.same + len(player.expected or ()), None)
+    return ReplayResult(replayer.matched + len(replayer.expected or ()), None)
 
 
-class _Player:
+class _Replayer:
     """A router made as the recorded one; `expected` are the decisions recorded of its last `decide`, until compared."""
 
     def __init__(self, now: float, seed: int, request_classes: list[dict[str, Any]], settings: dict[str, Any]) -> None:
@@ -202,8 +202,8 @@
         self.request_classes = {request_class.name: request_class for request_class in classes}
         self.router = Router(now, seed, classes, msgspec.convert(settings, RouterSettings))
         self.now = now
-        self.same = 0
-        self.decided: list[list[Any]] = []
+        self.matched = 0
+        self.actual: list[list[Any]] = []
         self.expected: list[list[Any]] | None = None
 
     def apply(self, now: float, name: str, args: list[Any]) -> None:
@@ -211,14 +211,14 @@
         self.now = now
         self.router.advance(now)
         if name == "decide":
-            self.decided = list(self._decisions())
+            self.actual = list(self._decisions())
             self.expected = []
         else:
             getattr(self.router, name)(*self._arguments(name, args))
 
     def _decisions(self) -> Iterator[list[Any]]:
         while (decision := self.router.decide()) is not None:
-            yield as_entry(decision)
+            yield decision_entry(decision)
 
     def _arguments(self, name: str, args: list[Any]) -> list[Any]:
         match name, args:
@@ -250,7 +250,7 @@
         self.expected = None
         if expected is None:
             return None
-        if msgspec.json.encode(self.decided) != msgspec.json.encode(expected):
-            return f"at {self.now} ms: decided {self.decided}, recorded {expected}"
-        self.same += len(expected)
+        if msgspec.json.encode(self.actual) != msgspec.json.encode(expected):
+            return f"at {self.now} ms: decided {self.actual}, recorded {expected}"
+        self.matched += len(expected)
         return None
--- a/wickdyke/gateway/recording_words.py
+++ b/wickdyke/gateway/recording_words.py
@@ -75,7 +75,7 @@
 )
 
 
-def modern(entry: list[Any]) -> list[Any]:
+def upgrade_entry(entry: list[Any]) -> list[Any]:
     """An entry of a recording in today's names; one that has them already is left as it is."""
     match entry:
         case ["start", now, seed, classes, settings]:
--- a/wickdyke/gateway/router_driver.py
+++ b/wickdyke/gateway/router_driver.py
@@ -1,4 +1,4 @@
-"""Passes inputs to the router, takes its decisions, and records both where a recording is wanted."""
+"""Passes inputs to the router, takes its decisions, and optionally records both."""
 
 from collections.abc import Iterator
 from dataclasses import fields
@@ -9,17 +9,17 @@
 from wickdyke.routing.router import Router
 from wickdyke.routing.settings import RouterSettings
 
-if TYPE_CHECKING:  # only one of the two gateways records
+if TYPE_CHECKING:  # only one of the two gateways makes recordings
     from wickdyke.gateway.recording import DecisionRecorder
 
 
 def settings_of(config: Any) -> RouterSettings:
-    """The router's part of a gateway's settings, of which each record is an attribute of the same name."""
+    """Returns the router's settings: each of its fields is an attribute of the same name of the gateway's settings."""
     return RouterSettings(**{field.name: getattr(config, field.name) for field in fields(RouterSettings)})
 
 
 class RouterDriver:
-    """Owns the router. `has_input` is whether it was given an input since its decisions were last taken."""
+    """Owns the router. `has_input` tells whether the router got an input since its decisions were last taken."""
 
     def __init__(
         self,
@@ -29,7 +29,7 @@
         settings: RouterSettings,
         recorder: "DecisionRecorder | None",
     ) -> None:
-        """Makes the router, and begins the recording if there is to be one."""
+        """Creates the router, and starts the recording if there is a recorder."""
         self.recorder = recorder
         self.has_input = False
         if recorder is not None:
@@ -37,11 +37,11 @@
         self.router = Router(now, seed, request_classes, settings)
 
     def is_due(self, now: float) -> bool:
-        """Whether decisions are to be taken now."""
+        """Whether decisions should be taken now."""
         return self.has_input or self.router.wake_at <= now
 
-    def inform(self, now: float, name: str, *args: object) -> None:
-        """Passes one input to the router: `name` is the method that takes it. That only updates its state."""
+    def apply_input(self, now: float, name: str, *args: object) -> None:
+        """Passes one input to the router's method `name`, which only updates the router's state."""
         if self.recorder is not None:
             self.recorder.record_input(now, name, args)
         self.router.advance(now)
@@ -49,7 +49,7 @@
         self.has_input = True
 
     def decisions(self, now: float) -> Iterator[Decision]:
-        """Takes all decisions that there are now."""
+        """Yields the router's decisions at time `now` until there are no more."""
         self.has_input = False
         self.router.advance(now)
         if self.recorder is not None:
--- a/wickdyke/gateway/worker_protocol.py
+++ b/wickdyke/gateway/worker_protocol.py
@@ -1,4 +1,4 @@
-"""How a gateway speaks to its workers: makes their clients and commands, and reads the results."""
+"""The interface of a worker protocol: creates worker clients and commands, and reads the results."""
 
 from collections.abc import Callable
 from typing import Any, Protocol, TypeVar
@@ -12,27 +12,30 @@
 
 
 class WorkerProtocol(Protocol[CommandT, AnswerT_contra]):
-    """How workers are spoken to; `connects_at_once` where a client is made as soon as its worker is listed."""
+    """The protocol between gateway and workers.
+
+    With `connects_at_once` a worker client is created as soon as its worker is listed, otherwise on first use.
+    """
 
     connects_at_once: bool
 
     def client_for(self, name: str, address: str, notify: Callable[[Event], None]) -> WorkerClient[CommandT]:
-        """The client of one worker."""
+        """Creates the client of one worker."""
 
     def attempt_command(self, attempt: Attempt, pending: PendingRequest, time_left: float) -> CommandT:
-        """An attempt, to be waited for so many ms."""
+        """Creates the command for an attempt whose answer is awaited for `time_left` ms."""
 
     def prewarm_command(self, key: PrewarmKey, function: Function, replicas: int) -> CommandT:
-        """A prewarm of so many replicas."""
+        """Creates the command to prewarm `replicas` replicas of a function."""
 
     def health_check_command(self, key: str) -> CommandT:
-        """A request for a load report."""
+        """Creates the command that asks a worker for a load report."""
 
     def result_of(
         self, command: CommandT, outcome: Outcome, answer: AnswerT_contra | None, data: bytes | None
     ) -> CommandResult:
-        """The result of a command, from what its worker client reported."""
+        """Returns the result of a command, read from its worker client's report."""
 
 
-# The two gateways differ in their commands and answers, which the coordinator only passes on.
+# The two gateways have different types of commands and answers, which the coordinator only passes on.
 AnyWorkerProtocol = WorkerProtocol[Any, Any]
--- a/wickdyke/gateway/worker_reports.py
+++ b/wickdyke/gateway/worker_reports.py
@@ -1,4 +1,4 @@
-"""What workers report of themselves on their connections, where the endpoint list merges it."""
+"""Passes the workers' own reports, received on their connections, to an endpoint list that merges them."""
 
 from collections.abc import Callable
 from typing import Any
@@ -10,7 +10,7 @@
 
 
 class WorkerReports:
-    """Passes the events of worker connections on to the endpoint list. Those of replaced clients are dropped."""
+    """Passes the events of worker connections on to the endpoint list; drops those of replaced worker clients."""
 
     def __init__(self, context: Context, workers: WorkerRegistry, endpoints: HelloEndpointList) -> None:
         self.context = context
@@ -18,7 +18,7 @@
         self.endpoints = endpoints
 
     def handlers(self) -> dict[type, Callable[[Any], object]]:
-        """The method for each type of event."""
+        """Returns the handler of each event type."""
         return {
             events.WorkerConnected: self._connected,
             events.WorkerUnreachable: self._unreachable,
--- a/wickdyke/jsonrpc/service.py
+++ b/wickdyke/jsonrpc/service.py
@@ -61,7 +61,7 @@
             self.recorder,
             BreakerIsolation(CircuitBreaker(config.breakers, config.instance.count, log)),
         )
-        self.client_server = ClientServer(config, self.coordinator.post, self.coordinator.busy, log.warning)
+        self.client_server = ClientServer(config, self.coordinator.post, self.coordinator.rejection_reason, log.warning)
         self.coordinator.catch_up = self.client_server.stalls.catch_up
         self.policy_transition = PolicyTransition()
         self.watchers: list[FileWatcher[list[endpoint_file.EndpointRow]] | FileWatcher[route_config.Routes]] = [
@@ -122,7 +122,7 @@
         self.log.info("stopping", open=len(self.coordinator.requests.by_id))
         timeout = DRAIN_MARGIN + max(request_class.deadline for request_class in self.config.request_classes)
         pause = threading.Event()
-        while clock() - began_at < timeout and not (self.coordinator.idle() and self.client_server.flushed()):
+        while clock() - began_at < timeout and not (self.coordinator.is_idle() and self.client_server.flushed()):
             pause.wait(DRAIN_POLL)
         self.close()
         self.log.info("stopped", elapsed_ms=round(clock() - began_at), **dict(self.coordinator.counts))
@@ -131,7 +131,7 @@
         """Ends all threads at once."""
         for watcher in self.watchers:
             watcher.close()
-        self.coordinator.end()
+        self.coordinator.close()
         self.client_server.disconnect_all()
         if self.recorder is not None:
             self.recorder.close()
--- a/wickdyke/jsonrpc/worker_client.py
+++ b/wickdyke/jsonrpc/worker_client.py
@@ -91,7 +91,7 @@
         self.thread.start()
 
     @property
-    def up(self) -> bool:
+    def is_connected(self) -> bool:
         """Whether there is a connection."""
         return self.write_buffer is not None
 
--- a/wickdyke/platform/client_connection.py
+++ b/wickdyke/platform/client_connection.py
@@ -89,7 +89,7 @@
         """Sends its final answer: it failed, and may have been carried out or not."""
         self._answer(thrift.fault("dispatch", self.ident, {}))
 
-    def still_wanted(self) -> bool:
+    def is_client_waiting(self) -> bool:
         """Returns whether its client still waits for an answer; a cancel or a close sent meanwhile is read first."""
         # On a busy machine a cancel or a close waits in the kernel while a retry or a hedge is decided.
         client = self.client
--- a/wickdyke/platform/service.py
+++ b/wickdyke/platform/service.py
@@ -85,7 +85,7 @@
             self.loop,
             ClientServerSettings(configuration.listen, configuration.request_classes, free // 2, configuration.tenants),
             self.coordinator.post,
-            self.coordinator.busy,
+            self.coordinator.rejection_reason,
             log,
         )
         self.discovery = DiscoveryClient(
@@ -249,7 +249,7 @@
         """Returns whether each request is answered. Until it is late, attempts in flight are waited for as well."""
         if late:
             return self.coordinator.events.empty() and self.client_server.flushed()
-        return self.coordinator.idle() and self.client_server.flushed()
+        return self.coordinator.is_idle() and self.client_server.flushed()
 
     def run(self) -> None:
         """Serves until the shutdown is complete."""
--- a/wickdyke/protocol/client_messages.py
+++ b/wickdyke/protocol/client_messages.py
@@ -12,12 +12,12 @@
 
 REJECTED = -32001  # error codes
 FAILED = -32002
-FIGURE_BOUND = 1e9  # ms or MB: figures are less
+NUMBER_LIMIT = 1e9  # ms or MB: figures are less
 MAX_NAME_LENGTH = 256  # characters
 MAX_CONCURRENCY = 4096
 RETRY_AFTER_DIGITS = 3  # after the point, of ms
-Positive = Annotated[float, msgspec.Meta(gt=0, lt=FIGURE_BOUND)]
-NonNegative = Annotated[float, msgspec.Meta(ge=0, lt=FIGURE_BOUND)]
+Positive = Annotated[float, msgspec.Meta(gt=0, lt=NUMBER_LIMIT)]
+NonNegative = Annotated[float, msgspec.Meta(ge=0, lt=NUMBER_LIMIT)]
 Concurrency = Annotated[int, msgspec.Meta(ge=1, le=MAX_CONCURRENCY)]
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=MAX_NAME_LENGTH)]
 OptionalName = Annotated[str, msgspec.Meta(max_length=MAX_NAME_LENGTH)]
--- a/wickdyke/protocol/jsonrpc.py
+++ b/wickdyke/protocol/jsonrpc.py
@@ -89,7 +89,7 @@
 BACKSLASH = ord("\\")
 
 
-def too_deep(data: bytes) -> bool:  # noqa: C901 - one pass over the bytes: each call for one of them would double its time
+def is_nested_too_deep(data: bytes) -> bool:  # noqa: C901 - one pass over the bytes: each call for one of them would double its time
     """Whether brackets nest deeper than MAX_NESTING.
 
     A message is scanned only where it has so many brackets at all.
@@ -118,7 +118,7 @@
     return False
 
 
-def is_text(line: bytes) -> bool:
+def is_utf8(line: bytes) -> bool:
     """Whether it is UTF-8, as JSON has to be: raw parts are passed on, and would make another's message invalid."""
     if line.isascii():
         return True
@@ -131,7 +131,7 @@
 
 def parse_requests(line: bytes) -> Iterable[Request | MalformedRequestError]:
     """The requests of one line, which has one or a batch; the error in the place of a malformed one."""
-    if not is_text(line):
+    if not is_utf8(line):
         return [MalformedRequestError(PARSE_ERROR, "not UTF-8")]
     start = line.lstrip()[:1]
     if start == b"[":
@@ -189,7 +189,7 @@
 
 def parse_response(line: bytes) -> Response:
     """Parses one response. Raises MalformedRequestError where it is none."""
-    if not is_text(line):
+    if not is_utf8(line):
         raise MalformedRequestError(PARSE_ERROR, "not UTF-8")
     try:
         raw = _response_decoder.decode(line)
@@ -232,7 +232,7 @@
     """The params of a request, by name. Raises MalformedRequestError with what was expected."""
     if not raw or raw[:1] != b"{":
         raise MalformedRequestError(INVALID_PARAMS, "params: expected an object", ident)
-    if too_deep(raw):
+    if is_nested_too_deep(raw):
         raise MalformedRequestError(INVALID_PARAMS, f"params: nested deeper than {MAX_NESTING}", ident)
     try:
         return msgspec.json.decode(raw, type=params_type)
