--- a/tests/gateway_process_rig.py
+++ b/tests/gateway_process_rig.py
@@ -1,4 +1,4 @@
-"""A JSON-RPC gateway as a process, with scripted workers."""
+"""Runs a JSON-RPC gateway as a process, with scripted workers."""
 
 import os
 import subprocess
@@ -10,14 +10,14 @@
 
 
 class GatewayProcessCase(unittest.TestCase):
-    """Starts gateways, which end with the test."""
+    """Starts gateways, which are killed at the end of the test."""
 
     def serve(self, folder, *plays, deadline="20 s"):
-        """A gateway as a process, with scripted workers."""
+        """Starts a gateway with one scripted worker for each of `plays`; returns its process and its socket's path."""
         peers = [Peer(folder, f"w{number}", play) for number, play in enumerate(plays)]
         for peer in peers:
             self.addCleanup(peer.close)
-        rows = [EndpointRow(f"w{at}", peer.path, None, None, 0, 4.0, "ready", 0) for at, peer in enumerate(peers)]
+        rows = [EndpointRow(f"w{index}", peer.path, None, None, 0, 4.0, "ready", 0) for index, peer in enumerate(peers)]
         with open(os.path.join(folder, "workers.sexp"), "w") as out:
             out.write(format_endpoints(rows))
         with open(os.path.join(folder, "g.sexp"), "w") as out:
--- a/tests/test_client_leaving.py
+++ b/tests/test_client_leaving.py
@@ -1,4 +1,4 @@
-"""Clients that leave, and attempts that outlive their requests: nothing is sent for them and nothing is kept."""
+"""Clients that leave, and attempts that outlive their requests: no more is sent for them, and no state remains."""
 
 import contextlib
 import gc
@@ -20,51 +20,52 @@
     def settings(self, **limits):
         return {**rig.SETTINGS, "limits": {**rig.SETTINGS["limits"], **limits}}
 
-    def test_a_request_that_came_to_one_that_is_to_make_room(self):
-        """All places are taken, and the one of least use has just asked, unread: it is read, and another goes."""
+    def test_an_unread_request_on_the_connection_to_be_evicted(self):
+        """At the limit of connections, the least recently used one has just received a request, not yet read: the
+        request is read, and another connection is evicted."""
         serving = self.front_end(self.worker().address)
         serving.client_server.connection_limit = 3
         clients = [self.client() for _ in range(3)]
-        for at, client in enumerate(clients):
+        for index, client in enumerate(clients):
             client.send(rig.alive(1))
             self.answer(client)
-            next(c for c in serving.client_server.clients.values() if c.number == at + 1).last_used_at = float(at)
-        read, asked = serving.client_server.readable, []
+            next(c for c in serving.client_server.clients.values() if c.number == index + 1).last_used_at = float(index)
+        readable, sent = serving.client_server.readable, []
 
-        def accept():  # between the kernel's word of the new connection and its being taken
-            if not asked:
+        def send_before_accept():  # after the new connection was signalled, before it is accepted
+            if not sent:
                 clients[0].send(rig.dispatch(2, rig.fields(A), b"a"))
-                asked.append(True)
-            read()
+                sent.append(True)
+            readable()
 
-        serving.client_server.readable = accept
-        more = self.client()
-        more.send(rig.alive(1))
+        serving.client_server.readable = send_before_accept
+        new_client = self.client()
+        new_client.send(rig.alive(1))
         self.assertEqual(self.answer(clients[0]), (2, "answer", b"did a"))
-        self.assertEqual(self.answer(more), (1, "good", b""))
+        self.assertEqual(self.answer(new_client), (1, "good", b""))
         self.assertEqual(self.answer(clients[1])[1], "closed")
 
-    def test_what_has_ended_is_free_without_the_collector(self):
-        """Connections of clients and workers that have ended are gone at once: the collector comes rarely."""
+    def test_closed_connections_are_freed_without_the_garbage_collector(self):
+        """Closed connections of clients and workers are freed at once, since the garbage collector runs rarely."""
         serving = self.front_end(self.worker().address)
         client = self.client()
         client.send(rig.dispatch(1, rig.fields(A), b"a"))
         self.answer(client)
         upstream = serving.coordinator.workers.clients["w0"]
-        kept = [
-            weakref.ref(thing)
-            for thing in (upstream.connections[0], next(iter(serving.client_server.clients.values())))
+        references = [
+            weakref.ref(connection)
+            for connection in (upstream.connections[0], next(iter(serving.client_server.clients.values())))
         ]
         gc.disable()
         self.addCleanup(gc.enable)
         client.close()
         self.until(lambda: not serving.client_server.clients)
         upstream.connections[0].end("idle")
-        serving.loop.timers.heap.clear()  # when a connection would have been late
-        self.assertEqual([each() for each in kept], [None, None])
+        serving.loop.timers.heap.clear()  # their timeouts, which refer to the connections
+        self.assertEqual([reference() for reference in references], [None, None])
 
-    def test_who_leaves_while_its_attempt_waits_for_a_connection(self):
-        """(how it leaves, whether attempts may be cancelled): nothing of it goes out when the connection is there."""
+    def test_a_client_leaves_while_its_attempt_waits_for_a_connection(self):
+        """(how the client leaves, whether attempts may be cancelled) -> the attempt is never sent."""
         for cancelling in (True, False):
             for how in ("cancel", "close", "reset", "close after what can't be read"):
                 with self.subTest(how=how, cancelling=cancelling):
@@ -85,7 +86,7 @@
                         if how != "close":
                             client.send(struct.pack(">i", -1))
                             self.until(lambda s=serving: any(c.ending for c in s.client_server.clients.values()))
-                            client.sock.shutdown(socket.SHUT_WR)  # an end, with no reset for what it has not read
+                            client.sock.shutdown(socket.SHUT_WR)  # a FIN, without a reset for unread data
                         else:
                             client.close()
                     self.until(lambda s=serving: s.coordinator.counts["clients_gone"], "its leaving")
@@ -96,7 +97,7 @@
                     self.end()
 
     def test_a_drain_while_an_attempt_waits_for_a_connection(self):
-        """(told how) -> it does not go there when the connection is up, and is answered by another worker."""
+        """(reported state) -> the attempt is not sent there, and another worker answers the request."""
         for state in ("DRAINING", "DELETED"):
             with self.subTest(state):
                 full, other = FullListener(self), self.worker()
@@ -119,54 +120,55 @@
                 self.assertFalse(any(conn.commands_in_flight for conn in upstream.connections))
                 self.end()
 
-    def test_between_two_attempts(self):
-        """The worker answers that it is full as the client closes: no second attempt once both were handled."""
+    def test_a_client_leaves_between_two_attempts(self):
+        """The worker answers that it is full while the client closes: no second attempt once both were handled."""
         serving = self.front_end(self.worker().address)
         client = self.client()
         client.send(rig.dispatch(1, rig.fields(A), b"slow"))
         self.at_worker(1)
         client.close()
-        gone = []
-        take = serving.client_server.post
-        serving.client_server.post = lambda event: (gone.append(type(event)), take(event))
-        self.until(lambda: ClientClosed in gone)
+        posted_types = []
+        post = serving.client_server.post
+        serving.client_server.post = lambda event: (posted_types.append(type(event)), post(event))
+        self.until(lambda: ClientClosed in posted_types)
         sock, parts = self.held.pop()
-        with contextlib.suppress(OSError):  # ended with the attempt
+        with contextlib.suppress(OSError):  # the connection may have been closed with the attempt
             sock.sendall(rig.bulk(parts[1], b"AGAIN", b"-", b""))
         for _ in range(4):
             serving.run_once()
         self.assertEqual((self.held, serving.coordinator.requests.by_id), ([], {}))
 
-    def test_a_reset_under_an_answer(self):
-        """The client's reset has come, unread, when the answer is written: its connection ends alone."""
+    def test_a_reset_before_an_answer_is_written(self):
+        """A client's reset has arrived, but was not read, when its answer is written: only its connection ends."""
         serving = self.front_end(self.worker().address)
-        bad, good = self.client(), self.client()
-        bad.send(rig.dispatch(1, rig.fields(A), b"slow"))
+        resetting, waiting = self.client(), self.client()
+        resetting.send(rig.dispatch(1, rig.fields(A), b"slow"))
         self.at_worker(1)
-        good.send(rig.dispatch(1, rig.fields(B), b"slow"))
+        waiting.send(rig.dispatch(1, rig.fields(B), b"slow"))
         self.at_worker(2)
-        reset(bad.sock)
+        reset(resetting.sock)
         self.answer_held()
         self.answer_held(b"second")
-        self.assertEqual(self.answer(good), (1, "answer", b"second"))
+        self.assertEqual(self.answer(waiting), (1, "answer", b"second"))
         self.until(lambda: len(serving.client_server.clients) == 1)
         self.assertEqual((serving.client_server.open, serving.coordinator.requests.by_id, self.faults()), ({}, {}, []))
 
-    def test_nothing_more_of_a_request_that_was_answered(self):
-        """A attempt that has not begun as another one answers never goes out."""
+    def test_an_unsent_attempt_of_an_answered_request_is_withdrawn(self):
+        """An attempt that was not sent when another one is answered is never sent."""
         command = Mock()
         command.worker_client.withdraw_unsent.return_value = True
         self.front_end(self.worker().address)
-        ask = Mock(commands={"one": command}, router_id=None)
-        ask.succeed.__name__ = "succeed"
-        self.serving.coordinator.requests.answer(ask, Success(b"", 1))
+        pending = Mock(commands={"one": command}, router_id=None)
+        pending.succeed.__name__ = "succeed"
+        self.serving.coordinator.requests.answer(pending, Success(b"", 1))
         command.worker_client.withdraw_unsent.assert_called_once_with(command)
 
 
 class WithoutCancel(FrontEndCase):
-    """Attempts past their time where workers accept no cancel."""
+    """Attempts past their deadline where workers accept no cancels."""
 
-    def test_an_attempt_over_its_time_is_left_alone_and_its_place_is_free_later(self):
+    def test_an_attempt_past_its_deadline_is_not_cancelled_and_frees_its_connection_later(self):
+        """The request fails at its deadline; the attempt stays in flight and is abandoned later."""
         limits = {**rig.SETTINGS["limits"], "cancelling": False}
         worker = self.worker()
         serving = self.front_end(worker.address, settings={**rig.SETTINGS, "limits": limits})
--- a/tests/test_coordinator.py
+++ b/tests/test_coordinator.py
@@ -1,4 +1,4 @@
-"""Requests through a gateway of the tests: their final answers, cancels, payloads, workers that do not read."""
+"""Requests through an in-process gateway: final answers, cancels, large payloads, and workers that do not read."""
 
 import threading
 import time
@@ -11,17 +11,17 @@
 
 
 class FinalAnswers(unittest.TestCase):
-    """The final answer of each request, whatever its attempts and its client do."""
+    """Each request gets exactly one final answer, regardless of how its attempts end or what its client does."""
 
     def test_the_final_answer(self):
-        """(workers, method) -> the final answer and its reason, before the client's time is up."""
-        for name, workers, method, answer, why in (
+        """(workers, method) -> the final answer and its reason, received before the client's deadline."""
+        for name, workers, method, answer, reason in (
             ("served", (willing,), "idem", "ok", None),
             ("silent", (silent,), "idem", "denied", "cancelled timeout"),
             ("silent, side-effecting", (silent,), "side", "aborted", "timeout"),
-            ("just after its time", (answers_after(5),), "side", "aborted", "timeout"),
-            ("a byte a time", (a_byte_a_time,), "side", "aborted", "timeout"),
-            ("dies, side-effecting", (dies_on_run,), "side", "aborted", "cut"),
+            ("answers just after the deadline", (answers_after(5),), "side", "aborted", "timeout"),
+            ("answers byte by byte", (a_byte_a_time,), "side", "aborted", "timeout"),
+            ("disconnects, side-effecting", (dies_on_run,), "side", "aborted", "cut"),
             ("fails, side-effecting", (refuses(worker_messages.FAILED),), "side", "aborted", "error"),
             ("full, side-effecting", (refuses(worker_messages.FULL),), "side", "denied", "full"),
             ("no worker", (), "idem", "denied", "no-place"),
@@ -34,15 +34,15 @@
                 elapsed = (time.monotonic() - began_at) * 1000
                 data = received["result"] if "result" in received else received["error"]["data"]
                 self.assertEqual(data["answer"], answer)
-                self.assertIn(data.get("why", ""), why or "")
+                self.assertIn(data.get("why", ""), reason or "")
                 self.assertLess(elapsed, 900)
                 client.sock.settimeout(0.3)
                 with self.assertRaises(TimeoutError):
-                    client.answer()  # and nothing after
+                    client.answer()  # there is no second answer
                 client.close()
 
     def test_a_client_that_leaves(self):
-        """One that disconnects, or cancels, has its request forgotten; the worker receives the cancel."""
+        """The request of a client that disconnects or cancels is removed, and the worker receives the cancel."""
         for how in ("hang up", "cancel"):
             cancelled = threading.Event()
 
@@ -69,11 +69,11 @@
                 self.assertTrue(cancelled.wait(LONG))
                 self.assertTrue(until(lambda running=running: not running.coordinator.requests.by_id))
                 if how == "cancel":
-                    client.ask("x")  # the id is free again
+                    client.ask("x")  # the id can be used again
                 client.close()
 
     def test_an_answer_after_the_cancel(self):
-        """An answer is not sent once the cancel was read, since its id may be in use again."""
+        """An answer is not sent once the request's cancel was read, since the client may have reused the id."""
         with Running((silent,)) as running:
             client = running.client()
             client.ask("x")
@@ -89,7 +89,7 @@
             client.close()
 
     def test_no_cancels(self):
-        """Where nothing may be cancelled, an attempt that never ends is abandoned at its request's deadline."""
+        """Where the settings allow no cancels, an attempt that never ends is abandoned at its request's deadline."""
         with Running((silent,), deadline="700 ms", soft="600 ms", more="(call-outs (cancel no))") as running:
             client = running.client()
             client.ask(1)
@@ -98,10 +98,10 @@
             self.assertTrue(until(lambda: not running.coordinator.requests.by_id))
 
     def test_large_payloads(self):
-        """A payload of megabytes is passed on unchanged, to the worker and back."""
+        """A payload of megabytes is passed unchanged to the worker and back."""
 
         def echo(sock, number):
-            # It answers health checks as well: on a slow machine one that does not is checked again each time.
+            # Answers health checks too: on a slow machine a worker that does not is checked again and again.
             willing(sock, number, lambda request: jsonrpc.encode(request["input"]))
 
         with Running((echo,), deadline="60 s", soft="50 s") as running:
@@ -112,9 +112,9 @@
             client.close()
 
     def test_a_worker_that_reads_nothing(self):
-        """An attempt that is to end there can't be cancelled: its connection is ended for it, and others go on."""
+        """An attempt whose cancel can't be written, since the worker does not read, has its connection closed."""
 
-        def deaf(sock, number):
+        def worker_that_does_not_read(sock, number):
             request = b""
             while not request.endswith(b"\n"):
                 request += sock.recv(1)
@@ -126,7 +126,7 @@
             )
             threading.Event().wait(60)
 
-        with Running((deaf,), deadline="60 s", soft="50 s") as running:
+        with Running((worker_that_does_not_read,), deadline="60 s", soft="50 s") as running:
             client = running.client()
             client.ask(1, input="x" * (8 << 20))
             self.assertTrue(until(lambda: any(ask.commands for ask in running.coordinator.requests.by_id.values())))
--- a/tests/test_coordinator_faults.py
+++ b/tests/test_coordinator_faults.py
@@ -1,4 +1,4 @@
-"""Handling of a single event or decision raises: the other requests are served."""
+"""An exception while one event or decision is handled does not affect the other requests."""
 
 import unittest
 from unittest.mock import Mock, patch
@@ -10,24 +10,26 @@
 
 
 class CoordinatorFaults(TimedFrontEndCase):
-    """A fault in the coordinator costs no request its final answer."""
+    """Every request gets its final answer, also after an exception in the coordinator."""
 
-    def after(self, milliseconds):
+    def advance(self, milliseconds):
         for _ in range(milliseconds // 50):
             self.run_once()
             self.now += 50
 
-    def test_the_module_breaks_as_it_is_told_of_it(self):
+    def test_the_router_raises_on_a_new_request(self):
+        """The request is failed as a fault after its deadline."""
         serving = self.front_end(self.worker())
         client = self.idle_client()
         with patch.object(serving.coordinator.router, "request_received", side_effect=ZeroDivisionError):
             self.send(client, rig.dispatch(2, rig.fields(A), b"a"))
             self.until(lambda: serving.coordinator.counts["faults"] == 1, "the fault")
-        self.after(1600)
+        self.advance(1600)
         self.assertEqual(self.answer(client)[1], "fault")
         self.assertEqual(serving.coordinator.requests.by_id, {})
 
-    def test_the_coordinator_breaks_before_it_has_taken_it(self):
+    def test_an_exception_before_a_request_is_admitted(self):
+        """The request is rejected at once."""
         serving = self.front_end(self.worker())
         client = self.idle_client()
         serving.coordinator.requests.isolation = Mock(rejection=Mock(side_effect=ZeroDivisionError))
@@ -38,28 +40,30 @@
             (1, {}, {}),
         )
 
-    def test_one_decision_that_breaks_keeps_no_other_back(self):
+    def test_an_exception_in_one_decision_delays_no_other(self):
+        """Of three decisions in one round the first raises: the other two requests are answered."""
         serving = self.front_end(self.worker())
         clients = [self.idle_client() for _ in range(3)]
-        verb, broken = serving.coordinator.actions[Forward], []
+        forward, failed_requests = serving.coordinator.actions[Forward], []
 
-        def call(decision):
-            if not broken:
-                broken.append(decision.request)
+        def forward_after_one_failure(decision):
+            if not failed_requests:
+                failed_requests.append(decision.request)
                 raise ZeroDivisionError
-            verb(decision)
+            forward(decision)
 
-        serving.coordinator.actions[Forward] = call
+        serving.coordinator.actions[Forward] = forward_after_one_failure
         for number, client in enumerate(clients):
             self.send(client, rig.dispatch(2, rig.fields(f"{number:016x}"), b"a"))
-        serving.client_server.read_clients()  # all three are decided in one pull
+        serving.client_server.read_clients()  # so that all three are decided in one round
         for client in clients[1:]:
             self.assertEqual(self.answer(client)[1], "answer")
-        self.after(1600)
+        self.advance(1600)
         self.assertIn(self.answer(clients[0])[1], ("shed", "fault"))
         self.assertEqual(serving.coordinator.requests.by_id, {})
 
-    def test_an_answer_goes_out_where_taking_back_breaks(self):
+    def test_an_answer_is_sent_although_withdrawing_raises(self):
+        """An exception while the other attempts are withdrawn does not suppress the answer."""
         serving = self.front_end(self.worker())
         client = self.idle_client()
         with patch.object(serving.coordinator.requests, "withdraw_unsent", side_effect=ZeroDivisionError):
--- a/tests/test_gateway_shutdown.py
+++ b/tests/test_gateway_shutdown.py
@@ -1,4 +1,4 @@
-"""A gateway as a process: SIGTERM, a second signal, and the ownership of its socket."""
+"""The shutdown of a gateway process: SIGTERM, a second signal, and the ownership of its socket."""
 
 import os
 import signal
@@ -15,39 +15,39 @@
 
 
 class Shutdown(GatewayProcessCase):
-    """Signals that end a gateway, and who owns its socket."""
+    """Signals that stop a gateway, and the ownership of its socket."""
 
     def test_open_requests_are_answered(self):
-        """SIGTERM: open requests get their answers, later ones are rejected, exit 0, no socket file left."""
-        go = threading.Event()
+        """After SIGTERM open requests are answered, later ones are rejected, the exit code is 0, the socket removed."""
+        may_answer = threading.Event()
 
         def slow(sock, number):
             source = lines_of(sock)
             hello(sock, source)
             for request in source:
                 if request["method"] == "run":
-                    go.wait(LONG)
+                    may_answer.wait(LONG)
                     sock.sendall(ok(request["id"]))
 
         with tempfile.TemporaryDirectory(prefix="wd-") as folder:
             process, path = self.serve(folder, slow)
             client = Client(path)
             client.ask(1, "side")
-            self.assertTrue(until(lambda: go.is_set() or client.sock is not None))
+            self.assertTrue(until(lambda: may_answer.is_set() or client.sock is not None))
             time.sleep(0.3)
             process.send_signal(signal.SIGTERM)
             self.assertTrue(until(lambda: not os.path.exists(path)))
             client.ask(2, "side")
             received = client.answer()
             self.assertEqual((received["id"], received["error"]["data"]["why"]), (2, "stopping"))
-            go.set()
+            may_answer.set()
             received = client.answer()
             self.assertEqual((received["id"], received["result"]["answer"]), (1, "ok"))
             self.assertEqual(process.wait(LONG), 0)
             client.close()
 
     def test_a_second_signal(self):
-        """It ends the process at once, with exit 1."""
+        """A second signal ends the process at once, with exit code 1."""
         with tempfile.TemporaryDirectory(prefix="wd-") as folder:
             process, path = self.serve(folder, silent, deadline="3600 s")
             client = Client(path)
@@ -60,7 +60,7 @@
             client.close()
 
     def test_the_owner_of_a_socket(self):
-        """A socket in use is kept; one that a killed process left is replaced; a file is not touched."""
+        """A socket in use is not replaced, one that a killed process left behind is, and a regular file is kept."""
         with tempfile.TemporaryDirectory(prefix="wd-") as folder:
             process, path = self.serve(folder, silent)
             with self.assertRaisesRegex(AddressInUseError, "somebody live"):
@@ -68,15 +68,15 @@
             process.kill()
             process.wait()
             self.assertTrue(os.path.exists(path))
-            sock, held = listener(path)
+            sock, lock_file = listener(path)
             sock.close()
-            held.close()
-            plain = os.path.join(folder, "plain")
-            with open(plain, "w") as out:
+            lock_file.close()
+            regular_file = os.path.join(folder, "plain")
+            with open(regular_file, "w") as out:
                 out.write("x")
             with self.assertRaisesRegex(AddressInUseError, "no socket"):
-                listener(plain)
-            self.assertTrue(os.path.exists(plain))
+                listener(regular_file)
+            self.assertTrue(os.path.exists(regular_file))
 
 
 if __name__ == "__main__":
--- a/tests/test_gateway_stopped.py
+++ b/tests/test_gateway_stopped.py
@@ -1,4 +1,7 @@
-"""A JSON-RPC gateway as a process that is stopped for a while: what arrives meanwhile counts from when it arrived."""
+"""A JSON-RPC gateway process that is stopped by SIGSTOP for a while.
+
+The time limit of a request that arrives meanwhile counts from its arrival, not from when the gateway reads it.
+"""
 
 import os
 import signal
@@ -12,20 +15,20 @@
 from wickdyke.protocol import jsonrpc, worker_messages
 
 STOP_SECONDS = 0.7
-SHORT_MS = 400  # is over before the process runs again
-LONG_MS = 3000
-SLACK_MS = 150  # by which the time passed on may exceed what is left
+SHORT_LIMIT_MS = 400  # a time limit that expires while the process is stopped
+LONG_LIMIT_MS = 3000
+SLACK_MS = 150  # by which the time limit passed to a worker may exceed the remaining time
 CLIENTS = 10
 
 
 class StoppedGateway(GatewayProcessCase):
-    """SIGSTOP, then SIGCONT."""
+    """Requests to a gateway that is stopped with SIGSTOP and continued with SIGCONT."""
 
     def setUp(self):
-        self.runs = {}  # what a worker was told of the time left (ms), by the call's id
-        self.run_count = 0
-        self.held = []  # attempts that a worker has not answered: (socket, number)
-        self.holds = False
+        self.received_limits = {}  # the time left (ms) that a worker received, by the request's id
+        self.attempt_count = 0
+        self.unanswered_attempts = []  # attempts that a worker has not answered: (socket, id)
+        self.holds_answers = False
         self.lock = threading.Lock()
         folder = tempfile.TemporaryDirectory(prefix="wd-")
         self.addCleanup(folder.cleanup)
@@ -33,17 +36,17 @@
         self.assertEqual(self.final(self.client(), 0), "ok")  # the worker is connected
 
     def play(self, sock, number):
-        """A worker that notes what it is sent and answers at once, unless attempts are held."""
+        """A worker that records the attempts it receives, and answers at once unless `holds_answers` is set."""
         source = lines_of(sock)
         hello(sock, source)
         for request in source:
             if request["method"] == "run":
                 params = request["params"]
                 with self.lock:
-                    self.runs[params["input"]["n"]] = params["time_left_ms"]
-                    self.run_count += 1
-                    if self.holds:
-                        self.held.append((sock, request["id"]))
+                    self.received_limits[params["input"]["n"]] = params["time_left_ms"]
+                    self.attempt_count += 1
+                    if self.holds_answers:
+                        self.unanswered_attempts.append((sock, request["id"]))
                         continue
                 sock.sendall(ok(request["id"]))
 
@@ -53,7 +56,7 @@
         return client
 
     def final(self, client, ident, **more):
-        """How a call ends: ok, or the reason of its rejection."""
+        """Sends a request and returns its result: ok, or the reason of its rejection."""
         client.ask(ident, **more)
         return self.outcome(client)
 
@@ -61,8 +64,8 @@
         received = client.answer()
         return received["result"]["answer"] if "result" in received else received["error"]["data"]["why"]
 
-    def stopped(self, act):
-        """Does that while the process does not run."""
+    def while_stopped(self, act):
+        """Calls `act` while the process is stopped."""
         self.process.send_signal(signal.SIGSTOP)
         os.waitpid(self.process.pid, os.WUNTRACED)
         began_at = time.monotonic()
@@ -74,63 +77,64 @@
         for ident, client in enumerate(clients, 1):
             client.ask(ident, time_left_ms=time_left, **more)
 
-    def test_calls_whose_time_is_up_are_rejected(self):
-        """(the connections are open, or made in the stop)"""
+    def test_requests_whose_time_limit_has_expired_are_rejected(self):
+        """(whether the connections are opened while the process is stopped, or before)"""
         for new in (False, True):
             with self.subTest(new=new):
                 clients = [] if new else [self.client() for _ in range(CLIENTS)]
 
                 def act(clients=clients):
                     clients += [self.client() for _ in range(CLIENTS - len(clients))]
-                    self.ask_all(clients, SHORT_MS)
+                    self.ask_all(clients, SHORT_LIMIT_MS)
 
-                self.stopped(act)
+                self.while_stopped(act)
                 self.assertEqual([self.outcome(client) for client in clients], ["no-time"] * CLIENTS)
-                self.assertEqual(set(self.runs), {0})
+                self.assertEqual(set(self.received_limits), {0})
 
-    def test_what_is_left_is_passed_on(self):
+    def test_the_remaining_time_is_passed_on(self):
+        """(whether the connections are opened while the process is stopped) -> workers receive the remaining time."""
         for new in (False, True):
             with self.subTest(new=new):
-                self.runs.clear()
+                self.received_limits.clear()
                 clients = [] if new else [self.client() for _ in range(CLIENTS)]
 
                 def act(clients=clients):
                     clients += [self.client() for _ in range(CLIENTS - len(clients))]
-                    self.ask_all(clients, LONG_MS)
+                    self.ask_all(clients, LONG_LIMIT_MS)
 
-                self.stopped(act)
+                self.while_stopped(act)
                 self.assertEqual([self.outcome(client) for client in clients], ["ok"] * CLIENTS)
-                self.assertLessEqual(max(self.runs.values()), LONG_MS - STOP_SECONDS * 1000 + SLACK_MS)
+                self.assertLessEqual(max(self.received_limits.values()), LONG_LIMIT_MS - STOP_SECONDS * 1000 + SLACK_MS)
 
-    def test_calls_after_the_stop_have_all_their_time(self):
-        """On connections that were silent in it, and on those that were answered after it."""
+    def test_requests_after_the_stop_have_their_full_time(self):
+        """On connections that were silent during the stop, and on those whose request was answered after it."""
         silent, busy = self.client(), self.client()
-        self.stopped(lambda: busy.ask(1, time_left_ms=LONG_MS))
+        self.while_stopped(lambda: busy.ask(1, time_left_ms=LONG_LIMIT_MS))
         self.assertEqual(self.outcome(busy), "ok")
-        self.assertEqual(self.final(busy, 2, time_left_ms=SHORT_MS), "ok")
-        self.assertEqual(self.final(silent, 3, time_left_ms=SHORT_MS), "ok")
+        self.assertEqual(self.final(busy, 2, time_left_ms=SHORT_LIMIT_MS), "ok")
+        self.assertEqual(self.final(silent, 3, time_left_ms=SHORT_LIMIT_MS), "ok")
 
     def test_no_retry_for_clients_that_left(self):
-        """In the stop their first attempts end as full, and they close."""
+        """During the stop the first attempts end as full and the clients close: no second attempt is made."""
         clients = [self.client() for _ in range(CLIENTS)]
-        self.holds = True
-        self.ask_all(clients, 2 * LONG_MS)
-        self.assertTrue(until(lambda: len(self.held) == CLIENTS))
-        self.holds = False
-        before = self.run_count
+        self.holds_answers = True
+        self.ask_all(clients, 2 * LONG_LIMIT_MS)
+        self.assertTrue(until(lambda: len(self.unanswered_attempts) == CLIENTS))
+        self.holds_answers = False
+        attempts_before = self.attempt_count
 
         def act():
-            for sock, number in self.held:
+            for sock, number in self.unanswered_attempts:
                 sock.sendall(jsonrpc.error_response(number, worker_messages.FULL, "full", b"{}") + b"\n")
             for client in clients:
                 client.sock.close()
 
-        self.stopped(act)
+        self.while_stopped(act)
         self.assertEqual(self.final(self.client(), 0), "ok")
-        self.assertFalse(until(lambda: self.run_count > before + 1, 0.5))
+        self.assertFalse(until(lambda: self.attempt_count > attempts_before + 1, 0.5))
 
     def test_clients_that_left(self):
-        """(how) -> their calls reach no worker."""
+        """(how clients leave, whether they connect during the stop) -> their requests reach no worker."""
         for how in ("close", "cancel"):
             for new in (False, True):
                 with self.subTest(how=how, new=new):
@@ -138,16 +142,16 @@
 
                     def act(how=how, clients=clients):
                         clients += [self.client() for _ in range(CLIENTS - len(clients))]
-                        self.ask_all(clients, LONG_MS)
+                        self.ask_all(clients, LONG_LIMIT_MS)
                         for ident, client in enumerate(clients, 1):
                             if how == "close":
                                 client.sock.close()
                             else:
                                 client.send(jsonrpc.notification_line("cancel", b'{"id":%d}' % ident))
 
-                    self.stopped(act)
+                    self.while_stopped(act)
                     self.assertEqual(self.final(self.client(), 0), "ok")
-                    self.assertFalse(until(lambda: set(self.runs) != {0}, 0.2))
+                    self.assertFalse(until(lambda: set(self.received_limits) != {0}, 0.2))
 
 
 if __name__ == "__main__":
--- a/tests/test_isolation.py
+++ b/tests/test_isolation.py
@@ -1,4 +1,4 @@
-"""The circuit breaker in a gateway: functions that load nowhere, and requests that end replicas."""
+"""The circuit breaker in a gateway: functions that fail to load on every worker, and requests that crash replicas."""
 
 import functools
 import socket
@@ -12,18 +12,18 @@
 
 
 class Isolation(unittest.TestCase):
-    """Functions that load nowhere and requests that end replicas."""
+    """Functions that fail to load on every worker, and requests that crash replicas or workers."""
 
     @staticmethod
-    def worker(sock, number, seen, refuse):
-        """Answers with the error code of `refuse`, or succeeds; counts attempts by function and input."""
+    def worker(sock, number, attempt_counts, error_code):
+        """Answers with the code that `error_code(run)` returns, or succeeds; counts attempts by function and input."""
         source = lines_of(sock)
         hello(sock, source)
         for request in source:
             if request["method"] == "run":
                 run = request["params"]
-                seen[run["program"], run["input"]["n"]] += 1
-                code = refuse(run)
+                attempt_counts[run["program"], run["input"]["n"]] += 1
+                code = error_code(run)
                 sock.sendall(
                     jsonrpc.error_response(
                         request["id"], code, "no", b'{"inside":1}' if code == worker_messages.REPLICA_ENDED else b"{}"
@@ -37,20 +37,21 @@
             elif request["method"] == "probe":
                 sock.sendall(jsonrpc.result_response(request["id"], b"{}") + b"\n")
 
-    def running(self, seen, refuse, more):
-        peer = functools.partial(self.worker, seen=seen, refuse=refuse)
+    def running(self, attempt_counts, error_code, more):
+        """A gateway with three such workers; `more` is added to its settings."""
+        peer = functools.partial(self.worker, attempt_counts=attempt_counts, error_code=error_code)
         return Running((peer, peer, peer), soft="1 s", deadline="5 s", more=more)
 
     def test_a_function_that_loads_nowhere(self):
-        """It is rejected at once with a time to retry after, tried now and then, and accepted once it loads; others go
-        on meanwhile."""
-        seen, broken = Counter(), threading.Event()
-        broken.set()
+        """Its requests are rejected at once with a time to retry after; it is tried again at intervals and accepted
+        once it loads. Requests for other functions are answered meanwhile."""
+        attempt_counts, fails_to_load = Counter(), threading.Event()
+        fails_to_load.set()
 
-        def refuse(run):
-            return worker_messages.MISS if run["program"] == "pbad" and broken.is_set() else None
+        def error_code(run):
+            return worker_messages.MISS if run["program"] == "pbad" and fails_to_load.is_set() else None
 
-        with self.running(seen, refuse, "(isolation (loads (first 400 ms) (most 400 ms)))") as running:
+        with self.running(attempt_counts, error_code, "(isolation (loads (first 400 ms) (most 400 ms)))") as running:
             client = running.client()
             for ident in range(40):
                 client.ask(ident, program="pbad")
@@ -59,28 +60,28 @@
                 if data["why"] == "load-failed":
                     self.assertLessEqual(0, data["retry_after_ms"])
             self.assertGreater(running.coordinator.counts["turned_away_load-failed"], 20)
-            self.assertLess(sum(seen.values()), 20)
+            self.assertLess(sum(attempt_counts.values()), 20)
             client.ask("other", program="pgood")
             self.assertEqual(client.answer()["result"]["answer"], "ok")
-            broken.clear()
+            fails_to_load.clear()
 
             def is_accepted():
                 client.ask("again", program="pbad")
                 return "result" in client.answer()
 
             self.assertTrue(until(is_accepted))
-            # The line is written beside the answer.
+            # Another thread writes the log line, perhaps after the answer.
             self.assertTrue(until(lambda: "function breaker closed" in running.log_output.getvalue()))
             client.close()
 
     def test_a_request_that_ends_replicas(self):
-        """(method, replicas) -> attempts that the request gets before it is rejected; others of its function go on."""
+        """(method, replicas) -> the attempts before the request is rejected; others of its function are answered."""
         for method, replicas, max_attempts in (("idem", 2, 2), ("idem", 4, 4), ("side", 2, 2)):
-            seen = Counter()
+            attempt_counts = Counter()
             with (
                 self.subTest(method=method, replicas=replicas),
                 self.running(
-                    seen,
+                    attempt_counts,
                     lambda run: worker_messages.REPLICA_ENDED if run["input"]["n"] == "bad" else None,
                     f"(isolation (calls (copies {replicas}) (first 1 min)))",
                 ) as running,
@@ -90,18 +91,18 @@
                 for ident in range(8):
                     client.ask(ident, method, program="p", input={"n": "bad"})
                     answers.append(client.answer()["error"]["data"])
-                self.assertEqual(seen["p", "bad"], max_attempts)
+                self.assertEqual(attempt_counts["p", "bad"], max_attempts)
                 self.assertEqual((answers[-1]["answer"], answers[-1]["why"]), ("denied", "poison"))
                 self.assertGreater(answers[-1]["retry_after_ms"], 1000)
-                if method == "side":  # its first ones may have run, and fail
-                    self.assertEqual([each["answer"] for each in answers[:2]], ["aborted", "aborted"])
+                if method == "side":  # an attempt may have run, so the request fails instead of being rejected
+                    self.assertEqual([answer["answer"] for answer in answers[:2]], ["aborted", "aborted"])
                 client.ask("fine", method, program="p", input={"n": "fine"})
                 self.assertEqual(client.answer()["result"]["answer"], "ok")
                 client.close()
 
     def test_a_request_that_ends_workers(self):
-        """A lost connection counts against its request only where the worker restarted.
-        (whether it restarts) -> whether the breaker opens"""
+        """A lost connection counts against its request only if the worker has restarted.
+        (whether the worker restarts) -> whether the breaker opens"""
         for restarts, opens in ((True, True), (False, False)):
             with self.subTest(restarts=restarts):
 
--- a/tests/test_recordings.py
+++ b/tests/test_recordings.py
@@ -1,4 +1,4 @@
-"""Recordings of a gateway, replayed."""
+"""Recordings of a gateway: replay, and a disk that is too slow."""
 
 import gzip
 import os
@@ -14,10 +14,10 @@
 
 
 class Recordings(unittest.TestCase):
-    """Recordings replayed, and a disk that is too slow for them."""
+    """Recordings are replayed, and end where the disk is too slow."""
 
     def test_replay(self):
-        """The same inputs give the same decisions, without sockets; a decision changed by hand is found."""
+        """The same inputs give the same decisions without sockets; a decision that was altered is reported."""
         with Running(
             (willing, refuses(worker_messages.FULL), dies_on_run, silent), soft="300 ms", deadline="800 ms", record=True
         ) as running:
@@ -33,18 +33,18 @@
             with open(running.config.recording_path, "rb") as source:
                 lines = source.readlines()
             running.coordinator.events.put(None)
-            alike, differs = recording.replay(lines)
-            self.assertIsNone(differs)
-            self.assertGreater(alike, 150)
-            at = next(n for n, line in enumerate(lines) if line.startswith(b'["decided",["forward"'))
-            changed = [*lines[:at], lines[at].replace(b'"w', b'"x'), *lines[at + 1 :]]
+            matched, difference = recording.replay(lines)
+            self.assertIsNone(difference)
+            self.assertGreater(matched, 150)
+            index = next(n for n, line in enumerate(lines) if line.startswith(b'["decided",["forward"'))
+            changed = [*lines[:index], lines[index].replace(b'"w', b'"x'), *lines[index + 1 :]]
             self.assertIn("decided", recording.replay(changed)[1])
-            cut_off = [*lines[:-1], lines[-1][:5]]
-            self.assertIsNone(recording.replay(cut_off)[1])
-            running.gateway.coordinator.close = lambda: None  # ended already
+            truncated = [*lines[:-1], lines[-1][:5]]
+            self.assertIsNone(recording.replay(truncated)[1])
+            running.gateway.coordinator.close = lambda: None  # already closed
 
     def test_unknown_load_note_is_replayed(self):
-        """A gateway passes a load note on as the worker wrote it, so a recording may hold any word."""
+        """A gateway passes a worker's load note on unchanged, so a recording may contain any text as one."""
         path = os.path.join(os.path.dirname(__file__), "recordings", "routes-1.gz")
         with gzip.open(path) as source:
             lines = source.readlines()
@@ -53,7 +53,7 @@
         self.assertGreater(recording.replay(changed)[0], 0)
 
     def test_a_disk_that_is_too_slow(self):
-        """A recording that can't be written as fast ends, with a mark; nothing waits for it."""
+        """A recording that is written too slowly is ended with an end marker, and its callers never block."""
         with (
             tempfile.TemporaryDirectory(prefix="wd-") as folder,
             unittest.mock.patch.object(recording, "MAX_QUEUED_ENTRIES", 50),
@@ -61,17 +61,17 @@
             path = os.path.join(folder, "fifo")
             os.mkfifo(path)
             reader = os.open(path, os.O_RDONLY | os.O_NONBLOCK)
-            made = recording.DecisionRecorder(path)
+            recorder = recording.DecisionRecorder(path)
             for at in range(100000):
-                made.record_input(float(at), "left", ("x" * 100,))
-                if made.has_ended:
+                recorder.record_input(float(at), "left", ("x" * 100,))
+                if recorder.has_ended:
                     break
-            self.assertTrue(made.has_ended)
+            self.assertTrue(recorder.has_ended)
             os.set_blocking(reader, True)
             received: list[bytes] = []
             drain = threading.Thread(target=lambda: received.extend(iter(lambda: os.read(reader, 1 << 16), b"")))
             drain.start()
-            made.close()
+            recorder.close()
             drain.join(LONG)
             os.close(reader)
             lines = b"".join(received).splitlines(keepends=True)
--- a/tests/test_work_held_back.py
+++ b/tests/test_work_held_back.py
@@ -1,4 +1,4 @@
-"""Work that was decided while its worker was known to be ready, and leaves the process later or not at all."""
+"""Commands that were decided while their worker was known to be ready, but are sent later or not at all."""
 
 import socket
 import unittest
@@ -15,13 +15,14 @@
 from wickdyke.routing.model import Outcome
 from wickdyke.routing.readiness import NOTIFIED_AFTER
 
-GRACE = rig.SETTINGS["rules"]["stop-sending-within"] / 1000  # ms
+STOP_SENDING_WITHIN = rig.SETTINGS["rules"]["stop-sending-within"] / 1000  # ms
 
 
 class LeaseWhileConnecting(SteppedClockCase):
-    """The lease runs out while an attempt waits for its connection."""
+    """The discovery lease expires while an attempt waits for its connection."""
 
-    def test_it_does_not_go_out_when_the_connection_is_made(self):
+    def test_the_attempt_is_not_sent_when_the_connection_is_established(self):
+        """The attempt ends as unsent."""
         full = FullListener(self)
         settings = {**rig.SETTINGS, "limits": {**rig.SETTINGS["limits"], "dial-timeout": 60000000}}
         serving = self.front_end(full.address, settings=settings)
@@ -31,30 +32,31 @@
         upstream = serving.coordinator.workers.clients["w0"]
         self.until(lambda: any(connection.pending for connection in upstream.connections))
         (waiting,) = [connection for connection in upstream.connections if connection.pending]
-        self.now += NOTIFIED_AFTER + GRACE
+        self.now += NOTIFIED_AFTER + STOP_SENDING_WITHIN
         for dialled in full.first:
             dialled.close()
         full.sock.setblocking(False)
 
-        def made():
+        def is_established():
             with suppress(BlockingIOError):
                 full.taken.append(full.sock.accept()[0])
             return waiting.up
 
-        self.until(made, "the connection")
+        self.until(is_established, "the connection")
         in_flight = [command for connection in upstream.all_connections() for command in connection.open.values()]
         self.assertEqual([command for command in in_flight if command.kind == CommandKind.ATTEMPT], [])
         self.until(lambda: serving.coordinator.counts["attempts_unsent"], "the end of the attempt")
 
 
 class SilentDiscovery(SteppedClockCase):
-    """What the front end answers where no worker proves ready."""
+    """The answers of the front end where discovery is silent and no worker proves ready."""
 
     def silent_worker(self):
         """A worker that answers no health check."""
         return self.made(rig.Worker(lambda worker, sock, parts: parts[0] == b"gauges"))
 
     def test_requests_are_rejected_in_time_with_the_reason(self):
+        """A request is rejected before its deadline, counted under the reason, and no attempt is sent."""
         worker = self.silent_worker()
         serving = self.front_end(worker.address)
         client = self.client()
@@ -64,15 +66,17 @@
         self.assertEqual(serving.coordinator.counts["rejected_discovery-lost"], 1)
         self.assertEqual(worker.received(b"invoke"), [])
 
-    def test_one_that_says_that_it_is_not_ready_gets_nothing(self):
+    def test_a_worker_that_reports_that_it_is_not_ready_gets_no_commands(self):
+        """Neither attempts nor prewarms are sent to it, also after another worker is ready."""
+
         def draining(worker, sock, parts):
             if parts[0] != b"gauges":
                 return False
             sock.sendall(rig.bulk(parts[1], b"AILING", b"-", b""))
             return True
 
-        drains = [self.made(rig.Worker(draining)) for _ in range(3)]
-        serving = self.front_end(*(worker.address for worker in drains))
+        not_ready = [self.made(rig.Worker(draining)) for _ in range(3)]
+        serving = self.front_end(*(worker.address for worker in not_ready))
         client = self.client()
         client.send(request(1))
         self.assertEqual(self.final(client, 1500)[:2], (1, "shed"))
@@ -82,17 +86,20 @@
         for number in range(2, 9):
             client.send(request(number))
             self.assertEqual(self.final(client, 1500), (number, "answer", b"did x"))
-        self.assertEqual([worker.received(b"invoke") + worker.received(b"prewarm") for worker in drains], [[], [], []])
+        self.assertEqual(
+            [worker.received(b"invoke") + worker.received(b"prewarm") for worker in not_ready], [[], [], []]
+        )
         self.assertEqual(self.faults(), [])
 
 
 class ProcessesBehindConnections(LoopCase):
-    """What the connections to a worker show of its process."""
+    """What the connections to a worker tell about its process: whether it may have been replaced by a new one."""
 
     def client(self, play=None):
+        """Starts a scripted worker and returns a client of it."""
         self.worker = rig.Worker(play)
         self.addCleanup(self.worker.close)
-        made = worker_client.WorkerClient(
+        client = worker_client.WorkerClient(
             "w",
             self.worker.address,
             lambda event: self.recorded.append(plain(event)),
@@ -100,19 +107,19 @@
             connection_pool.ConnectionPool(20),
             worker_client.WorkerClientSettings(5000.0, 10000.0, ()),
         )
-        self.addCleanup(made.close)
-        return made
+        self.addCleanup(client.close)
+        return client
 
     def check(self, client, number):
-        """A health check; its result."""
-        before = len(self.recorded)
+        """Sends a health check and returns its result."""
+        events_before = len(self.recorded)
         tag = b"t%d" % number
         command = worker_command.Command(CommandKind.HEALTH_CHECK, "w", tag, rig.bulk(b"gauges", tag))
         client.send(command)
-        self.until(lambda: len(self.recorded) > before, "the result")
+        self.until(lambda: len(self.recorded) > events_before, "the result")
         return self.recorded[-1]
 
-    def test_the_first_connection_shows_nothing(self):
+    def test_the_first_connection_is_no_sign_of_a_new_process(self):
         client = self.client()
         self.check(client, 1)
         self.assertEqual(client.same_process_since, float("-inf"))
@@ -120,8 +127,8 @@
     def test_a_reset_of_the_only_connection_may_be_a_new_process(self):
         client = self.client()
         self.check(client, 1)
-        rig_socks = list(self.worker.socks)
-        for sock in rig_socks:
+        worker_socks = list(self.worker.socks)
+        for sock in worker_socks:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\x01\x00\x00\x00\x00\x00\x00\x00")
             sock.shutdown(socket.SHUT_RD)
             sock.close()
@@ -129,12 +136,12 @@
         self.check(client, 2)
         self.assertGreater(client.same_process_since, 0.0)
 
-    def test_a_reset_beside_another_connection_is_none(self):
+    def test_a_reset_beside_another_connection_is_no_sign_of_a_new_process(self):
         client = self.client()
         attempt = worker_command.Command(CommandKind.ATTEMPT, "a", b"a", rig.bulk(b"invoke", b"a", b"-", b"x"))
         client.send(attempt)
         self.until(lambda: self.recorded, "the answer")
-        self.check(client, 1)  # on the connection that the attempt has left
+        self.check(client, 1)  # on the connection that the attempt used before
         attempt = worker_command.Command(CommandKind.ATTEMPT, "b", b"b", rig.bulk(b"invoke", b"b", b"-", b"x"))
         client.send(attempt)
         self.until(lambda: len(self.recorded) == 3, "the answer")
@@ -161,7 +168,8 @@
         self.assertEqual(self.worker.received(b"prewarm"), [])
         self.assertEqual(self.recorded[-1][3], Outcome.UNSENT)
 
-    def test_nor_one_that_may_not_begin_once_its_connection_is_made(self):
+    def test_a_command_that_may_not_begin_once_connected_is_not_sent(self):
+        """The command is allowed when it is queued, and no longer when its connection is established."""
         client = self.client()
         may_begin = [True]
         command = worker_command.Command(CommandKind.PREWARM, "p", b"p", rig.bulk(b"prewarm", b"p", b"name=x,units=1"))
--- a/wickdyke/gateway/log.py
+++ b/wickdyke/gateway/log.py
@@ -1,4 +1,4 @@
-"""Structured logs that never block their callers: lines wait in a bounded queue for a thread that writes them."""
+"""Structured logs that never block their callers: a thread writes the lines from a bounded queue."""
 
 import bisect
 import errno
@@ -17,16 +17,16 @@
 
 from wickdyke.gateway.interfaces import Log
 
-MAX_QUEUED_LINES = 10000  # more are counted instead, and the count is written when there is room again
-TEMPORARY_ERRORS = (errno.ENOSPC, errno.EDQUOT, errno.EIO)  # of a file that may be opened later
+MAX_QUEUED_LINES = 10000  # further lines are dropped and counted; the count is logged once lines can be written again
+TEMPORARY_ERRORS = (errno.ENOSPC, errno.EDQUOT, errno.EIO)  # errors of open() after which a later attempt may succeed
 MAX_LINES_PER_WRITE = 200
-CLOSE_TIMEOUT = 1.0  # s that writing the last lines may take
+CLOSE_TIMEOUT = 1.0  # s; the maximum time to write the last lines
 
 
 class DeferredFile(io.TextIOBase):
-    """Appends to a file that could not be opened at first; for a LogWriter, which writes to its descriptor.
+    """A file for appending that could not be opened at first; a LogWriter writes to its descriptor.
 
-    Each use of it tries again, and raises OSError until the file is open.
+    Each use tries again to open the file, and raises OSError until that succeeds.
     """
 
     def __init__(self, path: str) -> None:
@@ -34,13 +34,13 @@
         self.file: TextIO | None = None
 
     def fileno(self) -> int:
-        """The file's descriptor; raises OSError."""
+        """Returns the file's descriptor. Raises OSError where the file can't be opened."""
         if self.file is None:
-            self.file = open(self.path, "a", encoding="utf-8")  # noqa: SIM115 - open as long as the process lives
+            self.file = open(self.path, "a", encoding="utf-8")  # noqa: SIM115 - kept open for the life of the process
         return self.file.fileno()
 
     def close(self) -> None:
-        """Closes the file, if there is one."""
+        """Closes the file, if it was opened."""
         if self.file is not None:
             self.file.close()
         super().close()
@@ -50,32 +50,33 @@
 
 
 class LogWriter:
-    """Accepts finished lines; a thread writes them. A full pipe or disk, or a closed pipe, loses lines, never blocks.
+    """Accepts formatted lines; a thread writes them. On a full pipe or disk or a closed pipe, lines are lost.
 
-    Lines that were not written whole are counted in `lost`; the count is written as soon as something can be.
+    Callers never block. `lost_lines` counts the lines that were not written in full; the count is logged as soon as
+    lines can be written again.
     """
 
     def __init__(self, sink: LogSink | None) -> None:
-        """A sink of None (a process without standard error) loses all lines."""
+        """Starts the thread. With a sink of None (a process without standard error) all lines are lost."""
         self.sink = sink
         self.lines: queue.Queue[str | None] = queue.Queue(MAX_QUEUED_LINES)
         self.lost_lines = 0
-        self.lock = threading.Lock()  # guards `lost`
-        self.ends_mid_line = False  # whether the last line was written in part
+        self.lock = threading.Lock()  # guards `lost_lines`
+        self.ends_mid_line = False  # whether the last line was written only in part
         self.thread = threading.Thread(target=self._write, name="log", daemon=True)
         self.thread.start()
 
     def msg(self, line: str) -> None:
-        """Accepts one line."""
+        """Queues one line."""
         try:
             self.lines.put_nowait(line)
         except queue.Full:
-            self._lose(1)
+            self._count_lost(1)
 
     debug = info = warning = error = critical = msg
 
     def close(self, timeout: float = CLOSE_TIMEOUT) -> None:
-        """Writes the lines that wait, for at most `timeout` s."""
+        """Writes the queued lines and stops the thread, within `timeout` s."""
         deadline = time.monotonic() + timeout
         try:
             self.lines.put(None, timeout=timeout)
@@ -83,26 +84,26 @@
             return
         self.thread.join(max(0.0, deadline - time.monotonic()))
 
-    def _lose(self, lines: int) -> None:
+    def _count_lost(self, lines: int) -> None:
         with self.lock:
             self.lost_lines += lines
 
     def _write(self) -> None:
-        more = True
-        while more:
-            lines, more = self._queued()
+        has_more = True
+        while has_more:
+            lines, has_more = self._dequeue()
             with self.lock:
                 lost = self.lost_lines
                 self.lost_lines = 0
             if lost:
                 lines.insert(0, f'event="log lines lost" lines={lost}')
-            # The line that reports lost ones counts as those: where it is not written, they are counted again.
-            weights = [lost or 1, *[1] * (len(lines) - 1)]
-            written = self._put(lines)
-            self._lose(sum(weights[written:]))
+            # The line that reports lost lines counts as that many: if it is not written, they are counted again.
+            line_counts = [lost or 1, *[1] * (len(lines) - 1)]
+            written_lines = self._write_lines(lines)
+            self._count_lost(sum(line_counts[written_lines:]))
 
-    def _queued(self) -> tuple[list[str], bool]:
-        """Returns at most MAX_LINES_PER_WRITE lines, and whether more may follow. Waits for the first."""
+    def _dequeue(self) -> tuple[list[str], bool]:
+        """Returns at most MAX_LINES_PER_WRITE lines, and whether more may follow. Waits for the first line."""
         lines: list[str] = []
         line = self.lines.get()
         while line is not None:
@@ -115,28 +116,28 @@
                 return lines, True
         return lines, False
 
-    def _put(self, lines: list[str]) -> int:
-        """Writes lines; returns how many were written whole. Never raises, so that the thread continues in any case."""
-        pieces = [(line + "\n").encode("utf-8", "backslashreplace") for line in lines]
-        if self.ends_mid_line and pieces:
-            pieces[0] = b"\n" + pieces[0]
-        data = memoryview(b"".join(pieces))
-        done = 0
+    def _write_lines(self, lines: list[str]) -> int:
+        """Writes lines and returns how many were written in full. Never raises, so that the thread always continues."""
+        encoded_lines = [(line + "\n").encode("utf-8", "backslashreplace") for line in lines]
+        if self.ends_mid_line and encoded_lines:
+            encoded_lines[0] = b"\n" + encoded_lines[0]
+        data = memoryview(b"".join(encoded_lines))
+        written_bytes = 0
         try:
-            while done < len(data):
-                done += self._write_some(data[done:])
-        except Exception:  # noqa: BLE001 - the lines are counted, and there is nowhere to report more
+            while written_bytes < len(data):
+                written_bytes += self._write_bytes(data[written_bytes:])
+        except Exception:  # noqa: BLE001 - the lost lines are counted, and there is nowhere else to report an error
             pass
-        ends = list(itertools.accumulate(map(len, pieces)))
-        written = bisect.bisect_right(ends, done)
-        if done:
-            self.ends_mid_line = done not in ends
-        return written
+        line_ends = list(itertools.accumulate(map(len, encoded_lines)))
+        written_lines = bisect.bisect_right(line_ends, written_bytes)
+        if written_bytes:
+            self.ends_mid_line = written_bytes not in line_ends
+        return written_lines
 
-    def _write_some(self, data: memoryview) -> int:
-        """Writes some of it; returns how many bytes.
+    def _write_bytes(self, data: memoryview) -> int:
+        """Writes a prefix of `data` and returns its length in bytes.
 
-        Files are written past their buffers, which after an error would hold lines that are counted as lost. Raises
+        Bypasses the buffer of a file: after an error that would still hold lines which are counted as lost. Raises
         OSError, also where there is no sink, or ValueError.
         """
         if self.sink is None:
@@ -151,7 +152,7 @@
 
 
 def logger(sink: LogSink | None, json: bool, debug: bool = False, **bound: object) -> tuple[Log, LogWriter]:
-    """Returns a log and its writer: logfmt or JSON lines with time, level and the bound fields.
+    """Returns a log and its writer. The lines are logfmt or JSON, with time, level and the bound fields.
 
     With `debug` each attempt is logged too.
     """
@@ -177,14 +178,14 @@
 
 
 class Note(NamedTuple):
-    """A log note of the router as a line of the log."""
+    """A log note of the router, split into the event and the fields of a log line."""
 
     event: str
     fields: dict[str, str]
 
 
 def parse_note(text: str) -> Note:
-    """Takes the worker that a log note names out of its text, as a field."""
+    """Splits a log note; the worker that the text names becomes a field."""
     match = _WORKER_NOTE.fullmatch(text)
     if match is None:
         return Note(text, {})
@@ -192,9 +193,10 @@
 
 
 def open_sink(path: str | None) -> LogSink | None:
-    """Opens the sink of a log: the end of a file, or standard error; never standard output. Raises OSError.
+    """Opens the sink of a log: a file for appending, or standard error without a path; never standard output.
 
-    A file that can't be opened for now is opened by a later line, so that a full disk does not prevent a start.
+    Raises OSError where the file can't be opened. After a temporary error the file is opened by a later write instead,
+    so that a full disk does not prevent a start.
     """
     if not path:
         return sys.stderr
--- a/wickdyke/gateway/recording.py
+++ b/wickdyke/gateway/recording.py
@@ -1,6 +1,7 @@
-"""A recording of the router's inputs and decisions; replayed without sockets or clock.
+"""Records the router's inputs and decisions, and replays them without sockets or a clock.
 
-The same events give the same decisions: `replay` proves it for a recording, and finds the first that differs.
+The router is deterministic: the same inputs give the same decisions. `replay` checks this for a recording and reports
+the first decision that differs.
 """
 
 import contextlib
@@ -31,13 +32,13 @@
 from wickdyke.routing.router import Router
 from wickdyke.routing.settings import RouterSettings
 
-MAX_QUEUED_ENTRIES = 200000  # entries; a recording that can't be written as fast is broken off
-TEMPORARY_ERRORS = (errno.ENOSPC, errno.EDQUOT, errno.EIO)  # of a folder that may work again later
+MAX_QUEUED_ENTRIES = 200000  # a recording that is written too slowly is ended when the queue is full
+TEMPORARY_ERRORS = (errno.ENOSPC, errno.EDQUOT, errno.EIO)  # errors of open() that may not occur at a later start
 CLOSE_TIMEOUT = 5.0  # s
 
 
 def decision_entry(decision: Decision) -> list[Any]:  # noqa: PLR0911 - one return for each type of decision
-    """A decision as it is stored: its word, and identifiers in place of records."""
+    """Returns the stored form of a decision: the name of its kind, and identifiers in place of objects."""
     match decision:
         case Forward(request, worker, timeout):
             return ["forward", request.ident, worker.endpoint.ident, timeout]
@@ -58,13 +59,13 @@
 
 
 def _input_arguments(args: tuple[object, ...]) -> object:
-    """The arguments of an input as they are stored: those of an input record are its fields."""
+    """Returns the stored form of an input's arguments; an input record is stored as its fields."""
     if len(args) == 1 and isinstance(args[0], RequestReceived | AttemptFinished):
         args = args[0]
-    return _plain(args)
+    return _to_builtins(args)
 
 
-def _plain(value: object) -> object:
+def _to_builtins(value: object) -> object:
     match value:
         case RequestClass():
             return value.name
@@ -73,19 +74,19 @@
         case WorkerLoad():
             return list(value.reported)
         case list() | tuple():
-            return [_plain(item) for item in value]
+            return [_to_builtins(item) for item in value]
     return value
 
 
 class DecisionRecorder:
-    """Writes the recording, by a thread of its own.
+    """Writes the recording in a thread of its own.
 
-    One that can't be written, or not as fast as entries are added, is ended: `broken` is set, an error is logged once,
-    and what is on disk can be replayed up to there. The caller is never blocked and gets no error.
+    A recording that can't be written, or not as fast as entries are added, is ended: `has_ended` is set, an error is
+    logged once, and the part on disk can be replayed. The caller is never blocked and gets no error.
     """
 
     def __init__(self, path: str, log: Any = None) -> None:
-        """Raises OSError where the file can never be opened; where that only fails for now, nothing is recorded."""
+        """Opens the file and starts the thread. After a temporary error nothing is recorded; others raise OSError."""
         self.path = path
         self.log = log
         self.entries: queue.Queue[tuple[Any, ...] | None] = queue.Queue(MAX_QUEUED_ENTRIES)
@@ -102,30 +103,30 @@
             self.thread.start()
 
     def start(self, now: float, seed: int, request_classes: list[RequestClass], settings: RouterSettings) -> None:
-        """Records what the router is made with."""
+        """Records the parameters that the router is created with."""
         classes = [asdict(request_class) for request_class in request_classes]
         for fields in classes:
-            fields.pop("durations", None)  # the router's own
-        self._put(("start", now, seed, classes, asdict(settings)))
+            fields.pop("durations", None)  # state of the router, not a setting
+        self._enqueue(("start", now, seed, classes, asdict(settings)))
 
     def record_input(self, now: float, name: str, args: tuple[object, ...]) -> None:
-        """Records one input: the router's method that takes it, and its arguments."""
-        self._put(("heard", now, name, _input_arguments(args)))
+        """Records one input: the name of the router's method that takes the input, and its arguments."""
+        self._enqueue(("heard", now, name, _input_arguments(args)))
 
     def record_decision(self, decision: Decision) -> None:
         """Records one decision."""
-        self._put(("decided", decision_entry(decision)))
+        self._enqueue(("decided", decision_entry(decision)))
 
     def close(self) -> None:
-        """Writes the queued entries and ends, within CLOSE_TIMEOUT s."""
+        """Writes the queued entries and stops the thread, within CLOSE_TIMEOUT s."""
         if not self.thread.is_alive():
             return
-        ends = time.monotonic() + CLOSE_TIMEOUT
-        with contextlib.suppress(queue.Full):  # the file takes nothing: its thread is left to the process's end
+        deadline = time.monotonic() + CLOSE_TIMEOUT
+        with contextlib.suppress(queue.Full):  # a write blocks: the thread runs until the process exits
             self.entries.put(None, timeout=CLOSE_TIMEOUT)
-        self.thread.join(max(0.0, ends - time.monotonic()))
+        self.thread.join(max(0.0, deadline - time.monotonic()))
 
-    def _put(self, entry: tuple[Any, ...]) -> None:
+    def _enqueue(self, entry: tuple[Any, ...]) -> None:
         if self.has_ended:
             return
         try:
@@ -134,7 +135,7 @@
             self._end(f"{MAX_QUEUED_ENTRIES} entries wait to be written")
 
     def _end(self, reason: str) -> None:
-        """Ends the recording; the reason is logged the first time."""
+        """Ends the recording, and logs the reason of the first call."""
         with self.lock:
             is_first = not self.has_ended
             self.has_ended = True
@@ -149,16 +150,16 @@
                     sink.write(encoder.encode(entry) + b"\n")
                 if self.has_ended:
                     sink.write(encoder.encode(("broken off",)) + b"\n")
-        # Also a value that can't be encoded ends the recording, not the gateway.
+        # Any error, also a value that can't be encoded, ends the recording and not the gateway.
         except Exception as error:  # noqa: BLE001 - see above
             self._end(getattr(error, "strerror", None) or f"{type(error).__name__}: {error}")
             with contextlib.suppress(queue.Empty):
-                while True:  # entries that will never be written need not be held
+                while True:  # frees the entries, which will never be written
                     self.entries.get_nowait()
 
 
 def entries(lines: Iterable[bytes]) -> Iterator[list[Any]]:
-    """The entries of a recording, up to where it was broken off or a writer was killed in the middle of a line."""
+    """Yields the entries of a recording, up to where it was broken off or its writer was killed within a line."""
     for line in lines:
         if not line.endswith(b"\n"):
             return
@@ -169,18 +170,18 @@
 
 
 class ReplayResult(NamedTuple):
-    """How many decisions were the same as recorded, and the first difference, if there is one."""
+    """The number of decisions that matched the recorded ones, and the first difference, if there is one."""
 
     matched: int
     difference: str | None
 
 
 def replay(lines: Iterable[bytes]) -> ReplayResult:
-    """Passes a recording's inputs to a new router, and compares its decisions with those recorded."""
+    """Passes a recording's inputs to a new router, and compares its decisions with the recorded ones."""
     source = entries(lines)
     start = next(source, None)
     if not start or start[0] != "start":
-        return ReplayResult(0, "found no start, expected it as the first entry")
+        return ReplayResult(0, 'expected a "start" entry as the first entry of the recording')
     replayer = _Replayer(*upgrade_entry(start)[1:])
     for entry in map(upgrade_entry, source):
         if entry[0] == "decided":
@@ -190,12 +191,15 @@
         if difference is not None:
             return ReplayResult(replayer.matched, difference)
         replayer.apply(*entry[1:])
-    # Decisions after the last input may have been cut off with the recording.
+    # The decisions on the last input are counted but not compared: the recording may lack some of them.
     return ReplayResult(replayer.matched + len(replayer.expected or ()), None)
 
 
 class _Replayer:
-    """A router made as the recorded one; `expected` are the decisions recorded of its last `decide`, until compared."""
+    """A router created with the recorded parameters, and the comparison of its decisions.
+
+    `expected` holds the decisions recorded after the last `decide`, until they are compared.
+    """
 
     def __init__(self, now: float, seed: int, request_classes: list[dict[str, Any]], settings: dict[str, Any]) -> None:
         classes = [msgspec.convert(fields, RequestClass, strict=False) for fields in request_classes]
@@ -229,7 +233,7 @@
                 policy = received.policy and msgspec.convert(received.policy, RoutePolicy)
                 return [received._replace(request_class=self.request_classes[values[2]], policy=policy)]
             case "attempt_finished", [ident, number, outcome, final, load_note, concurrent, report]:
-                note = cast(LoadNote | None, load_note)  # a worker's word that is none was passed on as it was
+                note = cast(LoadNote | None, load_note)  # unknown load notes of workers are passed on unchanged
                 load = self._worker_load(report)
                 return [AttemptFinished(ident, number, Outcome(outcome), final, note, concurrent, load)]
             case "health_checked", [ident, outcome, report, *same_process_since]:
@@ -241,11 +245,11 @@
 
     def expect(self, decision: list[Any]) -> None:
         """Adds a decision that was recorded after the last `decide`."""
-        assert self.expected is not None, "recorded after an input other than decide"
+        assert self.expected is not None, "a decision was recorded after an input other than decide"
         self.expected.append(decision)
 
     def compare(self) -> str | None:
-        """The difference between the last decisions and those recorded, if there is one."""
+        """Returns the difference between the last decisions and the recorded ones, None where there is none."""
         expected = self.expected
         self.expected = None
         if expected is None:
--- a/wickdyke/gateway/recording_words.py
+++ b/wickdyke/gateway/recording_words.py
@@ -1,4 +1,7 @@
-"""Reads recordings written under earlier names: one table for inputs, settings, decisions and log notes."""
+"""Converts recordings that were written with earlier names of inputs, settings, decisions and log notes.
+
+Each table maps earlier names to the current ones.
+"""
 
 import re
 from typing import Any
@@ -30,7 +33,7 @@
     "tariff": "cost_weights",
     "shares": "tenant_quotas",
 }
-FIELDS = {
+SETTINGS_FIELDS = {
     "instance": {"number": "index", "of": "count", "report": "report_fields", "by_work": "weight_by_work"},
     "attempt_limits": {
         "call_outs": "attempts",
@@ -69,48 +72,54 @@
 }
 ENDPOINT = {"born": "started_at"}
 REPORT_FIELDS = {"held": "in_flight", "busy": "utilization", "queue": "queued"}
-NOTES = (  # (old words, new words)
+LOG_NOTES = (  # (pattern of the earlier text, replacement)
     (re.compile(r" shunned for "), " ejected for "),
     (re.compile(r"silent with (\d+) out$"), r"silent with \1 in flight"),
 )
 
 
 def upgrade_entry(entry: list[Any]) -> list[Any]:
-    """An entry of a recording in today's names; one that has them already is left as it is."""
+    """Returns an entry of a recording with its current names; an entry that has them already is unchanged."""
     match entry:
         case ["start", now, seed, classes, settings]:
-            return ["start", now, seed, [_renamed(each, REQUEST_CLASS) for each in classes], _settings(settings)]
+            return [
+                "start",
+                now,
+                seed,
+                [_rename_keys(record, REQUEST_CLASS) for record in classes],
+                _upgrade_settings(settings),
+            ]
         case ["heard", now, name, args]:
-            return ["heard", now, INPUTS.get(name, name), _arguments(INPUTS.get(name, name), args)]
+            return ["heard", now, INPUTS.get(name, name), _upgrade_arguments(INPUTS.get(name, name), args)]
         case ["decided", ["note", text]]:
-            return ["decided", ["note", _note(text)]]
+            return ["decided", ["note", _upgrade_note(text)]]
         case ["decided", [kind, *fields]]:
             return ["decided", [DECISIONS.get(kind, kind), *fields]]
     return entry
 
 
-def _renamed(record: dict[str, Any], names: dict[str, str]) -> dict[str, Any]:
+def _rename_keys(record: dict[str, Any], names: dict[str, str]) -> dict[str, Any]:
     return {names.get(name, name): value for name, value in record.items()}
 
 
-def _settings(settings: dict[str, Any]) -> dict[str, Any]:
-    named = _renamed(settings, SETTINGS)
-    renamed = {name: _renamed(record, FIELDS.get(name, {})) for name, record in named.items()}
+def _upgrade_settings(settings: dict[str, Any]) -> dict[str, Any]:
+    with_section_names = _rename_keys(settings, SETTINGS)
+    renamed = {name: _rename_keys(record, SETTINGS_FIELDS.get(name, {})) for name, record in with_section_names.items()}
     if "instance" in renamed:
         fields = renamed["instance"]["report_fields"]
         renamed["instance"]["report_fields"] = [REPORT_FIELDS.get(field, field) for field in fields]
     return renamed
 
 
-def _arguments(name: str, args: list[Any]) -> list[Any]:
+def _upgrade_arguments(name: str, args: list[Any]) -> list[Any]:
     if name == "endpoints_changed":
-        return [[_renamed(endpoint, ENDPOINT) for endpoint in args[0]], *args[1:]]
+        return [[_rename_keys(endpoint, ENDPOINT) for endpoint in args[0]], *args[1:]]
     if name == "request_received" and isinstance(args[-1], dict):
-        return [*args[:-1], _renamed(args[-1], ROUTE_POLICY)]
+        return [*args[:-1], _rename_keys(args[-1], ROUTE_POLICY)]
     return args
 
 
-def _note(text: str) -> str:
-    for old, new in NOTES:
+def _upgrade_note(text: str) -> str:
+    for old, new in LOG_NOTES:
         text = old.sub(new, text)
     return text
--- a/wickdyke/protocol/__init__.py
+++ b/wickdyke/protocol/__init__.py
@@ -1,1 +1,1 @@
-"""Framing and messages without I/O: bytes are parsed to values and back (docs/protocol.md)."""
+"""Framing and messages without I/O: converts bytes to values and back (docs/protocol.md)."""
--- a/wickdyke/protocol/client_messages.py
+++ b/wickdyke/protocol/client_messages.py
@@ -1,6 +1,6 @@
 """The messages between clients and the gateway (docs/protocol.md).
 
-Names that differ on the wire stand at the fields.
+Fields whose name on the wire differs state that name.
 """
 
 from enum import StrEnum
@@ -10,12 +10,12 @@
 
 from wickdyke.protocol import jsonrpc
 
-REJECTED = -32001  # error codes
-FAILED = -32002
-NUMBER_LIMIT = 1e9  # ms or MB: figures are less
+REJECTED = -32001  # JSON-RPC error code
+FAILED = -32002  # JSON-RPC error code
+NUMBER_LIMIT = 1e9  # ms or MB; exclusive upper bound of numbers in requests
 MAX_NAME_LENGTH = 256  # characters
 MAX_CONCURRENCY = 4096
-RETRY_AFTER_DIGITS = 3  # after the point, of ms
+RETRY_AFTER_DIGITS = 3  # decimal places of retry_after_ms
 Positive = Annotated[float, msgspec.Meta(gt=0, lt=NUMBER_LIMIT)]
 NonNegative = Annotated[float, msgspec.Meta(ge=0, lt=NUMBER_LIMIT)]
 Concurrency = Annotated[int, msgspec.Meta(ge=1, le=MAX_CONCURRENCY)]
@@ -24,7 +24,7 @@
 
 
 class AnswerKind(StrEnum):
-    """The words for the final answers on the wire."""
+    """The kinds of final answer; the values are sent on the wire."""
 
     SUCCEEDED = "ok"
     REJECTED = "denied"
@@ -32,7 +32,7 @@
 
 
 class CallRequest(msgspec.Struct, forbid_unknown_fields=True):
-    """The params of `call`. Times are ms, memory is MB; for what is left out the settings have a value."""
+    """The params of `call`. Times are ms, memory is MB; the settings provide defaults for omitted fields."""
 
     method: Name
     function: Name = msgspec.field(name="program")
@@ -48,13 +48,13 @@
 
 
 class CancelRequest(msgspec.Struct, forbid_unknown_fields=True):
-    """The params of `cancel`: the id of the `call` whose answer the client does not wait for any more."""
+    """The params of `cancel`: the id of the `call` whose answer the client no longer waits for."""
 
     id: str | int | float
 
 
 class FinalAnswer(msgspec.Struct):
-    """A final answer as a client reads it. `answer` is an AnswerKind, `reason` one word."""
+    """A final answer as a client receives it. `answer` is an AnswerKind, `reason` a single word."""
 
     answer: str
     output: msgspec.Raw = msgspec.Raw(b"null")
@@ -64,12 +64,12 @@
 
 
 def success_response(ident: jsonrpc.Ident, output: bytes, attempts: int) -> bytes:
-    """The body of a success: the worker's output, after so many attempts."""
+    """Returns the body of a success response: the worker's output, and the number of attempts made."""
     return jsonrpc.result_response(ident, b'{"answer":"ok","output":%b,"call_outs":%d}' % (output, attempts))
 
 
 def rejection_response(ident: jsonrpc.Ident, reason: str, retry_after: float | None = None) -> bytes:
-    """The body of a rejection: the request has no effect, and may be retried (after `retry_after` ms)."""
+    """Returns the body of a rejection: the request had no effect and may be retried, after `retry_after` ms."""
     data: dict[str, object] = {"answer": AnswerKind.REJECTED, "why": reason}
     if retry_after is not None:
         data["retry_after_ms"] = round(retry_after, RETRY_AFTER_DIGITS)
@@ -77,13 +77,13 @@
 
 
 def failure_response(ident: jsonrpc.Ident, reason: str) -> bytes:
-    """The body of a failure: the request may have had an effect or not."""
+    """Returns the body of a failure: the request may or may not have had an effect."""
     data = {"answer": AnswerKind.FAILED, "why": reason}
     return jsonrpc.error_response(ident, FAILED, AnswerKind.FAILED, jsonrpc.encode(data))
 
 
 def read_final_answer(result: bytes | None, error: jsonrpc.ErrorObject | None) -> FinalAnswer | None:
-    """The final answer in a response, or None where the gateway rejected the request as malformed."""
+    """Returns the final answer in a response, None where the gateway rejected the request as malformed."""
     try:
         if result is not None:
             return msgspec.json.decode(result, type=FinalAnswer)
--- a/wickdyke/protocol/framing.py
+++ b/wickdyke/protocol/framing.py
@@ -1,12 +1,12 @@
-"""Newline-delimited framing: cuts a stream of bytes into lines."""
+"""Newline-delimited framing: splits a stream of bytes into lines."""
 
 
 class LineTooLongError(Exception):
-    """A line is longer than the limit; where the next one begins is not certain any more."""
+    """A line exceeds the limit; the start of the next line is then unknown."""
 
 
 class LineReader:
-    """Cuts a stream into lines. Buffers at most one unfinished line of `max_line` bytes.
+    """Splits a stream into lines. Buffers at most one incomplete line of `max_line` bytes.
 
     >>> lines = LineReader(100)
     >>> lines.feed(b'{"a":1}\\n{"b"')
@@ -15,30 +15,30 @@
 
     def __init__(self, max_line: int) -> None:
         self.max_line = max_line
-        self.parts: list[bytes] = []  # of the unfinished line: joined once, so that 8 MB is not copied often
-        self.buffered = 0  # bytes in `parts`
+        self.parts: list[bytes] = []  # parts of the incomplete line; joined once, so that 8 MB is not copied repeatedly
+        self.buffered_bytes = 0  # the total size of `parts`
 
     def feed(self, data: bytes) -> list[bytes]:
-        """The lines that `data` completes, without their ends; blank ones are left out.
+        """Returns the lines that `data` completes, without line ends; blank lines are omitted.
 
-        Raises LineTooLongError once a line is longer than `max_line` bytes, finished or not; lines completed before it
-        by the same bytes are lost, as the connection is to be closed.
+        Raises LineTooLongError once a line, complete or not, is longer than `max_line` bytes. Earlier lines in the same
+        `data` are then lost, since the connection is to be closed.
         """
         if b"\n" not in data:
             self._append(data)
             return []
         first, *rest = data.split(b"\n")
-        unfinished = rest.pop()
+        incomplete_line = rest.pop()
         self._append(first)
         lines = [self._take_line(), *rest]
         if any(len(line) > self.max_line for line in rest):
             raise self._too_long()
-        self._append(unfinished)
+        self._append(incomplete_line)
         return [line for line in lines if line.strip()]
 
     def _append(self, data: bytes) -> None:
-        self.buffered += len(data)
-        if self.buffered > self.max_line:
+        self.buffered_bytes += len(data)
+        if self.buffered_bytes > self.max_line:
             raise self._too_long()
         if data:
             self.parts.append(data)
@@ -46,7 +46,7 @@
     def _take_line(self) -> bytes:
         line = self.parts[0] if len(self.parts) == 1 else b"".join(self.parts)
         self.parts = []
-        self.buffered = 0
+        self.buffered_bytes = 0
         return line
 
     def _too_long(self) -> LineTooLongError:
--- a/wickdyke/protocol/jsonrpc.py
+++ b/wickdyke/protocol/jsonrpc.py
@@ -1,7 +1,7 @@
 """JSON-RPC 2.0 (jsonrpc.org/specification): requests, notifications, batches and responses as bytes.
 
-`params`, `result` and `data` stay raw until they are needed, so that a payload of megabytes is scanned once and copied,
-never decoded and encoded again.
+`params`, `result` and `data` stay raw JSON until they are needed: a payload of megabytes is scanned once and copied,
+but never decoded and encoded again.
 """
 
 from collections.abc import Iterable
@@ -19,17 +19,17 @@
     METHOD_NOT_FOUND: "Method not found",
     INVALID_PARAMS: "Invalid params",
 }
-MAX_NESTING = 64  # no message of this protocol nests as deep; deeper input is rejected before it is decoded
+MAX_NESTING = 64  # brackets; deeper than any message of this protocol, and checked before the input is decoded
 
 Ident = str | int | float | None  # the id of a request
 ParamsT = TypeVar("ParamsT")
 
 
 class MalformedRequestError(Exception):
-    """A line that is no valid message, or a request that can't be used.
+    """A line is not a valid message, or a request has invalid params.
 
-    `code` is that of JSON-RPC, `reason` says what is wrong or was expected, `ident` is the request's id where that
-    could be read.
+    `code` is the JSON-RPC error code, `reason` describes the error, `ident` is the request's id where that could be
+    read.
     """
 
     def __init__(self, code: int, reason: str, ident: Ident = None) -> None:
@@ -47,7 +47,7 @@
 
 
 class Request(msgspec.Struct, gc=False):
-    """A request, or a notification, which has no id at all."""
+    """A request, or a notification, which has no `id` member."""
 
     method: str
     params: bytes
@@ -70,7 +70,7 @@
 
 
 class Response(NamedTuple):
-    """The response to the request of that id: a result, as raw JSON, or an error."""
+    """The response to the request with id `ident`: a result as raw JSON, or an error."""
 
     ident: Ident
     result: bytes | None
@@ -89,10 +89,10 @@
 BACKSLASH = ord("\\")
 
 
-def is_nested_too_deep(data: bytes) -> bool:  # noqa: C901 - one pass over the bytes: each call for one of them would double its time
+def is_nested_too_deep(data: bytes) -> bool:  # noqa: C901 - a function call per byte would double the time
     """Whether brackets nest deeper than MAX_NESTING.
 
-    A message is scanned only where it has so many brackets at all.
+    A message is scanned only if it has more than MAX_NESTING opening brackets in total.
     """
     if data.count(b"[") + data.count(b"{") <= MAX_NESTING:
         return False
@@ -119,7 +119,7 @@
 
 
 def is_utf8(line: bytes) -> bool:
-    """Whether it is UTF-8, as JSON has to be: raw parts are passed on, and would make another's message invalid."""
+    """Whether the line is UTF-8, as JSON must be: raw parts are passed on, and would invalidate other messages."""
     if line.isascii():
         return True
     try:
@@ -130,7 +130,7 @@
 
 
 def parse_requests(line: bytes) -> Iterable[Request | MalformedRequestError]:
-    """The requests of one line, which has one or a batch; the error in the place of a malformed one."""
+    """Returns the requests in one line, a single one or a batch; a malformed request is returned as an error."""
     if not is_utf8(line):
         return [MalformedRequestError(PARSE_ERROR, "not UTF-8")]
     start = line.lstrip()[:1]
@@ -146,7 +146,7 @@
 
 
 def is_batch(line: bytes) -> bool:
-    """Whether the responses to the line are to be sent together, as one array."""
+    """Whether the line is a batch, whose responses are to be sent together as one array."""
     return line.lstrip()[:1] == b"["
 
 
@@ -158,13 +158,13 @@
     except (msgspec.MsgspecError, ValueError, RecursionError) as error:
         return MalformedRequestError(PARSE_ERROR, f"not JSON: {error}")
     try:
-        return _checked(raw)
+        return _validate(raw)
     except MalformedRequestError as error:
         return error
 
 
-def _checked(raw: _RawRequest) -> Request:
-    """Raises MalformedRequestError."""
+def _validate(raw: _RawRequest) -> Request:
+    """Returns the validated request. Raises MalformedRequestError."""
     ident = _read_ident(raw)
     if bytes(raw.jsonrpc) != b'"2.0"':
         raise MalformedRequestError(INVALID_REQUEST, 'jsonrpc: expected "2.0"', ident)
@@ -188,48 +188,48 @@
 
 
 def parse_response(line: bytes) -> Response:
-    """Parses one response. Raises MalformedRequestError where it is none."""
+    """Parses one response. Raises MalformedRequestError where the line is not a valid response."""
     if not is_utf8(line):
         raise MalformedRequestError(PARSE_ERROR, "not UTF-8")
     try:
         raw = _response_decoder.decode(line)
         error_object = _error_decoder.decode(raw.error) if raw.error else None
     except (msgspec.MsgspecError, ValueError, RecursionError) as error:
-        raise MalformedRequestError(INVALID_REQUEST, f"not an answer: {error}") from None
+        raise MalformedRequestError(INVALID_REQUEST, f"not a response: {error}") from None
     if bool(raw.result) == bool(raw.error):
         raise MalformedRequestError(INVALID_REQUEST, "expected either result or error", raw.id)
     return Response(raw.id, bytes(raw.result) if raw.result else None, error_object)
 
 
 def request_line(method: str, encoded_params: bytes, ident: Ident) -> bytes:
-    """One request, ready to be sent."""
+    """Returns the line of one request."""
     return b'{"jsonrpc":"2.0","method":%b,"params":%b,"id":%b}\n' % (encode(method), encoded_params, encode(ident))
 
 
 def notification_line(method: str, encoded_params: bytes) -> bytes:
-    """One notification, ready to be sent."""
+    """Returns the line of one notification."""
     return b'{"jsonrpc":"2.0","method":%b,"params":%b}\n' % (encode(method), encoded_params)
 
 
 def result_response(ident: Ident, value: bytes) -> bytes:
-    """The body of a response with a result."""
+    """Returns the body of a response with a result."""
     return b'{"jsonrpc":"2.0","result":%b,"id":%b}' % (value, encode(ident))
 
 
 def error_response(ident: Ident, code: int, message: str, data: bytes | None = None) -> bytes:
-    """The body of a response with an error."""
+    """Returns the body of a response with an error."""
     data_member = b"" if data is None else b',"data":%b' % data
     error = b'{"code":%d,"message":%b%b}' % (code, encode(message), data_member)
     return b'{"jsonrpc":"2.0","error":%b,"id":%b}' % (error, encode(ident))
 
 
 def malformed_request_response(error: MalformedRequestError) -> bytes:
-    """The body of the response to a malformed request; its data is the reason."""
+    """Returns the body of the response to a malformed request; the error's data is the reason."""
     return error_response(error.ident, error.code, ERROR_MESSAGES[error.code], encode(error.reason))
 
 
 def parse_params(params_type: type[ParamsT], raw: bytes, ident: Ident) -> ParamsT:
-    """The params of a request, by name. Raises MalformedRequestError with what was expected."""
+    """Decodes the params of a request, passed by name. Raises MalformedRequestError where they are invalid."""
     if not raw or raw[:1] != b"{":
         raise MalformedRequestError(INVALID_PARAMS, "params: expected an object", ident)
     if is_nested_too_deep(raw):
--- a/wickdyke/protocol/worker_messages.py
+++ b/wickdyke/protocol/worker_messages.py
@@ -1,6 +1,6 @@
-"""The messages between the gateway, which sends the requests, and a worker (docs/protocol.md).
+"""The messages between a gateway, which sends the requests, and a worker (docs/protocol.md).
 
-Names that differ on the wire stand at the fields.
+Fields whose name on the wire differs state that name.
 """
 
 import msgspec
@@ -8,13 +8,13 @@
 from wickdyke.protocol import jsonrpc
 
 VERSION = 1
-FULL = -32010  # no capacity: it never ran
-MISS = -32011  # the function is not loaded: it never ran
-FAILED = -32012  # it may have run
-DRAINING = -32013  # the worker ends: it never ran
-DEADLINE_EXCEEDED = -32014  # it may have run
-REPLICA_ENDED = -32015  # the replica ended under it: it may have run
-OUTCOMES = {  # the word of `routing.model.Outcome` for each error code
+FULL = -32010  # the worker has no capacity: the attempt never ran
+MISS = -32011  # the function is not loaded: the attempt never ran
+FAILED = -32012  # the attempt may have run
+DRAINING = -32013  # the worker is shutting down: the attempt never ran
+DEADLINE_EXCEEDED = -32014  # the attempt may have run
+REPLICA_ENDED = -32015  # the replica ended during the attempt, which may have run
+OUTCOMES = {  # the value of `routing.model.Outcome` for each error code
     FULL: "full",
     MISS: "miss",
     FAILED: "error",
@@ -35,7 +35,7 @@
 
 
 class WorkerHello(msgspec.Struct):
-    """The result of `hello`: `start` is drawn at random at each start of the worker, `up_ms` is the time since then."""
+    """The result of `hello`: `start` is a random number chosen at each start of the worker, `up_ms` the time since."""
 
     version: int
     worker: str
@@ -58,7 +58,10 @@
 
 
 class RunResult(msgspec.Struct):
-    """The result of `run`; `concurrent` is how many requests of the function were in flight there as it arrived."""
+    """The result of `run`.
+
+    `concurrent` is the number of requests of the function in flight at the worker when the attempt arrived.
+    """
 
     output: msgspec.Raw = msgspec.Raw(b"null")
     load_note: str | None = msgspec.field(default=None, name="standing")
@@ -67,7 +70,7 @@
 
 
 class PrewarmRequest(msgspec.Struct):
-    """The params of `hold`: have at least `replicas` loaded; with 0 the worker only reports how many are."""
+    """The params of `hold`: load at least `replicas` replicas; with 0 the worker only reports how many are loaded."""
 
     function: str = msgspec.field(name="program")
     memory_mb: float
@@ -77,7 +80,7 @@
 
 
 class PrewarmResult(msgspec.Struct):
-    """The result of `hold`, also in the data of its errors."""
+    """The result of `hold`, also sent as the data of its errors."""
 
     replicas: int = msgspec.field(default=0, name="copies")
 
@@ -95,13 +98,13 @@
 
 
 class CancelRequest(msgspec.Struct):
-    """The params of `cancel`: the gateway does not wait for the response to that id any more."""
+    """The params of `cancel`: the gateway no longer waits for the response with that id."""
 
     id: int
 
 
 class RunErrorData(msgspec.Struct):
-    """The data of an error of `run`; `requests_in_replica` counts the requests in a replica that ended."""
+    """The data of an error of `run`; `requests_in_replica` is the number of requests in a replica that ended."""
 
     concurrent: int = msgspec.field(default=0, name="company")
     report: dict[str, float] | None = None
@@ -110,18 +113,18 @@
 
 
 def run_line(number: int, run: RunRequest) -> bytes:
-    """One attempt, ready to be sent; the input is copied, not decoded."""
+    """Returns the line that sends one attempt; the input is copied, not decoded."""
     return jsonrpc.request_line("run", jsonrpc.encode(run), number)
 
 
-# The router's field for each word of a report.
+# The router's name for each report field whose name on the wire differs.
 REPORT_FIELDS = {"busy": "utilization", "held": "in_flight", "queue": "queued"}
-REPORT_WORDS = {field: word for word, field in REPORT_FIELDS.items()}
+REPORT_WIRE_NAMES = {field: wire_name for wire_name, field in REPORT_FIELDS.items()}
 
 
 def ordered_report(values: dict[str, float] | None, fields: tuple[str, ...]) -> tuple[float, ...] | None:
-    """A worker's report in the order of the router's `fields`; None where one is missing."""
-    names = [REPORT_WORDS.get(field, field) for field in fields]
+    """Returns a worker's report in the order of the router's `fields`, None where a field is missing."""
+    names = [REPORT_WIRE_NAMES.get(field, field) for field in fields]
     if not values or any(name not in values for name in names):
         return None
     return tuple(values[name] for name in names)
