--- a/tests/gateway_process_rig.py
+++ b/tests/gateway_process_rig.py
@@ -5,7 +5,7 @@
 import sys
 import unittest
 
-from tests.rig import CALL_OUTS, TERMS, Peer
+from tests.rig import CALL_OUTS, TERMS, ScriptedWorker
 from wickdyke.config.endpoint_file import EndpointRow, format_endpoints
 
 
@@ -14,7 +14,7 @@
 
     def serve(self, folder, *plays, deadline="20 s"):
         """A gateway as a process, with scripted workers."""
-        peers = [Peer(folder, f"w{number}", play) for number, play in enumerate(plays)]
+        peers = [ScriptedWorker(folder, f"w{number}", play) for number, play in enumerate(plays)]
         for peer in peers:
             self.addCleanup(peer.close)
         rows = [EndpointRow(f"w{at}", peer.path, None, None, 0, 4.0, "ready", 0) for at, peer in enumerate(peers)]
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -1,4 +1,4 @@
-"""What tests of sockets share: a scripted worker, a gateway in this process, clients, and waiting with a timeout."""
+"""Helpers for tests with sockets: scripted workers, a gateway in this process, clients, and waits with a timeout."""
 
 import contextlib
 import io
@@ -16,21 +16,21 @@
 from wickdyke.jsonrpc.service import Gateway
 from wickdyke.protocol import jsonrpc, worker_messages
 
-LONG = 20.0  # s that any step may take on a busy machine
+STEP_TIMEOUT = 20.0  # s that any step of a test may take on a busy machine
 
 
-def until(true, within=LONG):
-    """Waits until `true()` holds; False where it does not within so many s."""
-    ends = time.monotonic() + within
-    while time.monotonic() < ends:
-        if true():
+def until(condition, timeout=STEP_TIMEOUT):
+    """Waits until `condition()` holds; returns False if it does not within `timeout` s."""
+    deadline = time.monotonic() + timeout
+    while time.monotonic() < deadline:
+        if condition():
             return True
         time.sleep(0.005)
-    return bool(true())
+    return bool(condition())
 
 
-def lines_of(sock):
-    """The messages that are received, decoded."""
+def read_messages(sock):
+    """Yields the received messages, decoded."""
     import msgspec
 
     with sock.makefile("rb") as source:
@@ -38,8 +38,8 @@
             yield msgspec.json.decode(line)
 
 
-class Peer:
-    """A worker played by a function: `play(sock, number)` for each connection. It closes the sockets it accepts."""
+class ScriptedWorker:
+    """A worker whose connections are each served by `play(sock, number)`. `close` closes the sockets it accepted."""
 
     def __init__(self, folder, name, play):
         self.path = os.path.join(folder, name + ".sock")
@@ -72,28 +72,28 @@
             sock.close()
 
 
-def hello(sock, source, start=1, up=1e6, draining=False):
-    """Reads the gateway's hello and answers it; `up` is ms since the worker's start."""
+def answer_hello(sock, source, start=1, up=1e6, draining=False):
+    """Reads the gateway's hello and answers it; `start` is the number of the worker's start, `up` the ms since then."""
     request = next(source)
     answer = worker_messages.WorkerHello(worker_messages.VERSION, "w", start, up, draining)
     sock.sendall(jsonrpc.result_response(request["id"], jsonrpc.encode(answer)) + b"\n")
 
 
-def ok(number, output=b'"done"', standing="stood"):
-    """A success as the answer to the `run` of that number."""
+def success_line(number, output=b'"done"', standing="stood"):
+    """Returns a success as the answer to the `run` of that number."""
     return (
         jsonrpc.result_response(number, b'{"output":%b,"standing":"%b","company":0}' % (output, standing.encode()))
         + b"\n"
     )
 
 
-def willing(sock, number, output=lambda request: b'"done"'):
-    """A worker that answers all requests; `output` returns the output for the params of a `run`."""
-    source = lines_of(sock)
-    hello(sock, source)
+def answers_all(sock, number, output=lambda request: b'"done"'):
+    """Plays a worker that answers all requests; `output` returns the output for the params of a `run`."""
+    source = read_messages(sock)
+    answer_hello(sock, source)
     for request in source:
         if request["method"] == "run":
-            sock.sendall(ok(request["id"], output(request["params"])))
+            sock.sendall(success_line(request["id"], output(request["params"])))
         elif request["method"] == "hold":
             sock.sendall(jsonrpc.result_response(request["id"], b'{"copies":%d}' % request["params"]["copies"]) + b"\n")
         elif request["method"] == "probe":
@@ -111,12 +111,12 @@
 CALL_OUTS = "(call-outs (most 3) (dial 2 s))"
 
 
-class Running:
-    """A gateway in this process, its folder and its workers; a context manager that closes all of them."""
+class RunningGateway:
+    """A gateway in this process with its folder and workers; a context manager that closes all of them."""
 
     def __init__(  # noqa: PLR0913 - one keyword for each setting
         self,
-        workers=(willing,),
+        workers=(answers_all,),
         soft="4 s",
         deadline="10 s",
         way="100 ms",
@@ -130,13 +130,13 @@
         self.folder = self.temporary_folder.name
         self.peers = []
         for at, play in enumerate(workers):
-            self.peers.append(Peer(self.folder, f"w{at}", play))
+            self.peers.append(ScriptedWorker(self.folder, f"w{at}", play))
         self.rows = [
             EndpointRow(f"w{at}", peer.path, None, None, 0, 4.0, "ready", 0) for at, peer in enumerate(self.peers)
         ]
-        self.write(format_endpoints(self.rows))
+        self.write_endpoints(format_endpoints(self.rows))
         if routes is not None:
-            self.route(routes)
+            self.write_routes(routes)
             more += ' (routes (file "routes.sexp") (reread 20 ms))'
         with open(os.path.join(self.folder, "g.sexp"), "w") as out:
             out.write(
@@ -157,14 +157,14 @@
         self.gateway = Gateway(self.config, self.log)
         self.coordinator = self.gateway.coordinator
 
-    def write(self, text):
+    def write_endpoints(self, text):
         """Replaces the endpoint file."""
         path = os.path.join(self.folder, "workers.sexp")
         with open(path + ".new", "w") as out:
             out.write(text)
         os.replace(path + ".new", path)
 
-    def route(self, text):
+    def write_routes(self, text):
         """Replaces the routes file."""
         path = os.path.join(self.folder, "routes.sexp")
         with open(path + ".new", "w") as out:
@@ -179,27 +179,27 @@
     def __exit__(self, *exception):
         for peer in self.peers:
             peer.close()
-        self.gateway.client_server.shut()
+        self.gateway.client_server.stop_accepting()
         self.gateway.close()
         self.log_writer.close()
         self.temporary_folder.cleanup()
 
     def client(self):
-        """A new connection of a client."""
+        """Returns a new connection of a client."""
         return Client(self.config.listen)
 
 
 class Client:
-    """A client's connection: sends requests or raw bytes, and reads answers in the order of their arrival."""
+    """A client's connection, which sends requests or raw bytes and reads answers in the order of their arrival."""
 
     def __init__(self, path):
         self.sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
-        self.sock.settimeout(LONG)
+        self.sock.settimeout(STEP_TIMEOUT)
         self.sock.connect(path)
-        self.source = lines_of(self.sock)
+        self.source = read_messages(self.sock)
 
     def ask(self, ident, method="idem", program="p", **more):
-        """Sends a `call` of that id."""
+        """Sends a `call` with that id."""
         params = {"method": method, "program": program, "input": {"n": ident}, **more}
         self.sock.sendall(jsonrpc.request_line("call", jsonrpc.encode(params), ident))
 
@@ -208,7 +208,7 @@
         self.sock.sendall(raw)
 
     def answer(self):
-        """The next answer."""
+        """Returns the next answer."""
         return next(self.source)
 
     def close(self):
@@ -228,23 +228,23 @@
 }
 
 
-def plain(event):
-    """An event of the coordinator as a tuple: its name in EVENT_NAMES, then its fields."""
+def event_tuple(event):
+    """Returns an event of the coordinator as a tuple: its name in EVENT_NAMES, then its fields."""
     return EVENT_NAMES[type(event)], *(getattr(event, name) for name in event.__slots__)
 
 
 class EventRecorder:
-    """Keeps the events that a worker client or a client server posts."""
+    """Records the events that a worker client or a client server posts."""
 
     def __init__(self):
         self.events = queue.Queue()
 
     def __call__(self, event):
-        self.events.put(plain(event))
+        self.events.put(event_tuple(event))
 
     def next(self, *kinds):
-        """The next event of one of these kinds."""
+        """Returns the next event of one of these kinds, and drops the events before it."""
         while True:
-            event = self.events.get(timeout=LONG)
+            event = self.events.get(timeout=STEP_TIMEOUT)
             if event[0] in kinds:
                 return event
--- a/tests/scripted_socket.py
+++ b/tests/scripted_socket.py
@@ -1,15 +1,20 @@
-"""A socket that takes of each send what the test has laid down."""
+"""A fake socket whose sends have scripted results."""
 
 
-class Socket:
-    """Takes what `takes` says of each send: bytes, or an error to raise; `data` is what it took."""
+class ScriptedSocket:
+    """A socket whose sends have these `results`: a number of bytes to accept, or an error to raise.
 
-    def __init__(self, *takes):
-        self.takes, self.data = list(takes), b""
+    `sent_data` holds the bytes accepted.
+    """
 
-    def send(self, data, flags):
-        takes = self.takes.pop(0)
-        if isinstance(takes, Exception):
-            raise type(takes)(*takes.args)  # itself, it would keep the frames that it went through
-        self.data += bytes(data[:takes])
-        return min(takes, len(data))
+    def __init__(self, *results):
+        self.results, self.sent_data = list(results), b""
+
+    def send(self, sent_data, flags):
+        results = self.results.pop(0)
+        if isinstance(results, Exception):
+            raise type(results)(
+                *results.args
+            )  # a copy: the error itself would keep a reference to the frames it passed through
+        self.sent_data += bytes(sent_data[:results])
+        return min(results, len(sent_data))
--- a/tests/test_client_connection_ends.py
+++ b/tests/test_client_connection_ends.py
@@ -6,7 +6,7 @@
 
 from tests import platform_rig as rig
 from tests.front_end_rig import A, B, C
-from tests.rig import plain
+from tests.rig import event_tuple
 from tests.timed_rig import TimedFrontEndCase
 from wickdyke.gateway.events import RequestReceived
 from wickdyke.platform import client_connection, client_server
@@ -101,7 +101,7 @@
                 if cut is not None:
                     client.send(cancels[cut:])
                 self.until(lambda: len(self.recorded) == 3, "the cancel")
-                self.assertEqual(plain(self.recorded[-1]), ("cancelled", ask))
+                self.assertEqual(event_tuple(self.recorded[-1]), ("cancelled", ask))
                 self.assertEqual(list(self.front.open), [A.encode()])
                 client.close()
                 self.until(lambda: not self.front.clients)
@@ -121,7 +121,7 @@
         first, second = self.client(), self.client()
         ask = self.asked(first, rig.dispatch(1, rig.fields(A)))
         other = self.asked(second, rig.dispatch(1, rig.fields(B)), 2)
-        with patch.object(write_buffer.WriteBuffer, "pump"):  # the kernel takes nothing for now
+        with patch.object(write_buffer.WriteBuffer, "send_waiting"):  # the kernel takes nothing for now
             known = ask.client
             real = known.write_buffer.sock
             known.write_buffer.sock = Mock(send=Mock(side_effect=BlockingIOError))
@@ -167,7 +167,7 @@
                 self.now += 100
                 self.assertFalse(ask.still_wanted())
                 want = ("closed", [ask]) if leaves == "close" else ("cancelled", ask)
-                self.assertEqual([plain(event) for event in self.recorded[1:]], [want])
+                self.assertEqual([event_tuple(event) for event in self.recorded[1:]], [want])
 
 
 class Attempts(TimedFrontEndCase):
--- a/tests/test_client_connection_faults.py
+++ b/tests/test_client_connection_faults.py
@@ -9,7 +9,7 @@
 from unittest.mock import Mock, patch
 
 from tests import platform_rig as rig
-from tests.rig import plain
+from tests.rig import event_tuple
 from wickdyke.gateway.events import RequestReceived
 from wickdyke.platform import client_connection, client_server
 from wickdyke.routing.model import RequestClass
@@ -222,7 +222,7 @@
                 client.send(b"\0")
                 self.until(lambda: not self.front.clients, "the end")
                 received, closed = self.taken
-                self.assertEqual(plain(closed), ("closed", [received.pending]))
+                self.assertEqual(event_tuple(closed), ("closed", [received.pending]))
                 self.assertEqual(self.front.open, {})
                 client.close()
                 self.front.shut()
--- a/tests/test_client_server.py
+++ b/tests/test_client_server.py
@@ -1,4 +1,4 @@
-"""The client server: answers to malformed requests, which affect no others, and each of its bounds."""
+"""The client server: answers to malformed requests, which affect no other requests, and each of its bounds."""
 
 import socket
 import threading
@@ -8,15 +8,15 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
-from tests.rig import LONG, Client, Running, hello, lines_of, until, willing
+from tests.rig import STEP_TIMEOUT, Client, RunningGateway, answer_hello, answers_all, read_messages, until
 from wickdyke.gateway.events import RequestReceived
 from wickdyke.protocol import jsonrpc
 
 
 def silent(sock, number):
     """Answers no attempt."""
-    source = lines_of(sock)
-    hello(sock, source)
+    source = read_messages(sock)
+    answer_hello(sock, source)
     for _ in source:
         pass
 
@@ -25,27 +25,27 @@
 
 
 class Malformed(unittest.TestCase):
-    """Malformed requests are answered with an error and affect no others."""
+    """Malformed requests are answered with an error and affect no other requests."""
 
     @classmethod
     def setUpClass(cls):
-        cls.running = Running()
+        cls.running = RunningGateway()
         cls.running.__enter__()
         cls.addClassCleanup(cls.running.__exit__)
 
     def test_each_malformed_request(self):
-        """(line) -> (code, id, words of the data); the connection stays open."""
+        """(line) -> (error code, id, words of the error's data); the connection stays open."""
 
         def call(params, more=b'"id":7'):
             return b'{"jsonrpc":"2.0","method":"call","params":%b,%b}' % (params, more)
 
-        deep = b"[" * 60000 + b"]" * 60000
+        deeply_nested = b"[" * 60000 + b"]" * 60000
         for line, code, ident, words in (
             (b"{", -32700, None, "not JSON"),
             (b"hello", -32700, None, "not JSON"),
             (b'"\xff"', -32700, None, "UTF-8"),
             (b"[1,", -32700, None, "not JSON"),
-            (deep, -32700, None, "not JSON"),
+            (deeply_nested, -32700, None, "not JSON"),
             (b"[]", -32600, None, "empty batch"),
             (b"1", -32600, None, "object"),
             (b'{"id":7}', -32600, 7, "jsonrpc"),
@@ -82,8 +82,8 @@
                 client.close()
 
     def test_an_id_in_use(self):
-        """The second request is rejected without its id, so that the first keeps its one answer."""
-        with Running((silent,), deadline="300 ms", soft="250 ms", way="10 ms") as running:
+        """The second request is rejected without its id, so that the id stands only in the answer to the first."""
+        with RunningGateway((silent,), deadline="300 ms", soft="250 ms", way="10 ms") as running:
             client = running.client()
             client.ask(1)
             client.ask(1)
@@ -93,7 +93,7 @@
             client.close()
 
     def test_notifications_and_blank_lines(self):
-        """Notifications get no answer, whatever is wrong with them; blank lines are ignored."""
+        """Notifications get no answer, even if they are malformed; blank lines are ignored."""
         client = self.running.client()
         client.send(b'\n  \n{"jsonrpc":"2.0","method":"call","params":{}}\n{"jsonrpc":"2.0","method":"x"}\n')
         client.send(b'{"jsonrpc":"2.0","method":"cancel","params":{"id":99}}\n')
@@ -102,14 +102,14 @@
         client.close()
 
     def test_batches(self):
-        """(batch) -> the ids of its answers, which are one array."""
+        """(batch) -> the ids of its answers, which are sent as one array."""
         client = self.running.client()
-        one, two = CALL[:-1] % 1, CALL[:-1] % 2
+        first, second = CALL[:-1] % 1, CALL[:-1] % 2
         for batch, ids in (
-            (b"[%b]" % one, [1]),
-            (b"[%b,%b]" % (one, two), [1, 2]),
-            (b"[1,%b]" % one, [None, 1]),
-            (b'[{"jsonrpc":"2.0","method":"x"},%b]' % two, [2]),
+            (b"[%b]" % first, [1]),
+            (b"[%b,%b]" % (first, second), [1, 2]),
+            (b"[1,%b]" % first, [None, 1]),
+            (b'[{"jsonrpc":"2.0","method":"x"},%b]' % second, [2]),
             (b"[1,2,3]", [None, None, None]),
         ):
             with self.subTest(batch=batch[:60]):
@@ -120,7 +120,7 @@
         client.close()
 
     def test_pieces(self):
-        """A request sent byte by byte, and many at once."""
+        """A request sent byte by byte, and many requests sent at once."""
         client = self.running.client()
         for byte in CALL % 1:
             client.send(bytes([byte]))
@@ -184,8 +184,8 @@
     """The bounds on lines, connections, requests and events."""
 
     def test_a_line_that_is_too_long(self):
-        """It gets an error and its connection ends; others are served."""
-        with Running(more="(bounds (line 1 MB))") as running:
+        """The client gets an error and its connection ends; others are served."""
+        with RunningGateway(more="(bounds (line 1 MB))") as running:
             other, client = running.client(), running.client()
             client.send(b"x" * (1 << 20) + b"xx")
             self.assertEqual(client.answer()["error"]["code"], -32600)
@@ -197,18 +197,18 @@
                 connection.close()
 
     def test_too_many_connections(self):
-        """One more is rejected and closed, until another ends."""
-        with Running(more="(bounds (connections 3))") as running:
+        """A connection past the bound is rejected and closed, until another one ends."""
+        with RunningGateway(more="(bounds (connections 3))") as running:
             clients = [running.client() for _ in range(3)]
             for at, client in enumerate(clients):
                 client.ask(at)
                 client.answer()
-            late = running.client()
-            self.assertEqual(late.answer()["error"]["data"]["why"], "too-many-connections")
-            late.close()
+            rejected = running.client()
+            self.assertEqual(rejected.answer()["error"]["data"]["why"], "too-many-connections")
+            rejected.close()
             clients[0].close()
 
-            def again():
+            def is_accepted():
                 client = running.client()
                 try:
                     client.ask(1)
@@ -218,16 +218,16 @@
                 finally:
                     client.close()
 
-            self.assertTrue(until(again))
+            self.assertTrue(until(is_accepted))
             for client in clients[1:]:
                 client.close()
 
     def test_too_many_requests(self):
-        """Past the bounds of a connection and of the gateway a request is rejected at once; the reason is the bound."""
+        """A request past the bound of its connection or gateway is rejected at once, with the bound as the reason."""
         for bounds, why in (("(open-each 5)", "connection-full"), ("(open-rpcs 5)", "gateway-full")):
             with (
                 self.subTest(bound=bounds),
-                Running((silent,), deadline="2 s", soft="1 s", more=f"(bounds {bounds})") as running,
+                RunningGateway((silent,), deadline="2 s", soft="1 s", more=f"(bounds {bounds})") as running,
             ):
                 client = running.client()
                 for at in range(5):
@@ -239,40 +239,43 @@
                 client.close()
 
     def test_too_many_events(self):
-        """Past the bound of the event queue a request is rejected at once; those in it are answered later."""
-        with Running(more="(bounds (events 10))") as running:
-            go, request = threading.Event(), running.coordinator.handlers[RequestReceived]
-            running.coordinator.handlers[RequestReceived] = lambda event: (go.wait(LONG), request(event))
+        """A request past the bound of the event queue is rejected at once; those in the queue are answered later."""
+        with RunningGateway(more="(bounds (events 10))") as running:
+            may_continue, request = threading.Event(), running.coordinator.handlers[RequestReceived]
+            running.coordinator.handlers[RequestReceived] = lambda event: (
+                may_continue.wait(STEP_TIMEOUT),
+                request(event),
+            )
             client = running.client()
             for at in range(40):
                 client.ask(at)
             first = client.answer()
             self.assertEqual(first["error"]["data"]["why"], "overrun")
-            go.set()
+            may_continue.set()
             received = {first["id"], *(client.answer()["id"] for _ in range(39))}
             self.assertEqual(received, set(range(40)))
             client.close()
 
     def test_a_client_that_reads_nothing(self):
-        """It is disconnected once too much waits for it; requests of others are answered meanwhile."""
+        """The client is disconnected once too many bytes wait for it; requests of others are answered meanwhile."""
 
         def large(sock, number):
-            source = lines_of(sock)
-            hello(sock, source)
+            source = read_messages(sock)
+            answer_hello(sock, source)
             for request in source:
                 if request["method"] == "run":
                     size = 1 << 20 if request["params"]["program"] == "plarge" else 10
                     body = b'{"output":"%b","standing":"stood"}' % (b"x" * size)
                     sock.sendall(jsonrpc.result_response(request["id"], body) + b"\n")
 
-        with Running((large,), more="(bounds (line 2 MB) (unread 4 MB))") as running:
-            deaf, other = running.client(), running.client()
+        with RunningGateway((large,), more="(bounds (line 2 MB) (unread 4 MB))") as running:
+            silent_reader, other = running.client(), running.client()
             sent = threading.Event()
 
             def flood():
                 try:
                     for at in range(200):
-                        deaf.ask(at, program="plarge")
+                        silent_reader.ask(at, program="plarge")
                 except OSError:
                     pass
                 sent.set()
@@ -287,15 +290,17 @@
             self.assertTrue(
                 until(lambda: running.gateway.client_server.counts["unread"] == 1), running.gateway.client_server.counts
             )
-            self.assertTrue(sent.wait(LONG))
+            self.assertTrue(sent.wait(STEP_TIMEOUT))
             self.assertTrue(until(lambda: not running.coordinator.requests.by_id))
             self.assertTrue(until(lambda: "does not read" in running.log_output.getvalue()))
-            for connection in (deaf, other):
+            for connection in (silent_reader, other):
                 connection.close()
 
     def test_many_connections(self):
-        """400 connections with 50 open requests on each: each request gets its one answer."""
-        with Running((willing, willing), more="(bounds (connections 500))", deadline="60 s", soft="3 s") as running:
+        """400 connections with 50 open requests on each: each request gets exactly one answer."""
+        with RunningGateway(
+            (answers_all, answers_all), more="(bounds (connections 500))", deadline="60 s", soft="3 s"
+        ) as running:
             clients = [running.client() for _ in range(400)]
             for client in clients:
                 client.send(b"".join(CALL % at for at in range(50)))
@@ -310,8 +315,8 @@
             self.assertTrue(until(lambda: not running.coordinator.requests.by_id))
 
     def test_unfinished_lines(self):
-        """Clients that never end their line cost a thread each and nothing else."""
-        with Running() as running:
+        """Clients that never end their line use a thread each, and other clients are served."""
+        with RunningGateway() as running:
             slow = [running.client() for _ in range(50)]
             for client in slow:
                 client.send((CALL % 1)[:30])
@@ -326,23 +331,23 @@
     """Requests over a loopback TCP address."""
 
     def test_loopback_tcp(self):
-        """The client server on a loopback address with a port."""
-        with socket.socket() as free:
-            free.bind(("127.0.0.1", 0))
-            port = free.getsockname()[1]
-        with Running(more="") as made:
-            made.config.listen = f"127.0.0.1:{port}"
+        """The client server listens on a loopback address with a port."""
+        with socket.socket() as free_port_sock:
+            free_port_sock.bind(("127.0.0.1", 0))
+            port = free_port_sock.getsockname()[1]
+        with RunningGateway(more="") as running:
+            running.config.listen = f"127.0.0.1:{port}"
             from wickdyke.jsonrpc.service import Gateway
 
-            gateway = Gateway(made.config, made.log)
+            gateway = Gateway(running.config, running.log)
             gateway.open()
             try:
                 self.assertTrue(until(lambda: any(gateway.coordinator.router.fleet.ready())))
-                with socket.create_connection(("127.0.0.1", port), LONG) as sock:
+                with socket.create_connection(("127.0.0.1", port), STEP_TIMEOUT) as sock:
                     sock.sendall(CALL % 1)
                     self.assertIn(b'"ok"', sock.makefile("rb").readline())
             finally:
-                gateway.client_server.shut()
+                gateway.client_server.stop_accepting()
                 gateway.close()
 
 
--- a/tests/test_coordinator.py
+++ b/tests/test_coordinator.py
@@ -5,8 +5,14 @@
 import unittest
 import unittest.mock
 
-from tests.rig import LONG, Running, hello, lines_of, until, willing
-from tests.scripted_workers import a_byte_a_time, answers_after, dies_on_run, refuses, silent
+from tests.rig import STEP_TIMEOUT, RunningGateway, answer_hello, answers_all, read_messages, until
+from tests.scripted_workers import (
+    answers_after,
+    answers_byte_by_byte,
+    ends_connection_on_run,
+    responds_with_error,
+    silent,
+)
 from wickdyke.protocol import jsonrpc, worker_messages
 
 
@@ -16,17 +22,17 @@
     def test_the_final_answer(self):
         """(workers, method) -> the final answer and its reason, before the client's time is up."""
         for name, workers, method, answer, why in (
-            ("served", (willing,), "idem", "ok", None),
+            ("served", (answers_all,), "idem", "ok", None),
             ("silent", (silent,), "idem", "denied", "cancelled timeout"),
             ("silent, side-effecting", (silent,), "side", "aborted", "timeout"),
             ("just after its time", (answers_after(5),), "side", "aborted", "timeout"),
-            ("a byte a time", (a_byte_a_time,), "side", "aborted", "timeout"),
-            ("dies, side-effecting", (dies_on_run,), "side", "aborted", "cut"),
-            ("fails, side-effecting", (refuses(worker_messages.FAILED),), "side", "aborted", "error"),
-            ("full, side-effecting", (refuses(worker_messages.FULL),), "side", "denied", "full"),
+            ("a byte a time", (answers_byte_by_byte,), "side", "aborted", "timeout"),
+            ("dies, side-effecting", (ends_connection_on_run,), "side", "aborted", "cut"),
+            ("fails, side-effecting", (responds_with_error(worker_messages.FAILED),), "side", "aborted", "error"),
+            ("full, side-effecting", (responds_with_error(worker_messages.FULL),), "side", "denied", "full"),
             ("no worker", (), "idem", "denied", "no-place"),
         ):
-            with self.subTest(case=name), Running(workers, soft="400 ms", deadline="900 ms") as running:
+            with self.subTest(case=name), RunningGateway(workers, soft="400 ms", deadline="900 ms") as running:
                 client = running.client()
                 began_at = time.monotonic()
                 client.ask(1, method)
@@ -47,13 +53,13 @@
             cancelled = threading.Event()
 
             def play(sock, number, cancelled=cancelled):
-                source = lines_of(sock)
-                hello(sock, source)
+                source = read_messages(sock)
+                answer_hello(sock, source)
                 for request in source:
                     if request["method"] == "cancel":
                         cancelled.set()
 
-            with self.subTest(how=how), Running((play,)) as running:
+            with self.subTest(how=how), RunningGateway((play,)) as running:
                 client = running.client()
                 client.ask("x")
                 self.assertTrue(
@@ -66,7 +72,7 @@
                     client.send(jsonrpc.notification_line("cancel", b'{"id":"x"}'))
                 else:
                     client.close()
-                self.assertTrue(cancelled.wait(LONG))
+                self.assertTrue(cancelled.wait(STEP_TIMEOUT))
                 self.assertTrue(until(lambda running=running: not running.coordinator.requests.by_id))
                 if how == "cancel":
                     client.ask("x")  # the id is free again
@@ -74,7 +80,7 @@
 
     def test_an_answer_after_the_cancel(self):
         """An answer is not sent once the cancel was read, since its id may be in use again."""
-        with Running((silent,)) as running:
+        with RunningGateway((silent,)) as running:
             client = running.client()
             client.ask("x")
             self.assertTrue(until(lambda: running.coordinator.requests.by_id))
@@ -90,7 +96,7 @@
 
     def test_no_cancels(self):
         """Where nothing may be cancelled, an attempt that never ends is abandoned at its request's deadline."""
-        with Running((silent,), deadline="700 ms", soft="600 ms", more="(call-outs (cancel no))") as running:
+        with RunningGateway((silent,), deadline="700 ms", soft="600 ms", more="(call-outs (cancel no))") as running:
             client = running.client()
             client.ask(1)
             self.assertTrue(until(lambda: running.coordinator.requests.by_id))
@@ -102,9 +108,9 @@
 
         def echo(sock, number):
             # It answers health checks as well: on a slow machine one that does not is checked again each time.
-            willing(sock, number, lambda request: jsonrpc.encode(request["input"]))
+            answers_all(sock, number, lambda request: jsonrpc.encode(request["input"]))
 
-        with Running((echo,), deadline="60 s", soft="50 s") as running:
+        with RunningGateway((echo,), deadline="60 s", soft="50 s") as running:
             client = running.client()
             for payload in ("x" * (8 << 20), "\u00e9\u2603" * 1000, {"a": [1.5, None, {"b": '\\"'}]}):
                 client.ask(1, input=payload)
@@ -126,7 +132,7 @@
             )
             threading.Event().wait(60)
 
-        with Running((deaf,), deadline="60 s", soft="50 s") as running:
+        with RunningGateway((deaf,), deadline="60 s", soft="50 s") as running:
             client = running.client()
             client.ask(1, input="x" * (8 << 20))
             self.assertTrue(until(lambda: any(ask.commands for ask in running.coordinator.requests.by_id.values())))
--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -12,8 +12,8 @@
 
 from tests import platform_rig as rig
 from tests.front_end_rig import ASCII_A, ASCII_B, FullListener, LoopCase
-from tests.rig import EventRecorder, Peer, hello, lines_of, ok
-from tests.scripted_socket import Socket
+from tests.rig import EventRecorder, ScriptedWorker, answer_hello, read_messages, success_line
+from tests.scripted_socket import ScriptedSocket
 from wickdyke.jsonrpc import worker_client as jsonrpc_client
 from wickdyke.jsonrpc import worker_command as jsonrpc_command
 from wickdyke.jsonrpc import worker_protocol as jsonrpc_protocol
@@ -154,9 +154,9 @@
                 upstream.send(self.command(9000.0))
                 self.until(lambda held=held: held)
                 conn = upstream.connections[0]
-                conn.write_buffer.sock = Socket(BlockingIOError())
+                conn.write_buffer.sock = ScriptedSocket(BlockingIOError())
                 conn.send(order := self.command(1500.0, ASCII_B))
-                self.assertFalse(order.message.begun)
+                self.assertFalse(order.message.send_started)
                 self.clock.now += waits
                 conn.write_buffer.sock = conn.sock
                 if expected is None:
@@ -179,7 +179,7 @@
                 upstream.send(self.command(9000.0))
                 self.until(lambda held=held: held)
                 conn = upstream.connections[0]
-                conn.write_buffer.sock = Socket(BlockingIOError())
+                conn.write_buffer.sock = ScriptedSocket(BlockingIOError())
                 order = self.command(1500.0, ASCII_B)
                 conn.send(order)
                 kept = weakref.ref(order.key)
@@ -221,13 +221,13 @@
     def upstream(self):
         def play(sock, number):
             self.go.wait(20)
-            source = lines_of(sock)
-            hello(sock, source)
+            source = read_messages(sock)
+            answer_hello(sock, source)
             for request in source:
                 self.runs.append(request["params"])
-                sock.sendall(ok(request["id"]))
+                sock.sendall(success_line(request["id"]))
 
-        peer, events = Peer(self.folder, "w", play), EventRecorder()
+        peer, events = ScriptedWorker(self.folder, "w", play), EventRecorder()
         upstream = jsonrpc_client.WorkerClient(
             "w", peer.path, jsonrpc_client.WorkerClientSettings("g", 20000.0, 16 << 20, 32 << 20), events
         )
@@ -262,7 +262,7 @@
             with upstream.write_buffer.lock:
                 parcel.bytes_waiting = len(parcel.render())
                 upstream.write_buffer.bytes_waiting += parcel.bytes_waiting
-                upstream.write_buffer.waiting.append(parcel)
+                upstream.write_buffer.waiting_messages.append(parcel)
                 return False
 
         with patch.object(upstream.write_buffer, "put", behind):
--- a/tests/test_endpoint_list.py
+++ b/tests/test_endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list of the JSON-RPC gateway: its rows and the hellos of the workers, merged."""
+"""The endpoint list of the JSON-RPC gateway, which merges its rows with the hellos of the workers."""
 
 import os
 import tempfile
@@ -11,12 +11,12 @@
 
 
 def row(state="ready", start=0, address="a", name="w"):
-    """A row of the list."""
+    """Returns a row of the endpoint list."""
     return EndpointRow(name, address, "z2", "k2", 1, 4.0, state, start)
 
 
 def hello(start, up=0.0, draining=False):
-    """A hello of worker w."""
+    """Returns a hello of worker w."""
     return WorkerHello(1, "w", start, up, draining)
 
 
@@ -24,9 +24,9 @@
     """Relative addresses in rows of the list."""
 
     def test_relative_addresses(self):
-        """(address in the file) -> where the gateway connects, whatever its working directory."""
+        """(address in the file) -> the address that the gateway connects to, for any working directory."""
         with tempfile.TemporaryDirectory(prefix="wd-") as folder:
-            for listed, want in (
+            for listed, expected in (
                 ("run/w.sock", os.path.join(folder, "run/w.sock")),
                 ("/run/w.sock", "/run/w.sock"),
                 ("127.0.0.1:70", "127.0.0.1:70"),
@@ -35,18 +35,22 @@
                 with self.subTest(listed=listed):
                     with open(os.path.join(folder, "l.sexp"), "w") as sink:
                         sink.write(f'(workers (worker "w" (address "{listed}")))')
-                    self.assertEqual(endpoint_file.read_endpoints(sink.name)[0].address, want)
+                    self.assertEqual(endpoint_file.read_endpoints(sink.name)[0].address, expected)
 
 
 class MergedEndpoints(unittest.TestCase):
     """Rows and hellos of a worker merged into one endpoint."""
 
     def test_one_worker(self):
-        """(inputs with their times) -> (state, start time) of the endpoint that the last one changed; None for none."""
-        far = 100000.0
-        for name, inputs, want in (
+        """(inputs with their times) -> (state, start time) of the endpoint that the last input changed, or None."""
+        long_uptime = 100000.0
+        for name, inputs, expected in (
             ("listed, no hello yet", [(0, "entries", [row()])], None),
-            ("hello received", [(0, "entries", [row()]), (5, "connected", hello(1, far))], ("ready", 5 - far)),
+            (
+                "hello received",
+                [(0, "entries", [row()]), (5, "connected", hello(1, long_uptime))],
+                ("ready", 5 - long_uptime),
+            ),
             ("unreachable: counts as just started", [(0, "entries", [row()]), (9, "unreachable")], ("ready", 9)),
             ("still unreachable", [(0, "entries", [row()]), (9, "unreachable"), (20, "unreachable")], None),
             (
@@ -56,24 +60,32 @@
             ),
             (
                 "reconnected, the same start",
-                [(0, "entries", [row()]), (5, "connected", hello(1, far)), (9, "connected", hello(1, far + 4))],
+                [
+                    (0, "entries", [row()]),
+                    (5, "connected", hello(1, long_uptime)),
+                    (9, "connected", hello(1, long_uptime + 4)),
+                ],
                 None,
             ),
             (
                 "restarted, by its hello",
-                [(0, "entries", [row()]), (5, "connected", hello(1, far)), (50, "connected", hello(2, 10))],
+                [(0, "entries", [row()]), (5, "connected", hello(1, long_uptime)), (50, "connected", hello(2, 10))],
                 ("ready", 40),
             ),
             (
                 "restarted, by the list",
-                [(0, "entries", [row(start=1)]), (5, "connected", hello(1, far)), (50, "entries", [row(start=2)])],
+                [
+                    (0, "entries", [row(start=1)]),
+                    (5, "connected", hello(1, long_uptime)),
+                    (50, "entries", [row(start=2)]),
+                ],
                 ("ready", 50),
             ),
             (
                 "restarted, by the list, then by its hello",
                 [
                     (0, "entries", [row(start=1)]),
-                    (5, "connected", hello(1, far)),
+                    (5, "connected", hello(1, long_uptime)),
                     (50, "entries", [row(start=2)]),
                     (60, "connected", hello(2, 20)),
                 ],
@@ -83,7 +95,7 @@
                 "a list that lags behind the hello",
                 [
                     (0, "entries", [row(start=1)]),
-                    (5, "connected", hello(1, far)),
+                    (5, "connected", hello(1, long_uptime)),
                     (50, "connected", hello(2, 10)),
                     (60, "entries", [row(start=1)]),
                 ],
@@ -91,24 +103,29 @@
             ),
             (
                 "draining by the list",
-                [(0, "entries", [row()]), (5, "connected", hello(1, far)), (9, "entries", [row("draining")])],
-                ("draining", 5 - far),
+                [(0, "entries", [row()]), (5, "connected", hello(1, long_uptime)), (9, "entries", [row("draining")])],
+                ("draining", 5 - long_uptime),
             ),
             (
                 "draining by its own report",
-                [(0, "entries", [row()]), (5, "connected", hello(1, far)), (9, "draining")],
-                ("draining", 5 - far),
+                [(0, "entries", [row()]), (5, "connected", hello(1, long_uptime)), (9, "draining")],
+                ("draining", 5 - long_uptime),
             ),
             (
-                "the list does not end the reported drain",
-                [(0, "entries", [row()]), (5, "connected", hello(1, far)), (9, "draining"), (20, "entries", [row()])],
+                "a row does not end a drain that the worker reported",
+                [
+                    (0, "entries", [row()]),
+                    (5, "connected", hello(1, long_uptime)),
+                    (9, "draining"),
+                    (20, "entries", [row()]),
+                ],
                 None,
             ),
             (
-                "its new start does end it",
+                "a new start ends a drain that the worker reported",
                 [
                     (0, "entries", [row()]),
-                    (5, "connected", hello(1, far)),
+                    (5, "connected", hello(1, long_uptime)),
                     (9, "draining"),
                     (20, "connected", hello(2, 0)),
                 ],
@@ -116,14 +133,18 @@
             ),
             (
                 "draining in its hello",
-                [(0, "entries", [row()]), (5, "connected", hello(1, far, True))],
-                ("draining", 5 - far),
+                [(0, "entries", [row()]), (5, "connected", hello(1, long_uptime, True))],
+                ("draining", 5 - long_uptime),
+            ),
+            (
+                "gone",
+                [(0, "entries", [row()]), (5, "connected", hello(1, long_uptime)), (9, "entries", [])],
+                ("gone", 5 - long_uptime),
             ),
-            ("gone", [(0, "entries", [row()]), (5, "connected", hello(1, far)), (9, "entries", [])], ("gone", 5 - far)),
             (
                 "gone by its state",
-                [(0, "entries", [row()]), (5, "connected", hello(1, far)), (9, "entries", [row("gone")])],
-                ("gone", 5 - far),
+                [(0, "entries", [row()]), (5, "connected", hello(1, long_uptime)), (9, "entries", [row("gone")])],
+                ("gone", 5 - long_uptime),
             ),
             ("gone before its hello", [(0, "entries", [row()]), (9, "entries", [])], None),
             (
@@ -133,16 +154,16 @@
             ),
             (
                 "another address: another worker",
-                [(0, "entries", [row()]), (5, "connected", hello(1, far)), (9, "entries", [row(address="b")])],
-                ("gone", 5 - far),
+                [(0, "entries", [row()]), (5, "connected", hello(1, long_uptime)), (9, "entries", [row(address="b")])],
+                ("gone", 5 - long_uptime),
             ),
         ):
             with self.subTest(case=name):
                 endpoints = EndpointList(("z1", "z2"), ("k1", "k2"))
                 changes = []
-                for now, what, *more in inputs:
+                for now, input_name, *more in inputs:
                     now = float(now)
-                    match what:
+                    match input_name:
                         case "entries":
                             changes = endpoints.apply(more[0], now).endpoints
                         case "connected":
@@ -151,7 +172,7 @@
                             changes = endpoints.unreachable("w", now)
                         case "draining":
                             changes = endpoints.draining("w")
-                self.assertEqual([(c.state, c.started_at) for c in changes], [] if want is None else [want])
+                self.assertEqual([(c.state, c.started_at) for c in changes], [] if expected is None else [expected])
                 for change in changes:
                     self.assertEqual((change.zone, change.kind, change.cell, change.size), (1, 1, 1, 4.0))
 
--- a/tests/test_event_loop_faults.py
+++ b/tests/test_event_loop_faults.py
@@ -1,4 +1,4 @@
-"""The event loop where its system calls fail: it goes on, keeps nothing of what failed, and leaves nothing open."""
+"""Failing system calls of the event loop: it goes on, keeps no state of a failed call, and leaks no descriptor."""
 
 import errno
 import os
@@ -11,24 +11,24 @@
 from tests.descriptors import open_descriptors, opened_since
 from wickdyke.transport import event_loop
 
-NO_MEMORY = (errno.ENOMEM, errno.ENOSPC)
+OUT_OF_RESOURCES_ERRORS = (errno.ENOMEM, errno.ENOSPC)
 
 
-def failure(code):
-    """The error of a system call."""
+def os_error(code):
+    """Returns the OSError of a failed system call."""
     return OSError(code, os.strerror(code))
 
 
 class FaultyEpoll:
-    """An epoll whose calls raise what `errors` holds for their name, one after the other (None: it works)."""
+    """An epoll whose methods raise the `errors` listed under their name, one per call (None: the call succeeds)."""
 
     def __init__(self):
         self.real, self.errors = select.epoll(), {}
 
     def __getattr__(self, name):
         def call(*args):
-            waiting = self.errors.get(name)
-            error = waiting.pop(0) if waiting else None
+            pending_errors = self.errors.get(name)
+            error = pending_errors.pop(0) if pending_errors else None
             if error is not None:
                 raise error
             return getattr(self.real, name)(*args)
@@ -37,216 +37,216 @@
 
 
 class Handler:
-    """Records its calls."""
+    """A handler that records the calls of its methods."""
 
     def __init__(self, priority=event_loop.Priority.HIGH):
-        self.priority, self.recorded = priority, []
+        self.priority, self.calls = priority, []
 
     def readable(self):
-        self.recorded.append("readable")
+        self.calls.append("readable")
 
     def writable(self):
-        self.recorded.append("writable")
+        self.calls.append("writable")
 
     def broken(self):
-        self.recorded.append("broken")
+        self.calls.append("broken")
 
 
-class Case(unittest.TestCase):
-    """An event loop whose poll calls may fail, and connected sockets."""
+class EventLoopFaultCase(unittest.TestCase):
+    """An event loop whose epoll calls may fail, with a clock set by the test."""
 
     def setUp(self):
-        self.now, self.faults = 0.0, []
+        self.now, self.reported_errors = 0.0, []
         patcher = patch.object(event_loop, "clock", lambda: self.now)
         patcher.start()
         self.addCleanup(patcher.stop)
         self.epoll = FaultyEpoll()
         with patch.object(event_loop.select, "epoll", lambda: self.epoll):
-            self.loop = event_loop.EventLoop(self.faults.append)
+            self.loop = event_loop.EventLoop(self.reported_errors.append)
         self.addCleanup(self.loop.close)
 
     def pair(self):
-        ends = socket.socketpair()
-        for end in ends:
-            self.addCleanup(end.close)
-            end.setblocking(False)
-        return ends
-
-    def run_once(self, span=0.0):
-        self.now += span
+        socks = socket.socketpair()
+        for sock in socks:
+            self.addCleanup(sock.close)
+            sock.setblocking(False)
+        return socks
+
+    def run_once(self, elapsed=0.0):
+        self.now += elapsed
         self.loop.run_once(0.0, lambda: None)
 
 
-class Add(Case):
+class AddFaults(EventLoopFaultCase):
     """Failures when a socket is added."""
 
-    def test_it_raises_and_keeps_nothing(self):
-        """The number is used again by another socket, whose handler alone is told."""
-        for code in NO_MEMORY:
+    def test_a_failed_add_raises_and_leaves_nothing_behind(self):
+        """Another socket reuses the descriptor, and only its handler is called."""
+        for code in OUT_OF_RESOURCES_ERRORS:
             with self.subTest(errno.errorcode[code]):
-                failed, fresh = Handler(), Handler()
-                sock, peer = socket.socketpair()
-                number = sock.fileno()
-                self.epoll.errors = {"register": [failure(code)]}
+                failed_handler, new_handler = Handler(), Handler()
+                failed_sock, failed_peer = socket.socketpair()
+                fd = failed_sock.fileno()
+                self.epoll.errors = {"register": [os_error(code)]}
                 with self.assertRaises(OSError):
-                    self.loop.add(sock, failed)
+                    self.loop.add(failed_sock, failed_handler)
                 self.assertEqual(self.loop.handlers, {})
-                self.loop.remove(sock)
-                sock.close()
-                peer.close()
-                mine, other = self.pair()
-                self.assertIn(number, (mine.fileno(), other.fileno()))
-                used = mine if mine.fileno() == number else other
-                self.loop.add(used, fresh)
-                (other if used is mine else mine).send(b"x")
+                self.loop.remove(failed_sock)
+                failed_sock.close()
+                failed_peer.close()
+                sock, peer = self.pair()
+                self.assertIn(fd, (sock.fileno(), peer.fileno()))
+                used = sock if sock.fileno() == fd else peer
+                self.loop.add(used, new_handler)
+                (peer if used is sock else sock).send(b"x")
                 self.run_once()
                 self.loop.remove(used)
-                mine.close()
-                other.close()
-                self.assertEqual((failed.recorded, fresh.recorded, self.loop.handlers), ([], ["readable"], {}))
-
-    def test_a_second_add_leaves_the_first(self):
-        one, two = Handler(), Handler()
-        mine, other = self.pair()
-        self.loop.add(mine, one)
+                sock.close()
+                peer.close()
+                self.assertEqual((failed_handler.calls, new_handler.calls, self.loop.handlers), ([], ["readable"], {}))
+
+    def test_a_second_add_raises_and_keeps_the_first(self):
+        first, second = Handler(), Handler()
+        sock, peer = self.pair()
+        self.loop.add(sock, first)
         with self.assertRaises(FileExistsError):
-            self.loop.add(mine, two)
-        other.send(b"x")
+            self.loop.add(sock, second)
+        peer.send(b"x")
         self.run_once()
-        self.assertEqual((one.recorded, two.recorded), (["readable"], []))
+        self.assertEqual((first.calls, second.calls), (["readable"], []))
 
 
-class Want(Case):
-    """Failures when the events wanted of a socket change."""
+class SetInterestFaults(EventLoopFaultCase):
+    """Failures when the events that a socket waits for change."""
 
-    def test_it_is_told_again_until_the_kernel_takes_it(self):
-        for code in (*NO_MEMORY, errno.EINTR):
+    def test_a_failed_modification_is_retried_until_it_succeeds(self):
+        for code in (*OUT_OF_RESOURCES_ERRORS, errno.EINTR):
             for times in (1, 2, 5):
                 with self.subTest(code=errno.errorcode[code], times=times):
                     handler = Handler()
-                    mine, _ = self.pair()
-                    self.loop.add(mine, handler)
-                    self.epoll.errors = {"modify": [failure(code)] * times}
-                    self.loop.set_interest(mine, True)
+                    sock, _ = self.pair()
+                    self.loop.add(sock, handler)
+                    self.epoll.errors = {"modify": [os_error(code)] * times}
+                    self.loop.set_interest(sock, True)
                     for _ in range(times):
                         self.run_once()
-                        self.assertEqual(handler.recorded, [])
-                        self.run_once(event_loop.MODIFY_RETRY)
+                        self.assertEqual(handler.calls, [])
+                        self.run_once(event_loop.MODIFY_RETRY_DELAY)
                     self.run_once()
-                    self.assertEqual(handler.recorded, ["writable"])
-                    self.assertEqual((self.loop.unmodified, self.faults), ({}, []))
-                    self.loop.remove(mine)
+                    self.assertEqual(handler.calls, ["writable"])
+                    self.assertEqual((self.loop.pending_modifications, self.reported_errors), ({}, []))
+                    self.loop.remove(sock)
 
-    def test_the_last_wish_counts(self):
-        """One that failed is not made good after a later one that went through."""
+    def test_the_last_interest_set_is_in_force(self):
+        """A failed modification is not retried after a later one has succeeded."""
         handler = Handler()
-        mine, _ = self.pair()
-        self.loop.add(mine, handler)
-        self.epoll.errors = {"modify": [failure(errno.ENOMEM)]}
-        self.loop.set_interest(mine, True)
-        self.loop.set_interest(mine, False)
+        sock, _ = self.pair()
+        self.loop.add(sock, handler)
+        self.epoll.errors = {"modify": [os_error(errno.ENOMEM)]}
+        self.loop.set_interest(sock, True)
+        self.loop.set_interest(sock, False)
         for _ in range(3):
-            self.run_once(event_loop.MODIFY_RETRY)
-        self.assertEqual(handler.recorded, [])
+            self.run_once(event_loop.MODIFY_RETRY_DELAY)
+        self.assertEqual(handler.calls, [])
 
-    def test_two_that_fail_one_after_the_other(self):
+    def test_two_failed_modifications_in_a_row(self):
         handler = Handler()
-        mine, _ = self.pair()
-        self.loop.add(mine, handler)
-        self.epoll.errors = {"modify": [failure(errno.ENOMEM)] * 2}
-        self.loop.set_interest(mine, False)
-        self.loop.set_interest(mine, True)
-        self.run_once(event_loop.MODIFY_RETRY)
+        sock, _ = self.pair()
+        self.loop.add(sock, handler)
+        self.epoll.errors = {"modify": [os_error(errno.ENOMEM)] * 2}
+        self.loop.set_interest(sock, False)
+        self.loop.set_interest(sock, True)
+        self.run_once(event_loop.MODIFY_RETRY_DELAY)
         self.run_once()
-        self.assertEqual((handler.recorded, self.loop.timers.heap), (["writable"], []))
-
-    def test_another_socket_with_its_number_is_not_changed(self):
-        old, fresh = Handler(), Handler()
-        mine, _ = self.pair()
-        number = mine.fileno()
-        self.loop.add(mine, old)
-        self.epoll.errors = {"modify": [failure(errno.ENOMEM)]}
-        self.loop.set_interest(mine, True)
-        self.loop.remove(mine)
-        mine.close()
-        again = socket.socket()
-        self.addCleanup(again.close)
-        self.assertEqual(again.fileno(), number)
-        self.loop.add(again, fresh)
+        self.assertEqual((handler.calls, self.loop.timers.heap), (["writable"], []))
+
+    def test_a_reused_descriptor_is_not_modified(self):
+        old, new_handler = Handler(), Handler()
+        sock, _ = self.pair()
+        fd = sock.fileno()
+        self.loop.add(sock, old)
+        self.epoll.errors = {"modify": [os_error(errno.ENOMEM)]}
+        self.loop.set_interest(sock, True)
+        self.loop.remove(sock)
+        sock.close()
+        new_socket = socket.socket()
+        self.addCleanup(new_socket.close)
+        self.assertEqual(new_socket.fileno(), fd)
+        self.loop.add(new_socket, new_handler)
         with patch.object(self.epoll, "modify", Mock(), create=True) as modify:
             for _ in range(3):
-                self.run_once(event_loop.MODIFY_RETRY)
+                self.run_once(event_loop.MODIFY_RETRY_DELAY)
             modify.assert_not_called()
-        self.assertEqual((old.recorded, self.faults), ([], []))
+        self.assertEqual((old.calls, self.reported_errors), ([], []))
 
-    def test_a_socket_that_is_not_watched(self):
-        """A mistake of the caller: it is told."""
-        mine, _ = self.pair()
+    def test_an_unregistered_socket(self):
+        """An error of the caller, which raises."""
+        sock, _ = self.pair()
         with self.assertRaises(FileNotFoundError):
-            self.loop.set_interest(mine, True)
-        self.assertEqual((self.loop.unmodified, self.loop.timers.heap), ({}, []))
+            self.loop.set_interest(sock, True)
+        self.assertEqual((self.loop.pending_modifications, self.loop.timers.heap), ({}, []))
 
 
-class Remove(Case):
+class RemoveFaults(EventLoopFaultCase):
     """Failures when a socket is removed."""
 
-    def test_it_never_raises(self):
+    def test_remove_never_raises(self):
         for code in (errno.ENOMEM, errno.ENOENT, errno.EBADF, errno.EINTR):
             with self.subTest(errno.errorcode[code]):
                 handler = Handler()
-                mine, other = self.pair()
-                self.loop.add(mine, handler)
-                self.epoll.errors = {"unregister": [failure(code)]}
-                self.loop.remove(mine)
-                other.send(b"x")
+                sock, peer = self.pair()
+                self.loop.add(sock, handler)
+                self.epoll.errors = {"unregister": [os_error(code)]}
+                self.loop.remove(sock)
+                peer.send(b"x")
                 self.run_once()
-                mine.close()
+                sock.close()
                 self.run_once()
-                self.assertEqual((handler.recorded, self.loop.handlers, self.faults), ([], {}, []))
+                self.assertEqual((handler.calls, self.loop.handlers, self.reported_errors), ([], {}, []))
 
 
-class Turn(Case):
+class IterationFaults(EventLoopFaultCase):
     """Failures of the poll itself and of handlers within an iteration."""
 
-    def test_a_poll_that_is_interrupted(self):
-        """(which poll): timers and `between` have their turn all the same, the sockets in the next."""
+    def test_an_interrupted_poll(self):
+        """(which poll): timers and `before_normal_priority` still run, and the sockets are served in the next one."""
         for nth in (1, 2, 3):
             with self.subTest(nth=nth):
-                handler, due, between = Handler(), Mock(), Mock()
-                mine, other = self.pair()
-                self.loop.add(mine, handler)
-                other.send(b"x")
+                handler, timer, before_normal_priority = Handler(), Mock(), Mock()
+                sock, peer = self.pair()
+                self.loop.add(sock, handler)
+                peer.send(b"x")
                 self.epoll.errors = {"poll": [None] * (nth - 1) + [InterruptedError(errno.EINTR, "interrupted")]}
-                self.loop.call_at(self.now, due)
+                self.loop.call_at(self.now, timer)
                 for _ in range(nth):
-                    self.loop.run_once(0.0, between)
-                self.assertEqual(handler.recorded, ["readable"] * (nth - 1))
-                due.assert_called_once_with()
-                self.assertEqual(between.call_count, nth)
+                    self.loop.run_once(0.0, before_normal_priority)
+                self.assertEqual(handler.calls, ["readable"] * (nth - 1))
+                timer.assert_called_once_with()
+                self.assertEqual(before_normal_priority.call_count, nth)
                 self.run_once()
-                self.assertEqual(handler.recorded, ["readable"] * nth)
-                self.loop.remove(mine)
-
-    def test_a_handler_whose_end_fails_too(self):
-        """The others are served."""
-        bad, good = Handler(), Handler(event_loop.Priority.NORMAL)
-        bad.readable = Mock(side_effect=KeyError("unforeseen"))
-        bad.broken = Mock(side_effect=failure(errno.EIO))
-        for handler in (bad, good):
-            mine, other = self.pair()
-            self.loop.add(mine, handler)
-            other.send(b"x")
+                self.assertEqual(handler.calls, ["readable"] * nth)
+                self.loop.remove(sock)
+
+    def test_a_handler_whose_broken_method_raises_too(self):
+        """The other handlers are served."""
+        failing_handler, good_handler = Handler(), Handler(event_loop.Priority.NORMAL)
+        failing_handler.readable = Mock(side_effect=KeyError("unforeseen"))
+        failing_handler.broken = Mock(side_effect=os_error(errno.EIO))
+        for handler in (failing_handler, good_handler):
+            sock, peer = self.pair()
+            self.loop.add(sock, handler)
+            peer.send(b"x")
         self.run_once()
-        self.assertEqual(good.recorded, ["readable"])
-        self.assertEqual([type(fault) for fault in self.faults], [KeyError, OSError])
+        self.assertEqual(good_handler.calls, ["readable"])
+        self.assertEqual([type(error) for error in self.reported_errors], [KeyError, OSError])
 
 
-class Received(unittest.TestCase):
-    """Errors when bytes are received."""
+class ReceiveErrors(unittest.TestCase):
+    """Errors of recv(2)."""
 
     def test_each_error(self):
-        """(error) -> nothing yet, or the connection has ended."""
-        for code, given in (
+        """(error) -> None for no data yet, or empty for the end of the connection."""
+        for code, expected in (
             (errno.EAGAIN, None),
             (errno.EINTR, None),
             (errno.ENOMEM, None),
@@ -259,25 +259,25 @@
             (errno.ENOTCONN, b""),
         ):
             with self.subTest(errno.errorcode[code]):
-                self.assertEqual(event_loop.receive(Mock(recv=Mock(side_effect=failure(code))), 100), given)
+                self.assertEqual(event_loop.receive(Mock(recv=Mock(side_effect=os_error(code))), 100), expected)
 
 
-class Dial(unittest.TestCase):
-    """connect(2), on real sockets."""
+class DialFaults(unittest.TestCase):
+    """Failures of a connect, on real sockets."""
 
     def setUp(self):
         self.server = socket.create_server(("127.0.0.1", 0))
         self.addCleanup(self.server.close)
         self.address = self.server.getsockname()
-        self.before = open_descriptors()
+        self.descriptors_before = open_descriptors()
 
     def dial(self, address=None, **members):
-        fake = type("Faulty", (socket.socket,), members)
-        with patch.object(event_loop, "socket", SimpleNamespace(**{**vars(socket), "socket": fake})):
+        faulty_socket = type("Faulty", (socket.socket,), members)
+        with patch.object(event_loop, "socket", SimpleNamespace(**{**vars(socket), "socket": faulty_socket})):
             return event_loop.dial(address or self.address)
 
     def test_each_step_fails(self):
-        """The error is given, and no socket is left open."""
+        """The errno is returned, and no socket is left open."""
         for name, codes in (
             ("__init__", (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EACCES)),
             ("setblocking", (errno.EBADF, errno.ENOMEM)),
@@ -285,10 +285,10 @@
         ):
             for code in codes:
                 with self.subTest(name=name, code=errno.errorcode[code]):
-                    self.assertEqual(self.dial(**{name: Mock(side_effect=failure(code))}), (None, code))
-                    self.assertEqual(opened_since(self.before), set())
+                    self.assertEqual(self.dial(**{name: Mock(side_effect=os_error(code))}), (None, code))
+                    self.assertEqual(opened_since(self.descriptors_before), set())
 
-    def test_connect_gives_an_error(self):
+    def test_connect_returns_an_error(self):
         for code in (
             errno.EACCES,
             errno.EPERM,
@@ -310,10 +310,10 @@
         ):
             with self.subTest(errno.errorcode[code]):
                 self.assertEqual(self.dial(connect_ex=Mock(return_value=code)), (None, code))
-                self.assertEqual(opened_since(self.before), set())
+                self.assertEqual(opened_since(self.descriptors_before), set())
 
-    def test_connect_is_interrupted(self):
-        """The connection goes on being made, and comes up."""
+    def test_an_interrupted_connect(self):
+        """The connect continues in the kernel and succeeds."""
 
         def interrupted(sock, address):
             socket.socket.connect_ex(sock, address)
@@ -321,31 +321,31 @@
 
         sock, code = self.dial(connect_ex=interrupted)
         self.assertEqual(code, 0)
-        with sock, self.server.accept()[0] as taken:
-            taken.sendall(b"x")
+        with sock, self.server.accept()[0] as accepted:
+            accepted.sendall(b"x")
             sock.setblocking(True)
             self.assertEqual(sock.recv(1), b"x")
 
-    def test_an_address_that_can_not_be_one(self):
+    def test_invalid_addresses(self):
         for address in (("127.0.0.1", 70000), ("127.0.0.1", -1), ("a" * 100 + ".", 1)):
             with self.subTest(address=address):
                 sock, code = event_loop.dial(address)
                 self.assertEqual((sock, code != 0), (None, True))
-                self.assertEqual(opened_since(self.before), set())
+                self.assertEqual(opened_since(self.descriptors_before), set())
 
-    def test_what_a_signal_handler_raises_goes_on(self):
+    def test_an_exception_of_a_signal_handler_propagates(self):
         with self.assertRaises(KeyboardInterrupt):
             self.dial(connect_ex=Mock(side_effect=KeyboardInterrupt))
-        self.assertEqual(opened_since(self.before), set())
+        self.assertEqual(opened_since(self.descriptors_before), set())
 
-    def test_a_close_that_reports_an_error(self):
+    def test_a_failing_close(self):
         def close(sock):
             socket.socket.close(sock)
-            raise failure(errno.EIO)
+            raise os_error(errno.EIO)
 
         refused = Mock(return_value=errno.ECONNREFUSED)
         self.assertEqual(self.dial(connect_ex=refused, close=close), (None, errno.ECONNREFUSED))
-        self.assertEqual(opened_since(self.before), set())
+        self.assertEqual(opened_since(self.descriptors_before), set())
 
 
 if __name__ == "__main__":
--- a/tests/test_gateway_shutdown.py
+++ b/tests/test_gateway_shutdown.py
@@ -9,9 +9,9 @@
 import unittest.mock
 
 from tests.gateway_process_rig import GatewayProcessCase
-from tests.rig import LONG, Client, hello, lines_of, ok, until
+from tests.rig import STEP_TIMEOUT, Client, answer_hello, read_messages, success_line, until
 from tests.scripted_workers import silent
-from wickdyke.transport.line_server import AddressInUseError, listener
+from wickdyke.transport.line_server import AddressInUseError, listen
 
 
 class Shutdown(GatewayProcessCase):
@@ -22,12 +22,12 @@
         go = threading.Event()
 
         def slow(sock, number):
-            source = lines_of(sock)
-            hello(sock, source)
+            source = read_messages(sock)
+            answer_hello(sock, source)
             for request in source:
                 if request["method"] == "run":
-                    go.wait(LONG)
-                    sock.sendall(ok(request["id"]))
+                    go.wait(STEP_TIMEOUT)
+                    sock.sendall(success_line(request["id"]))
 
         with tempfile.TemporaryDirectory(prefix="wd-") as folder:
             process, path = self.serve(folder, slow)
@@ -43,7 +43,7 @@
             go.set()
             received = client.answer()
             self.assertEqual((received["id"], received["result"]["answer"]), (1, "ok"))
-            self.assertEqual(process.wait(LONG), 0)
+            self.assertEqual(process.wait(STEP_TIMEOUT), 0)
             client.close()
 
     def test_a_second_signal(self):
@@ -56,26 +56,26 @@
             process.send_signal(signal.SIGTERM)
             self.assertTrue(until(lambda: not os.path.exists(path)))
             process.send_signal(signal.SIGTERM)
-            self.assertEqual(process.wait(LONG), 1)
+            self.assertEqual(process.wait(STEP_TIMEOUT), 1)
             client.close()
 
     def test_the_owner_of_a_socket(self):
         """A socket in use is kept; one that a killed process left is replaced; a file is not touched."""
         with tempfile.TemporaryDirectory(prefix="wd-") as folder:
             process, path = self.serve(folder, silent)
-            with self.assertRaisesRegex(AddressInUseError, "somebody live"):
-                listener(path)
+            with self.assertRaisesRegex(AddressInUseError, "another live process"):
+                listen(path)
             process.kill()
             process.wait()
             self.assertTrue(os.path.exists(path))
-            sock, held = listener(path)
+            sock, held = listen(path)
             sock.close()
             held.close()
             plain = os.path.join(folder, "plain")
             with open(plain, "w") as out:
                 out.write("x")
-            with self.assertRaisesRegex(AddressInUseError, "no socket"):
-                listener(plain)
+            with self.assertRaisesRegex(AddressInUseError, "not a socket"):
+                listen(plain)
             self.assertTrue(os.path.exists(plain))
 
 
--- a/tests/test_gateway_stopped.py
+++ b/tests/test_gateway_stopped.py
@@ -8,7 +8,7 @@
 import unittest
 
 from tests.gateway_process_rig import GatewayProcessCase
-from tests.rig import Client, hello, lines_of, ok, until
+from tests.rig import Client, answer_hello, read_messages, success_line, until
 from wickdyke.protocol import jsonrpc, worker_messages
 
 STOP_SECONDS = 0.7
@@ -34,8 +34,8 @@
 
     def play(self, sock, number):
         """A worker that notes what it is sent and answers at once, unless attempts are held."""
-        source = lines_of(sock)
-        hello(sock, source)
+        source = read_messages(sock)
+        answer_hello(sock, source)
         for request in source:
             if request["method"] == "run":
                 params = request["params"]
@@ -45,7 +45,7 @@
                     if self.holds:
                         self.held.append((sock, request["id"]))
                         continue
-                sock.sendall(ok(request["id"]))
+                sock.sendall(success_line(request["id"]))
 
     def client(self):
         client = Client(self.path)
--- a/tests/test_isolation.py
+++ b/tests/test_isolation.py
@@ -7,7 +7,7 @@
 import unittest.mock
 from collections import Counter
 
-from tests.rig import Running, hello, lines_of, ok, until
+from tests.rig import RunningGateway, answer_hello, read_messages, success_line, until
 from wickdyke.protocol import jsonrpc, worker_messages
 
 
@@ -17,8 +17,8 @@
     @staticmethod
     def worker(sock, number, seen, refuse):
         """Answers with the error code of `refuse`, or succeeds; counts attempts by function and input."""
-        source = lines_of(sock)
-        hello(sock, source)
+        source = read_messages(sock)
+        answer_hello(sock, source)
         for request in source:
             if request["method"] == "run":
                 run = request["params"]
@@ -30,7 +30,7 @@
                     )
                     + b"\n"
                     if code
-                    else ok(request["id"])
+                    else success_line(request["id"])
                 )
             elif request["method"] == "hold":
                 sock.sendall(jsonrpc.error_response(request["id"], worker_messages.FULL, "no") + b"\n")
@@ -39,7 +39,7 @@
 
     def running(self, seen, refuse, more):
         peer = functools.partial(self.worker, seen=seen, refuse=refuse)
-        return Running((peer, peer, peer), soft="1 s", deadline="5 s", more=more)
+        return RunningGateway((peer, peer, peer), soft="1 s", deadline="5 s", more=more)
 
     def test_a_function_that_loads_nowhere(self):
         """It is rejected at once with a time to retry after, tried now and then, and accepted once it loads; others go
@@ -106,18 +106,18 @@
             with self.subTest(restarts=restarts):
 
                 def play(sock, number, restarts=restarts):
-                    source = lines_of(sock)
-                    hello(sock, source, start=1 + (number if restarts else 0))
+                    source = read_messages(sock)
+                    answer_hello(sock, source, start=1 + (number if restarts else 0))
                     for request in source:
                         if request["method"] == "run" and request["params"]["input"]["n"] == "bad":
                             return sock.shutdown(socket.SHUT_RDWR)
                         if request["method"] == "run":
-                            sock.sendall(ok(request["id"]))
+                            sock.sendall(success_line(request["id"]))
                         elif request["method"] == "probe":
                             sock.sendall(jsonrpc.result_response(request["id"], b"{}") + b"\n")
                     return None
 
-                with Running(
+                with RunningGateway(
                     (play, play), soft="500 ms", deadline="3 s", more="(isolation (calls (copies 2) (first 1 min)))"
                 ) as running:
                     client = running.client()
--- a/tests/test_listed_workers.py
+++ b/tests/test_listed_workers.py
@@ -1,4 +1,4 @@
-"""What a gateway does as its endpoint list, or what workers report of themselves, changes."""
+"""Effects on a gateway of changes to its endpoint list, and of workers' reports about themselves."""
 
 import os
 import socket
@@ -7,8 +7,8 @@
 import unittest
 import unittest.mock
 
-from tests.rig import LONG, Running, hello, lines_of, ok, until, willing
-from tests.scripted_workers import refuses
+from tests.rig import STEP_TIMEOUT, RunningGateway, answer_hello, answers_all, read_messages, success_line, until
+from tests.scripted_workers import responds_with_error
 from wickdyke.config.endpoint_file import EndpointRow, format_endpoints
 from wickdyke.protocol import jsonrpc, worker_messages
 
@@ -21,11 +21,11 @@
     """Invalid lists, changed rows, and workers that drain or restart."""
 
     def test_an_invalid_list(self):
-        """A list that can't be read leaves the last good one in force, and is logged once."""
-        with Running() as running:
+        """An invalid list is logged once, and the last valid one stays in force."""
+        with RunningGateway() as running:
             for text in ("(workers (worker", "", '(workers (worker "w0" (adress "x")))', "(workers)) ", "\xff(("):
                 lines_before = running.log_output.getvalue().count("endpoint list unusable")
-                running.write(text)
+                running.write_endpoints(text)
                 self.assertTrue(
                     until(
                         lambda lines_before=lines_before: running.log_output.getvalue().count("endpoint list unusable")
@@ -42,21 +42,21 @@
             self.assertEqual(len(list(running.coordinator.router.fleet.ready())), 1)
 
     def test_changed_rows(self):
-        """(rows written) -> which workers are ready then."""
-        with Running((willing, willing)) as running:
-            one, two = running.rows
-            moved = EndpointRow("w0", two.address, None, None, 0, 4.0, "ready", 0)
+        """(rows written) -> the workers that are ready afterwards."""
+        with RunningGateway((answers_all, answers_all)) as running:
+            first, second = running.rows
+            moved = EndpointRow("w0", second.address, None, None, 0, 4.0, "ready", 0)
             for rows, ready in (
-                ([one], ["w0"]),
-                ([one, two], ["w0", "w1"]),
-                ([EndpointRow(**{**_fields(one), "state": "draining"}), two], ["w1"]),
-                ([one, two], ["w0", "w1"]),
-                ([EndpointRow(**{**_fields(one), "state": "gone"}), two], ["w1"]),
+                ([first], ["w0"]),
+                ([first, second], ["w0", "w1"]),
+                ([EndpointRow(**{**_fields(first), "state": "draining"}), second], ["w1"]),
+                ([first, second], ["w0", "w1"]),
+                ([EndpointRow(**{**_fields(first), "state": "gone"}), second], ["w1"]),
                 ([moved], ["w0"]),
                 ([], []),
-                ([one, two], ["w0", "w1"]),
+                ([first, second], ["w0", "w1"]),
             ):
-                running.write(format_endpoints(rows))
+                running.write_endpoints(format_endpoints(rows))
                 with self.subTest(rows=rows):
                     self.assertTrue(
                         until(
@@ -68,8 +68,8 @@
                     )
 
     def test_a_worker_that_reports_a_drain(self):
-        """A worker that answers that it drains gets no more attempts, whatever the list says."""
-        with Running((refuses(worker_messages.DRAINING), willing)) as running:
+        """A worker that answers that it drains gets no more attempts, whatever its state in the list."""
+        with RunningGateway((responds_with_error(worker_messages.DRAINING), answers_all)) as running:
             client = running.client()
             for at in range(40):
                 client.ask(at, program=f"p{at}")
@@ -80,24 +80,24 @@
             client.close()
 
     def test_a_worker_that_drains_while_the_list_can_not_be_read(self):
-        """Its first rejection says that it drains: it is sent nothing more, and another worker serves the request."""
+        """After its first rejection with DRAINING a worker is sent nothing more; another one serves the request."""
         draining = threading.Event()
-        sent = []
+        methods_received = []
 
         def play(sock, number):
-            source = lines_of(sock)
-            hello(sock, source)
+            source = read_messages(sock)
+            answer_hello(sock, source)
             for request in source:
                 if request["method"] == "probe":
                     continue
                 if not draining.is_set():
-                    sock.sendall(ok(request["id"]))
+                    sock.sendall(success_line(request["id"]))
                     continue
-                sent.append(request["method"])
+                methods_received.append(request["method"])
                 code = worker_messages.DRAINING
                 sock.sendall(jsonrpc.error_response(request["id"], code, "draining", b"{}") + b"\n")
 
-        with Running((play, willing)) as running:
+        with RunningGateway((play, answers_all)) as running:
             os.unlink(os.path.join(running.folder, "workers.sexp"))
             self.assertTrue(until(lambda: "endpoint list unusable" in running.log_output.getvalue()))
             client = running.client()
@@ -107,24 +107,24 @@
                 client.ask(at, program=f"p{at % 5}")
                 self.assertIn("result", client.answer())
             client.close()
-            self.assertEqual(len(sent), 1)
+            self.assertEqual(len(methods_received), 1)
 
     def test_a_worker_that_restarts(self):
-        """The hello of a worker has the number of its start: after a restart it counts as empty and warms up."""
-        again = threading.Event()
+        """A hello has the number of the worker's start: after a restart the worker counts as empty and warms up."""
+        may_restart = threading.Event()
 
         def play(sock, number):
-            source = lines_of(sock)
-            hello(sock, source, start=number, up=1e6 if number == 1 else 0.0)
+            source = read_messages(sock)
+            answer_hello(sock, source, start=number, up=1e6 if number == 1 else 0.0)
             if number == 1:
-                again.wait(LONG)
+                may_restart.wait(STEP_TIMEOUT)
                 sock.shutdown(socket.SHUT_RDWR)
             for _ in source:
                 pass
 
-        with Running((play,), more="") as running:
+        with RunningGateway((play,), more="") as running:
             worker = running.coordinator.router.workers["w0"]
-            again.set()
+            may_restart.set()
             self.assertTrue(until(lambda: running.coordinator.router.workers["w0"] is not worker))
             self.assertGreater(running.coordinator.router.workers["w0"].warming_since, time.monotonic() * 1000 - 20000)
 
--- a/tests/test_listener_faults.py
+++ b/tests/test_listener_faults.py
@@ -1,4 +1,4 @@
-"""Listeners whose system calls fail: each goes on, costs one connection at most, and leaves no descriptor open."""
+"""Failing system calls of listeners: each listener goes on, loses one connection at most, and leaks no descriptor."""
 
 import errno
 import os
@@ -10,12 +10,12 @@
 from unittest.mock import Mock, patch
 
 from tests.descriptors import open_descriptors, opened_since
-from tests.rig import LONG, until
+from tests.rig import STEP_TIMEOUT, until
 from wickdyke.config.gateway_sections import ServerLimits
 from wickdyke.jsonrpc import client_server
 from wickdyke.transport import acceptor, line_server
 
-# accept(2): its own errors, and those of the network that Linux passes on from the new connection.
+# The errors of accept(2) itself, and the network errors of the new connection that Linux passes on through it.
 ACCEPT_ERRORS = (
     errno.EAGAIN,
     errno.ECONNABORTED,
@@ -41,52 +41,52 @@
 BOUNDS = ServerLimits(
     connections=16, open_requests=16, open_requests_per_client=16, line_bytes=1000, unread_bytes=1000, events=16
 )
-CONNECTIONS = 3  # made one after the other: the path of the acceptor is the same for each
+CONNECTION_COUNT = 3  # made one after the other, as the acceptor handles each in the same way
 
 
-def started_since(threads):
-    """The threads alive now that are not among those, which were alive before the case.
+def started_since(threads_before):
+    """Returns the threads alive now that are not in `threads_before`, the threads alive before the case.
 
-    Not their number: a thread that another test module left may end meanwhile.
+    Counts of threads are not compared: a thread left by another test module may end meanwhile.
     """
-    return set(threading.enumerate()) - threads
+    return set(threading.enumerate()) - threads_before
 
 
-def failure(code):
-    """The error of a system call."""
+def os_error(code):
+    """Returns the OSError of a failed system call."""
     return OSError(code, os.strerror(code))
 
 
 def replaced(module, **members):
-    """The module with some of its members replaced."""
+    """Returns a copy of the module with some of its members replaced."""
     return SimpleNamespace(**{**vars(module), **members})
 
 
 class FaultySocket(socket.socket):
-    """A listening socket whose accept fails from the `nth` call on, `times` times.
+    """A listening socket whose accept fails with `code` from the `nth` call on, `times` times.
 
-    With `consumes` the connection is dropped by the kernel, as with ECONNABORTED; else it stays in the backlog.
+    With `drops_connection` the connection is dropped, as by the kernel on ECONNABORTED; else it stays in the backlog.
     """
 
-    code, nth, times, consumes = 0, 0, 1, False
-    calls = 0
+    code, nth, times, drops_connection = 0, 0, 1, False
+    accept_count = 0
 
     def accept(self):
-        type(self).calls += 1
-        if self.nth <= type(self).calls < self.nth + self.times:
-            if self.consumes:
+        type(self).accept_count += 1
+        if self.nth <= type(self).accept_count < self.nth + self.times:
+            if self.drops_connection:
                 super().accept()[0].close()
-            raise failure(self.code)
+            raise os_error(self.code)
         return super().accept()
 
 
-def faulty_socket(**how):
-    """A FaultySocket class with these attributes."""
-    return type("Faulty", (FaultySocket,), how)
+def faulty_socket(**attributes):
+    """Returns a FaultySocket class with these attributes."""
+    return type("Faulty", (FaultySocket,), attributes)
 
 
 def faulty_thread(nth):
-    """A thread class of which the `nth` thread can't be started."""
+    """Returns a thread class of which the `nth` thread can't be started."""
 
     class Thread(threading.Thread):
         starts = 0
@@ -100,10 +100,13 @@
     return Thread
 
 
-class Echo:
-    """A listener of transport/line_server.py that echoes."""
+class EchoServer:
+    """A Listener of transport/line_server.py that echoes."""
 
-    module, threads_before = line_server, 1  # the thread of the acceptor itself is started by the module too
+    module, threads_before_connections = (
+        line_server,
+        1,
+    )  # the module also starts the acceptor's thread
 
     def __init__(self, folder):
         self.address = os.path.join(folder, "echo.sock")
@@ -118,9 +121,9 @@
 
 
 class JsonRpcServer:
-    """The gateway's client server without a coordinator: it answers what is no JSON itself."""
+    """The gateway's client server without a coordinator, which answers lines that are not JSON."""
 
-    module, threads_before = client_server, 1
+    module, threads_before_connections = client_server, 1
 
     def __init__(self, folder):
         self.address = os.path.join(folder, "server.sock")
@@ -131,30 +134,30 @@
         self.server.open()
 
     def close(self):
-        self.server.shut()
+        self.server.stop_accepting()
         self.server.disconnect_all()
 
 
-LISTENERS = (Echo, JsonRpcServer)
+LISTENERS = (EchoServer, JsonRpcServer)
 
 
-class Case(unittest.TestCase):
-    """A folder for sockets, and checks that no descriptor or thread is left."""
+class ListenerCase(unittest.TestCase):
+    """Provides a folder for sockets, and checks that no descriptor or thread is left."""
 
     def setUp(self):
-        made = tempfile.TemporaryDirectory(prefix="wd-")
-        self.addCleanup(made.cleanup)
-        self.folder = made.name
+        temporary_folder = tempfile.TemporaryDirectory(prefix="wd-")
+        self.addCleanup(temporary_folder.cleanup)
+        self.folder = temporary_folder.name
 
     def connect(self, listener):
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
         self.addCleanup(sock.close)
-        sock.settimeout(LONG)
+        sock.settimeout(STEP_TIMEOUT)
         sock.connect(listener.address)
         return sock
 
     def is_served(self, listener):
-        """Whether a new connection gets an answer; False where it is closed without one."""
+        """Returns whether a new connection gets an answer; False if it is closed without one."""
         with self.connect(listener) as sock:
             try:
                 sock.sendall(b"{\n")
@@ -162,192 +165,192 @@
             except (BrokenPipeError, ConnectionResetError):
                 return False
 
-    def assert_none_left(self, before, threads):
-        self.assertTrue(until(lambda: not opened_since(before)), opened_since(before))
-        self.assertTrue(until(lambda: not started_since(threads)), started_since(threads))
+    def assert_none_left(self, descriptors_before, threads_before):
+        self.assertTrue(until(lambda: not opened_since(descriptors_before)), opened_since(descriptors_before))
+        self.assertTrue(until(lambda: not started_since(threads_before)), started_since(threads_before))
 
 
-class AcceptFails(Case):
+class AcceptFaults(ListenerCase):
     """Each error of accept, at each connection."""
 
     def test_each_error_at_each_connection(self):
-        """The connection waits in the backlog meanwhile, and is then served: none is lost."""
+        """The connection waits in the backlog meanwhile and is then served, so no connection is lost."""
         for listener_class in LISTENERS:
             for code in ACCEPT_ERRORS:
-                for nth in range(1, CONNECTIONS + 1):
+                for nth in range(1, CONNECTION_COUNT + 1):
                     with self.subTest(listener_class=listener_class.__name__, code=errno.errorcode[code], nth=nth):
-                        before, threads = open_descriptors(), set(threading.enumerate())
+                        descriptors_before, threads_before = open_descriptors(), set(threading.enumerate())
                         faulty = faulty_socket(code=code, nth=nth, times=2)
                         with patch.object(line_server, "socket", replaced(socket, socket=faulty)):
                             listener = listener_class(self.folder)
                         try:
-                            for _ in range(CONNECTIONS):
+                            for _ in range(CONNECTION_COUNT):
                                 self.assertTrue(self.is_served(listener))
                         finally:
                             listener.close()
-                        self.assertGreaterEqual(faulty.calls, nth + 1)
-                        self.assert_none_left(before, threads)
+                        self.assertGreaterEqual(faulty.accept_count, nth + 1)
+                        self.assert_none_left(descriptors_before, threads_before)
 
-    def test_a_connection_that_is_dropped_with_the_error(self):
-        """That one is lost, no other."""
+    def test_a_connection_dropped_with_the_error(self):
+        """Only that connection is lost."""
         for listener_class in LISTENERS:
             for code in (errno.ECONNABORTED, errno.EPROTO, errno.ENETDOWN, errno.EPERM):
-                for nth in range(1, CONNECTIONS + 1):
+                for nth in range(1, CONNECTION_COUNT + 1):
                     with self.subTest(listener_class=listener_class.__name__, code=errno.errorcode[code], nth=nth):
-                        before, threads = open_descriptors(), set(threading.enumerate())
-                        faulty = faulty_socket(code=code, nth=nth, consumes=True)
+                        descriptors_before, threads_before = open_descriptors(), set(threading.enumerate())
+                        faulty = faulty_socket(code=code, nth=nth, drops_connection=True)
                         with patch.object(line_server, "socket", replaced(socket, socket=faulty)):
                             listener = listener_class(self.folder)
                         try:
-                            served = [self.is_served(listener) for _ in range(CONNECTIONS + 1)]
+                            served = [self.is_served(listener) for _ in range(CONNECTION_COUNT + 1)]
                         finally:
                             listener.close()
-                        self.assertEqual(served, [at != nth - 1 for at in range(CONNECTIONS + 1)])
-                        self.assert_none_left(before, threads)
+                        self.assertEqual(served, [index != nth - 1 for index in range(CONNECTION_COUNT + 1)])
+                        self.assert_none_left(descriptors_before, threads_before)
 
 
-class ThreadFails(Case):
+class ThreadStartFaults(ListenerCase):
     """No thread can be started for a connection or for the acceptor."""
 
     def test_no_thread_for_a_connection(self):
-        """That one is closed; the next is served."""
+        """That connection is closed; the next one is served."""
         for listener_class in LISTENERS:
-            for nth in range(1, CONNECTIONS + 1):
+            for nth in range(1, CONNECTION_COUNT + 1):
                 with self.subTest(listener_class=listener_class.__name__, nth=nth):
-                    before, threads = open_descriptors(), set(threading.enumerate())
-                    faulty = faulty_thread(listener_class.threads_before + nth)
+                    descriptors_before, threads_before = open_descriptors(), set(threading.enumerate())
+                    faulty = faulty_thread(listener_class.threads_before_connections + nth)
                     with patch.object(listener_class.module, "threading", replaced(threading, Thread=faulty)):
                         listener = listener_class(self.folder)
                         try:
-                            served = [self.is_served(listener) for _ in range(CONNECTIONS + 1)]
+                            served = [self.is_served(listener) for _ in range(CONNECTION_COUNT + 1)]
                         finally:
                             listener.close()
-                    self.assertEqual(served[nth:], [True] * (CONNECTIONS + 1 - nth))
+                    self.assertEqual(served[nth:], [True] * (CONNECTION_COUNT + 1 - nth))
                     self.assertEqual(served[: nth - 1], [True] * (nth - 1))
-                    self.assertEqual(faulty.starts, listener_class.threads_before + CONNECTIONS + 1)
-                    self.assert_none_left(before, threads)
+                    self.assertEqual(faulty.starts, listener_class.threads_before_connections + CONNECTION_COUNT + 1)
+                    self.assert_none_left(descriptors_before, threads_before)
 
     def test_no_thread_for_the_acceptor(self):
-        """The listener can't be made, and leaves nothing open."""
-        before = open_descriptors()
+        """The listener's constructor raises and leaves no descriptor open."""
+        descriptors_before = open_descriptors()
         with (
             patch.object(line_server, "threading", replaced(threading, Thread=faulty_thread(1))),
             self.assertRaises(RuntimeError),
         ):
-            Echo(self.folder)
-        self.assertEqual(opened_since(before), set())
+            EchoServer(self.folder)
+        self.assertEqual(opened_since(descriptors_before), set())
 
 
-class ServingRaises(Case):
+class ServeErrors(ListenerCase):
     """Unexpected errors while a connection is served."""
 
-    def test_an_unexpected_error(self):
-        """It closes the connection; the next is served."""
-        before, threads = open_descriptors(), set(threading.enumerate())
-        seen = []
+    def test_an_error_while_serving(self):
+        """The connection is closed; the next one is served."""
+        descriptors_before, threads_before = open_descriptors(), set(threading.enumerate())
+        thread_errors = []
 
-        def breaks(sock):
+        def raise_on_read(sock):
             sock.recv(100)
             raise RuntimeError("can't start new thread")
 
-        with patch.object(threading, "excepthook", lambda raised: seen.append(raised.exc_type)):
-            listener = Echo(self.folder)
-            with patch.object(listener.listener, "serve", breaks):
+        with patch.object(threading, "excepthook", lambda raised: thread_errors.append(raised.exc_type)):
+            listener = EchoServer(self.folder)
+            with patch.object(listener.listener, "serve", raise_on_read):
                 self.assertFalse(self.is_served(listener))
             self.assertTrue(self.is_served(listener))
             listener.close()
-            self.assert_none_left(before, threads)
-        self.assertEqual(seen, [RuntimeError])
+            self.assert_none_left(descriptors_before, threads_before)
+        self.assertEqual(thread_errors, [RuntimeError])
 
-    def test_an_unexpected_error_of_a_server(self):
+    def test_an_error_in_a_request_handler(self):
         """The connection is closed, and the server's owner is notified."""
-        before, threads = open_descriptors(), set(threading.enumerate())
-        gone = []
+        descriptors_before, threads_before = open_descriptors(), set(threading.enumerate())
+        closed_connections = []
 
-        def heard(wire, request):
+        def raise_error(connection, request):
             raise RuntimeError("can't start new thread")
 
         with patch.object(threading, "excepthook", Mock()):
             address = os.path.join(self.folder, "server.sock")
-            made = line_server.LineServer(address, heard, gone.append)
+            server = line_server.LineServer(address, raise_error, closed_connections.append)
             sock = self.connect(SimpleNamespace(address=address))
             sock.sendall(b'{"jsonrpc":"2.0","method":"x","params":{},"id":1}\n')
             self.assertEqual(sock.recv(1), b"")
             sock.close()
-            made.close()
-            self.assert_none_left(before, threads)
-        self.assertEqual((len(gone), made.connections), (1, set()))
+            server.close()
+            self.assert_none_left(descriptors_before, threads_before)
+        self.assertEqual((len(closed_connections), server.connections), (1, set()))
 
 
-class Opening(Case):
-    """Each system call that opens a listener fails."""
+class ListenFaults(ListenerCase):
+    """Failures of the system calls that open a listener."""
 
     def test_each_step_fails(self):
-        """(address, call that fails) -> AddressInUseError, and nothing is left open."""
+        """(address, failing call) -> AddressInUseError, and no descriptor is left open."""
         for address in (os.path.join(self.folder, "s.sock"), "127.0.0.1:0"):
             for name in ("setsockopt", "bind", "listen"):
                 if name == "setsockopt" and address.startswith("/"):
                     continue  # not called for a Unix socket
                 with self.subTest(address=address[:9], name=name):
-                    before = open_descriptors()
-                    faulty = type("Faulty", (socket.socket,), {name: Mock(side_effect=failure(errno.ENOBUFS))})
+                    descriptors_before = open_descriptors()
+                    faulty = type("Faulty", (socket.socket,), {name: Mock(side_effect=os_error(errno.ENOBUFS))})
                     with (
                         patch.object(line_server, "socket", replaced(socket, socket=faulty)),
                         self.assertRaises(line_server.AddressInUseError),
                     ):
-                        line_server.listener(address)
-                    self.assertEqual(opened_since(before), set())
+                        line_server.listen(address)
+                    self.assertEqual(opened_since(descriptors_before), set())
             with self.subTest(address=address[:9], name="socket"):
-                before = open_descriptors()
-                none = Mock(side_effect=failure(errno.EMFILE))
+                descriptors_before = open_descriptors()
+                failing_socket = Mock(side_effect=os_error(errno.EMFILE))
                 with (
-                    patch.object(line_server, "socket", replaced(socket, socket=none)),
+                    patch.object(line_server, "socket", replaced(socket, socket=failing_socket)),
                     self.assertRaises(line_server.AddressInUseError),
                 ):
-                    line_server.listener(address)
-                self.assertEqual(opened_since(before), set())
+                    line_server.listen(address)
+                self.assertEqual(opened_since(descriptors_before), set())
 
 
-class Pauses(unittest.TestCase):
-    """The pauses of the accept loop while accept fails again and again."""
+class AcceptRetries(unittest.TestCase):
+    """The delays of the accept loop while accept(2) fails repeatedly."""
 
-    def accepts(self, code, waits):
-        """Runs until the loop has paused that often; returns the number of calls of accept."""
+    def accept_calls(self, code, delay_count):
+        """Runs the accept loop for `delay_count` delays; returns the number of accept calls."""
         sock = Mock()
-        sock.accept.side_effect = failure(code)
+        sock.accept.side_effect = os_error(code)
         sock.fileno.return_value = 3
-        made = acceptor.Acceptor(sock, Mock())
-        paused = []
+        accept_loop = acceptor.Acceptor(sock, Mock())
+        delays = []
 
-        def wait(span):
-            paused.append(span)
-            if len(paused) == waits:
-                made.close()
+        def wait(delay):
+            delays.append(delay)
+            if len(delays) == delay_count:
+                accept_loop.close()
 
-        with patch.object(made.closed, "wait", wait):
-            made.run()
-        self.assertEqual(paused, [acceptor.PAUSE] * waits)
+        with patch.object(accept_loop.closed, "wait", wait):
+            accept_loop.run()
+        self.assertEqual(delays, [acceptor.ACCEPT_RETRY_DELAY] * delay_count)
         return sock.accept.call_count
 
-    def test_short_of_resources_each_try_waits(self):
-        for code in acceptor.SHORT_OF_RESOURCES:
-            self.assertEqual(self.accepts(code, 5), 5)
+    def test_resource_shortage_delays_each_retry(self):
+        for code in acceptor.RESOURCE_SHORTAGE_ERRORS:
+            self.assertEqual(self.accept_calls(code, 5), 5)
 
-    def test_other_errors_are_tried_again_at_once_up_to_a_bound(self):
-        for code in set(ACCEPT_ERRORS) - acceptor.SHORT_OF_RESOURCES:
-            self.assertEqual(self.accepts(code, 5), acceptor.IMMEDIATE_RETRIES + 5)
+    def test_other_errors_are_retried_at_once_up_to_a_bound(self):
+        for code in set(ACCEPT_ERRORS) - acceptor.RESOURCE_SHORTAGE_ERRORS:
+            self.assertEqual(self.accept_calls(code, 5), acceptor.IMMEDIATE_RETRIES + 5)
 
-    def test_close_ends_a_pause(self):
-        sock, failed = Mock(), threading.Event()
-        sock.accept.side_effect = failure(errno.EMFILE)
+    def test_close_ends_a_delay(self):
+        sock, accept_failed = Mock(), threading.Event()
+        sock.accept.side_effect = os_error(errno.EMFILE)
         sock.fileno.return_value = 3
-        with patch.object(acceptor, "PAUSE", 1000 * LONG):
-            made = acceptor.Acceptor(sock, Mock(), lambda error: failed.set())
-            thread = threading.Thread(target=made.run, daemon=True)
+        with patch.object(acceptor, "ACCEPT_RETRY_DELAY", 1000 * STEP_TIMEOUT):
+            accept_loop = acceptor.Acceptor(sock, Mock(), lambda error: accept_failed.set())
+            thread = threading.Thread(target=accept_loop.run, daemon=True)
             thread.start()
-            self.assertTrue(failed.wait(LONG))
-            made.close()
-            thread.join(LONG)
+            self.assertTrue(accept_failed.wait(STEP_TIMEOUT))
+            accept_loop.close()
+            thread.join(STEP_TIMEOUT)
         self.assertFalse(thread.is_alive())
 
 
--- a/tests/test_log.py
+++ b/tests/test_log.py
@@ -6,7 +6,7 @@
 import unittest
 import unittest.mock
 
-from tests.rig import LONG, Running, until
+from tests.rig import STEP_TIMEOUT, RunningGateway, until
 from wickdyke.gateway import log as logs
 
 
@@ -17,7 +17,7 @@
         """A log pipe that is not read loses lines, and delays no request."""
         out, into = os.pipe()
         sink = os.fdopen(into, "w")
-        with Running(sink=sink) as running:
+        with RunningGateway(sink=sink) as running:
             for at in range(logs.MAX_QUEUED_LINES + 5000):
                 running.log.info("filler", at=at, more="x" * 100)
             self.assertTrue(until(lambda: running.log_writer.lost > 0))
@@ -29,7 +29,7 @@
             reader = threading.Thread(target=lambda: [None for _ in iter(lambda: os.read(out, 1 << 16), b"")])
             reader.start()
         sink.close()
-        reader.join(LONG)
+        reader.join(STEP_TIMEOUT)
         os.close(out)
 
     def test_levels(self):
--- a/tests/test_log_faults.py
+++ b/tests/test_log_faults.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from tests.rig import Running, until
+from tests.rig import RunningGateway, until
 from wickdyke.fault_injection import trace
 from wickdyke.gateway import log as logs
 from wickdyke.gateway import recording
@@ -133,7 +133,7 @@
     def test_a_pipe_whose_reader_is_gone(self):
         """Requests have their answers, and the lines are counted."""
         out, into = os.pipe()
-        with os.fdopen(into, "w") as sink, Running(sink=sink) as running:
+        with os.fdopen(into, "w") as sink, RunningGateway(sink=sink) as running:
             os.close(out)
             running.log.info("one")
             self.assertTrue(until(lambda: running.log_writer.lost > 0))
@@ -238,7 +238,7 @@
         """A gateway whose recording fails answers as before."""
         log = Log()
         made = self.made(errno.ENOSPC, 3, log)
-        with Running() as running:
+        with RunningGateway() as running:
             running.gateway.coordinator.driver.recorder = made
             client = running.client()
             for at in range(20):
--- a/tests/test_migration.py
+++ b/tests/test_migration.py
@@ -4,7 +4,7 @@
 import tempfile
 import unittest
 
-from tests.rig import Running, hello, lines_of, ok
+from tests.rig import RunningGateway, answer_hello, read_messages, success_line
 from tests.test_gateway import run
 from wickdyke.config import gateway_config
 from wickdyke.protocol import jsonrpc, worker_messages
@@ -101,22 +101,22 @@
         commands = []
 
         def worker(sock, number):
-            source, replicas = lines_of(sock), 0
-            hello(sock, source)
+            source, replicas = read_messages(sock), 0
+            answer_hello(sock, source)
             for request in source:
                 kind, ident = request["method"], request.get("id")
                 commands.append(kind)
                 if kind == "run" and not replicas:
                     sock.sendall(jsonrpc.error_response(ident, worker_messages.MISS, "miss", b"{}") + b"\n")
                 elif kind == "run":
-                    sock.sendall(ok(ident))
+                    sock.sendall(success_line(ident))
                 elif kind == "hold":
                     replicas = max(replicas, request["params"]["copies"])
                     sock.sendall(jsonrpc.result_response(ident, b'{"copies":%d}' % replicas) + b"\n")
                 elif kind == "probe":
                     sock.sendall(jsonrpc.result_response(ident, b'{"report":{"held":2,"loads":0}}') + b"\n")
 
-        with Running(
+        with RunningGateway(
             (worker,),
             stock="(loads-on-call no) (tells-company no)",
             more="""(report held loads)
--- a/tests/test_platform_worker_client.py
+++ b/tests/test_platform_worker_client.py
@@ -7,7 +7,7 @@
 
 from tests import platform_rig as rig
 from tests.front_end_rig import LoopCase
-from tests.rig import plain
+from tests.rig import event_tuple
 from wickdyke.gateway.interfaces import CommandKind
 from wickdyke.platform import connection_pool, resp, worker_client, worker_command
 from wickdyke.transport.event_loop import clock
@@ -57,7 +57,7 @@
         upstream = worker_client.WorkerClient(
             "w",
             self.worker.address,
-            lambda event: self.recorded.append(plain(event)),
+            lambda event: self.recorded.append(event_tuple(event)),
             self.loop,
             self.pool,
             worker_client.WorkerClientSettings(dial, 10000.0, ("utilization", "in_flight")),
--- a/tests/test_recordings.py
+++ b/tests/test_recordings.py
@@ -7,8 +7,8 @@
 import unittest
 import unittest.mock
 
-from tests.rig import LONG, Running, willing
-from tests.scripted_workers import dies_on_run, refuses, silent
+from tests.rig import STEP_TIMEOUT, RunningGateway, answers_all
+from tests.scripted_workers import ends_connection_on_run, responds_with_error, silent
 from wickdyke.gateway import recording
 from wickdyke.protocol import worker_messages
 
@@ -18,8 +18,11 @@
 
     def test_replay(self):
         """The same inputs give the same decisions, without sockets; a decision changed by hand is found."""
-        with Running(
-            (willing, refuses(worker_messages.FULL), dies_on_run, silent), soft="300 ms", deadline="800 ms", record=True
+        with RunningGateway(
+            (answers_all, responds_with_error(worker_messages.FULL), ends_connection_on_run, silent),
+            soft="300 ms",
+            deadline="800 ms",
+            record=True,
         ) as running:
             client = running.client()
             for at in range(150):
@@ -27,7 +30,7 @@
             received = {client.answer()["id"] for _ in range(150)}
             self.assertEqual(received, set(range(150)))
             client.close()
-            running.gateway.client_server.shut()
+            running.gateway.client_server.stop_accepting()
             running.coordinator.end()
             running.gateway.recorder.close()
             with open(running.config.recording_path, "rb") as source:
@@ -72,7 +75,7 @@
             drain = threading.Thread(target=lambda: received.extend(iter(lambda: os.read(reader, 1 << 16), b"")))
             drain.start()
             made.close()
-            drain.join(LONG)
+            drain.join(STEP_TIMEOUT)
             os.close(reader)
             lines = b"".join(received).splitlines(keepends=True)
             self.assertEqual(lines[-1], b'["broken off"]\n')
--- a/tests/test_work_held_back.py
+++ b/tests/test_work_held_back.py
@@ -8,7 +8,7 @@
 from tests import platform_rig as rig
 from tests.acceptance_rig import SteppedClockCase, request
 from tests.front_end_rig import FullListener, LoopCase
-from tests.rig import plain
+from tests.rig import event_tuple
 from wickdyke.gateway.events import DiscoveryHeard, EndpointsReceived
 from wickdyke.gateway.interfaces import CommandKind
 from wickdyke.platform import connection_pool, worker_client, worker_command
@@ -95,7 +95,7 @@
         made = worker_client.WorkerClient(
             "w",
             self.worker.address,
-            lambda event: self.recorded.append(plain(event)),
+            lambda event: self.recorded.append(event_tuple(event)),
             self.loop,
             connection_pool.ConnectionPool(20),
             worker_client.WorkerClientSettings(5000.0, 10000.0, ()),
--- a/tests/test_write_buffer.py
+++ b/tests/test_write_buffer.py
@@ -1,4 +1,4 @@
-"""What waits for a socket that takes no more, where the thread that is to write it can't be had."""
+"""A write buffer whose thread can't be started while its socket accepts no more data."""
 
 import socket
 import threading
@@ -7,30 +7,30 @@
 
 from wickdyke.transport.write_buffer import OutgoingMessage, WriteBuffer
 
-LARGE = bytes(8 << 20)  # more than the kernel takes at once
+LARGE = bytes(8 << 20)  # more bytes than the kernel accepts at once
 
 
-class NoThread(unittest.TestCase):
-    """A write buffer whose thread cannot be started."""
+class ThreadStartFails(unittest.TestCase):
+    """Failures when the write buffer's thread is started."""
 
-    def test_the_connection_is_told_as_ended_and_a_later_thread_is_tried(self):
-        ours, theirs = socket.socketpair()
-        self.addCleanup(ours.close)
-        self.addCleanup(theirs.close)
-        box = WriteBuffer(ours, 64 << 20, "peer")
+    def test_put_raises_and_a_later_put_starts_the_thread(self):
+        sock, peer = socket.socketpair()
+        self.addCleanup(sock.close)
+        self.addCleanup(peer.close)
+        write_buffer = WriteBuffer(sock, 64 << 20, "peer")
         with (
             patch.object(threading.Thread, "start", side_effect=RuntimeError("can't start new thread")),
             self.assertRaises(OSError),
         ):
-            box.put(OutgoingMessage(LARGE))
-        self.assertIsNone(box.thread)
-        box.put(OutgoingMessage(b"last"))
+            write_buffer.put(OutgoingMessage(LARGE))
+        self.assertIsNone(write_buffer.thread)
+        write_buffer.put(OutgoingMessage(b"last"))
         received = bytearray()
         while not received.endswith(b"last"):
-            received += theirs.recv(1 << 20)
+            received += peer.recv(1 << 20)
         self.assertEqual(len(received), len(LARGE) + 4)
-        box.close()
-        box.thread.join()
+        write_buffer.close()
+        write_buffer.thread.join()
 
 
 if __name__ == "__main__":
--- a/tests/test_write_buffer_expiry.py
+++ b/tests/test_write_buffer_expiry.py
@@ -1,122 +1,131 @@
-"""Messages are rendered when their first byte is sent, and dropped once they have expired."""
+"""Messages of a write buffer are rendered when their first byte is sent, and dropped if they have expired by then."""
 
 import socket
 import threading
 import unittest
 
-from tests.scripted_socket import Socket
+from tests.scripted_socket import ScriptedSocket
 from wickdyke.transport.write_buffer import MessageExpiredError, OutgoingMessage, PeerTooSlowError, WriteBuffer
 
 
-class Rendered(unittest.TestCase):
-    """An outbox of a loop, and messages that are rendered as they go."""
+class MessageRendering(unittest.TestCase):
+    """Write buffers of an event loop or with a thread, and messages that are rendered when they are sent."""
 
-    def box(self, *takes, most=100):
-        self.sock, self.waits, self.expired, self.text = Socket(*takes), [], [], b"one"
-        return WriteBuffer(self.sock, most, "box", self.waits.append)
+    def write_buffer(self, *accepts, capacity=100):
+        self.sock, self.wait_changes, self.expired_names, self.payload = ScriptedSocket(*accepts), [], [], b"one"
+        return WriteBuffer(self.sock, capacity, "write-buffer", self.wait_changes.append)
 
-    def parcel(self, name="first"):
-        return OutgoingMessage(lambda: self.text, expired=lambda: self.expired.append(name))
+    def message(self, name="first"):
+        return OutgoingMessage(lambda: self.payload, on_expired=lambda: self.expired_names.append(name))
 
-    def test_what_waits_is_rendered_when_it_goes(self):
-        box = self.box(BlockingIOError(), BlockingIOError(), 99)
-        self.assertFalse(box.put(first := self.parcel()))
-        self.text = b"two"
-        box.pump()
-        self.assertFalse(first.begun)
-        self.text = b"three"
-        box.pump()
+    def test_a_waiting_message_is_rendered_when_it_is_sent(self):
+        write_buffer = self.write_buffer(BlockingIOError(), BlockingIOError(), 99)
+        self.assertFalse(write_buffer.put(first := self.message()))
+        self.payload = b"two"
+        write_buffer.send_waiting()
+        self.assertFalse(first.send_started)
+        self.payload = b"three"
+        write_buffer.send_waiting()
         self.assertEqual(
-            (self.sock.data, first.begun, box.bytes_waiting, self.waits), (b"three", True, 0, [True, False])
+            (self.sock.sent_data, first.send_started, write_buffer.bytes_waiting, self.wait_changes),
+            (b"three", True, 0, [True, False]),
         )
 
-    def test_what_has_begun_stays_as_rendered(self):
-        box = self.box(1, 1, 99)
-        self.assertFalse(box.put(first := self.parcel()))
-        for text in (b"two", None):  # its deadline passes between two of its bytes
-            self.text = text
-            box.pump()
-        self.assertEqual((self.sock.data, first.begun, box.bytes_waiting, self.expired), (b"one", True, 0, []))
-
-    def test_what_is_over_does_not_go(self):
-        """At once or after it waited; what comes behind it goes."""
-        box = self.box(BlockingIOError(), 99)
-        box.put(first := self.parcel())
-        box.put(OutgoingMessage(b"behind"))
-        self.text = None
+    def test_a_message_sent_in_part_stays_as_rendered(self):
+        write_buffer = self.write_buffer(1, 1, 99)
+        self.assertFalse(write_buffer.put(first := self.message()))
+        for payload in (b"two", None):  # its deadline passes between two of its bytes
+            self.payload = payload
+            write_buffer.send_waiting()
+        self.assertEqual(
+            (self.sock.sent_data, first.send_started, write_buffer.bytes_waiting, self.expired_names),
+            (b"one", True, 0, []),
+        )
+
+    def test_expired_messages_are_not_sent(self):
+        """A message may expire before `put` or while it waits; the messages behind it are sent."""
+        write_buffer = self.write_buffer(BlockingIOError(), 99)
+        write_buffer.put(first := self.message())
+        write_buffer.put(OutgoingMessage(b"behind"))
+        self.payload = None
         with self.assertRaises(MessageExpiredError):
-            box.put(self.parcel("second"))
-        box.pump()
+            write_buffer.put(self.message("second"))
+        write_buffer.send_waiting()
         self.assertEqual(
-            (self.sock.data, first.begun, self.expired, box.bytes_waiting), (b"behind", False, ["first"], 0)
+            (self.sock.sent_data, first.send_started, self.expired_names, write_buffer.bytes_waiting),
+            (b"behind", False, ["first"], 0),
         )
 
-    def test_the_bound_counts_what_was_rendered_last(self):
-        """Also where a message is shorter or longer as it goes, is begun, taken back, or over."""
-        box = self.box(BlockingIOError(), 2, 99, most=10)
-        box.put(self.parcel())
-        self.text = b"1234567"
-        box.put(second := self.parcel())
-        self.assertEqual(box.bytes_waiting, 10)
+    def test_the_capacity_counts_the_last_rendered_size(self):
+        """It does so if a message is rendered shorter or longer when it is sent, is sent in part, or withdrawn."""
+        write_buffer = self.write_buffer(BlockingIOError(), 2, 99, capacity=10)
+        write_buffer.put(self.message())
+        self.payload = b"1234567"
+        write_buffer.put(second := self.message())
+        self.assertEqual(write_buffer.bytes_waiting, 10)
         with self.assertRaises(PeerTooSlowError):
-            box.put(self.parcel())
-        self.text = b"12345"
-        box.pump()
-        self.assertEqual((box.bytes_waiting, self.sock.data), (3 + 7, b"12"))
-        self.assertTrue(box.withdraw(second))
-        self.assertEqual(box.bytes_waiting, 3)
-        box.pump()
-        self.assertEqual((box.bytes_waiting, self.sock.data), (0, b"12345"))
-
-    def test_no_memory_at_the_kernel_is_for_a_moment(self):
-        """ENOBUFS and ENOMEM of send: nothing went, and it is offered again."""
+            write_buffer.put(self.message())
+        self.payload = b"12345"
+        write_buffer.send_waiting()
+        self.assertEqual((write_buffer.bytes_waiting, self.sock.sent_data), (3 + 7, b"12"))
+        self.assertTrue(write_buffer.withdraw(second))
+        self.assertEqual(write_buffer.bytes_waiting, 3)
+        write_buffer.send_waiting()
+        self.assertEqual((write_buffer.bytes_waiting, self.sock.sent_data), (0, b"12345"))
+
+    def test_a_send_without_memory_is_retried(self):
+        """After ENOBUFS or ENOMEM of send(2) nothing was sent, and the message is sent again."""
         for code in (105, 12):
             with self.subTest(code):
-                box = self.box(OSError(code, "no memory"), OSError(code, "no memory"), 99)
-                self.assertFalse(box.put(first := self.parcel()))
-                box.pump()
-                self.assertFalse(first.begun)
-                box.pump()
-                self.assertEqual((self.sock.data, box.bytes_waiting), (b"one", 0))
-
-    def test_a_thread_renders_what_goes_when_there_is_room(self):
-        """The other side reads nothing until the text has changed: what did not fit before goes as changed."""
-        here, there = socket.socketpair()
-        self.addCleanup(there.close)
-        self.addCleanup(here.close)
-        box = WriteBuffer(here, 64 << 20, "box")
-        self.addCleanup(box.close)
-        big = b"x" * (4 << 20)
-        render_called, self.text = threading.Event(), b"one"
+                write_buffer = self.write_buffer(OSError(code, "no memory"), OSError(code, "no memory"), 99)
+                self.assertFalse(write_buffer.put(first := self.message()))
+                write_buffer.send_waiting()
+                self.assertFalse(first.send_started)
+                write_buffer.send_waiting()
+                self.assertEqual((self.sock.sent_data, write_buffer.bytes_waiting), (b"one", 0))
+
+    def test_the_thread_renders_a_message_once_the_socket_is_writable(self):
+        """The peer reads only after the payload has changed: a message that did not fit before is sent as changed."""
+        sock, peer = socket.socketpair()
+        self.addCleanup(peer.close)
+        self.addCleanup(sock.close)
+        write_buffer = WriteBuffer(sock, 64 << 20, "write-buffer")
+        self.addCleanup(write_buffer.close)
+        large = b"x" * (4 << 20)
+        render_called, self.payload = threading.Event(), b"one"
 
         def render():
             render_called.set()
-            return self.text
-
-        over = threading.Event()
-        self.assertFalse(box.put(OutgoingMessage(big)))
-        box.put(waits := OutgoingMessage(render))
-        box.put(gone := OutgoingMessage(lambda: b"gone" if self.text == b"one" else None, expired=over.set))
-        self.text = b"two"
+            return self.payload
+
+        expired_event = threading.Event()
+        self.assertFalse(write_buffer.put(OutgoingMessage(large)))
+        write_buffer.put(second := OutgoingMessage(render))
+        write_buffer.put(
+            expiring := OutgoingMessage(
+                lambda: b"expiring" if self.payload == b"one" else None, on_expired=expired_event.set
+            )
+        )
+        self.payload = b"two"
         received = b""
-        while len(received) < len(big) + 3:
-            received += there.recv(1 << 20)
-        self.assertEqual(received[len(big) :], b"two")
-        self.assertTrue(over.wait(20))
-        self.assertEqual((waits.begun, gone.begun, box.bytes_waiting), (True, False, 0))
-
-    def test_a_thread_ends_while_it_waits_for_room(self):
-        here, there = socket.socketpair()
-        self.addCleanup(there.close)
-        self.addCleanup(here.close)
-        box = WriteBuffer(here, 64 << 20, "box")
-        box.put(begun := OutgoingMessage(b"x" * (4 << 20)))
-        box.put(waits := OutgoingMessage(b"y"))
-        self.assertTrue(begun.begun)
-        self.assertTrue(box.withdraw(waits))
-        box.close()
-        box.thread.join(20)
-        self.assertFalse(box.thread.is_alive())
+        while len(received) < len(large) + 3:
+            received += peer.recv(1 << 20)
+        self.assertEqual(received[len(large) :], b"two")
+        self.assertTrue(expired_event.wait(20))
+        self.assertEqual((second.send_started, expiring.send_started, write_buffer.bytes_waiting), (True, False, 0))
+
+    def test_the_thread_ends_while_the_socket_is_not_writable(self):
+        sock, peer = socket.socketpair()
+        self.addCleanup(peer.close)
+        self.addCleanup(sock.close)
+        write_buffer = WriteBuffer(sock, 64 << 20, "write-buffer")
+        write_buffer.put(first := OutgoingMessage(b"x" * (4 << 20)))
+        write_buffer.put(second := OutgoingMessage(b"y"))
+        self.assertTrue(first.send_started)
+        self.assertTrue(write_buffer.withdraw(second))
+        write_buffer.close()
+        write_buffer.thread.join(20)
+        self.assertFalse(write_buffer.thread.is_alive())
 
 
 if __name__ == "__main__":
--- a/wickdyke/cli/serve.py
+++ b/wickdyke/cli/serve.py
@@ -14,7 +14,7 @@
 from wickdyke.fault_injection.child_process import RigError
 from wickdyke.fault_injection.scenario_runner import ScenarioRunner
 from wickdyke.gateway import log as logs
-from wickdyke.jsonrpc.service import Gateway, until_signal
+from wickdyke.jsonrpc.service import Gateway, serve_until_signal
 from wickdyke.transport.line_server import AddressInUseError
 
 
@@ -51,7 +51,7 @@
     def report_ready() -> None:
         print(f"ready {config.listen}", flush=True)
 
-    exit_code = until_signal(gateway, report_ready)
+    exit_code = serve_until_signal(gateway, report_ready)
     log_writer.close()
     sys.stdout.flush()
     os._exit(exit_code)  # daemon threads may be blocked in a full pipe; all answers are sent
--- a/wickdyke/jsonrpc/__init__.py
+++ b/wickdyke/jsonrpc/__init__.py
@@ -1,1 +1,1 @@
-"""The JSON-RPC gateway: clients and workers speak JSON-RPC over Unix sockets or loopback TCP."""
+"""The JSON-RPC gateway: its clients and workers use JSON-RPC over Unix sockets or loopback TCP."""
--- a/wickdyke/jsonrpc/client_connection.py
+++ b/wickdyke/jsonrpc/client_connection.py
@@ -1,7 +1,7 @@
-"""One connection of a client: a thread reads requests from it, answers are sent by its write buffer.
+"""One client connection: a thread reads its requests, and a write buffer sends the answers.
 
-JSON-RPC 2.0, one object or batch a line (docs/protocol.md). Requests are checked here, and owned by the coordinator
-from then on.
+The protocol is JSON-RPC 2.0 with one object or batch per line (docs/protocol.md). Requests are checked here and then
+belong to the coordinator.
 """
 
 import socket
@@ -22,11 +22,11 @@
 from wickdyke.transport.write_buffer import OutgoingMessage, PeerTooSlowError, WriteBuffer
 
 READ_SIZE = 1 << 18  # bytes read at a time
-STACK_SIZE = 512 * 1024  # bytes of a thread's stack: enough for the decoder's greatest nesting, as measured
+STACK_SIZE = 512 * 1024  # bytes of a thread's stack, measured to be enough for the decoder's deepest nesting
 
 
 class ConnectionOwner(Protocol):
-    """What a client connection uses of the server that it belongs to."""
+    """The part of a client server that its connections use."""
 
     bounds: ServerLimits
     checker: RequestChecker
@@ -36,14 +36,14 @@
     warn: Callable[..., object]
 
     def rejection_reason(self, client: "ClientConnection") -> RejectionReason | None:
-        """Why a request of this connection can't be accepted now; None where it can."""
+        """Returns why a request of this connection can't be accepted now, or None if it can."""
 
     def client_closed(self, client: "ClientConnection") -> None:
-        """The connection has ended: its open requests are to be dropped."""
+        """Called when a connection has ended, to drop its open requests."""
 
 
 class Batch:
-    """The answers to one batch of so many requests, sent together with the last."""
+    """Collects the answers to a batch of `requests` requests and sends them together when the last is added."""
 
     def __init__(self, client: "ClientConnection", requests: int) -> None:
         self.client = client
@@ -52,7 +52,7 @@
         self.lock = threading.Lock()
 
     def answer(self, body: bytes | None) -> None:
-        """Adds one answer (None for a request that gets none)."""
+        """Adds the answer to one request, or None for a request that gets no answer."""
         with self.lock:
             if body is not None:
                 self.bodies.append(body)
@@ -63,7 +63,7 @@
 
 
 class PendingRequest(interfaces.PendingRequest):
-    """One request of a client, alone or in a batch."""
+    """One request of a client, either single or part of a batch."""
 
     __slots__ = ("batch",)
 
@@ -84,28 +84,28 @@
         self.received_at = received_at
 
     def succeed(self, output: bytes, attempts: int) -> None:
-        """Sends its final answer: the output of the worker, after so many attempts."""
+        """Sends the worker's output as the final answer, with the number of attempts."""
         self.answer(client_messages.success_response(self.ident, output, attempts))
 
     def reject(self, reason: str, retry_after: float | None = None) -> None:
-        """Sends its final answer: it had no effect, and may be retried after `retry_after` ms."""
+        """Sends a rejection as the final answer: there was no effect, and a retry is allowed after `retry_after` ms."""
         self.answer(client_messages.rejection_response(self.ident, reason, retry_after))
 
     def fail(self, reason: str) -> None:
-        """Sends its final answer: it may have had an effect or not."""
+        """Sends a failure as the final answer: the request may or may not have had an effect."""
         self.answer(client_messages.failure_response(self.ident, reason))
 
     def answer(self, body: bytes) -> None:
-        """Sends the final answer, unless its client has cancelled it."""
-        # A cancel that was read meanwhile has freed the id, which may be another request's by now.
+        """Sends the final answer, unless the client has cancelled the request."""
+        # A cancel that was read meanwhile has freed the id, and another request may be using it by now.
         if self.client.release(self):
             self.client.answer(body, self.batch)
 
 
 class ClientConnection:
-    """One connection of a client; `pending` has its open requests by their ids.
+    """One connection of a client; `pending` holds its open requests by their ids.
 
-    `connected_after` (monotonic ms) is when it was made at the earliest.
+    `connected_after` (monotonic ms) is the earliest time at which the connection may have been made.
     """
 
     def __init__(
@@ -118,8 +118,10 @@
         self.pending: dict[jsonrpc.Ident, PendingRequest] = {}
         self.lock = threading.Lock()  # guards `pending`
         self.reader = TimedReader(sock, owner.stalls, READ_SIZE, connected_after)
-        self.received = ReceivedData(b"", 0.0, False, False)  # the last
-        self.unposted: list[PendingRequest] = []  # requests that waited unread, until all read with them is handled
+        self.received = ReceivedData(b"", 0.0, False, False)  # the data read last
+        self.unposted_requests: list[
+            PendingRequest
+        ] = []  # requests that waited unread, until all read with them is handled
 
     # ---- writing ----
 
@@ -131,7 +133,7 @@
             self.write(body + b"\n")
 
     def write(self, line: bytes) -> None:
-        """Writes without waiting; a client that does not read is disconnected."""
+        """Writes a line without waiting for the client; a client that reads too slowly is disconnected."""
         try:
             self.write_buffer.put(OutgoingMessage(line))
         except PeerTooSlowError as error:
@@ -140,7 +142,7 @@
             self.write_buffer.close()
         except OSError:
             self.write_buffer.close()
-        except RuntimeError as error:  # the thread that writes the rest could not be started
+        except RuntimeError as error:  # the thread of the write buffer could not be started
             self._log_disconnected(str(error))
             self.write_buffer.close()
 
@@ -150,7 +152,7 @@
     # ---- open ids ----
 
     def release(self, pending: PendingRequest) -> bool:
-        """Its id may be used again; False where it was free already."""
+        """Frees the id of a request, so that it may be used again; returns False if it was free already."""
         with self.lock:
             if self.pending.get(pending.ident) is not pending:
                 return False
@@ -158,7 +160,7 @@
             return True
 
     def release_all(self) -> list[PendingRequest]:
-        """Frees the ids of all open requests, and returns these."""
+        """Frees the ids of all open requests and returns these requests."""
         with self.lock:
             pending_requests = list(self.pending.values())
             self.pending = {}
@@ -168,7 +170,7 @@
         ident = pending.ident
         with self.lock:
             if ident in self.pending:
-                # Answered without the id: an error under it would pass for the final answer of the other request.
+                # The error has no id: with it, the client would take it for the final answer of the other request.
                 raise jsonrpc.MalformedRequestError(
                     jsonrpc.INVALID_REQUEST, f"id: {ident!r} is in use by a call that is not answered yet"
                 )
@@ -180,7 +182,7 @@
         """Reads requests until the client closes the connection."""
         lines = LineReader(self.owner.bounds.line_bytes)
         try:
-            while not (received := self.reader.read()).ended:
+            while not (received := self.reader.read()).at_end:
                 self._handle(received, lines)
         except LineTooLongError as error:
             self.owner.counts["malformed"] += 1
@@ -190,36 +192,37 @@
         except OSError:
             pass
         finally:
-            # What is written already reaches a client that still reads.
+            # Answers already handed to the kernel still reach a client that reads.
             self.write_buffer.close()
             self.owner.client_closed(self)
             self.reader.close()
             self.sock.close()
 
     def _handle(self, received: ReceivedData, lines: LineReader) -> None:
-        """Handles the lines that data completes. What waited unread and is cancelled by one of them is not posted."""
+        """Handles the lines completed by the data. A request that waited unread and is cancelled in it isn't posted."""
         self.received = received
         try:
             for line in lines.feed(received.data):
-                self._line(line)
+                self._handle_line(line)
         finally:
-            for pending in self.unposted:
+            for pending in self.unposted_requests:
                 self.owner.post(RequestReceived(pending))
-            self.unposted.clear()
+            self.unposted_requests.clear()
 
-    def _line(self, line: bytes) -> None:
+    def _handle_line(self, line: bytes) -> None:
         requests = list(jsonrpc.parse_requests(line))
         if not jsonrpc.is_batch(line) or _is_unreadable(requests):
             for request in requests:
-                self._request(request, None, None)
+                self._handle_request(request, None, None)
             return
-        # One array answers all, and the first deadline of any would be missed: all have the shortest time.
+        # One array answers all requests, so it is late if it comes after the first of their deadlines: all of them get
+        # the shortest time.
         max_time_left = self.owner.checker.shortest_time_left(requests)
         batch = Batch(self, len(requests))
         for request in requests:
-            self._request(request, batch, max_time_left)
+            self._handle_request(request, batch, max_time_left)
 
-    def _request(
+    def _handle_request(
         self, request: jsonrpc.Request | jsonrpc.MalformedRequestError, batch: Batch | None, max_time_left: float | None
     ) -> None:
         try:
@@ -241,8 +244,8 @@
 
     def _submit(self, pending: PendingRequest) -> None:
         reason = self.owner.rejection_reason(self)
-        if reason is None and self.received.waited:
-            self.unposted.append(pending)
+        if reason is None and self.received.may_have_waited:
+            self.unposted_requests.append(pending)
             return
         if reason is None:
             self.owner.post(RequestReceived(pending))
@@ -258,12 +261,12 @@
             return
         if pending.batch is not None:
             pending.batch.answer(None)
-        if pending in self.unposted:
-            self.unposted.remove(pending)
+        if pending in self.unposted_requests:
+            self.unposted_requests.remove(pending)
         else:
             self.owner.post(RequestCancelled(pending))
 
 
 def _is_unreadable(requests: list[jsonrpc.Request | jsonrpc.MalformedRequestError]) -> bool:
-    """Whether a batch could not be parsed: that is one error without an id, which is answered by one object."""
+    """Returns whether a batch could not be parsed: a single error without an id, which is answered by one object."""
     return len(requests) == 1 and isinstance(requests[0], jsonrpc.MalformedRequestError) and requests[0].ident is None
--- a/wickdyke/jsonrpc/client_server.py
+++ b/wickdyke/jsonrpc/client_server.py
@@ -1,7 +1,7 @@
-"""The client server: a listener and its client connections, with one reader thread each.
+"""The client server: a listener and its client connections, with one reader thread per connection.
 
-The threads share nothing but the coordinator's queue. A request that is posted there is well formed, names a request
-class of the settings, and has all its figures.
+The threads share only the coordinator's queue. A request that is posted there is well-formed, names a request class
+of the settings, and has all parameters set.
 """
 
 import contextlib
@@ -19,26 +19,26 @@
 from wickdyke.jsonrpc.requests import RequestChecker
 from wickdyke.protocol import client_messages
 from wickdyke.transport.acceptor import Acceptor
-from wickdyke.transport.line_server import listener
+from wickdyke.transport.line_server import listen
 from wickdyke.transport.stall_detector import StallDetector
 
 
 class ClientServer:
     """The listener on one Unix socket or loopback address.
 
-    `post` accepts events; `busy` returns why no request can be accepted, or None; `warn` logs a line of level warning.
+    `post` accepts events; `busy_reason` returns why no request can be accepted, or None; `warn` logs a warning.
     """
 
     def __init__(
         self,
         config: GatewayConfig,
         post: Callable[[Event], None],
-        busy: Callable[[], RejectionReason | None],
+        busy_reason: Callable[[], RejectionReason | None],
         warn: Callable[..., object],
     ) -> None:
         self.bounds: ServerLimits = config.bounds
         self.post = post
-        self.busy = busy
+        self.busy_reason = busy_reason
         self.warn = warn
         self.checker = RequestChecker(config)
         self.counts: Counter[str] = Counter()
@@ -46,24 +46,24 @@
         self.lock = threading.Lock()
         self.last_number = 0
         self.address = config.listen
-        self.sock, self.lock_file = listener(config.listen)
+        self.sock, self.lock_file = listen(config.listen)
         self.stalls = StallDetector()
         self.acceptor = Acceptor(self.sock, self._accept, self._log_not_accepted, self.stalls)
         self.thread = threading.Thread(target=self.acceptor.run, name="client-server", daemon=True)
 
     def open(self) -> None:
-        """Begins to accept connections."""
+        """Starts to accept connections."""
         self.stalls.open()
         self.thread.start()
 
     def rejection_reason(self, client: ClientConnection) -> RejectionReason | None:
-        """Why a request of this connection can't be accepted now; None where it can."""
+        """Returns why a request of this connection can't be accepted now, or None if it can."""
         if len(client.pending) > self.bounds.open_requests_per_client:
             return RejectionReason.CONNECTION_FULL
-        return self.busy()
+        return self.busy_reason()
 
     def client_closed(self, client: ClientConnection) -> None:
-        """The connection has ended: its open requests are dropped."""
+        """Removes a connection that has ended, and posts its open requests to be dropped."""
         with self.lock:
             self.clients.discard(client)
         if pending_requests := client.release_all():
@@ -74,16 +74,16 @@
         with self.lock:
             self.last_number += 1
             client = ClientConnection(self, sock, self.last_number, self.acceptor.connected_after)
-            full = len(self.clients) >= self.bounds.connections
-            if not full:
+            is_full = len(self.clients) >= self.bounds.connections
+            if not is_full:
                 self.clients.add(client)
-        if full:
+        if is_full:
             self.counts["turned_away"] += 1
             self._reject(client)
             return
         try:
             threading.Thread(target=client.read, name=f"client-{client.number}", daemon=True).start()
-        except RuntimeError as error:  # no thread to be had
+        except RuntimeError as error:  # the thread could not be started
             self._log_not_accepted(error)
             self.client_closed(client)
             self._reject(client)
@@ -97,8 +97,8 @@
         client.reader.close()
         client.sock.close()
 
-    def shut(self) -> None:
-        """Accepts no more connections; those that are open stay."""
+    def stop_accepting(self) -> None:
+        """Stops accepting connections; open connections stay open."""
         self.acceptor.close()
         if ":" not in self.address or "/" in self.address:
             with contextlib.suppress(OSError):
@@ -106,8 +106,8 @@
         if self.lock_file is not None:
             self.lock_file.close()
 
-    def flushed(self) -> bool:
-        """Whether all answers are with the kernel."""
+    def is_flushed(self) -> bool:
+        """Returns whether all answers have been handed to the kernel."""
         with self.lock:
             return all(client.write_buffer.empty() for client in self.clients)
 
--- a/wickdyke/jsonrpc/endpoint_list.py
+++ b/wickdyke/jsonrpc/endpoint_list.py
@@ -1,7 +1,8 @@
-"""The endpoint list: the rows of its file and the hellos of the workers, merged. Pure: no I/O, no clock.
+"""The endpoint list: merges the rows of the endpoint file with the workers' hellos. Uses no I/O and no clock.
 
-A worker is reported to the router once its hello was received, so that its age is known before a request is sent to it.
-One that can't be reached is reported as just started: the router then sends it little, as to one that warms up.
+A worker is reported to the router once its hello has been received, so that its age is known before a request is sent
+to it. A worker that can't be reached is reported as just started: the router then sends it few requests, as to a worker
+that is warming up.
 """
 
 from collections.abc import Sequence
@@ -14,9 +15,9 @@
 
 @dataclass(slots=True)
 class ListedWorker:
-    """One worker: its row, the number of its present start (0: unknown) and when that was (monotonic ms).
+    """One worker: its row, the number of its present start (0: unknown) and the time of that start (monotonic ms).
 
-    `past_starts` are the numbers of earlier ones. `is_reported` once its age is known, or was assumed.
+    `past_starts` holds the numbers of its earlier starts. `is_reported` is set once its age is known or assumed.
     """
 
     row: EndpointRow
@@ -28,7 +29,7 @@
 
 
 class EndpointList:
-    """The merged view. Each input returns the endpoints that changed, for the router's `endpoints_changed`."""
+    """The merged list. Each input method returns the endpoints that changed, for the router's `endpoints_changed`."""
 
     def __init__(self, zones: tuple[str, ...], kinds: tuple[str, ...]) -> None:
         self.zones = zones
@@ -39,11 +40,11 @@
     def __len__(self) -> int:
         return len(self.workers)
 
-    def apply(self, entries: Sequence[EndpointRow], now: float) -> EndpointListChange:
-        """Replaces the rows; a worker that has none any more is gone. `now` is monotonic ms."""
+    def apply(self, rows: Sequence[EndpointRow], now: float) -> EndpointListChange:
+        """Replaces the rows and removes workers that have no row any more. `now` is monotonic ms."""
         before = {name: worker.row.address for name, worker in self.workers.items()}
-        endpoints = self._remove_unlisted(entries)
-        for row in entries:
+        endpoints = self._remove_unlisted(rows)
+        for row in rows:
             if row.state != EndpointState.GONE:
                 endpoints += self._apply_row(row, now)
         after = {name: self.address(name) for name in {**before, **self.workers}}
@@ -66,7 +67,7 @@
     def _apply_row(self, row: EndpointRow, now: float) -> list[Endpoint]:
         worker = self.workers.setdefault(row.name, ListedWorker(row))
         worker.row = row
-        # The number of a past start means that the list lags behind the hellos.
+        # A row with the number of a past start shows that the file lags behind the hellos.
         if row.start and row.start != worker.start and row.start not in worker.past_starts:
             if worker.start:
                 worker.past_starts.add(worker.start)
@@ -76,15 +77,15 @@
         return self._changed(row.name)
 
     def address(self, name: str) -> str | None:
-        """Where a listed worker is."""
+        """Returns the address of a listed worker, or None if it is not listed."""
         return self.workers[name].row.address if name in self.workers else None
 
     def start_of(self, name: str) -> int | None:
-        """The number of a listed worker's present start."""
+        """Returns the number of a listed worker's present start, or None if it is not listed."""
         return self.workers[name].start if name in self.workers else None
 
     def hello(self, name: str, hello: WorkerHello, now: float) -> list[Endpoint]:
-        """A worker was connected to, and sent its hello."""
+        """Records the hello of a worker; `now` is monotonic ms."""
         worker = self.workers.get(name)
         if worker is None:
             return []
@@ -98,7 +99,7 @@
         return self._changed(name)
 
     def unreachable(self, name: str, now: float) -> list[Endpoint]:
-        """No connection could be made. A worker that never sent a hello counts as just started."""
+        """Records a failed connect at `now` (monotonic ms). A worker that never sent a hello counts as just started."""
         worker = self.workers.get(name)
         if worker is None or worker.is_reported:
             return []
@@ -107,7 +108,7 @@
         return self._changed(name)
 
     def draining(self, name: str) -> list[Endpoint]:
-        """A worker reported that it drains: it counts as draining whatever its state in the list."""
+        """Records that a worker reported a drain: it counts as draining whatever the state in its row."""
         worker = self.workers.get(name)
         if worker is None:
             return []
--- a/wickdyke/jsonrpc/requests.py
+++ b/wickdyke/jsonrpc/requests.py
@@ -1,4 +1,4 @@
-"""Checks what clients send: a `call` becomes a request with all its figures, or an error that describes the fault."""
+"""Checks the requests of clients: a `call` becomes a request with all parameters set, or an error with the reason."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -10,14 +10,14 @@
 from wickdyke.protocol.client_messages import CallRequest
 from wickdyke.routing.model import Effect, RequestClass, RoutePolicy
 
-MAX_QUOTED = 60  # characters of a client's value that an error message repeats
+MAX_QUOTED = 60  # characters of a client's value that are quoted in an error message
 
 
 @dataclass(slots=True)
 class RequestParams:
-    """What a `call` states, or the settings for it. Times are ms, memory is MB.
+    """The parameters of a `call`, with those it leaves out taken from the settings. Times are ms, memory is MB.
 
-    `input` is JSON; it becomes None once the request is answered.
+    `input` is JSON, and is set to None once the request is answered.
     """
 
     function: str
@@ -32,7 +32,7 @@
 
 @dataclass(slots=True, frozen=True)
 class CheckedRequest:
-    """A `call` that names a known request class and has all its figures; `time_left` is ms."""
+    """A `call` that names a known request class and has all parameters set; `time_left` is ms."""
 
     ident: jsonrpc.Ident
     request_class: RequestClass
@@ -51,7 +51,7 @@
         self.routes: Routes | None = None
 
     def cancelled_id(self, request: jsonrpc.Request) -> jsonrpc.Ident:
-        """The id that a `cancel` is about. Raises MalformedRequestError."""
+        """Returns the id of the request that a `cancel` refers to. Raises MalformedRequestError."""
         cancel = jsonrpc.parse_params(client_messages.CancelRequest, request.params, request.ident)
         if not request.is_notification:
             raise jsonrpc.MalformedRequestError(
@@ -60,9 +60,9 @@
         return cancel.id
 
     def check(self, request: jsonrpc.Request, max_time_left: float | None) -> CheckedRequest:
-        """Checks a `call`; what it leaves out is from the settings, and `max_time_left` (ms) bounds its time.
+        """Checks a `call` and returns it with the parameters that it leaves out taken from the settings.
 
-        Raises MalformedRequestError.
+        `max_time_left` (ms) bounds its remaining time. Raises MalformedRequestError.
         """
         ident = request.ident
         if request.method != "call":
@@ -83,7 +83,7 @@
         return CheckedRequest(ident, request_class, params, time_left, effective.router_policy if effective else None)
 
     def shortest_time_left(self, requests: Iterable[jsonrpc.Request | jsonrpc.MalformedRequestError]) -> float | None:
-        """The least time that any of the requests leaves (ms), as far as they can be read; None where there is none."""
+        """Returns the shortest remaining time (ms) of the requests that can be parsed, or None without requests."""
         return min(map(self._time_left, requests), default=None)
 
     def _time_left(self, request: jsonrpc.Request | jsonrpc.MalformedRequestError) -> float:
--- a/wickdyke/jsonrpc/service.py
+++ b/wickdyke/jsonrpc/service.py
@@ -1,4 +1,4 @@
-"""Assembles a gateway from its settings, and ends it in order."""
+"""Assembles a gateway from its settings, runs it and shuts it down in order."""
 
 import gc
 import random
@@ -26,16 +26,16 @@
 from wickdyke.routing.periods import TICK
 from wickdyke.transport import termination
 
-# s that a thread may keep the interpreter. Threads switch often and briefly: at the standard 5 ms an answer would wait
-# for a decoder.
+# s for which a thread may hold the interpreter lock. Threads switch often and run briefly: with the default of 5 ms an
+# answer would wait for a thread that decodes a request.
 SWITCH_INTERVAL = 0.001
-SEED_BITS = 48  # of a seed that is drawn
+SEED_BITS = 48  # bits of a random seed
 DRAIN_MARGIN = 1000  # ms beyond the longest deadline that a drain may take
-DRAIN_POLL = 0.01  # s between two checks whether a drain is over
+DRAIN_POLL_INTERVAL = 0.01  # s between two checks whether a drain is over
 
 
 def policy_environment(config: GatewayConfig) -> Environment:
-    """What routes are checked against: the deployment's figures, and how often the router is advanced."""
+    """Returns what routes are checked against: the deployment's limits and the interval of the router's ticks."""
     limits = config.attempt_limits
     return Environment(
         limits.hedging, limits.cancel, limits.connect_timeout, config.answer_margin, TICK, limits.attempts
@@ -43,7 +43,7 @@
 
 
 class Gateway:
-    """All parts of one gateway. `open` begins to serve; `stop` drains it: pending requests get their answers."""
+    """All parts of one gateway. `open` starts to serve; `stop` drains it, so pending requests get their answers."""
 
     def __init__(self, config: GatewayConfig, log: Log) -> None:
         threading.stack_size(STACK_SIZE)
@@ -80,7 +80,7 @@
                     "routes", config.routes_path, config.routes_poll_interval, self._read_routes, self._use_routes, log
                 )
             )
-            self.client_server.checker.routes = self._read_routes(config.routes_path)  # there are no earlier ones
+            self.client_server.checker.routes = self._read_routes(config.routes_path)  # no earlier routes exist
 
     def _read_endpoints(self, path: str) -> list[endpoint_file.EndpointRow]:
         return endpoint_file.read_endpoints(path, self.config.zones, self.config.kinds)
@@ -100,8 +100,9 @@
         return {"routes": len(routes.routes)}
 
     def open(self) -> None:
-        """Begins to serve."""
-        # Objects made by now stay: the garbage collector need not visit them while requests wait (docs/bench.md).
+        """Starts to serve."""
+        # Objects created by now are long-lived: the garbage collector need not visit them while requests wait
+        # (docs/bench.md).
         gc.collect()
         gc.freeze()
         self.coordinator.open()
@@ -115,15 +116,15 @@
         )
 
     def stop(self) -> None:
-        """Accepts no more requests, answers all that are pending within their deadlines, then ends."""
+        """Stops accepting requests, answers the pending ones within their deadlines, then ends all threads."""
         began_at = clock()
         self.coordinator.stop_admitting()
-        self.client_server.shut()
+        self.client_server.stop_accepting()
         self.log.info("stopping", open=len(self.coordinator.requests.by_id))
         timeout = DRAIN_MARGIN + max(request_class.deadline for request_class in self.config.request_classes)
         pause = threading.Event()
-        while clock() - began_at < timeout and not (self.coordinator.idle() and self.client_server.flushed()):
-            pause.wait(DRAIN_POLL)
+        while clock() - began_at < timeout and not (self.coordinator.idle() and self.client_server.is_flushed()):
+            pause.wait(DRAIN_POLL_INTERVAL)
         self.close()
         self.log.info("stopped", elapsed_ms=round(clock() - began_at), **dict(self.coordinator.counts))
 
@@ -137,8 +138,11 @@
             self.recorder.close()
 
 
-def until_signal(gateway: Gateway, ready: Callable[[], None]) -> int:
-    """Serves until SIGTERM or SIGINT; a second signal ends it at once. `ready` is called once it serves."""
+def serve_until_signal(gateway: Gateway, ready: Callable[[], None]) -> int:
+    """Serves until SIGTERM or SIGINT and returns exit code 0; a second signal ends the process at once with code 1.
+
+    `ready` is called once the gateway serves.
+    """
     signalled = termination.install_handlers()
     gateway.open()
     ready()
--- a/wickdyke/jsonrpc/worker_client.py
+++ b/wickdyke/jsonrpc/worker_client.py
@@ -1,8 +1,8 @@
-"""The client of one worker of the JSON-RPC gateway: it determines exactly how each command ended.
+"""The JSON-RPC gateway's client of one worker, which determines the exact outcome of each command.
 
-The rules depend on the outcomes. UNSENT: no byte was handed to the kernel. UNREACHED: no connection could be made, or
-the worker sent no hello. CONNECTION_LOST: the connection ended after the first byte; it may have run. CANCELLED,
-TIMEOUT: it may have run. FULL, MISS: the worker answered that it did not. ERROR: it may have run.
+The routing rules rely on these outcomes. UNSENT: no byte was handed to the kernel. UNREACHED: no connection could be
+made, or the worker sent no hello. CONNECTION_LOST: the connection ended after the first byte; the command may have run.
+CANCELLED, TIMEOUT: it may have run. FULL, MISS: the worker answered that it did not run. ERROR: it may have run.
 """
 
 import contextlib
@@ -34,21 +34,21 @@
 from wickdyke.routing.model import Outcome
 from wickdyke.transport.write_buffer import MessageExpiredError, OutgoingMessage, PeerTooSlowError, WriteBuffer
 
-MIN_RECONNECT_PAUSE = 100.0  # ms between attempts to connect while no command waits: at first
+MIN_RECONNECT_PAUSE = 100.0  # ms between the first attempts to connect while no command waits
 MAX_RECONNECT_PAUSE = 1000.0  # ms
 RECONNECT_PAUSE_GROWTH = 2
 
 
 class ClientClosedError(OSError):
-    """The client was closed while it connected."""
+    """The worker client was closed while it was connecting."""
 
 
 @dataclass(slots=True, frozen=True)
 class WorkerClientSettings:
-    """What the clients of all workers share.
+    """The settings shared by the clients of all workers.
 
-    `gateway` is the name in the hello; `connect_timeout` is ms, for the connection and the hello; `max_line` is bytes
-    of a response; `max_unread` is bytes that may wait for a worker to read.
+    `gateway` is the gateway's name in the hello; `connect_timeout` (ms) covers the connection and the hello; `max_line`
+    is the maximum length of a response in bytes; `max_unread` is how many bytes may wait for a worker to read them.
     """
 
     gateway: str
@@ -58,18 +58,18 @@
 
 
 class ClientState(Enum):
-    """What a worker client still does."""
+    """The state of a worker client."""
 
     OPEN = auto()
-    DRAINING = auto()  # sends nothing new, and closes with the last command in flight
+    DRAINING = auto()  # sends no new command, and closes with the last command in flight
     CLOSED = auto()
 
 
 class WorkerClient:
-    """The client of one worker; it keeps one connection, which is made anew whenever it is lost.
+    """The client of one worker, with one connection that is re-established whenever it is lost.
 
-    `notify` is called from its threads with WorkerConnected, WorkerConnectionLost, WorkerUnreachable, WorkerDraining,
-    and CommandFinished once for each command.
+    `notify` is called from its threads with WorkerConnected, WorkerConnectionLost, WorkerUnreachable and WorkerDraining
+    events, and with CommandFinished once for each command.
     """
 
     def __init__(
@@ -85,27 +85,27 @@
         self.commands = OpenCommands()
         self.sock: socket.socket | None = None
         self.write_buffer: WriteBuffer | None = None  # of the present connection
-        self.start: int | None = None  # the worker's, at the last hello
+        self.start: int | None = None  # the number of the worker's start in its last hello
         self.counts: Counter[str] = Counter()
         self.thread = threading.Thread(target=self._serve, name=f"worker-{name}", daemon=True)
         self.thread.start()
 
     @property
     def up(self) -> bool:
-        """Whether there is a connection."""
+        """Whether the worker is connected."""
         return self.write_buffer is not None
 
     # ---- called from other threads ----
 
     def send(self, command: Command) -> None:
-        """Sends it, or has it sent once connected; `notify` is called with its end in each case."""
+        """Sends a command, at once or when connected; `notify` is called with CommandFinished in either case."""
         with self.lock:
             outcome = self._send_or_queue(command)
         if outcome is not None:
             self.notify(CommandFinished(self, command, outcome))
 
     def cancel(self, command: Command, done: Callable[[], None]) -> Withdrawal:
-        """Withdraws an attempt; `done` is called once a cancel that is PENDING is with the kernel."""
+        """Cancels an attempt; for the result PENDING, `done` is called once the kernel has accepted the cancel."""
         with self.lock:
             if self.commands.withdraw(command, self.write_buffer):
                 return Withdrawal.UNSENT
@@ -113,21 +113,21 @@
                 return Withdrawal.ENDED
             line = jsonrpc.notification_line("cancel", jsonrpc.encode(worker_messages.CancelRequest(command.number)))
             try:
-                if not self.write_buffer.put(OutgoingMessage(line, lambda: self._cancelled(command, done))):
+                if not self.write_buffer.put(OutgoingMessage(line, lambda: self._cancel_sent(command, done))):
                     return Withdrawal.PENDING
             except (PeerTooSlowError, OSError):
                 self.write_buffer.close()
-                return Withdrawal.PENDING  # the reader reports it as lost
+                return Withdrawal.PENDING  # the reader thread reports the command as lost
             self.commands.end(command.number)
             return Withdrawal.CANCELLED
 
     def withdraw_unsent(self, command: Command) -> bool:
-        """Takes back what has not begun to be sent; True where it was so, and it has ended."""
+        """Withdraws a command of which no byte was sent; returns whether that was possible, and the command ended."""
         with self.lock:
             return self.commands.withdraw(command, self.write_buffer)
 
     def withdraw_all_unsent(self) -> None:
-        """Takes back all that has not begun to be sent: it ends as unsent."""
+        """Withdraws all commands of which no byte was sent, with the outcome UNSENT."""
         with self.lock:
             withdrawn = [
                 command for command in self.commands.all() if self.commands.withdraw(command, self.write_buffer)
@@ -135,18 +135,18 @@
         self._finish(withdrawn, Outcome.UNSENT)
 
     def abandon(self, command: Command) -> bool:
-        """Stops waiting for a response; False where the command has ended already."""
+        """Stops waiting for a response; returns False if the command has ended already."""
         with self.lock:
             return self.commands.abandon(command)
 
     def disconnect(self) -> None:
-        """Ends the connection; what is in flight there ends as lost."""
+        """Ends the connection; commands in flight end as lost."""
         with self.lock:
             if self.write_buffer is not None:
                 self.write_buffer.close()
 
     def drain(self) -> None:
-        """Sends no more; it closes with the last command in flight."""
+        """Sends no further commands, and closes the client once the last command in flight has ended."""
         with self.lock:
             if self.state is ClientState.OPEN:
                 self.state = ClientState.DRAINING
@@ -157,7 +157,7 @@
             self.close()
 
     def close(self) -> None:
-        """Ends it at once."""
+        """Closes the client and its connection at once."""
         with self.lock:
             self.state = ClientState.CLOSED
             if self.write_buffer is not None:
@@ -170,18 +170,18 @@
     # ---- sending ----
 
     def _send_or_queue(self, command: Command) -> Outcome | None:
-        """Returns how the command has ended, if it has."""
+        """Sends or queues a command; returns its outcome if it has ended, or None."""
         if self.state is ClientState.CLOSED:
             return Outcome.UNSENT
         if self.write_buffer is not None:
             return self._hand_over(command, self.write_buffer)
-        self.commands.waiting.append(command)
+        self.commands.waiting_commands.append(command)
         self.command_queued.notify()
         return None
 
     def _hand_over(self, command: Command, write_buffer: WriteBuffer) -> Outcome | None:
-        """Hands a command to the connection; returns how it has ended, if it has."""
-        message = OutgoingMessage(command.line, expired=lambda: self._expired(command))
+        """Hands a command to the connection; returns its outcome if it has ended, or None."""
+        message = OutgoingMessage(command.line, on_expired=lambda: self._command_expired(command))
         self.commands.begin(command, message)
         try:
             write_buffer.put(message)
@@ -189,15 +189,16 @@
             self.commands.end(command.number)
             return Outcome.UNSENT
         except (PeerTooSlowError, OSError):
-            # The reader finds the connection ended and reports all that is in flight; this one is certain now.
+            # The reader thread finds the connection ended and reports all commands in flight. The outcome of this one
+            # is known now if no byte of it was sent.
             write_buffer.close()
-            if not message.begun:
+            if not message.send_started:
                 self.commands.end(command.number)
                 return Outcome.UNSENT
         return None
 
-    def _expired(self, command: Command) -> None:
-        """The deadline of a command passed before a byte of it was sent. Called by the thread that writes."""
+    def _command_expired(self, command: Command) -> None:
+        """Ends a command whose deadline passed before a byte of it was sent. Called by the write buffer's thread."""
         with self.lock:
             if self.commands.end(command.number) is None:
                 return
@@ -206,7 +207,7 @@
         if idle:
             self.close()
 
-    def _cancelled(self, command: Command, done: Callable[[], None]) -> None:
+    def _cancel_sent(self, command: Command, done: Callable[[], None]) -> None:
         with self.lock:
             if self.commands.end(command.number) is None:
                 return
@@ -219,7 +220,7 @@
         for command in commands:
             self.notify(CommandFinished(self, command, outcome))
 
-    # ---- its thread ----
+    # ---- the client's thread ----
 
     def _serve(self) -> None:
         pause = MIN_RECONNECT_PAUSE
@@ -235,11 +236,11 @@
             self._connection_lost(self._serve_connection(handshake))
             self._wait_for_command(pause)
         self._connection_lost("closed")
-        self._unreached("closed")
+        self._report_unreachable("closed")
 
     def _wait_for_command(self, pause: float) -> None:
         with self.lock:
-            if self.state is not ClientState.CLOSED and not self.commands.waiting:
+            if self.state is not ClientState.CLOSED and not self.commands.waiting_commands:
                 self.command_queued.wait(pause / MS_PER_SECOND)
 
     def _connect(self) -> Handshake:
@@ -258,14 +259,14 @@
 
     def _connect_failed(self, error: Exception) -> None:
         if isinstance(error, OSError) and error.errno in LOCAL_ERRORS:
-            # Reported as unreached, a worker that is up would be taken for one that has restarted and is empty.
+            # With UNREACHED, a worker that is up would be taken for one that has restarted and is empty.
             self.counts[f"connect_{errno.errorcode[error.errno]}"] += 1
             self._end_waiting(Outcome.UNSENT)
         else:
-            self._unreached(f"{type(error).__name__}: {error}")
+            self._report_unreachable(f"{type(error).__name__}: {error}")
 
     def _serve_connection(self, handshake: Handshake) -> str:
-        """Sends what waits and reads responses; returns why the connection ended."""
+        """Sends the waiting commands and reads responses; returns why the connection ended."""
         self.notify(WorkerConnected(self, handshake.hello))
         if not self._send_waiting(handshake):
             return "closed"
@@ -277,13 +278,13 @@
         return "ended by the worker"
 
     def _send_waiting(self, handshake: Handshake) -> bool:
-        """Hands over the commands that wait for a connection; False where the client was closed meanwhile."""
+        """Sends the commands that wait for a connection; returns False if the client was closed meanwhile."""
         unsent: list[Command] = []
         with self.lock:
             if self.state is ClientState.CLOSED:
                 handshake.sock.close()
                 return False
-            # They were meant for the worker as it was; one that has restarted may be warming up and empty.
+            # The commands were meant for the worker before its restart; a restarted one may be warming up and empty.
             start = handshake.hello.start
             restarted = self.start not in (None, start)
             self.start = start
@@ -296,11 +297,11 @@
         return True
 
     def _receive(self, line: bytes) -> None:
-        """Ends the command that a line is the response to."""
+        """Ends the command to which the line is the response."""
         response = jsonrpc.parse_response(line)
         with self.lock:
             command = self.commands.end(response.ident)
-            if command is None:  # too late, a second time, or with an id that was never used: none waits for it
+            if command is None:  # late, duplicate, or with an id that was never used
                 self.counts["late" if self.commands.was_sent(response.ident) else "stray"] += 1
                 return
             idle = self._is_drained()
@@ -330,18 +331,18 @@
         if sock is not None:
             sock.close()
         for command in in_flight:
-            # What still waited in the write buffer never began: no byte of it can have reached the worker.
-            has_begun = command.message is not None and command.message.begun
+            # No byte of a command that still waited in the write buffer can have reached the worker.
+            has_begun = command.message is not None and command.message.send_started
             outcome = Outcome.CONNECTION_LOST if has_begun else Outcome.UNSENT
             self.notify(CommandFinished(self, command, outcome))
         self.notify(WorkerConnectionLost(self, reason))
 
-    def _unreached(self, reason: str) -> None:
+    def _report_unreachable(self, reason: str) -> None:
         self._end_waiting(Outcome.UNREACHED)
         self.notify(WorkerUnreachable(self, reason))
 
     def _end_waiting(self, outcome: Outcome) -> None:
         with self.lock:
-            waiting = self.commands.take_waiting()
+            waiting_commands = self.commands.take_waiting()
             self.sock = None
-        self._finish(waiting, outcome)
+        self._finish(waiting_commands, outcome)
--- a/wickdyke/jsonrpc/worker_command.py
+++ b/wickdyke/jsonrpc/worker_command.py
@@ -1,4 +1,4 @@
-"""The commands of one worker client: as they are sent, and which of them have not ended."""
+"""The commands of one worker client: their messages, and the record of those that have not ended."""
 
 import math
 import time
@@ -10,7 +10,7 @@
 from wickdyke.transport.write_buffer import OutgoingMessage, WriteBuffer
 
 MS_PER_SECOND = 1000
-UNNUMBERED = -1  # the number of a command that was not sent
+NO_NUMBER = -1  # the number of a command that has not been handed to a connection
 
 
 def clock() -> float:
@@ -19,10 +19,10 @@
 
 
 class Command(interfaces.Command):
-    """One message to a worker that expects a response, as it is sent.
+    """One message to a worker that expects a response.
 
-    `params` is its bytes, or a function that renders them for the ms that are left until `deadline` (monotonic ms).
-    `number` is its id on the connection.
+    `params` is the bytes of its parameters, or a function that renders them from the ms left until `deadline`
+    (monotonic ms). `number` is its JSON-RPC id.
     """
 
     __slots__ = ("deadline", "message", "method", "number", "params")
@@ -40,10 +40,10 @@
         self.params = params
         self.deadline = deadline
         self.message: OutgoingMessage | None = None
-        self.number = UNNUMBERED
+        self.number = NO_NUMBER
 
     def line(self) -> bytes | None:
-        """The request as it may be sent now; None where its deadline has passed."""
+        """Returns the request line to be sent now, or None if the deadline has passed."""
         time_left = self.deadline - clock()
         if time_left <= 0:
             return None
@@ -52,46 +52,47 @@
 
 
 class OpenCommands:
-    """The commands of a worker client that have not ended. Its owner locks.
+    """The commands of a worker client that have not ended. The worker client guards it with its lock.
 
-    `waiting`: those that wait for a connection; `in_flight`: those handed to the present one, by their numbers.
+    `waiting_commands` holds the commands that wait for a connection, `in_flight` those handed to the present
+    connection, by their numbers.
     """
 
     def __init__(self) -> None:
-        self.waiting: list[Command] = []
+        self.waiting_commands: list[Command] = []
         self.in_flight: dict[int, Command] = {}
         self.last_number = 0
 
     def __bool__(self) -> bool:
-        return bool(self.waiting or self.in_flight)
+        return bool(self.waiting_commands or self.in_flight)
 
     def all(self) -> list[Command]:
-        """All of them."""
-        return [*self.waiting, *self.in_flight.values()]
+        """Returns all commands that have not ended."""
+        return [*self.waiting_commands, *self.in_flight.values()]
 
     def begin(self, command: Command, message: OutgoingMessage) -> None:
-        """Numbers a command and enters it as in flight, with the message that is to be sent."""
+        """Numbers a command and records it as in flight, with the message to be sent."""
         self.last_number += 1
         command.number = self.last_number
         command.message = message
         self.in_flight[command.number] = command
 
     def is_in_flight(self, command: Command) -> bool:
-        """Whether it was handed to the present connection and has not ended."""
+        """Returns whether a command was handed to the present connection and has not ended."""
         return self.in_flight.get(command.number) is command
 
     def was_sent(self, ident: jsonrpc.Ident) -> bool:
-        """Whether a command had that number."""
+        """Returns whether a command had that number."""
         return isinstance(ident, int) and 0 < ident <= self.last_number
 
     def end(self, ident: jsonrpc.Ident) -> Command | None:
-        """Ends the command in flight of that number, and returns it; None where there is none."""
+        """Removes and returns the command in flight of that number, or returns None if there is none."""
         return self.in_flight.pop(ident, None) if isinstance(ident, int) else None
 
     def withdraw(self, command: Command, write_buffer: WriteBuffer | None) -> bool:
-        """Takes back a command of which no byte was sent; False where that is too late."""
-        if command in self.waiting:
-            self.waiting.remove(command)
+        """Withdraws a command of which no byte was sent; returns False if it may have been sent or has ended."""
+        if command in self.waiting_commands:
+            self.waiting_commands.remove(command)
             return True
         if not self.is_in_flight(command) or write_buffer is None or command.message is None:
             return False
@@ -101,20 +102,20 @@
         return True
 
     def abandon(self, command: Command) -> bool:
-        """Ends a command, sent or not; False where it has ended already."""
-        if command in self.waiting:
-            self.waiting.remove(command)
+        """Removes a command, sent or not; returns False if it has ended already."""
+        if command in self.waiting_commands:
+            self.waiting_commands.remove(command)
             return True
         return self.in_flight.pop(command.number, None) is not None
 
     def take_waiting(self) -> list[Command]:
-        """Removes and returns all that wait for a connection."""
-        commands = self.waiting
-        self.waiting = []
+        """Removes and returns the commands that wait for a connection."""
+        commands = self.waiting_commands
+        self.waiting_commands = []
         return commands
 
     def take_in_flight(self) -> list[Command]:
-        """Removes and returns all that are in flight."""
+        """Removes and returns the commands in flight."""
         commands = list(self.in_flight.values())
         self.in_flight = {}
         return commands
--- a/wickdyke/jsonrpc/worker_handshake.py
+++ b/wickdyke/jsonrpc/worker_handshake.py
@@ -1,4 +1,4 @@
-"""A connection to a worker: made, the hello sent and answered, and read by lines."""
+"""The start of a connection to a worker: exchanges the hellos, then yields the lines that the worker sends."""
 
 import errno
 import socket
@@ -10,14 +10,14 @@
 
 from wickdyke.protocol import jsonrpc, worker_messages
 from wickdyke.protocol.framing import LineReader
-from wickdyke.transport.write_buffer import SHORT_OF_MEMORY
+from wickdyke.transport.write_buffer import OUT_OF_MEMORY_ERRORS
 
 READ_SIZE = 1 << 18  # bytes read at a time
 MIN_TIMEOUT = 0.001  # s: a timeout of 0 would make the socket non-blocking
-MEMORY_RETRY = 0.01  # s until a read is retried for which the kernel had no memory
+MEMORY_RETRY_DELAY = 0.01  # s until a read that failed for lack of memory is retried
 HELLO_NUMBER = 0  # the id of the hello; commands count from 1
-# Errors of socket(2) and connect(2) that are of this machine, for a moment. Workers are on the same machine, so that no
-# route to them (and a listening socket whose queue is full, EAGAIN) does not show that one is down.
+# Temporary errors of socket(2) and connect(2) that are caused by this machine. Workers run on the same machine, so a
+# missing route, or a full backlog of the listening socket (EAGAIN), does not show that a worker is down.
 LOCAL_ERRORS = (
     errno.EMFILE,
     errno.ENFILE,
@@ -35,9 +35,9 @@
 
 @dataclass(slots=True, frozen=True)
 class Handshake:
-    """A connection whose worker sent its hello.
+    """A connection whose worker has sent its hello.
 
-    `unread_lines` were received with the hello; `reader` has the beginning of what follows them.
+    `unread_lines` were received together with the hello; `reader` holds the beginning of the line that follows them.
     """
 
     sock: socket.socket
@@ -46,16 +46,16 @@
     unread_lines: list[bytes]
 
     def lines(self) -> Iterator[bytes]:
-        """The lines of the worker, until it ends the connection. Raises OSError and LineTooLongError."""
+        """Yields the worker's lines until it ends the connection. Raises OSError and LineTooLongError."""
         yield from self.unread_lines
         while data := _receive(self.sock):
             yield from self.reader.feed(data)
 
 
 def shake_hands(sock: socket.socket, gateway: str, max_line: int, deadline: float) -> Handshake:
-    """Sends the hello and reads the answer by the deadline (monotonic s), then leaves the socket without a timeout.
+    """Sends the gateway's hello and reads the worker's by the deadline (monotonic s); clears the socket's timeout.
 
-    Raises OSError, LineTooLongError, MalformedRequestError or MsgspecError where the worker sent no valid one.
+    Raises OSError, LineTooLongError, MalformedRequestError or MsgspecError if the worker sends no valid hello.
     """
     sock.settimeout(max(MIN_TIMEOUT, deadline - time.monotonic()))
     hello = worker_messages.GatewayHello(worker_messages.VERSION, gateway)
@@ -71,11 +71,11 @@
     while True:
         time_left = deadline - time.monotonic()
         if time_left <= 0:
-            raise TimeoutError("no hello in time")
+            raise TimeoutError("worker sent no hello within the connect timeout")
         sock.settimeout(time_left)
         data = sock.recv(READ_SIZE)
         if not data:
-            raise ConnectionResetError("ended before its hello")
+            raise ConnectionResetError("worker closed the connection before its hello")
         if lines := reader.feed(data):
             return lines
 
@@ -83,23 +83,25 @@
 def _read_hello(line: bytes) -> worker_messages.WorkerHello:
     response = jsonrpc.parse_response(line)
     if response.error is not None:
-        raise jsonrpc.MalformedRequestError(response.error.code, f"no hello but {response.error.message}")
+        raise jsonrpc.MalformedRequestError(
+            response.error.code, f"worker answered the hello with an error: {response.error.message}"
+        )
     hello = msgspec.json.decode(response.result or b"", type=worker_messages.WorkerHello)
     if hello.version != worker_messages.VERSION:
         raise jsonrpc.MalformedRequestError(
-            jsonrpc.INVALID_REQUEST, f"version {hello.version}, expected {worker_messages.VERSION}"
+            jsonrpc.INVALID_REQUEST, f"protocol version {hello.version}, expected {worker_messages.VERSION}"
         )
     return hello
 
 
 def _receive(sock: socket.socket) -> bytes:
-    """The bytes received next, empty at the end. Raises OSError where the connection has ended otherwise."""
+    """Returns the bytes received next, empty at the end of the connection. Raises OSError if the connection fails."""
     while True:
         try:
             return sock.recv(READ_SIZE)
         except InterruptedError:
             continue
         except OSError as error:
-            if error.errno not in SHORT_OF_MEMORY:
+            if error.errno not in OUT_OF_MEMORY_ERRORS:
                 raise
-        time.sleep(MEMORY_RETRY)
+        time.sleep(MEMORY_RETRY_DELAY)
--- a/wickdyke/jsonrpc/worker_protocol.py
+++ b/wickdyke/jsonrpc/worker_protocol.py
@@ -1,4 +1,4 @@
-"""How the gateway speaks to workers in JSON-RPC: commands as messages, and their results read."""
+"""The JSON-RPC protocol between gateway and workers: encodes commands and decodes their results."""
 
 from collections.abc import Callable
 from typing import TypeVar, cast
@@ -21,14 +21,14 @@
 class JsonRpcWorkerProtocol:
     """The worker protocol of one gateway."""
 
-    connects_at_once = True  # a worker's hello reports since when it is up
+    connects_at_once = True  # a worker's hello reports for how long it has been up
 
     def __init__(self, config: GatewayConfig) -> None:
         self.config = config
         self.report_fields = config.instance.report_fields
 
     def client_for(self, name: str, address: str, notify: Callable[[Event], None]) -> WorkerClient:
-        """The client of one worker."""
+        """Returns a new client of one worker."""
         settings = WorkerClientSettings(
             gateway=self.config.name,
             connect_timeout=self.config.attempt_limits.connect_timeout,
@@ -38,8 +38,9 @@
         return WorkerClient(name, address, settings, notify)
 
     def attempt_command(self, attempt: Attempt, pending: PendingRequest, time_left: float) -> Command:
-        """An attempt, to be waited for so many ms."""
-        # It may wait for its connection and for the kernel: the time left is written as its first byte is sent.
+        """Returns the command of an attempt, whose result is awaited for `time_left` ms."""
+        # The command may wait for a connection and for the kernel, so the time left is rendered when its first byte is
+        # sent.
         deadline = clock() + time_left
         function = attempt.request.function
         params = pending.params
@@ -61,18 +62,18 @@
         return Command(CommandKind.ATTEMPT, attempt, "run", render, deadline)
 
     def prewarm_command(self, key: PrewarmKey, function: Function, replicas: int) -> Command:
-        """A prewarm of so many replicas."""
+        """Returns the command that prewarms `replicas` replicas of a function."""
         prewarm = worker_messages.PrewarmRequest(
             function.name, function.memory, function.concurrency, replicas, function.load_hint or None
         )
         return Command(CommandKind.PREWARM, key, "hold", jsonrpc.encode(prewarm))
 
     def health_check_command(self, key: str) -> Command:
-        """A request for a load report."""
+        """Returns the command that requests a load report."""
         return Command(CommandKind.HEALTH_CHECK, key, "probe", b"{}")
 
     def result_of(self, command: Command, outcome: Outcome, answer: bytes | None, data: bytes | None) -> CommandResult:
-        """The result of a command: `answer` is the worker's result, `data` that of its error."""
+        """Decodes the result of a command from the worker's result `answer`, or from the `data` of its error."""
         if command.kind == CommandKind.PREWARM:
             prewarmed = _decode(worker_messages.PrewarmResult, answer if answer is not None else data)
             return CommandResult(outcome, replicas=prewarmed.replicas if prewarmed else 0)
@@ -85,12 +86,12 @@
 
     def _succeeded(self, answer: bytes | None) -> CommandResult:
         result = _decode(worker_messages.RunResult, answer)
-        if result is None:  # it ran, and the response is not valid
+        if result is None:  # the request ran, but its response is not valid
             return CommandResult(Outcome.ERROR)
         return CommandResult(
             Outcome.OK,
             output=bytes(result.output),
-            load_note=cast(LoadNote | None, result.load_note),  # a word that is none is passed on as it is
+            load_note=cast(LoadNote | None, result.load_note),  # an unknown note is passed on unchanged
             concurrent=result.concurrent,
             report=self._report(result.report),
         )
@@ -112,7 +113,7 @@
 
 
 def _decode(message_type: type[MessageT], raw: bytes | None) -> MessageT | None:
-    """A message of that type, or None where it is not valid."""
+    """Returns the decoded message of that type, or None if it is missing or invalid."""
     if not raw:
         return None
     try:
--- a/wickdyke/platform/client_connection.py
+++ b/wickdyke/platform/client_connection.py
@@ -302,7 +302,7 @@
     def writable(self) -> None:
         """Writes what waits."""
         try:
-            self.write_buffer.pump()
+            self.write_buffer.send_waiting()
         except OSError:
             self.close()
             return
--- a/wickdyke/platform/client_server.py
+++ b/wickdyke/platform/client_server.py
@@ -193,7 +193,7 @@
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self.last_number += 1
         client = self.clients[self.last_number] = ClientConnection(self, sock, self.last_number)
-        self.loop.accepted(sock, self.sock)
+        self.loop.connection_accepted(sock, self.sock)
         self._register(client)
 
     def _register(self, client: ClientConnection) -> None:
--- a/wickdyke/platform/worker_command.py
+++ b/wickdyke/platform/worker_command.py
@@ -52,7 +52,7 @@
     @property
     def begun(self) -> bool:
         """Whether a byte of it may have been sent."""
-        return self.message is not None and self.message.begun
+        return self.message is not None and self.message.send_started
 
     def render(self) -> bytes | None:
         """Returns the command as it may be sent now; None where its deadline has passed, or it may not begin."""
--- a/wickdyke/platform/worker_connection.py
+++ b/wickdyke/platform/worker_connection.py
@@ -16,7 +16,7 @@
 from wickdyke.routing.model import Outcome
 from wickdyke.transport.event_loop import Priority, clock, dial, error_name
 from wickdyke.transport.write_buffer import (
-    SHORT_OF_MEMORY,
+    OUT_OF_MEMORY_ERRORS,
     MessageExpiredError,
     OutgoingMessage,
     PeerTooSlowError,
@@ -124,7 +124,7 @@
         except (BlockingIOError, InterruptedError):
             return True
         except OSError as error:
-            return error.errno in SHORT_OF_MEMORY
+            return error.errno in OUT_OF_MEMORY_ERRORS
 
     def send(self, command: Command) -> None:
         """Sends a command, or queues it until the connection is established."""
@@ -134,7 +134,7 @@
         if self.state is not ConnectionState.ESTABLISHED:
             self.pending.append(command)
             return
-        command.message = OutgoingMessage(command.render, expired=lambda: self._expired(command))
+        command.message = OutgoingMessage(command.render, on_expired=lambda: self._expired(command))
         self.open[command.ident] = command
         try:
             self.write_buffer.put(command.message)
@@ -235,7 +235,7 @@
             self._connect_done()
             return
         try:
-            self.write_buffer.pump()
+            self.write_buffer.send_waiting()
         except OSError as error:
             self.end(f"{type(error).__name__}: {error}")
 
@@ -276,7 +276,9 @@
         except (BlockingIOError, InterruptedError):
             return
         except OSError as error:
-            if error.errno not in SHORT_OF_MEMORY:  # recv(2): for a moment; the kernel reports the same bytes again
+            if (
+                error.errno not in OUT_OF_MEMORY_ERRORS
+            ):  # recv(2): for a moment; the kernel reports the same bytes again
                 self.end_by_worker(f"{type(error).__name__}: {error}")
             return
         if not data:
--- a/wickdyke/transport/__init__.py
+++ b/wickdyke/transport/__init__.py
@@ -1,1 +1,1 @@
-"""Sockets as all programs use them: event loop, timers, write buffer, listeners, termination by signal."""
+"""Socket I/O shared by all programs: event loop, timers, write buffers, listeners, termination by signal."""
