--- a/wickdyke/transport/event_loop.py
+++ b/wickdyke/transport/event_loop.py
@@ -1,4 +1,4 @@
-"""An event loop on epoll for all sockets and timers of a process that runs in one thread."""
+"""A single-threaded event loop on epoll for sockets and timers."""
 
 import contextlib
 import errno
@@ -13,27 +13,27 @@
 from wickdyke.transport.timers import Timers
 from wickdyke.transport.unread_times import UnreadTimes
 
-CONNECTING = (0, errno.EINPROGRESS, errno.EINTR)  # results of a non-blocking connect: done, or in progress
-EVENTS_PER_POLL = 256  # fetched from the kernel at a time
-PEER_CLOSED = select.EPOLLRDHUP | select.EPOLLHUP | select.EPOLLERR  # the other side has closed or reset
-LATE_RETURN = 100.0  # ms by which a poll may return late and still count as a look at the sockets as they are now
-MAX_OVERSLEEP = 5.0  # ms by which a wait that finds nothing may exceed its time where the process runs
-MAX_POLLS = 2  # more of one iteration, each after one that returned late
-MODIFY_RETRY = 10.0  # ms until an epoll_ctl that failed for want of memory is tried again
-TIME_SLICE = 10.0  # ms of an iteration for the handlers of normal priority; at least one of them is served
+CONNECT_STARTED_CODES = (0, errno.EINPROGRESS, errno.EINTR)  # results of a non-blocking connect: done, or in progress
+EVENTS_PER_POLL = 256  # events fetched from the kernel by one poll
+PEER_CLOSED_EVENTS = select.EPOLLRDHUP | select.EPOLLHUP | select.EPOLLERR  # the peer has closed or reset
+MAX_POLL_OVERRUN = 100.0  # ms by which a poll may return late and still count as showing the current socket state
+MAX_OVERSLEEP = 5.0  # ms by which a poll that times out may exceed its timeout while the process is running
+MAX_EXTRA_POLLS = 2  # further polls in one iteration, each after a poll that returned late
+MODIFY_RETRY_DELAY = 10.0  # ms until an epoll_ctl that failed for lack of memory is retried
+TIME_SLICE = 10.0  # ms per iteration for the handlers of normal priority; at least one of them is served
 
 
 class DialResult(NamedTuple):
-    """A socket whose connect is in progress or done, and 0; or None and the errno."""
+    """The result of `dial`: a socket whose connect is in progress or done, and code 0; or None and the errno."""
 
     sock: socket.socket | None
     code: int
 
 
 def dial(address: tuple[str, int]) -> DialResult:
-    """Starts a non-blocking connect. Raises nothing: a failure is in the result."""
-    # With all descriptors in use the socket itself can't be made. An exception here would end a timer or a step of the
-    # coordinator, and what they do would never be tried again.
+    """Starts a non-blocking connect and returns its socket, or the errno of a failure; it raises no OSError."""
+    # socket(2) fails when all descriptors are in use. An exception here would end a timer or a step of the
+    # coordinator, and its work would never be retried.
     try:
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     except OSError as error:
@@ -43,34 +43,34 @@
         code = sock.connect_ex(address)
     except OSError as error:
         code = error.errno or errno.EIO
-    except (OverflowError, ValueError):  # a port or a host that can't be one
+    except (OverflowError, ValueError):  # an invalid port or host name
         code = errno.EINVAL
     except BaseException:  # raised by a signal handler
         close(sock)
         raise
-    # EINTR: the connect continues, as with EINPROGRESS. EAGAIN on TCP: no local port is free.
-    if code in CONNECTING:
+    # EINTR: the connect continues, as with EINPROGRESS. EAGAIN on TCP is a failure: no local port is free.
+    if code in CONNECT_STARTED_CODES:
         return DialResult(sock, 0)
     close(sock)
     return DialResult(None, code)
 
 
 def close(sock: socket.socket) -> None:
-    """Closes a socket. The descriptor is free also where close reports an error, so none is raised."""
+    """Closes a socket. The descriptor is freed even if close(2) reports an error, so the error is ignored."""
     with contextlib.suppress(OSError):
         sock.close()
 
 
-def _events(write: bool, read: bool) -> int:
+def _event_mask(write: bool, read: bool) -> int:
     return (select.EPOLLIN | select.EPOLLRDHUP if read else 0) | (select.EPOLLOUT if write else 0)
 
 
 class Priority(Enum):
     """The order in which handlers are served within one iteration of the loop."""
 
-    FIRST = auto()  # before all others: discovery, whose events say what may be sent
+    FIRST = auto()  # before all others: discovery, whose events determine which workers may be sent requests
     HIGH = auto()  # before the timers: workers
-    NORMAL = auto()  # after the timers, in a bounded slice of time: clients
+    NORMAL = auto()  # after the timers, in a bounded time slice: clients
 
 
 class Handler(Protocol):
@@ -78,22 +78,22 @@
 
     @property
     def priority(self) -> Priority:
-        """When it is served in each iteration."""
+        """When the handler is served in each iteration."""
 
     def readable(self) -> None:
-        """Called when there is data to read, or the connection has ended."""
+        """Called when there is data to read or the connection has ended."""
 
     def writable(self) -> None:
-        """Called when the socket takes data, or the connect has succeeded or failed."""
+        """Called when the socket accepts data, or its connect has succeeded or failed."""
 
     def broken(self) -> None:
-        """Called after `readable` or `writable` raised an unexpected exception: the handler closes its socket."""
+        """Called after `readable` or `writable` raised an unexpected exception; the handler must close its socket."""
 
 
 class ReadySocket(NamedTuple):
-    """A socket with events, and the handler it had when they were fetched from the kernel."""
+    """A socket with events, and the handler it had when the events were fetched from the kernel."""
 
-    number: int  # its descriptor
+    fd: int
     handler: Handler
     events: int
 
@@ -104,19 +104,19 @@
 
 
 def error_name(code: int | None) -> str:
-    """Returns the name of an errno (ECONNREFUSED), or its number where it has none."""
+    """Returns the name of an errno (such as ECONNREFUSED), or its number if it has no name."""
     return errno.errorcode.get(code or 0, str(code))
 
 
 def receive(sock: socket.socket, size: int) -> bytes | None:
-    """Up to `size` bytes from a non-blocking socket: None for nothing yet, empty where the connection has ended."""
+    """Returns up to `size` bytes from a non-blocking socket: None if none are available, empty if it has ended."""
     try:
         return sock.recv(size)
     except (BlockingIOError, InterruptedError):
         return None
     except OSError as error:
-        # Without memory the data stays in the kernel and can be read later. Ending the connection would lose the
-        # requests on it. The cost is an attempt in each iteration for as long as there is no memory.
+        # On lack of memory the data stays in the kernel and can be read later, while ending the connection would lose
+        # the requests on it. The cost is one recv(2) per iteration until memory is available.
         return None if error.errno in (errno.ENOMEM, errno.ENOBUFS) else b""
 
 
@@ -125,9 +125,9 @@
 
     `on_error` is called with each exception that a handler or a timer raises; without it the exception propagates.
 
-    `add` raises OSError where the kernel has no memory (ENOMEM) or no watches left (ENOSPC), and then leaves nothing
-    behind: its caller still owns the socket, and closes it. `set_interest` does not raise for these: it is retried
-    until it succeeds. `remove` never raises.
+    `add` raises OSError if the kernel has no memory (ENOMEM) or no watches left (ENOSPC), and then registers nothing:
+    its caller still owns the socket and closes it. `set_interest` does not raise these errors but is retried until it
+    succeeds. `remove` never raises.
     """
 
     def __init__(self, on_error: Callable[[Exception], None] | None = None) -> None:
@@ -135,112 +135,114 @@
         self.on_error = on_error
         self.handlers: dict[int, Handler] = {}  # by descriptor
         self.timers = Timers()
-        self.unmodified: dict[int, int] = {}  # descriptor -> events that epoll_ctl had no memory for yet
-        self.last_served: dict[int, int] = {}  # descriptor -> serial number, of those of normal priority
+        self.pending_modifications: dict[
+            int, int
+        ] = {}  # descriptor -> events that epoll_ctl failed to set for lack of memory
+        self.last_served: dict[int, int] = {}  # descriptor -> serial number of its last call; normal priority only
         self.serial_numbers = itertools.count(1)
-        self.unread = UnreadTimes(clock())
-        # Called where this process did not run, or was busy, for over LATE_RETURN, with the time (ms) of the last look
-        # at the sockets before that; after the handlers of the first priority.
+        self.unread_times = UnreadTimes(clock())
+        # Called after the handlers of the first priority if the process was stopped or busy for over MAX_POLL_OVERRUN,
+        # with the time (ms) of the last poll before that.
         self.on_stall: Callable[[float], object] = lambda since: None
 
     @property
     def arrived_after(self) -> float:
-        """When data of a socket that is ready now, and was not before, arrived at the earliest (ms)."""
-        return self.unread.arrived_after
+        """The earliest time (ms) at which data may have arrived on a socket that the last poll reported first."""
+        return self.unread_times.arrived_after
 
     @property
     def unread_since(self) -> dict[int, float]:
-        """Since when data may wait on sockets that were left for a later iteration (ms, by descriptor)."""
-        return self.unread.since
+        """The times (ms) since which data may wait on sockets left for a later iteration, by descriptor."""
+        return self.unread_times.unread_since
 
     def unread_for(self, sock: socket.socket, now: float) -> float:
-        """Returns for how long (ms) data that is read from that socket now may have waited in the kernel, at most.
+        """Returns the longest time (ms) for which data read from the socket now may have waited in the kernel.
 
-        That is longer than an iteration where this process was stopped, or others were served first.
+        This exceeds one iteration if the process was stopped or other sockets were served first.
         """
-        return now - self.unread.of(sock.fileno())
+        return now - self.unread_times.waiting_since(sock.fileno())
 
-    def data_read(self, sock: socket.socket, partly: bool) -> None:
-        """Notes that data of the socket was read, or connections accepted from it; `partly` where there may be more."""
-        if partly:
-            self.unread.keep(sock.fileno())
+    def data_read(self, sock: socket.socket, more_left: bool) -> None:
+        """Records that the socket was read, or connections accepted from it; `more_left` if more data may wait."""
+        if more_left:
+            self.unread_times.mark_unread(sock.fileno())
         else:
-            self.unread.emptied(sock.fileno())
+            self.unread_times.mark_empty(sock.fileno())
 
-    def accepted(self, sock: socket.socket, listener: socket.socket) -> None:
-        """Notes that `sock` was accepted: what is unread there may be as old as what waited at the listener."""
-        self.unread.begin(sock.fileno(), self.unread.of(listener.fileno()))
+    def connection_accepted(self, sock: socket.socket, listener: socket.socket) -> None:
+        """Records that `sock` was accepted: its unread data may be as old as the oldest connection in the backlog."""
+        self.unread_times.set_unread_since(sock.fileno(), self.unread_times.waiting_since(listener.fileno()))
 
     def add(self, sock: socket.socket, handler: Handler, write: bool = False) -> None:
-        """Serves that socket from now on. Raises OSError where it can't be watched, and then keeps nothing of it."""
-        # The kernel is first. A handler kept for a socket that is not registered would be used when its descriptor
-        # is used again, and `remove` by the owner of the new socket would fail.
-        number = sock.fileno()
-        self.epoll.register(number, _events(write, True))
-        self.handlers[number] = handler
-        self.unread.set_polled(number, True)
+        """Registers a socket with its handler. Raises OSError if epoll rejects it, and then registers nothing."""
+        # epoll is called first: a handler stored for an unregistered socket would be called once the descriptor is
+        # reused, and `remove` by the owner of the new socket would fail.
+        fd = sock.fileno()
+        self.epoll.register(fd, _event_mask(write, True))
+        self.handlers[fd] = handler
+        self.unread_times.set_polled(fd, True)
 
     def set_interest(self, sock: socket.socket, write: bool, read: bool = True) -> None:
-        """Sets which events of that socket are waited for.
+        """Sets which events of the socket are waited for.
 
-        Where the kernel has no memory for that now, it is retried soon, and the events set before stay in force: a
-        handler may be called for one that it no longer waits for.
+        If the kernel has no memory for the change, it is retried after MODIFY_RETRY_DELAY. The previous events stay in
+        force until then, so a handler may be called for an event that it no longer waits for.
         """
-        number = sock.fileno()
-        self.unmodified.pop(number, None)
-        self._modify(number, _events(write, read))
+        fd = sock.fileno()
+        self.pending_modifications.pop(fd, None)
+        self._modify(fd, _event_mask(write, read))
 
-    def _modify(self, number: int, events: int) -> None:
+    def _modify(self, fd: int, events: int) -> None:
         try:
-            self.epoll.modify(number, events)
-            self.unread.set_polled(number, bool(events & select.EPOLLIN))
+            self.epoll.modify(fd, events)
+            self.unread_times.set_polled(fd, bool(events & select.EPOLLIN))
         except OSError as error:
             if error.errno not in (errno.ENOMEM, errno.ENOSPC, errno.EINTR):
-                raise  # the socket is not registered: a mistake of the caller
-            self.unmodified[number] = events
-            self.call_at(clock() + MODIFY_RETRY, self._modify_again, number)
+                raise  # the socket is not registered: an error of the caller
+            self.pending_modifications[fd] = events
+            self.call_at(clock() + MODIFY_RETRY_DELAY, self._retry_modify, fd)
 
-    def _modify_again(self, number: int) -> None:
-        # The socket may have been removed, or a later `set_interest` have succeeded.
-        events = self.unmodified.pop(number, None)
-        if events is not None and number in self.handlers:
-            self._modify(number, events)
+    def _retry_modify(self, fd: int) -> None:
+        # The socket may have been removed, or a later `set_interest` may have succeeded.
+        events = self.pending_modifications.pop(fd, None)
+        if events is not None and fd in self.handlers:
+            self._modify(fd, events)
 
     def remove(self, sock: socket.socket) -> None:
-        """Serves it no more; to be called before its close. Never raises: the close ends the registration too."""
-        number = sock.fileno()
-        self.unmodified.pop(number, None)
-        self.last_served.pop(number, None)
-        self.unread.forget(number)
-        if self.handlers.pop(number, None) is not None:
+        """Unregisters a socket; to be called before its close. Never raises: the close ends the registration too."""
+        fd = sock.fileno()
+        self.pending_modifications.pop(fd, None)
+        self.last_served.pop(fd, None)
+        self.unread_times.remove(fd)
+        if self.handlers.pop(fd, None) is not None:
             with contextlib.suppress(OSError):
-                self.epoll.unregister(number)
+                self.epoll.unregister(fd)
 
     def call_at(self, when: float, callback: Callable[..., object], *args: object) -> None:
         """Calls `callback(*args)` once `clock` has reached `when` (ms)."""
         self.timers.at(when, callback, *args)
 
     def call_every(self, interval: float, callback: Callable[[], None]) -> None:
-        """Calls `callback` every `interval` ms, for the first time after one interval."""
+        """Calls `callback` every `interval` ms; the first call is after one interval."""
         self.call_at(clock() + interval, self._repeat, interval, callback)
 
     def _repeat(self, interval: float, callback: Callable[[], None]) -> None:
-        # Set first: a callback that raises must not end the series.
+        # The next call is scheduled first: a callback that raises must not end the repetition.
         self.call_every(interval, callback)
         callback()
 
     def next_deadline(self) -> float:
-        """Returns when the next timer is due (ms of `clock`); infinite without timers."""
+        """Returns when the next timer is due (ms of `clock`), or infinity if there is none."""
         return self.timers.next_deadline()
 
-    def run_once(self, wait: float, between: Callable[[], object], now: float | None = None) -> None:
-        """Runs one iteration: polls, waiting `wait` ms at most from `now` on, and serves what is ready.
+    def run_once(self, wait: float, before_normal_priority: Callable[[], object], now: float | None = None) -> None:
+        """Runs one iteration: polls for at most `wait` ms from `now` on, and serves the ready sockets and due timers.
 
-        The order: handlers of the first and of high priority, the timers that are due, `between`, handlers of normal
-        priority.
+        The order is: handlers of first priority, handlers of high priority, due timers, `before_normal_priority`,
+        handlers of normal priority.
 
-        So clients that flood us with requests or connects do not delay the answers of workers and the timers. Workers
-        could flood us too, but of each only a bounded piece is read at a time.
+        This way clients that flood the process with requests or connections do not delay the answers of workers and
+        the timers. Workers may send as much, but only a bounded amount is read from each at a time.
         """
         ready_sockets = self._with_handlers(self._poll(wait, clock() if now is None else now))
         self._serve_first(ready_sockets)
@@ -248,95 +250,96 @@
         for callback, args in self.timers.due(clock()):
             try:
                 callback(*args)
-            except Exception as error:  # noqa: BLE001 - one timer that fails must not end the loop
+            except Exception as error:  # noqa: BLE001 - a timer that fails must not end the loop
                 self._report(error)
-        between()
+        before_normal_priority()
         self._serve_normal_priority(others)
 
-    def _poll(self, wait: float, begun_at: float) -> list[tuple[int, int]]:
-        """(descriptor, events) of the sockets that are ready."""
-        # Rounded up: a wait that ends too early would poll for nothing until its time.
+    def _poll(self, wait: float, started_at: float) -> list[tuple[int, int]]:
+        """Returns (descriptor, events) of the sockets that are ready."""
+        # Rounded up: a wait that ends before the next timer is due would cause polls without effect until then.
         timeout = max(0.0, wait + 0.5) / 1000 if wait > 0 else 0
         try:
             events = self.epoll.poll(timeout, EVENTS_PER_POLL)
             now = clock()
-            looked_at = now if events else begun_at
-            # Where this process was stopped within it, the poll saw the sockets as they were before, or not at all
-            # (epoll_wait in signal(7), PEP 475): timers that are due would run before what has arrived is read.
-            waited_in_vain = not events and wait > 0
-            waited = min(now - begun_at, max(0.0, wait))
-            if waited_in_vain and now - begun_at > wait + MAX_OVERSLEEP:
-                waited = 0.0  # stopped at some time within it: what arrived then did not end it
-            late_after = begun_at + max(0.0, wait) + LATE_RETURN
-            for _ in range(MAX_POLLS):
-                if now <= late_after and not waited_in_vain:
+            checked_at = now if events else started_at
+            # If the process was stopped during the poll, the poll saw the sockets as they were before the stop, or did
+            # not check them at all (epoll_wait in signal(7), PEP 475). Without another poll, timers that are due would
+            # run before the data that has arrived is read.
+            timed_out = not events and wait > 0
+            waited = min(now - started_at, max(0.0, wait))
+            if timed_out and now - started_at > wait + MAX_OVERSLEEP:
+                waited = 0.0  # stopped at an unknown time during the wait: data that arrived then did not end it
+            latest_return = started_at + max(0.0, wait) + MAX_POLL_OVERRUN
+            for _ in range(MAX_EXTRA_POLLS):
+                if now <= latest_return and not timed_out:
                     break
-                looked_at = now
-                late_after = now + LATE_RETURN
-                waited_in_vain = False
+                checked_at = now
+                latest_return = now + MAX_POLL_OVERRUN
+                timed_out = False
                 events = self.epoll.poll(0, EVENTS_PER_POLL)
                 now = clock()
         except InterruptedError:
-            return []  # the kernel reports the events again in the next iteration; the timers run in this one
-        self.unread.poll_returned(looked_at, now, waited, events, len(events) < EVENTS_PER_POLL)
+            return []  # the kernel reports the events again in the next iteration; the timers still run in this one
+        self.unread_times.poll_returned(checked_at, now, waited, events, len(events) < EVENTS_PER_POLL)
         return events
 
     def _with_handlers(self, events_by_socket: list[tuple[int, int]]) -> list[ReadySocket]:
-        # Serving one may close the connection of another, and a new one may get its descriptor: with the events of the
-        # other it would consider itself connected. So all handlers are looked up before any is served.
+        # Serving one socket may close another, and a new socket may reuse the descriptor. With the events of the closed
+        # socket, the new one would be taken for connected. So all handlers are looked up before any is called.
         return [
-            ReadySocket(number, handler, events)
-            for number, events in events_by_socket
-            if (handler := self.handlers.get(number)) is not None
+            ReadySocket(fd, handler, events)
+            for fd, events in events_by_socket
+            if (handler := self.handlers.get(fd)) is not None
         ]
 
     def _serve_first(self, ready_sockets: list[ReadySocket]) -> None:
-        """Serves the handlers of the first priority, then reports a stall."""
+        """Serves the handlers of the first priority, then reports a stall to `on_stall`."""
         for ready in ready_sockets:
             if ready.handler.priority is Priority.FIRST:
-                self.serve(ready.number, ready.handler, ready.events)
-        if self.unread.returned_at - self.unread.estimate > LATE_RETURN:
+                self.serve(ready.fd, ready.handler, ready.events)
+        if self.unread_times.returned_at - self.unread_times.estimated_arrival > MAX_POLL_OVERRUN:
             try:
-                self.on_stall(self.unread.arrived_after)
+                self.on_stall(self.unread_times.arrived_after)
             except Exception as error:  # noqa: BLE001 - the loop serves all connections
                 self._report(error)
 
     def _serve_high_priority(self, ready_sockets: list[ReadySocket]) -> list[ReadySocket]:
-        """Serves handlers of high priority, and others whose peer has closed; returns those that are left."""
+        """Serves handlers of high priority and those whose peer has closed; returns the sockets not served."""
         others = []
         for ready in ready_sockets:
             if ready.handler.priority is Priority.FIRST:
                 continue
-            # A close is seen before anything is decided, however many other clients send at that moment.
-            if ready.handler.priority is Priority.HIGH or ready.events & PEER_CLOSED:
-                self.serve(ready.number, ready.handler, ready.events)
+            # A close is handled before any decision, no matter how many other clients send at that moment.
+            if ready.handler.priority is Priority.HIGH or ready.events & PEER_CLOSED_EVENTS:
+                self.serve(ready.fd, ready.handler, ready.events)
             else:
                 others.append(ready)
         return others
 
     def _serve_normal_priority(self, others: list[ReadySocket]) -> None:
-        """Serves these until the time slice is over."""
-        # The kernel reports the same sockets first, time after time, while more can be read there. So those served
-        # longest ago go first: else clients that never stop sending would keep all others unread.
-        others.sort(key=lambda ready: self.last_served.get(ready.number, 0))
+        """Serves the handlers of normal priority until the time slice is used up."""
+        # The kernel reports the same sockets first for as long as more can be read there. So the sockets served longest
+        # ago come first: otherwise clients that send without pause would keep all others unread.
+        others.sort(key=lambda ready: self.last_served.get(ready.fd, 0))
         slice_end = clock() + TIME_SLICE
         for served, ready in enumerate(others, 1):
-            if self.handlers.get(ready.number) is ready.handler:
-                self.last_served[ready.number] = next(self.serial_numbers)
-                self.serve(ready.number, ready.handler, ready.events)
+            if self.handlers.get(ready.fd) is ready.handler:
+                self.last_served[ready.fd] = next(self.serial_numbers)
+                self.serve(ready.fd, ready.handler, ready.events)
             if clock() > slice_end:
-                for left in others[served:]:
-                    self.unread.keep(left.number)
+                for unserved in others[served:]:
+                    self.unread_times.mark_unread(unserved.fd)
                 break
 
-    def serve(self, number: int, handler: Handler, events: int = select.EPOLLIN) -> None:
-        """Calls a handler for the events of its socket; one that raises is ended alone."""
+    def serve(self, fd: int, handler: Handler, events: int = select.EPOLLIN) -> None:
+        """Calls a handler for the events of its socket. If it raises, only its own connection is ended."""
         try:
-            if events & select.EPOLLOUT and self.handlers.get(number) is handler:
+            if events & select.EPOLLOUT and self.handlers.get(fd) is handler:
                 handler.writable()
-            if events & ~select.EPOLLOUT and self.handlers.get(number) is handler:
+            if events & ~select.EPOLLOUT and self.handlers.get(fd) is handler:
                 handler.readable()
-        except Exception as error:  # noqa: BLE001 - one connection that fails must not end the loop
+        except Exception as error:  # noqa: BLE001 - a connection that fails must not end the loop
             self._report(error)
             try:
                 handler.broken()
@@ -344,11 +347,11 @@
                 self._report(second_error)
 
     def _report(self, error: Exception) -> None:
-        # One faulty connection must not end the thread that serves all. No fault is known to lead here.
+        # A faulty connection must not end the thread that serves all connections. No bug that leads here is known.
         if self.on_error is None:
             raise error
         self.on_error(error)
 
     def close(self) -> None:
-        """Closes the epoll descriptor; the sockets stay their owners'."""
+        """Closes the epoll descriptor; the sockets remain open and with their owners."""
         self.epoll.close()
--- a/wickdyke/transport/line_server.py
+++ b/wickdyke/transport/line_server.py
@@ -1,4 +1,4 @@
-"""A small server of one JSON-RPC object a line: one thread a connection, blocking sockets."""
+"""A small JSON-RPC server, one object per line, with one thread per connection and blocking sockets."""
 
 import contextlib
 import fcntl
@@ -18,9 +18,9 @@
 from wickdyke.transport.write_buffer import OutgoingMessage, PeerTooSlowError, WriteBuffer
 
 MAX_LINE_SIZE = 64 << 20  # bytes
-MAX_UNREAD = 64 << 20  # bytes that may wait for one peer
+MAX_UNREAD_SIZE = 64 << 20  # bytes that may wait for one peer to read them
 READ_SIZE = 1 << 18  # bytes read at a time
-BACKLOG = 512
+BACKLOG = 512  # connections that may wait to be accepted
 
 
 class AddressInUseError(Exception):
@@ -28,63 +28,63 @@
 
 
 class ListeningSocket(NamedTuple):
-    """A listening socket. The lock file, of a Unix socket, is to be kept open for as long as the socket is used."""
+    """A listening socket, and for a Unix socket its lock file, which must stay open while the socket is in use."""
 
     sock: socket.socket
     lock_file: TextIO | None
 
 
-def listener(address: str) -> ListeningSocket:
-    """Listens on that address. Raises AddressInUseError.
+def listen(address: str) -> ListeningSocket:
+    """Returns a socket that listens on the address. Raises AddressInUseError.
 
-    The lock beside a Unix socket's file distinguishes a live owner from a file that a killed process left behind.
+    The lock file next to a Unix socket's file tells a live owner from a socket file that a killed process left behind.
     """
     family, target = addresses.parse(address)
-    # Closes what is open already where a later step fails.
-    with contextlib.ExitStack() as opened:
+    # If a step fails, the files and sockets opened before it are closed.
+    with contextlib.ExitStack() as cleanup:
         lock_file = None
         if family == socket.AF_UNIX:
             os.makedirs(os.path.dirname(address) or ".", exist_ok=True)
-            lock_file = opened.enter_context(open(address + ".lock", "w"))
-            _claim(address, lock_file)
+            lock_file = cleanup.enter_context(open(address + ".lock", "w"))
+            _lock_address(address, lock_file)
         try:
-            sock = opened.enter_context(socket.socket(family, socket.SOCK_STREAM))
+            sock = cleanup.enter_context(socket.socket(family, socket.SOCK_STREAM))
             if family != socket.AF_UNIX:
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
             sock.bind(target)
             sock.listen(BACKLOG)
         except OSError as error:
-            raise AddressInUseError(f"{address}: {error.strerror}, expected a free one") from None
-        opened.pop_all()
+            raise AddressInUseError(f"{address}: {error.strerror}, expected a free address") from None
+        cleanup.pop_all()
     return ListeningSocket(sock, lock_file)
 
 
-def _claim(address: str, lock_file: TextIO) -> None:
-    """Takes the lock and removes the socket file that a killed process left behind; raises AddressInUseError."""
+def _lock_address(address: str, lock_file: TextIO) -> None:
+    """Takes the lock and removes a socket file that a killed process left behind. Raises AddressInUseError."""
     try:
         fcntl.flock(lock_file, fcntl.LOCK_EX | fcntl.LOCK_NB)
     except OSError:
-        raise AddressInUseError(f"{address}: somebody live listens there, expected a free one") from None
+        raise AddressInUseError(f"{address}: another live process listens there, expected a free address") from None
     try:
         if not stat.S_ISSOCK(os.lstat(address).st_mode):
-            raise AddressInUseError(f"{address}: a file that is no socket stands there, expected none")
-        os.unlink(address)  # the lock was free: a killed process left it
+            raise AddressInUseError(f"{address}: the file is not a socket, expected a socket or no file")
+        os.unlink(address)  # the lock was free, so the socket file is from a process that was killed
     except FileNotFoundError:
         pass
 
 
 class LineConnection:
-    """One connection. `send` may be called from any thread and never waits: a peer that reads too little is closed."""
+    """One connection. `send` may be called from any thread and never blocks; a peer that reads too little is closed."""
 
-    def __init__(self, sock: socket.socket, unread: int = MAX_UNREAD) -> None:
+    def __init__(self, sock: socket.socket, max_unread: int = MAX_UNREAD_SIZE) -> None:
         self.sock = sock
-        self.write_buffer = WriteBuffer(sock, unread, "wire")
+        self.write_buffer = WriteBuffer(sock, max_unread, "wire")
         self.open = True
-        self.peer = ""  # the peer's name, where it has given one
-        self.received_at = 0.0  # monotonic ms; when the request in hand arrived
+        self.peer = ""  # the peer's name, once it has sent one
+        self.received_at = 0.0  # monotonic ms; when the request being handled arrived
 
     def send(self, body: bytes) -> None:
-        """Sends one line, or closes the connection where that fails."""
+        """Sends one line, or closes the connection if that fails."""
         try:
             self.write_buffer.put(OutgoingMessage(body + b"\n"))
         except (OSError, PeerTooSlowError, RuntimeError):  # RuntimeError: no thread could be started
@@ -93,14 +93,14 @@
 
 
 class Listener:
-    """Accepts connections on an address and calls `serve(sock)` in a thread for each, which need not close it.
+    """Accepts connections on an address and calls `serve(sock)` for each in its own thread, then closes the socket.
 
-    A failure of accept or of the start of a thread costs one connection at most; only `close` ends the listener.
+    A failure of accept(2) or of a thread's start costs at most one connection; only `close` ends the listener.
     """
 
     def __init__(self, address: str, serve: Callable[[socket.socket], None]) -> None:
         self.serve = serve
-        self.sock, self.lock_file = listener(address)
+        self.sock, self.lock_file = listen(address)
         self.readers: dict[socket.socket, TimedReader] = {}  # of all open connections
         self.lock = threading.Lock()
         self.stalls = StallDetector()
@@ -113,7 +113,7 @@
             raise
 
     def close(self) -> None:
-        """Accepts no more connections and ends all open ones."""
+        """Stops accepting connections and ends all open ones."""
         self.acceptor.close()
         self.stalls.close()
         with self.lock:
@@ -126,14 +126,14 @@
 
     def _start_serving(self, sock: socket.socket) -> None:
         with self.lock:
-            if self.acceptor.closed.is_set():  # accepted during `close`, which does not end it
+            if self.acceptor.closed.is_set():  # accepted while `close` ran, which did not close it
                 sock.close()
                 return
             self.readers[sock] = TimedReader(sock, self.stalls, READ_SIZE, self.acceptor.connected_after)
         try:
             threading.Thread(target=self._serve_one, args=(sock,), name="connection", daemon=True).start()
         except RuntimeError:
-            self._forget(sock)
+            self._close_connection(sock)
             raise
 
     def _serve_one(self, sock: socket.socket) -> None:
@@ -142,9 +142,9 @@
         except OSError:
             pass
         finally:
-            self._forget(sock)
+            self._close_connection(sock)
 
-    def _forget(self, sock: socket.socket) -> None:
+    def _close_connection(self, sock: socket.socket) -> None:
         with self.lock:
             reader = self.readers.pop(sock, None)
         if reader is not None:
@@ -154,7 +154,7 @@
 
 
 class LineServer(Listener):
-    """Calls `on_request(connection, request)` for each JSON-RPC request, `on_close(connection)` at each end."""
+    """Calls `on_request(connection, request)` for each JSON-RPC request, and `on_close(connection)` at the end."""
 
     def __init__(
         self,
@@ -176,10 +176,10 @@
             reader = self.readers[sock]
         self.connections.add(connection)
         try:
-            ended = False
-            while not ended:
+            at_end = False
+            while not at_end:
                 received = reader.read()
-                ended = received.ended
+                at_end = received.at_end
                 connection.received_at = received.received_at
                 for line in lines.feed(received.data):
                     self._handle(connection, line)
--- a/wickdyke/transport/stall_detector.py
+++ b/wickdyke/transport/stall_detector.py
@@ -1,8 +1,8 @@
-"""Since when data may have waited unread, in a process whose threads block in their reads.
+"""Detects stalls of the process, and bounds how long data has waited unread on sockets with blocking readers.
 
-Such a thread can't tell a peer that was silent from a process that did not run. So one thread wakes at a fixed
-interval: where it is late, the process was stopped or busy. Then the first thread that runs looks which sockets have
-something to read. All times are monotonic ms.
+A thread that blocks in a read can't tell a silent peer from a process that was not running. So one thread wakes at a
+fixed interval: if it is late, the process was stopped or busy. The first thread that runs after such a stall checks
+which sockets have data to read. All times are monotonic ms.
 """
 
 import math
@@ -14,34 +14,34 @@
 from wickdyke.transport.event_loop import clock
 
 TICK_INTERVAL = 20.0  # ms
-MIN_STALL = 30.0  # ms between two ticks from which on the process counts as stalled in between
-# ms without a run after which what is decided next waits for the readers: a client that has left for longer than 100 ms
-# must not be served.
+MIN_STALL = 30.0  # ms between two ticks from which on the process counts as stalled
+# ms of a stall from which on the next decision waits until the readers have caught up: a client that left more than
+# 100 ms ago must not be served.
 MIN_CATCH_UP_STALL = 70.0
-MAX_CATCH_UP = 50.0  # ms that it waits
-CATCH_UP_POLL = 0.001  # s between two checks
-MEMORY_RETRY = 0.02  # s until a system call is retried that failed for want of memory
+MAX_CATCH_UP_WAIT = 50.0  # ms for which a decision waits at most
+CATCH_UP_POLL_INTERVAL = 0.001  # s between two checks whether the readers have caught up
+MEMORY_RETRY_DELAY = 0.02  # s until a system call that failed for lack of memory is retried
 MS_PER_SECOND = 1000
 
 
 class StallDetector:
-    """Notices when this process did not run, and then looks at all sockets."""
+    """Detects when this process was not running, and then checks all sockets for unread data."""
 
     def __init__(self) -> None:
         self.ticked_at = clock()
-        self.arrivals: set[ArrivalBound] = set()
-        self.lock = threading.Lock()  # guards `arrivals`
+        self.arrival_bounds: set[ArrivalBound] = set()
+        self.lock = threading.Lock()  # guards `arrival_bounds`
         self.tick_lock = threading.Lock()
-        self.readers_behind = False  # since a long stall
+        self.readers_behind = False  # whether readers may still have to catch up after a long stall
         self.closed = threading.Event()
 
     def open(self) -> None:
-        """Starts its thread. Raises RuntimeError where there is none to be had."""
+        """Starts the detector's thread. Raises RuntimeError if it can't be started."""
         self.ticked_at = clock()
         threading.Thread(target=self._run, name="stall-detector", daemon=True).start()
 
     def close(self) -> None:
-        """Ends its thread."""
+        """Ends the detector's thread."""
         self.closed.set()
 
     def _run(self) -> None:
@@ -49,22 +49,23 @@
             self.tick()
 
     def tick(self) -> None:
-        """Notes that the process runs. Any thread may call it."""
+        """Records that the process is running, and checks the sockets after a stall. Any thread may call it."""
         with self.tick_lock:
             now = clock()
             if self.is_overdue(now):
-                self._look()
+                self._check_sockets()
             self.readers_behind |= now - self.ticked_at >= MIN_CATCH_UP_STALL
-            self.ticked_at = now  # last: until the sockets were looked at, all that is read may have waited
+            self.ticked_at = now  # set last: until the sockets are checked, any data read may have waited
 
     def is_overdue(self, now: float) -> bool:
-        """Whether the process did not run for a while before that time, and nobody has noticed yet."""
+        """Returns whether the process was stalled before that time and no thread has detected it yet."""
         return now - self.ticked_at >= MIN_STALL
 
     def catch_up(self) -> bool:
-        """After a long stall, waits until what was unread then is handled; returns whether there was such a stall.
+        """Waits after a long stall until the data unread by then is handled; returns whether there was such a stall.
 
-        For the thread that decides by what the readers pass on. The wait is bounded by MAX_CATCH_UP.
+        It is called by the thread that makes decisions on what the readers pass on. The wait is bounded by
+        MAX_CATCH_UP_WAIT.
         """
         now = clock()
         if self.is_overdue(now):
@@ -72,68 +73,69 @@
         if not self.readers_behind:
             return False
         self.readers_behind = False
-        while self._any_behind() and clock() - now < MAX_CATCH_UP:
-            time.sleep(CATCH_UP_POLL)
+        while self._any_unhandled_data() and clock() - now < MAX_CATCH_UP_WAIT:
+            time.sleep(CATCH_UP_POLL_INTERVAL)
         return True
 
-    def _any_behind(self) -> bool:
+    def _any_unhandled_data(self) -> bool:
         with self.lock:
-            return any(arrival.is_behind() for arrival in self.arrivals)
+            return any(arrival_bound.has_unhandled_data() for arrival_bound in self.arrival_bounds)
 
-    def _look(self) -> None:
+    def _check_sockets(self) -> None:
         with self.lock:
-            by_number = {arrival.sock.fileno(): arrival for arrival in self.arrivals}
-        by_number.pop(-1, None)  # closed
-        looked_at = clock()
+            by_fd = {arrival_bound.sock.fileno(): arrival_bound for arrival_bound in self.arrival_bounds}
+        by_fd.pop(-1, None)  # closed
+        checked_at = clock()
         poller = select.poll()
-        for number in by_number:
-            poller.register(number, select.POLLIN)
+        for fd in by_fd:
+            poller.register(fd, select.POLLIN)
         try:
-            ready = {number for number, _ in poller.poll(0)}
-        except OSError:  # ENOMEM: any of them may have something
-            ready = set(by_number)
-        for number, arrival in by_number.items():
-            if number in ready:
-                arrival.waits_since(self.ticked_at)
+            ready = {fd for fd, _ in poller.poll(0)}
+        except OSError:  # ENOMEM: any of the sockets may have unread data
+            ready = set(by_fd)
+        for fd, arrival_bound in by_fd.items():
+            if fd in ready:
+                arrival_bound.mark_waiting_since(self.ticked_at)
             else:
-                arrival.emptied(looked_at)
+                arrival_bound.mark_empty(checked_at)
 
 
 class ArrivalBound:
-    """Since when what is unread on one socket may have waited there. One thread waits for that socket.
+    """A lower bound for the arrival time of the unread data of one socket, which a single thread reads.
 
-    `since`, of a connection that was accepted, is when it was made at the earliest. To be closed with the socket.
+    `since`, for an accepted connection, is the earliest time at which it may have been made. It is to be closed
+    together with the socket.
     """
 
     def __init__(self, detector: StallDetector, sock: socket.socket, since: float | None = None) -> None:
         self.detector = detector
         self.sock = sock
-        self.waiting_since: float | None = None  # None where nothing is known to wait
-        self.noted_at = clock()  # when `waiting_since` was noted
-        self.empty_at = -math.inf  # there was nothing to read then
-        self.handling = False  # what was read last
-        self.lock = threading.Lock()  # guards these three
+        self.waiting_since: float | None = None  # None if no data is known to wait
+        self.noted_at = clock()  # when `waiting_since` was set
+        self.last_empty_at = -math.inf  # the last time at which there was nothing to read
+        self.is_handling = False  # whether the thread is handling the data read last
+        self.lock = threading.Lock()  # guards `waiting_since`, `noted_at` and `last_empty_at`
         self.poller = select.poll()
         self.poller.register(sock, select.POLLIN)
         with detector.lock:
-            detector.arrivals.add(self)
-        # From here on the detector looks at it. Before, the process may have been stopped without a look.
+            detector.arrival_bounds.add(self)
+        # The detector checks the socket from here on. The process may have been stalled before, without a check.
         if since is not None and clock() - since >= MIN_STALL:
-            self.waits_since(since)
-            self.look()
+            self.mark_waiting_since(since)
+            self.clear_if_empty()
 
     def close(self) -> None:
-        """Ends the observation of the socket."""
+        """Removes the socket from the detector."""
         with self.detector.lock:
-            self.detector.arrivals.discard(self)
-        self.handling = False
+            self.detector.arrival_bounds.discard(self)
+        self.is_handling = False
 
     def wait(self) -> float:
-        """Waits until there is something to read, which is left there; returns since when it may have waited."""
-        # A read that waits would take data from the kernel before this thread runs, and the socket would look empty.
-        self.handling = False
+        """Waits until there is data to read, without reading it; returns since when it may have waited."""
+        # A blocking read would take data from the kernel before this thread runs, and the socket would look empty.
+        self.is_handling = False
         self._wait_until_readable()
-        self.handling = True
+        self.is_handling = True
         now = clock()
         if self.detector.is_overdue(now):
             self.detector.tick()
@@ -145,35 +147,35 @@
             try:
                 self.poller.poll()
                 return
-            except OSError:  # poll(2): ENOMEM, which passes
-                time.sleep(MEMORY_RETRY)
+            except OSError:  # ENOMEM of poll(2), which is temporary
+                time.sleep(MEMORY_RETRY_DELAY)
 
-    def waits_since(self, since: float) -> None:
-        """Something may wait there since then, if not for longer."""
+    def mark_waiting_since(self, since: float) -> None:
+        """Records that data may wait since that time, or since an earlier time recorded already."""
         with self.lock:
-            since = max(since, self.empty_at)
+            since = max(since, self.last_empty_at)
             self.waiting_since = since if self.waiting_since is None else min(since, self.waiting_since)
             self.noted_at = clock()
 
-    def emptied(self, at: float) -> None:
-        """There was nothing to read at that time."""
+    def mark_empty(self, at: float) -> None:
+        """Records that there was nothing to read at that time."""
         with self.lock:
-            self.empty_at = max(at, self.empty_at)
+            self.last_empty_at = max(at, self.last_empty_at)
             if self.noted_at <= at:
                 self.waiting_since = None
             elif self.waiting_since is not None:
                 self.waiting_since = max(at, self.waiting_since)
 
-    def is_behind(self) -> bool:
-        """Whether something that waited is not handled yet."""
-        return self.waiting_since is not None or self.handling
+    def has_unhandled_data(self) -> bool:
+        """Returns whether data that waited has not been handled yet."""
+        return self.waiting_since is not None or self.is_handling
 
-    def look(self) -> None:
-        """Forgets since when something may wait, if there is nothing to read now."""
-        looked_at = clock()
+    def clear_if_empty(self) -> None:
+        """Clears the time since which data may wait, if there is nothing to read now."""
+        checked_at = clock()
         try:
             is_empty = not self.poller.poll(0)
         except OSError:  # ENOMEM: unknown
             return
         if is_empty:
-            self.emptied(looked_at)
+            self.mark_empty(checked_at)
--- a/wickdyke/transport/termination.py
+++ b/wickdyke/transport/termination.py
@@ -10,7 +10,7 @@
 def install_handlers() -> threading.Event:
     """Returns an event that SIGTERM or SIGINT sets; a second signal ends the process at once with code 1.
 
-    To be called in the main thread.
+    It must be called in the main thread.
     """
     terminated = threading.Event()
 
@@ -26,6 +26,6 @@
 
 def wait(terminated: threading.Event) -> None:
     """Waits until the event is set."""
-    # In intervals: a wait without a timeout would not let the signal handler run.
+    # The wait has a timeout, because a wait without one would not let the signal handler run.
     while not terminated.wait(WAIT_INTERVAL):
         pass
--- a/wickdyke/transport/unread_times.py
+++ b/wickdyke/transport/unread_times.py
@@ -1,73 +1,75 @@
-"""Bounds for how long data has waited in the kernel, as far as the polls of an event loop show. All times are ms."""
+"""Bounds how long data has waited in the kernel, from the results of an event loop's polls. All times are ms."""
 
 import select
 from collections.abc import Iterable
 
 
 class UnreadTimes:
-    """Since when data may wait on each socket, known by its descriptor.
+    """Tracks since when data may wait on each socket, by its descriptor.
 
-    A socket that is polled and was not reported had nothing to read when the poll looked. What is read from it later
-    arrived after that, also where the process was stopped or busy in between. A socket that was reported and not read,
-    or read in part, keeps the time that it had then, and so does one that is not polled.
+    A socket that is polled and was not reported had nothing to read at the time of the poll. Data read from it later
+    arrived after that, even if the process was stopped or busy in between. A socket that was reported but not read, or
+    read in part, keeps the time that it had then, and so does a socket that is not polled.
     """
 
     def __init__(self, now: float) -> None:
-        self.looked_at = now  # the last poll that saw all sockets looked no earlier
-        self.returned_at = now  # the last poll returned
-        self.arrived_after = now  # data that the last poll reported first is no older
-        self.estimate = now  # likewise, without the wait of that poll, which data ends as it arrives
-        self.since: dict[int, float] = {}  # of sockets with a time of their own
-        self.polled: set[int] = set()
+        self.checked_at = now  # the earliest time at which the last complete poll may have checked the sockets
+        self.returned_at = now  # when the last poll returned
+        self.arrived_after = now  # lower bound for the arrival of data first reported by the last poll
+        # As `arrived_after`, plus the wait of that poll: data ends the wait as it arrives.
+        self.estimated_arrival = now
+        self.unread_since: dict[int, float] = {}  # by descriptor, of sockets that were left unread or are not polled
+        self.polled_fds: set[int] = set()
 
     def poll_returned(
-        self, looked_at: float, now: float, waited: float, events: Iterable[tuple[int, int]], complete: bool
+        self, checked_at: float, now: float, waited: float, events: Iterable[tuple[int, int]], complete: bool
     ) -> None:
-        """A poll returned (descriptor, events) after a wait of `waited` ms.
+        """Records that a poll returned (descriptor, events) pairs at `now`, after a wait of `waited` ms.
 
-        With `complete`, sockets that it left out had nothing to read at `looked_at`; else there was no room for more.
+        With `complete`, sockets that were not reported had nothing to read at `checked_at`; otherwise the poll may have
+        left out sockets because its result was full.
         """
-        self.arrived_after = self.looked_at
-        self.estimate = self.looked_at + waited
+        self.arrived_after = self.checked_at
+        self.estimated_arrival = self.checked_at + waited
         self.returned_at = now
         if not complete:
             return
-        self.looked_at = looked_at
-        if self.since:
-            ready = {number for number, event in events if event & ~select.EPOLLOUT}
-            for number in [each for each in self.since if each in self.polled and each not in ready]:
-                del self.since[number]
+        self.checked_at = checked_at
+        if self.unread_since:
+            ready = {fd for fd, event in events if event & ~select.EPOLLOUT}
+            for fd in [each for each in self.unread_since if each in self.polled_fds and each not in ready]:
+                del self.unread_since[fd]
 
-    def of(self, number: int) -> float:
-        """Returns since when data may wait on that socket."""
-        if number in self.polled:
-            return min(self.estimate, self.since.get(number, self.estimate))
-        return self.since.get(number, self.estimate)
+    def waiting_since(self, fd: int) -> float:
+        """Returns since when data may wait on the socket."""
+        if fd in self.polled_fds:
+            return min(self.estimated_arrival, self.unread_since.get(fd, self.estimated_arrival))
+        return self.unread_since.get(fd, self.estimated_arrival)
 
-    def keep(self, number: int) -> None:
-        """The socket was reported, and is left for a later iteration in whole or part."""
-        self.since[number] = self.of(number)
+    def mark_unread(self, fd: int) -> None:
+        """Records that a reported socket is left for a later iteration, unread or read in part."""
+        self.unread_since[fd] = self.waiting_since(fd)
 
-    def begin(self, number: int, since: float) -> None:
-        """A new socket, which may have been sent data since then."""
-        self.since[number] = since
+    def set_unread_since(self, fd: int, unread_since: float) -> None:
+        """Records a new socket, on which data may wait since that time."""
+        self.unread_since[fd] = unread_since
 
-    def emptied(self, number: int) -> None:
-        """All data of the socket was read."""
-        if number in self.polled:
-            self.since.pop(number, None)
+    def mark_empty(self, fd: int) -> None:
+        """Records that all data of the socket was read."""
+        if fd in self.polled_fds:
+            self.unread_since.pop(fd, None)
         else:
-            self.since[number] = self.returned_at
+            self.unread_since[fd] = self.returned_at
 
-    def set_polled(self, number: int, polled: bool) -> None:
-        """Whether polls report the socket when there is data to read."""
-        if polled:
-            self.polled.add(number)
+    def set_polled(self, fd: int, polled_fds: bool) -> None:
+        """Sets whether polls report the socket when there is data to read."""
+        if polled_fds:
+            self.polled_fds.add(fd)
         else:
-            self.since.setdefault(number, self.of(number))
-            self.polled.discard(number)
+            self.unread_since.setdefault(fd, self.waiting_since(fd))
+            self.polled_fds.discard(fd)
 
-    def forget(self, number: int) -> None:
-        """The socket is closed: its descriptor may be used again."""
-        self.since.pop(number, None)
-        self.polled.discard(number)
+    def remove(self, fd: int) -> None:
+        """Drops the state of a closed socket, whose descriptor may be reused."""
+        self.unread_since.pop(fd, None)
+        self.polled_fds.discard(fd)
--- a/wickdyke/transport/write_buffer.py
+++ b/wickdyke/transport/write_buffer.py
@@ -1,4 +1,4 @@
-"""A write buffer for one socket: the sender of a message never waits for the peer to read."""
+"""A write buffer for one socket, so that the sender of a message never waits for the peer to read."""
 
 import contextlib
 import errno
@@ -8,9 +8,12 @@
 from collections import deque
 from collections.abc import Callable
 
-SHORT_OF_MEMORY = (errno.ENOBUFS, errno.ENOMEM)  # of send(2): nothing was sent, and the connection is still good
-MEMORY_RETRY = 0.01  # s until the thread retries a send that failed for want of memory
-POLL_TIMEOUT = 1000  # ms after which the thread checks whether it is to end, if the socket takes no data
+OUT_OF_MEMORY_ERRORS = (
+    errno.ENOBUFS,
+    errno.ENOMEM,
+)  # errors of send(2) and recv(2) after which the connection is still usable
+MEMORY_RETRY_DELAY = 0.01  # s until the thread retries a send that failed for lack of memory
+CLOSE_CHECK_INTERVAL = 1000  # ms after which the thread checks for `close` while the socket is not writable
 
 
 class BufferClosedError(OSError):
@@ -18,53 +21,53 @@
 
 
 class PeerTooSlowError(Exception):
-    """The peer reads too little: more bytes wait for it than the buffer may hold."""
+    """The peer reads too slowly: more bytes wait for it than the buffer's capacity."""
 
 
 class MessageExpiredError(Exception):
-    """The deadline of a message passed before a byte of it was sent: it is dropped."""
+    """The deadline of a message passed before its first byte was sent; the message is dropped."""
 
 
 class OutgoingMessage:
-    """One message to be sent. `begun` once a byte of it may have been handed to the kernel.
+    """One message to be sent. `send_started` is set once the kernel may have accepted a byte of it.
 
-    `data` is its bytes, or a function that renders them. That is called each time before its first byte is offered to
-    the kernel, so that a deadline in the message is right at that moment, and never again once a byte was sent. It
-    returns None where the deadline has passed; `expired` is then called, unless `put` raises MessageExpiredError.
-    `written` is called once all of it was sent, unless `put` returned True.
+    `data` is the bytes of the message, or a function that renders them. The function is called each time before the
+    first byte is offered to the kernel, so that a deadline in the message is right at that moment, and never again once
+    a byte was sent. It returns None if the deadline has passed; `on_expired` is then called, unless `put` raises
+    MessageExpiredError. `on_written` is called once the whole message was sent, unless `put` returned True.
     """
 
-    __slots__ = ("begun", "bytes_waiting", "data", "expired", "written")
+    __slots__ = ("bytes_waiting", "data", "on_expired", "on_written", "send_started")
 
     def __init__(
         self,
         data: bytes | Callable[[], bytes | None],
-        written: Callable[[], None] | None = None,
-        expired: Callable[[], None] | None = None,
+        on_written: Callable[[], None] | None = None,
+        on_expired: Callable[[], None] | None = None,
     ) -> None:
         self.data: bytes | memoryview | Callable[[], bytes | None] = data
-        self.begun = False
-        self.written = written
-        self.expired = expired
-        self.bytes_waiting = 0  # of it, as counted in the buffer
+        self.send_started = False
+        self.on_written = on_written
+        self.on_expired = on_expired
+        self.bytes_waiting = 0  # bytes of this message that the buffer counts as waiting
 
     def render(self) -> bytes | memoryview | None:
-        """Returns the bytes to be sent now; None where its deadline has passed."""
+        """Returns the bytes to be sent now, or None if the deadline has passed."""
         return self.data() if callable(self.data) else self.data
 
     def release(self) -> None:
-        """Drops its data and callbacks once it is not sent any more."""
-        # They refer to the command that holds this message: a cycle that only the garbage collector would free.
+        """Drops the data and the callback of a message that will not be sent any further."""
+        # They refer to the command that holds this message, a cycle that only the garbage collector would free.
         self.data = b""
-        self.expired = None
+        self.on_expired = None
 
 
 class WriteBuffer:
-    """Sends at once what the kernel takes; a thread of its own sends the rest, or an event loop by `pump`.
+    """Sends at once what the kernel accepts; a thread, or an event loop that calls `send_waiting`, sends the rest.
 
-    `capacity` is how many bytes may wait at most. The thread starts when a message has to wait first, so that a peer
-    that reads in time costs none. With `on_waiting` there is no thread: it is called with True when a message begins to
-    wait and with False when none waits any more.
+    `capacity` is the maximum number of waiting bytes. The thread starts when the first message has to wait, so a peer
+    that reads in time needs no thread. With `on_waiting` there is no thread: it is called with True when messages start
+    to wait and with False when none waits any more.
     """
 
     def __init__(
@@ -75,59 +78,59 @@
         self.name = name
         self.on_waiting = on_waiting
         self.lock = threading.Lock()
-        self.more = threading.Condition(self.lock)
-        self.waiting: deque[OutgoingMessage] = deque()
+        self.message_queued = threading.Condition(self.lock)
+        self.waiting_messages: deque[OutgoingMessage] = deque()
         self.bytes_waiting = 0
         self.thread: threading.Thread | None = None
         self.closed = False
-        self.no_memory = False  # whether the last send failed for want of memory
+        self.out_of_memory = False  # whether the last send failed for lack of memory
 
     def put(self, message: OutgoingMessage) -> bool:
-        """Sends a message or has it wait; True where the kernel has taken all of it already.
+        """Sends or queues a message; returns True if the kernel has accepted all of it already.
 
-        Raises PeerTooSlowError past the capacity, MessageExpiredError where the deadline has passed, BufferClosedError
-        when closed, and OSError where the connection has ended.
+        Raises PeerTooSlowError if the capacity is exceeded, MessageExpiredError if the deadline has passed,
+        BufferClosedError if the buffer is closed, and OSError if the connection has ended.
         """
         with self.lock:
             if self.closed:
-                raise BufferClosedError("closed")
+                raise BufferClosedError("the write buffer is closed")
             data = message.render()
             if data is None:
                 message.release()
                 raise MessageExpiredError
-            sent = 0 if self.waiting else self._send_at_once(message, data)
-            if sent == len(data) and not self.waiting:
+            sent = 0 if self.waiting_messages else self._send_at_once(message, data)
+            if sent == len(data) and not self.waiting_messages:
                 return True
             self._append(message, len(data) - sent)
             if self.on_waiting is not None:
-                if len(self.waiting) == 1:
+                if len(self.waiting_messages) == 1:
                     self.on_waiting(True)
                 return False
             if self.thread is None:
                 self.thread = self._start_thread()
-            self.more.notify()
+            self.message_queued.notify()
             return False
 
     def _send_at_once(self, message: OutgoingMessage, data: bytes | memoryview) -> int:
         try:
             return self._send(message, data)
         except OSError:
-            message.begun = True  # how much of it was sent is unknown
+            message.send_started = True  # it is unknown how many bytes were sent
             message.release()
             raise
 
     def _append(self, message: OutgoingMessage, size: int) -> None:
-        """Queues the message, of which `size` bytes are still to be sent. Raises PeerTooSlowError."""
+        """Queues a message with `size` bytes still to be sent. Raises PeerTooSlowError."""
         message.bytes_waiting = size
         if self.bytes_waiting + size > self.capacity:
             message.release()
             raise PeerTooSlowError(f"{self.bytes_waiting} bytes wait to be read")
         self.bytes_waiting += size
-        self.waiting.append(message)
+        self.waiting_messages.append(message)
 
     def _start_thread(self) -> threading.Thread:
-        """Starts the thread that sends what waits; raises OSError where that fails: the connection is to be closed."""
-        thread = threading.Thread(target=self._write, name=self.name, daemon=True)
+        """Starts the thread that sends waiting messages. Raises OSError if that fails; the caller closes the socket."""
+        thread = threading.Thread(target=self._send_in_thread, name=self.name, daemon=True)
         try:
             thread.start()
         except RuntimeError as error:
@@ -135,32 +138,32 @@
         return thread
 
     def _send(self, message: OutgoingMessage, data: bytes | memoryview) -> int:
-        """Sends what the kernel takes of `data`, the rest of the message; returns how many bytes that were.
+        """Sends what the kernel accepts of `data`, the unsent part of the message; returns the number of bytes sent.
 
-        From the first byte that was sent, the message stays as rendered.
+        Once the first byte is sent, the message is not rendered again.
         """
-        self.no_memory = False
+        self.out_of_memory = False
         try:
             sent = self.sock.send(data, socket.MSG_DONTWAIT)
         except (BlockingIOError, InterruptedError):
             return 0
         except OSError as error:
-            self.no_memory = error.errno in SHORT_OF_MEMORY
-            if self.no_memory:
+            self.out_of_memory = error.errno in OUT_OF_MEMORY_ERRORS
+            if self.out_of_memory:
                 return 0
             raise
         if sent:
-            message.begun = True
-            message.expired = None
+            message.send_started = True
+            message.on_expired = None
             message.data = memoryview(data)[sent:] if sent < len(data) else b""
         return sent
 
     def _send_first(self) -> tuple[bool, Callable[[], None] | None]:
-        """Sends of the first message that waits what the kernel takes.
+        """Sends what the kernel accepts of the first waiting message.
 
-        Returns whether it is done with (all was sent, or its deadline has passed), and the callback for that.
+        Returns whether the message is finished (sent in full, or expired), and the callback to be called for that.
         """
-        message = self.waiting[0]
+        message = self.waiting_messages[0]
         data = message.render()
         sent = 0 if data is None else self._send(message, data)
         if data is not None and sent < len(data):
@@ -168,25 +171,25 @@
                 self.bytes_waiting += len(data) - sent - message.bytes_waiting
                 message.bytes_waiting = len(data) - sent
             return False, None
-        self.waiting.popleft()
+        self.waiting_messages.popleft()
         self.bytes_waiting -= message.bytes_waiting
-        callback = message.expired if data is None else message.written
+        callback = message.on_expired if data is None else message.on_written
         message.release()
         return True, callback
 
     def withdraw(self, message: OutgoingMessage) -> bool:
-        """Takes a message back; False where a byte of it may have been sent."""
+        """Removes a waiting message; returns False if a byte of it may have been sent."""
         with self.lock:
-            if message.begun or message not in self.waiting:
+            if message.send_started or message not in self.waiting_messages:
                 return False
-            self.waiting.remove(message)
+            self.waiting_messages.remove(message)
             self.bytes_waiting -= message.bytes_waiting
             message.release()
             return True
 
-    def pump(self) -> None:
-        """For an event loop: sends what the kernel takes now; raises OSError where the connection has ended."""
-        while self.waiting:
+    def send_waiting(self) -> None:
+        """Sends what the kernel accepts now, for an event loop. Raises OSError if the connection has ended."""
+        while self.waiting_messages:
             done, callback = self._send_first()
             if not done:
                 return
@@ -196,53 +199,53 @@
             self.on_waiting(False)
 
     def drop(self) -> None:
-        """For an event loop, when the connection has ended: drops what waits and takes no more."""
-        # The callback and the messages refer to the connection that holds this: a cycle, which only the garbage
+        """Closes the buffer and drops the waiting messages, for an event loop whose connection has ended."""
+        # The callback and the messages refer to the connection that holds this buffer, a cycle that only the garbage
         # collector would free, minutes later.
         self.closed = True
         self.on_waiting = None
         self._drop_waiting()
 
     def _drop_waiting(self) -> None:
-        for message in self.waiting:
+        for message in self.waiting_messages:
             message.release()
-        self.waiting.clear()
+        self.waiting_messages.clear()
 
     def empty(self) -> bool:
-        """Returns whether nothing waits to be written."""
+        """Returns whether no message waits to be sent."""
         with self.lock:
-            return not self.waiting
+            return not self.waiting_messages
 
     def close(self) -> None:
-        """Ends the thread and drops what waits. The socket is shut down so that a wait for it ends."""
+        """Ends the thread and drops the waiting messages. The socket is shut down, which ends a poll for it."""
         with self.lock:
             self.closed = True
             self._drop_waiting()
-            self.more.notify()
+            self.message_queued.notify()
         with contextlib.suppress(OSError):
             self.sock.shutdown(socket.SHUT_RDWR)
 
-    def _write(self) -> None:
-        # A blocking send would keep a message as rendered when it began to block, with a deadline that is too long by
-        # that wait. So the thread polls until the kernel takes data, and the message is rendered then.
+    def _send_in_thread(self) -> None:
+        # A blocking send would send the message as rendered before the wait, with a remaining time that is too long by
+        # that wait. So the thread polls until the socket is writable, and renders the message then.
         writable = select.poll()
         try:
             writable.register(self.sock, select.POLLOUT)
-        except (OSError, ValueError):  # closed already
+        except (OSError, ValueError):  # the socket is closed already
             return
         while True:
             try:
                 with self.lock:
-                    while not self.waiting and not self.closed:
-                        self.more.wait()
+                    while not self.waiting_messages and not self.closed:
+                        self.message_queued.wait()
                     if self.closed:
                         return
                     done, callback = self._send_first()
-                    if self.no_memory:
-                        self.more.wait(MEMORY_RETRY)
+                    if self.out_of_memory:
+                        self.message_queued.wait(MEMORY_RETRY_DELAY)
                         continue
                 if not done:
-                    writable.poll(POLL_TIMEOUT)
+                    writable.poll(CLOSE_CHECK_INTERVAL)
             except OSError:
                 self.close()
                 return
