--- a/tests/gateway_process_rig.py
+++ b/tests/gateway_process_rig.py
@@ -5,7 +5,7 @@
 import sys
 import unittest
 
-from tests.rig import CALL_OUTS, TERMS, ScriptedWorker
+from tests.rig import CALL_OUTS_SETTINGS, SETTINGS, ScriptedWorker
 from wickdyke.config.endpoint_file import EndpointRow, format_endpoints
 
 
@@ -22,7 +22,9 @@
             out.write(format_endpoints(rows))
         with open(os.path.join(folder, "g.sexp"), "w") as out:
             out.write(
-                TERMS.format(soft="500 ms", deadline=deadline, way="100 ms", more="", call_outs=CALL_OUTS, stock="")
+                SETTINGS.format(
+                    soft="500 ms", deadline=deadline, way="100 ms", more="", call_outs=CALL_OUTS_SETTINGS, stock=""
+                )
             )
         process = subprocess.Popen(
             [sys.executable, "-m", "wickdyke.cli", "serve", os.path.join(folder, "g.sexp")],
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -100,7 +100,7 @@
             sock.sendall(jsonrpc.result_response(request["id"], b'{"report":{"busy":0.1,"held":0}}') + b"\n")
 
 
-TERMS = """(gateway (name "g") (listen (json-rpc "g.sock")) (workers (file "workers.sexp") (reread 20 ms)) (seed 5)
+SETTINGS = """(gateway (name "g") (listen (json-rpc "g.sock")) (workers (file "workers.sexp") (reread 20 ms)) (seed 5)
   (method "idem" (effect idempotent) (soft-deadline {soft}) (deadline {deadline}))
   (method "side" (effect side-effecting) (soft-deadline {soft}) (deadline {deadline}))
   (program "p*" (memory 100 MB) (lanes 64) (load 50 ms))
@@ -108,7 +108,7 @@
   (window 1 s)) (drain-grace 1 s) (answer-way {way}) {more})"""
 
 
-CALL_OUTS = "(call-outs (most 3) (dial 2 s))"
+CALL_OUTS_SETTINGS = "(call-outs (most 3) (dial 2 s))"
 
 
 class RunningGateway:
@@ -129,10 +129,10 @@
         self.temporary_folder = tempfile.TemporaryDirectory(prefix="wd-")
         self.folder = self.temporary_folder.name
         self.peers = []
-        for at, play in enumerate(workers):
-            self.peers.append(ScriptedWorker(self.folder, f"w{at}", play))
+        for index, play in enumerate(workers):
+            self.peers.append(ScriptedWorker(self.folder, f"w{index}", play))
         self.rows = [
-            EndpointRow(f"w{at}", peer.path, None, None, 0, 4.0, "ready", 0) for at, peer in enumerate(self.peers)
+            EndpointRow(f"w{index}", peer.path, None, None, 0, 4.0, "ready", 0) for index, peer in enumerate(self.peers)
         ]
         self.write_endpoints(format_endpoints(self.rows))
         if routes is not None:
@@ -140,13 +140,13 @@
             more += ' (routes (file "routes.sexp") (reread 20 ms))'
         with open(os.path.join(self.folder, "g.sexp"), "w") as out:
             out.write(
-                TERMS.format(
+                SETTINGS.format(
                     stock=stock,
                     soft=soft,
                     deadline=deadline,
                     way=way,
                     more=more,
-                    call_outs="" if "(call-outs" in more else CALL_OUTS,
+                    call_outs="" if "(call-outs" in more else CALL_OUTS_SETTINGS,
                 )
             )
         self.config = gateway_config.read(os.path.join(self.folder, "g.sexp"))
--- a/tests/scripted_workers.py
+++ b/tests/scripted_workers.py
@@ -16,7 +16,7 @@
 
 
 def answers_after(ms):
-    """Answers each attempt `ms` ms after its time has run out."""
+    """Answers each attempt `ms` milliseconds after its time has run out."""
 
     def play(sock, number):
         source = read_messages(sock)
--- a/tests/test_client_server.py
+++ b/tests/test_client_server.py
@@ -119,13 +119,13 @@
                 self.assertEqual(sorted((answer["id"] for answer in received), key=str), sorted(ids, key=str))
         client.close()
 
-    def test_pieces(self):
+    def test_requests_in_parts_and_many_at_once(self):
         """A request sent byte by byte, and many requests sent at once."""
         client = self.running.client()
         for byte in CALL % 1:
             client.send(bytes([byte]))
         self.assertEqual(client.answer()["id"], 1)
-        client.send(b"".join(CALL % at for at in range(2, 60)))
+        client.send(b"".join(CALL % index for index in range(2, 60)))
         self.assertEqual({client.answer()["id"] for _ in range(2, 60)}, set(range(2, 60)))
         client.close()
 
@@ -163,7 +163,7 @@
         )
     )
     def test_any_input(self, data):
-        """Each line gets a JSON-RPC response or none, and the next request is answered."""
+        """Each line gets a valid JSON-RPC response or none, and the next request is answered."""
         client = Client(self.running.config.listen)
         try:
             client.send(data.replace(b"\n", b" ") + b"\n")
@@ -200,8 +200,8 @@
         """A connection past the bound is rejected and closed, until another one ends."""
         with RunningGateway(more="(bounds (connections 3))") as running:
             clients = [running.client() for _ in range(3)]
-            for at, client in enumerate(clients):
-                client.ask(at)
+            for index, client in enumerate(clients):
+                client.ask(index)
                 client.answer()
             rejected = running.client()
             self.assertEqual(rejected.answer()["error"]["data"]["why"], "too-many-connections")
@@ -230,8 +230,8 @@
                 RunningGateway((silent,), deadline="2 s", soft="1 s", more=f"(bounds {bounds})") as running,
             ):
                 client = running.client()
-                for at in range(5):
-                    client.ask(at)
+                for index in range(5):
+                    client.ask(index)
                 self.assertTrue(until(lambda running=running: len(running.coordinator.requests.by_id) == 5))
                 client.ask(6)
                 received = client.answer()
@@ -247,8 +247,8 @@
                 request(event),
             )
             client = running.client()
-            for at in range(40):
-                client.ask(at)
+            for index in range(40):
+                client.ask(index)
             first = client.answer()
             self.assertEqual(first["error"]["data"]["why"], "overrun")
             may_continue.set()
@@ -259,7 +259,7 @@
     def test_a_client_that_reads_nothing(self):
         """The client is disconnected once too many bytes wait for it; requests of others are answered meanwhile."""
 
-        def large(sock, number):
+        def answers_large(sock, number):
             source = read_messages(sock)
             answer_hello(sock, source)
             for request in source:
@@ -268,24 +268,24 @@
                     body = b'{"output":"%b","standing":"stood"}' % (b"x" * size)
                     sock.sendall(jsonrpc.result_response(request["id"], body) + b"\n")
 
-        with RunningGateway((large,), more="(bounds (line 2 MB) (unread 4 MB))") as running:
+        with RunningGateway((answers_large,), more="(bounds (line 2 MB) (unread 4 MB))") as running:
             silent_reader, other = running.client(), running.client()
             sent = threading.Event()
 
             def flood():
                 try:
-                    for at in range(200):
-                        silent_reader.ask(at, program="plarge")
+                    for index in range(200):
+                        silent_reader.ask(index, program="plarge")
                 except OSError:
                     pass
                 sent.set()
 
             threading.Thread(target=flood, daemon=True).start()
-            for at in range(30):
-                other.ask(at)
+            for index in range(30):
+                other.ask(index)
                 received = other.answer()  # a success, or rejected while the flood fills the gateway
                 self.assertTrue(
-                    received["id"] == at and ("result" in received or received["error"]["code"] == -32001), received
+                    received["id"] == index and ("result" in received or received["error"]["code"] == -32001), received
                 )
             self.assertTrue(
                 until(lambda: running.gateway.client_server.counts["unread"] == 1), running.gateway.client_server.counts
@@ -303,7 +303,7 @@
         ) as running:
             clients = [running.client() for _ in range(400)]
             for client in clients:
-                client.send(b"".join(CALL % at for at in range(50)))
+                client.send(b"".join(CALL % index for index in range(50)))
             for client in clients:
                 received = [client.answer() for _ in range(50)]
                 self.assertEqual(sorted(answer["id"] for answer in received), list(range(50)))
--- a/tests/test_jsonrpc_connection_faults.py
+++ b/tests/test_jsonrpc_connection_faults.py
@@ -30,10 +30,10 @@
         return self.sock.recv(1 if self.reads in (2, 3) else size)
 
 
-class JsonRpc(unittest.TestCase):
+class WorkerConnectionFaults(unittest.TestCase):
     """Connections to a live worker: what a failed call shows about the worker, and that later commands are served."""
 
-    LOCAL = (
+    LOCAL_ERRORS = (
         errno.EMFILE,
         errno.ENFILE,
         errno.ENOBUFS,
@@ -60,20 +60,22 @@
         self.addCleanup(worker_client.close)
         return worker_client, events
 
-    def test_a_connection_that_this_machine_does_not_make(self):
+    def test_connect_errors_of_this_machine(self):
         """(local errno) -> the waiting command ends as unsent, no WorkerUnreachable is posted, the next is served."""
-        for code in self.LOCAL:
+        for code in self.LOCAL_ERRORS:
             with self.subTest(errno.errorcode[code]):
                 connect, attempts, may_fail = addresses.connect, [], threading.Event()
 
-                def fails_first(address, timeout, code=code, connect=connect, attempts=attempts, may_fail=may_fail):
+                def fail_first_connect(
+                    address, timeout, code=code, connect=connect, attempts=attempts, may_fail=may_fail
+                ):
                     attempts.append(code)
                     if len(attempts) == 1:
                         may_fail.wait(20)
                         raise OSError(code, os.strerror(code))
                     return connect(address, timeout)
 
-                with patch.object(jsonrpc_client.addresses, "connect", fails_first):
+                with patch.object(jsonrpc_client.addresses, "connect", fail_first_connect):
                     worker_client, events = self.worker_client()
                     worker_client.send(first := jsonrpc_client.Command(CommandKind.ATTEMPT, 1, "run", b"{}"))
                     may_fail.set()
@@ -83,7 +85,7 @@
                     self.assertEqual(events.events.get(timeout=20)[2:4], (second, "ok"))
                     worker_client.close()
 
-    def test_what_proves_that_nobody_is_there(self):
+    def test_connect_errors_of_an_absent_worker(self):
         for code in (errno.ECONNREFUSED, errno.ENOENT, errno.ECONNRESET):
             with (
                 self.subTest(errno.errorcode[code]),
@@ -95,16 +97,16 @@
                 self.assertEqual(events.next("finished")[3], "unreached")
                 worker_client.close()
 
-    def test_a_read_that_finds_no_memory_or_is_short(self):
+    def test_reads_without_memory_and_short_reads(self):
         """(errno of the second and third read) -> the connection stays open, and the answer is received on it."""
         for code in (*MEMORY, errno.EINTR, SHORT):
             with self.subTest(errno.errorcode.get(code, "short")):
                 connect = addresses.connect
 
-                def faulty(address, timeout, code=code, connect=connect):
+                def connect_with_failing_reads(address, timeout, code=code, connect=connect):
                     return FailingReads(connect(address, timeout), code)
 
-                with patch.object(jsonrpc_client.addresses, "connect", faulty):
+                with patch.object(jsonrpc_client.addresses, "connect", connect_with_failing_reads):
                     worker_client, events = self.worker_client()
                     events.next("connected")
                     worker_client.send(jsonrpc_client.Command(CommandKind.ATTEMPT, 1, "run", b"{}"))
--- a/tests/test_listed_workers.py
+++ b/tests/test_listed_workers.py
@@ -79,7 +79,7 @@
             self.assertEqual([w.endpoint.ident for w in running.coordinator.router.fleet.ready()], ["w1"])
             client.close()
 
-    def test_a_worker_that_drains_while_the_list_can_not_be_read(self):
+    def test_a_worker_that_drains_while_the_list_is_invalid(self):
         """After its first rejection with DRAINING a worker is sent nothing more; another one serves the request."""
         draining = threading.Event()
         methods_received = []
--- a/tests/test_listener_faults.py
+++ b/tests/test_listener_faults.py
@@ -103,10 +103,7 @@
 class EchoServer:
     """A Listener of transport/line_server.py that echoes."""
 
-    module, threads_before_connections = (
-        line_server,
-        1,
-    )  # the module also starts the acceptor's thread
+    module, threads_before_connections = line_server, 1  # the module also starts the acceptor's thread
 
     def __init__(self, folder):
         self.address = os.path.join(folder, "echo.sock")
--- a/tests/test_routes_in_force.py
+++ b/tests/test_routes_in_force.py
@@ -61,7 +61,7 @@
             with open(running.config.recording_path, "rb") as source:
                 self.assertIsNone(recording.replay(source)[1])
 
-    def test_a_change_that_would_strand_requests(self):
+    def test_a_budget_that_requests_in_flight_may_use_is_kept(self):
         """A retry budget that has only a share can't be removed while requests in flight may use it.
 
         The routes file without it is rejected until the budget has a floor, or the requests are answered: then the
--- a/tests/test_stall_detector.py
+++ b/tests/test_stall_detector.py
@@ -54,7 +54,7 @@
         client.send(b"x")
         self.assertEqual(reader.read(), ReceivedData(b"x", self.now, False, False))
 
-    def test_read_before_the_stall_is_noticed(self):
+    def test_read_before_the_stall_is_detected(self):
         reader, client = self.reader()
         self.run_process_for(100.0)
         stopped_at = self.now
@@ -62,7 +62,7 @@
         self.now += STOP_DURATION
         self.assertEqual(reader.read(), ReceivedData(b"x", stopped_at, True, False))
 
-    def test_read_after_the_stall_is_noticed(self):
+    def test_read_after_the_stall_is_detected(self):
         reader, client = self.reader()
         self.run_process_for(100.0)
         stopped_at = self.now
@@ -91,7 +91,7 @@
         client.send(b"x")
         self.assertEqual(reader.read(), ReceivedData(b"x", self.now, False, False))
 
-    def test_sent_after_what_was_sent_in_the_stall_was_read(self):
+    def test_sent_after_the_data_of_the_stall_was_read(self):
         reader, client = self.reader()
         client.send(b"x")
         self.now += STOP_DURATION
@@ -100,7 +100,7 @@
         client.send(b"y")
         self.assertEqual(reader.read(), ReceivedData(b"y", self.now, False, False))
 
-    def test_sent_between_the_read_and_the_notice_of_the_stall(self):
+    def test_sent_between_the_read_and_the_detection_of_the_stall(self):
         """One thread has read the waiting data, and more has arrived when another checks the socket."""
         reader, client = self.reader()
         self.now += STOP_DURATION
@@ -154,7 +154,7 @@
                 with patch.object(reader, "sock", unittest.mock.Mock(recv=recv)):
                     self.assertTrue(reader.read().at_end)
 
-    def test_a_read_that_finds_no_memory(self):
+    def test_a_read_without_memory(self):
         """The first read fails, or one of those after it: no data is lost, and the rest counts as equally old."""
         for failing_read in (1, 2, 3):
             for code in (errno.ENOMEM, errno.ENOBUFS):
@@ -186,7 +186,7 @@
                 received.append(reader.read())
         return received
 
-    def test_a_poll_that_finds_no_memory(self):
+    def test_a_poll_without_memory(self):
         reader, client = self.reader()
         client.send(b"x")
         real_poller = reader.arrival_bound.poller
--- a/tests/test_worker_client.py
+++ b/tests/test_worker_client.py
@@ -24,7 +24,7 @@
     sock.close()
 
 
-def answering(*lines):
+def answers_with(*lines):
     """Returns a worker that answers the first attempt with these lines (or functions of its number)."""
 
     def play(sock, number):
@@ -72,7 +72,7 @@
     yield msgspec.json.decode(line)
 
 
-def no_hello(sock, number):
+def sends_no_hello(sock, number):
     """Reads everything and answers nothing."""
     for _ in read_messages(sock):
         pass
@@ -118,35 +118,40 @@
     def test_outcomes(self):
         """(worker, params of the attempt) -> the outcome."""
         for name, play, params, outcome in (
-            ("answered", answering(success_line), b"{}", "ok"),
-            ("answered with 8 MB", answering(lambda n: success_line(n, LARGE_JSON)), b"{}", "ok"),
-            ("full", answering(error_line(worker_messages.FULL)), b"{}", "full"),
-            ("miss", answering(error_line(worker_messages.MISS)), b"{}", "miss"),
-            ("failed", answering(error_line(worker_messages.FAILED)), b"{}", "error"),
-            ("draining", answering(error_line(worker_messages.DRAINING)), b"{}", "full"),
+            ("answered", answers_with(success_line), b"{}", "ok"),
+            ("answered with 8 MB", answers_with(lambda n: success_line(n, LARGE_JSON)), b"{}", "ok"),
+            ("full", answers_with(error_line(worker_messages.FULL)), b"{}", "full"),
+            ("miss", answers_with(error_line(worker_messages.MISS)), b"{}", "miss"),
+            ("failed", answers_with(error_line(worker_messages.FAILED)), b"{}", "error"),
+            ("draining", answers_with(error_line(worker_messages.DRAINING)), b"{}", "full"),
             (
                 "deadline exceeded at the worker",
-                answering(error_line(worker_messages.DEADLINE_EXCEEDED)),
+                answers_with(error_line(worker_messages.DEADLINE_EXCEEDED)),
                 b"{}",
                 "timeout",
             ),
-            ("an unknown error code", answering(error_line(-5)), b"{}", "error"),
-            ("an answer with neither result nor error", answering(b'{"jsonrpc":"2.0","id":1}\n'), b"{}", "cut"),
-            ("an answer that is not JSON", answering(b"hello\n"), b"{}", "cut"),
-            ("an answer that is not UTF-8", answering(b'{"id":1,"result":"\xff"}\n'), b"{}", "cut"),
+            ("an unknown error code", answers_with(error_line(-5)), b"{}", "error"),
+            ("an answer with neither result nor error", answers_with(b'{"jsonrpc":"2.0","id":1}\n'), b"{}", "cut"),
+            ("an answer that is not JSON", answers_with(b"hello\n"), b"{}", "cut"),
+            ("an answer that is not UTF-8", answers_with(b'{"id":1,"result":"\xff"}\n'), b"{}", "cut"),
             (
                 "an answer longer than allowed",
-                answering(lambda n: success_line(n, b'"' + b"x" * (17 << 20) + b'"')),
+                answers_with(lambda n: success_line(n, b'"' + b"x" * (17 << 20) + b'"')),
                 b"{}",
                 "cut",
             ),
             ("the worker ends on the attempt", resets_on_run, b"{}", "cut"),
             ("the connection is reset within the answer", resets_within_answer, b"{}", "cut"),
             ("the connection is reset before the message is read in full", resets_while_reading, LARGE_JSON, "cut"),
-            ("a stray answer first", answering(b'{"jsonrpc":"2.0","id":77,"result":1}\n', success_line), b"{}", "ok"),
+            (
+                "a stray answer first",
+                answers_with(b'{"jsonrpc":"2.0","id":77,"result":1}\n', success_line),
+                b"{}",
+                "ok",
+            ),
             (
                 "an answer without a number first",
-                answering(b'{"jsonrpc":"2.0","id":null,"result":1}\n', success_line),
+                answers_with(b'{"jsonrpc":"2.0","id":null,"result":1}\n', success_line),
                 b"{}",
                 "ok",
             ),
@@ -157,7 +162,7 @@
     def test_no_connection(self):
         """(worker) -> unreached, within the connect timeout."""
         for name, play in (
-            ("no hello", no_hello),
+            ("no hello", sends_no_hello),
             ("a byte at a time", sends_byte_by_byte),
             (
                 "the wrong version",
@@ -179,7 +184,7 @@
     def test_a_second_answer(self):
         """Of two answers with the same number the first counts; the second, and one with an unknown number, do not."""
         client, event_recorder, _ = self.connect(
-            answering(success_line, success_line, b'{"jsonrpc":"2.0","id":99,"result":1}\n')
+            answers_with(success_line, success_line, b'{"jsonrpc":"2.0","id":99,"result":1}\n')
         )
         client.send(Command(CommandKind.ATTEMPT, None, "run", b"{}"))
         self.assertEqual(event_recorder.next("finished")[3], "ok")
@@ -224,7 +229,7 @@
         client, event_recorder, _ = self.connect(play)
         event_recorder.next("connected")
         self.assertTrue(until(lambda: client.write_buffer is not None))
-        commands = [Command(CommandKind.ATTEMPT, at, "run", LARGE_JSON) for at in range(3)]
+        commands = [Command(CommandKind.ATTEMPT, index, "run", LARGE_JSON) for index in range(3)]
         for command in commands:
             client.send(command)  # must not block
         self.assertTrue(until(lambda: commands[0].message.send_started))
@@ -246,8 +251,8 @@
 
         client, event_recorder, _ = self.connect(play, connect_timeout=1000.0)
         self.assertTrue(until(lambda: client.write_buffer is not None))
-        for at in range(6):
-            client.send(Command(CommandKind.ATTEMPT, at, "run", LARGE_JSON))
+        for index in range(6):
+            client.send(Command(CommandKind.ATTEMPT, index, "run", LARGE_JSON))
         received = sorted(event_recorder.next("finished")[3] for _ in range(6))
         self.assertEqual(received.count("cut"), 1, received)
         self.assertEqual(
@@ -309,8 +314,8 @@
         sock, peer = socket.socketpair()
         write_buffer = WriteBuffer(sock, 1 << 20, "box")
         sent = b""
-        for at in range(40):
-            data = bytes([at]) * 20000
+        for index in range(40):
+            data = bytes([index]) * 20000
             sent += data
             write_buffer.put(OutgoingMessage(data))
         received = b""
--- a/tests/test_write_buffer_expiry.py
+++ b/tests/test_write_buffer_expiry.py
@@ -11,8 +11,8 @@
 class MessageRendering(unittest.TestCase):
     """Write buffers of an event loop or with a thread, and messages that are rendered when they are sent."""
 
-    def write_buffer(self, *accepts, capacity=100):
-        self.sock, self.wait_changes, self.expired_names, self.payload = ScriptedSocket(*accepts), [], [], b"one"
+    def write_buffer(self, *results, capacity=100):
+        self.sock, self.wait_changes, self.expired_names, self.payload = ScriptedSocket(*results), [], [], b"one"
         return WriteBuffer(self.sock, capacity, "write-buffer", self.wait_changes.append)
 
     def message(self, name="first"):
--- a/wickdyke/jsonrpc/worker_client.py
+++ b/wickdyke/jsonrpc/worker_client.py
@@ -332,8 +332,8 @@
             sock.close()
         for command in in_flight:
             # No byte of a command that still waited in the write buffer can have reached the worker.
-            has_begun = command.message is not None and command.message.send_started
-            outcome = Outcome.CONNECTION_LOST if has_begun else Outcome.UNSENT
+            send_started = command.message is not None and command.message.send_started
+            outcome = Outcome.CONNECTION_LOST if send_started else Outcome.UNSENT
             self.notify(CommandFinished(self, command, outcome))
         self.notify(WorkerConnectionLost(self, reason))
 
--- a/wickdyke/transport/event_loop.py
+++ b/wickdyke/transport/event_loop.py
@@ -135,9 +135,8 @@
         self.on_error = on_error
         self.handlers: dict[int, Handler] = {}  # by descriptor
         self.timers = Timers()
-        self.pending_modifications: dict[
-            int, int
-        ] = {}  # descriptor -> events that epoll_ctl failed to set for lack of memory
+        # Descriptor -> events that epoll_ctl failed to set for lack of memory.
+        self.pending_modifications: dict[int, int] = {}
         self.last_served: dict[int, int] = {}  # descriptor -> serial number of its last call; normal priority only
         self.serial_numbers = itertools.count(1)
         self.unread_times = UnreadTimes(clock())
--- a/wickdyke/transport/unread_times.py
+++ b/wickdyke/transport/unread_times.py
@@ -61,9 +61,9 @@
         else:
             self.unread_since[fd] = self.returned_at
 
-    def set_polled(self, fd: int, polled_fds: bool) -> None:
+    def set_polled(self, fd: int, is_polled: bool) -> None:
         """Sets whether polls report the socket when there is data to read."""
-        if polled_fds:
+        if is_polled:
             self.polled_fds.add(fd)
         else:
             self.unread_since.setdefault(fd, self.waiting_since(fd))
--- a/wickdyke/transport/write_buffer.py
+++ b/wickdyke/transport/write_buffer.py
@@ -8,10 +8,7 @@
 from collections import deque
 from collections.abc import Callable
 
-OUT_OF_MEMORY_ERRORS = (
-    errno.ENOBUFS,
-    errno.ENOMEM,
-)  # errors of send(2) and recv(2) after which the connection is still usable
+OUT_OF_MEMORY_ERRORS = (errno.ENOBUFS, errno.ENOMEM)  # of send(2): nothing was sent, and the connection is still usable
 MEMORY_RETRY_DELAY = 0.01  # s until the thread retries a send that failed for lack of memory
 CLOSE_CHECK_INTERVAL = 1000  # ms after which the thread checks for `close` while the socket is not writable
 
