--- a/tests/test_listed_workers.py
+++ b/tests/test_listed_workers.py
@@ -71,8 +71,8 @@
         """A worker that answers that it drains gets no more attempts, whatever its state in the list."""
         with RunningGateway((responds_with_error(worker_messages.DRAINING), answers_all)) as running:
             client = running.client()
-            for at in range(40):
-                client.ask(at, program=f"p{at}")
+            for index in range(40):
+                client.ask(index, program=f"p{index}")
                 self.assertIn("result", client.answer())
                 if not any(w.endpoint.ident == "w0" for w in running.coordinator.router.fleet.ready()):
                     break
@@ -101,10 +101,10 @@
             os.unlink(os.path.join(running.folder, "workers.sexp"))
             self.assertTrue(until(lambda: "endpoint list unusable" in running.log_output.getvalue()))
             client = running.client()
-            for at in range(80):
-                if at == 20:
+            for index in range(80):
+                if index == 20:
                     draining.set()
-                client.ask(at, program=f"p{at % 5}")
+                client.ask(index, program=f"p{index % 5}")
                 self.assertIn("result", client.answer())
             client.close()
             self.assertEqual(len(methods_received), 1)
--- a/wickdyke/jsonrpc/client_connection.py
+++ b/wickdyke/jsonrpc/client_connection.py
@@ -119,9 +119,8 @@
         self.lock = threading.Lock()  # guards `pending`
         self.reader = TimedReader(sock, owner.stalls, READ_SIZE, connected_after)
         self.received = ReceivedData(b"", 0.0, False, False)  # the data read last
-        self.unposted_requests: list[
-            PendingRequest
-        ] = []  # requests that waited unread, until all read with them is handled
+        # Requests that waited unread; they are posted once all data that was read with them is handled.
+        self.unposted_requests: list[PendingRequest] = []
 
     # ---- writing ----
 
--- a/wickdyke/jsonrpc/requests.py
+++ b/wickdyke/jsonrpc/requests.py
@@ -83,7 +83,7 @@
         return CheckedRequest(ident, request_class, params, time_left, effective.router_policy if effective else None)
 
     def shortest_time_left(self, requests: Iterable[jsonrpc.Request | jsonrpc.MalformedRequestError]) -> float | None:
-        """Returns the shortest remaining time (ms) of the requests that can be parsed, or None without requests."""
+        """Returns the shortest time left (ms) of the requests, as far as they can be parsed; None if there are none."""
         return min(map(self._time_left, requests), default=None)
 
     def _time_left(self, request: jsonrpc.Request | jsonrpc.MalformedRequestError) -> float:
--- a/wickdyke/jsonrpc/worker_client.py
+++ b/wickdyke/jsonrpc/worker_client.py
@@ -122,7 +122,7 @@
             return Withdrawal.CANCELLED
 
     def withdraw_unsent(self, command: Command) -> bool:
-        """Withdraws a command of which no byte was sent; returns whether that was possible, and the command ended."""
+        """Withdraws a command of which no byte was sent; returns True if that was possible: the command has ended."""
         with self.lock:
             return self.commands.withdraw(command, self.write_buffer)
 
