--- a/tests/rig.py
+++ b/tests/rig.py
@@ -66,6 +66,7 @@
             self.play(sock, number)
 
     def close(self):
+        """Closes the listening socket and all accepted connections."""
         for sock in [self.sock, *self.accepted]:
             with contextlib.suppress(OSError):
                 sock.shutdown(socket.SHUT_RDWR)
@@ -212,6 +213,7 @@
         return next(self.source)
 
     def close(self):
+        """Closes the connection."""
         self.source.close()
         self.sock.close()
 
--- a/tests/scripted_socket.py
+++ b/tests/scripted_socket.py
@@ -11,6 +11,7 @@
         self.results, self.sent_data = list(results), b""
 
     def send(self, sent_data, flags):
+        """Accepts the scripted number of bytes and returns it, or raises the scripted error."""
         results = self.results.pop(0)
         if isinstance(results, Exception):
             raise type(results)(
--- a/tests/test_event_loop.py
+++ b/tests/test_event_loop.py
@@ -16,6 +16,7 @@
     """The order in which handlers are served, and handlers that raise. Each socket has a byte to read."""
 
     def handler(self, on_readable, priority=Priority.NORMAL):
+        """Registers a handler that calls `on_readable(sock)` for a socket with a byte to read."""
         sock, peer = socket.socketpair()
         self.addCleanup(sock.close)
         self.addCleanup(peer.close)
@@ -80,6 +81,7 @@
         return peer
 
     def run_once(self):
+        """Runs one iteration without a wait."""
         self.loop.run_once(0.0, lambda: None)
 
     def test_a_stopped_process(self):
--- a/tests/test_event_loop_faults.py
+++ b/tests/test_event_loop_faults.py
@@ -43,12 +43,15 @@
         self.priority, self.calls = priority, []
 
     def readable(self):
+        """Records the call."""
         self.calls.append("readable")
 
     def writable(self):
+        """Records the call."""
         self.calls.append("writable")
 
     def broken(self):
+        """Records the call."""
         self.calls.append("broken")
 
 
@@ -66,6 +69,7 @@
         self.addCleanup(self.loop.close)
 
     def pair(self):
+        """Returns two connected non-blocking sockets, closed after the test."""
         socks = socket.socketpair()
         for sock in socks:
             self.addCleanup(sock.close)
@@ -73,6 +77,7 @@
         return socks
 
     def run_once(self, elapsed=0.0):
+        """Runs one iteration without a wait, `elapsed` ms later."""
         self.now += elapsed
         self.loop.run_once(0.0, lambda: None)
 
@@ -272,6 +277,7 @@
         self.descriptors_before = open_descriptors()
 
     def dial(self, address=None, **members):
+        """Dials the server, or `address`, with a socket class that has these members replaced."""
         faulty_socket = type("Faulty", (socket.socket,), members)
         with patch.object(event_loop, "socket", SimpleNamespace(**{**vars(socket), "socket": faulty_socket})):
             return event_loop.dial(address or self.address)
--- a/tests/test_jsonrpc_connection_faults.py
+++ b/tests/test_jsonrpc_connection_faults.py
@@ -24,6 +24,7 @@
         return getattr(self.sock, name)
 
     def recv(self, size):
+        """Reads from the socket, or fails."""
         self.reads += 1
         if self.reads in (2, 3) and self.code != SHORT:
             raise OSError(self.code, os.strerror(self.code))
@@ -51,6 +52,7 @@
         self.folder, self.worker_count = temporary_folder.name, 0
 
     def worker_client(self):
+        """Returns a client of a new worker that answers all requests, and the recorder of its events."""
         self.worker_count += 1
         peer, events = ScriptedWorker(self.folder, f"w{self.worker_count}", answers_all), EventRecorder()
         self.addCleanup(peer.close)
--- a/tests/test_listener_faults.py
+++ b/tests/test_listener_faults.py
@@ -72,6 +72,7 @@
     accept_count = 0
 
     def accept(self):
+        """Fails or accepts, as the attributes say."""
         type(self).accept_count += 1
         if self.nth <= type(self).accept_count < self.nth + self.times:
             if self.drops_connection:
@@ -114,6 +115,7 @@
             sock.sendall(data)
 
     def close(self):
+        """Closes the listener and its connections."""
         self.listener.close()
 
 
@@ -131,6 +133,7 @@
         self.server.open()
 
     def close(self):
+        """Closes the listener and its connections."""
         self.server.stop_accepting()
         self.server.disconnect_all()
 
@@ -147,6 +150,7 @@
         self.folder = temporary_folder.name
 
     def connect(self, listener):
+        """Returns a new connection to the listener, closed after the test."""
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
         self.addCleanup(sock.close)
         sock.settimeout(STEP_TIMEOUT)
@@ -163,6 +167,7 @@
                 return False
 
     def assert_none_left(self, descriptors_before, threads_before):
+        """Checks that all descriptors and threads opened since then are gone."""
         self.assertTrue(until(lambda: not opened_since(descriptors_before)), opened_since(descriptors_before))
         self.assertTrue(until(lambda: not started_since(threads_before)), started_since(threads_before))
 
--- a/tests/test_worker_client.py
+++ b/tests/test_worker_client.py
@@ -99,6 +99,7 @@
         self.folder, self.count = temporary_folder.name, 0
 
     def connect(self, play, connect_timeout=5000.0, line=16 << 20):
+        """Returns a worker client, the recorder of its events and the worker, played by `play`."""
         self.count += 1
         peer = ScriptedWorker(self.folder, f"w{self.count}", play)
         event_recorder = EventRecorder()
@@ -110,6 +111,7 @@
         return client, event_recorder, peer
 
     def run_once(self, play, params=b"{}", **more):
+        """Sends one attempt; returns its command, its outcome and what else its event has."""
         client, event_recorder, _ = self.connect(play, **more)
         command = Command(CommandKind.ATTEMPT, None, "run", params)
         client.send(command)
--- a/tests/test_write_buffer_expiry.py
+++ b/tests/test_write_buffer_expiry.py
@@ -12,10 +12,12 @@
     """Write buffers of an event loop or with a thread, and messages that are rendered when they are sent."""
 
     def write_buffer(self, *results, capacity=100):
+        """Returns a write buffer for an event loop, whose socket has these scripted results."""
         self.sock, self.wait_changes, self.expired_names, self.payload = ScriptedSocket(*results), [], [], b"one"
         return WriteBuffer(self.sock, capacity, "write-buffer", self.wait_changes.append)
 
     def message(self, name="first"):
+        """Returns a message that renders the present payload and records `name` when it expires."""
         return OutgoingMessage(lambda: self.payload, on_expired=lambda: self.expired_names.append(name))
 
     def test_a_waiting_message_is_rendered_when_it_is_sent(self):
