--- a/tests/gateway_process_rig.py
+++ b/tests/gateway_process_rig.py
@@ -5,7 +5,7 @@
 import sys
 import unittest
 
-from tests.rig import CALL_OUTS, TERMS, Peer
+from tests.rig import CALL_OUTS_SETTINGS, SETTINGS, ScriptedWorker
 from wickdyke.config.endpoint_file import EndpointRow, format_endpoints
 
 
@@ -14,7 +14,7 @@
 
     def serve(self, folder, *plays, deadline="20 s"):
         """Starts a gateway with one scripted worker for each of `plays`; returns its process and its socket's path."""
-        peers = [Peer(folder, f"w{number}", play) for number, play in enumerate(plays)]
+        peers = [ScriptedWorker(folder, f"w{number}", play) for number, play in enumerate(plays)]
         for peer in peers:
             self.addCleanup(peer.close)
         rows = [EndpointRow(f"w{index}", peer.path, None, None, 0, 4.0, "ready", 0) for index, peer in enumerate(peers)]
@@ -22,7 +22,9 @@
             out.write(format_endpoints(rows))
         with open(os.path.join(folder, "g.sexp"), "w") as out:
             out.write(
-                TERMS.format(soft="500 ms", deadline=deadline, way="100 ms", more="", call_outs=CALL_OUTS, stock="")
+                SETTINGS.format(
+                    soft="500 ms", deadline=deadline, way="100 ms", more="", call_outs=CALL_OUTS_SETTINGS, stock=""
+                )
             )
         process = subprocess.Popen(
             [sys.executable, "-m", "wickdyke.cli", "serve", os.path.join(folder, "g.sexp")],
--- a/tests/test_gateway_stopped.py
+++ b/tests/test_gateway_stopped.py
@@ -11,7 +11,7 @@
 import unittest
 
 from tests.gateway_process_rig import GatewayProcessCase
-from tests.rig import Client, hello, lines_of, ok, until
+from tests.rig import Client, answer_hello, read_messages, success_line, until
 from wickdyke.protocol import jsonrpc, worker_messages
 
 STOP_SECONDS = 0.7
@@ -37,8 +37,8 @@
 
     def play(self, sock, number):
         """A worker that records the attempts it receives, and answers at once unless `holds_answers` is set."""
-        source = lines_of(sock)
-        hello(sock, source)
+        source = read_messages(sock)
+        answer_hello(sock, source)
         for request in source:
             if request["method"] == "run":
                 params = request["params"]
@@ -48,7 +48,7 @@
                     if self.holds_answers:
                         self.unanswered_attempts.append((sock, request["id"]))
                         continue
-                sock.sendall(ok(request["id"]))
+                sock.sendall(success_line(request["id"]))
 
     def client(self):
         client = Client(self.path)
--- a/tests/test_log_faults.py
+++ b/tests/test_log_faults.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from tests.rig import Running, until
+from tests.rig import RunningGateway, until
 from wickdyke.fault_injection import trace
 from wickdyke.gateway import log as logs
 from wickdyke.gateway import recording
@@ -133,7 +133,7 @@
     def test_a_pipe_whose_reader_has_closed(self):
         """Requests are answered, and the lost lines are counted."""
         read_end, write_end = os.pipe()
-        with os.fdopen(write_end, "w") as sink, Running(sink=sink) as running:
+        with os.fdopen(write_end, "w") as sink, RunningGateway(sink=sink) as running:
             os.close(read_end)
             running.log.info("one")
             self.assertTrue(until(lambda: running.log_writer.lost_lines > 0))
@@ -240,7 +240,7 @@
         """A gateway whose recording fails still answers requests."""
         log = FakeLog()
         recorder = self.recorder(errno.ENOSPC, 3, log)
-        with Running() as running:
+        with RunningGateway() as running:
             running.gateway.coordinator.driver.recorder = recorder
             client = running.client()
             for at in range(20):
