--- a/tests/front_end_rig.py
+++ b/tests/front_end_rig.py
@@ -132,7 +132,7 @@
         for upstream in list(self.serving.coordinator.workers.clients.values()):
             upstream.close()
         self.serving.discovery.close()
-        self.serving.client_server.shut()
+        self.serving.client_server.close_listener()
         self.serving.loop.close()
 
     def until(self, done, what="it"):
--- a/tests/test_busy_front_end.py
+++ b/tests/test_busy_front_end.py
@@ -35,7 +35,7 @@
         self.front_end(self.worker().address)
         client, whole = self.client(), request(1)
         client.send(whole[:20])
-        self.until(lambda: self.serving.client_server.clients and self.number_one().frames.begun)
+        self.until(lambda: self.serving.client_server.clients and self.number_one().frame_parser.has_partial_frame)
         self.later(1990.0)
         client.send(whole[20:])
         wait_for(self, lambda: peeked(self.number_one().sock))
@@ -52,7 +52,7 @@
                 self.at_worker(1)
                 client.send(behind)
                 first = self.number_one()
-                self.until(lambda first=first: first.ending or first.frames.begun)
+                self.until(lambda first=first: first.ending or first.frame_parser.has_partial_frame)
                 if first.ending:
                     self.assertEqual(self.answer(client)[1], "exception")
                 self.later(3000.0, 20.0)
@@ -137,13 +137,13 @@
         with self.costly(6.0):
             for _ in range(10):  # 30 reads, while each of the three has bytes for more
                 serving.run_once()
-                if any(each.last_number for each in serving.client_server.clients.values()):
+                if any(each.last_request_number for each in serving.client_server.clients.values()):
                     break
         self.assertTrue(
-            all(peeked(each.sock) for each in serving.client_server.clients.values() if not each.last_number)
+            all(peeked(each.sock) for each in serving.client_server.clients.values() if not each.last_request_number)
         )
         self.assertTrue(
-            any(each.last_number for each in serving.client_server.clients.values()), "its request was not read"
+            any(each.last_request_number for each in serving.client_server.clients.values()), "its request was not read"
         )
 
 
--- a/tests/test_client_connection_ends.py
+++ b/tests/test_client_connection_ends.py
@@ -35,7 +35,7 @@
             Mock(),
         )
         self.front.listen()
-        self.addCleanup(self.front.shut)
+        self.addCleanup(self.front.close_listener)
         self.addCleanup(lambda: [client.close() for client in list(self.front.clients.values())])
 
     def client(self):
@@ -64,7 +64,7 @@
         client = self.client()
         ask = self.asked(client, rig.dispatch(1, rig.fields(A)))
         client.send(rig.dispatch(2, rig.fields(B))[:20])
-        self.until(lambda: next(iter(self.front.clients.values())).frames.begun)
+        self.until(lambda: next(iter(self.front.clients.values())).frame_parser.has_partial_frame)
         self.now += client_server.SILENCE_TIMEOUT + 2 * client_server.SWEEP_INTERVAL
         self.loop.run_once(0.0, lambda: None)
         ask.succeed(b"done", 1)
@@ -102,7 +102,7 @@
                     client.send(cancels[cut:])
                 self.until(lambda: len(self.recorded) == 3, "the cancel")
                 self.assertEqual(plain(self.recorded[-1]), ("cancelled", ask))
-                self.assertEqual(list(self.front.open), [A.encode()])
+                self.assertEqual(list(self.front.open_requests), [A.encode()])
                 client.close()
                 self.until(lambda: not self.front.clients)
 
@@ -143,7 +143,7 @@
         ask = self.asked(client, rig.dispatch(1, rig.fields(A)))
         known = ask.client
         self.loop.on_error = Mock()
-        with patch.object(client_connection.thrift, "read", side_effect=ZeroDivisionError):
+        with patch.object(client_connection.thrift, "parse_message", side_effect=ZeroDivisionError):
             client.send(rig.dispatch(2, rig.fields(B)))
             self.until(lambda: known.ending)
         ask.succeed(b"done", 1)
--- a/tests/test_client_connection_faults.py
+++ b/tests/test_client_connection_faults.py
@@ -165,8 +165,8 @@
             words.append(client.answer()[1])
         client.close()
         self.until(lambda: not self.front.clients, "the end of the connection")
-        self.assertEqual(self.front.open, {})
-        self.front.shut()
+        self.assertEqual(self.front.open_requests, {})
+        self.front.close_listener()
         self.loop.close()
         self.assertEqual(descriptors() - before, set(), "descriptors left over")
         return words
@@ -223,9 +223,9 @@
                 self.until(lambda: not self.front.clients, "the end")
                 received, closed = self.taken
                 self.assertEqual(plain(closed), ("closed", [received.pending]))
-                self.assertEqual(self.front.open, {})
+                self.assertEqual(self.front.open_requests, {})
                 client.close()
-                self.front.shut()
+                self.front.close_listener()
                 self.loop.close()
 
     def test_the_start(self):
@@ -269,7 +269,7 @@
                 for client in (first, second):
                     client.close()
                 self.until(lambda: not self.front.clients, "the end")
-                self.front.shut()
+                self.front.close_listener()
                 self.loop.close()
 
 
--- a/tests/test_client_leaving.py
+++ b/tests/test_client_leaving.py
@@ -76,7 +76,7 @@
                     client = self.client()
                     client.send(rig.dispatch(1, rig.fields(A, "pay"), b"x"))
                     upstream = serving.coordinator.workers.clients["w0"]
-                    self.until(lambda upstream=upstream: any(conn.pending for conn in upstream.connections))
+                    self.until(lambda upstream=upstream: any(conn.pending_commands for conn in upstream.connections))
                     if how == "cancel":
                         client.send(rig.cancel(2, 1))
                     elif how == "reset":
@@ -105,7 +105,7 @@
                 client = self.client()
                 client.send(rig.dispatch(1, rig.fields(A, "pay"), b"x"))
                 upstream = serving.coordinator.workers.clients["w0"]
-                self.until(lambda upstream=upstream: any(conn.pending for conn in upstream.connections))
+                self.until(lambda upstream=upstream: any(conn.pending_commands for conn in upstream.connections))
                 serving.coordinator.post(
                     EndpointsReceived(
                         [
@@ -150,7 +150,9 @@
         self.answer_held(b"second")
         self.assertEqual(self.answer(good), (1, "answer", b"second"))
         self.until(lambda: len(serving.client_server.clients) == 1)
-        self.assertEqual((serving.client_server.open, serving.coordinator.requests.by_id, self.faults()), ({}, {}, []))
+        self.assertEqual(
+            (serving.client_server.open_requests, serving.coordinator.requests.by_id, self.faults()), ({}, {}, [])
+        )
 
     def test_nothing_more_of_a_request_that_was_answered(self):
         """A attempt that has not begun as another one answers never goes out."""
--- a/tests/test_clients_leaving_in_stops.py
+++ b/tests/test_clients_leaving_in_stops.py
@@ -80,13 +80,15 @@
                 (client,) = self.connected()
                 client.send(request(1, d="4000"))
                 upstream = self.serving.coordinator.workers.clients["w0"]
-                self.until(lambda upstream=upstream: any(each.pending for each in upstream.connections), "the attempt")
-                (waiting,) = [each for each in upstream.connections if each.pending]
+                self.until(
+                    lambda upstream=upstream: any(each.pending_commands for each in upstream.connections), "the attempt"
+                )
+                (waiting,) = [each for each in upstream.connections if each.pending_commands]
                 self.leave(client, how)
                 self.stop()
                 waiting.writable()  # as it is served first, once its connect has succeeded
-                self.assertTrue(waiting.up)
-                attempts = [command for command in waiting.open.values() if command.ident == b"%016x" % 1]
+                self.assertTrue(waiting.established)
+                attempts = [command for command in waiting.open_commands.values() if command.ident == b"%016x" % 1]
                 self.assertEqual(attempts, [])
                 self.end()
 
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -68,7 +68,7 @@
             (True, 0.0, HOUR),
             (False, 60 * SECOND, 0.0),
             (False, 60 * SECOND, 700.0),
-            (False, 60 * SECOND, endpoint_list.PROMPT),
+            (False, 60 * SECOND, endpoint_list.MAX_EVENT_DELAY),
             (False, 1000.0, 1500.0),
         ):
             with self.subTest(known=known, after=after, age=age):
@@ -121,7 +121,7 @@
                 clocks.writers += step
                 view.send_raw(late(started=clocks.stamp(100.0)))
                 self.assertGreaterEqual(view.age("a"), 0.0)
-                self.assertLessEqual(view.age("a"), endpoint_list.PROMPT + endpoint_list.OUTAGE)
+                self.assertLessEqual(view.age("a"), endpoint_list.MAX_EVENT_DELAY + endpoint_list.MAX_OUTAGE)
 
     def test_a_start_in_the_future_is_now(self):
         """Told at the start or live: just started, and its age grows from here on."""
@@ -194,18 +194,18 @@
                 clocks.writers += step
                 change = view.send_raw(late("a", clocks.stamp(100.0)))
                 self.assertEqual([row.ident for row in change.endpoints], ["a"])
-                self.assertTrue(0.0 <= view.age("a") <= endpoint_list.PROMPT)
+                self.assertTrue(0.0 <= view.age("a") <= endpoint_list.MAX_EVENT_DELAY)
 
     def test_deleted_starts_are_kept_within_a_bound(self):
         clocks = Clocks()
         view = View(clocks)
-        for at in range(endpoint_list.GONE_KEPT + 50):
+        for at in range(endpoint_list.MAX_REMOVED_START_TIMES + 50):
             clocks.now += 1
             row = late(f"n{at}", clocks.stamp())
             view.send_raw(row)
             view.send_raw({**row, "lifecycle": "DELETED"})
-        self.assertEqual(len(view.roster.gone_start_times), endpoint_list.GONE_KEPT)
-        self.assertIn(f"n{endpoint_list.GONE_KEPT + 49}", view.roster.gone_start_times)
+        self.assertEqual(len(view.roster.removed_start_times), endpoint_list.MAX_REMOVED_START_TIMES)
+        self.assertIn(f"n{endpoint_list.MAX_REMOVED_START_TIMES + 49}", view.roster.removed_start_times)
         self.assertEqual((len(view.roster), view.roster.start_times), (1, {}))
 
     def test_stamps_that_are_no_time(self):
@@ -214,7 +214,7 @@
             with self.subTest(str(stamp)[:10]):
                 view = View(Clocks())
                 view.send_raw(late("a", stamp), rig.instance("b", "h:2"))
-                self.assertEqual((list(view.roster.listed), view.roster.unusable), (["old", "b"], 1))
+                self.assertEqual((list(view.roster.listed), view.roster.unusable_count), (["old", "b"], 1))
 
 
 class Drawn(unittest.TestCase):
@@ -263,10 +263,10 @@
         stamps = {"a": clocks.stamp(200.0)}  # the stamps that each name was told with last
         births = {"a": view.roster.listed["a"][0].started_at}  # and the time that this start was given
         for what, with_ in acts:
-            last = view.roster.last_events
+            last = view.roster.last_events_at
             self.do_step(view, clocks, stamps, births, (what, with_))
-            fresh = clocks.now - view.connected_at <= endpoint_list.PROMPT
-            most = endpoint_list.PROMPT + fresh * min(endpoint_list.OUTAGE, clocks.now - last)
+            fresh = clocks.now - view.connected_at <= endpoint_list.MAX_EVENT_DELAY
+            most = endpoint_list.MAX_EVENT_DELAY + fresh * min(endpoint_list.MAX_OUTAGE, clocks.now - last)
             for name, (listing, _) in view.roster.listed.items():
                 if name == "old":
                     continue
@@ -278,7 +278,9 @@
     @settings(max_examples=200, deadline=None, derandomize=True)
     @given(
         st.lists(
-            st.tuples(st.integers(0, int(HOUR)), st.integers(0, int(endpoint_list.PROMPT))), min_size=1, max_size=20
+            st.tuples(st.integers(0, int(HOUR)), st.integers(0, int(endpoint_list.MAX_EVENT_DELAY))),
+            min_size=1,
+            max_size=20,
         )
     )
     def test_an_ordinary_day_is_exact(self, starts):
--- a/tests/test_configuration_faults.py
+++ b/tests/test_configuration_faults.py
@@ -33,7 +33,7 @@
                     self.log.reset_mock()
                     with (
                         patch.object(configuration, "open", failing, create=True),
-                        patch.object(service, "REREAD_AFTER", 1.0),
+                        patch.object(service, "CONFIGURATION_RETRY_DELAY", 1.0),
                     ):
                         serving._request_reload(1, None)
                         self.until(
--- a/tests/test_coordinator_faults.py
+++ b/tests/test_coordinator_faults.py
@@ -34,7 +34,11 @@
         self.send(client, rig.dispatch(2, rig.fields(A), b"a"))
         self.assertEqual(self.answer(client)[1], "shed")
         self.assertEqual(
-            (serving.coordinator.counts["faults"], serving.coordinator.requests.by_id, serving.client_server.open),
+            (
+                serving.coordinator.counts["faults"],
+                serving.coordinator.requests.by_id,
+                serving.client_server.open_requests,
+            ),
             (1, {}, {}),
         )
 
--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -111,7 +111,7 @@
     def test_a_connection_that_comes_up_late(self):
         upstream, held = self.held()
         upstream.send(self.command(1500.0))
-        self.assertEqual(len(upstream.connections[0].pending), 1)
+        self.assertEqual(len(upstream.connections[0].pending_commands), 1)
         self.clock.now += 1000.5
         self.until(lambda: held)
         self.assertEqual(time_left_sent(held[0][1]), 499)
@@ -136,7 +136,7 @@
                 upstream.send(self.command(1500.0))
                 upstream.target = here
                 self.clock.now += gone
-                upstream.connections[0]._timed_out()
+                upstream.connections[0]._connect_timed_out()
                 if expected is None:
                     self.assertEqual(
                         (self.recorded, upstream.connections, self.pool.used), ([(ASCII_A, "unsent")], [], 0)
@@ -161,7 +161,7 @@
                 conn.write_buffer.sock = conn.sock
                 if expected is None:
                     self.until(lambda: self.recorded)
-                    self.assertEqual((self.recorded, list(conn.open)), ([(ASCII_B, "unsent")], [ASCII_A]))
+                    self.assertEqual((self.recorded, list(conn.open_commands)), ([(ASCII_B, "unsent")], [ASCII_A]))
                     self.assertFalse(upstream.withdraw_unsent(order))
                 else:
                     self.until(lambda held=held: len(held) == 2)
@@ -192,7 +192,7 @@
                     self.until(lambda held=held: len(held) == 2)
                     held[1][0].sendall(rig.bulk(ASCII_B, b"ACK", b"-", b""))
                 if how != "cut":
-                    self.until(lambda conn=conn: ASCII_B not in conn.open)
+                    self.until(lambda conn=conn: ASCII_B not in conn.open_commands)
                 upstream.close()
                 del order
                 self.assertIsNone(kept())
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -82,7 +82,7 @@
                 source = rig.Bus()  # its own: the one before may still be asked
                 self.addCleanup(source.close)
                 made = self.follow(source.address)
-                self.until(lambda source=source, made=made: source.offsets and made.up)
+                self.until(lambda source=source, made=made: source.offsets and made.response_started)
                 if first:
                     source.send_raw(first)
                 for _ in range(20):
@@ -103,14 +103,14 @@
             self.assertEqual(self.source.offsets, [])
             self.assertGreater(made.counts["connects"], 2)
         self.later(300)
-        self.until(lambda: made.up and self.source.offsets)
+        self.until(lambda: made.response_started and self.source.offsets)
         self.assertEqual(self.source.offsets, [7])
 
     def test_no_time_for_a_drain(self):
         """Settings that leave none: the list is reached all the same, and not asked for without a pause."""
         made = self.follow(self.source.address, most=0.0)
         self.later(100)
-        self.until(lambda: made.up)
+        self.until(lambda: made.response_started)
         made.close()
         made = self.follow(rig.free_address(), most=0.0)
         self.later(1000)
@@ -127,9 +127,9 @@
             (b"data: x\n\n", False),
             (b"data: x\n\nid", True),
         ):
-            events = sse.Events()
+            events = sse.EventParser()
             events.feed(raw)
-            self.assertEqual(events.begun, begun, raw)
+            self.assertEqual(events.has_partial_event, begun, raw)
 
 
 if __name__ == "__main__":
--- a/tests/test_discovery_lease.py
+++ b/tests/test_discovery_lease.py
@@ -47,7 +47,7 @@
         self.connected()
 
     def connected(self):
-        self.until(lambda: self.client.connected and self.stream.socks and not self.client.unsent)
+        self.until(lambda: self.client.connected and self.stream.socks and not self.client.unsent_request)
 
     def until(self, done):
         for _ in range(2000):
@@ -62,18 +62,23 @@
 
     def send(self, raw, received=None):
         """Sends it, and polls until the client has read it."""
-        before = self.client.last_activity, len(self.events), len(self.heard), self.client.events.comments
+        before = self.client.last_activity, len(self.events), len(self.heard), self.client.event_parser.comment_count
         self.stream.send(raw)
         self.until(
             received
             or (
-                lambda: (self.client.last_activity, len(self.events), len(self.heard), self.client.events.comments)
+                lambda: (
+                    self.client.last_activity,
+                    len(self.events),
+                    len(self.heard),
+                    self.client.event_parser.comment_count,
+                )
                 != before
             )
         )
 
     def test_a_comment_after_the_events_that_were_missed(self):
-        self.send(HEAD, lambda: self.client.up)
+        self.send(HEAD, lambda: self.client.response_started)
         self.now += 100
         self.send(told(2, rig.instance("w0", "127.0.0.1:9")))
         self.assertEqual((len(self.events), self.heard), (1, []))
@@ -84,7 +89,7 @@
         self.assertEqual(self.heard, [polled_at])
 
     def test_from_then_on_each_event_counts(self):
-        self.send(HEAD, lambda: self.client.up)
+        self.send(HEAD, lambda: self.client.response_started)
         self.now += 500
         self.send(COMMENT)
         self.poll()
@@ -96,7 +101,7 @@
 
     def test_a_comment_that_comes_with_the_head_proves_nothing(self):
         """It may be sent to open the stream, before the events that were missed."""
-        self.send(HEAD + COMMENT, lambda: self.client.events.comments)
+        self.send(HEAD + COMMENT, lambda: self.client.event_parser.comment_count)
         self.assertEqual(self.heard, [])
         self.now += discovery.CATCH_UP_TIME
         self.poll()
@@ -104,22 +109,22 @@
         self.assertEqual(len(self.heard), 1)
 
     def test_half_an_event_proves_nothing(self):
-        self.send(HEAD, lambda: self.client.up)
+        self.send(HEAD, lambda: self.client.response_started)
         self.now += 500
         self.send(COMMENT)
         before = len(self.heard)
         self.now += 500
         self.stream.send(b"id: 3\ndata: {")
-        self.until(lambda: self.client.events.begun)
+        self.until(lambda: self.client.event_parser.has_partial_event)
         self.assertEqual(len(self.heard), before)
 
     def test_a_connection_that_brings_nothing_proves_nothing(self):
-        self.send(HEAD, lambda: self.client.up)
+        self.send(HEAD, lambda: self.client.response_started)
         self.now += 5000
         self.assertEqual(self.heard, [])
 
     def test_what_waited_while_the_process_was_stopped_is_as_old_as_the_poll_before(self):
-        self.send(HEAD, lambda: self.client.up)
+        self.send(HEAD, lambda: self.client.response_started)
         self.now += 500
         self.send(COMMENT)
         self.poll()
@@ -130,7 +135,7 @@
         self.assertEqual(self.heard[before:], [polled_at])
 
     def test_and_so_is_the_rest_of_what_is_read_in_pieces(self):
-        self.send(HEAD, lambda: self.client.up)
+        self.send(HEAD, lambda: self.client.response_started)
         self.now += 500
         self.send(COMMENT)
         self.poll()
@@ -139,17 +144,17 @@
         self.now += 30000
         with patch.object(discovery, "READ_SIZE", len(COMMENT)):
             self.stream.send(3 * COMMENT + b":")
-            comments = self.client.events.comments
+            comments = self.client.event_parser.comment_count
             for _ in range(2000):
                 self.loop.run_once(5.0, lambda: None)
                 self.now += 10  # each iteration takes a while
-                if self.client.events.comments == comments + 3 and self.client.events.buffer:
+                if self.client.event_parser.comment_count == comments + 3 and self.client.event_parser.buffer:
                     break
         self.assertEqual(set(self.heard[before:]) - {polled_at}, set())
 
     def test_a_wait_that_a_stop_interrupted_is_followed_by_a_look_at_the_sockets(self):
         """The wait ends late and without events though there are some; timers must not run before these are read."""
-        self.send(HEAD, lambda: self.client.up)
+        self.send(HEAD, lambda: self.client.response_started)
         self.now += 500
         self.send(COMMENT)
         self.poll()
@@ -174,7 +179,7 @@
         self.assertEqual(self.client.counts["silent"], 0)
 
     def test_lost_and_heard_again_are_logged_once_with_durations(self):
-        self.send(HEAD, lambda: self.client.up)
+        self.send(HEAD, lambda: self.client.response_started)
         self.now += 500
         self.send(COMMENT)
         self.poll()
@@ -186,7 +191,7 @@
         self.now += 1000
         self.until(lambda: len(self.stream.socks) > before)
         self.connected()
-        self.send(HEAD, lambda: self.client.up)
+        self.send(HEAD, lambda: self.client.response_started)
         self.assertFalse(self.log.info.called)
         self.now += 500
         self.send(COMMENT)
--- a/tests/test_drains_in_stops.py
+++ b/tests/test_drains_in_stops.py
@@ -27,13 +27,13 @@
         (client,) = self.connected()
         client.send(request(1, d="4000"))
         upstream = self.serving.coordinator.workers.clients["w0"]
-        self.until(lambda: any(each.pending for each in upstream.connections), "the attempt")
-        (waiting,) = [each for each in upstream.connections if each.pending]
+        self.until(lambda: any(each.pending_commands for each in upstream.connections), "the attempt")
+        (waiting,) = [each for each in upstream.connections if each.pending_commands]
         bus.event(rig.event(2, rig.instance("w0", full.address, lifecycle="DRAINING")))
         wait_for(self, lambda: peeked(self.serving.discovery.sock))
         self.stop()
         self.iterate_with_events(waiting.sock, self.serving.discovery.sock)
-        self.assertEqual([command for command in waiting.open.values() if command.ident == b"%016x" % 1], [])
+        self.assertEqual([command for command in waiting.open_commands.values() if command.ident == b"%016x" % 1], [])
         self.assertEqual(self.serving.endpoints.offset, 2)
 
     def iterate_with_events(self, writable, readable):
@@ -101,7 +101,7 @@
     def catch_up(self, bus):
         """Discovery has reported all events on its present connection."""
         discovery = self.serving.discovery
-        self.until(lambda: bus.readers and discovery.up, "discovery")
+        self.until(lambda: bus.readers and discovery.response_started, "discovery")
         self.later(200.0)
         bus.send_raw(b": heartbeat\n\n")
         self.until(lambda: discovery.caught_up, "the heartbeat")
--- a/tests/test_endpoint_list_changes.py
+++ b/tests/test_endpoint_list_changes.py
@@ -46,7 +46,7 @@
     def test_a_whole_list_keeps_who_stays(self):
         """Connections, slow start and state of a worker outlast a full list, late or twice; a restart ends them."""
         # Real clocks: on a busy machine the steps below may take longer than an event may be late.
-        self.enterContext(patch.object(endpoint_list, "PROMPT", rig.LONG * 1000))
+        self.enterContext(patch.object(endpoint_list, "MAX_EVENT_DELAY", rig.LONG * 1000))
         source, one, two = self.lists(), self.worker(), self.worker()
         serving = self.front_end(one.address, two.address, bus=source.address)
         self.until(lambda: source.offsets)
--- a/tests/test_idle_connections.py
+++ b/tests/test_idle_connections.py
@@ -183,15 +183,15 @@
             self.answer(client)
         serving._request_shutdown(signal.SIGTERM, None)
         self.later(service.GRACE_PERIOD - 1, settle=True)
-        shut = serving.client_server.shut
+        shut = serving.client_server.close_listener
 
         def crossing():
-            if not serving.client_server.shut_down:
+            if not serving.client_server.listener_closed:
                 for at, client in enumerate(clients):
                     client.send(request(2, CLASSES[at % 3], ident=f"{50 + at:016x}"))
             shut()
 
-        serving.client_server.shut = crossing
+        serving.client_server.close_listener = crossing
         self.now += 2
         serving.run_once()
         for client in clients:
--- a/tests/test_platform_client_server.py
+++ b/tests/test_platform_client_server.py
@@ -28,7 +28,7 @@
             Mock(),
         )
         self.front.listen()
-        self.addCleanup(self.front.shut)
+        self.addCleanup(self.front.close_listener)
         self.addCleanup(lambda: [client.close() for client in list(self.front.clients.values())])
 
     def client(self):
@@ -117,7 +117,7 @@
         self.recorded[0].pending.reject("x")
         self.assertEqual(self.answer(client)[1], "shed")
         self.assertEqual(self.answer(client)[1], "closed")
-        self.assertEqual((len(self.recorded), self.front.open), (1, {}))
+        self.assertEqual((len(self.recorded), self.front.open_requests), (1, {}))
 
     def test_over_32_open(self):
         client = self.client()
@@ -134,7 +134,7 @@
         self.until(lambda: len(self.recorded) == 17)
         client.close()
         self.until(lambda: isinstance(self.recorded[-1], ClientClosed))
-        self.assertEqual((self.front.open, self.front.clients), ({}, {}))
+        self.assertEqual((self.front.open_requests, self.front.clients), ({}, {}))
 
     def test_silence_and_half_a_frame_end_in_time_and_who_asked_once_stays(self):
         with patch.object(client_server, "SILENCE_TIMEOUT", 100.0):
@@ -153,7 +153,7 @@
         idle.send(rig.alive(1))
         self.answer(idle)
         new = [self.client() for _ in range(20)]
-        self.until(lambda: self.front.last_number == 21)
+        self.until(lambda: self.front.last_connection_number == 21)
         self.assertEqual(self.answer(idle)[1], "closed")
         for client in new:
             client.send(rig.alive(1))
--- a/tests/test_platform_parsers.py
+++ b/tests/test_platform_parsers.py
@@ -18,13 +18,13 @@
     """Thrift requests and their frames."""
 
     def test_reads_requests(self):
-        parsed = thrift.read(GOOD)
+        parsed = thrift.parse_message(GOOD)
         self.assertEqual(
-            (parsed.verb, parsed.number, parsed.fields, parsed.body), ("dispatch", 7, {"c": "look"}, b"hi")
+            (parsed.method, parsed.number, parsed.fields, parsed.body), ("dispatch", 7, {"c": "look"}, b"hi")
         )
-        self.assertEqual(thrift.read(rig.cancel(3, 9)[4:]).about, 9)
+        self.assertEqual(thrift.parse_message(rig.cancel(3, 9)[4:]).cancelled_number, 9)
         extra = GOOD[:-1] + b"\x0f\x00\x09\x08" + struct.pack(">iii", 2, 5, 6) + b"\x00"  # a list nobody knows
-        self.assertEqual(thrift.read(extra).body, b"hi")
+        self.assertEqual(thrift.parse_message(extra).body, b"hi")
 
     def test_what_can_not_be_read(self):
         """(name, frame) -> refused, whatever its lengths say; with its number where that can be told."""
@@ -45,20 +45,20 @@
             ("body over 16 KiB", rig.message("dispatch", 7, b"\x0b\x00\x02" + rig.text(b"x" * 16385) + b"\x00"), 7),
         ):
             with self.subTest(name), self.assertRaises(thrift.MalformedMessageError) as caught:
-                thrift.read(frame)
+                thrift.parse_message(frame)
             self.assertEqual(caught.exception.number, number, name)
 
     def test_frames_in_any_pieces(self):
         stream = rig.framed(b"abc") + rig.framed(b"de")
         for size in (1, 2, 5, 100):
-            frames = thrift.Frames()
+            frames = thrift.FrameParser()
             parsed = [f for at in range(0, len(stream), size) for f in frames.feed(stream[at : at + size])]
-            self.assertEqual((parsed, frames.begun), ([b"abc", b"de"], False))
+            self.assertEqual((parsed, frames.has_partial_frame), ([b"abc", b"de"], False))
         for length in (-1, 0, thrift.MAX_FRAME_SIZE + 1, 60 << 20):
             with self.subTest(length), self.assertRaises(thrift.MalformedMessageError):
-                thrift.Frames().feed(struct.pack(">i", length))
-        after = thrift.Frames()  # what was whole before it counts
-        self.assertEqual((after.feed(rig.framed(b"abc") + b"\xff" * 4), after.invalid), ([b"abc"], True))
+                thrift.FrameParser().feed(struct.pack(">i", length))
+        after = thrift.FrameParser()  # what was whole before it counts
+        self.assertEqual((after.feed(rig.framed(b"abc") + b"\xff" * 4), after.next_frame_invalid), ([b"abc"], True))
 
 
 class Resp(unittest.TestCase):
@@ -67,10 +67,10 @@
     def test_answers_in_any_pieces(self):
         stream = rig.bulk(b"a", b"ACK", b"-", b"x\r\ny") + rig.bulk(b"b", b"AGAIN", b"why=c", b"")
         for size in (1, 3, 7, 1000):
-            answers = resp.Answers()
+            answers = resp.AnswerParser()
             parsed = [a for at in range(0, len(stream), size) for a in answers.feed(stream[at : at + size])]
             self.assertEqual(parsed, [[b"a", b"ACK", b"-", b"x\r\ny"], [b"b", b"AGAIN", b"why=c", b""]])
-            self.assertFalse(answers.begun)
+            self.assertFalse(answers.has_partial_answer)
 
     def test_spoilt_answers_are_known_before_they_are_kept(self):
         """(name, bytes) -> refused at once; what was whole before is still there."""
@@ -86,7 +86,7 @@
             ("a simple string", b"+OK\r\n"),
         ):
             with self.subTest(name):
-                answers = resp.Answers()
+                answers = resp.AnswerParser()
                 with self.assertRaises(resp.InvalidAnswerError):
                     answers.feed(rig.bulk(b"a", b"ACK", b"-", b"") + raw)
                 self.assertEqual(len(answers.complete), 1)
@@ -126,11 +126,11 @@
     def test_events_in_any_pieces(self):
         stream = b': pulse\n\nid: 3\ndata: {"a":\ndata: 1}\n\nid: 4\r\ndata: b\r\n\r\nid: 5\ndata: half'
         for size in (1, 4, 1000):
-            events = sse.Events()
+            events = sse.EventParser()
             parsed = [e for at in range(0, len(stream), size) for e in events.feed(stream[at : at + size])]
             self.assertEqual([(e.ident, e.data) for e in parsed], [("3", '{"a":\n1}'), ("4", "b")])
         with self.assertRaises(sse.EventTooLargeError):
-            sse.Events().feed(b"data: " + b"x" * (sse.MAX_EVENT_SIZE + 1))
+            sse.EventParser().feed(b"data: " + b"x" * (sse.MAX_EVENT_SIZE + 1))
 
     def test_the_view(self):
         """(events) -> changes as (name, state), then where all are."""
@@ -177,21 +177,21 @@
     """Codecs before cut, changed and random bytes: what they give or their one error, and bounded memory."""
 
     def thrift_reads(self, data, size):
-        frames = thrift.Frames()
+        frames = thrift.FrameParser()
         for at in range(0, len(data), size):
             for frame in frames.feed(data[at : at + size]):
-                thrift.read(frame)
+                thrift.parse_message(frame)
             self.assertLessEqual(len(frames.buffer), thrift.MAX_FRAME_SIZE + 4 + size)
 
     def resp_reads(self, data, size):
-        answers = resp.Answers()
+        answers = resp.AnswerParser()
         for at in range(0, len(data), size):
             for answer in answers.feed(data[at : at + size]):
                 worker_results.read_result(answer, ("busy",))
             self.assertLessEqual(len(answers.buffer), resp.MAX_PART_SIZE + 2 + size)
 
     def sse_reads(self, data, size):
-        events = sse.Events()
+        events = sse.EventParser()
         for at in range(0, len(data), size):
             for event in events.feed(data[at : at + size]):
                 endpoint_list.EndpointList((), (), lambda: 0.0).apply([endpoint_list.parse_event(event.data)], 0.0)
--- a/tests/test_platform_reconfiguration.py
+++ b/tests/test_platform_reconfiguration.py
@@ -102,7 +102,9 @@
             self.write(source.address)
             serving._request_reload(signal.SIGHUP, None)
             many = len(source.offsets)
-            self.until(lambda source=source, many=many: len(source.offsets) > many and serving.discovery.up)
+            self.until(
+                lambda source=source, many=many: len(source.offsets) > many and serving.discovery.response_started
+            )
             source.event(rig.event(at + 1, rig.instance(f"x{at}", worker.address, lifecycle="DRAINING")))
             self.until(lambda at=at: serving.endpoints.offset == at + 1)
             self.answer_held()
@@ -116,7 +118,7 @@
             with self.subTest(cut):
                 old, new, worker = self.made(rig.Bus()), self.made(rig.Bus()), self.worker()
                 serving = self.front_end(worker.address, bus=old.address)
-                self.until(lambda old=old, bus=serving.discovery: old.offsets and bus.up)
+                self.until(lambda old=old, bus=serving.discovery: old.offsets and bus.response_started)
                 self.write(new.address, worker.address)
                 with open(self.path) as source:
                     whole = source.read()
@@ -125,7 +127,7 @@
                 serving._request_reload(signal.SIGHUP, None)
                 for _ in range(5):
                     serving.run_once()
-                self.assertEqual((new.offsets, serving.discovery.up), ([], True))
+                self.assertEqual((new.offsets, serving.discovery.response_started), ([], True))
                 client = self.client()
                 client.send(request(1))
                 self.assertEqual(self.final(client, 500)[1], "answer")
--- a/tests/test_platform_request_fields.py
+++ b/tests/test_platform_request_fields.py
@@ -24,7 +24,9 @@
 
         def read(**more):
             given = {k: v for k, v in rig.fields(**more).items() if v is not None}
-            return requests.check(thrift.Message("dispatch", 1, given, b"", 0), methods, ("north", "south")).call
+            return requests.check_request(
+                thrift.Message("dispatch", 1, given, b"", 0), methods, ("north", "south")
+            ).parameters
 
         call = read(
             t="north",
--- a/tests/test_platform_traffic.py
+++ b/tests/test_platform_traffic.py
@@ -36,7 +36,7 @@
         self.addCleanup(serving.discovery.close)
         self.addCleanup(lambda: [upstream.close() for upstream in list(serving.coordinator.workers.clients.values())])
         serving.open()
-        self.addCleanup(serving.client_server.shut)
+        self.addCleanup(serving.client_server.close_listener)
         told = serving.coordinator.router.workers["w0"]
 
         def until(done):
@@ -65,7 +65,7 @@
         self.assertEqual(place.loaded, 1)
         client.close()
         until(lambda: not told.in_flight and not serving.coordinator.requests.by_id)
-        self.assertEqual(serving.client_server.open, {})
+        self.assertEqual(serving.client_server.open_requests, {})
         self.assertEqual(
             sum(conn.commands_in_flight for conn in serving.coordinator.workers.clients["w0"].connections), 0
         )
--- a/tests/test_process_stopped.py
+++ b/tests/test_process_stopped.py
@@ -11,7 +11,7 @@
 from tests.stopped_rig import STOP, StoppedCase
 from tests.test_busy_front_end import peeked
 from wickdyke.platform import client_server
-from wickdyke.platform.client_connection import RETRY_AFTER
+from wickdyke.platform.client_connection import SYSCALL_RETRY_DELAY
 from wickdyke.transport import event_loop
 
 DEADLINE_SLACK = 150  # ms by which the time passed on may exceed what is left
@@ -76,7 +76,7 @@
                 self.stop(50.0)
                 self.serving.run_once()
         self.assert_reduced(worker, 1, 1500, 100.0)
-        (known,) = [each for each in self.serving.client_server.clients.values() if each.last_number]
+        (known,) = [each for each in self.serving.client_server.clients.values() if each.last_request_number]
         self.assertLessEqual(known.received_at, self.now - 400.0)
 
     def test_one_that_asks_later_has_all_its_time(self):
@@ -123,9 +123,9 @@
         server = self.serving.client_server
         with self.failing(server, "sock", "accept", OSError(errno.ENFILE, "Too many open files in system")):
             self.until(lambda: server.accept_paused, "the pause")
-            self.stop(RETRY_AFTER - 1)
+            self.stop(SYSCALL_RETRY_DELAY - 1)
             self.iterate()
-        waited = RETRY_AFTER - 1
+        waited = SYSCALL_RETRY_DELAY - 1
         while not server.clients:
             self.stop(100.0)
             waited += 100.0
@@ -173,7 +173,7 @@
         worker = self.worker()
         with patch.object(event_loop.EventLoop, "add", self.add_no_listener(event_loop.EventLoop.add)):
             self.running(worker)
-            self.later(5 * RETRY_AFTER)
+            self.later(5 * SYSCALL_RETRY_DELAY)
             (client,) = self.connected()
             client.send(request(1, d="3000"))
             self.stop()
@@ -193,7 +193,7 @@
         (client,) = self.connected()
         client.send(request(1, d="3000"))
         self.stop()
-        self.serving.client_server.shut()
+        self.serving.client_server.close_listener()
         self.serving.client_server.read_clients()
         self.assert_reduced(worker, STOP)
 
--- a/tests/test_service_shutdown_races.py
+++ b/tests/test_service_shutdown_races.py
@@ -23,8 +23,10 @@
         whole = rig.dispatch(1, rig.fields(B), b"b")
         half.send(whole[:25])
         self.at_worker(1)
-        self.until(lambda: any(client.frames.begun for client in serving.client_server.clients.values()))
-        shut, waiting = serving.client_server.shut, []
+        self.until(
+            lambda: any(client.frame_parser.has_partial_frame for client in serving.client_server.clients.values())
+        )
+        shut, waiting = serving.client_server.close_listener, []
 
         def just_before():  # taken by the kernel, and not by the program, as the door is shut
             if not waiting:
@@ -32,11 +34,11 @@
                 waiting[0].send(rig.dispatch(1, rig.fields(C), b"c"))
             shut()
 
-        serving.client_server.shut = just_before
+        serving.client_server.close_listener = just_before
         serving._request_shutdown(signal.SIGTERM, None)
         serving.shutdown_requested_at -= service.GRACE_PERIOD  # it is long ago: the door is shut in the next iteration
         self.assertTrue(serving.run_once())
-        self.assertTrue(serving.client_server.shut_down)
+        self.assertTrue(serving.client_server.listener_closed)
         half.send(whole[25:])
         self.assertEqual(self.answer(waiting[0]), (1, "answer", b"did c"))
         self.assertEqual(self.answer(half), (1, "answer", b"did b"))
@@ -53,7 +55,7 @@
         self.answer(client)
         serving._request_shutdown(signal.SIGTERM, None)
         serving.shutdown_requested_at -= service.GRACE_PERIOD
-        flushed, sent = serving.client_server.flushed, []
+        flushed, sent = serving.client_server.all_answers_sent, []
 
         def look():
             found = flushed()
@@ -62,7 +64,7 @@
                 sent.append(True)
             return found
 
-        serving.client_server.flushed = look
+        serving.client_server.all_answers_sent = look
         self.assertTrue(serving.run_once())
         self.assertEqual(self.answer(client), (2, "answer", b"did a"))
         self.until(lambda: not serving.run_once(), "the end")
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -46,10 +46,10 @@
         while at < kill and not self.over:
             if moments and at >= moments[0]:
                 moments.pop(0)
-                client, before = clients.pop(0), serving.client_server.reads
+                client, before = clients.pop(0), serving.client_server.read_count
                 self.send(client, rig.dispatch(2, rig.fields(f"{len(sent):016x}", d=str(longest)), b"slow"))
                 sent.append(client)
-                self.until(lambda before=before: serving.client_server.reads > before, "the read")
+                self.until(lambda before=before: serving.client_server.read_count > before, "the read")
             self.run_once()
             at += step
             self.now = self.terminated + at
@@ -148,7 +148,7 @@
         self.run_once()
         client = self.client()
         self.now += service.GRACE_PERIOD
-        self.until(lambda: serving.client_server.shut_down, "the close")
+        self.until(lambda: serving.client_server.listener_closed, "the close")
         self.run_once()
         self.assertFalse(self.over)
         client.send(rig.dispatch(1, rig.fields(A), b"a"))
@@ -161,7 +161,7 @@
         self.run_once()
         client = self.client()
         self.now += service.GRACE_PERIOD
-        self.until(lambda: serving.client_server.shut_down, "the close")
+        self.until(lambda: serving.client_server.listener_closed, "the close")
         self.now += client_server.NEW_CONNECTION_TIME
         self.until(lambda: self.over, "the end")
         self.assertEqual(client.answer()[1], "closed")
@@ -173,7 +173,7 @@
         self.now += service.GRACE_PERIOD
         whole = rig.dispatch(2, rig.fields(A), b"a")
         self.send(client, whole[:30])
-        self.until(lambda: any(each.frames.begun for each in serving.client_server.clients.values()))
+        self.until(lambda: any(each.frame_parser.has_partial_frame for each in serving.client_server.clients.values()))
         self.run_once()
         self.assertFalse(self.over)
         client.send(whole[30:])
--- a/tests/test_slow_discovery.py
+++ b/tests/test_slow_discovery.py
@@ -113,7 +113,7 @@
         source = self.made(rig.Bus())
         self.write(source.address, worker.address)
         serving._request_reload(signal.SIGHUP, None)
-        self.until(lambda: source.offsets and serving.discovery.up)
+        self.until(lambda: source.offsets and serving.discovery.response_started)
         source.event(rig.event(2, rig.instance("w1", worker.address)))
         self.until(lambda: serving.endpoints.offset == 2)
         self.assertEqual(self.faults(), [])
--- a/tests/test_work_held_back.py
+++ b/tests/test_work_held_back.py
@@ -29,8 +29,8 @@
         client = self.client()
         client.send(request(1, d="4000"))
         upstream = serving.coordinator.workers.clients["w0"]
-        self.until(lambda: any(connection.pending for connection in upstream.connections))
-        (waiting,) = [connection for connection in upstream.connections if connection.pending]
+        self.until(lambda: any(connection.pending_commands for connection in upstream.connections))
+        (waiting,) = [connection for connection in upstream.connections if connection.pending_commands]
         self.now += NOTIFIED_AFTER + GRACE
         for dialled in full.first:
             dialled.close()
@@ -39,10 +39,12 @@
         def made():
             with suppress(BlockingIOError):
                 full.taken.append(full.sock.accept()[0])
-            return waiting.up
+            return waiting.established
 
         self.until(made, "the connection")
-        in_flight = [command for connection in upstream.all_connections() for command in connection.open.values()]
+        in_flight = [
+            command for connection in upstream.all_connections() for command in connection.open_commands.values()
+        ]
         self.assertEqual([command for command in in_flight if command.kind == CommandKind.ATTEMPT], [])
         self.until(lambda: serving.coordinator.counts["attempts_unsent"], "the end of the attempt")
 
@@ -125,7 +127,7 @@
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\x01\x00\x00\x00\x00\x00\x00\x00")
             sock.shutdown(socket.SHUT_RD)
             sock.close()
-        self.until(lambda: client.shared is None, "the end")
+        self.until(lambda: client.shared_connection is None, "the end")
         self.check(client, 2)
         self.assertGreater(client.same_process_since, 0.0)
 
--- a/tests/test_worker_connecting.py
+++ b/tests/test_worker_connecting.py
@@ -67,19 +67,21 @@
         for at in range(5):
             upstream.send(self.command(b"%016d" % at))
         for conn in list(upstream.connections):
-            conn._timed_out()
-        self.assertEqual((upstream.reachability.timeouts_in_row, self.recorded, len(upstream.connections)), (1, [], 5))
-        upstream.connections[0]._timed_out()
+            conn._connect_timed_out()
+        self.assertEqual(
+            (upstream.reachability.consecutive_timeouts, self.recorded, len(upstream.connections)), (1, [], 5)
+        )
+        upstream.connections[0]._connect_timed_out()
         self.assertEqual([outcome for _, outcome in self.recorded], ["unreached"])
 
     def test_one_that_came_up_takes_the_misses_back(self):
         worker = rig.Worker()
         self.addCleanup(worker.close)
         upstream = self.upstream(worker.address, dial=60000.0)
-        upstream.reachability.timeouts_in_row = 1
+        upstream.reachability.consecutive_timeouts = 1
         upstream.send(self.command())
         self.until(lambda: self.recorded)
-        self.assertEqual((self.recorded, upstream.reachability.timeouts_in_row), ([(ASCII_A, "ok")], 0))
+        self.assertEqual((self.recorded, upstream.reachability.consecutive_timeouts), ([(ASCII_A, "ok")], 0))
 
     def test_what_waits_for_a_connection_goes_on_one_that_idles(self):
         upstream, held = self.held()
@@ -129,7 +131,7 @@
         self.addCleanup(worker.close)
         upstream = self.upstream(worker.address)
         upstream.send(self.command())
-        self.until(lambda: upstream.connections and upstream.connections[0].up)
+        self.until(lambda: upstream.connections and upstream.connections[0].established)
         with no_descriptor():
             self.until(lambda: self.recorded)
         self.assertEqual(
@@ -150,7 +152,7 @@
                     self.assertEqual(self.recorded, [])
                     if misses == 1:
                         upstream.target = here
-                    upstream.probe.connection._timed_out()
+                    upstream.probe.connection._connect_timed_out()
                 self.until(lambda: self.recorded)
                 self.assertEqual(self.recorded, [(ASCII_A, outcome)])
 
@@ -174,7 +176,7 @@
                 self.assertFalse(upstream.withdraw_unsent(order))
                 for _ in range(2):
                     if upstream.probe.connection is not None:
-                        upstream.probe.connection._timed_out()
+                        upstream.probe.connection._connect_timed_out()
                 self.assertEqual(self.recorded, [(ASCII_A, "cut")] if how == "retire" else [])
                 self.assertEqual((upstream.probe.unresolved, upstream.closed), ([], how == "retire"))
 
@@ -187,7 +189,7 @@
                 self.until(lambda held=held: held)
                 whole = rig.bulk(ASCII_A, b"ACK", b"-", b"body")
                 held[0][0].sendall(whole[:-4] if how == "forget" else whole + whole[:-4])
-                self.until(lambda upstream=upstream: upstream.connections[0].answers.begun)
+                self.until(lambda upstream=upstream: upstream.connections[0].answer_parser.has_partial_answer)
                 if how == "forget":
                     self.assertTrue(upstream.abandon(order))
                 self.assertFalse(any(conn.accepts(ASCII_B) for conn in upstream.connections))
--- a/tests/test_worker_reachability.py
+++ b/tests/test_worker_reachability.py
@@ -58,9 +58,9 @@
         with self.prepare(Faults()):
             upstream = self.upstream(self.workers()[0])
             self.assertEqual(self.outcome(upstream, 0), "ok")
-            upstream.reachability.timeouts_in_row, upstream.reachability.timed_out_at = 1, self.now
+            upstream.reachability.consecutive_timeouts, upstream.reachability.last_timeout_at = 1, self.now
             self.assertEqual(self.outcome(upstream, 1), "ok")
-            self.assertEqual(upstream.reachability.timeouts_in_row, 1)
+            self.assertEqual(upstream.reachability.consecutive_timeouts, 1)
             upstream.close()
 
     def test_each_doubt_has_its_own_checks(self):
@@ -69,14 +69,17 @@
         self.addCleanup(worker.close)
         with self.prepare(Faults()):
             upstream = self.upstream(worker)
-            upstream.probe.count = worker_client.MAX_SENDS
+            upstream.probe.connect_count = worker_client.MAX_SENDS
             upstream.send(command := self.command(0))
             self.until(lambda: self.faults.begun)
             command.connection.end("ended by the worker")
-            self.assertEqual((self.recorded, upstream.probe.unresolved, upstream.probe.count), ([], [command], 1))
+            self.assertEqual(
+                (self.recorded, upstream.probe.unresolved, upstream.probe.connect_count), ([], [command], 1)
+            )
             self.end(1)
             self.assertEqual(
-                (self.recorded, upstream.probe.unresolved, upstream.probe.count), ([(IDENTS[0], "error")], [], 0)
+                (self.recorded, upstream.probe.unresolved, upstream.probe.connect_count),
+                ([(IDENTS[0], "error")], [], 0),
             )
             upstream.close()
 
--- a/wickdyke/platform/client_connection.py
+++ b/wickdyke/platform/client_connection.py
@@ -1,6 +1,6 @@
-"""One connection of a client: reads frames, posts checked requests to the coordinator, writes one answer for each.
+"""One connection of a client: reads frames, posts valid requests to the coordinator, and writes one answer to each.
 
-A client that breaks the protocol gets an application exception or a close; nothing of that reaches a worker.
+A client that violates the protocol gets an application exception or is disconnected; its data never reaches a worker.
 """
 
 import socket
@@ -13,97 +13,98 @@
 from wickdyke.gateway.events import ClientClosed, Event, RequestCancelled, RequestReceived
 from wickdyke.gateway.interfaces import RejectionReason
 from wickdyke.platform import thrift
-from wickdyke.platform.requests import Call, InvalidRequestError, check
+from wickdyke.platform.requests import InvalidRequestError, RequestParameters, check_request
 from wickdyke.routing.model import RequestClass
 from wickdyke.transport.event_loop import EventLoop, Priority, clock, receive
 from wickdyke.transport.write_buffer import OutgoingMessage, PeerTooSlowError, WriteBuffer
 
 READ_SIZE = 1 << 15  # bytes read at a time
-MAX_OPEN_REQUESTS = 32  # requests open on one connection
-MAX_UNREAD = 1 << 18  # bytes of answers that may wait for a client
-NEW_CONNECTION_TIME = 500.0  # ms in which a connection counts as new
-RETRY_AFTER = 20.0  # ms until a system call is retried that failed for want of memory
-MAX_UNKNOWN_METHOD_QUOTED = 64  # characters of an unknown method that an error quotes
-MAX_UNREAD_TIME = 60.0  # ms for which requests may have waited unread and still count as received when they are read
-MAX_READS = 8  # of one connection at a time, where all data received by the kernel is wanted
-# A cancel or a close may be behind what has waited for so long (ms): that is read to its end before it is handled.
-READ_ON_AFTER = 20.0
-READ_ON_TIME = 10.0  # ms that this takes at most: others wait meanwhile
-READ_AGAIN_AFTER = 50.0  # ms after which a client is read again before an attempt begins on its behalf
+MAX_OPEN_REQUESTS = 32  # maximum number of open requests of one connection
+MAX_BUFFERED_BYTES = 1 << 18  # bytes of answers that may wait to be sent to a client
+NEW_CONNECTION_TIME = 500.0  # ms for which a connection counts as new
+SYSCALL_RETRY_DELAY = 20.0  # ms until a system call that failed for lack of memory is retried
+MAX_UNKNOWN_METHOD_QUOTED = 64  # characters of an unknown method name that an error quotes
+# Requests that waited unread in the kernel for at most this long (ms) count as received when they are read.
+MAX_UNREAD_TIME = 60.0
+MAX_READS_PER_CALL = 8  # consecutive reads of one connection, to get all data that the kernel has received
+# Data that has waited unread for longer (ms) may be followed by a cancel or a close, so reading continues.
+UNREAD_AGE_THRESHOLD = 20.0
+MAX_READ_TIME = 10.0  # ms that consecutive reads may take: other connections wait meanwhile
+REREAD_INTERVAL = 50.0  # ms since the last read after which a client is read again before an attempt for it begins
 
 
 class ConnectionOwner(Protocol):
-    """The server of a client connection, as far as the connection uses it."""
+    """The client server, as its connections use it."""
 
     loop: EventLoop
     request_classes: dict[str, RequestClass]
     tenants: tuple[str, ...]
     clients: "dict[int, ClientConnection]"  # by number
-    open: "dict[bytes, PendingRequest]"  # by the client's id
+    open_requests: "dict[bytes, PendingRequest]"  # by the id that the client has set
     counts: Counter[str]
-    reads: int  # of all connections
+    read_count: int  # reads of data, over all connections
 
     @property
     def post(self) -> Callable[[Event], None]:
         """Passes an event to the coordinator."""
 
     @property
-    def busy(self) -> Callable[[], RejectionReason | None]:
+    def rejection_reason(self) -> Callable[[], RejectionReason | None]:
         """Returns why no request can be admitted now, or None."""
 
     def is_serving(self) -> bool:
         """Returns whether requests are admitted."""
 
     def count_invalid(self, reason: str) -> None:
-        """Counts a request that is invalid."""
+        """Counts an invalid request."""
 
-    def time_for(self, time_left: float) -> float:
-        """Returns how long (ms) a request received now may take; 0 where there is no time for it."""
+    def limit_time_left(self, time_left: float) -> float:
+        """Returns how much of `time_left` (ms) a new request may use before the shutdown; 0 where that is too short."""
 
     def read_all(self, client: "ClientConnection") -> None:
-        """Reads what the client has sent by now, up to a bound."""
+        """Reads the data that the client has sent so far, up to a limit."""
 
     def release_socket(self, client: "ClientConnection") -> None:
         """Closes the socket of a connection that has ended."""
 
 
 class PendingRequest(interfaces.PendingRequest):
-    """One request of a client."""
+    """One request of a client. `ident` is the number of its message on the connection."""
 
     __slots__ = ()
 
     client: "ClientConnection"
     ident: int
-    params: Call
+    params: RequestParameters
 
     def succeed(self, output: bytes, attempts: int) -> None:
-        """Sends its final answer, with the worker's output."""
-        self._answer(thrift.answer("dispatch", self.ident, output))
+        """Sends the final answer, with the worker's output."""
+        self._send_answer(thrift.encode_answer("dispatch", self.ident, output))
 
     def reject(self, reason: str, retry_after: float | None = None) -> None:
-        """Sends its final answer: it was rejected, and nothing was done."""
+        """Sends the final answer: the request was rejected and did not run. `retry_after` is in ms."""
         fields = {} if retry_after is None else {"w": str(max(1, round(retry_after)))}
-        self._answer(thrift.shed("dispatch", self.ident, fields))
+        self._send_answer(thrift.encode_shed("dispatch", self.ident, fields))
 
     def fail(self, reason: str) -> None:
-        """Sends its final answer: it failed, and may have been carried out or not."""
-        self._answer(thrift.fault("dispatch", self.ident, {}))
+        """Sends the final answer: the request failed, and may or may not have run."""
+        self._send_answer(thrift.encode_fault("dispatch", self.ident, {}))
 
     def still_wanted(self) -> bool:
-        """Returns whether its client still waits for an answer; a cancel or a close sent meanwhile is read first."""
-        # On a busy machine a cancel or a close waits in the kernel while a retry or a hedge is decided.
+        """Returns whether the client still waits for an answer, after reading a cancel or close that has arrived."""
+        # On a busy machine a cancel or a close may wait in the kernel while a retry or a hedge is decided.
         client = self.client
-        if clock() - client.last_read_at > READ_AGAIN_AFTER:
+        if clock() - client.last_read_at > REREAD_INTERVAL:
             client.server.read_all(client)
-        return client.open.get(self.ident) is self
+        return client.open_requests.get(self.ident) is self
 
-    def _answer(self, frame: bytes) -> None:
+    def _send_answer(self, frame: bytes) -> None:
         if self.client.release(self):
             self.client.write(frame)
 
 
 class ClientConnection:
-    """One connection of a client; `number` is its own, for the log."""
+    """One connection of a client; `number` identifies it in the server."""
 
     priority = Priority.NORMAL
 
@@ -111,213 +112,217 @@
         self.server = server
         self.sock = sock
         self.number = number
-        self.write_buffer = WriteBuffer(sock, MAX_UNREAD, "client", self._set_waiting)
-        self.frames = thrift.Frames()
-        self.open: dict[int, PendingRequest] = {}
-        self.last_number = 0  # of the last request
-        self.waiting_since = clock()  # when the incomplete frame, or the wait for the first one, began
-        self.last_used_at = clock()  # when a request of it last ended
+        self.write_buffer = WriteBuffer(sock, MAX_BUFFERED_BYTES, "client", self._set_waiting)
+        self.frame_parser = thrift.FrameParser()
+        self.open_requests: dict[int, PendingRequest] = {}
+        self.last_request_number = 0  # number of the last request
+        self.waiting_since = clock()  # ms; when the incomplete frame, or the wait for the first one, began
+        self.last_used_at = clock()  # ms; when a request last ended
         self.last_read_at = clock()
-        self.received_at = clock()  # when the data read last had arrived at the latest that is certain
-        self.answered = False  # whether anything was written to it
-        self.ending = False  # accepts no more requests, and closes after the last answer
+        self.received_at = clock()  # ms; by when the data last read had certainly arrived
+        self.answered = False  # whether anything was written to the client
+        self.ending = False  # accepts no more requests, and is closed after the last answer
         self.closed = False
-        self.pump_due = False  # whether a timer is to write what waits
+        self.pump_scheduled = False  # whether a timer is set to write the data that waits
 
     def _set_waiting(self, waiting: bool) -> None:
-        """Called by the write buffer: data begins to wait for the socket, or none waits any more."""
+        """Requests writable events while data waits in the write buffer, which calls this at each change."""
         if self.closed:
             return
         try:
             self.server.loop.set_interest(self.sock, waiting)
         except OSError:
-            # A passing ENOMEM must not close the connection and lose the answer that waits. Where nothing waits any
-            # more, the kernel reports the socket as writable at each poll, and this is tried again then.
+            # A temporary ENOMEM must not close the connection and lose the answer that waits. If no data waits any
+            # more, the kernel reports the socket as writable at each poll, and the call is repeated then.
             self.server.counts["unwatched"] += 1
-            if waiting and not self.pump_due:
-                self.pump_due = True
-                self.server.loop.call_at(clock() + RETRY_AFTER, self._pump_later)
+            if waiting and not self.pump_scheduled:
+                self.pump_scheduled = True
+                self.server.loop.call_at(clock() + SYSCALL_RETRY_DELAY, self._retry_pump)
 
-    def _pump_later(self) -> None:
-        self.pump_due = False
+    def _retry_pump(self) -> None:
+        self.pump_scheduled = False
         if not self.closed:
             self.writable()
         if not self.closed and not self.write_buffer.empty():
             self._set_waiting(True)
 
     def request_expected(self) -> bool:
-        """Returns whether a request is probably on its way: part of it was received, or the connection is new."""
-        return (self.frames.begun or not self.answered) and clock() - self.waiting_since < NEW_CONNECTION_TIME
+        """Returns whether a request is probably in transit: part of it was received, or the connection is new."""
+        return (
+            self.frame_parser.has_partial_frame or not self.answered
+        ) and clock() - self.waiting_since < NEW_CONNECTION_TIME
 
     def idle(self) -> bool:
-        """Returns whether no request is open and no answer waits to be written."""
-        return not self.open and self.write_buffer.empty()
+        """Returns whether no request is open and all answers were written."""
+        return not self.open_requests and self.write_buffer.empty()
 
     def readable(self) -> None:
-        """Reads frames, or the end of the connection."""
-        begun_at = clock()
-        for _ in range(MAX_READS):
-            if not self._read_piece() or clock() - begun_at > READ_ON_TIME:
+        """Reads frames, or the end of the stream."""
+        started_at = clock()
+        for _ in range(MAX_READS_PER_CALL):
+            if not self._read_once() or clock() - started_at > MAX_READ_TIME:
                 return
 
-    def _read_piece(self) -> bool:
-        """Reads once; returns whether to read on, since what was read may have a cancel or a close behind it."""
-        if self.closed or self.sock.gettimeout() != 0:  # could not be made non-blocking yet: a read would wait
+    def _read_once(self) -> bool:
+        """Reads once; returns whether to read again, since a cancel or a close may follow the data that was read."""
+        if self.closed or self.sock.gettimeout() != 0:  # not yet non-blocking: a read would block
             return False
         now = clock()
         self.last_read_at = now
-        # Where this process was stopped, or busy with others, a request may have waited in the kernel for as long.
-        unread = self.server.loop.unread_for(self.sock, now)
-        self.received_at = now - (unread if unread > MAX_UNREAD_TIME else 0.0)
+        # If this process was stopped or busy, a request may have waited in the kernel for that time.
+        unread_time = self.server.loop.unread_for(self.sock, now)
+        self.received_at = now - (unread_time if unread_time > MAX_UNREAD_TIME else 0.0)
         data = receive(self.sock, READ_SIZE)
         self.server.loop.data_read(self.sock, data is not None and len(data) == READ_SIZE)
         if data:
             self._handle_data(data)
         elif data is not None:
             self.close()
-        return bool(data) and unread > READ_ON_AFTER
+        return bool(data) and unread_time > UNREAD_AGE_THRESHOLD
 
     def _handle_data(self, data: bytes) -> None:
-        """Handles the frames that data completes."""
-        if self.ending:  # a close or a cancel of the client still ends what it has open
+        """Handles the frames that the data completes."""
+        if self.ending:  # the client may still cancel its open requests
             self._read_cancels(data)
             return
-        self.server.reads += 1
-        was_begun = self.frames.begun
+        self.server.read_count += 1
+        had_partial_frame = self.frame_parser.has_partial_frame
         try:
-            frames = self.frames.feed(data)
-            if frames or not was_begun:
+            frames = self.frame_parser.feed(data)
+            if frames or not had_partial_frame:
                 self.waiting_since = clock()
             for frame in frames:
                 self._handle_frame(frame)
-            if self.frames.invalid and not self.ending:
+            if self.frame_parser.next_frame_invalid and not self.ending:
                 raise thrift.MalformedMessageError("a length that no frame may have")
         except thrift.MalformedMessageError as error:
             self._reject_connection(error.number, str(error))
 
     def _read_cancels(self, data: bytes) -> None:
-        """Reads only cancels, after an error: open requests are still answered, unless the client cancels them."""
-        if self.frames.invalid:  # it is unknown where the next frame begins
+        """Handles only cancels, after an error: open requests are still answered unless the client cancels them."""
+        if self.frame_parser.next_frame_invalid:  # the start of the next frame is unknown
             return
         with suppress(thrift.MalformedMessageError):
-            for frame in self.frames.feed(data):
-                self._cancel_by(frame)
+            for frame in self.frame_parser.feed(data):
+                self._handle_cancel_frame(frame)
 
-    def _cancel_by(self, frame: bytes) -> None:
+    def _handle_cancel_frame(self, frame: bytes) -> None:
         try:
-            message = thrift.read(frame)
+            message = thrift.parse_message(frame)
         except thrift.MalformedMessageError:
             return
-        if message.verb == "cancelRequest":
-            self._cancel(message.about)
+        if message.method == "cancelRequest":
+            self._cancel_request(message.cancelled_number)
 
-    def _cancel(self, number: int) -> None:
-        if (pending := self.open.get(number)) is not None:
+    def _cancel_request(self, number: int) -> None:
+        if (pending := self.open_requests.get(number)) is not None:
             self.release(pending)
-            if pending.router_id is None:  # the coordinator has not received it, and drops it
+            if pending.router_id is None:  # the coordinator has not handled it yet, and will drop it
                 pending.closed = True
             self.server.post(RequestCancelled(pending))
         if self.ending and self.idle():
             self.close()
 
     def _reject_connection(self, number: int | None, reason: str) -> None:
-        """Sends an error, with the number where it is known, then ends: nothing after it can be trusted."""
+        """Sends an error, with the message number if known, then ends the connection: later data can't be parsed."""
         self.server.counts["unreadable"] += 1
-        if number is None or number not in self.open:
-            self.write(thrift.problem("dispatch", number or 0, reason))
+        if number is None or number not in self.open_requests:
+            self.write(thrift.encode_exception("dispatch", number or 0, reason))
         self.end()
 
     def _handle_frame(self, frame: bytes) -> None:
         if self.closed:
             return
         if self.ending:
-            self._cancel_by(frame)
+            self._handle_cancel_frame(frame)
             return
         try:
-            self._handle_message(thrift.read(frame))
+            self._handle_message(thrift.parse_message(frame))
         except thrift.MalformedMessageError as error:
             self._reject_connection(error.number, str(error))
 
     def _handle_message(self, message: thrift.Message) -> None:
-        if message.verb == "alive":
-            self.write(thrift.answer("alive", message.number, b"", self.server.is_serving()))
-        elif message.verb == "cancelRequest":
-            self._cancel(message.about)
-        elif message.verb != "dispatch":
-            self.server.count_invalid(f"method {message.verb[:20]!r}")
+        if message.method == "alive":
+            self.write(thrift.encode_answer("alive", message.number, b"", self.server.is_serving()))
+        elif message.method == "cancelRequest":
+            self._cancel_request(message.cancelled_number)
+        elif message.method != "dispatch":
+            self.server.count_invalid(f"method {message.method[:20]!r}")
             self.write(
-                thrift.problem(
-                    message.verb[:MAX_UNKNOWN_METHOD_QUOTED], message.number, "no such method", thrift.UNKNOWN_METHOD
+                thrift.encode_exception(
+                    message.method[:MAX_UNKNOWN_METHOD_QUOTED], message.number, "no such method", thrift.UNKNOWN_METHOD
                 )
             )
-        elif message.number <= self.last_number:
-            raise thrift.MalformedMessageError(f"number {message.number} after {self.last_number}", message.number)
+        elif message.number <= self.last_request_number:
+            raise thrift.MalformedMessageError(
+                f"number {message.number} after {self.last_request_number}", message.number
+            )
         else:
             self._dispatch(message)
 
     def _dispatch(self, message: thrift.Message) -> None:
         server = self.server
-        self.last_number = message.number
+        self.last_request_number = message.number
         try:
-            request = check(message, server.request_classes, server.tenants)
-            if len(self.open) >= MAX_OPEN_REQUESTS:
+            request = check_request(message, server.request_classes, server.tenants)
+            if len(self.open_requests) >= MAX_OPEN_REQUESTS:
                 raise InvalidRequestError(f"{MAX_OPEN_REQUESTS} requests are open on this connection")
-            if request.call.ident in server.open:
+            if request.parameters.ident in server.open_requests:
                 raise InvalidRequestError("a request of that id is open")
         except InvalidRequestError as error:
             server.count_invalid(str(error))
-            self.write(thrift.problem("dispatch", message.number, str(error)))
+            self.write(thrift.encode_exception("dispatch", message.number, str(error)))
             return
-        time_left = server.time_for(request.time_left)
-        pending = PendingRequest(self, message.number, request.request_class, request.call, time_left)
+        time_left = server.limit_time_left(request.time_left)
+        pending = PendingRequest(self, message.number, request.request_class, request.parameters, time_left)
         pending.received_at = self.received_at
-        self.open[message.number] = server.open[request.call.ident] = pending
-        if reason := server.busy() or (None if time_left else RejectionReason.STOPPING):
+        self.open_requests[message.number] = server.open_requests[request.parameters.ident] = pending
+        if reason := server.rejection_reason() or (None if time_left else RejectionReason.STOPPING):
             server.counts["rejected"] += 1
             pending.reject(reason)
         else:
             server.post(RequestReceived(pending))
 
     def release(self, pending: PendingRequest) -> bool:
-        """Removes a request from those open; False where it was removed already."""
-        if self.open.get(pending.ident) is not pending:
+        """Removes a request from the open ones; returns False where it was already removed."""
+        if self.open_requests.get(pending.ident) is not pending:
             return False
-        del self.open[pending.ident]
-        self.server.open.pop(pending.params.ident, None)
+        del self.open_requests[pending.ident]
+        self.server.open_requests.pop(pending.params.ident, None)
         self.last_used_at = clock()
         return True
 
     def write(self, frame: bytes) -> None:
-        """Writes without waiting; closes the connection of a client that reads too little."""
+        """Writes a frame without blocking; closes the connection if the client reads too slowly."""
         if self.closed:
             return
         self.answered = True
         try:
-            if self.write_buffer.put(OutgoingMessage(frame)) and self.ending and not self.open:
+            if self.write_buffer.put(OutgoingMessage(frame)) and self.ending and not self.open_requests:
                 self.close()
         except (PeerTooSlowError, OSError):
             self.server.counts["unread"] += 1
             self.close()
 
     def writable(self) -> None:
-        """Writes what waits."""
+        """Writes the data that waits."""
         try:
             self.write_buffer.pump()
         except OSError:
             self.close()
             return
-        if self.ending and not self.open and self.write_buffer.empty():
+        if self.ending and not self.open_requests and self.write_buffer.empty():
             self.close()
 
     def broken(self) -> None:
-        """Serving it raised an exception: ends it after the answers to open requests; at once the second time."""
+        """Ends the connection after its handler raised an exception: once answered, or at once the second time."""
         if self.ending:
             self.close()
         else:
             self.end()
 
     def end(self) -> None:
-        """Accepts no more requests; closes once those open are answered, or when the client closes it."""
+        """Accepts no more requests; closes once the open ones are answered, or when the client closes."""
         if self.closed or self.ending:
             return
         self.ending = True
@@ -326,18 +331,18 @@
             self.close()
 
     def close(self) -> None:
-        """Closes it at once; its open requests get no answer."""
+        """Closes the connection immediately; its open requests get no answer."""
         if self.closed:
             return
         self.closed = True
         server = self.server
-        pending_requests = list(self.open.values())
+        pending_requests = list(self.open_requests.values())
         server.clients.pop(self.number, None)
         server.release_socket(self)
         self.write_buffer.drop()
         for pending in pending_requests:
-            server.open.pop(pending.params.ident, None)
+            server.open_requests.pop(pending.params.ident, None)
             pending.closed = pending.closed or pending.router_id is None
-        self.open.clear()
+        self.open_requests.clear()
         if pending_requests:
             server.post(ClientClosed(pending_requests))
--- a/wickdyke/platform/client_server.py
+++ b/wickdyke/platform/client_server.py
@@ -1,4 +1,4 @@
-"""The client server: the listener of the platform's front end, and the connections that it has accepted."""
+"""The client server: the listening socket of the platform's front end, and the connections of its clients."""
 
 import errno
 import socket
@@ -11,20 +11,20 @@
 from wickdyke.gateway.events import Event
 from wickdyke.gateway.interfaces import Log, RejectionReason
 from wickdyke.platform.client_connection import (
-    MAX_READS,
+    MAX_READS_PER_CALL,
     NEW_CONNECTION_TIME,
-    RETRY_AFTER,
+    SYSCALL_RETRY_DELAY,
     ClientConnection,
     PendingRequest,
 )
 from wickdyke.routing.model import RequestClass
 from wickdyke.transport.event_loop import EventLoop, Handler, Priority, clock
 
-ACCEPTS_PER_EVENT = 64  # connections accepted at most before other sockets are served
-BACKLOG = 512
-SILENCE_TIMEOUT = 2000.0  # ms for a first request, and for the rest of an incomplete frame
-SWEEP_INTERVAL = 200.0  # ms between searches for connections past that
-MIN_TIME_LEFT = 50.0  # ms that a worker needs; with less before the end of the process a request is rejected
+ACCEPTS_PER_EVENT = 64  # maximum number of connections accepted before other sockets are served
+BACKLOG = 512  # connections that the kernel queues for accept
+SILENCE_TIMEOUT = 2000.0  # ms within which the first request, or the rest of an incomplete frame, must arrive
+SWEEP_INTERVAL = 200.0  # ms between searches for connections past SILENCE_TIMEOUT
+MIN_TIME_LEFT = 50.0  # ms that a worker needs; a request is rejected if the process ends sooner
 
 
 @dataclass(slots=True, frozen=True)
@@ -40,15 +40,15 @@
 class ListenerState(Enum):
     """Whether the event loop serves the listening socket."""
 
-    UNREGISTERED = auto()  # not yet: the kernel had no memory for that, and the socket is polled
+    UNREGISTERED = auto()  # not added yet, or the kernel had no memory for it: the socket is polled
     REGISTERED = auto()
     CLOSED = auto()
 
 
 class ClientServer:
-    """The listener and the connections of its clients.
+    """The listening socket and the connections of its clients.
 
-    `post` passes events to the coordinator; `busy` returns why no request can be admitted now, or None.
+    `post` passes events to the coordinator; `rejection_reason` returns why no request can be admitted now, or None.
     """
 
     priority = Priority.NORMAL
@@ -58,7 +58,7 @@
         loop: EventLoop,
         settings: ClientServerSettings,
         post: Callable[[Event], None],
-        busy: Callable[[], RejectionReason | None],
+        rejection_reason: Callable[[], RejectionReason | None],
         log: Log,
     ) -> None:
         self.loop = loop
@@ -67,25 +67,25 @@
         self.request_classes = {request_class.name: request_class for request_class in settings.request_classes}
         self.tenants = settings.tenants
         self.post = post
-        self.busy = busy
+        self.rejection_reason = rejection_reason
         self.log = log
-        self.clients: dict[int, ClientConnection] = {}
-        self.open: dict[bytes, PendingRequest] = {}  # by the client's id
+        self.clients: dict[int, ClientConnection] = {}  # by number
+        self.open_requests: dict[bytes, PendingRequest] = {}  # by the id that the client has set
         self.counts: Counter[str] = Counter()
-        self.last_number = 0  # of a connection
-        self.reads = 0  # of data, over all connections
-        self.serving = False  # whether requests are admitted; set by the service
+        self.last_connection_number = 0  # of the last accepted connection
+        self.read_count = 0  # reads of data, over all connections
+        self.serving = False  # whether requests are admitted; set by Service
         self.listener_state = ListenerState.UNREGISTERED
-        self.accept_paused = False  # until a timer resumes it
-        self.backlog_empty = False  # after the last accepts
-        self.answer_by: float | None = None  # when all must be answered, for the process ends (ms)
+        self.accept_paused = False  # whether accepting is paused until a timer resumes it
+        self.backlog_drained = False  # whether the last accept found the backlog empty
+        self.answer_deadline: float | None = None  # ms; when all requests must be answered; None before the shutdown
         self.sock: socket.socket | None = None
 
     def listen(self) -> None:
-        """Starts to accept connections; raises OSError where the address can't be bound."""
+        """Starts accepting connections. Raises OSError where the address can't be bound."""
         self.sock = sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         try:
-            with suppress(OSError):  # without it bind may fail for a while
+            with suppress(OSError):  # without the option, bind may fail for some time after a restart
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
             sock.setblocking(False)
             sock.bind(self.address)
@@ -98,23 +98,23 @@
         self.loop.call_every(SWEEP_INTERVAL, self._sweep)
 
     def _register_listener(self) -> None:
-        if self.sock is None or self.shut_down:
+        if self.sock is None or self.listener_closed:
             return
         try:
             self.loop.add(self.sock, self)
             self.listener_state = ListenerState.REGISTERED
-        except OSError:  # ENOMEM, ENOSPC: polled until the kernel watches it
+        except OSError:  # ENOMEM, ENOSPC: polled until the socket can be added to epoll
             self.counts["unwatched"] += 1
-            self.loop.call_at(clock() + RETRY_AFTER, self._register_listener)
+            self.loop.call_at(clock() + SYSCALL_RETRY_DELAY, self._register_listener)
             self.read_now(self)
 
     @property
-    def shut_down(self) -> bool:
+    def listener_closed(self) -> bool:
         """Whether the listener is closed."""
         return self.listener_state is ListenerState.CLOSED
 
     def count_invalid(self, reason: str) -> None:
-        """Counts a request that is invalid; logs the first, the tenth, the hundredth."""
+        """Counts an invalid request; logs the first, the tenth, the hundredth and so on."""
         self.counts["invalid"] += 1
         if str(self.counts["invalid"]).strip("0") == "1":
             self.log.warning("request unusable", reason=reason, so_far=self.counts["invalid"])
@@ -123,17 +123,17 @@
         """Returns whether requests are admitted."""
         return self.serving
 
-    def time_for(self, time_left: float) -> float:
-        """Returns how long (ms) a request received now may take of `time_left`; 0 where there is no time for it."""
-        if self.answer_by is None:
+    def limit_time_left(self, time_left: float) -> float:
+        """Returns how much of `time_left` (ms) a new request may use before the shutdown; 0 where that is too short."""
+        if self.answer_deadline is None:
             return time_left
-        maximum = self.answer_by - clock()
+        maximum = self.answer_deadline - clock()
         if time_left <= maximum:
             return time_left
         return maximum if maximum >= MIN_TIME_LEFT else 0.0
 
     def read_now(self, handler: Handler) -> None:
-        """Has the handler read now, whether or not the kernel reported data; one that raises is closed alone."""
+        """Calls the handler's `readable` without waiting for the kernel's report; calls `broken` if that raises."""
         try:
             handler.readable()
         except Exception as error:
@@ -143,21 +143,21 @@
             handler.broken()
 
     def read_all(self, client: ClientConnection) -> None:
-        """Reads what that client has sent by now, up to a bound."""
-        for _ in range(MAX_READS):
-            before = self.reads
+        """Reads the data that the client has sent so far, with at most MAX_READS_PER_CALL calls of `readable`."""
+        for _ in range(MAX_READS_PER_CALL):
+            before = self.read_count
             self.read_now(client)
-            if self.reads == before:
+            if self.read_count == before:
                 return
 
     def readable(self) -> None:
         """Accepts connections."""
         assert self.sock is not None
-        self.backlog_empty = self._accept_waiting()
-        self.loop.data_read(self.sock, not self.backlog_empty)
+        self.backlog_drained = self._accept_waiting()
+        self.loop.data_read(self.sock, not self.backlog_drained)
 
     def _accept_waiting(self) -> bool:
-        """Accepts a bounded number of connections; returns whether the kernel had no more of them."""
+        """Accepts at most ACCEPTS_PER_EVENT connections; returns whether the backlog is empty."""
         assert self.sock is not None
         for _ in range(ACCEPTS_PER_EVENT):
             try:
@@ -167,14 +167,14 @@
             except OSError as error:
                 if error.errno == errno.EMFILE:
                     self.counts["no_descriptor"] += 1
-                    if self._make_room():
+                    if self._close_idle_client():
                         continue
-                    self._pause(SWEEP_INTERVAL)
+                    self._pause_accepting(SWEEP_INTERVAL)
                     return False
                 if error.errno in (errno.ENFILE, errno.ENOBUFS, errno.ENOMEM):
-                    # A shortage of the whole machine, which closing a client of ours would not end.
+                    # A system-wide shortage, which closing one client of this process would not end.
                     self.counts["no_descriptor"] += 1
-                    self._pause(RETRY_AFTER)
+                    self._pause_accepting(SYSCALL_RETRY_DELAY)
                     return False
                 continue
             self.counts["accepted"] += 1
@@ -183,23 +183,23 @@
 
     def _admit(self, sock: socket.socket) -> None:
         assert self.sock is not None
-        if len(self.clients) >= self.connection_limit and not self._make_room():
+        if len(self.clients) >= self.connection_limit and not self._close_idle_client():
             self.counts["no_room"] += 1
             sock.close()
             return
-        # It may fail on a connection that was reset already. That costs where it fails on another: an answer
-        # may wait for the acknowledgement of the one before.
+        # It may fail on a connection that was already reset. If it fails on another connection, an answer may be
+        # delayed until the previous one is acknowledged.
         with suppress(OSError):
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        self.last_number += 1
-        client = self.clients[self.last_number] = ClientConnection(self, sock, self.last_number)
+        self.last_connection_number += 1
+        client = self.clients[self.last_connection_number] = ClientConnection(self, sock, self.last_connection_number)
         self.loop.accepted(sock, self.sock)
         self._register(client)
 
     def _register(self, client: ClientConnection) -> None:
-        """Has the loop serve a connection. While that fails it is polled, and closed by the sweep if it is silent."""
-        # Closing it on a transient ENOMEM, ENOSPC or ENOBUFS would lose its first request unread. The cost, while the
-        # shortage lasts, is a timer for each connection.
+        """Adds a connection to the event loop, and polls it while that fails; the sweep closes it if silent."""
+        # Closing the connection on a transient ENOMEM, ENOSPC or ENOBUFS would lose its first request unread. The cost
+        # is one timer per connection while the shortage lasts.
         if client.closed:
             return
         try:
@@ -207,60 +207,61 @@
             self.loop.add(client.sock, client, not client.write_buffer.empty())
         except OSError:
             self.counts["unwatched"] += 1
-            self.loop.call_at(clock() + RETRY_AFTER, self._register, client)
+            self.loop.call_at(clock() + SYSCALL_RETRY_DELAY, self._register, client)
             self.read_now(client)
 
     def release_socket(self, client: ClientConnection) -> None:
         """Closes the socket of a connection that has ended."""
         self.loop.remove(client.sock)
-        with suppress(OSError):  # it may report late that something could not be written
+        with suppress(OSError):  # close may report an earlier failed write
             client.sock.close()
 
-    def _pause(self, span: float) -> None:
-        """Accepts nothing for `span` ms: the kernel would report again and again what can't be accepted."""
-        # The cost: if a descriptor is freed during the pause, waiting connections are still accepted only after it.
-        if self.sock is None or self.accept_paused or self.shut_down:
+    def _pause_accepting(self, duration: float) -> None:
+        """Stops accepting for `duration` ms; otherwise the kernel would report the backlog at each poll."""
+        # The cost: if a descriptor is freed during the pause, waiting connections are accepted only after the pause.
+        if self.sock is None or self.accept_paused or self.listener_closed:
             return
         self.accept_paused = True
-        self.loop.call_at(clock() + span, self._resume)
+        self.loop.call_at(clock() + duration, self._resume_accepting)
         with suppress(OSError):
             self.loop.set_interest(self.sock, False, False)
 
-    def _resume(self) -> None:
-        if self.sock is None or self.shut_down:
+    def _resume_accepting(self) -> None:
+        if self.sock is None or self.listener_closed:
             return
         try:
             self.loop.set_interest(self.sock, False)
             self.accept_paused = False
-        except OSError:  # ENOMEM, ENOSPC: polled until the kernel watches it again
+        except OSError:  # ENOMEM, ENOSPC: polled until the socket can be watched again
             self.counts["unwatched"] += 1
-            self.loop.call_at(clock() + RETRY_AFTER, self._resume)
+            self.loop.call_at(clock() + SYSCALL_RETRY_DELAY, self._resume_accepting)
             self.read_now(self)
 
     def writable(self) -> None:
-        """Does nothing: the listener waits for connections only."""
+        """Does nothing: the listening socket is never written."""
 
     def broken(self) -> None:
-        """Serving it raised an exception: the listener goes on."""
+        """Does nothing after the handler raised an exception: the listener stays open."""
 
-    def _make_room(self) -> bool:
-        """Closes the connection without open requests that was idle longest; returns whether there was one.
+    def _close_idle_client(self) -> bool:
+        """Closes the longest idle connection without open requests; returns whether there was one.
 
-        Those that have sent nothing for a while are first, then those that were answered, last those that are new or
-        are sending.
+        Connections that never sent a request and are not new are closed first, then those that were answered, and last
+        those that are new or in the middle of a frame.
         """
         # The first request of a new connection is probably in transit. If new connections were closed in favour of
-        # newer ones, no request would arrive while many clients connect. The cost: an idle client has to reconnect.
-        old = clock() - NEW_CONNECTION_TIME
+        # newer ones, no request would get through while many clients connect. The cost: an idle client has to
+        # reconnect.
+        new_since = clock() - NEW_CONNECTION_TIME
 
-        def value(client: ClientConnection) -> int:
-            if client.waiting_since >= old and (client.frames.begun or not client.answered):
+        def eviction_rank(client: ClientConnection) -> int:
+            if client.waiting_since >= new_since and (client.frame_parser.has_partial_frame or not client.answered):
                 return 2
             return 1 if client.answered else 0
 
         while candidates := [client for client in self.clients.values() if self._can_be_closed(client)]:
-            candidate = min(candidates, key=lambda client: (value(client), client.last_used_at))
-            # A request that was received by the kernel and not read yet would be lost with the connection.
+            candidate = min(candidates, key=lambda client: (eviction_rank(client), client.last_used_at))
+            # A request that the kernel has received and that was not read yet would be lost with the connection.
             self.read_all(candidate)
             if candidate.closed or self._can_be_closed(candidate):
                 candidate.close()
@@ -269,72 +270,74 @@
         return False
 
     def _can_be_closed(self, client: ClientConnection) -> bool:
-        """Returns whether no request of it is open, and no answer in transit that its client may still read."""
-        return not client.open and (client.write_buffer.empty() or clock() - client.last_used_at > SILENCE_TIMEOUT)
+        """Returns whether the client has no open request and no unsent answer that it may still read."""
+        return not client.open_requests and (
+            client.write_buffer.empty() or clock() - client.last_used_at > SILENCE_TIMEOUT
+        )
 
     def _sweep(self) -> None:
         now = clock()
         for client in list(self.clients.values()):
-            # Data that arrived in time may not have been read yet, where this process was stopped or busy.
+            # If this process was stopped or busy, data that arrived in time may not have been read yet.
             if self._overdue(client, now):
                 self.read_all(client)
             if not client.closed and self._overdue(client, now):
                 self.counts["silent"] += 1
-                if client.open:  # half a frame behind requests that were read: those are answered first
+                if client.open_requests:  # an incomplete frame after complete requests: those are answered first
                     client.end()
                 else:
                     client.close()
 
     def _overdue(self, client: ClientConnection, now: float) -> bool:
-        # Clients that connect and send nothing or half a frame, or never read, could use up all descriptors. The cost:
-        # a client that connects long before its first request has its connection closed.
-        if client.ending:  # its requests end by their own times; then it has as long to read the last answer
-            return not client.open and now - max(client.waiting_since, client.last_used_at) > SILENCE_TIMEOUT
-        is_awaited = client.frames.begun or (not client.answered and not client.open)
+        # Clients that send nothing or an incomplete frame, or never read, could use up all descriptors. The cost: a
+        # client that connects long before its first request has its connection closed.
+        if client.ending:  # open requests have deadlines; then the client gets as long to read the last answer
+            return not client.open_requests and now - max(client.waiting_since, client.last_used_at) > SILENCE_TIMEOUT
+        is_awaited = client.frame_parser.has_partial_frame or (not client.answered and not client.open_requests)
         return is_awaited and now - client.waiting_since > SILENCE_TIMEOUT
 
-    def shut(self, at_once: bool = False) -> None:
+    def close_listener(self, at_once: bool = False) -> None:
         """Accepts the connections of the backlog, then closes the listener.
 
-        While some of them can't be accepted that is left for the next call, unless it has to be `at_once`.
+        If some of them can't be accepted now, the listener stays open until the next call, unless `at_once` is set.
         """
-        if self.shut_down or self.sock is None:
+        if self.listener_closed or self.sock is None:
             return
-        # The close resets the connections of the backlog, and requests on them are lost. So nothing else is done
-        # between the last accept and the close: the kernel can't stop a backlog and keep what is in it.
-        self.backlog_empty = False
+        # The close resets the connections in the backlog, and requests on them are lost. So nothing else is done
+        # between the last accept and the close: the kernel can't stop queueing connections and keep those queued.
+        self.backlog_drained = False
         for _ in range(BACKLOG // ACCEPTS_PER_EVENT + 1):
             self.read_now(self)
-            if self.backlog_empty:
+            if self.backlog_drained:
                 break
-        if not self.backlog_empty and not at_once:
+        if not self.backlog_drained and not at_once:
             return
         self.listener_state = ListenerState.CLOSED
         self.loop.remove(self.sock)
         self.sock.close()
 
     def read_clients(self) -> bool:
-        """Reads what clients have sent since the last poll; returns whether there was anything."""
-        before = self.reads
+        """Reads the data that clients have sent since the last poll; returns whether there was any."""
+        before = self.read_count
         for client in list(self.clients.values()):
             self.read_now(client)
-        return self.reads > before
+        return self.read_count > before
 
     def close_idle(self, at_once: bool = False) -> bool:
-        """Closes each idle connection, right after a last read that found nothing; returns whether none is left.
+        """Closes each idle connection right after a final read that found nothing; returns whether none is left.
 
-        With `at_once` it does not wait for requests that may be in transit.
+        With `at_once`, connections on which a request may be in transit are closed too.
         """
-        # A connection left open until the process exits acknowledges requests that are never read. Between
-        # the read and the close one may still cross, within microseconds: the client sends it again (PROTOCOL).
-        # A shutdown for reading before that read would not prevent it: Linux acknowledges what arrives after it, too.
+        # On a connection left open until the process exits, the kernel acknowledges requests that are never read. A
+        # request may still arrive in the microseconds between the read and the close: the client sends it again
+        # (PROTOCOL). Calling shutdown(SHUT_RD) first would not help: Linux acknowledges later data all the same.
         for client in list(self.clients.values()):
-            before = self.reads
+            before = self.read_count
             self.read_now(client)
-            if self.reads == before and client.idle() and (at_once or not client.request_expected()):
+            if self.read_count == before and client.idle() and (at_once or not client.request_expected()):
                 client.close()
         return not self.clients
 
-    def flushed(self) -> bool:
-        """Returns whether no request is open and nothing waits to be written."""
-        return not self.open and all(client.write_buffer.empty() for client in self.clients.values())
+    def all_answers_sent(self) -> bool:
+        """Returns whether no request is open and all answers were written."""
+        return not self.open_requests and all(client.write_buffer.empty() for client in self.clients.values())
--- a/wickdyke/platform/configuration.py
+++ b/wickdyke/platform/configuration.py
@@ -1,4 +1,4 @@
-"""The platform's configuration, as checked values."""
+"""Reads and validates the configuration of the platform's front end."""
 
 import json
 import os
@@ -19,11 +19,11 @@
     TenantQuotas,
 )
 
-MAX_OPEN_REQUESTS = 4096  # at once, however much memory there is
-MIN_OPEN_REQUESTS = 256  # allowed at once, however little memory there is
-OPEN_REQUESTS_PER_MB = 16.0  # of memory
-MAX_EVENTS = 20000  # waiting for the coordinator
-ANSWER_MARGIN = 10.0  # ms that an answer may take to reach its client
+MAX_OPEN_REQUESTS = 4096  # upper limit of open requests, however much memory there is
+MIN_OPEN_REQUESTS = 256  # lower limit of the maximum of open requests, however little memory there is
+OPEN_REQUESTS_PER_MB = 16.0  # open requests allowed per MB of memory
+MAX_EVENTS = 20000  # events that may wait for the coordinator
+ANSWER_MARGIN = 10.0  # ms reserved for an answer to reach its client
 HEALTH_CHECK_TIMEOUT = 250.0  # ms until a health check times out
 MIN_MEMORY = 1  # MB
 MIN_SOCKETS = 64
@@ -31,7 +31,7 @@
 
 
 class ConfigurationError(Exception):
-    """The configuration is invalid; the message names the place, the value and what was expected."""
+    """The configuration is invalid; the message names the place, the value and the expectation."""
 
 
 class UnreadableConfigurationError(ConfigurationError):
@@ -40,10 +40,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Bounds:
-    """Bounds on what the front end holds at once."""
+    """Limits on the number of objects that the front end holds at a time."""
 
-    open_requests: int  # requests of clients
-    events: int  # waiting for the coordinator
+    open_requests: int  # open requests of clients
+    events: int  # events that wait for the coordinator
 
 
 @dataclass(slots=True)
@@ -52,8 +52,8 @@
 
     name: str
     listen: tuple[str, int]
-    bus: tuple[str, int]
-    initial_events: list[Event]  # of discovery, to begin with
+    discovery_address: tuple[str, int]
+    initial_events: list[Event]  # events of discovery that give the initial endpoint list
     seed: int
     memory_mb: float
     sockets: int
@@ -75,7 +75,7 @@
 
 
 def address(text: object, place: str) -> tuple[str, int]:
-    """Returns the host and port of HOST:PORT. Raises ConfigurationError, which names `place`."""
+    """Parses HOST:PORT into host and port. Raises ConfigurationError, whose message names `place`."""
     host, _, port = str(text).rpartition(":")
     if not host or not port.isascii() or not port.isdigit() or not 0 < int(port) <= MAX_PORT:
         raise ConfigurationError(f"{place} is {text!r}, expected HOST:PORT")
@@ -83,7 +83,10 @@
 
 
 def load(path: str) -> dict[str, Any]:
-    """Returns the JSON object in that file. Raises ConfigurationError."""
+    """Returns the JSON object in the file at `path`.
+
+    Raises ConfigurationError, or its subclass UnreadableConfigurationError where the file can't be read.
+    """
     try:
         with open(path, encoding="utf-8") as source:
             content = json.load(source)
@@ -92,28 +95,28 @@
     except (ValueError, RecursionError) as error:
         raise ConfigurationError(f"{path}: {error}, expected JSON") from None
     if not isinstance(content, dict):
-        raise ConfigurationError(f"{path}: a {type(content).__name__}, expected an object")
+        raise ConfigurationError(f"{path}: content is {type(content).__name__}, expected an object")
     return content
 
 
-def _limit(given: dict[str, Any], path: str, name: str, minimum: float) -> float:
-    limits = given.get("limits")
+def _limit(document: dict[str, Any], path: str, name: str, minimum: float) -> float:
+    limits = document.get("limits")
     value = limits.get(name) if isinstance(limits, dict) else None
     if isinstance(value, bool) or not isinstance(value, int | float) or not value >= minimum:
         raise ConfigurationError(f"{path}: limits.{name} is {value!r}, expected a number of at least {minimum:g}")
     return value
 
 
-def _seed(given: dict[str, Any], path: str) -> int:
-    seed: Any = given.get("seed")
+def _seed(document: dict[str, Any], path: str) -> int:
+    seed: Any = document.get("seed")
     try:
         return int(seed, 16) if isinstance(seed, str) else int(seed)
     except (TypeError, ValueError):
         raise ConfigurationError(f"{path}: seed is {seed!r}, expected hex digits") from None
 
 
-def _initial_batch(given: dict[str, Any], path: str) -> list[Any]:
-    known = given.get("known")
+def _initial_batch(document: dict[str, Any], path: str) -> list[Any]:
+    known = document.get("known")
     batch = known.get("batch") if isinstance(known, dict) else None
     if not isinstance(batch, list):
         raise ConfigurationError(f"{path}: known.batch is {batch!r}, expected a list of events")
@@ -125,13 +128,16 @@
 
 
 def read(path: str, listen: str | None = None, name: str | None = None) -> Configuration:
-    """Reads and checks a configuration; `listen` and `name` (of the environment) take precedence over the file."""
-    given = load(path)
-    seed = _seed(given, path)
-    settings = given.get("settings")
+    """Reads and validates a configuration; `listen` and `name`, if given, take precedence over the file.
+
+    Raises ConfigurationError.
+    """
+    document = load(path)
+    seed = _seed(document, path)
+    settings = document.get("settings")
     if not isinstance(settings, dict):
         raise ConfigurationError(f"{path}: settings is {type(settings).__name__}, expected an object")
-    batch = _initial_batch(given, path)
+    batch = _initial_batch(document, path)
     pairs = deployment_settings.from_nested(settings, f"{path}: settings")
     try:
         request_classes = deployment_settings.request_classes(pairs)
@@ -143,16 +149,16 @@
         raise ConfigurationError(f"{path}: known.batch has {error}") from None
     if not request_classes:
         raise ConfigurationError(f"{path}: settings has no classes, expected one at least")
-    memory = _limit(given, path, "memory_mb", MIN_MEMORY)
+    memory = _limit(document, path, "memory_mb", MIN_MEMORY)
     tenants = range(pairs.get("tenants.count", deployment_settings.count, 0))
     return Configuration(
-        name=name or str(given.get("name") or "gateway"),
-        listen=address(listen or given.get("listen"), f"{path}: listen"),
-        bus=bus(given, path),
+        name=name or str(document.get("name") or "gateway"),
+        listen=address(listen or document.get("listen"), f"{path}: listen"),
+        discovery_address=discovery_address(document, path),
         initial_events=events,
         seed=seed,
         memory_mb=memory,
-        sockets=int(_limit(given, path, "sockets", MIN_SOCKETS)),
+        sockets=int(_limit(document, path, "sockets", MIN_SOCKETS)),
         zones=pairs.names("zones"),
         kinds=pairs.names("flavors"),
         tenants=tuple(pairs.get(f"tenants.{index}.name", str) for index in tenants),
@@ -162,13 +168,13 @@
     )
 
 
-def bus(given: dict[str, Any], path: str) -> tuple[str, int]:
-    """Returns the host and port of discovery. Raises ConfigurationError."""
-    return address(given.get("bus"), f"{path}: bus")
+def discovery_address(document: dict[str, Any], path: str) -> tuple[str, int]:
+    """Returns the host and port of discovery from the field `bus`. Raises ConfigurationError."""
+    return address(document.get("bus"), f"{path}: bus")
 
 
 def config_path() -> str:
-    """Returns the path of the configuration, from the environment. Raises ConfigurationError."""
+    """Returns the path of the configuration file from GW_CONFIG. Raises ConfigurationError where it is not set."""
     path = os.environ.get("GW_CONFIG")
     if not path:
         raise ConfigurationError("the environment has no GW_CONFIG, expected the path of the configuration")
--- a/wickdyke/platform/connection_owner.py
+++ b/wickdyke/platform/connection_owner.py
@@ -1,4 +1,4 @@
-"""What a connection to a worker uses of its owner: the worker client, which it notifies of all that happens."""
+"""The interface of a worker client that its connections use to report events."""
 
 from typing import Protocol, TypeVar
 
@@ -13,7 +13,7 @@
 
 
 class ConnectionOwner(PooledClient, Protocol[ConnectionT_contra]):
-    """The worker client of a connection, which the connection notifies."""
+    """The worker client of a connection, as the connection sees it."""
 
     name: str
     target: tuple[str, int]  # host and port
@@ -22,28 +22,28 @@
     connect_timeout: float  # ms
     report_fields: tuple[str, ...]
     reachability: Reachability
-    same_process_since: float  # ms; as far as connections have shown
+    same_process_since: float  # ms; earliest time since which connections showed no restart
 
     def connected(self) -> None:
-        """The connection was established."""
+        """Records that the connection was established."""
 
     def connection_idle(self, connection: ConnectionT_contra) -> None:
-        """No command is in flight on the connection any more."""
+        """Called when no command is in flight on the connection any more."""
 
     def connection_ended(self, connection: ConnectionT_contra) -> None:
-        """The connection has ended; how its commands ended follows."""
+        """Called when the connection has ended, before its commands are finished."""
 
     def finish(self, command: Command, outcome: Outcome, result: CommandResult | None = None) -> None:
-        """A command has ended."""
+        """Reports the outcome of a command."""
 
-    def send_again(self, command: Command) -> None:
-        """The connection ended before a byte of the command was sent, which may be sent on another."""
+    def resend(self, command: Command) -> None:
+        """Sends a command on another connection: this one ended before a byte of the command was sent."""
 
     def answers_lost(self, commands: list[Command], worker_alive: bool) -> None:
-        """The connection ended with these commands in flight: they may have run."""
+        """Handles commands that were in flight when the connection ended: they may have run."""
 
     def process_ended(self) -> None:
-        """A connection was refused, or the worker's side has ended one that was established."""
+        """Records that a connection was refused, or that the worker closed an established one."""
 
     def settle_unresolved(self, liveness: Liveness) -> None:
-        """The connection ended before it was established, which shows that of the worker."""
+        """Resolves commands whose answers were lost, by what the failed connect has shown."""
--- a/wickdyke/platform/connection_pool.py
+++ b/wickdyke/platform/connection_pool.py
@@ -1,4 +1,4 @@
-"""The bound on the connections to workers, over all workers."""
+"""A limit on the number of connections to all workers together."""
 
 from collections import Counter
 from collections.abc import Sequence
@@ -6,51 +6,53 @@
 
 
 class PooledConnection(Protocol):
-    """What the pool uses of a connection to a worker."""
+    """A connection to a worker, as the pool sees it."""
 
     last_used_at: float  # ms of the loop's clock
 
     @property
-    def up(self) -> bool:
-        """Whether it is established."""
+    def established(self) -> bool:
+        """Whether the connection is established and not closed."""
 
     @property
     def commands_in_flight(self) -> int:
-        """Commands that it was handed and that have not ended."""
+        """The number of commands assigned to the connection that have not ended."""
 
     def end(self, reason: str) -> None:
-        """Ends it; `reason` is for the counts."""
+        """Closes the connection; `reason` is the name of its counter."""
 
 
 class PooledClient(Protocol):
-    """What the pool uses of a worker client."""
+    """A worker client, as the pool sees it."""
 
     def all_connections(self) -> Sequence[PooledConnection]:
-        """Its connections."""
+        """Returns all connections of the client."""
 
     def sweep(self) -> None:
-        """Ends those of its connections that were idle for too long."""
+        """Closes the connections of the client that have been idle too long."""
 
 
 class ConnectionPool:
-    """Counts connections against a bound, `capacity`, and ends idle ones to make room."""
+    """Limits the number of connections to `capacity`, and closes idle ones to make room."""
 
     def __init__(self, capacity: int) -> None:
         self.capacity = capacity
         self.used = 0
-        self.worker_clients: set[PooledClient] = set()  # those with a connection
+        self.worker_clients: set[PooledClient] = set()  # clients with at least one connection
         self.counts: Counter[str] = Counter()
 
     def make_room(self) -> bool:
-        """Ends the connection that was idle longest if the pool is full; returns whether one more is allowed."""
+        """Closes the longest idle connection if the pool is full; returns whether one more is allowed."""
         if self.used >= self.capacity:
             connections = (connection for client in self.worker_clients for connection in client.all_connections())
-            idle = [connection for connection in connections if not connection.commands_in_flight and connection.up]
+            idle = [
+                connection for connection in connections if not connection.commands_in_flight and connection.established
+            ]
             if idle:
                 min(idle, key=lambda connection: connection.last_used_at).end("replaced")
         return self.used < self.capacity
 
     def sweep(self) -> None:
-        """Ends the connections of all workers that were idle for too long."""
+        """Closes connections to any worker that have been idle too long."""
         for client in list(self.worker_clients):
             client.sweep()
--- a/wickdyke/platform/connection_state.py
+++ b/wickdyke/platform/connection_state.py
@@ -1,4 +1,4 @@
-"""The states of a connection to a worker, and what its end shows of that worker."""
+"""The states of a connection to a worker, and what the end of a connection shows about the worker."""
 
 from enum import Enum, auto
 
@@ -14,12 +14,12 @@
 
 
 class EndCause(Enum):
-    """What the end of a connection shows of its worker."""
+    """Why a connection ended, and what that shows about the worker."""
 
-    PLAIN = "plain"  # that it ended the connection, or could not be reached
-    INVALID_ANSWER = "invalid answer"  # it has just sent something
-    RESET_EARLY = "reset early"  # it had accepted the connection, and reset it at once
-    INCONCLUSIVE = "inconclusive"  # the connect failed, perhaps because of the connection or this machine alone
+    PLAIN = "plain"  # the worker closed the connection, or was unreachable
+    INVALID_ANSWER = "invalid answer"  # the worker is alive, as it has just sent data
+    RESET_EARLY = "reset early"  # the worker accepted the connection and reset it at once
+    INCONCLUSIVE = "inconclusive"  # the cause may be this connection or this machine alone
 
 
-LIVENESS = {EndCause.RESET_EARLY: Liveness.ALIVE, EndCause.INCONCLUSIVE: Liveness.UNKNOWN}  # else it is gone
+LIVENESS = {EndCause.RESET_EARLY: Liveness.ALIVE, EndCause.INCONCLUSIVE: Liveness.UNKNOWN}  # otherwise DOWN
--- a/wickdyke/platform/discovery.py
+++ b/wickdyke/platform/discovery.py
@@ -1,4 +1,4 @@
-"""The discovery client: follows the endpoint list's events over HTTP and reconnects when they stop."""
+"""The discovery client: follows the events of the endpoint list over HTTP, and reconnects when the stream fails."""
 
 import errno
 import os
@@ -17,22 +17,22 @@
 
 PATH = "/bus/read"
 READ_SIZE = 1 << 16  # bytes read at a time
-MAX_READS = 64  # in one iteration, of what has waited for READ_ON_AFTER
-READ_ON_AFTER = 100.0  # ms
-MAX_HEARTBEAT_INTERVAL = 1200.0  # ms between two comments of a stream that is not silent
-SILENCE_TIMEOUT = 1500.0  # ms without data after which the connection counts as dead: there is a heartbeat each second
-MAX_SILENCE_TIMEOUT = 12000.0  # ms, while an event is coming
-MAX_CONNECT_TIMEOUT = 400.0  # ms
-MIN_CONNECT_TIMEOUT = 200.0  # ms
-RESPONSE_TIMEOUT = 1500.0  # ms from the connect to the head of the response
-CATCH_UP_TIME = 100.0  # ms from the head of the response: a comment before that may precede events that were missed
-BACKOFF_FIRST = 50.0  # ms after the first failure, before jitter
-BACKOFF_GROWTH = 1.5  # factor for each further failure
-MAX_BACKOFF_EXPONENT = 20  # keeps the power finite
+MAX_READS_PER_CALL = 64  # reads in one iteration, while data has waited for longer than UNREAD_AGE_THRESHOLD
+UNREAD_AGE_THRESHOLD = 100.0  # ms that data has waited unread in the kernel
+MAX_HEARTBEAT_INTERVAL = 1200.0  # ms between two comments of a live stream
+SILENCE_TIMEOUT = 1500.0  # ms without data until the connection counts as dead; heartbeats come each second
+MAX_SILENCE_TIMEOUT = 12000.0  # ms; the limit of the timeout where an event takes longer to arrive
+MAX_CONNECT_TIMEOUT = 400.0  # ms for a connect, at most
+MIN_CONNECT_TIMEOUT = 200.0  # ms for a connect, at least
+RESPONSE_TIMEOUT = 1500.0  # ms from the connect to the response head
+CATCH_UP_TIME = 100.0  # ms after the response head; earlier comments may precede missed events
+INITIAL_BACKOFF = 50.0  # ms after the first failure, before jitter
+BACKOFF_FACTOR = 1.5  # multiplies the backoff at each further failure
+MAX_BACKOFF_EXPONENT = 20  # prevents an overflow of the power
 
 
 class InvalidResponseError(Exception):
-    """The response is no stream of events."""
+    """The response is not a stream of events."""
 
 
 @dataclass(slots=True, frozen=True)
@@ -40,16 +40,17 @@
     """The settings of the discovery client."""
 
     address: tuple[str, int]  # host and port
-    backoff_limit: float  # ms between two attempts to connect, at most
-    seed: int  # of the jitter
+    backoff_limit: float  # ms between two connects, at most
+    seed: int  # of the random jitter
 
 
 class DiscoveryClient:
     """Follows the events from one address and passes them to `notify`.
 
-    `notify_heard` is called with each time (ms) as of which no event is missing, after the events up to then.
+    `notify_heard` is called, after the events, with the time (ms) up to which no event is missing. `notify_lost` is
+    called with the time (ms) since which events may be missing after a stall of this process.
 
-    `last_offset` returns the number of the last event applied, after which events are requested.
+    `last_offset` returns the number of the last applied event; later events are requested.
     """
 
     priority = Priority.FIRST
@@ -71,80 +72,80 @@
         self.notify_heard = notify_heard
         self.notify_lost = notify_lost
         self.log = log
-        # Where the grace for drains leaves next to no time, a server that is slow to accept has to be reached still.
+        # A slow server must still be reachable where a short grace period for drains leaves almost no time.
         self.connect_timeout = min(MAX_CONNECT_TIMEOUT, max(MIN_CONNECT_TIMEOUT, settings.backoff_limit))
-        self.backoff_limit = max(BACKOFF_FIRST, settings.backoff_limit)
+        self.backoff_limit = max(INITIAL_BACKOFF, settings.backoff_limit)
         self.random = random.Random(settings.seed)
         self.counts: Counter[str] = Counter()
         self.sock: socket.socket | None = None
-        self.attempt_number = 0  # of the connection under way
-        self.failures = 0  # since the last response
-        self.retry_number = 0  # of the one retry that is due; one set before it does nothing
-        self.unsent = b""  # of the request, once connected
-        self.silence_timeout = SILENCE_TIMEOUT  # ms; longer where an event was not complete in time
+        self.connection_number = 0  # number of the present connection
+        self.consecutive_failures = 0  # failed connections since the last stable response
+        self.retry_number = 0  # number of the pending retry; timers of earlier retries do nothing
+        self.unsent_request = b""  # rest of the request, once connected
+        self.silence_timeout = SILENCE_TIMEOUT  # ms; longer after an event was not complete in time
         self.connected = False  # whether the connect has succeeded
-        self.up = False  # whether the response has begun
+        self.response_started = False  # whether the head of the response was received
         self.closed = False
-        self.http = h11.Connection(h11.CLIENT)  # of the connection under way
-        self.events = sse.Events()  # likewise
-        self.logged_failure = ""  # the reason logged last, until events are received again
-        self.last_activity = 0.0  # ms; when data was received last, or the last step of connecting was done
-        self.up_since = 0.0  # ms; when the last response began
-        self.caught_up = False  # whether the events that were missed before this connection have been received
-        self.unread_since: float | None = None  # ms; no byte that was left unread is older; None where none was left
-        self.heard_at: float | None = None  # ms; all events up to then have been received; None before the first time
+        self.http = h11.Connection(h11.CLIENT)  # of the present connection
+        self.event_parser = sse.EventParser()  # of the present connection
+        self.logged_failure = ""  # the last logged reason, until events are received again
+        self.last_activity = 0.0  # ms; when complete events or comments were last received, or a connect step was done
+        self.response_started_at = 0.0  # ms; when the head of the last response was received
+        self.caught_up = False  # whether events missed before this connection have been received
+        self.unread_since: float | None = None  # ms; no unread data is older; None where no data is left unread
+        self.heard_at: float | None = None  # ms; all events up to this time have been received; None if never
 
     def open(self) -> None:
-        """Starts to follow."""
+        """Starts following the events."""
         self._connect()
 
     def follow(self, address: tuple[str, int]) -> None:
-        """Follows another address from now on."""
+        """Switches to another address."""
         self.address = address
-        self.failures = 0
-        self._end()
-        # Each retry that is due sets the next. One left from the address before would continue beside that of the new
-        # one, and each new configuration would add to the number of attempts in the same time.
+        self.consecutive_failures = 0
+        self._close_connection()
+        # Each retry schedules the next. A pending retry for the previous address would continue in addition to that of
+        # the new one, so each new configuration would increase the rate of connects.
         self.retry_number += 1
         self._connect()
 
     def close(self) -> None:
         """Stops following."""
         self.closed = True
-        self._end()
+        self._close_connection()
 
     def _connect(self) -> None:
         if self.closed or self.sock is not None:
             return
         self.counts["connects"] += 1
-        self.attempt_number += 1
+        self.connection_number += 1
         self.connected = False
-        self.up = False
+        self.response_started = False
         self.caught_up = False
         self.unread_since = None
-        self.unsent = b""
+        self.unsent_request = b""
         self.last_activity = clock()
         self.http = h11.Connection(h11.CLIENT)
-        self.events = sse.Events()
+        self.event_parser = sse.EventParser()
         self.sock, code = dial(self.address)
         if self.sock is None:
-            self._retry_later(f"connect: {error_name(code)}")
+            self._schedule_retry(f"connect: {error_name(code)}")
             return
         try:
             self.loop.add(self.sock, self, write=True)
         except OSError as error:
             self._fail("watch", error)
             return
-        self.loop.call_at(self.last_activity + self.connect_timeout, self._check_timeout, self.attempt_number)
-
-    def _retry_later(self, reason: str) -> None:
-        # Backoff with jitter: hundreds of front ends that lost discovery at one moment would otherwise reconnect in
-        # step while it is down or answers only with errors. It may be back, with a drain, just after an attempt failed:
-        # so `backoff_limit` stays within the time within which a drain has to take effect.
-        was_stable = self.up and clock() - self.up_since > SILENCE_TIMEOUT
-        self.failures = 1 if was_stable else self.failures + 1
-        exponent = min(self.failures - 1, MAX_BACKOFF_EXPONENT)
-        backoff = min(self.backoff_limit, BACKOFF_FIRST * BACKOFF_GROWTH**exponent)
+        self.loop.call_at(self.last_activity + self.connect_timeout, self._check_timeout, self.connection_number)
+
+    def _schedule_retry(self, reason: str) -> None:
+        # Backoff with jitter: otherwise hundreds of front ends that lost discovery at the same moment would reconnect
+        # in step while discovery is down or returns errors. Discovery may recover, and report a drain, just after a
+        # failed connect: so `backoff_limit` is shorter than the time within which a drain has to take effect.
+        was_stable = self.response_started and clock() - self.response_started_at > SILENCE_TIMEOUT
+        self.consecutive_failures = 1 if was_stable else self.consecutive_failures + 1
+        exponent = min(self.consecutive_failures - 1, MAX_BACKOFF_EXPONENT)
+        backoff = min(self.backoff_limit, INITIAL_BACKOFF * BACKOFF_FACTOR**exponent)
         jitter = 0.5 + 0.5 * self.random.random()
         self.retry_number += 1
         self.loop.call_at(clock() + backoff * jitter, self._retry, self.retry_number)
@@ -159,18 +160,18 @@
             )
 
     def process_stalled(self, since: float) -> None:
-        """This process has not looked at its sockets since then (ms); what this connection brought was read.
+        """Handles a stall of this process: it did not poll its sockets since that time (ms), and has now read them.
 
-        Calls `notify_lost` where there is no connection on which all events were received, and a comment each second.
+        Calls `notify_lost` unless there is a connection that has received all missed events and regular comments.
         """
-        # While the process runs, a lost connection is made anew within the grace for drains, or discovery is out of
-        # reach. While it did not, discovery may have been in reach, and have reported a drain.
+        # While the process runs, it replaces a lost connection within the grace period for drains, or discovery is
+        # unreachable. During the stall discovery may have been reachable, and may have reported a drain.
         is_silent = clock() - self.last_activity > MAX_HEARTBEAT_INTERVAL
-        if self.sock is None or not self.caught_up or self.events.begun or is_silent:
+        if self.sock is None or not self.caught_up or self.event_parser.has_partial_event or is_silent:
             self.notify_lost(since)
 
     def heard_ms(self) -> int | None:
-        """Returns how long ago (ms) all events were known; None where they never were."""
+        """Returns for how long (ms) events may have been missed; None where the list was never complete."""
         return None if self.heard_at is None else round(clock() - self.heard_at)
 
     def _retry(self, number: int) -> None:
@@ -179,10 +180,10 @@
         try:
             self._connect()
         except Exception:
-            self.broken()  # sets a new retry: the loop does not repeat a timer that raises
+            self.broken()  # schedules a new retry, as the loop does not repeat a timer that raises
             raise
 
-    def _end(self) -> None:
+    def _close_connection(self) -> None:
         if self.sock is not None:
             self.loop.remove(self.sock)
             close(self.sock)
@@ -190,34 +191,34 @@
             self.counts["ended"] += 1
 
     def _fail(self, step: str, error: OSError) -> None:
-        """A system call failed in that step: closes the connection, and makes a new one after a backoff."""
-        self._end()
-        self._retry_later(f"{step}: {errno.errorcode.get(error.errno or 0, error)}")
+        """Closes the connection after a system call failed in that step, and schedules a new one after a backoff."""
+        self._close_connection()
+        self._schedule_retry(f"{step}: {errno.errorcode.get(error.errno or 0, error)}")
 
-    def _timeout(self) -> float:
-        """Returns how long (ms) the connection may be silent in its present state."""
-        if self.up:
+    def _silence_limit(self) -> float:
+        """Returns for how long (ms) the connection may be silent in its present state."""
+        if self.response_started:
             return self.silence_timeout
         return RESPONSE_TIMEOUT if self.connected else self.connect_timeout
 
     def _check_timeout(self, number: int) -> None:
-        """Reconnects where the connection of that number has been silent for too long."""
-        if self.sock is None or number != self.attempt_number:
+        """Reconnects if the connection of that number has been silent for too long."""
+        if self.sock is None or number != self.connection_number:
             return
-        due = self.last_activity + self._timeout()
+        due = self.last_activity + self._silence_limit()
         if clock() < due:
             self.loop.call_at(due, self._check_timeout, number)
             return
         self.counts["silent"] += 1
-        # An event that takes longer than the timeout would be begun anew for ever. So the next connection gets twice
-        # the time, until an event was complete.
-        if self.up and self.events.begun:
+        # An event that takes longer than the timeout would be restarted for ever. So the timeout is doubled for the
+        # next connection, until an event has been received completely.
+        if self.response_started and self.event_parser.has_partial_event:
             self.silence_timeout = min(2 * self.silence_timeout, MAX_SILENCE_TIMEOUT)
-        self._end()
-        self._retry_later("silent" if self.up else "no answer")
+        self._close_connection()
+        self._schedule_retry("silent" if self.response_started else "no answer")
 
     def writable(self) -> None:
-        """The connect has succeeded or failed, or more of the request can be sent."""
+        """Handles the end of the connect, or sends more of the request."""
         assert self.sock is not None
         if not self.connected:
             try:
@@ -230,7 +231,7 @@
                 return
             self.connected = True
             self.last_activity = clock()
-            self.unsent = self._request()
+            self.unsent_request = self._request()
         self._send()
 
     def _request(self) -> bytes:
@@ -246,64 +247,65 @@
 
     def _send(self) -> None:
         assert self.sock is not None
-        if self.unsent:
+        if self.unsent_request:
             try:
-                sent = self.sock.send(self.unsent)
+                sent = self.sock.send(self.unsent_request)
             except (BlockingIOError, InterruptedError):
-                return  # called again when the socket accepts more
+                return  # called again when the socket is writable
             except OSError as error:
                 self._fail("send", error)
                 return
-            self.unsent = self.unsent[sent:]
-        if not self.unsent:
+            self.unsent_request = self.unsent_request[sent:]
+        if not self.unsent_request:
             self.loop.set_interest(self.sock, False)
 
     def broken(self) -> None:
-        """Serving it raised an exception: makes a new connection after a backoff."""
-        self._end()
-        self._retry_later("fault")
+        """Closes the connection after its handler raised an exception, and schedules a new one after a backoff."""
+        self._close_connection()
+        self._schedule_retry("fault")
 
     def readable(self) -> None:
-        """Reads data of the response, or its end."""
-        # Where this process was stopped, a drain may be behind much else, and what is sent next must heed it. In other
-        # iterations a large event is read piece by piece, so that workers and clients don't wait for it.
+        """Reads data of the response, or the end of the stream."""
+        # If this process was stopped, a drain may follow much other data, and must take effect before the next command
+        # is sent. In other iterations a large event is read piece by piece, so that workers and clients don't wait for
+        # it.
         sock = self.sock
         assert sock is not None
-        for _ in range(MAX_READS):
-            waited = self.loop.unread_for(sock, clock()) > READ_ON_AFTER
-            if not self._read_piece(sock) or not waited or self.sock is not sock:
+        for _ in range(MAX_READS_PER_CALL):
+            waited = self.loop.unread_for(sock, clock()) > UNREAD_AGE_THRESHOLD
+            if not self._read_once(sock) or not waited or self.sock is not sock:
                 return
 
-    def _read_piece(self, sock: socket.socket) -> bool:
-        """Reads once; returns whether there was anything."""
+    def _read_once(self, sock: socket.socket) -> bool:
+        """Reads once; returns whether the socket was readable."""
         data = receive(sock, READ_SIZE)
         self.loop.data_read(sock, data is not None and len(data) == READ_SIZE)
         if data is None:
             return False
-        # The data may have waited in the kernel while this process did not run: it is as old as the poll before the
-        # first that found the socket ready.
+        # The data may have waited in the kernel while this process did not run. Its age is counted from the last poll
+        # before the one that found the socket readable.
         arrived_after = self.loop.arrived_after if self.unread_since is None else self.unread_since
         self.unread_since = arrived_after if len(data) == READ_SIZE else None
         try:
             ended = self._parse_http(data)
         except (h11.ProtocolError, InvalidResponseError, sse.EventTooLargeError) as error:
             if data:
-                self.up = False  # whatever was received before, it counts as one more failure in a row
+                self.response_started = False  # counts as one more consecutive failure, whatever was received before
                 self.counts["invalid"] += 1
-                self._end()
-                self._retry_later(str(error))
+                self._close_connection()
+                self._schedule_retry(str(error))
                 return True
             ended = True  # the connection ended within the response
-        # A stream that stops within an event and sends a few bytes now and then would count as alive for ever, with the
-        # list out of date. So only data after which no event is incomplete counts as a sign of life.
-        if data and not self.events.begun:
+        # Otherwise a stream that stops within an event and sends a few bytes now and then would count as alive for
+        # ever, with the list out of date. So only data that leaves no event incomplete counts as activity.
+        if data and not self.event_parser.has_partial_event:
             self.last_activity = clock()
             if self.caught_up and self.unread_since is None:
-                self._heard(arrived_after)
+                self._record_heard(arrived_after)
         if ended or not data:
-            was_up = self.up
-            self._end()
-            self._retry_later("ended" if was_up else "ended before its answer")
+            had_response = self.response_started
+            self._close_connection()
+            self._schedule_retry("ended" if had_response else "ended before its answer")
         return True
 
     def _parse_http(self, data: bytes) -> bool:
@@ -311,22 +313,22 @@
         self.http.receive_data(data)
         while (event := self.http.next_event()) not in (h11.NEED_DATA, h11.PAUSED):
             if isinstance(event, h11.Response):
-                self._response_begun(event)
+                self._handle_response(event)
             elif isinstance(event, h11.Data):
                 self._parse_events(bytes(event.data))
             else:
                 return True
         return False
 
-    def _response_begun(self, response: h11.Response) -> None:
+    def _handle_response(self, response: h11.Response) -> None:
         if response.status_code != 200:
             raise InvalidResponseError(f"status {response.status_code}")
-        self.up = True
+        self.response_started = True
         self.last_activity = clock()
-        self.up_since = clock()
+        self.response_started_at = clock()
 
-    def _heard(self, at: float) -> None:
-        """Nothing that discovery reported up to that time (ms) is missing."""
+    def _record_heard(self, at: float) -> None:
+        """Records that no event that discovery reported up to that time (ms) is missing."""
         outage = self.heard_ms()
         self.heard_at = at if self.heard_at is None else max(at, self.heard_at)
         if self.logged_failure:
@@ -336,8 +338,8 @@
 
     def _parse_events(self, data: bytes) -> None:
         events = []
-        comments = self.events.comments
-        for event in self.events.feed(data):
+        comment_count = self.event_parser.comment_count
+        for event in self.event_parser.feed(data):
             try:
                 events.append(parse_event(event.data))
             except UnusableEventError:
@@ -345,6 +347,6 @@
         if events:
             self.silence_timeout = SILENCE_TIMEOUT
             self.notify(events)
-        # Events that were missed come first on a new connection, then a comment each second.
-        if self.events.comments > comments and clock() - self.up_since >= CATCH_UP_TIME:
+        # A new connection first sends the events that were missed, then a comment each second.
+        if self.event_parser.comment_count > comment_count and clock() - self.response_started_at >= CATCH_UP_TIME:
             self.caught_up = True
--- a/wickdyke/platform/endpoint_list.py
+++ b/wickdyke/platform/endpoint_list.py
@@ -1,24 +1,25 @@
-"""The endpoint list as it results from discovery's numbered events. Pure: no I/O, no clock.
+"""The endpoint list that results from discovery's numbered events. Pure: no I/O, no clock.
 
-An event counts once, by its number. Start times are reported in Unix ms and converted to the coordinator's
+Each event is applied once, by its number. Start times are reported in Unix ms and converted to the coordinator's
 monotonic ms.
 
-A wall clock may be stepped at any time, here or on the machine that writes the start times; only the monotonic clock
-runs on. So a start time is believed only as far as the monotonic clock allows:
-
-- A start time is converted once, when it is reported first. Reported again with the same number (a full list, a new
-  connection, an entry that was deleted for a while) it keeps the converted time.
-- A worker that a live event reports first can't be older than the event is late. On a connection that has been up for
-  a while that is PROMPT at most. On a new one it is longer by what we may have missed: the time since the last events,
-  OUTAGE at most. A start time before that, or in the future, counts as a start now: the worker can't be younger than
-  that, so its slow start is at worst longer than it need be, never shorter.
-- For workers reported before any other event (`known` of the configuration) only the wall clocks can show it. A start
-  in the future counts as a start now. What can't be determined: whether a clock was stepped forward here, or back
-  there, before this process began; then a worker looks older than it is, and nothing here contradicts it. To count
-  all of them as just started would be safe too, but every restart of a front end would then have a whole healthy
-  fleet warm up.
-- If the wall clock here was stepped since the start, both differences between the clocks are possible, as start times
-  may be written by a clock that was stepped with ours or by another one. The younger age counts.
+A wall clock may be stepped at any time, on this machine or on the one that writes the start times; the monotonic clock
+is never stepped. So a start time is trusted only as far as the monotonic clock allows:
+
+- A start time is converted once, when it is first reported. If the same number is reported again (in a full list, on a
+  new connection, for an entry that was deleted for a while), the converted time is kept.
+- A worker that is first reported by a live event can't be older than the delay of that event. On a connection that has
+  been established for a while the delay is MAX_EVENT_DELAY at most. On a new connection it is longer by the time during
+  which events may have been missed: the time since the last events, MAX_OUTAGE at most. A start time before that, or in
+  the future, is replaced by the present time: the worker can't be younger than that, so its slow start may be longer
+  than necessary, but never shorter.
+- The start times of workers reported before any other event (`known` of the configuration) can be checked only
+  against the wall clock. A start in the future is replaced by the present time. It can't be detected whether a clock
+  was stepped forward on this machine, or back on the other, before this process started; then a worker looks older
+  than it is. Treating all of them as just started would be safe too, but then each restart of a front end would put a
+  whole healthy fleet into slow start.
+- If the wall clock of this machine was stepped since the process started, either offset between the clocks may be
+  right, as the clock that wrote the start times may have been stepped too or not. The younger age is used.
 """
 
 import json
@@ -30,12 +31,14 @@
 from wickdyke.gateway.interfaces import EndpointListChange
 from wickdyke.routing.model import Endpoint, EndpointState
 
-PROMPT = 2000.0  # ms by which an event may report a start late on a live connection: a dead one is noticed in 1.5 s
-OUTAGE = 10000.0  # ms without events, at most, for which a new connection may make up
-STEPPED = 100.0  # ms by which the wall clock has moved against the monotonic one if it was stepped, not adjusted
-GONE_KEPT = 1024  # start times of deleted workers that are kept, in case they are listed again
+# ms by which an event may report a start late on a live connection; a dead connection is detected within 1.5 s
+MAX_EVENT_DELAY = 2000.0
+MAX_OUTAGE = 10000.0  # ms of missed events, at most, that a new connection delivers
+# ms by which the wall clock must move against the monotonic one to count as stepped rather than adjusted
+CLOCK_STEP_THRESHOLD = 100.0
+MAX_REMOVED_START_TIMES = 1024  # start times kept of deleted workers, which may be listed again
 MAX_PORT = 65535
-STATES = {  # by the word of an event
+STATES_BY_LIFECYCLE = {  # by the `lifecycle` of an instance
     "SERVING": EndpointState.READY,
     "DRAINING": EndpointState.DRAINING,
     "DELETED": EndpointState.GONE,
@@ -43,28 +46,28 @@
 
 
 class UnusableEventError(Exception):
-    """An event is no JSON object with an offset."""
+    """An event is not a JSON object with an integer offset."""
 
 
 Event = dict[str, Any]  # a JSON object, as discovery sends it; its `offset` is an int
 
 
 class StartTime(NamedTuple):
-    """When a worker started."""
+    """The start time of a worker, as reported and as converted."""
 
     reported: float  # Unix ms, as in the event
     converted: float  # ms of the coordinator's clock
 
 
 class ListedWorker(NamedTuple):
-    """A worker of the list, and its address as HOST:PORT."""
+    """A listed worker, and its address as HOST:PORT."""
 
     endpoint: Endpoint
     address: str
 
 
 class Instance(NamedTuple):
-    """One instance of an event, parsed. `start_time` is None where the worker was not reported as just started."""
+    """A parsed instance of an event. `start_time` is None where the event reports none."""
 
     endpoint: Endpoint
     address: str
@@ -72,7 +75,7 @@
 
 
 def parse_event(text: str) -> Event:
-    """Parses an event and checks it as far as that needs no list. Raises UnusableEventError."""
+    """Parses an event and checks that it is an object with an offset. Raises UnusableEventError."""
     try:
         event = json.loads(text)
     except (ValueError, RecursionError):
@@ -83,84 +86,85 @@
 
 
 class EndpointList:
-    """The list as of the last event; `apply` returns what changed, at a cost that follows the events, not the list.
+    """The list as of the last event. The cost of `apply` is proportional to the events, not to the size of the list.
 
-    `wall_ahead()` gives by how many ms the Unix clock is ahead of the coordinator's now; `connected_at()` when the
-    response that brings the events began, in the coordinator's ms (by default so long ago that it misses nothing).
+    `wall_clock_offset()` returns how many ms the Unix clock is ahead of the coordinator's clock now; `connected_at()`
+    returns when the response with the events started, in the coordinator's ms (by default so long ago that no event is
+    missing).
     """
 
     def __init__(
         self,
         zones: tuple[str, ...],
         kinds: tuple[str, ...],
-        wall_ahead: Callable[[], float],
+        wall_clock_offset: Callable[[], float],
         connected_at: Callable[[], float] = lambda: -math.inf,
     ) -> None:
         self.zones = zones
         self.kinds = kinds
-        self.wall_ahead = wall_ahead
+        self.wall_clock_offset = wall_clock_offset
         self.connected_at = connected_at
-        self.ahead_at_start = wall_ahead()
-        self.oldest_age = math.inf  # ms; the greatest of a worker first reported in the events being applied
-        self.last_events = 0.0  # when events were applied last (ms)
-        self.start_times: dict[str, StartTime] = {}  # of listed workers
-        self.gone_start_times: dict[str, StartTime] = {}  # of deleted ones, the latest GONE_KEPT
-        self.offset = 0  # of the last event applied
-        self.unusable = 0  # events and instances so far
+        self.initial_wall_clock_offset = wall_clock_offset()
+        self.max_age = math.inf  # ms; the greatest possible age of a worker first reported by the present events
+        self.last_events_at = 0.0  # ms; when events were last applied
+        self.start_times: dict[str, StartTime] = {}  # of listed workers, by name
+        self.removed_start_times: dict[str, StartTime] = {}  # of deleted workers, the latest ones
+        self.offset = 0  # number of the last applied event
+        self.unusable_count = 0  # invalid events and instances so far
         self.listed: dict[str, ListedWorker] = {}
 
     def __len__(self) -> int:
         return len(self.listed)
 
     def address(self, name: str) -> str | None:
-        """The address of a listed worker."""
+        """Returns the address of a listed worker as HOST:PORT; None where it is not listed."""
         return self.listed[name].address if name in self.listed else None
 
     def apply(self, events: Iterable[Event], now: float) -> EndpointListChange:
-        """Applies events in their order; those applied before change nothing. `now` is in ms."""
-        before: dict[str, ListedWorker | None] = {}  # of the workers that an event names
-        self.oldest_age = self._oldest_age(now)
+        """Applies events in order and returns the changes; those applied before have no effect. `now` is in ms."""
+        previous: dict[str, ListedWorker | None] = {}  # state before the events of each worker that they name
+        self.max_age = self._max_age(now)
         for event in events:
             if event["offset"] > self.offset:
                 self.offset = event["offset"]
-                self._apply_topology(event.get("topology"), before, now)
-        self.last_events = now
-        return self._change_since(before)
+                self._apply_topology(event.get("topology"), previous, now)
+        self.last_events_at = now
+        return self._change_since(previous)
 
-    def _change_since(self, before: dict[str, ListedWorker | None]) -> EndpointListChange:
-        gone: list[Endpoint] = []
+    def _change_since(self, previous: dict[str, ListedWorker | None]) -> EndpointListChange:
+        removed: list[Endpoint] = []
         changed: list[Endpoint] = []
         addresses: dict[str, str | None] = {}
-        for name, old in before.items():
+        for name, old in previous.items():
             new = self.listed.get(name)
             if new is None and old is not None:
-                gone.append(replace(old.endpoint, state=EndpointState.GONE))
+                removed.append(replace(old.endpoint, state=EndpointState.GONE))
             elif new is not None and (old is None or old.endpoint != new.endpoint):
                 changed.append(new.endpoint)
             address = new.address if new is not None else None
             if address != (old.address if old is not None else None):
                 addresses[name] = address
-        return EndpointListChange(gone + changed, addresses)
+        return EndpointListChange(removed + changed, addresses)
 
-    def _oldest_age(self, now: float) -> float:
-        """Returns how old (ms) a worker can be at most that is first reported now."""
+    def _max_age(self, now: float) -> float:
+        """Returns the greatest possible age (ms) of a worker that is first reported now."""
         if not self.offset:
             return math.inf
-        if now - self.connected_at() > PROMPT:
-            return PROMPT
-        return PROMPT + min(OUTAGE, now - self.last_events)
+        if now - self.connected_at() > MAX_EVENT_DELAY:
+            return MAX_EVENT_DELAY
+        return MAX_EVENT_DELAY + min(MAX_OUTAGE, now - self.last_events_at)
 
-    def _apply_topology(self, topology: object, before: dict[str, ListedWorker | None], now: float) -> None:
+    def _apply_topology(self, topology: object, previous: dict[str, ListedWorker | None], now: float) -> None:
         entries = topology.get("instances") if isinstance(topology, dict) else None
         if not isinstance(topology, dict) or not isinstance(entries, list):
-            self.unusable += topology is not None
+            self.unusable_count += topology is not None
             return
-        instances = self._instances(entries, now)
+        instances = self._parse_instances(entries, now)
         if topology.get("reset"):
-            self._clear(before)
+            self._clear(previous)
         for instance in instances:
             name = instance.endpoint.ident
-            before.setdefault(name, self.listed.get(name))
+            previous.setdefault(name, self.listed.get(name))
             self._forget_start_time(name)
             if instance.endpoint.state is EndpointState.GONE:
                 self.listed.pop(name, None)
@@ -168,54 +172,54 @@
             self.listed[name] = ListedWorker(instance.endpoint, instance.address)
             if instance.start_time is not None:
                 self.start_times[name] = instance.start_time
-                self.gone_start_times.pop(name, None)
+                self.removed_start_times.pop(name, None)
 
-    def _instances(self, entries: list[Any], now: float) -> list[Instance]:
-        """Returns the entries that are valid, and counts the others."""
+    def _parse_instances(self, entries: list[Any], now: float) -> list[Instance]:
+        """Parses the valid entries, and counts the others."""
         instances = []
         for entry in entries:
             try:
-                instances.append(self._instance(entry, now))
+                instances.append(self._parse_instance(entry, now))
             except (KeyError, TypeError, ValueError, AttributeError, OverflowError):
-                self.unusable += 1
+                self.unusable_count += 1
         return instances
 
-    def _clear(self, before: dict[str, ListedWorker | None]) -> None:
+    def _clear(self, previous: dict[str, ListedWorker | None]) -> None:
         for name, old in self.listed.items():
-            before.setdefault(name, old)
+            previous.setdefault(name, old)
         self.listed.clear()
         for name in list(self.start_times):
             self._forget_start_time(name)
 
     def _forget_start_time(self, name: str) -> None:
-        """The worker is not listed any more, or about to be listed again."""
+        """Moves the start time of a worker to those of deleted ones: it was deleted, or is about to be listed again."""
         if (start_time := self.start_times.pop(name, None)) is None:
             return
-        self.gone_start_times.pop(name, None)  # to the end of the order
-        self.gone_start_times[name] = start_time
-        if len(self.gone_start_times) > GONE_KEPT:
-            del self.gone_start_times[next(iter(self.gone_start_times))]
+        self.removed_start_times.pop(name, None)  # so that it is inserted at the end
+        self.removed_start_times[name] = start_time
+        if len(self.removed_start_times) > MAX_REMOVED_START_TIMES:
+            del self.removed_start_times[next(iter(self.removed_start_times))]
 
     def _start_time(self, name: str, reported: float, now: float) -> StartTime:
-        """Converts a reported start time as described above. Raises ValueError where it is not finite."""
+        """Converts a reported start time, as the module describes. Raises ValueError where it is not finite."""
         if not math.isfinite(reported):
             raise ValueError(reported)
-        for earlier in (self.start_times.get(name), self.gone_start_times.get(name)):
+        for earlier in (self.start_times.get(name), self.removed_start_times.get(name)):
             if earlier is not None and earlier.reported == reported:
                 return earlier
-        converted = reported - self.ahead_at_start
-        ahead = self.wall_ahead()
-        if abs(ahead - self.ahead_at_start) > STEPPED:
-            converted = max(converted, reported - ahead)
-        possible = now - self.oldest_age <= converted <= now
+        converted = reported - self.initial_wall_clock_offset
+        wall_clock_offset = self.wall_clock_offset()
+        if abs(wall_clock_offset - self.initial_wall_clock_offset) > CLOCK_STEP_THRESHOLD:
+            converted = max(converted, reported - wall_clock_offset)
+        possible = now - self.max_age <= converted <= now
         return StartTime(reported, converted if possible else now)
 
-    def _instance(self, entry: dict[str, Any], now: float) -> Instance:
+    def _parse_instance(self, entry: dict[str, Any], now: float) -> Instance:
         name = entry["instanceId"]
         address = entry["hostPort"]
         reported = entry.get("startedAtMs") or 0
-        host, sign, port = address.rpartition(":")
-        if not (isinstance(name, str) and name and host and sign and 0 < int(port) <= MAX_PORT):
+        host, separator, port = address.rpartition(":")
+        if not (isinstance(name, str) and name and host and separator and 0 < int(port) <= MAX_PORT):
             raise ValueError(address)
         zone = entry.get("zone")
         kind = entry.get("machineType")
@@ -225,7 +229,7 @@
             self.zones.index(zone) if zone in self.zones else 0,
             self.kinds.index(kind) if kind in self.kinds else 0,
             int(entry.get("cell", -1)),
-            STATES[entry["lifecycle"]],
+            STATES_BY_LIFECYCLE[entry["lifecycle"]],
             float(entry.get("weight") or 1.0),
             start_time.converted if start_time is not None else None,
         )
--- a/wickdyke/platform/reachability.py
+++ b/wickdyke/platform/reachability.py
@@ -1,65 +1,68 @@
-"""Whether a worker counts as away, from the connections to it that could not be made."""
+"""Decides from failed connects whether a worker counts as unreachable."""
 
 import errno
 from enum import Enum, auto
 
 from wickdyke.transport.event_loop import clock
 
-# Of the errors of connect(2) and socket(2), ECONNREFUSED alone is an answer of the worker's machine that no process
-# listens there. These mean that no route to it exists, of this machine for a moment or of the worker for long. The
-# others are of this machine (descriptors, memory, ports, permissions, a signal) and show nothing about a worker.
+# Of the errors of connect(2) and socket(2), only ECONNREFUSED is an answer of the worker's machine: no process listens
+# there. The errors below mean that there is no route to the worker: either briefly because of this machine, or for
+# longer because of the worker. All others are local (descriptors, memory, ports, permissions, a signal) and show
+# nothing about a worker.
 NO_ROUTE_ERRORS = (errno.ENETUNREACH, errno.EHOSTUNREACH, errno.ENETDOWN, errno.EHOSTDOWN, errno.ETIMEDOUT)
-AWAY_AFTER = 1000.0  # ms of connects that find no route, none as far from the last, before a worker counts as away
-CONNECT_TIMEOUTS = 2  # connects in a row that time out, each begun after the last, before a worker counts as away
+# ms for which connects must find no route, with no gap as long between them, before a worker counts as unreachable
+NO_ROUTE_DURATION = 1000.0
+# Consecutive connects that time out, each started after the previous time-out, before a worker counts as unreachable.
+MAX_CONNECT_TIMEOUTS = 2
 
 
 class Liveness(Enum):
-    """What a connection has shown of its worker."""
+    """What a connection has shown about its worker."""
 
     ALIVE = auto()
-    GONE = auto()
+    DOWN = auto()
     UNKNOWN = auto()
 
 
 class Reachability:
-    """What the connects to one worker have shown so far."""
+    """The recent results of connects to one worker."""
 
     def __init__(self) -> None:
-        self.timeouts_in_row = 0  # of connects
-        self.timed_out_at = float("-inf")  # when the last of them did (ms)
-        self.no_route_since = float("inf")  # the first connect in a row that found no route (ms)
-        self.no_route_at = float("-inf")  # the last one (ms)
+        self.consecutive_timeouts = 0  # connects that timed out since the last success
+        self.last_timeout_at = float("-inf")  # when the last connect timed out (ms)
+        self.no_route_since = float("inf")  # the first of the consecutive connects that found no route (ms)
+        self.last_no_route_at = float("-inf")  # the last connect that found no route (ms)
 
-    def connect_timed_out(self, begun_at: float) -> bool:
-        """Counts a connect, begun at that time (ms), that timed out. Returns whether the worker counts as away."""
-        # One connection of many is established late or never, and the router treats a worker it could not reach as one
-        # that starts anew: all that is loaded there forgotten, slow start for the whole ramp. That costs time where a
-        # machine has vanished: the first command there learns it one time-out later.
-        if begun_at >= self.timed_out_at:
-            self.timeouts_in_row += 1
-            self.timed_out_at = clock()
-        return self.timeouts_in_row >= CONNECT_TIMEOUTS
+    def connect_timed_out(self, started_at: float) -> bool:
+        """Records a connect, started at that time (ms), that timed out. Returns whether the worker is unreachable."""
+        # Now and then a single connect is late or fails. The router treats an unreachable worker as restarted: it drops
+        # the record of the loaded functions and applies the whole slow start. So one time-out is not enough. The cost:
+        # if the machine is really down, the first command sent there learns that one time-out later.
+        if started_at >= self.last_timeout_at:
+            self.consecutive_timeouts += 1
+            self.last_timeout_at = clock()
+        return self.consecutive_timeouts >= MAX_CONNECT_TIMEOUTS
 
     def is_inconclusive(self, code: int) -> bool:
-        """Counts a connect that failed with that errno. Returns whether it shows nothing about the worker."""
-        # A moment in which this machine finds no route to any worker would be treated as one in which all start anew:
-        # all that is loaded forgotten, all in slow start. That costs time where a worker's machine has vanished: what
-        # is sent there until that is detected ends as never sent.
+        """Records a connect that failed with that errno. Returns whether it shows nothing about the worker."""
+        # If this machine briefly had no route to any worker, all would be treated as restarted: the record of their
+        # loaded functions dropped, and all in slow start. So no route counts only after a while. The cost: if a
+        # worker's machine is really down, commands sent there until that is detected end as unsent.
         if code == errno.ECONNREFUSED:
             return False
         if code not in NO_ROUTE_ERRORS:
             return True
         now = clock()
-        if now - self.no_route_at >= AWAY_AFTER:
+        if now - self.last_no_route_at >= NO_ROUTE_DURATION:
             self.no_route_since = now
-        self.no_route_at = now
-        return now - self.no_route_since < AWAY_AFTER
+        self.last_no_route_at = now
+        return now - self.no_route_since < NO_ROUTE_DURATION
 
     def connected(self) -> None:
         """Records that a connection was established."""
-        self.timeouts_in_row = 0
-        self.reached()
+        self.consecutive_timeouts = 0
+        self.route_found()
 
-    def reached(self) -> None:
-        """Records that the worker sent something, or a connection was established: there is a route."""
-        self.no_route_at = float("-inf")
+    def route_found(self) -> None:
+        """Records that there is a route: the worker sent data, or a connection was established."""
+        self.last_no_route_at = float("-inf")
--- a/wickdyke/platform/requests.py
+++ b/wickdyke/platform/requests.py
@@ -1,4 +1,4 @@
-"""Checks clients' requests. Nothing reaches a worker that is not checked here."""
+"""Validates the requests of clients. All data that reaches a worker is checked here."""
 
 import re
 from dataclasses import dataclass
@@ -6,25 +6,25 @@
 from wickdyke.platform import thrift
 from wickdyke.routing.model import RequestClass
 
-IDENT = re.compile(r"[0-9a-f]{16}", re.ASCII)
-NUMBER = re.compile(r"[0-9]{1,12}(\.[0-9]{1,12})?", re.ASCII)
-KEY = re.compile(r"[0-9A-Za-z_.:-]{1,64}", re.ASCII)
-REPEAT = re.compile(r"[0-9]{1,9}|true|false", re.ASCII)
+ID_PATTERN = re.compile(r"[0-9a-f]{16}", re.ASCII)
+NUMBER_PATTERN = re.compile(r"[0-9]{1,12}(\.[0-9]{1,12})?", re.ASCII)
+KEY_PATTERN = re.compile(r"[0-9A-Za-z_.:-]{1,64}", re.ASCII)
+REPEAT_PATTERN = re.compile(r"[0-9]{1,9}|true|false", re.ASCII)
 TAG_LIMITS = {"memory_mb": 1e7, "lanes": 4096.0, "load_ms": 3.6e6}
 MAX_TIME = 3.6e6  # ms
-MAX_QUOTED = 20  # characters of a wrong value that an error quotes
-# The fields on the wire. c: class; i: id; d: ms that the client waits; o: function; tags: further numbers. Where a
-# deployment has them: t: tenant; h: estimated ms of work; k: idempotency key; r: whether this is a retry.
+MAX_QUOTED = 20  # characters of an invalid value that an error quotes
+# The fields on the wire. c: class; i: id; d: ms that the client waits; o: function; tags: further numbers. Optional, by
+# deployment: t: tenant; h: estimated ms of work; k: idempotency key; r: whether the request is a retry.
 FIELDS = ("c", "i", "d", "o", "tags", "t", "h", "k", "r")
 
 
 class InvalidRequestError(Exception):
-    """A request is invalid; the message is for its sender."""
+    """A request is invalid; the message is sent to the client."""
 
 
 @dataclass(slots=True)
-class Call:
-    """What a request is to run: the function, its input and its figures. Times in ms, memory in MB."""
+class RequestParameters:
+    """The parameters of a request: the function, its input and its resource needs. Times in ms, memory in MB."""
 
     ident: bytes
     function: str
@@ -39,21 +39,21 @@
 
 @dataclass(slots=True)
 class CheckedRequest:
-    """A request whose fields are valid."""
+    """A validated request."""
 
     request_class: RequestClass
-    call: Call
-    time_left: float  # ms that the client waits
+    parameters: RequestParameters
+    time_left: float  # ms for which the client still waits
 
 
 def _number(text: str, name: str, maximum: float) -> float:
-    if not NUMBER.fullmatch(text) or not 0 < float(text) <= maximum:
+    if not NUMBER_PATTERN.fullmatch(text) or not 0 < float(text) <= maximum:
         raise InvalidRequestError(f"{name} is {text[:MAX_QUOTED]!r}, expected a number of at most {maximum:g}")
     return float(text)
 
 
 def _tags(text: str) -> dict[str, float]:
-    """Returns the numbers in NAME:VALUE;NAME:VALUE. Raises InvalidRequestError."""
+    """Parses the numbers in NAME:VALUE;NAME:VALUE. Raises InvalidRequestError."""
     numbers: dict[str, float] = {}
     for pair in filter(None, text.split(";")):
         name, _, value = pair.partition(":")
@@ -64,37 +64,37 @@
 
 
 def _check_names(fields: dict[str, str], request_classes: dict[str, RequestClass]) -> RequestClass:
-    """Checks the names of the fields, the class and the ids; returns the class."""
+    """Checks the field names, the class and the ids; returns the class. Raises InvalidRequestError."""
     if unknown := fields.keys() - set(FIELDS):
         raise InvalidRequestError(f"field {min(unknown)[:MAX_QUOTED]!r}, expected {', '.join(FIELDS)}")
     if (request_class := request_classes.get(fields.get("c", ""))) is None:
         raise InvalidRequestError(f"c is {fields.get('c', '')[:MAX_QUOTED]!r}, expected a class")
     for name in "io":
-        if not IDENT.fullmatch(fields.get(name, "")):
+        if not ID_PATTERN.fullmatch(fields.get(name, "")):
             raise InvalidRequestError(f"{name} is {fields.get(name, '')[:MAX_QUOTED]!r}, expected 16 hex digits")
     return request_class
 
 
 def _check_optional(fields: dict[str, str], request_class: RequestClass, tenants: tuple[str, ...]) -> None:
-    """Checks tenant, idempotency key and repeat."""
+    """Checks the tenant, the idempotency key and the retry flag. Raises InvalidRequestError."""
     if "t" in fields and tenants and fields["t"] not in tenants:
         raise InvalidRequestError(f"t is {fields['t'][:MAX_QUOTED]!r}, expected a tenant")
-    if not KEY.fullmatch(fields.get("k", "" if request_class.effect == "tokened" else "-")):
+    if not KEY_PATTERN.fullmatch(fields.get("k", "" if request_class.effect == "tokened" else "-")):
         raise InvalidRequestError(f"k is {fields.get('k', '')[:MAX_QUOTED]!r}, expected a key of letters and digits")
-    if not REPEAT.fullmatch(fields.get("r", "0")):
+    if not REPEAT_PATTERN.fullmatch(fields.get("r", "0")):
         raise InvalidRequestError(f"r is {fields['r'][:MAX_QUOTED]!r}, expected a number, true or false")
 
 
-def check(
+def check_request(
     message: thrift.Message, request_classes: dict[str, RequestClass], tenants: tuple[str, ...] = ()
 ) -> CheckedRequest:
-    """Checks the fields of a request. Raises InvalidRequestError."""
+    """Validates the fields of a request. Raises InvalidRequestError."""
     fields = message.fields
     request_class = _check_names(fields, request_classes)
     time_left = _number(fields.get("d", ""), "d", MAX_TIME)
     numbers = _tags(fields.get("tags", ""))
     _check_optional(fields, request_class, tenants)
-    call = Call(
+    parameters = RequestParameters(
         ident=fields["i"].encode(),
         function=fields["o"],
         input=message.body,
@@ -105,4 +105,4 @@
         is_repeat=fields.get("r", "0") not in ("0", "false"),
         idempotency_key=fields.get("k", ""),
     )
-    return CheckedRequest(request_class, call, time_left)
+    return CheckedRequest(request_class, parameters, time_left)
--- a/wickdyke/platform/resp.py
+++ b/wickdyke/platform/resp.py
@@ -1,53 +1,53 @@
-"""RESP arrays of bulk strings, rendered and parsed, as workers speak it. No I/O.
+"""Encoder and parser of RESP arrays of bulk strings, the wire format of workers. No I/O.
 
-Whatever a length is, no more is kept than the bounds allow: a length's line, a part and an answer each have one.
+Memory is bounded whatever lengths the peer sends: a length line, a part and the number of parts each have a limit.
 """
 
 from collections import deque
 
-MAX_PARTS = 8  # of an answer
-MAX_PART_SIZE = 256 * 1024  # bytes
-MAX_LENGTH_LINE = 24  # bytes of the line that gives a length
-# The first bytes of a length's line.
+MAX_PARTS = 8  # of one answer
+MAX_PART_SIZE = 256 * 1024  # bytes of one part
+MAX_LENGTH_LINE = 24  # bytes of a line that gives a length
+# The type bytes that begin a length line.
 ARRAY = b"*"[0]
 BULK_STRING = b"$"[0]
 
 
 class InvalidAnswerError(Exception):
-    """The data is no valid answer: nothing after it on this connection can be trusted."""
+    """The data is not a valid answer: later data of this connection can't be parsed either."""
 
 
 def command(*parts: bytes) -> bytes:
-    """Renders one command."""
+    """Encodes one command."""
     return b"*%d\r\n%b" % (len(parts), b"".join([b"$%d\r\n%b\r\n" % (len(part), part) for part in parts]))
 
 
 def fields(text: bytes) -> dict[str, str]:
-    """Parses name=value,name=value, or - for none. Raises InvalidAnswerError."""
+    """Parses name=value,name=value, or - for no fields. Raises InvalidAnswerError."""
     if text == b"-":
         return {}
     try:
         pairs = [pair.partition("=") for pair in text.decode().split(",")]
     except UnicodeDecodeError:
-        raise InvalidAnswerError("fields that are no UTF-8") from None
+        raise InvalidAnswerError("fields are not UTF-8") from None
     if not all(name and sign for name, sign, _ in pairs):
-        raise InvalidAnswerError("fields that are no name=value")
+        raise InvalidAnswerError("fields are not name=value pairs")
     return {name: value for name, _, value in pairs}
 
 
-class Answers:
-    """Splits a stream into answers, each a list of its parts."""
+class AnswerParser:
+    """Parses a stream into answers, each a list of its parts."""
 
     def __init__(self, part_size_limit: int = MAX_PART_SIZE) -> None:
         self.buffer = bytearray()
         self.part_size_limit = part_size_limit
         self.complete: deque[list[bytes]] = deque()
-        self.parts: list[bytes] = []
-        self.missing = 0  # parts of the incomplete answer that were not received
-        self.length: int | None = None  # bytes of the next part, once that was read
+        self.partial_parts: list[bytes] = []
+        self.missing_parts = 0  # parts of the incomplete answer that were not received yet
+        self.part_length: int | None = None  # bytes of the next part; None until its length line was read
 
     def feed(self, data: bytes) -> list[list[bytes]]:
-        """Takes bytes and returns the complete answers.
+        """Adds data and returns the answers that it completes.
 
         Raises InvalidAnswerError; the answers before the invalid one are then in `complete`.
         """
@@ -59,50 +59,50 @@
         return answers
 
     @property
-    def begun(self) -> bool:
-        """Whether an answer is incomplete."""
-        return bool(self.buffer or self.missing)
+    def has_partial_answer(self) -> bool:
+        """Whether part of an answer was received and its end was not."""
+        return bool(self.buffer or self.missing_parts)
 
     def _step(self) -> bool:
-        """Parses one part or one length; False where more data is needed."""
-        return self._read_length() if self.length is None else self._read_part(self.length)
+        """Parses one part or one length line; returns False where more data is needed."""
+        return self._read_length() if self.part_length is None else self._read_part(self.part_length)
 
     def _read_part(self, length: int) -> bool:
         buffer = self.buffer
         if len(buffer) < length + 2:
             return False
         if buffer[length : length + 2] != b"\r\n":
-            raise InvalidAnswerError("a part that is longer than it says")
-        self.parts.append(bytes(buffer[:length]))
+            raise InvalidAnswerError("a part is longer than its length")
+        self.partial_parts.append(bytes(buffer[:length]))
         del buffer[: length + 2]
-        self.length = None
-        self.missing -= 1
-        if not self.missing:
-            self.complete.append(self.parts)
-            self.parts = []
+        self.part_length = None
+        self.missing_parts -= 1
+        if not self.missing_parts:
+            self.complete.append(self.partial_parts)
+            self.partial_parts = []
         return True
 
     def _read_length(self) -> bool:
         buffer = self.buffer
         if not buffer:
             return False
-        if buffer[0] != (BULK_STRING if self.missing else ARRAY):
-            raise InvalidAnswerError(f"{bytes(buffer[:8])!r} where a length was due")
+        if buffer[0] != (BULK_STRING if self.missing_parts else ARRAY):
+            raise InvalidAnswerError(f"expected a length line, got {bytes(buffer[:8])!r}")
         end = buffer.find(b"\r\n", 0, MAX_LENGTH_LINE)
         if end < 0:
             if len(buffer) >= MAX_LENGTH_LINE:
-                raise InvalidAnswerError("a length that does not end")
+                raise InvalidAnswerError("a length line has no end")
             return False
         digits = bytes(buffer[1:end])
         if not digits.isdigit():
-            raise InvalidAnswerError(f"a length of {digits!r}")
+            raise InvalidAnswerError(f"invalid length {digits!r}")
         length = int(digits)
-        maximum = self.part_size_limit if self.missing else MAX_PARTS
-        if length > maximum or not (length or self.missing):
-            raise InvalidAnswerError(f"a length of {length} where {maximum} is the most")
+        maximum = self.part_size_limit if self.missing_parts else MAX_PARTS
+        if length > maximum or not (length or self.missing_parts):
+            raise InvalidAnswerError(f"length {length} exceeds the maximum of {maximum} or is 0")
         del buffer[: end + 2]
-        if self.missing:
-            self.length = length
+        if self.missing_parts:
+            self.part_length = length
         else:
-            self.missing = length
+            self.missing_parts = length
         return True
--- a/wickdyke/platform/service.py
+++ b/wickdyke/platform/service.py
@@ -1,4 +1,4 @@
-"""A front end of the platform: one thread, one event loop that steps the coordinator; signals and graceful shutdown."""
+"""A front end of the platform: one thread with an event loop that runs the coordinator; signals and shutdown."""
 
 import gc
 import math
@@ -24,23 +24,23 @@
 from wickdyke.platform.worker_protocol import PlatformWorkerProtocol
 from wickdyke.transport.event_loop import EventLoop
 
-GRACE_PERIOD = 750.0  # ms after SIGTERM in which requests are admitted as before, if there is as much time
-# SIGKILL may follow this much later than the longest deadline (counted as so much at most) after SIGTERM, in ms.
-KILL_AFTER = 700.0
+GRACE_PERIOD = 750.0  # ms after SIGTERM for which requests are still admitted, if the shutdown has so much time
+# SIGKILL may follow SIGTERM after the longest deadline, at most MAX_KILL_DEADLINE, plus KILL_DELAY (all in ms).
+KILL_DELAY = 700.0
 MAX_KILL_DEADLINE = 3000.0
-KILL_MARGIN = 100.0  # ms before that by which all is answered
-LOG_COUNTS_INTERVAL = 5000.0  # ms between lines of counts
+KILL_MARGIN = 100.0  # ms before the possible SIGKILL by which all requests are answered
+LOG_COUNTS_INTERVAL = 5000.0  # ms between two log lines of counts
 SWEEP_INTERVAL = 1000.0  # ms between searches for idle connections to workers
-REREAD_AFTER = 100.0  # ms until a configuration that could not be read is read again
-MAX_WAIT = 100.0  # ms that one iteration waits at most, so that a signal's flag is seen
-DISCOVERY_RETRY_FRACTION = 0.4  # of the grace for a drain, within which a lost connection to discovery is retried
-MAX_DISCOVERY_RETRY = 400.0  # ms
-IDLE_FRACTION = 0.7  # of the time after which a worker ends an idle connection, this side does
-DESCRIPTORS_RESERVED = 12  # discovery's old and new connection, one being accepted, a file being read, and more
+CONFIGURATION_RETRY_DELAY = 100.0  # ms until an unreadable configuration is read again
+MAX_WAIT = 100.0  # ms that one iteration waits at most, to notice the flags that signal handlers set
+DISCOVERY_RETRY_FRACTION = 0.4  # part of the grace period for drains within which discovery is retried
+MAX_DISCOVERY_RETRY = 400.0  # ms between two connects to discovery, at most
+IDLE_FRACTION = 0.7  # part of a worker's idle timeout after which this side closes an idle connection
+DESCRIPTORS_RESERVED = 12  # for discovery's old and new connection, an accept, a file being read and others
 
 
 def open_descriptors(limit: int) -> int:
-    """Returns how many descriptors below `limit` this process has open."""
+    """Returns the number of open descriptors below `limit` of this process."""
     count = 0
     for number in range(limit):
         with suppress(OSError):
@@ -58,32 +58,37 @@
 
 def _discovery_settings(configuration: Configuration) -> DiscoverySettings:
     backoff_limit = min(MAX_DISCOVERY_RETRY, DISCOVERY_RETRY_FRACTION * configuration.discovery.drain_grace)
-    return DiscoverySettings(configuration.bus, backoff_limit, configuration.seed)
+    return DiscoverySettings(configuration.discovery_address, backoff_limit, configuration.seed)
 
 
 class Service:
-    """One front end. `run` serves until a signal requests the shutdown and each request has been answered."""
+    """One front end. `run` serves until a signal requests the shutdown and all requests are answered."""
 
     def __init__(self, configuration: Configuration, path: str, log: Log) -> None:
         self.configuration = configuration
         self.path = path
         self.log = log
-        self.loop = EventLoop(self._log_fault)
-        # The wall clock is read first: a pause between the two readings makes workers younger, to the safe side.
+        self.loop = EventLoop(self._log_exception)
+        # The wall clock is read first: a pause between the two readings makes workers look younger, which at worst
+        # makes their slow start longer than necessary.
         self.endpoints = EndpointList(
             configuration.zones,
             configuration.kinds,
             lambda: time.time() * 1000 - clock(),
-            lambda: self.discovery.up_since,
+            lambda: self.discovery.response_started_at,
+        )
+        # Idle clients could use all descriptors, and then neither discovery nor a worker could be reached. So the
+        # descriptors are divided: some are reserved, half of the rest is for clients, the other half for workers.
+        free_descriptors = configuration.sockets - open_descriptors(configuration.sockets) - DESCRIPTORS_RESERVED
+        self.protocol = PlatformWorkerProtocol(
+            self.loop, _worker_settings(configuration), free_descriptors - free_descriptors // 2
         )
-        # Clients that idle would take all descriptors, and neither discovery nor a worker could be reached. So what the
-        # process may hold is divided: a half at most for clients, some in reserve, the rest for workers.
-        free = configuration.sockets - open_descriptors(configuration.sockets) - DESCRIPTORS_RESERVED
-        self.protocol = PlatformWorkerProtocol(self.loop, _worker_settings(configuration), free - free // 2)
         self.coordinator = Coordinator(configuration, configuration.seed, log, self.protocol, self.endpoints)
         self.client_server = ClientServer(
             self.loop,
-            ClientServerSettings(configuration.listen, configuration.request_classes, free // 2, configuration.tenants),
+            ClientServerSettings(
+                configuration.listen, configuration.request_classes, free_descriptors // 2, configuration.tenants
+            ),
             self.coordinator.post,
             self.coordinator.busy,
             log,
@@ -99,13 +104,15 @@
         )
         self.loop.on_stall = self.discovery.process_stalled
         self.shutdown_requested_at: float | None = None  # ms
-        self.reload_requested = False  # by a signal
-        self.reload_pending = False  # until the file can be read
+        self.reload_requested = False  # set by SIGHUP until the reload starts
+        self.reload_pending = False  # set while the file can't be read
         self.stopping = False
-        longest = min(MAX_KILL_DEADLINE, max(request_class.deadline for request_class in configuration.request_classes))
-        self.answer_within = longest + KILL_AFTER - KILL_MARGIN  # ms after SIGTERM
+        longest_deadline = min(
+            MAX_KILL_DEADLINE, max(request_class.deadline for request_class in configuration.request_classes)
+        )
+        self.shutdown_timeout = longest_deadline + KILL_DELAY - KILL_MARGIN  # ms after SIGTERM
 
-    def _log_fault(self, error: Exception) -> None:
+    def _log_exception(self, error: Exception) -> None:
         last = traceback.extract_tb(error.__traceback__)[-1]
         self.log.error(
             "unhandled exception in the event loop",
@@ -114,7 +121,7 @@
         )
 
     def _apply_events(self, events: list[Event]) -> None:
-        # In the queue they would wait while what had waited for its connection goes to a worker that drains.
+        # In the queue the events would wait while commands that waited for a connection are sent to a draining worker.
         self.coordinator.handle_at_once(EndpointsReceived(events))
 
     def handle_signals(self) -> None:
@@ -124,7 +131,7 @@
         signal.signal(signal.SIGHUP, self._request_reload)
 
     def _request_shutdown(self, number: int, frame: FrameType | None) -> None:
-        # The time counts from the signal. Nothing else is done here: it may run between any two lines.
+        # The time limit starts at the signal. The handler does no more, as it may run between any two bytecodes.
         if self.shutdown_requested_at is None:
             self.shutdown_requested_at = clock()
 
@@ -132,9 +139,9 @@
         self.reload_requested = True
 
     def open(self) -> None:
-        """Starts to serve. Raises OSError where it can't listen."""
+        """Starts serving. Raises OSError where the address can't be bound."""
         self.coordinator.post(EndpointsReceived(self.configuration.initial_events))
-        # The configuration is as old as its writing, and discovery may be out of reach: so that is no news.
+        # The list in the configuration may be old and discovery unreachable, so it does not count as heard just now.
         self.coordinator.post(DiscoveryHeard(-math.inf))
         self.coordinator.run_once()
         self.discovery.open()
@@ -170,14 +177,15 @@
     def _reload(self) -> None:
         self.reload_requested = False
         try:
-            given = configurations.load(self.path)
-            address = configurations.bus(given, self.path)
+            document = configurations.load(self.path)
+            address = configurations.discovery_address(document, self.path)
         except configurations.UnreadableConfigurationError as error:
-            # The signal is sent once and must not be lost, though descriptors or memory may be short for a moment.
+            # The signal is sent only once, so the reload is repeated after a temporary shortage of descriptors or
+            # memory.
             if not self.reload_pending:
                 self.log.warning("configuration not read yet", reason=str(error), in_force="the last good one")
             self.reload_pending = True
-            self.loop.call_at(clock() + REREAD_AFTER, self._reload_later)
+            self.loop.call_at(clock() + CONFIGURATION_RETRY_DELAY, self._reload_later)
             return
         except ConfigurationError as error:
             self.reload_pending = False
@@ -194,7 +202,7 @@
     def run_once(self) -> bool:
         """Runs one iteration; returns False once the shutdown is complete."""
         coordinator = self.coordinator
-        self._drain()
+        self._begin_shutdown()
         now = clock()
         due = min(coordinator.next_deadline(), self.loop.next_deadline(), self._next_shutdown_step())
         wait = min(due - now, MAX_WAIT) if coordinator.events.empty() else 0.0
@@ -204,52 +212,53 @@
             self._reload()
         if self.shutdown_requested_at is None:
             return True
-        self._drain()
+        self._begin_shutdown()
         elapsed = clock() - self.shutdown_requested_at
-        if elapsed < min(GRACE_PERIOD, self.answer_within):
+        if elapsed < min(GRACE_PERIOD, self.shutdown_timeout):
             return True
-        late = elapsed >= self.answer_within
-        self.client_server.shut()
+        late = elapsed >= self.shutdown_timeout
+        self.client_server.close_listener()
         if late:
             self._answer_all()
-        if not self.client_server.shut_down or not self._settled(late):
+        if not self.client_server.listener_closed or not self._all_answered(late):
             return True
-        # What was received since the last poll is read before the end: a request there has been acknowledged, and a
-        # socket that is closed with something unread resets the answer under way.
+        # Data received since the last poll is read before the end: the kernel has acknowledged it, and closing a socket
+        # with unread data sends a reset, which may discard an answer in transit.
         return self.client_server.read_clients() or not self.client_server.close_idle(late)
 
-    def _drain(self) -> None:
-        """Begins the graceful shutdown once it was requested."""
+    def _begin_shutdown(self) -> None:
+        """Begins the graceful shutdown if it was requested."""
         if self.shutdown_requested_at is None:
             return
-        self.client_server.answer_by = self.shutdown_requested_at + self.answer_within
+        self.client_server.answer_deadline = self.shutdown_requested_at + self.shutdown_timeout
         if not self.stopping:
             self.stopping = True
             self.client_server.serving = False
             self.log.info("stopping", open=len(self.coordinator.requests.by_id))
 
     def _next_shutdown_step(self) -> float:
-        """Returns when the shutdown has its next step (ms); infinite where it was not requested."""
+        """Returns the time (ms) of the next step of the shutdown; infinite where it was not requested."""
         if self.shutdown_requested_at is None:
             return float("inf")
         steps = (
-            self.shutdown_requested_at + span for span in (min(GRACE_PERIOD, self.answer_within), self.answer_within)
+            self.shutdown_requested_at + span
+            for span in (min(GRACE_PERIOD, self.shutdown_timeout), self.shutdown_timeout)
         )
         now = clock()
         return min((step for step in steps if step > now), default=float("inf"))
 
     def _answer_all(self) -> None:
-        """SIGKILL is near: answers all open requests now, rejects new ones, and accepts no connection."""
+        """Answers all open requests, rejects new ones and accepts no connections, as SIGKILL is imminent."""
         self.coordinator.stop_admitting()
-        if not self.client_server.shut_down:
-            self.client_server.shut(True)
+        if not self.client_server.listener_closed:
+            self.client_server.close_listener(True)
         self.coordinator.answer_all(RejectionReason.STOPPING)
 
-    def _settled(self, late: bool) -> bool:
-        """Returns whether each request is answered. Until it is late, attempts in flight are waited for as well."""
+    def _all_answered(self, late: bool) -> bool:
+        """Returns whether all requests are answered and, unless `late`, no attempt is in flight."""
         if late:
-            return self.coordinator.events.empty() and self.client_server.flushed()
-        return self.coordinator.idle() and self.client_server.flushed()
+            return self.coordinator.events.empty() and self.client_server.all_answers_sent()
+        return self.coordinator.idle() and self.client_server.all_answers_sent()
 
     def run(self) -> None:
         """Serves until the shutdown is complete."""
@@ -261,7 +270,7 @@
 
 
 def main() -> int:
-    """Serves until a signal; returns the exit code: 2, and a line on standard error, for an invalid configuration."""
+    """Serves until a signal and returns the exit code: 2, after a line on standard error, on invalid configuration."""
     try:
         path = configurations.config_path()
         configuration = configurations.read(path, os.environ.get("GW_LISTEN"), os.environ.get("GW_NAME"))
@@ -271,8 +280,8 @@
     log, log_writer = logs.logger(sys.stderr, False)
     service = Service(configuration, path, log.bind(gateway=configuration.name))
     service.handle_signals()
-    # The garbage collector would traverse all live objects while requests wait. Nearly all are freed by their reference
-    # count; the few cycles wait longer.
+    # The garbage collector traverses all live objects while requests wait, so it runs less often. Reference counting
+    # frees nearly all objects; the few cycles are freed later.
     gc.set_threshold(20000, 20, 50)
     try:
         service.open()
--- a/wickdyke/platform/sse.py
+++ b/wickdyke/platform/sse.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-MAX_EVENT_SIZE = 1 << 22  # bytes: a full list of 20,000 workers, some 200 bytes each
+MAX_EVENT_SIZE = 1 << 22  # bytes; a full list of 20,000 workers at about 200 bytes each
 
 
 class EventTooLargeError(Exception):
@@ -11,30 +11,30 @@
 
 @dataclass(slots=True, frozen=True)
 class Event:
-    """One event: the last id of the stream at its end, and its data."""
+    """One event: the last id that the stream has set by its end, and its data."""
 
     ident: str
     data: str
 
 
-class Events:
-    """Splits a stream into events. One without its final empty line is dropped, as the standard requires."""
+class EventParser:
+    """Parses a stream into events. An event without its final empty line is dropped, as the standard requires."""
 
     def __init__(self) -> None:
         self.buffer = bytearray()  # the incomplete last line
         self.ident = ""
         self.data: list[str] = []
         self.event_size = 0  # bytes of the lines of the incomplete event
-        self.within_event = False  # whether a line of an event was received and its end was not
-        self.comments = 0  # received so far
+        self.within_event = False  # whether a line of an event was received and the end of the event was not
+        self.comment_count = 0  # comments received so far
 
     @property
-    def begun(self) -> bool:
-        """Whether an event is incomplete. A comment alone is none."""
+    def has_partial_event(self) -> bool:
+        """Whether part of an event was received and its end was not. A comment is not part of an event."""
         return self.within_event or (bool(self.buffer) and not self.buffer.startswith(b":"))
 
     def feed(self, chunk: bytes) -> list[Event]:
-        """Takes bytes and returns the events that are complete. Raises EventTooLargeError."""
+        """Adds data and returns the events that it completes. Raises EventTooLargeError."""
         self.buffer += chunk
         events = []
         *lines, rest = self.buffer.split(b"\n")
@@ -50,7 +50,7 @@
                 self.within_event = False
                 continue
             name, _, value = line.partition(":")
-            self.comments += not name
+            self.comment_count += not name
             self.within_event = self.within_event or bool(name)
             value = value.removeprefix(" ")
             if name == "data":
@@ -58,5 +58,5 @@
             elif name == "id":
                 self.ident = value
         if self.event_size + len(self.buffer) > MAX_EVENT_SIZE:
-            raise EventTooLargeError(f"an event of over {MAX_EVENT_SIZE} bytes")
+            raise EventTooLargeError(f"event exceeds {MAX_EVENT_SIZE} bytes")
         return events
