--- a/wickdyke/platform/thrift.py
+++ b/wickdyke/platform/thrift.py
@@ -1,24 +1,24 @@
-"""Thrift's strict binary protocol in framed transport, as far as the front end's service needs it. No I/O.
+"""The part of Thrift's strict binary protocol, in framed transport, that the front end's service needs. No I/O.
 
-Every length is checked against what is left of a frame that was bounded before it was kept.
+The size of a frame is limited before it is stored, and every length is checked against the rest of its frame.
 """
 
 import struct
 from dataclasses import dataclass
 
-MAX_FRAME_SIZE = 24 * 1024  # bytes: a body and the fields
+MAX_FRAME_SIZE = 24 * 1024  # bytes of a frame, with the body and the fields
 MAX_BODY_SIZE = 16 * 1024  # bytes
 MAX_FIELDS = 32  # entries of a map of fields
-MAX_DEPTH = 8  # of nested values that are skipped
+MAX_DEPTH = 8  # nesting depth of values that are skipped
 VERSION = 0x80010000
 
-# Types of messages.
+# Message types.
 CALL = 1
 REPLY = 2
 EXCEPTION = 3
 ONEWAY = 4
 
-# Types of fields and values.
+# Field and value types.
 STOP = 0
 BOOL = 2
 BYTE = 3
@@ -38,7 +38,7 @@
 
 SIZES = {BOOL: 1, BYTE: 1, DOUBLE: 8, I16: 2, I32: 4, I64: 8}
 
-# Codes of application exceptions.
+# Application exception codes.
 UNKNOWN_METHOD = 1
 PROTOCOL_ERROR = 7
 
@@ -48,7 +48,7 @@
 
 
 class MalformedMessageError(Exception):
-    """The data is no valid message; `number` is that of the request where it is known."""
+    """The data is not a valid message; `number` is its sequence number where that is known."""
 
     def __init__(self, reason: str, number: int | None = None) -> None:
         super().__init__(reason)
@@ -57,16 +57,19 @@
 
 @dataclass(slots=True, frozen=True)
 class Message:
-    """One message of a client. `fields` and `body` are of a request; `about` is the number that a cancel names."""
+    """One message of a client, with its sequence number.
 
-    verb: str
+    `fields` and `body` belong to a request; `cancelled_number` is the sequence number that a cancel refers to.
+    """
+
+    method: str
     number: int
     fields: dict[str, str]
     body: bytes
-    about: int
+    cancelled_number: int
 
 
-class Frames:
+class FrameParser:
     """Splits a stream into frames."""
 
     def __init__(self, size_limit: int = MAX_FRAME_SIZE) -> None:
@@ -74,48 +77,48 @@
         self.size_limit = size_limit
 
     def feed(self, data: bytes) -> list[bytes]:
-        """Takes bytes and returns the complete frames. Raises MalformedMessageError at a length no frame may have."""
+        """Adds data and returns the frames that it completes. Raises MalformedMessageError at an invalid length."""
         buffer = self.buffer
         frames: list[bytes] = []
-        at = 0
+        position = 0
         buffer += data
-        while len(buffer) - at >= 4:
-            (length,) = _I32.unpack_from(buffer, at)
+        while len(buffer) - position >= 4:
+            (length,) = _I32.unpack_from(buffer, position)
             if not 0 < length <= self.size_limit:
-                # The frames before it count still; the next call finds the length with nothing before it.
+                # The frames before the invalid length are still returned; the next call raises.
                 if frames:
                     break
                 raise MalformedMessageError(f"a frame of {length} bytes")
-            if len(buffer) - at - 4 < length:
+            if len(buffer) - position - 4 < length:
                 break
-            frames.append(bytes(buffer[at + 4 : at + 4 + length]))
-            at += 4 + length
-        del buffer[:at]
+            frames.append(bytes(buffer[position + 4 : position + 4 + length]))
+            position += 4 + length
+        del buffer[:position]
         return frames
 
     @property
-    def invalid(self) -> bool:
-        """Whether the next data is no frame."""
+    def next_frame_invalid(self) -> bool:
+        """Whether the buffered data begins with an invalid frame length."""
         return len(self.buffer) >= 4 and not 0 < _I32.unpack_from(self.buffer)[0] <= self.size_limit
 
     @property
-    def begun(self) -> bool:
-        """Whether a frame is incomplete."""
+    def has_partial_frame(self) -> bool:
+        """Whether part of a frame was received and its end was not."""
         return bool(self.buffer)
 
 
 class _Reader:
-    """Reads the values of one frame in their order."""
+    """Reads the values of one frame in order."""
 
     def __init__(self, data: bytes) -> None:
         self.data = data
-        self.at = 0
+        self.position = 0
 
     def read_bytes(self, length: int) -> bytes:
-        if length < 0 or length > len(self.data) - self.at:
-            raise MalformedMessageError(f"{length} bytes where {len(self.data) - self.at} are left")
-        self.at += length
-        return self.data[self.at - length : self.at]
+        if length < 0 or length > len(self.data) - self.position:
+            raise MalformedMessageError(f"{length} bytes where {len(self.data) - self.position} are left")
+        self.position += length
+        return self.data[self.position - length : self.position]
 
     def i32(self) -> int:
         value: int = _I32.unpack(self.read_bytes(4))[0]
@@ -165,8 +168,8 @@
             raise MalformedMessageError(f"a value of type {kind}")
 
 
-def read(frame: bytes) -> Message:
-    """Parses the message in one frame. Raises MalformedMessageError."""
+def parse_message(frame: bytes) -> Message:
+    """Parses the message in a frame. Raises MalformedMessageError."""
     reader = _Reader(frame)
     head = reader.i32() & 0xFFFFFFFF
     if head & 0xFFFFFF00 != VERSION or head & 0xFF not in (CALL, ONEWAY):
@@ -184,7 +187,7 @@
 def _read_arguments(reader: _Reader, name: bytes, number: int) -> Message:
     fields: dict[str, str] = {}
     body = b""
-    about = 0
+    cancelled_number = 0
     seen: set[int] = set()
     while (field := reader.field())[0] != STOP:
         kind, ident = field
@@ -197,56 +200,56 @@
             else:
                 body = reader.string()
         elif name == b"cancelRequest" and (ident, kind) == (1, I32):
-            about = reader.i32()
+            cancelled_number = reader.i32()
         else:
             reader.skip(kind)
-    if reader.at != len(reader.data):
-        raise MalformedMessageError(f"{len(reader.data) - reader.at} bytes too many")
+    if reader.position != len(reader.data):
+        raise MalformedMessageError(f"{len(reader.data) - reader.position} bytes too many")
     if len(body) > MAX_BODY_SIZE:
         raise MalformedMessageError(f"a body of {len(body)} bytes")
-    return Message(name.decode("ascii"), number, fields, body, about)
+    return Message(name.decode("ascii"), number, fields, body, cancelled_number)
 
 
-def _string(value: bytes) -> bytes:
+def _encode_string(value: bytes) -> bytes:
     return _I32.pack(len(value)) + value
 
 
-def _map(fields: dict[str, str]) -> bytes:
+def _encode_map(fields: dict[str, str]) -> bytes:
     return b"".join(
         [
             bytes((STRING, STRING)),
             _I32.pack(len(fields)),
-            *[_string(text.encode()) for pair in fields.items() for text in pair],
+            *[_encode_string(text.encode()) for pair in fields.items() for text in pair],
         ]
     )
 
 
-def _frame(kind: int, verb: str, number: int, result: bytes) -> bytes:
-    name = verb.encode()
+def _encode_message(kind: int, method: str, number: int, result: bytes) -> bytes:
+    name = method.encode()
     return b"".join(
         (
             _I32.pack(12 + len(name) + len(result)),
             _I32.pack((VERSION | kind) - (1 << 32)),
-            _string(name),
+            _encode_string(name),
             _I32.pack(number),
             result,
         )
     )
 
 
-def answer(verb: str, number: int, body: bytes, success: bool = True) -> bytes:
-    """Renders the frame of an Answer."""
-    return _frame(
+def encode_answer(method: str, number: int, body: bytes, success: bool = True) -> bytes:
+    """Encodes the frame of an Answer."""
+    return _encode_message(
         REPLY,
-        verb,
+        method,
         number,
         b"".join(
             (
                 _FIELD.pack(STRUCT, 0),
                 _FIELD.pack(STRING, 1),
-                _string(body),
+                _encode_string(body),
                 _FIELD.pack(MAP, 2),
-                _map({}),
+                _encode_map({}),
                 _FIELD.pack(BOOL, 3),
                 bytes((success, STOP, STOP)),
             )
@@ -254,27 +257,34 @@
     )
 
 
-def _declared_exception(field_id: int, verb: str, number: int, fields: dict[str, str]) -> bytes:
-    return _frame(
-        REPLY, verb, number, _FIELD.pack(STRUCT, field_id) + _FIELD.pack(MAP, 1) + _map(fields) + bytes((STOP, STOP))
+def _encode_declared_exception(field_id: int, method: str, number: int, fields: dict[str, str]) -> bytes:
+    return _encode_message(
+        REPLY,
+        method,
+        number,
+        _FIELD.pack(STRUCT, field_id) + _FIELD.pack(MAP, 1) + _encode_map(fields) + bytes((STOP, STOP)),
     )
 
 
-def shed(verb: str, number: int, fields: dict[str, str]) -> bytes:
-    """Renders the frame of a Shed: the request was rejected."""
-    return _declared_exception(1, verb, number, fields)
+def encode_shed(method: str, number: int, fields: dict[str, str]) -> bytes:
+    """Encodes the frame of a Shed exception: the request was rejected."""
+    return _encode_declared_exception(1, method, number, fields)
 
 
-def fault(verb: str, number: int, fields: dict[str, str]) -> bytes:
-    """Renders the frame of a Fault: the request failed."""
-    return _declared_exception(2, verb, number, fields)
+def encode_fault(method: str, number: int, fields: dict[str, str]) -> bytes:
+    """Encodes the frame of a Fault exception: the request failed."""
+    return _encode_declared_exception(2, method, number, fields)
 
 
-def problem(verb: str, number: int, reason: str, code: int = PROTOCOL_ERROR) -> bytes:
-    """Renders the frame of an application exception."""
-    return _frame(
+def encode_exception(method: str, number: int, reason: str, code: int = PROTOCOL_ERROR) -> bytes:
+    """Encodes the frame of an application exception."""
+    return _encode_message(
         EXCEPTION,
-        verb,
+        method,
         number,
-        _FIELD.pack(STRING, 1) + _string(reason.encode()) + _FIELD.pack(I32, 2) + _I32.pack(code) + bytes((STOP,)),
+        _FIELD.pack(STRING, 1)
+        + _encode_string(reason.encode())
+        + _FIELD.pack(I32, 2)
+        + _I32.pack(code)
+        + bytes((STOP,)),
     )
--- a/wickdyke/platform/worker_client.py
+++ b/wickdyke/platform/worker_client.py
@@ -1,7 +1,7 @@
-"""All connections to one worker: which one a command is sent on, and how commands end when a connection does.
+"""The client of one worker: chooses the connection of each command and ends commands whose connection failed.
 
-An attempt has a connection to itself while the pool allows: what breaks or resets a connection then costs no other
-attempt. Prewarms and health checks share one beside them.
+An attempt has a connection to itself while the pool allows, so that a reset of that connection affects no other
+attempt. Prewarms and health checks share one additional connection.
 """
 
 import math
@@ -19,10 +19,11 @@
 from wickdyke.routing.model import Outcome
 from wickdyke.transport.event_loop import EventLoop, clock
 
-MAX_SENDS = 3  # connections that one command is handed to before a byte of it was sent
-# How a command ends whose connection failed before its answer arrived, at a worker that is alive. The lost answer of an
-# attempt or health check counts as an error of the worker; at a worker that is down, it counts as a lost connection.
-LOST_ANSWER = {
+MAX_SENDS = 3  # connections that a command may be assigned to before its first byte is sent
+# The outcome of a command whose connection ended before the answer arrived, by kind, where the worker is alive: the
+# lost answer of an attempt or health check counts as an error of the worker. Where the worker is down, the outcome is
+# CONNECTION_LOST instead.
+LOST_ANSWER_OUTCOMES = {
     CommandKind.ATTEMPT: Outcome.ERROR,
     CommandKind.HEALTH_CHECK: Outcome.ERROR,
     CommandKind.PREWARM: Outcome.TIMEOUT,
@@ -34,12 +35,12 @@
     """The settings of the clients of all workers; times in ms."""
 
     connect_timeout: float
-    idle_timeout: float  # a connection idle for longer is ended
-    report_fields: tuple[str, ...]  # of load reports, in the order of the settings
+    idle_timeout: float  # connections idle for longer are closed
+    report_fields: tuple[str, ...]  # the fields of load reports, in the order of the settings
 
 
 class WorkerClient:
-    """All connections to one worker. It calls `notify` with one CommandFinished for each command.
+    """All connections to one worker. Calls `notify` with one CommandFinished for each command.
 
     `address` is HOST:PORT.
     """
@@ -62,21 +63,21 @@
         self.connect_timeout = settings.connect_timeout
         self.idle_timeout = settings.idle_timeout
         self.report_fields = settings.report_fields
-        self.connections: list[WorkerConnection] = []  # for attempts; the one used last at the end
-        self.shared: WorkerConnection | None = None  # for prewarms and health checks
+        self.connections: list[WorkerConnection] = []  # for attempts; the most recently used one is last
+        self.shared_connection: WorkerConnection | None = None  # for prewarms and health checks
         self.reachability = Reachability()
-        self.probe = LivenessProbe(self._connect_probe, self._end_lost)
-        self.process_may_be_new = False  # a connection has shown that the process ended, and none was made since
-        self.same_process_since = -math.inf  # ms; as far as connections have shown
+        self.probe = LivenessProbe(self._connect_probe, self._finish_lost)
+        self.process_may_be_new = False  # a connection was refused or reset, and none was established since
+        self.same_process_since = -math.inf  # ms; earliest time since which connections showed no restart
         self.draining = False
         self.closed = False
 
     def all_connections(self) -> list[WorkerConnection]:
-        """Its connections."""
-        return [*self.connections, *([self.shared] if self.shared else [])]
+        """Returns all connections to the worker."""
+        return [*self.connections, *([self.shared_connection] if self.shared_connection else [])]
 
     def send(self, command: Command) -> None:
-        """Sends a command on a connection that accepts it; its end is reported by `notify`."""
+        """Sends a command on a connection that accepts it; `notify` reports how it ended."""
         command.worker_client = self
         now = clock()
         if self.closed or self.draining or command.deadline <= now or not command.may_begin(now):
@@ -85,18 +86,18 @@
         connection = self._connection_for(command)
         if connection is None:
             self.finish(command, Outcome.UNSENT)
-        elif connection.failed is not None:
-            self.finish(command, connection.failed)
+        elif connection.failure_outcome is not None:
+            self.finish(command, connection.failure_outcome)
         else:
             connection.send(command)
 
     def _connection_for(self, command: Command) -> WorkerConnection | None:
-        """A connection that accepts the command, or failed as it was begun; None where none may be made now."""
+        """Returns a connection for the command, possibly one whose connect failed at once; None if the pool is full."""
         if command.kind == CommandKind.ATTEMPT:
-            return self._for_attempt(command.ident)
-        return self._for_others(command.ident, command.kind)
+            return self._connection_for_attempt(command.ident)
+        return self._connection_for_control_command(command.ident, command.kind)
 
-    def _for_attempt(self, ident: bytes) -> WorkerConnection | None:
+    def _connection_for_attempt(self, ident: bytes) -> WorkerConnection | None:
         self.sweep()
         for connection in reversed(self.connections):
             if not connection.commands_in_flight and connection.accepts(ident):
@@ -105,10 +106,10 @@
                 connection.end_by_worker("ended while idle")
         if self.pool.make_room():
             connection = WorkerConnection(self)
-            if not connection.failed:
+            if not connection.failure_outcome:
                 self.connections.append(connection)
                 return connection
-            if connection.failed != Outcome.UNSENT:
+            if connection.failure_outcome != Outcome.UNSENT:
                 return connection
         return min(
             (connection for connection in self.connections if connection.accepts(ident)),
@@ -116,37 +117,42 @@
             default=None,
         )
 
-    def _for_others(self, ident: bytes, kind: CommandKind) -> WorkerConnection | None:
-        connection = self.shared
+    def _connection_for_control_command(self, ident: bytes, kind: CommandKind) -> WorkerConnection | None:
+        connection = self.shared_connection
         if connection is not None and connection.commands_in_flight == 0:
             if not connection.alive():
                 connection.end_by_worker("ended while idle")
             elif clock() - connection.last_used_at >= self.idle_timeout:
                 connection.end("idle")
-        if self.shared is None and kind == CommandKind.HEALTH_CHECK:
-            self.shared = self._idle_connection(ident)
-        if self.shared is None or not self.shared.accepts(ident):
+        if self.shared_connection is None and kind == CommandKind.HEALTH_CHECK:
+            self.shared_connection = self._idle_connection(ident)
+        if self.shared_connection is None or not self.shared_connection.accepts(ident):
             if not self.pool.make_room():
                 return None
             connection = WorkerConnection(self)
-            if connection.failed:
+            if connection.failure_outcome:
                 return connection
-            if self.shared is not None:  # it ends with the last command on it
-                self.connections.insert(0, self.shared)
-                self.shared.stale = True
-            self.shared = connection
-        return self.shared
+            if self.shared_connection is not None:  # closed after the last command on it
+                self.connections.insert(0, self.shared_connection)
+                self.shared_connection.stale = True
+            self.shared_connection = connection
+        return self.shared_connection
 
     def _idle_connection(self, ident: bytes) -> WorkerConnection | None:
-        """Takes an idle connection of the attempts: an answer on it costs no handshake."""
+        """Takes an idle connection from those for attempts, which saves a TCP handshake; None if there is none."""
         for connection in reversed(self.connections):
-            if connection.up and not connection.commands_in_flight and connection.accepts(ident) and connection.alive():
+            if (
+                connection.established
+                and not connection.commands_in_flight
+                and connection.accepts(ident)
+                and connection.alive()
+            ):
                 self.connections.remove(connection)
                 return connection
         return None
 
     def sweep(self) -> None:
-        """Ends idle connections before the worker does."""
+        """Closes connections that have been idle too long, before the worker closes them."""
         now = clock()
         for connection in list(self.connections):
             if not connection.commands_in_flight and (
@@ -155,32 +161,34 @@
                 connection.end("idle")
 
     def finish(self, command: Command, outcome: Outcome, result: CommandResult | None = None) -> None:
-        """Reports how a command ended."""
+        """Reports the outcome of a command."""
         self.notify(CommandFinished(self, command, outcome, result, None))
         if self.draining:
             self._close_if_drained()
 
-    def send_again(self, command: Command) -> None:
-        """Sends a command on another connection: its own ended as it was established, before a byte of it was sent."""
-        command.sends += 1
-        if command.sends < MAX_SENDS:
+    def resend(self, command: Command) -> None:
+        """Sends a command on another connection after its own ended before a byte of the command was sent."""
+        command.send_count += 1
+        if command.send_count < MAX_SENDS:
             self.send(command)
         else:
             self.finish(command, Outcome.UNSENT)
 
     def answers_lost(self, commands: list[Command], worker_alive: bool) -> None:
-        """A connection ended with these commands in flight: they may have run.
+        """Handles commands that were in flight on a connection that ended: they may have run.
 
-        CONNECTION_LOST means that the process ended, with all that it had loaded. The end of a connection beside others
-        that are established, or on an answer that is invalid, costs the answers only; where no other is established, a
-        new connection shows which it was. That misleads where a process was restarted before that connection: the
-        endpoint list reports that.
+        CONNECTION_LOST means that the worker process ended and lost all that it had loaded. If other connections are
+        established, or the connection was closed because of an invalid answer, only the answers are lost. If no other
+        connection is established, a new one is opened to find out whether the worker is alive. A process that was
+        restarted before that connection looks alive; the endpoint list reports the restart.
         """
         others = [
-            connection for connection in (*self.connections, self.shared) if connection is not None and connection.up
+            connection
+            for connection in (*self.connections, self.shared_connection)
+            if connection is not None and connection.established
         ]
         if worker_alive or any(connection.alive() for connection in others):
-            self._end_lost(commands, True)
+            self._finish_lost(commands, True)
         else:
             self.probe.add(commands)
 
@@ -188,18 +196,18 @@
         if not self.pool.make_room():
             return None
         connection = WorkerConnection(self)
-        if not connection.failed:
+        if not connection.failure_outcome:
             self.connections.insert(0, connection)
         return connection
 
-    def _end_lost(self, commands: list[Command], alive: bool) -> None:
-        """Ends commands whose answers were lost, at a worker that is alive or not."""
+    def _finish_lost(self, commands: list[Command], alive: bool) -> None:
+        """Finishes commands whose answers were lost; `alive` tells whether the worker is still alive."""
         for command in commands:
-            if command.connection is not None:  # else it was withdrawn meanwhile
-                self.finish(command, LOST_ANSWER[command.kind] if alive else Outcome.CONNECTION_LOST)
+            if command.connection is not None:  # otherwise it was withdrawn in the meantime
+                self.finish(command, LOST_ANSWER_OUTCOMES[command.kind] if alive else Outcome.CONNECTION_LOST)
 
     def connected(self) -> None:
-        """A connection was established."""
+        """Records that a connection was established."""
         if self.process_may_be_new:
             self.process_may_be_new = False
             self.same_process_since = clock()
@@ -207,44 +215,44 @@
         self.settle_unresolved(Liveness.ALIVE)
 
     def process_ended(self) -> None:
-        """A connection was reset, or refused: where no other is established, the process may have ended."""
-        # A process that dies resets all its connections. One that is reset alone costs less when it is taken for that
-        # than a process that has started anew and is not known to be warming up.
-        if not any(connection.up for connection in self.all_connections()):
+        """Records that a connection was reset or refused: unless another is established, the process may have ended."""
+        # A process that dies resets all its connections. Mistaking a single reset for a restart costs less than missing
+        # a restart, after which the worker would not be known to be warming up.
+        if not any(connection.established for connection in self.all_connections()):
             self.process_may_be_new = True
 
     def settle_unresolved(self, liveness: Liveness) -> None:
-        """A connection was established or failed, which may settle commands whose answers were lost."""
+        """Resolves commands whose answers were lost, after a connection was established or failed."""
         self.probe.settle(liveness)
 
     def connection_idle(self, connection: WorkerConnection) -> None:
-        """A connection has no command in flight: one that waits for a connection still being made is sent there."""
+        """Moves a command that waits for another connection to be established to this connection, which is idle."""
         if connection.closed or connection.stale or connection not in self.connections:
             return
         for other in self.connections:
-            for command in other.pending if not other.up else ():
+            for command in other.pending_commands if not other.established else ():
                 if connection.accepts(command.ident):
-                    other.pending.remove(command)
+                    other.pending_commands.remove(command)
                     connection.send(command)
                     return
 
     def connection_ended(self, connection: WorkerConnection) -> None:
-        """A connection has ended."""
-        if connection is self.shared:
-            self.shared = None
+        """Removes a connection that has ended."""
+        if connection is self.shared_connection:
+            self.shared_connection = None
         elif connection in self.connections:
             self.connections.remove(connection)
         if not self.all_connections():
             self.pool.worker_clients.discard(self)
 
     def cancel(self, command: Command, done: Callable[[], None]) -> Withdrawal:
-        """Withdraws an attempt; `done` is called once a cancel that is PENDING is with the kernel."""
-        withdrawal = self._cancel(command, done)
-        if self.draining:  # that may have been the last
+        """Cancels an attempt; where the result is PENDING, `done` is called once the kernel has the cancel message."""
+        withdrawal = self._cancel_command(command, done)
+        if self.draining:  # it may have been the last command in flight
             self._close_if_drained()
         return withdrawal
 
-    def _cancel(self, command: Command, done: Callable[[], None]) -> Withdrawal:
+    def _cancel_command(self, command: Command, done: Callable[[], None]) -> Withdrawal:
         if self.probe.remove(command):
             return Withdrawal.CANCELLED
         connection = command.connection
@@ -255,21 +263,21 @@
         return connection.cancel(command, done)
 
     def withdraw_unsent(self, command: Command) -> bool:
-        """Withdraws a command if no byte of it was sent; returns whether it was, and has ended."""
+        """Withdraws a command if no byte of it was sent; returns whether it was withdrawn."""
         withdrawn = command.connection is not None and command.connection.withdraw(command)
         if withdrawn and self.draining:
             self._close_if_drained()
         return withdrawn
 
     def withdraw_all_unsent(self) -> None:
-        """Withdraws all commands of which no byte was sent: they end as unsent."""
+        """Withdraws all commands of which no byte was sent, with the outcome UNSENT."""
         for connection in self.all_connections():
-            for command in [*connection.pending, *connection.open.values()]:
+            for command in [*connection.pending_commands, *connection.open_commands.values()]:
                 if command.connection is not None and command.connection.withdraw(command):
                     self.finish(command, Outcome.UNSENT)
 
     def abandon(self, command: Command) -> bool:
-        """Waits no longer for the answer; False where the command has ended."""
+        """Stops waiting for the answer; returns False where the command has already ended."""
         was_in_flight = self.probe.remove(command) or (
             command.connection is not None and command.connection.abandon(command)
         )
@@ -278,12 +286,12 @@
         return was_in_flight
 
     def disconnect(self) -> None:
-        """Ends all connections; what is in flight there ends as lost."""
+        """Closes all connections; the answers of commands in flight are lost."""
         for connection in self.all_connections():
-            connection.end("cut", EndCause.INCONCLUSIVE)  # by this side: it shows nothing of the worker
+            connection.end("cut", EndCause.INCONCLUSIVE)  # closed by this side, which shows nothing about the worker
 
     def drain(self) -> None:
-        """Sends no more commands, and closes with the last one in flight."""
+        """Stops sending commands, and closes after the last one in flight has ended."""
         self.draining = True
         self.withdraw_all_unsent()
         self._close_if_drained()
@@ -293,12 +301,12 @@
             self.closed
             or self.probe.unresolved
             or any(connection.commands_in_flight for connection in self.connections)
-            or (self.shared and self.shared.commands_in_flight)
+            or (self.shared_connection and self.shared_connection.commands_in_flight)
         ):
             self.close()
 
     def close(self) -> None:
-        """Ends all connections at once."""
+        """Closes all connections immediately."""
         if self.closed:
             return
         self.closed = True
--- a/wickdyke/platform/worker_command.py
+++ b/wickdyke/platform/worker_command.py
@@ -1,4 +1,4 @@
-"""A command to a worker, rendered with the time that is left at the moment its first byte is sent."""
+"""A command to a worker, rendered when its first byte is sent, with the time left at that moment."""
 
 import math
 from collections.abc import Callable
@@ -11,26 +11,26 @@
 
 
 class CommandConnection(Protocol):
-    """The connection that a command was handed to, for its withdrawal."""
+    """The connection that a command is assigned to, as the command's owner uses it."""
 
     def withdraw(self, command: "Command") -> bool:
-        """Takes the command back; False where a byte of it may have been sent, or it has ended."""
+        """Withdraws the command; returns False where a byte of it may have been sent, or it has ended."""
 
     def cancel(self, command: "Command", done: Callable[[], None]) -> Withdrawal:
         """Cancels a command that was sent. Returns what `interfaces.WorkerClient.cancel` does."""
 
     def abandon(self, command: "Command") -> bool:
-        """Waits no longer for the answer; False where the command has ended."""
+        """Stops waiting for the answer; returns False where the command has already ended."""
 
 
 class Command(interfaces.Command):
     """One message to a worker that expects an answer.
 
-    `content` is its bytes, or a function that renders them for the whole ms (one at least) that are left until
-    `deadline` (monotonic ms). `sends` counts the connections it was handed to.
+    `content` is the message as bytes, or a function that renders it given the whole ms left until `deadline` (monotonic
+    ms), at least 1. `send_count` is the number of connections it was assigned to.
     """
 
-    __slots__ = ("connection", "content", "deadline", "ident", "message", "sends", "sent_at")
+    __slots__ = ("connection", "content", "deadline", "ident", "message", "send_count", "sent_at")
 
     def __init__(
         self,
@@ -44,22 +44,22 @@
         self.ident = ident
         self.content = content
         self.deadline = deadline
-        self.message: OutgoingMessage | None = None  # once its connection is established
-        self.connection: CommandConnection | None = None  # None also once it is withdrawn while its fate is unresolved
+        self.message: OutgoingMessage | None = None  # set once the connection is established
+        self.connection: CommandConnection | None = None  # also None once withdrawn from the liveness probe
         self.sent_at = 0.0  # ms
-        self.sends = 0
+        self.send_count = 0
 
     @property
-    def begun(self) -> bool:
-        """Whether a byte of it may have been sent."""
+    def send_started(self) -> bool:
+        """Whether a byte of the command may have been sent."""
         return self.message is not None and self.message.begun
 
     def render(self) -> bytes | None:
-        """Returns the command as it may be sent now; None where its deadline has passed, or it may not begin."""
-        # What was decided while the worker was known to be ready may have waited for a connection since.
+        """Returns the bytes to send now; None where the deadline has passed, or the command may not begin."""
+        # The command may have waited for a connection since the worker was last known to be ready.
         now = clock()
         left = self.deadline - now
         if left <= 0 or not self.may_begin(now):
             return None
-        # Rounded down: a worker is promised no more time than is left.
+        # Rounded down, so that the worker is never given more time than is left.
         return self.content(max(1, math.floor(left))) if callable(self.content) else self.content
--- a/wickdyke/platform/worker_connection.py
+++ b/wickdyke/platform/worker_connection.py
@@ -1,4 +1,4 @@
-"""One connection to a worker: sends commands, reads their answers, and reports to its owner how each ended."""
+"""One connection to a worker: sends commands, reads answers, and reports the outcome of each to its owner."""
 
 import errno
 import socket
@@ -24,35 +24,35 @@
 )
 
 READ_SIZE = 1 << 16  # bytes read at a time
-MAX_UNREAD = 1 << 20  # bytes that may wait for a worker
-MAX_COMMANDS = 32  # on one connection
-ENDED_IDS_KEPT = 64  # ids no longer open that are remembered, so that a late or second answer meets none
-PEER_WAS_THERE = (errno.ECONNRESET, errno.EPIPE)  # ends of a connection that the other side had accepted
+MAX_BUFFERED_BYTES = 1 << 20  # bytes that may wait to be sent to a worker
+MAX_COMMANDS_IN_FLIGHT = 32  # on one connection at a time
+MAX_ENDED_IDS = 64  # ids of ended commands that are not reused, so that a late or duplicate answer matches no command
+PEER_RESET_ERRORS = (errno.ECONNRESET, errno.EPIPE)  # errors of a connect that the peer had accepted
 
 
 class WorkerConnection:
-    """One connection to a worker. `failed` is how a command for it ends, where it could not even be begun."""
+    """One connection to a worker. `failure_outcome` is the outcome of its commands where the connect failed at once."""
 
     priority = Priority.HIGH
     sock: socket.socket  # not set where the connect failed at once
-    write_buffer: WriteBuffer  # likewise
+    write_buffer: WriteBuffer  # not set where the connect failed at once
 
     def __init__(self, worker_client: "ConnectionOwner[WorkerConnection]") -> None:
         self.worker_client = worker_client
         self.loop = worker_client.loop
         self.state = ConnectionState.CONNECTING
-        self.stale = False  # accepts no more commands, and ends with the last one in flight
-        self.open: dict[bytes, Command] = {}  # handed to the write buffer, and not answered yet
-        self.pending: list[Command] = []  # until it is established
-        self.ended_ids: deque[bytes] = deque(maxlen=ENDED_IDS_KEPT)
-        self.answers = resp.Answers()
-        self.begun_at = self.last_used_at = self.last_read_at = clock()
-        self.failed: Outcome | None = None
+        self.stale = False  # accepts no more commands, and is closed after the last one in flight
+        self.open_commands: dict[bytes, Command] = {}  # by id; in the write buffer or sent, and not answered yet
+        self.pending_commands: list[Command] = []  # waiting for the connection to be established
+        self.ended_ids: deque[bytes] = deque(maxlen=MAX_ENDED_IDS)
+        self.answer_parser = resp.AnswerParser()
+        self.connect_started_at = self.last_used_at = self.last_read_at = clock()
+        self.failure_outcome: Outcome | None = None
         sock, code = dial(worker_client.target)
         if sock is None:
             self.state = ConnectionState.CLOSED
             inconclusive = worker_client.reachability.is_inconclusive(code)
-            self.failed = Outcome.UNSENT if inconclusive else Outcome.UNREACHED
+            self.failure_outcome = Outcome.UNSENT if inconclusive else Outcome.UNREACHED
             self._count(f"connect_{error_name(code)}")
             if code == errno.ECONNREFUSED:
                 worker_client.process_ended()
@@ -63,61 +63,63 @@
     def _register(self) -> None:
         try:
             self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        except OSError:  # reset already, which the connect reports as well, or short of memory: it works without
+        except OSError:  # already reset, which the connect reports too, or out of memory: it works without TCP_NODELAY
             self._count("delayed")
-        self.write_buffer = WriteBuffer(self.sock, MAX_UNREAD, self.worker_client.name, self._set_waiting)
+        self.write_buffer = WriteBuffer(self.sock, MAX_BUFFERED_BYTES, self.worker_client.name, self._set_waiting)
         try:
             self.loop.add(self.sock, self, write=True)
         except OSError as error:
-            # Counted and not served, it would occupy its place in the pool for good, and its command its time.
+            # The event loop would never serve the connection: it would occupy its place in the pool for good, and its
+            # command would wait until the deadline.
             self.state = ConnectionState.CLOSED
-            self.failed = Outcome.UNSENT
+            self.failure_outcome = Outcome.UNSENT
             self._count(f"register_{error_name(error.errno)}")
-            self._release()
+            self._close_socket()
             return
         pool = self.worker_client.pool
         pool.used += 1
         pool.worker_clients.add(self.worker_client)
         self._count("dialled")
-        self.loop.call_at(self.begun_at + self.worker_client.connect_timeout, self._timed_out)
+        self.loop.call_at(self.connect_started_at + self.worker_client.connect_timeout, self._connect_timed_out)
 
     def _count(self, name: str) -> None:
         self.worker_client.pool.counts[name] += 1
 
     @property
-    def up(self) -> bool:
-        """Whether it is established, and has not ended."""
+    def established(self) -> bool:
+        """Whether the connection is established and not closed."""
         return self.state is ConnectionState.ESTABLISHED
 
     @property
     def closed(self) -> bool:
-        """Whether it has ended, or could not be begun."""
+        """Whether the connection has ended, or its connect failed at once."""
         return self.state is ConnectionState.CLOSED
 
     @property
     def commands_in_flight(self) -> int:
-        """Commands that it was handed and that have not ended."""
-        return len(self.open) + len(self.pending)
+        """The number of commands assigned to the connection that have not ended."""
+        return len(self.open_commands) + len(self.pending_commands)
 
     def accepts(self, ident: bytes) -> bool:
-        """Returns whether a command of that id may be sent: no two of one id, nor one whose answer may be on its way.
+        """Returns whether a command of that id may be sent on this connection.
 
-        Where an answer stopped short, all data after it on that connection would be parsed as its rest.
+        The id must not be in use, nor have been used recently, as a late answer may still arrive. While an answer is
+        incomplete no command is accepted: if the rest never comes, later data would be parsed as part of it.
         """
         return (
             self.state is not ConnectionState.CLOSED
             and not self.stale
-            and self.commands_in_flight < MAX_COMMANDS
-            and not self.answers.begun
-            and ident not in self.open
+            and self.commands_in_flight < MAX_COMMANDS_IN_FLIGHT
+            and not self.answer_parser.has_partial_answer
+            and ident not in self.open_commands
             and ident not in self.ended_ids
-            and all(command.ident != ident for command in self.pending)
+            and all(command.ident != ident for command in self.pending_commands)
         )
 
     def alive(self) -> bool:
-        """Returns whether the worker has not ended it, as far as this side can see without waiting.
+        """Returns whether the worker has not closed the connection, as far as can be seen without waiting.
 
-        One that was ended while idle would lose a request that can't be retried.
+        A request that can't be retried would be lost on a connection that was closed while idle.
         """
         try:
             return self.sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT) != b""
@@ -132,64 +134,64 @@
         command.sent_at = clock()
         self.last_used_at = clock()
         if self.state is not ConnectionState.ESTABLISHED:
-            self.pending.append(command)
+            self.pending_commands.append(command)
             return
-        command.message = OutgoingMessage(command.render, expired=lambda: self._expired(command))
-        self.open[command.ident] = command
+        command.message = OutgoingMessage(command.render, expired=lambda: self._handle_expiry(command))
+        self.open_commands[command.ident] = command
         try:
             self.write_buffer.put(command.message)
         except MessageExpiredError:
-            self._expired(command)
+            self._handle_expiry(command)
         except (PeerTooSlowError, OSError) as error:
             self.end(f"{type(error).__name__}: {error}")
 
     def withdraw(self, command: Command) -> bool:
-        """Takes a command back; False where a byte of it may have been sent, or it has ended."""
+        """Withdraws a command; returns False where a byte of it may have been sent, or it has ended."""
         if self.state is ConnectionState.CLOSED:
             return False
-        if command in self.pending:
-            self.pending.remove(command)
+        if command in self.pending_commands:
+            self.pending_commands.remove(command)
             return True
-        message = command.message if self.open.get(command.ident) is command else None
+        message = command.message if self.open_commands.get(command.ident) is command else None
         if message is None or not self.write_buffer.withdraw(message):
             return False
-        del self.open[command.ident]
+        del self.open_commands[command.ident]
         return True
 
     def cancel(self, command: Command, done: Callable[[], None]) -> Withdrawal:
         """Cancels a command that was sent. Returns what `interfaces.WorkerClient.cancel` does."""
-        if self.state is ConnectionState.CLOSED or self.open.get(command.ident) is not command:
+        if self.state is ConnectionState.CLOSED or self.open_commands.get(command.ident) is not command:
             return Withdrawal.ENDED
-        if len(self.open) == 1 and not self.pending:
-            # Ending the connection cancels what is on it. What was silent in all that time may be cut off, and the
-            # next on it would wait in vain.
-            del self.open[command.ident]
+        if len(self.open_commands) == 1 and not self.pending_commands:
+            # Closing the connection cancels the command. A connection that stayed silent for so long may also be dead,
+            # and the next command on it would get no answer.
+            del self.open_commands[command.ident]
             self.end("cancelled")
             return Withdrawal.CANCELLED
         message = OutgoingMessage(resp.command(b"abort", command.ident), lambda: self._cancel_sent(command, done))
         try:
-            with_kernel = self.write_buffer.put(message)
+            fully_sent = self.write_buffer.put(message)
         except (PeerTooSlowError, OSError) as error:
-            self.end(f"{type(error).__name__}: {error}")  # which ends all that was on it
+            self.end(f"{type(error).__name__}: {error}")  # which ends all commands on it
             return Withdrawal.PENDING
-        if not with_kernel:
+        if not fully_sent:
             return Withdrawal.PENDING
         self._forget(command)
         return Withdrawal.CANCELLED
 
     def _cancel_sent(self, command: Command, done: Callable[[], None]) -> None:
-        if self.open.get(command.ident) is command:
+        if self.open_commands.get(command.ident) is command:
             self._forget(command)
             done()
 
     def abandon(self, command: Command) -> bool:
-        """Waits no longer for the answer; False where the command has ended."""
+        """Stops waiting for the answer; returns False where the command has already ended."""
         if self.state is ConnectionState.CLOSED:
             return False
-        if command in self.pending:
-            self.pending.remove(command)
+        if command in self.pending_commands:
+            self.pending_commands.remove(command)
             return True
-        if self.open.get(command.ident) is not command:
+        if self.open_commands.get(command.ident) is not command:
             return False
         self._forget(command)
         if self.stale and not self.commands_in_flight:
@@ -197,40 +199,40 @@
         return True
 
     def _forget(self, command: Command) -> None:
-        """Drops a command whose answer may still be on its way."""
-        self.open.pop(command.ident, None)
+        """Drops a command whose answer may still arrive."""
+        self.open_commands.pop(command.ident, None)
         self.ended_ids.append(command.ident)
-        self.stale = self.stale or self.last_read_at <= command.sent_at or self.answers.begun
+        self.stale = self.stale or self.last_read_at <= command.sent_at or self.answer_parser.has_partial_answer
 
-    def _expired(self, command: Command) -> None:
-        """Ends a command whose deadline passed before a byte of it was sent."""
-        if self.open.get(command.ident) is not command:
+    def _handle_expiry(self, command: Command) -> None:
+        """Finishes a command whose deadline passed before a byte of it was sent."""
+        if self.open_commands.get(command.ident) is not command:
             return
-        del self.open[command.ident]
+        del self.open_commands[command.ident]
         self._count("expired")
         self.worker_client.finish(command, Outcome.UNSENT)
         if self.state is not ConnectionState.CLOSED and not self.commands_in_flight:
             self.worker_client.connection_idle(self)
 
     def _set_waiting(self, waiting: bool) -> None:
-        """Called by the write buffer: data begins to wait for the socket, or none waits any more."""
+        """Requests writable events while data waits in the write buffer, which calls this at each change."""
         if self.state is ConnectionState.CLOSED:
             return
         try:
             self.loop.set_interest(self.sock, waiting)
         except OSError:
             self._count("modify_failed")
-            if waiting:  # the kernel would not report when to continue: the connection is ended
+            if waiting:  # the kernel would not report when to continue: the exception closes the connection
                 raise
-            # The kernel keeps reporting that there is room, which leads here again.
+            # The kernel keeps reporting the socket as writable, and the next report calls this method again.
 
-    def _timed_out(self) -> None:
+    def _connect_timed_out(self) -> None:
         if self.state is ConnectionState.CONNECTING:
-            away = self.worker_client.reachability.connect_timed_out(self.begun_at)
-            self.end("no connection in time", EndCause.PLAIN if away else EndCause.INCONCLUSIVE)
+            unreachable = self.worker_client.reachability.connect_timed_out(self.connect_started_at)
+            self.end("no connection in time", EndCause.PLAIN if unreachable else EndCause.INCONCLUSIVE)
 
     def writable(self) -> None:
-        """The connect has succeeded or failed, or the socket accepts more data."""
+        """Handles the end of the connect, or sends more data."""
         if self.state is not ConnectionState.ESTABLISHED:
             self._connect_done()
             return
@@ -248,26 +250,26 @@
         if code:
             if code == errno.ECONNREFUSED:
                 self.worker_client.process_ended()
-            self.end(f"connect: {error_name(code)}", self._cause_of(code))
+            self.end(f"connect: {error_name(code)}", self._connect_failure_cause(code))
             return
         self.state = ConnectionState.ESTABLISHED
         self._set_waiting(False)
         self.worker_client.connected()
-        while self.pending:  # one by one: where the connection ends, it ends the others
-            self.send(self.pending.pop(0))
+        while self.pending_commands:  # one by one: `end` handles the rest if the connection ends here
+            self.send(self.pending_commands.pop(0))
 
-    def _cause_of(self, code: int) -> EndCause:
+    def _connect_failure_cause(self, code: int) -> EndCause:
         inconclusive = self.worker_client.reachability.is_inconclusive(code)
-        if code in PEER_WAS_THERE:
+        if code in PEER_RESET_ERRORS:
             return EndCause.RESET_EARLY
         return EndCause.INCONCLUSIVE if inconclusive else EndCause.PLAIN
 
     def broken(self) -> None:
-        """Serving it raised an exception: ends it; what was on it may have run."""
+        """Closes the connection after its handler raised an exception; commands in flight may have run."""
         self.end("fault", EndCause.INCONCLUSIVE)
 
     def readable(self) -> None:
-        """Reads answers, or the end of the connection."""
+        """Reads answers, or the end of the stream."""
         if self.state is not ConnectionState.ESTABLISHED:
             self.writable()
             return
@@ -276,20 +278,20 @@
         except (BlockingIOError, InterruptedError):
             return
         except OSError as error:
-            if error.errno not in SHORT_OF_MEMORY:  # recv(2): for a moment; the kernel reports the same bytes again
+            if error.errno not in SHORT_OF_MEMORY:  # recv(2): temporary; the kernel reports the same bytes again
                 self.end_by_worker(f"{type(error).__name__}: {error}")
             return
         if not data:
             self.end_by_worker("ended by the worker")
             return
         self.last_read_at = clock()
-        self.worker_client.reachability.reached()
-        self._read(data)
+        self.worker_client.reachability.route_found()
+        self._handle_data(data)
 
-    def _read(self, data: bytes) -> None:
+    def _handle_data(self, data: bytes) -> None:
         try:
-            for answer in self.answers.feed(data):
-                self._answer(answer)
+            for answer in self.answer_parser.feed(data):
+                self._handle_answer(answer)
         except resp.InvalidAnswerError as error:
             self._read_complete_answers()
             self._count("invalid_answers")
@@ -301,45 +303,45 @@
             self.worker_client.connection_idle(self)
 
     def _read_complete_answers(self) -> None:
-        """Takes the answers that were complete before an invalid one."""
-        for answer in list(self.answers.complete):
+        """Handles the answers that were complete before an invalid one."""
+        for answer in list(self.answer_parser.complete):
             try:
-                self._answer(answer)
+                self._handle_answer(answer)
             except resp.InvalidAnswerError:
                 return
 
-    def _answer(self, answer: list[bytes]) -> None:
-        command = self.open.get(answer[0])
-        if command is None:  # after it was abandoned, a second time, or for what was never sent
+    def _handle_answer(self, answer: list[bytes]) -> None:
+        command = self.open_commands.get(answer[0])
+        if command is None:  # the command was abandoned or already answered, or never existed
             self._count("strays")
             return
         result = read_result(answer, self.worker_client.report_fields)
-        # An answer may be sent twice, and the second would end a later attempt of the same request as one that never
-        # ran; so that is sent on another connection.
+        # A worker may answer twice, and the second answer would end a later attempt of the same request that has not
+        # run yet. So the id is not used on this connection again.
         self.ended_ids.append(answer[0])
-        del self.open[answer[0]]
+        del self.open_commands[answer[0]]
         self.last_used_at = self.last_read_at
         if command.kind == CommandKind.HEALTH_CHECK:
             result = replace(result, same_process_since=self.worker_client.same_process_since)
         self.worker_client.finish(command, result.outcome, result)
 
     def end_by_worker(self, reason: str) -> None:
-        """Ends the connection, whose other side has ended it."""
+        """Closes the connection after the worker closed or reset it."""
         self.end(reason)
         self.worker_client.process_ended()
 
     def end(self, reason: str, cause: EndCause = EndCause.PLAIN) -> None:
-        """Ends the connection and all commands on it. `reason` is counted where it was not established."""
+        """Closes the connection and ends its commands. `reason` is counted if the connection was never established."""
         if self.state is ConnectionState.CLOSED:
             return
         was_established = self.state is ConnectionState.ESTABLISHED
         self.state = ConnectionState.CLOSED
-        self._release()
+        self._close_socket()
         self.write_buffer.drop()
-        pending = self.pending
-        self.pending = []
-        in_flight = list(self.open.values())
-        self.open = {}
+        pending = self.pending_commands
+        self.pending_commands = []
+        in_flight = list(self.open_commands.values())
+        self.open_commands = {}
         self.worker_client.pool.used -= 1
         self.worker_client.pool.counts["lost_in_use"] += bool(in_flight)
         if not was_established:
@@ -348,28 +350,28 @@
         self._end_pending(pending, was_established or cause in (EndCause.RESET_EARLY, EndCause.INCONCLUSIVE))
         self._end_in_flight(in_flight, cause)
         if not was_established:
-            self.worker_client.settle_unresolved(LIVENESS.get(cause, Liveness.GONE))
+            self.worker_client.settle_unresolved(LIVENESS.get(cause, Liveness.DOWN))
 
-    def _end_pending(self, pending: list[Command], send_again: bool) -> None:
+    def _end_pending(self, pending: list[Command], resend: bool) -> None:
         for command in pending:
-            if send_again:
-                self.worker_client.send_again(command)
+            if resend:
+                self.worker_client.resend(command)
             else:
                 self.worker_client.finish(command, Outcome.UNREACHED)
 
     def _end_in_flight(self, in_flight: list[Command], cause: EndCause) -> None:
-        begun = [command for command in in_flight if command.begun]
+        begun = [command for command in in_flight if command.send_started]
         for command in in_flight:
-            if not command.begun:
+            if not command.send_started:
                 self.worker_client.finish(command, Outcome.UNSENT)
         if begun:
             self.worker_client.answers_lost(begun, cause is EndCause.INVALID_ANSWER)
 
-    def _release(self) -> None:
+    def _close_socket(self) -> None:
         """Closes the socket."""
         steps: tuple[Callable[[], None], ...] = (lambda: self.loop.remove(self.sock), self.sock.close)
         for step in steps:
             try:
                 step()
-            except OSError:  # epoll_ctl(2), close(2): the kernel forgets a socket that is closed in either case
+            except OSError:  # epoll_ctl(2), close(2): the kernel releases the closed socket in either case
                 self._count("release_failed")
--- a/wickdyke/platform/worker_protocol.py
+++ b/wickdyke/platform/worker_protocol.py
@@ -1,4 +1,4 @@
-"""The protocol of the platform's workers: commands as RESP arrays."""
+"""The protocol of the platform's workers: renders commands as RESP arrays."""
 
 from collections.abc import Callable
 
@@ -6,7 +6,7 @@
 from wickdyke.gateway.interfaces import CommandKind, CommandResult, PendingRequest, PrewarmKey
 from wickdyke.platform import resp
 from wickdyke.platform.connection_pool import ConnectionPool
-from wickdyke.platform.requests import Call
+from wickdyke.platform.requests import RequestParameters
 from wickdyke.platform.worker_client import WorkerClient, WorkerClientSettings
 from wickdyke.platform.worker_command import Command
 from wickdyke.routing.model import Attempt, Function, Outcome
@@ -14,7 +14,7 @@
 
 
 class PlatformWorkerProtocol:
-    """Makes worker clients and their commands, and reads their results."""
+    """Creates worker clients and their commands, and returns the results."""
 
     connects_at_once = False
 
@@ -22,27 +22,27 @@
         self.loop = loop
         self.pool = ConnectionPool(pool_capacity)
         self.settings = settings
-        self.last_tag = 0  # identifies a prewarm or a health check
+        self.last_tag = 0  # the tag of the last prewarm or health check
 
     def _tag(self) -> bytes:
         self.last_tag += 1
         return b"t%d" % self.last_tag
 
     def client_for(self, name: str, address: str, notify: Callable[[Event], None]) -> WorkerClient:
-        """Returns a client of the worker at that address (HOST:PORT)."""
+        """Returns a client for the worker at that address (HOST:PORT)."""
         return WorkerClient(name, address, notify, self.loop, self.pool, self.settings)
 
     def attempt_command(self, attempt: Attempt, pending: PendingRequest, time_left: float) -> Command:
-        """Returns the command of an attempt, whose answer is waited for `time_left` ms."""
-        # An attempt waits for its connection, a second one, and room at the kernel. With the time that was left when
-        # it was decided, a worker would work on past the deadline of the client. So the time left is rendered as its
-        # first byte is sent.
+        """Returns the command of an attempt that must be answered within `time_left` ms."""
+        # An attempt may wait for its connection, for a second one, and for space in the kernel's send buffer. If it
+        # carried the time that was left when it was decided, the worker would run past the client's deadline. So the
+        # time left is rendered when the first byte is sent.
         deadline = clock() + time_left
-        call: Call = pending.params  # type: ignore[assignment]  # of the platform's own requests, as all it is given
-        ident = call.ident
-        body: bytes = call.input  # type: ignore[assignment]  # None only once the request is answered
+        parameters: RequestParameters = pending.params  # type: ignore[assignment]  # as of all pending requests of the platform
+        ident = parameters.ident
+        body: bytes = parameters.input  # type: ignore[assignment]  # None only after the request was answered
         before = f"lane={attempt.request.request_class.name},name={attempt.request.function.name},ttl="
-        after = f",dedupe={call.idempotency_key}" if call.idempotency_key else ""
+        after = f",dedupe={parameters.idempotency_key}" if parameters.idempotency_key else ""
         return Command(
             CommandKind.ATTEMPT,
             attempt,
@@ -52,7 +52,7 @@
         )
 
     def prewarm_command(self, key: PrewarmKey, function: Function, replicas: int) -> Command:
-        """Returns the command to load so many replicas of a function."""
+        """Returns the command that loads the given number of replicas of a function."""
         tag = self._tag()
         return Command(
             CommandKind.PREWARM,
@@ -69,5 +69,5 @@
     def result_of(
         self, command: Command, outcome: Outcome, answer: CommandResult | None, data: object
     ) -> CommandResult:
-        """Returns how a command ended: the answer, which the connection has read, or the outcome alone."""
+        """Returns the result of a command: its parsed answer, or the outcome alone where there was no answer."""
         return answer if answer is not None else CommandResult(outcome)
