--- a/tests/test_platform_reconfiguration.py
+++ b/tests/test_platform_reconfiguration.py
@@ -10,12 +10,12 @@
 from wickdyke.platform import configuration, service
 
 
-class LongOutage(SteppedClockCase):
-    """Trouble that begins after a long quiet time."""
+class DiscoveryOutageTest(SteppedClockCase):
+    """Discovery is unreachable for a long time without requests."""
 
-    def test_an_outage_of_discovery_then_a_drain_and_a_restart_together(self):
-        source, one, two = self.made(rig.Bus()), self.worker(), self.worker()
-        serving = self.front_end(one.address, two.address, bus=source.address)
+    def test_an_outage_of_discovery_followed_by_a_drain_and_a_shutdown(self):
+        source, first, second = self.made(rig.Bus()), self.worker(), self.worker()
+        serving = self.front_end(first.address, second.address, bus=source.address)
         self.until(lambda: source.offsets)
         client = self.client()
         client.send(request(1))
@@ -24,33 +24,33 @@
         source.listener.shutdown(socket.SHUT_RDWR)
         source.close()
         self.until(lambda: serving.discovery.counts["ended"])
-        self.later(90000.0, 50.0, settle=True)  # nothing but an outage: all idle connections end
+        self.later(90000.0, 50.0, settle=True)  # only the outage: all idle connections are closed
         self.assertFalse(any(upstream.connections for upstream in serving.coordinator.workers.clients.values()))
         client.send(request(2, "pay"))
         self.assertEqual(self.final(client, 500), (2, "answer", b"did x"))
-        again, make = rig.Bus.__new__(rig.Bus), socket.create_server
-        again.offsets, again.readers = [], []
-        with patch.object(rig.socket, "create_server", lambda at: make(("127.0.0.1", port))):
-            rig.Listener.__init__(again)
-        self.made(again)
-        self.until(lambda: (self.later(50.0), again.offsets)[1], "the list's next request")
-        again.event(rig.event(2, rig.instance("w0", one.address, lifecycle="DRAINING")))
+        new_source, create_server = rig.Bus.__new__(rig.Bus), socket.create_server
+        new_source.offsets, new_source.readers = [], []
+        with patch.object(rig.socket, "create_server", lambda address: create_server(("127.0.0.1", port))):
+            rig.Listener.__init__(new_source)
+        self.made(new_source)
+        self.until(lambda: (self.later(50.0), new_source.offsets)[1], "the next request for the list")
+        new_source.event(rig.event(2, rig.instance("w0", first.address, lifecycle="DRAINING")))
         serving._request_shutdown(signal.SIGTERM, None)
         self.until(lambda: serving.endpoints.offset == 2, "the drain")
-        before = len(one.received(b"invoke"))
-        for at in range(3, 9):
-            client.send(request(at, CLASSES[at % 3]))
-            self.assertEqual(self.final(client, 500), (at, "answer", b"did x"))
-        self.assertEqual(len(one.received(b"invoke")), before)
+        commands_before = len(first.received(b"invoke"))
+        for number in range(3, 9):
+            client.send(request(number, CLASSES[number % 3]))
+            self.assertEqual(self.final(client, 500), (number, "answer", b"did x"))
+        self.assertEqual(len(first.received(b"invoke")), commands_before)
         self.now += service.GRACE_PERIOD + 1
         self.until(lambda: not serving.run_once(), "the end")
         self.assertEqual(self.faults(), [])
 
 
-class Configurations(SteppedClockCase):
+class ReconfigurationTest(SteppedClockCase):
     """New configurations in quick succession."""
 
-    def test_several_signals_at_once_are_one_read(self):
+    def test_several_signals_at_once_cause_one_reload(self):
         old, new = self.made(rig.Bus()), self.made(rig.Bus())
         serving = self.front_end(self.worker().address, bus=old.address)
         self.until(lambda: old.offsets)
@@ -62,68 +62,69 @@
             serving.run_once()
         self.assertEqual((old.offsets, new.offsets), ([1], [1]))
 
-    def test_replaced_between_its_read_and_what_follows(self):
-        """A signal that comes as the file is being read leads to one more read: the last file counts."""
-        old, new, last = (self.made(rig.Bus()) for _ in range(3))
+    def test_a_file_replaced_during_the_reload(self):
+        """A signal that arrives while the file is read causes another reload, so the last file takes effect."""
+        old, new, latest = (self.made(rig.Bus()) for _ in range(3))
         worker = self.worker()
         serving = self.front_end(worker.address, bus=old.address)
         self.until(lambda: old.offsets)
         self.write(new.address, worker.address)
         load, replaced = configuration.load, []
 
-        def loaded(path):
-            given = load(path)
+        def load_and_replace(path):
+            document = load(path)
             if not replaced:
                 replaced.append(True)
-                self.write(last.address, worker.address)
+                self.write(latest.address, worker.address)
                 serving._request_reload(signal.SIGHUP, None)
-            return given
+            return document
 
-        with patch.object(configuration, "load", loaded):
+        with patch.object(configuration, "load", load_and_replace):
             serving._request_reload(signal.SIGHUP, None)
-            self.until(lambda: last.offsets)
-        last.event(rig.event(2, rig.instance("w1", self.worker().address)))
+            self.until(lambda: latest.offsets)
+        latest.event(rig.event(2, rig.instance("w1", self.worker().address)))
         self.until(lambda: serving.endpoints.offset == 2)
         for _ in range(5):
             serving.run_once()
-        self.assertEqual((len(serving.endpoints), last.offsets), (2, [1]))
-        self.assertEqual(serving.discovery.address[1], int(last.address.rpartition(":")[2]))
+        self.assertEqual((len(serving.endpoints), latest.offsets), (2, [1]))
+        self.assertEqual(serving.discovery.address[1], int(latest.address.rpartition(":")[2]))
 
-    def test_ten_in_a_row_while_requests_run(self):
-        """Each moves discovery while a request is open: each is answered, numbers go on, nothing is left behind."""
+    def test_ten_configurations_while_requests_run(self):
+        """Each moves discovery while a request is open: requests are answered, and event numbers continue."""
         sources, worker = [self.made(rig.Bus()) for _ in range(2)], self.worker()
         serving = self.front_end(worker.address, bus=sources[0].address)
         self.until(lambda: sources[0].offsets)
         client = self.client()
-        for at in range(1, 11):
-            source = sources[at % 2]
-            client.send(request(at, CLASSES[at % 3], b"slow"))
+        for number in range(1, 11):
+            source = sources[number % 2]
+            client.send(request(number, CLASSES[number % 3], b"slow"))
             self.at_worker(1)
             self.write(source.address)
             serving._request_reload(signal.SIGHUP, None)
-            many = len(source.offsets)
+            connects_before = len(source.offsets)
             self.until(
-                lambda source=source, many=many: len(source.offsets) > many and serving.discovery.response_started
+                lambda source=source, connects_before=connects_before: len(source.offsets) > connects_before
+                and serving.discovery.response_started
             )
-            source.event(rig.event(at + 1, rig.instance(f"x{at}", worker.address, lifecycle="DRAINING")))
-            self.until(lambda at=at: serving.endpoints.offset == at + 1)
+            source.event(rig.event(number + 1, rig.instance(f"x{number}", worker.address, lifecycle="DRAINING")))
+            self.until(lambda number=number: serving.endpoints.offset == number + 1)
             self.answer_held()
-            self.assertEqual(self.final(client, 500), (at, "answer", b"at last"))
+            self.assertEqual(self.final(client, 500), (number, "answer", b"at last"))
         self.assertEqual((sources[0].offsets, sources[1].offsets), ([1, 2, 4, 6, 8, 10], [1, 3, 5, 7, 9]))
         self.assertEqual(self.faults(), [])
 
-    def test_half_written_then_whole(self):
-        """(what the file holds at the signal) -> the old one stays in force; the next whole one is followed."""
-        for cut in (0, 1, 100, -1):
-            with self.subTest(cut):
+    def test_a_partly_written_file_then_the_full_file(self):
+        """A truncated file at the signal leaves the old configuration in force; the next complete file is applied."""
+        for length in (0, 1, 100, -1):
+            with self.subTest(length):
                 old, new, worker = self.made(rig.Bus()), self.made(rig.Bus()), self.worker()
                 serving = self.front_end(worker.address, bus=old.address)
-                self.until(lambda old=old, bus=serving.discovery: old.offsets and bus.response_started)
+                self.until(lambda old=old, discovery=serving.discovery: old.offsets and discovery.response_started)
                 self.write(new.address, worker.address)
                 with open(self.path) as source:
-                    whole = source.read()
+                    text = source.read()
                 with open(self.path, "w") as out:
-                    out.write(whole[:cut])
+                    out.write(text[:length])
                 serving._request_reload(signal.SIGHUP, None)
                 for _ in range(5):
                     serving.run_once()
@@ -132,7 +133,7 @@
                 client.send(request(1))
                 self.assertEqual(self.final(client, 500)[1], "answer")
                 with open(self.path, "w") as out:
-                    out.write(whole)
+                    out.write(text)
                 serving._request_reload(signal.SIGHUP, None)
                 self.until(lambda new=new: new.offsets)
                 self.assertEqual(new.offsets, [1])
--- a/tests/test_platform_request_fields.py
+++ b/tests/test_platform_request_fields.py
@@ -10,25 +10,25 @@
 from wickdyke.routing.model import RequestClass
 
 
-class TenantFields(unittest.TestCase):
-    """Fields that other deployments have."""
+class RequestFieldsTest(unittest.TestCase):
+    """Optional fields, which only some deployments use."""
 
     def test_fields(self):
-        methods = {
-            m.name: m
-            for m in (
+        request_classes = {
+            request_class.name: request_class
+            for request_class in (
                 RequestClass("look", "idempotent", "all", 0.0, 1.0, 0.0, 9.0, 1.0, 0.1),
                 RequestClass("book", "tokened", "zone", 9.0, 1.0, 0.0, 9.0, 1.0, 0.1),
             )
         }
 
-        def read(**more):
-            given = {k: v for k, v in rig.fields(**more).items() if v is not None}
+        def parse(**overrides):
+            fields = {k: v for k, v in rig.fields(**overrides).items() if v is not None}
             return requests.check_request(
-                thrift.Message("dispatch", 1, given, b"", 0), methods, ("north", "south")
+                thrift.Message("dispatch", 1, fields, b"", 0), request_classes, ("north", "south")
             ).parameters
 
-        call = read(
+        parameters = parse(
             t="north",
             h="396.5",
             r="1",
@@ -37,19 +37,19 @@
             tags="memory_mb:1483;lanes:2;load_ms:1238",
         )
         self.assertEqual(
-            (call.work_ms, call.is_repeat, call.idempotency_key, call.load_ms),
+            (parameters.work_ms, parameters.is_repeat, parameters.idempotency_key, parameters.load_ms),
             (396.5, True, "2d071f1f7aeaaed654f62e293c13f6a0", 1238.0),
         )
         self.assertEqual(
             (
-                read(r="0").is_repeat,
-                read(r="false").is_repeat,
-                read(r="true").is_repeat,
-                read().idempotency_key,
+                parse(r="0").is_repeat,
+                parse(r="false").is_repeat,
+                parse(r="true").is_repeat,
+                parse().idempotency_key,
             ),
             (False, False, True, ""),
         )
-        for more in (
+        for overrides in (
             {"t": "west"},
             {"t": ""},
             {"h": "nan"},
@@ -62,22 +62,22 @@
             {"c": "book"},
             {"zz": "1"},
         ):
-            with self.subTest(more), self.assertRaises(requests.InvalidRequestError):
-                read(**more)
+            with self.subTest(overrides), self.assertRaises(requests.InvalidRequestError):
+                parse(**overrides)
 
-    def test_the_key_goes_on_to_the_worker(self):
+    def test_the_idempotency_key_is_sent_to_the_worker(self):
         protocol = worker_protocol.PlatformWorkerProtocol(Mock(), worker_client.WorkerClientSettings(0.0, 0.0, ()), 9)
-        for token, told in (("", b"lane=book,name=f,ttl=5"), ("k1", b"lane=book,name=f,ttl=5,dedupe=k1")):
+        for key, expected_fields in (("", b"lane=book,name=f,ttl=5"), ("k1", b"lane=book,name=f,ttl=5,dedupe=k1")):
             attempt = Mock()
             attempt.request.request_class.name, attempt.request.function.name = "book", "f"
-            ask = SimpleNamespace(params=SimpleNamespace(ident=ASCII_A, idempotency_key=token, input=b"x"))
-            # No time passes: the command has what is left by then.
+            pending = SimpleNamespace(params=SimpleNamespace(ident=ASCII_A, idempotency_key=key, input=b"x"))
+            # The clock stands still: the command carries the whole time left.
             with (
                 patch.object(worker_protocol, "clock", lambda: 1000.0),
                 patch.object(worker_command, "clock", lambda: 1000.0),
             ):
-                line = protocol.attempt_command(attempt, ask, 5.0).render()
-            self.assertEqual(line, resp.command(b"invoke", ASCII_A, told, b"x"))
+                line = protocol.attempt_command(attempt, pending, 5.0).render()
+            self.assertEqual(line, resp.command(b"invoke", ASCII_A, expected_fields, b"x"))
 
 
 if __name__ == "__main__":
--- a/tests/test_platform_traffic.py
+++ b/tests/test_platform_traffic.py
@@ -1,4 +1,4 @@
-"""The load reports, prewarms and attempts of the coordinator match the traffic on loopback."""
+"""The router's state of load reports, prewarms and attempts matches the traffic of a front end on loopback."""
 
 import json
 import os
@@ -12,18 +12,18 @@
 from wickdyke.platform.service import Service
 
 
-class Traffic(unittest.TestCase):
-    """What the module is told of load and health, beside what passed the sockets of a whole front end."""
+class TrafficTest(unittest.TestCase):
+    """Compares the router's state of a worker with the messages on the sockets of a front end."""
 
     def test_attempts_reports_and_prewarms_match_the_traffic(self):
-        held = []
+        unanswered = []
 
-        def play(worker, sock, parts):
+        def hold_attempts(worker, sock, parts):
             if parts[0] == b"invoke":
-                held.append((sock, parts[1]))
+                unanswered.append((sock, parts[1]))
             return parts[0] == b"invoke"
 
-        worker, bus = rig.Worker(play), rig.Bus()
+        worker, bus = rig.Worker(hold_attempts), rig.Bus()
         self.addCleanup(worker.close)
         self.addCleanup(bus.close)
         with tempfile.TemporaryDirectory() as folder:
@@ -34,40 +34,41 @@
         self.addCleanup(serving.loop.close)
         self.addCleanup(lambda: [client.close() for client in list(serving.client_server.clients.values())])
         self.addCleanup(serving.discovery.close)
-        self.addCleanup(lambda: [upstream.close() for upstream in list(serving.coordinator.workers.clients.values())])
+        self.addCleanup(lambda: [client.close() for client in list(serving.coordinator.workers.clients.values())])
         serving.open()
         self.addCleanup(serving.client_server.close_listener)
-        told = serving.coordinator.router.workers["w0"]
+        worker_state = serving.coordinator.router.workers["w0"]
 
-        def until(done):
-            ends = time.monotonic() + rig.LONG
-            while not done():
-                self.assertLess(time.monotonic(), ends)
+        def until(condition):
+            deadline = time.monotonic() + rig.LONG
+            while not condition():
+                self.assertLess(time.monotonic(), deadline)
                 serving.run_once()
 
         client = rig.Client(":".join(map(str, serving.configuration.listen)))
         self.addCleanup(client.close)
         client.send(b"".join(rig.dispatch(n, rig.fields(f"{n:016x}", d="60000")) for n in (1, 2, 3)))
-        until(lambda: len(held) == 3)
-        self.assertEqual(len(told.in_flight), 3)
+        until(lambda: len(unanswered) == 3)
+        self.assertEqual(len(worker_state.in_flight), 3)
         for answer, results in ((b"ACK", [True]), (b"EIO", [True, False])):
-            sock, ident = held.pop(0)
+            sock, ident = unanswered.pop(0)
             sock.sendall(rig.bulk(ident, answer, b"why=w,ahead=2", b""))
-            until(lambda results=results: [good for _, good in told.recent_results] == results)
-        # an idempotent one that failed goes again: as many are out as the worker has
-        until(lambda: len(held) == len(told.in_flight))
-        until(lambda: told.load_reports)
-        report = told.load_reports[-1]
+            until(lambda results=results: [success for _, success in worker_state.recent_results] == results)
+        # the failed idempotent request is retried: the router counts as many attempts as the worker holds
+        until(lambda: len(unanswered) == len(worker_state.in_flight))
+        until(lambda: worker_state.load_reports)
+        report = worker_state.load_reports[-1]
         self.assertEqual((report.utilization, report.in_flight), (0.25, 2.0))
         until(lambda: worker.received(b"prewarm"))
-        (place,) = serving.coordinator.router.functions["7f3a9c21e0b4d655"].replicas
-        until(lambda: place.prewarm_sent_at is None)
-        self.assertEqual(place.loaded, 1)
+        (replica,) = serving.coordinator.router.functions["7f3a9c21e0b4d655"].replicas
+        until(lambda: replica.prewarm_sent_at is None)
+        self.assertEqual(replica.loaded, 1)
         client.close()
-        until(lambda: not told.in_flight and not serving.coordinator.requests.by_id)
+        until(lambda: not worker_state.in_flight and not serving.coordinator.requests.by_id)
         self.assertEqual(serving.client_server.open_requests, {})
         self.assertEqual(
-            sum(conn.commands_in_flight for conn in serving.coordinator.workers.clients["w0"].connections), 0
+            sum(connection.commands_in_flight for connection in serving.coordinator.workers.clients["w0"].connections),
+            0,
         )
 
 
