--- a/tests/test_worker_connection_faults.py
+++ b/tests/test_worker_connection_faults.py
@@ -1,4 +1,4 @@
-"""System calls of connections to workers fail, once or thrice in a row, for every call on the path of a command."""
+"""Each system call that a command to a worker makes fails, once or three times in a row."""
 
 import errno
 import unittest
@@ -6,29 +6,29 @@
 from tests.worker_fault_rig import ERRORS, Faults, WorkerConnectionCase
 
 
-class Paths(WorkerConnectionCase):
-    """Every system call on the path of a command fails once or three times."""
+class SystemCallFaultsTest(WorkerConnectionCase):
+    """Each system call that a command makes fails once or three times."""
 
-    def test_every_call_fails_once_or_thrice(self):
-        """For every call that the path makes, every errno of it, and sockets that take all at once or choke."""
-        worker, healthy = self.workers()
-        for chokes in (False, True):
-            whole = Faults(chokes=chokes)
-            with self.prepare(whole):
-                self.run_path(worker, healthy)
+    def test_each_system_call_fails_once_or_three_times(self):
+        """Each call with each of its errors, on sockets that send everything at once and on sockets that block."""
+        worker, healthy = self.make_workers()
+        for blocks_sends in (False, True):
+            without_faults = Faults(blocks_sends=blocks_sends)
+            with self.prepare(without_faults):
+                self.run_commands(worker, healthy)
             self.assertEqual([outcome for _, outcome in self.recorded], ["ok"] * 7)
             for name, codes in ERRORS.items():
-                # An unregister is on the path of a connection that ends: the last comes with the end of the test.
-                self.assertGreaterEqual(whole.calls[name], 1, name)
-                for nth in range(1, whole.calls[name] + 1):
+                # The last unregister is made as the connection is closed at the end.
+                self.assertGreaterEqual(without_faults.calls[name], 1, name)
+                for nth in range(1, without_faults.calls[name] + 1):
                     for code in codes:
-                        for many in (1, 3):
-                            fault = dict(name=name, nth=nth, code=errno.errorcode.get(code, "short"), many=many)
+                        for count in (1, 3):
+                            fault = dict(name=name, nth=nth, code=errno.errorcode.get(code, "short"), count=count)
                             with (
-                                self.subTest(chokes=chokes, **fault),
-                                self.prepare(Faults(name, nth, code, many, chokes)),
+                                self.subTest(blocks_sends=blocks_sends, **fault),
+                                self.prepare(Faults(name, nth, code, count, blocks_sends)),
                             ):
-                                self.run_path(worker, healthy)
+                                self.run_commands(worker, healthy)
 
 
 if __name__ == "__main__":
--- a/tests/test_worker_reachability.py
+++ b/tests/test_worker_reachability.py
@@ -1,4 +1,4 @@
-"""What failed connections show of a worker: time-outs, missing routes, faults of this machine."""
+"""What failed connects show about a worker: time-outs, missing routes, faults of this machine."""
 
 import errno
 import unittest
@@ -10,107 +10,105 @@
 from wickdyke.transport import event_loop
 
 
-class Unreachable(WorkerConnectionCase):
-    """What is learned of a worker from connections that can't be made."""
+class ReachabilityTest(WorkerConnectionCase):
+    """Whether a worker counts as unreachable after failed connects."""
 
     def setUp(self):
         super().setUp()
-        self.now = event_loop.clock()  # the loop's own timers go on by the real one
+        self.now = event_loop.clock()  # timers of the event loop use the real clock
         for module in (worker_client, reachability):
-            started = patch.object(module, "clock", lambda: self.now)
-            started.start()
-            self.addCleanup(started.stop)
+            patcher = patch.object(module, "clock", lambda: self.now)
+            patcher.start()
+            self.addCleanup(patcher.stop)
 
-    def outcome(self, upstream, at):
-        before = len(self.recorded)
-        upstream.send(self.command(at))
-        self.end(before + 1)
+    def outcome(self, client, index):
+        count_before = len(self.recorded)
+        client.send(self.command(index))
+        self.wait_for_outcomes(count_before + 1)
         return self.recorded[-1][1]
 
-    def test_refused_is_a_worker_that_is_away(self):
+    def test_a_refused_connect_means_unreachable(self):
         for name in ("connect", "SO_ERROR"):
             with self.subTest(name), self.prepare(Faults(name, 1, errno.ECONNREFUSED)):
-                upstream = self.upstream(self.workers()[0])
-                self.assertEqual(self.outcome(upstream, 0), "unreached")
-                upstream.close()
+                client = self.make_client(self.make_workers()[0])
+                self.assertEqual(self.outcome(client, 0), "unreached")
+                client.close()
 
-    def test_no_way_for_long_is_a_worker_that_is_away(self):
-        """A moment of any number of tries tells nothing; a second of them does, and one that succeeds ends it."""
+    def test_no_route_for_a_second_means_unreachable(self):
+        """Any number of connects within a second is inconclusive; an established connection restarts that second."""
         for name in ("connect", "SO_ERROR"):
             for code in (errno.ENETUNREACH, errno.EHOSTUNREACH):
                 with self.subTest(name, code=code), self.prepare(Faults(name, 1, code, 99)):
-                    upstream = self.upstream(self.workers()[0])
-                    found = []
-                    for at in range(5):
-                        found.append(self.outcome(upstream, at))
+                    client = self.make_client(self.make_workers()[0])
+                    outcomes = []
+                    for index in range(5):
+                        outcomes.append(self.outcome(client, index))
                         self.now += 300.0
-                    self.assertEqual(found, ["unsent"] * 4 + ["unreached"])
+                    self.assertEqual(outcomes, ["unsent"] * 4 + ["unreached"])
                     self.faults.name = ""
-                    self.assertEqual(self.outcome(upstream, 5), "ok")
+                    self.assertEqual(self.outcome(client, 5), "ok")
                     self.assertEqual(self.pool.used, 1)
-                    upstream.connections[0].end("idle")
-                    self.faults.name, self.faults.many = name, 999
-                    self.assertEqual(self.outcome(upstream, 6), "unsent")
-                    upstream.close()
+                    client.connections[0].end("idle")
+                    self.faults.name, self.faults.count = name, 999
+                    self.assertEqual(self.outcome(client, 6), "unsent")
+                    client.close()
 
-    def test_answers_take_back_no_late_connection(self):
-        """Of one that answers and takes no new connection: the second that is late tells, as before."""
+    def test_answers_do_not_reset_the_count_of_timeouts(self):
+        """If a worker answers on old connections but accepts no new one, the second time-out still counts."""
         with self.prepare(Faults()):
-            upstream = self.upstream(self.workers()[0])
-            self.assertEqual(self.outcome(upstream, 0), "ok")
-            upstream.reachability.consecutive_timeouts, upstream.reachability.last_timeout_at = 1, self.now
-            self.assertEqual(self.outcome(upstream, 1), "ok")
-            self.assertEqual(upstream.reachability.consecutive_timeouts, 1)
-            upstream.close()
+            client = self.make_client(self.make_workers()[0])
+            self.assertEqual(self.outcome(client, 0), "ok")
+            client.reachability.consecutive_timeouts, client.reachability.last_timeout_at = 1, self.now
+            self.assertEqual(self.outcome(client, 1), "ok")
+            self.assertEqual(client.reachability.consecutive_timeouts, 1)
+            client.close()
 
-    def test_each_doubt_has_its_own_checks(self):
-        """One that was taken back while it was looked into costs the next none of its connections."""
-        worker = rig.Worker(lambda *_: True)  # it answers nothing
+    def test_the_count_of_probes_starts_anew_for_each_loss(self):
+        """Probes made for commands that were lost earlier don't reduce the number of probes for the next loss."""
+        worker = rig.Worker(lambda *_: True)  # it never answers
         self.addCleanup(worker.close)
         with self.prepare(Faults()):
-            upstream = self.upstream(worker)
-            upstream.probe.connect_count = worker_client.MAX_SENDS
-            upstream.send(command := self.command(0))
-            self.until(lambda: self.faults.begun)
+            client = self.make_client(worker)
+            client.probe.connect_count = worker_client.MAX_SENDS
+            client.send(command := self.command(0))
+            self.until(lambda: self.faults.sent_idents)
             command.connection.end("ended by the worker")
+            self.assertEqual((self.recorded, client.probe.unresolved, client.probe.connect_count), ([], [command], 1))
+            self.wait_for_outcomes(1)
             self.assertEqual(
-                (self.recorded, upstream.probe.unresolved, upstream.probe.connect_count), ([], [command], 1)
-            )
-            self.end(1)
-            self.assertEqual(
-                (self.recorded, upstream.probe.unresolved, upstream.probe.connect_count),
+                (self.recorded, client.probe.unresolved, client.probe.connect_count),
                 ([(IDENTS[0], "error")], [], 0),
             )
-            upstream.close()
+            client.close()
 
-    def test_moments_far_apart_tell_nothing(self):
+    def test_no_route_at_times_far_apart_is_inconclusive(self):
         for name in ("connect", "SO_ERROR"):
             with self.subTest(name), self.prepare(Faults(name, 1, errno.ENETUNREACH, 99)):
-                upstream = self.upstream(self.workers()[0])
-                for at in range(4):
-                    self.assertEqual(self.outcome(upstream, at), "unsent")
+                client = self.make_client(self.make_workers()[0])
+                for index in range(4):
+                    self.assertEqual(self.outcome(client, index), "unsent")
                     self.now += 60000.0
-                upstream.close()
+                client.close()
 
-    def test_a_fault_of_our_own_tells_nothing_of_the_worker(self):
-        """What nobody foresaw ends a connection that is being made: what waited for it has one end, never ran."""
+    def test_an_exception_in_a_handler_is_inconclusive(self):
+        """An unexpected exception closes a connection that is being established; its command ends once."""
         with self.prepare(Faults()):
-            upstream = self.upstream(self.workers()[0])
-            upstream.send(self.command(0))
-            upstream.connections[0].broken()
-            self.end(1)
+            client = self.make_client(self.make_workers()[0])
+            client.send(self.command(0))
+            client.connections[0].broken()
+            self.wait_for_outcomes(1)
             self.assertIn(self.recorded[0][1], ("ok", "unsent"))
-            upstream.close()
+            client.close()
 
-    def test_a_cut_of_our_own_tells_nothing_of_the_worker(self):
-        """The desk cuts a worker client that does not read: what waits for a connection there goes on another."""
+    def test_disconnecting_is_inconclusive(self):
+        """The coordinator disconnects a client: a command that waits for a connection is sent on another."""
         with self.prepare(Faults()):
-            upstream = self.upstream(self.workers()[0])
-            upstream.send(self.command(0))
-            upstream.disconnect()
-            self.end(1)
+            client = self.make_client(self.make_workers()[0])
+            client.send(self.command(0))
+            client.disconnect()
+            self.wait_for_outcomes(1)
             self.assertEqual((self.recorded, self.pool.used), ([(IDENTS[0], "ok")], 1))
-            upstream.close()
+            client.close()
             self.assertEqual(self.pool.used, 0)
 
 
