--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -1,4 +1,4 @@
-"""The discovery client: backoff, silent streams, half events."""
+"""The discovery client: backoff, silent streams, partial events."""
 
 import time
 import unittest
@@ -10,8 +10,8 @@
 from wickdyke.transport import event_loop
 
 
-class Reconnecting(unittest.TestCase):
-    """The bus on a loop whose time the test sets."""
+class DiscoveryClientTest(unittest.TestCase):
+    """A discovery client on an event loop whose clock the test sets."""
 
     def setUp(self):
         self.now, self.recorded = 0.0, []
@@ -23,101 +23,104 @@
         self.source = rig.Bus()
         self.addCleanup(self.source.close)
 
-    def follow(self, address, most=200.0, seed=1):
+    def start_client(self, address, backoff_limit=200.0, seed=1):
         host, _, port = address.rpartition(":")
-        made = discovery.DiscoveryClient(
+        client = discovery.DiscoveryClient(
             self.loop,
-            discovery.DiscoverySettings((host, int(port)), most, seed),
+            discovery.DiscoverySettings((host, int(port)), backoff_limit, seed),
             lambda: 7,
             self.recorded.extend,
             Mock(),
         )
-        self.addCleanup(made.close)
-        made.open()
-        return made
+        self.addCleanup(client.close)
+        client.open()
+        return client
 
-    def until(self, done):
-        ends = time.monotonic() + rig.LONG
-        while not done():
-            self.assertLess(time.monotonic(), ends)
+    def until(self, condition):
+        deadline = time.monotonic() + rig.LONG
+        while not condition():
+            self.assertLess(time.monotonic(), deadline)
             self.loop.run_once(5.0, lambda: None)
 
-    def later(self, span):
-        """Lets a time pass in small steps."""
-        for _ in range(int(span / 10)):
+    def later(self, duration):
+        """Advances the clock by a duration (ms) in steps of 10 ms, and runs the loop after each."""
+        for _ in range(int(duration / 10)):
             self.now += 10
             self.loop.run_once(0.0, lambda: None)
 
-    def test_asked_again_apart_and_not_in_step(self):
-        """Nobody answers: tries grow apart to the bound, never beyond, and two front ends don't ask together."""
-        tries = []
+    def test_retries_back_off_with_jitter(self):
+        """Without a server, the gaps grow to the limit and not beyond, and two clients rarely connect together."""
+        connect_times_by_seed = []
         for seed in (1, 2):
-            self.now, at = 0.0, []
-            made = self.follow(rig.free_address(), seed=seed)
+            self.now, connect_times = 0.0, []
+            client = self.start_client(rig.free_address(), seed=seed)
             for _ in range(2000):
-                before = made.counts["connects"]
+                count_before = client.counts["connects"]
                 self.later(10)
-                at += [self.now] * (made.counts["connects"] - before)
-            made.close()
-            tries.append(at)
-        gaps = [b - a for a, b in zip(tries[0][8:], tries[0][9:], strict=False)]
+                connect_times += [self.now] * (client.counts["connects"] - count_before)
+            client.close()
+            connect_times_by_seed.append(connect_times)
+        gaps = [
+            later - earlier
+            for earlier, later in zip(connect_times_by_seed[0][8:], connect_times_by_seed[0][9:], strict=False)
+        ]
         self.assertTrue(all(90 <= gap <= 230 for gap in gaps), gaps)
-        self.assertLess(tries[0][1] - tries[0][0], 100)
-        together = len(set(tries[0]) & set(tries[1]))
-        self.assertLess(together, 0.4 * len(tries[0]))
+        self.assertLess(connect_times_by_seed[0][1] - connect_times_by_seed[0][0], 100)
+        simultaneous = len(set(connect_times_by_seed[0]) & set(connect_times_by_seed[1]))
+        self.assertLess(simultaneous, 0.4 * len(connect_times_by_seed[0]))
 
-    def test_a_stream_that_drips_and_tells_nothing(self):
-        """(what comes each 200 ms) -> whether the bus is asked again."""
-        whole = b'id: 8\ndata: {"offset": 8}\n\n'
-        for name, first, drip, again in (
+    def test_a_stream_without_complete_events_or_comments_is_replaced(self):
+        """Each case: the first data, the data sent each 200 ms after it, and whether the client reconnects."""
+        complete_event = b'id: 8\ndata: {"offset": 8}\n\n'
+        for name, first_data, repeated_data, reconnects in (
             ("comments", b"", b": pulse\n\n", False),
-            ("events", b"", whole, False),
-            ("comments after an event", whole, b":\n", False),
-            ("half an event, then comments", b"id: 8\ndata: {\n", b": pulse\n", True),
-            ("half an event, byte by byte", b"id: 8\ndata: ", b"x", True),
-            ("a line begun", b"id: 8", b"8", True),
+            ("events", b"", complete_event, False),
+            ("comments after an event", complete_event, b":\n", False),
+            ("partial event, then comments", b"id: 8\ndata: {\n", b": pulse\n", True),
+            ("partial event, byte by byte", b"id: 8\ndata: ", b"x", True),
+            ("partial line", b"id: 8", b"8", True),
             ("nothing", b"", b"", True),
         ):
             with self.subTest(name):
-                source = rig.Bus()  # its own: the one before may still be asked
+                source = rig.Bus()  # a new one, as the previous may still get a connection
                 self.addCleanup(source.close)
-                made = self.follow(source.address)
-                self.until(lambda source=source, made=made: source.offsets and made.response_started)
-                if first:
-                    source.send_raw(first)
+                client = self.start_client(source.address)
+                self.until(lambda source=source, client=client: source.offsets and client.response_started)
+                if first_data:
+                    source.send_raw(first_data)
                 for _ in range(20):
-                    if made.counts["silent"]:
+                    if client.counts["silent"]:
                         break
-                    if drip:
-                        with patch.object(made, "readable", Mock(wraps=made.readable)) as read:
-                            source.send_raw(drip)
-                            self.until(lambda read=read: read.called)
+                    if repeated_data:
+                        with patch.object(client, "readable", Mock(wraps=client.readable)) as readable:
+                            source.send_raw(repeated_data)
+                            self.until(lambda readable=readable: readable.called)
                     self.later(200)
-                self.assertEqual(made.counts["silent"] > 0, again)
-                made.close()
+                self.assertEqual(client.counts["silent"] > 0, reconnects)
+                client.close()
 
-    def test_a_socket_that_can_not_be_made_is_made_later(self):
+    def test_a_socket_is_created_later_when_descriptors_run_out(self):
         with no_descriptor():
-            made = self.follow(self.source.address)
+            client = self.start_client(self.source.address)
             self.later(500)
             self.assertEqual(self.source.offsets, [])
-            self.assertGreater(made.counts["connects"], 2)
+            self.assertGreater(client.counts["connects"], 2)
         self.later(300)
-        self.until(lambda: made.response_started and self.source.offsets)
+        self.until(lambda: client.response_started and self.source.offsets)
         self.assertEqual(self.source.offsets, [7])
 
-    def test_no_time_for_a_drain(self):
-        """Settings that leave none: the list is reached all the same, and not asked for without a pause."""
-        made = self.follow(self.source.address, most=0.0)
+    def test_a_backoff_limit_of_0(self):
+        """Discovery is still reached, and connects are still spaced, where the grace period for drains is 0."""
+        client = self.start_client(self.source.address, backoff_limit=0.0)
         self.later(100)
-        self.until(lambda: made.response_started)
-        made.close()
-        made = self.follow(rig.free_address(), most=0.0)
+        self.until(lambda: client.response_started)
+        client.close()
+        client = self.start_client(rig.free_address(), backoff_limit=0.0)
         self.later(1000)
-        self.assertLess(made.counts["connects"], 1000 / 25 + 2)
+        self.assertLess(client.counts["connects"], 1000 / 25 + 2)
 
-    def test_half_events(self):
-        for raw, begun in (
+    def test_partial_events(self):
+        for data, is_partial in (
             (b"", False),
             (b": x\n", False),
             (b": x", False),
@@ -127,9 +130,9 @@
             (b"data: x\n\n", False),
             (b"data: x\n\nid", True),
         ):
-            events = sse.EventParser()
-            events.feed(raw)
-            self.assertEqual(events.has_partial_event, begun, raw)
+            parser = sse.EventParser()
+            parser.feed(data)
+            self.assertEqual(parser.has_partial_event, is_partial, data)
 
 
 if __name__ == "__main__":
--- a/tests/test_discovery_outage.py
+++ b/tests/test_discovery_outage.py
@@ -1,16 +1,14 @@
-"""Discovery out of reach while workers drain: front ends as processes, workers and discovery as peers over loopback.
+"""Workers drain while discovery is unreachable: front ends as processes, workers and discovery as peers on loopback.
 
-Seen: with discovery out of reach of every front end, workers began to drain and stayed up; attempts and prewarms went
-on being sent to them for as long as they were up. All were rejected by them; other workers served the requests.
+The failure: during an outage of discovery workers began to drain and kept running, and front ends that could not
+receive the drain kept sending attempts and prewarms to them until they ended. The workers rejected all of them.
+Refused, silent and failing connections to discovery had the same effect. First attempts and prewarms were among these
+commands, decided seconds after the drain.
 
-How: the drain is an event of discovery. It counts as known 4 s after discovery broke off at the latest, or at once
-where the outage is older. A front end that couldn't receive it kept sending by the last list it had.
-
-Cause: what discovery said last was taken as true however old it was. Nothing bounded its age, and a rejection by a
-draining worker was taken for a lack of capacity, so that the worker was tried again after each backoff.
-
-Proved by: with discovery up the same drain stops all work at once; refused, silent and failing discovery give the same
-breaks; first attempts and prewarms are among them, decided anew seconds after the drain, until the worker ends.
+How it came about: the last list counted as true however old it was, and a rejection by a draining worker counted as a
+lack of capacity, so that the worker was tried again after each backoff. The drain counts as known at the latest 4 s
+after discovery was lost, or at once where the outage is older. With discovery up the same drain stops all commands at
+once.
 """
 
 import time
@@ -23,25 +21,25 @@
 from tests.soak.scene import DRAIN_GRACE_SECONDS, Scene, SceneSize
 
 WARM_UP_SECONDS = 2.0
-AT_ONCE_SECONDS = 0.2  # after the outage has begun
-LASTS_SECONDS = OUTAGE_CLOCK_SECONDS + DRAIN_GRACE_SECONDS + 5.0
-SERVED_WANTED = 0.9  # part of the requests; three of four workers stay ready
-USUAL_SIZE = SceneSize()
+EARLY_DRAIN_SECONDS = 0.2  # from the begin of the outage to the drain
+CASE_SECONDS = OUTAGE_CLOCK_SECONDS + DRAIN_GRACE_SECONDS + 5.0
+MIN_SERVED_SHARE = 0.9  # share of the requests; three of four workers stay ready
+DEFAULT_SIZE = SceneSize()
 FEW_REQUESTS = SceneSize(front_ends=2, clients_per_front_end=1, rate=0.7)
 
 
 @dataclass(frozen=True)
-class Case:
-    """Discovery behaves that way, and the busiest worker drains some time (s) after that began."""
+class OutageCase:
+    """The behaviour of discovery, and when the busiest worker drains (s after the begin of that behaviour)."""
 
     mode: BusMode
-    drains_after: float = AT_ONCE_SECONDS
-    size: SceneSize = USUAL_SIZE
+    drain_after: float = EARLY_DRAIN_SECONDS
+    size: SceneSize = DEFAULT_SIZE
 
 
 @dataclass(frozen=True)
-class Played:
-    """What was found in one case; `sent` are the verbs of work that came too late, and when after the outage began."""
+class CaseResult:
+    """The result of one case; `sent` lists commands sent to the draining worker, with the s since the outage began."""
 
     sent: list[str]
     violations: list[str]
@@ -49,53 +47,55 @@
 
 
 CASES = {
-    "discovery is up": Case(BusMode.UP),
-    "connections are refused": Case(BusMode.REFUSED),
-    "open connections are silent": Case(BusMode.SILENT),
-    "an event that never completes": Case(BusMode.HALF_EVENT),
-    "a drain late in the outage": Case(BusMode.ERRORS, drains_after=OUTAGE_CLOCK_SECONDS + 3.0),
-    "few requests": Case(BusMode.FLAPPING, size=FEW_REQUESTS),
+    "discovery is up": OutageCase(BusMode.UP),
+    "connections are refused": OutageCase(BusMode.REFUSED),
+    "open connections are silent": OutageCase(BusMode.SILENT),
+    "an event stays incomplete": OutageCase(BusMode.HALF_EVENT),
+    "a drain late in the outage": OutageCase(BusMode.ERRORS, drain_after=OUTAGE_CLOCK_SECONDS + 3.0),
+    "few requests": OutageCase(BusMode.FLAPPING, size=FEW_REQUESTS),
 }
 
 
-def play(case: Case) -> Played:
-    """Plays one case."""
+def run_case(case: OutageCase) -> CaseResult:
+    """Runs one case."""
     scene = Scene(case.size)
     try:
         scene.start()
         time.sleep(WARM_UP_SECONDS)
-        began_at = time.time()
+        outage_began_at = time.time()
         if case.mode is not BusMode.UP:
             scene.set_discovery(case.mode)
-        time.sleep(case.drains_after)
+        time.sleep(case.drain_after)
         scene.drain(scene.busiest_worker())
-        time.sleep(max(0.0, began_at + LASTS_SECONDS - time.time()))
+        time.sleep(max(0.0, outage_began_at + CASE_SECONDS - time.time()))
         ended_at = time.time()
         scene.stop_clients()
-        sent = [f"{arrival.verb.decode()} {arrival.at - began_at:.3f}" for _, arrival in sent_while_draining(scene)]
-        return Played(sent, violations(scene), served_share(scene, began_at, ended_at))
+        sent = [
+            f"{arrival.verb.decode()} {arrival.at - outage_began_at:.3f}" for _, arrival in sent_while_draining(scene)
+        ]
+        return CaseResult(sent, violations(scene), served_share(scene, outage_began_at, ended_at))
     finally:
         scene.close()
 
 
-class DiscoveryOutage(unittest.TestCase):
-    """A worker in use drains while discovery is out of reach, and stays up."""
+class DiscoveryOutageTest(unittest.TestCase):
+    """A worker in use drains while discovery is unreachable, and keeps running."""
 
     @classmethod
     def setUpClass(cls):
         with ThreadPoolExecutor(len(CASES)) as pool:
-            cls.played = dict(zip(CASES, pool.map(play, CASES.values()), strict=True))
+            cls.results = dict(zip(CASES, pool.map(run_case, CASES.values()), strict=True))
 
     def test_no_work_is_sent_to_a_draining_worker(self):
-        for name, played in self.played.items():
+        for name, result in self.results.items():
             with self.subTest(name):
-                self.assertEqual(played.sent, [])
-                self.assertEqual(played.violations, [])
+                self.assertEqual(result.sent, [])
+                self.assertEqual(result.violations, [])
 
     def test_requests_are_served_meanwhile(self):
-        for name, played in self.played.items():
+        for name, result in self.results.items():
             with self.subTest(name):
-                self.assertGreater(played.served, SERVED_WANTED)
+                self.assertGreater(result.served, MIN_SERVED_SHARE)
 
 
 if __name__ == "__main__":
