--- a/tests/test_discovery_faults.py
+++ b/tests/test_discovery_faults.py
@@ -111,7 +111,7 @@
 
 
 class SystemCalls:
-    """Fails the `nth` call of that name and the `times - 1` after it. `piece_size`, if set, limits the bytes of a send."""
+    """Fails the `nth` call of that name and the `times - 1` after it. A non-zero `piece_size` limits each send."""
 
     def __init__(self, name="", nth=1, code=0, times=1, piece_size=0):
         self.name, self.nth, self.code, self.times, self.piece_size, self.count = name, nth, code, times, piece_size, 0
