--- a/tests/test_client_leaving.py
+++ b/tests/test_client_leaving.py
@@ -77,7 +77,7 @@
                     client = self.client()
                     client.send(rig.dispatch(1, rig.fields(A, "pay"), b"x"))
                     upstream = serving.coordinator.workers.clients["w0"]
-                    self.until(lambda upstream=upstream: any(conn.pending for conn in upstream.connections))
+                    self.until(lambda upstream=upstream: any(conn.pending_commands for conn in upstream.connections))
                     if how == "cancel":
                         client.send(rig.cancel(2, 1))
                     elif how == "reset":
@@ -106,7 +106,7 @@
                 client = self.client()
                 client.send(rig.dispatch(1, rig.fields(A, "pay"), b"x"))
                 upstream = serving.coordinator.workers.clients["w0"]
-                self.until(lambda upstream=upstream: any(conn.pending for conn in upstream.connections))
+                self.until(lambda upstream=upstream: any(conn.pending_commands for conn in upstream.connections))
                 serving.coordinator.post(
                     EndpointsReceived(
                         [
@@ -151,7 +151,9 @@
         self.answer_held(b"second")
         self.assertEqual(self.answer(waiting), (1, "answer", b"second"))
         self.until(lambda: len(serving.client_server.clients) == 1)
-        self.assertEqual((serving.client_server.open, serving.coordinator.requests.by_id, self.faults()), ({}, {}, []))
+        self.assertEqual(
+            (serving.client_server.open_requests, serving.coordinator.requests.by_id, self.faults()), ({}, {}, [])
+        )
 
     def test_an_unsent_attempt_of_an_answered_request_is_withdrawn(self):
         """An attempt that was not sent when another one is answered is never sent."""
