--- a/wickdyke/worker/actions.py
+++ b/wickdyke/worker/actions.py
@@ -1,4 +1,4 @@
-"""The actions that the schedule decides on. The host carries them out in their order."""
+"""The actions that the schedule decides on. The host carries them out in the order in which it receives them."""
 
 from dataclasses import dataclass
 
@@ -7,7 +7,7 @@
 
 @dataclass(slots=True, frozen=True)
 class StartLoad:
-    """Begin to load the replica."""
+    """Start to load the replica."""
 
     replica: Replica
 
@@ -21,7 +21,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Kill:
-    """End the replica, busy or not."""
+    """End the replica, whether it runs requests or not."""
 
     replica: Replica
     reason: str
@@ -45,7 +45,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Reject:
-    """Answer the request with an error; it may have run if `request.started_at` is set."""
+    """Answer the request with an error; the request may have run if `request.started_at` is set."""
 
     request: Request
     rejection: Rejection
@@ -53,19 +53,19 @@
 
 @dataclass(slots=True, frozen=True)
 class PrewarmDone:
-    """Answer the prewarm request: `ready` replicas can serve."""
+    """Answer the prewarm request: `ready_count` replicas are ready."""
 
     prewarm: PrewarmRequest
-    ready: int
+    ready_count: int
 
 
 @dataclass(slots=True, frozen=True)
 class PrewarmFailed:
-    """Answer the prewarm request with an error; `ready` replicas can serve."""
+    """Answer the prewarm request with an error; `ready_count` replicas are ready."""
 
     prewarm: PrewarmRequest
     rejection: Rejection
-    ready: int
+    ready_count: int
 
 
 Action = StartLoad | Unload | Kill | Run | Stop | Reject | PrewarmDone | PrewarmFailed
--- a/wickdyke/worker/gateway_server.py
+++ b/wickdyke/worker/gateway_server.py
@@ -15,15 +15,15 @@
 
 
 class GatewayServer:
-    """One worker's server. `name` is the worker's; `start` is a random number that identifies this start of it."""
+    """The server of one worker. `name` is that of the worker; `start_id` identifies this start of it."""
 
     def __init__(
-        self, runner: ScheduleRunner, open_requests: OpenRequests, name: str, start: int, record: Recorder
+        self, runner: ScheduleRunner, open_requests: OpenRequests, name: str, start_id: int, record: Recorder
     ) -> None:
         self.runner = runner
         self.open_requests = open_requests
         self.name = name
-        self.start = start
+        self.start_id = start_id
         self.record = record
         self.started_at = monotonic_ms()
         self.server: LineServer | None = None
@@ -69,10 +69,10 @@
 
     def _hello(self, connection: LineConnection, request: jsonrpc.Request) -> None:
         connection.peer = msgspec.json.decode(request.params, type=worker_messages.GatewayHello).gateway
-        self.record("hello", gateway=connection.peer, start=self.start)
+        self.record("hello", gateway=connection.peer, start=self.start_id)
         up_ms = monotonic_ms() - self.started_at
         draining = self.runner.schedule.draining
-        answer = worker_messages.WorkerHello(worker_messages.VERSION, self.name, self.start, up_ms, draining)
+        answer = worker_messages.WorkerHello(worker_messages.VERSION, self.name, self.start_id, up_ms, draining)
         connection.send(jsonrpc.result_response(request.ident, jsonrpc.encode(answer)))
 
     def _check_health(self, connection: LineConnection, request: jsonrpc.Request) -> None:
@@ -96,7 +96,7 @@
         prewarm = msgspec.json.decode(request.params, type=worker_messages.PrewarmRequest)
         with self.runner.event() as schedule:
             self.record(
-                "hold", gateway=connection.peer, program=prewarm.function, copies=prewarm.replicas, start=self.start
+                "hold", gateway=connection.peer, program=prewarm.function, copies=prewarm.replicas, start=self.start_id
             )
             key = RequestKey(connection, request.ident)
             schedule.prewarm(key, prewarm.function, prewarm.memory_mb, prewarm.concurrency, prewarm.replicas)
--- a/wickdyke/worker/open_requests.py
+++ b/wickdyke/worker/open_requests.py
@@ -1,4 +1,4 @@
-"""The requests that gateways wait for: each is answered once, and its start and end are recorded."""
+"""The requests that gateways wait for. Each is answered once; the recording gets its arrival and its end."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -29,30 +29,33 @@
     Rejection.OUT_OF_TIME: "its time is up",
     Rejection.ENDED: "its copy ended",
 }
-CONCURRENT_LIMIT = 30  # the highest count of concurrent requests that is reported
+MAX_REPORTED_CONCURRENT = (
+    30  # the highest number of concurrent requests in a response; more are reported as this number
+)
 
 
-# Writes a line of the recording: called with its kind, and with its values by the keys of docs/protocol.md.
+# Writes a line of the recording. Its arguments are the kind of the line, and the values under the keys of
+# docs/protocol.md.
 Recorder = Callable[..., None]
 
 
 class RequestEnd(StrEnum):
-    """How a request ended, where the worker did not reject it. The values are words of the recording."""
+    """How a request ended that the worker did not reject. The values are written to the recording."""
 
     ANSWERED = "ok"
     CANCELLED = "cancelled"
-    DISCONNECTED = "dropped"  # its connection ended
+    DISCONNECTED = "dropped"  # its connection was closed
 
 
 class RequestKey(NamedTuple):
-    """A request's id, and the connection that it is unique in."""
+    """A request's id, and the connection within which the id is unique."""
 
     connection: LineConnection
     ident: jsonrpc.Ident
 
 
 class RequestMark(msgspec.Struct):
-    """What a test run puts into the input of its requests, to find them in the recording."""
+    """Fields that a test run adds to the input of its requests, to identify them in the recording."""
 
     mark: str = ""
     work_ms: float = 0.0
@@ -62,7 +65,7 @@
 class OpenRequest:
     """A request that is not answered yet. `number` identifies it in the recording."""
 
-    run: worker_messages.RunRequest
+    run_request: worker_messages.RunRequest
     mark: str
     number: int
 
@@ -71,79 +74,79 @@
     """All requests that are not answered yet, by key. Its methods are called under the schedule's lock."""
 
     def __init__(
-        self, schedule: Schedule, load_report: Callable[[], dict[str, float]], start: int, record: Recorder | None
+        self, schedule: Schedule, load_report: Callable[[], dict[str, float]], start_id: int, record: Recorder | None
     ) -> None:
-        """`record` writes the recording, if there is one; `start` identifies this start of the worker."""
+        """`record` writes the recording, if there is one; `start_id` identifies this start of the worker."""
         self.schedule = schedule
         self.load_report = load_report
-        self.start = start
-        self.recording = record is not None
+        self.start_id = start_id
+        self.is_recording = record is not None
         self.record = record or _record_nothing
-        self.open: dict[RequestKey, OpenRequest] = {}
+        self.by_key: dict[RequestKey, OpenRequest] = {}
         self.last_number = 0
 
     def __contains__(self, key: RequestKey) -> bool:
-        return key in self.open
+        return key in self.by_key
 
-    def add(self, key: RequestKey, run: worker_messages.RunRequest) -> None:
+    def add(self, key: RequestKey, run_request: worker_messages.RunRequest) -> None:
         """Adds a request that arrived."""
         self.last_number += 1
-        mark = _request_mark(run.input) if self.recording else RequestMark()
+        mark = _request_mark(run_request.input) if self.is_recording else RequestMark()
         self.record(
             "run",
             mark=mark.mark,
             gateway=key.connection.peer,
-            program=run.function,
+            program=run_request.function,
             work=mark.work_ms,
-            token=run.idempotency_key,
-            start=self.start,
+            token=run_request.idempotency_key,
+            start=self.start_id,
             job=self.last_number,
         )
-        self.open[key] = OpenRequest(run, mark.mark, self.last_number)
+        self.by_key[key] = OpenRequest(run_request, mark.mark, self.last_number)
 
     def input(self, request: Request) -> msgspec.Raw:
-        """The argument of the function."""
-        return self.open[request_key(request)].run.input
+        """The input of the function, as JSON."""
+        return self.by_key[request_key(request)].run_request.input
 
     def of_connection(self, connection: LineConnection) -> list[RequestKey]:
         """The requests that arrived on a connection."""
-        return [key for key in self.open if key.connection is connection]
+        return [key for key in self.by_key if key.connection is connection]
 
-    def withdraw(self, key: RequestKey, cause: RequestEnd) -> None:
-        """The gateway no longer waits for the answer."""
-        request = self.open.pop(key, None)
+    def withdraw(self, key: RequestKey, end: RequestEnd) -> None:
+        """Removes a request whose gateway no longer waits for the answer."""
+        request = self.by_key.pop(key, None)
         if request is None:
             return
-        if cause == RequestEnd.CANCELLED:
+        if end == RequestEnd.CANCELLED:
             self.record("cancel", mark=request.mark, gateway=key.connection.peer, job=request.number)
-        self._record_end(key, request, cause)
+        self._record_end(key, request, end)
 
     def answer(self, request: Request, output: msgspec.Raw) -> None:
         """Sends the function's result."""
         key = request_key(request)
-        self._record_end(key, self.open.pop(key), RequestEnd.ANSWERED)
-        concurrent = min(CONCURRENT_LIMIT, request.concurrent)
-        result = worker_messages.RunResult(output, request.load_note, concurrent, self.load_report())
+        self._record_end(key, self.by_key.pop(key), RequestEnd.ANSWERED)
+        concurrent_requests = min(MAX_REPORTED_CONCURRENT, request.concurrent_requests)
+        result = worker_messages.RunResult(output, request.load_note, concurrent_requests, self.load_report())
         key.connection.send(jsonrpc.result_response(key.ident, jsonrpc.encode(result)))
 
     def fail(self, request: Request, message: str) -> None:
-        """Sends the function's error. In the recording the request was answered, as the function did run."""
+        """Sends the function's error. The recording counts the request as answered, since the function ran."""
         self._send_error(request, Rejection.FAILED, message, RequestEnd.ANSWERED)
 
     def reject(self, request: Request, rejection: Rejection) -> None:
-        """Sends an error of this worker."""
+        """Sends the error for a request that the worker rejected."""
         self._send_error(request, rejection, ERROR_MESSAGES[rejection], rejection)
 
     def _send_error(
-        self, request: Request, rejection: Rejection, message: str, recorded: RequestEnd | Rejection
+        self, request: Request, rejection: Rejection, message: str, recorded_end: RequestEnd | Rejection
     ) -> None:
         key = request_key(request)
-        open_request = self.open.pop(key, None)
+        open_request = self.by_key.pop(key, None)
         if open_request is None:
             return
-        self._record_end(key, open_request, recorded)
+        self._record_end(key, open_request, recorded_end)
         data = worker_messages.RunErrorData(
-            min(CONCURRENT_LIMIT, request.concurrent),
+            min(MAX_REPORTED_CONCURRENT, request.concurrent_requests),
             self.load_report(),
             self.schedule.draining,
             request.requests_in_replica,
@@ -156,21 +159,21 @@
 
 
 def request_key(request: Request | PrewarmRequest) -> RequestKey:
-    """The key under which GatewayServer gave a request to the schedule."""
+    """The key under which GatewayServer added a request to the schedule."""
     return cast(RequestKey, request.key)
 
 
-def answer_prewarm(prewarm: PrewarmRequest, ready: int) -> None:
-    """Answers that `ready` replicas can serve."""
+def answer_prewarm(prewarm: PrewarmRequest, ready_count: int) -> None:
+    """Answers that `ready_count` replicas are ready."""
     key = request_key(prewarm)
-    body = jsonrpc.encode(worker_messages.PrewarmResult(ready))
+    body = jsonrpc.encode(worker_messages.PrewarmResult(ready_count))
     key.connection.send(jsonrpc.result_response(key.ident, body))
 
 
-def reject_prewarm(prewarm: PrewarmRequest, rejection: Rejection, ready: int) -> None:
-    """Answers with an error; `ready` replicas can serve."""
+def reject_prewarm(prewarm: PrewarmRequest, rejection: Rejection, ready_count: int) -> None:
+    """Answers with an error; `ready_count` replicas are ready."""
     key = request_key(prewarm)
-    body = jsonrpc.encode(worker_messages.PrewarmResult(ready))
+    body = jsonrpc.encode(worker_messages.PrewarmResult(ready_count))
     error = jsonrpc.error_response(key.ident, PREWARM_ERROR_CODES[rejection], ERROR_MESSAGES[rejection], body)
     key.connection.send(error)
 
@@ -179,8 +182,8 @@
     pass
 
 
-def _request_mark(content: msgspec.Raw) -> RequestMark:
+def _request_mark(input_json: msgspec.Raw) -> RequestMark:
     try:
-        return msgspec.json.decode(content, type=RequestMark)
+        return msgspec.json.decode(input_json, type=RequestMark)
     except msgspec.MsgspecError:
         return RequestMark()
--- a/wickdyke/worker/schedule.py
+++ b/wickdyke/worker/schedule.py
@@ -1,7 +1,7 @@
-"""A worker's state machine: requests, prewarm requests and memory. Events in, actions out; no clock, I/O or threads.
+"""The scheduler of a worker: turns events into actions as a state machine without clock, I/O or threads.
 
-A host reports events (`submit`, `load_finished`, `slot_freed` ...): these only update the records. Then it calls
-`next_action` until that returns None. `next_deadline` is when to call `advance` next, if no event comes before.
+The host reports events (`submit`, `load_finished`, `slot_freed` ...), which only update the records. Then it calls
+`next_action` until that returns None. It calls `advance` at `next_deadline` at the latest, even if there was no event.
 """
 
 from collections import deque
@@ -20,14 +20,14 @@
 )
 from wickdyke.worker.replica_pool import ReplicaPool
 
-DEFAULT_DEADLINE = 1000.0  # ms until the next call of `advance`, where nothing is due
+DEFAULT_ADVANCE_INTERVAL = 1000.0  # ms until the next call of `advance` where no deadline is pending
 
 
 class Schedule:
-    """The requests and replicas of one worker."""
+    """Schedules the requests, prewarm requests and replicas of one worker."""
 
     def __init__(self, now: float, limits: ScheduleLimits) -> None:
-        """`now` is the start in ms of the host's clock."""
+        """`now` is the time of the worker's start, in ms of the host's clock."""
         self.now = now
         self.started_at = now
         self.limits = limits
@@ -35,29 +35,29 @@
         self.pool = ReplicaPool(limits.memory, limits.load_concurrency, self.actions)
         self.requests: dict[object, Request] = {}
         self.prewarms: dict[object, PrewarmRequest] = {}
-        self.run_timeouts: dict[str, float] = {}  # ms, as manifests state them
-        self.running = 0  # slots in use
+        self.run_timeouts: dict[str, float] = {}  # in ms by function name, as manifests state them
+        self.used_slots = 0  # of all replicas
         self.draining = False
 
     # ---- events ----
 
     def advance(self, now: float) -> None:
-        """Sets the time."""
+        """Sets the current time, in ms of the host's clock."""
         self.now = now
 
     def submit(self, key: object, name: str, memory: float, concurrency: int, time_left: float) -> None:
-        """A request arrived; its sender gives up after `time_left` ms."""
+        """Adds a request that arrived; its sender gives up after `time_left` ms."""
         if key in self.requests:
             return
         function = self.pool.function(name)
         request = Request(key, function, memory, concurrency, self.now + time_left, self.now)
-        request.concurrent = sum(other.function is function for other in self.requests.values())
+        request.concurrent_requests = sum(other.function is function for other in self.requests.values())
         self.requests[key] = request
         if self.draining:
             self._reject(request, Rejection.DRAINING)
             return
         in_flight = len(self.requests)
-        if in_flight > self.limits.queue or in_flight > self._slow_start_limit():
+        if in_flight > self.limits.max_requests or in_flight > self._slow_start_limit():
             self._reject(request, Rejection.FULL)
             return
         if not function.live_replicas:
@@ -67,10 +67,13 @@
             request.load_note = LoadNote.STARTED_LOAD
         elif not function.ready_count:
             request.load_note = LoadNote.AWAITED_LOAD
-        function.waiting.append(request)
+        function.waiting_requests.append(request)
 
     def prewarm(self, key: object, name: str, memory: float, concurrency: int, replicas: int) -> None:
-        """A request to have `replicas` ready arrived; 0 only asks how many are. Existing ones count as used now."""
+        """Adds a prewarm request for `replicas` replicas, and counts the existing ones of them as used now.
+
+        With 0 the request only asks how many replicas are ready.
+        """
         function = self.pool.function(name)
         prewarm = PrewarmRequest(key, function, replicas)
         if replicas and self.draining:
@@ -86,7 +89,7 @@
         self.prewarms[key] = prewarm
 
     def cancel(self, key: object) -> None:
-        """The sender of a request or prewarm request no longer waits for the answer."""
+        """Cancels a request or prewarm request whose sender no longer waits for the answer."""
         self.prewarms.pop(key, None)
         request = self.requests.get(key)
         if request is not None and not request.done:
@@ -96,11 +99,11 @@
     def unload_idle(self, name: str) -> None:
         """Unloads the idle replicas of a function."""
         for replica in list(self.pool.function(name).replicas):
-            if replica.idle:
+            if replica.is_idle:
                 self.pool.unload(replica)
 
     def apply_manifest(self, replica: Replica, memory: float, concurrency: int, run_timeout: float | None) -> bool:
-        """Sets the limits that the manifest states. False where there is no room for it; its load then fails."""
+        """Sets the limits that the manifest states. False where the replica does not fit; its load then fails."""
         if replica.state != ReplicaState.LOADING:
             return False
         replica.concurrency = concurrency
@@ -108,13 +111,13 @@
             self.run_timeouts[replica.function.name] = run_timeout
         additional = memory - replica.memory
         replica.memory = memory
-        return additional <= 0 or self.pool.make_room(0.0, keep=replica)
+        return additional <= 0 or self.pool.make_room(0.0, exempt_replica=replica)
 
     def load_finished(self, replica: Replica, failure: Rejection | None) -> None:
-        """A load is over; `failure` is None where the replica is ready, else FULL, MISS or FAILED."""
+        """Ends a load; `failure` is None where the replica is ready, else FULL, MISS or FAILED."""
         if replica.state != ReplicaState.LOADING:
             return
-        self.pool.loading -= 1
+        self.pool.loading_count -= 1
         if failure is None:
             replica.state = ReplicaState.READY
             replica.last_used = self.now
@@ -129,7 +132,7 @@
                 self._fail_prewarm(prewarm, failure)
 
     def replica_ended(self, replica: Replica) -> None:
-        """A replica ended by itself or was killed: the requests in it may have run."""
+        """Removes a replica that ended by itself or was killed, and rejects its requests, which may have run."""
         if replica.state in (ReplicaState.REMOVED, ReplicaState.QUEUED):
             return
         if replica.state == ReplicaState.LOADING:
@@ -142,70 +145,70 @@
             request.replica = None
             request.requests_in_replica = requests_in_replica
             self._reject(request, Rejection.ENDED)
-        self.running -= requests_in_replica
-        replica.stopping = 0
+        self.used_slots -= requests_in_replica
+        replica.stopping_requests = 0
         self.pool.remove(replica)
 
     def request_answered(self, key: object) -> bool:
-        """The replica answered the request, with a result or an error. False where nobody waits for it."""
+        """Completes a request that its replica answered. False where no sender waits for the answer."""
         request = self.requests.get(key)
         if request is None or request.done or request.replica is None:
             return False
         del self.requests[key]
         request.done = True
-        self.running -= 1
+        self.used_slots -= 1
         request.replica.requests.remove(request)
         request.replica.last_used = self.now
         return True
 
     def slot_freed(self, replica: Replica) -> None:
-        """A request that was stopped has ended: its slot is free again."""
-        if not replica.running or not replica.stopping:
+        """Frees the slot of a stopped request that has ended."""
+        if not replica.is_running or not replica.stopping_requests:
             return
-        replica.stopping -= 1
-        self.running -= 1
+        replica.stopping_requests -= 1
+        self.used_slots -= 1
         replica.last_used = self.now
-        if not replica.stopping:
+        if not replica.stopping_requests:
             replica.state = ReplicaState.READY
 
     def memory_measured(self, replica: Replica, memory: float) -> None:
-        """A replica's memory was measured, in MB. One that takes more than its manifest states is killed."""
+        """Records a replica's measured memory in MB. Kills a replica that uses more than its manifest states."""
         replica.measured_memory = memory
-        if memory > replica.memory and replica.running:
-            self._kill(replica, f"{memory:.1f} MB of {replica.memory:g} MB")
+        if memory > replica.memory and replica.is_running:
+            self._kill(replica, f"uses {memory:.1f} MB of memory, more than the stated {replica.memory:g} MB")
 
     def drain(self) -> None:
-        """Accepts no further requests; those in flight go on."""
+        """Accepts no further requests; those in flight continue."""
         self.draining = True
 
     # ---- actions ----
 
     def next_action(self) -> Action | None:
-        """The next action; None where there is none for now."""
+        """The next action to carry out; None where there is none now."""
         if not self.actions:
             self._decide()
         return self.actions.popleft() if self.actions else None
 
     @property
     def next_deadline(self) -> float:
-        """When to call `advance` and `next_action` again, if no event comes before."""
+        """The time at which to call `advance` and `next_action` again, unless an event comes before."""
         requests, replicas = self.requests.values(), self.pool.replicas()
         deadlines = [request.deadline for request in requests]
         deadlines += [
             self._run_deadline(request.started_at, request) for request in requests if request.started_at is not None
         ]
-        deadlines += [self._stop_deadline(replica) for replica in replicas if replica.stopping]
-        deadlines += [self._idle_deadline(replica) for replica in replicas if replica.idle]
-        return min(deadlines, default=self.now + DEFAULT_DEADLINE)
+        deadlines += [self._stop_deadline(replica) for replica in replicas if replica.stopping_requests]
+        deadlines += [self._idle_deadline(replica) for replica in replicas if replica.is_idle]
+        return min(deadlines, default=self.now + DEFAULT_ADVANCE_INTERVAL)
 
     def load_report(self) -> dict[str, float]:
-        """The load report. The keys are words on the wire (worker_messages.REPORT_FIELDS)."""
+        """The load report, under the keys that are sent to gateways (worker_messages.REPORT_FIELDS)."""
         in_flight = len(self.requests)
         return {
-            "busy": min(1.0, self.running / self.limits.concurrency),
+            "busy": min(1.0, self.used_slots / self.limits.concurrency),
             "held": float(in_flight),
-            "queue": float(max(0, in_flight - self.running)),
-            "loads": float(self.pool.loading + len(self.pool.load_queue)),
+            "queue": float(max(0, in_flight - self.used_slots)),
+            "loads": float(self.pool.loading_count + len(self.pool.load_queue)),
             "pinned": self.pool.pinned_memory / self.limits.memory,
             "cold": 1.0 - self._slow_start_share(),
         }
@@ -213,8 +216,8 @@
     # ---- times and limits ----
 
     def _run_deadline(self, started_at: float, request: Request) -> float:
-        limit = self.limits.run_timeout
-        return started_at + min(limit, self.run_timeouts.get(request.function.name, limit))
+        max_timeout = self.limits.run_timeout
+        return started_at + min(max_timeout, self.run_timeouts.get(request.function.name, max_timeout))
 
     def _stop_deadline(self, replica: Replica) -> float:
         return replica.stopping_since + self.limits.stop_timeout
@@ -223,11 +226,11 @@
         return replica.last_used + self.limits.idle_timeout
 
     def _slow_start_share(self) -> float:
-        return self.limits.slow_start.share(self.now - self.started_at)
+        return self.limits.slow_start.accepted_share(self.now - self.started_at)
 
     def _slow_start_limit(self) -> float:
         share = self._slow_start_share()
-        return self.limits.queue if share >= 1 else max(1.0, share * self.limits.concurrency)
+        return self.limits.max_requests if share >= 1 else max(1.0, share * self.limits.concurrency)
 
     # ---- decisions ----
 
@@ -239,74 +242,77 @@
         self._replace_draining()
         self._run_waiting()
         self._answer_prewarms()
-        self.pool.start_loads(self._is_wanted)  # after the answers: a load for a prewarm that fails is not begun
+        self.pool.start_loads(self._is_needed)  # last, so that no load starts for a prewarm request that just failed
         prewarmed = {prewarm.function for prewarm in self.prewarms.values()}
-        for function in self.pool.forget_unused(prewarmed):
+        for function in self.pool.remove_unused(prewarmed):
             self.run_timeouts.pop(function.name, None)
 
     def _time_out(self, is_due: Callable[[Request], bool]) -> None:
         for request in [request for request in self.requests.values() if is_due(request)]:
             if request.done:
                 continue
-            has_run = request.replica is not None
+            may_have_run = request.replica is not None
             self._withdraw(request)
             self.requests.pop(request.key, None)
-            self.actions.append(Reject(request, Rejection.OUT_OF_TIME if has_run else Rejection.FULL))
+            self.actions.append(Reject(request, Rejection.OUT_OF_TIME if may_have_run else Rejection.FULL))
 
     def _has_exceeded_run_time(self, request: Request) -> bool:
         return request.started_at is not None and self.now >= self._run_deadline(request.started_at, request)
 
     def _check_replica(self, replica: Replica) -> None:
-        if replica.stopping and self.now >= self._stop_deadline(replica):
-            # A request that does not end would occupy its slot for ever. The other requests may finish first.
+        if replica.stopping_requests and self.now >= self._stop_deadline(replica):
+            # A stopped request that does not end would occupy its slot forever, so the replica is killed. Its other
+            # requests may finish first.
             replica.state = ReplicaState.DRAINING
             if not replica.requests:
-                self._kill(replica, "a call does not end")
-        elif replica.idle and self.now >= self._idle_deadline(replica) and not replica.function.waiting:
+                self._kill(replica, "a stopped request does not end")
+        elif replica.is_idle and self.now >= self._idle_deadline(replica) and not replica.function.waiting_requests:
             self.pool.unload(replica)
 
     def _replace_draining(self) -> None:
-        """Adds a replica where requests wait for a function and all its replicas are draining."""
+        """Adds a replica to each function that has waiting requests and only draining replicas."""
         for function in list(self.pool.functions.values()):
-            if not function.waiting or function.live_replicas:
+            if not function.waiting_requests or function.live_replicas:
                 continue
-            first = function.waiting[0]
+            first = function.waiting_requests[0]
             if self.pool.add(function, first.memory, first.concurrency) is None and not function.replicas:
                 self._reject_waiting(function, Rejection.FULL)
 
-    def _is_wanted(self, replica: Replica) -> bool:
-        """Whether a request or a prewarm request waits for that replica."""
+    def _is_needed(self, replica: Replica) -> bool:
+        """Whether a request or a prewarm request waits for the replica to be loaded."""
         function = replica.function
         position = function.live_replicas.index(replica)
         prewarmed = max(
             (prewarm.replicas for prewarm in self.prewarms.values() if prewarm.function is function), default=0
         )
-        return (bool(function.waiting) and position == 0) or position < prewarmed
+        return (bool(function.waiting_requests) and position == 0) or position < prewarmed
 
     def _run_waiting(self) -> None:
-        """Starts waiting requests in the order of their arrival, each in the least used replica."""
-        if self.running >= self.limits.concurrency:
+        """Starts waiting requests in order of arrival, each in the ready replica with the fewest used slots."""
+        if self.used_slots >= self.limits.concurrency:
             return
-        ready = [function for function in self.pool.functions.values() if function.waiting and function.ready_count]
-        waiting = [request for function in ready for request in function.waiting]
+        ready_functions = [
+            function for function in self.pool.functions.values() if function.waiting_requests and function.ready_count
+        ]
+        waiting = [request for function in ready_functions for request in function.waiting_requests]
         for request in sorted(waiting, key=lambda request: request.arrived_at):
-            if self.running >= self.limits.concurrency:
+            if self.used_slots >= self.limits.concurrency:
                 return
-            free = [
+            available = [
                 replica
                 for replica in request.function.replicas
                 if replica.state == ReplicaState.READY and replica.used_slots < replica.concurrency
             ]
-            if free:
-                self._run(request, min(free, key=lambda replica: (replica.used_slots, replica.number)))
+            if available:
+                self._run(request, min(available, key=lambda replica: (replica.used_slots, replica.number)))
 
     def _run(self, request: Request, replica: Replica) -> None:
-        request.function.waiting.remove(request)
+        request.function.waiting_requests.remove(request)
         request.replica = replica
         request.started_at = self.now
         replica.last_used = self.now
         replica.requests.append(request)
-        self.running += 1
+        self.used_slots += 1
         self.actions.append(Run(request, replica))
 
     def _answer_prewarms(self) -> None:
@@ -320,7 +326,7 @@
                 self._fail_prewarm(prewarm, Rejection.FAILED)
 
     def _add_similar(self, function: Function) -> bool:
-        """Adds a replica with the memory and concurrency of the first one."""
+        """Adds a replica with the memory and concurrency of the first one. False where there is none, or no room."""
         if not function.replicas:
             return False
         first = function.replicas[0]
@@ -336,8 +342,8 @@
         self.actions.append(Reject(request, rejection))
 
     def _reject_waiting(self, function: Function, rejection: Rejection) -> None:
-        while function.waiting:
-            self._reject(function.waiting.popleft(), rejection)
+        while function.waiting_requests:
+            self._reject(function.waiting_requests.popleft(), rejection)
 
     def _fail_prewarm(self, prewarm: PrewarmRequest, rejection: Rejection) -> None:
         self.actions.append(PrewarmFailed(prewarm, rejection, prewarm.function.ready_count))
@@ -347,15 +353,15 @@
         self.replica_ended(replica)
 
     def _withdraw(self, request: Request) -> None:
-        """Takes a request out of its queue, or has its replica stop it."""
+        """Removes a request from its queue, or has its replica stop it."""
         request.done = True
         replica = request.replica
         if replica is None:
-            if request in request.function.waiting:
-                request.function.waiting.remove(request)
+            if request in request.function.waiting_requests:
+                request.function.waiting_requests.remove(request)
             return
         replica.requests.remove(request)
-        if not replica.stopping:
+        if not replica.stopping_requests:
             replica.stopping_since = self.now
-        replica.stopping += 1  # the slot is taken until the replica reports that it is free
+        replica.stopping_requests += 1  # the slot stays in use until the replica reports it free
         self.actions.append(Stop(request, replica))
