--- a/tests/test_worker.py
+++ b/tests/test_worker.py
@@ -159,7 +159,7 @@
         worker, gateway = self.worker(cache=1)
         self.assertIsNone(gateway.run("a")[0])
         self.assertEqual(gateway.run("b")[0], -32010)
-        self.assertTrue(until(lambda: "do not fit beside" in self.log_output.getvalue()))
+        self.assertTrue(until(lambda: "do not fit into the cache beside" in self.log_output.getvalue()))
         self.assertIsNone(gateway.run("a")[0])
         gateway.request("drop", program="a")
         self.assertIsNone(gateway.run("b")[0])
--- a/tests/test_worker_store.py
+++ b/tests/test_worker_store.py
@@ -143,7 +143,7 @@
         service = StoreClient(self.between(play))
         found = service.find("p")
         cache = Cache(self.path("c"), 10.0)
-        with self.assertRaisesRegex(InvalidConfigError, "as the store said"):
+        with self.assertRaisesRegex(InvalidConfigError, "as stated by the store"):
             cache.acquire(found.digest, lambda to: service.fetch(found, to))
         self.assertEqual(os.listdir(self.path("c")), [])
 
--- a/wickdyke/worker/cache.py
+++ b/wickdyke/worker/cache.py
@@ -1,4 +1,4 @@
-"""The cache of unpacked packages: a bounded directory whose entries are whole or absent, whatever fails."""
+"""The cache of unpacked packages: a bounded directory whose entries are complete or absent, whatever fails."""
 
 import errno
 import os
@@ -12,20 +12,22 @@
 from wickdyke.worker.manifest import Manifest
 from wickdyke.worker.package_digest import PackageFile
 
-TEMPORARY_ERRORS = (errno.ENOSPC, errno.EDQUOT, errno.EIO)  # of a directory that may work again later
-ATTEMPTS = 2  # an entry that is not whole is removed and fetched again, once
+TEMPORARY_ERRORS = (errno.ENOSPC, errno.EDQUOT, errno.EIO)  # errors of a directory that may work again later
+MAX_ENTRY_READS = 2  # by one load: an entry that can't be read is removed and fetched again once
 
 
 class Cache:
-    """Packages by the digest of their archive. Least recently used ones are evicted first; those in use never are.
+    """Packages by the digest of their archive. Evicts the least recently used first, and never one in use.
 
-    A system call that fails costs the `acquire` that made it and no other. What could not be removed is a leftover:
-    it counts as bytes, and its removal is tried again by each `acquire`.
+    A failing system call fails only the `acquire` that made it. A file or directory that could not be removed is a
+    leftover: it counts for the size of the cache, and each `acquire` tries to remove it again.
     """
 
     def __init__(self, path: str, capacity_mb: float) -> None:
-        """Raises OSError where the directory can never be used; one that only fails for now is read by the next
-        `acquire`."""
+        """Raises OSError where the directory can never be used.
+
+        After a temporary error (TEMPORARY_ERRORS), the next `acquire` reads the directory again.
+        """
         self.index = CacheIndex(capacity_mb * MB)
         self.directory = CacheDirectory(path, self.index)
         try:
@@ -36,20 +38,21 @@
 
     @property
     def bytes(self) -> int:
-        """Bytes of entries and leftovers."""
+        """The bytes of entries and leftovers."""
         return self.index.total_bytes
 
     def acquire(self, digest: str, fetch: Callable[[str], None]) -> tuple[Manifest, str]:
-        """(manifest, directory) of the archive with that digest, in use until `release` is called as often.
+        """(manifest, directory) of the archive with that digest, which stays in use until as many calls of `release`.
 
-        `fetch(path)` writes the archive there if it is not in the cache. Raises CacheFullError, InvalidConfigError,
-        OSError or what fetch raises; the entry is not in use then, and what was written is removed or a leftover.
+        `fetch(path)` is called to write the archive to a path if it is not in the cache. Raises CacheFullError,
+        InvalidConfigError, OSError or any error of `fetch`; the entry is not in use then, and written files are removed
+        or leftovers.
         """
         self.directory.load()
         self.directory.remove_leftovers()
         name = _entry_name(digest)
         failure: Exception | None = None
-        for _ in range(ATTEMPTS):
+        for _ in range(MAX_ENTRY_READS):
             if not self.index.acquire_or_begin_fetch(name):
                 try:
                     self._fetch(name, digest, fetch)
@@ -63,17 +66,19 @@
                 self.release(digest)
                 self.directory.evict(name)
         path = self.directory.entry_path(name)
-        raise manifest.invalid_package(path, f"an entry that can't be read ({failure})", "one as it was put there")
+        raise manifest.invalid_package(
+            path, f"a cache entry that can't be read ({failure})", "an entry as it was written"
+        )
 
     def release(self, digest: str) -> None:
-        """An entry that was acquired has one user less."""
+        """Removes one user of an entry that was acquired."""
         self.index.release(_entry_name(digest))
 
     def _read_manifest(self, name: str) -> Manifest:
         """The manifest of an entry; raises InvalidConfigError, OSError.
 
-        The contents of an entry that an earlier process left are verified first: a kill leaves none half written, but
-        a power cut or a failing disk may.
+        Verifies the contents of an entry that an earlier process wrote: a kill leaves no incomplete entry, but a power
+        failure or a failing disk may.
         """
         path = self.directory.entry_path(name)
         stated = manifest.parse(read_file(os.path.join(path, manifest.FILE_NAME)), manifest.FILE_NAME)
@@ -84,7 +89,7 @@
         return stated
 
     def _fetch(self, name: str, digest: str, fetch: Callable[[str], None]) -> None:
-        """Fetches an archive and makes it an entry, in use."""
+        """Fetches an archive and installs it as an entry, in use."""
         directory = self.directory.temporary_path()
         archive = directory + ".zip"
         reserved = 0
@@ -113,9 +118,11 @@
 
 
 def _read_archive(path: str, digest: str) -> list[PackageFile]:
-    """The files of an archive, the manifest among them; raises InvalidConfigError where it is not the one stated."""
+    """The files of an archive with its manifest; raises InvalidConfigError where its digest is not `digest`."""
     actual = package_digest.file_digest(path)
     if actual != digest:
-        raise manifest.invalid_package(path, f"an archive with the digest {actual}", f"{digest}, as the store said")
+        raise manifest.invalid_package(
+            path, f"an archive with the digest {actual}", f"{digest}, as stated by the store"
+        )
     stated, files = package.from_zip(path)
     return [*files, (manifest.FILE_NAME, manifest.render(stated, stated.digest or "").encode())]
--- a/wickdyke/worker/cache_files.py
+++ b/wickdyke/worker/cache_files.py
@@ -23,23 +23,23 @@
 
 
 def is_directory(path: str) -> bool:
-    """Whether it is a directory. Unlike os.path.isdir, raises OSError if unknown and does not follow symbolic links."""
+    """Whether the path is a directory. Unlike os.path.isdir, raises OSError and does not follow symbolic links."""
     return stat.S_ISDIR(os.lstat(path).st_mode)
 
 
 def list_files(directory: str) -> list[str]:
-    """Paths of all files below a directory; raises OSError where a part of it can't be listed."""
+    """The paths of all files below a directory; raises OSError where one of its directories can't be listed."""
     walk = os.walk(directory, onerror=_raise)
     return [os.path.join(parent, name) for parent, _, names in walk for name in names]
 
 
 def read_tree(directory: str) -> list[tuple[str, bytes]]:
-    """(path relative to the directory, with slashes; contents) of all files below it."""
+    """(path relative to the directory, with slashes; contents) of each file below it."""
     return [(os.path.relpath(path, directory).replace(os.sep, "/"), read_file(path)) for path in list_files(directory)]
 
 
 def disk_size(path: str) -> int:
-    """Bytes of a file, or of all files below a directory."""
+    """The bytes of a file, or of all files below a directory."""
     if not is_directory(path):
         return os.lstat(path).st_size
     return sum(os.lstat(file).st_size for file in list_files(path))
--- a/wickdyke/worker/cache_index.py
+++ b/wickdyke/worker/cache_index.py
@@ -1,6 +1,6 @@
-"""The cache's bookkeeping in memory: which entries there are, their sizes, their users and their order of use.
+"""The index of the package cache in memory: its entries, their sizes, numbers of users and order of use.
 
-Nothing here touches the disk.
+Nothing here accesses the disk.
 """
 
 import threading
@@ -10,12 +10,12 @@
 
 
 class CacheFullError(Exception):
-    """There is no room: what would have to be removed for it is in use."""
+    """An entry does not fit, as too many of the other entries are in use."""
 
 
 @dataclass(slots=True, frozen=True)
 class EvictedEntry:
-    """An entry taken out of the index, with what it takes to put it back."""
+    """An entry that was removed from the index, with the values that restore it there."""
 
     name: str
     size: int  # bytes
@@ -24,24 +24,24 @@
 
 
 class CacheIndex:
-    """Entries by name. Thread-safe: each method holds the lock, none waits for the disk."""
+    """Entries by name. Thread-safe: each method holds the lock, and none accesses the disk."""
 
     def __init__(self, capacity: float) -> None:
         """`capacity` is in bytes."""
         self.capacity = capacity
         self.lock = threading.Lock()
-        self.use_counts: dict[str, int] = {}
+        self.use_counts: dict[str, int] = {}  # numbers of users, of entries in use only
         self.sizes: dict[str, int] = {}  # bytes
         self.order: list[str] = []  # least recently used first
         self.reserved = 0  # bytes of entries that are being written
-        self.leftovers: dict[str, int] = {}  # bytes by path of what could not be removed
-        self.verified: set[str] = set()  # entries whose contents were checked, or written by this process
-        self.fetching: set[str] = set()  # entries that some load fetches
+        self.leftovers: dict[str, int] = {}  # bytes by path, of files and directories that could not be removed
+        self.verified: set[str] = set()  # entries that this process has written, or whose contents it has verified
+        self.fetching: set[str] = set()  # entries that are being fetched
         self.fetch_finished = threading.Condition(self.lock)
 
     @property
     def total_bytes(self) -> int:
-        """Bytes of all entries and leftovers."""
+        """The bytes of all entries and leftovers."""
         with self.lock:
             return self._total_bytes()
 
@@ -51,9 +51,9 @@
     # ---- users ----
 
     def acquire_or_begin_fetch(self, name: str) -> bool:
-        """True where the entry exists; it is in use then. False where the caller has to fetch it.
+        """Acquires an existing entry and returns True. Returns False where the caller has to fetch the entry.
 
-        Waits for another load that fetches it; where that one fails, the caller has to.
+        Waits while another load fetches it; where that load fails, the caller has to fetch the entry.
         """
         with self.lock:
             while name not in self.sizes and name in self.fetching:
@@ -65,7 +65,7 @@
             return True
 
     def end_fetch(self, name: str) -> None:
-        """The caller's fetch has succeeded or failed: loads that wait for it go on."""
+        """Ends the caller's fetch, which has succeeded or failed, and wakes the loads that wait for it."""
         with self.lock:
             self.fetching.discard(name)
             self.fetch_finished.notify_all()
@@ -76,7 +76,7 @@
         self.order.append(name)
 
     def release(self, name: str) -> None:
-        """One user less."""
+        """Removes one user of an entry."""
         with self.lock:
             self.use_counts[name] = self.use_counts.get(name, 1) - 1
             if self.use_counts[name] <= 0:
@@ -85,12 +85,12 @@
     # ---- entries ----
 
     def contains(self, name: str) -> bool:
-        """Whether there is such an entry."""
+        """Whether the entry exists."""
         with self.lock:
             return name in self.sizes
 
     def add(self, name: str, size: int) -> None:
-        """An entry that an earlier process left, of so many bytes, not verified yet."""
+        """Adds an unverified entry of `size` bytes that an earlier process wrote."""
         with self.lock:
             self._add(name, size)
 
@@ -98,18 +98,21 @@
         self.sizes[name] = size
         self.order.append(name)
 
-    def acquire_installed(self, name: str, size: int, replaced_path: str | None) -> None:
-        """Turns reserved bytes into an entry in use. `replaced_path` is its path; None where it existed already."""
+    def acquire_installed(self, name: str, size: int, installed_path: str | None) -> None:
+        """Turns `size` reserved bytes into an entry in use.
+
+        `installed_path` is the path to which it was renamed; None where the entry existed already.
+        """
         with self.lock:
-            if replaced_path is not None:
-                self.leftovers.pop(replaced_path, None)  # an empty directory that the rename replaced
+            if installed_path is not None:
+                self.leftovers.pop(installed_path, None)  # the rename replaced an empty directory there
                 self._add(name, size)
                 self.verified.add(name)
             self._acquire(name)
             self.reserved -= size
 
     def mark_verified(self, name: str) -> None:
-        """The entry's contents are those that its manifest states."""
+        """Records that the entry's contents match its manifest."""
         with self.lock:
             if name in self.sizes:
                 self.verified.add(name)
@@ -117,7 +120,10 @@
     # ---- room ----
 
     def eviction_candidates(self, size: int) -> list[str]:
-        """Unused entries, least recently used first. Raises CacheFullError where removing all would not make room."""
+        """The unused entries, least recently used first.
+
+        Raises CacheFullError where `size` bytes would not fit even without them.
+        """
         with self.lock:
             unused = [name for name in self.order if name not in self.use_counts]
             evictable_bytes = sum(self.sizes[name] for name in unused)
@@ -126,7 +132,7 @@
             return unused
 
     def reserve(self, size: int) -> bool:
-        """Reserves so many bytes for an entry; False where there is no room for it now."""
+        """Reserves `size` bytes for an entry; False where they do not fit now."""
         with self.lock:
             if self._total_bytes() + self.reserved + size > self.capacity:
                 return False
@@ -134,22 +140,24 @@
             return True
 
     def cancel_reservation(self, size: int) -> None:
-        """Gives reserved bytes back."""
+        """Cancels the reservation of `size` bytes."""
         with self.lock:
             self.reserved -= size
 
     def still_evictable(self, names: list[str]) -> list[str]:
-        """Those that still exist and have no user."""
+        """The entries among `names` that still exist and have no user."""
         with self.lock:
             return [name for name in names if name in self.sizes and name not in self.use_counts]
 
     def full_error(self, size: int) -> CacheFullError:
-        """The error for so many bytes that do not fit."""
-        return CacheFullError(f"{size / MB:.1f} MB do not fit beside what is in use")
+        """The error for an entry of `size` bytes that does not fit."""
+        return CacheFullError(f"{size / MB:.1f} MB do not fit into the cache beside the entries in use")
 
     def begin_eviction(self, name: str, path: str) -> EvictedEntry | None:
-        """Takes an entry out, so that nobody acquires it, and counts its path as a leftover. None where it is in use
-        or gone."""
+        """Removes an entry, so that it can't be acquired, and counts its path as a leftover.
+
+        Returns None where the entry is in use or does not exist.
+        """
         with self.lock:
             if name not in self.sizes or name in self.use_counts:
                 return None
@@ -160,7 +168,7 @@
             return entry
 
     def undo_eviction(self, entry: EvictedEntry, path: str) -> None:
-        """Puts an entry back that could not be moved away."""
+        """Restores an entry whose directory could not be renamed."""
         with self.lock:
             del self.leftovers[path]
             self.sizes[entry.name] = entry.size
@@ -171,16 +179,16 @@
     # ---- leftovers ----
 
     def leftover_moved(self, path: str, new_path: str) -> None:
-        """What counted as leftover has another path."""
+        """Records that a leftover was renamed."""
         with self.lock:
             self.leftovers[new_path] = self.leftovers.pop(path, 0)
 
     def leftover_remains(self, path: str, size: int) -> None:
-        """Something could not be removed, and takes so many bytes."""
+        """Records a leftover of `size` bytes, which could not be removed."""
         with self.lock:
             self.leftovers[path] = size
 
     def leftover_removed(self, path: str) -> None:
-        """Nothing is left at the path."""
+        """Records that nothing is left at the path."""
         with self.lock:
             self.leftovers.pop(path, None)
--- a/wickdyke/worker/gateway_server.py
+++ b/wickdyke/worker/gateway_server.py
@@ -9,7 +9,7 @@
 from wickdyke.worker.open_requests import OpenRequests, Recorder, RequestEnd, RequestKey, request_key
 from wickdyke.worker.schedule_runner import ScheduleRunner, monotonic_ms
 
-ERROR_LENGTH = 300  # characters of an error's text that are sent
+MAX_ERROR_LENGTH = 300  # characters of an error message in a response
 
 Method = Callable[[LineConnection, jsonrpc.Request], None]
 
@@ -37,17 +37,17 @@
         }
 
     def open(self, address: str) -> None:
-        """Starts to serve; raises AddressInUseError, OSError."""
+        """Starts to listen on the address; raises AddressInUseError, OSError."""
         self.server = LineServer(address, self._receive, self._disconnected)
 
     def close(self) -> None:
-        """Ends all connections."""
+        """Closes the listener and all connections."""
         if self.server is not None:
             self.server.close()
 
     @property
     def all_sent(self) -> bool:
-        """Whether no answer waits to be sent."""
+        """Whether all answers have been sent."""
         return self.server is None or all(
             connection.write_buffer.empty() for connection in list(self.server.connections)
         )
@@ -64,7 +64,7 @@
             method(connection, request)
         except msgspec.MsgspecError as error:
             if not request.is_notification:
-                text = f"Invalid params: {error}"[:ERROR_LENGTH]
+                text = f"Invalid params: {error}"[:MAX_ERROR_LENGTH]
                 connection.send(jsonrpc.error_response(request.ident, jsonrpc.INVALID_PARAMS, text))
 
     def _hello(self, connection: LineConnection, request: jsonrpc.Request) -> None:
@@ -88,7 +88,7 @@
                 connection.send(jsonrpc.error_response(None, jsonrpc.INVALID_REQUEST, "an id that is in use, or none"))
                 return
             self.open_requests.add(key, run)
-            # The time that it waited to be read is no time that its sender has left.
+            # The time between its arrival and now reduces the time that its sender has left.
             time_left = run.time_left_ms - (monotonic_ms() - connection.received_at)
             schedule.submit(key, run.function, run.memory_mb, run.concurrency, time_left)
 
--- a/wickdyke/worker/log.py
+++ b/wickdyke/worker/log.py
@@ -1,13 +1,13 @@
-"""The log that the worker's parts write to."""
+"""The interface of the log that the modules of the worker write to."""
 
 from typing import Protocol
 
 
 class Log(Protocol):
-    """A structured log: an event's name and its values. Writing never waits."""
+    """A structured log, whose entries are the name of an event and its values. Its methods never block."""
 
     def info(self, event: str, /, **values: object) -> object:
-        """Logs what normally happens."""
+        """Logs an event of normal operation."""
 
     def warning(self, event: str, /, **values: object) -> object:
         """Logs a failure that the worker handles."""
--- a/wickdyke/worker/meter.py
+++ b/wickdyke/worker/meter.py
@@ -1,12 +1,12 @@
-"""The memory of processes: proportional set sizes (PSS) from the kernel, in MB, by psutil."""
+"""Measures the memory of processes as their proportional set size (PSS), in MB, with psutil."""
 
-import psutil  # type: ignore[import-untyped]  # it has no type hints
+import psutil  # type: ignore[import-untyped]  # psutil has no type hints
 
 MB = 1 << 20
 
 
 def tree_memory(pid: int) -> float:
-    """MB of a process and all its descendants; 0 where it is gone."""
+    """The MB of a process and all its descendants; 0 where the process has ended."""
     try:
         process = psutil.Process(pid)
         return process_memory(pid) + sum(process_memory(child.pid) for child in process.children(recursive=True))
@@ -15,7 +15,7 @@
 
 
 def process_memory(pid: int) -> float:
-    """MB of one process: its own pages and its part of those it shares; 0 where it is gone."""
+    """The MB of one process: its private pages and its part of shared pages; 0 where the process has ended."""
     try:
         return float(psutil.Process(pid).memory_full_info().pss / MB)
     except psutil.Error:
--- a/wickdyke/worker/package_digest.py
+++ b/wickdyke/worker/package_digest.py
@@ -1,4 +1,4 @@
-"""Digests of packages: SHA-256 in hexadecimal, after `sha256:`."""
+"""Digests of packages: `sha256:` and the SHA-256 in hexadecimal."""
 
 import hashlib
 from collections.abc import Iterable
@@ -7,7 +7,7 @@
 
 
 def content_digest(files: Iterable[PackageFile]) -> str:
-    """The digest over the names and contents of files, whatever their order; the manifest must not be among them."""
+    """The digest of the names and contents of files, in any order; the manifest must not be among them."""
     total = hashlib.sha256()
     for name, data in sorted(files):
         total.update(f"{len(name.encode())}:{name}:{len(data)}:".encode())
--- a/wickdyke/worker/schedule_runner.py
+++ b/wickdyke/worker/schedule_runner.py
@@ -1,6 +1,6 @@
-"""Runs the schedule: one lock guards it, and after each event its actions are carried out.
+"""Runs the schedule under one lock, and carries out its actions after each event.
 
-Nothing that is done under the lock waits: messages go to write buffers, loads to threads of their own.
+Nothing blocks while it holds the lock: messages go to write buffers, and each load has a thread of its own.
 """
 
 import threading
@@ -12,8 +12,8 @@
 from wickdyke.worker.actions import Action
 from wickdyke.worker.schedule import Schedule
 
-MIN_WAIT = 0.001  # s between two checks of what is due
-MAX_WAIT = 1.0  # s between two checks of what is due
+MIN_WAIT = 0.001  # s, shortest wait for the next deadline
+MAX_WAIT = 1.0  # s, longest wait for the next deadline
 
 
 def monotonic_ms() -> float:
@@ -22,7 +22,7 @@
 
 
 class ScheduleRunner:
-    """The schedule with its lock. `handlers` carry out its actions, by the action's type."""
+    """The schedule with its lock. `handlers` holds the function that carries out each type of action."""
 
     def __init__(self, schedule: Schedule) -> None:
         self.schedule = schedule
@@ -38,17 +38,17 @@
             yield self.schedule
             self._perform()
 
-    def run(self, stopped: threading.Event) -> None:
-        """Carries out the actions that become due by time alone, until `stopped` is set."""
+    def run(self, stop_event: threading.Event) -> None:
+        """Carries out the actions that become due as time passes, until `stop_event` is set."""
         with self.lock:
-            while not stopped.is_set():
+            while not stop_event.is_set():
                 self.schedule.advance(monotonic_ms())
                 self._perform()
                 remaining = (self.schedule.next_deadline - monotonic_ms()) / 1000
                 self.changed.wait(min(MAX_WAIT, max(MIN_WAIT, remaining)))
 
     def wake(self) -> None:
-        """Has `run` check at once whether it is stopped."""
+        """Wakes `run`, which then checks whether it has to stop."""
         with self.lock:
             self.changed.notify_all()
 
