--- a/wickdyke/worker/gateway_server.py
+++ b/wickdyke/worker/gateway_server.py
@@ -9,21 +9,21 @@
 from wickdyke.worker.open_requests import OpenRequests, Recorder, RequestEnd, RequestKey, request_key
 from wickdyke.worker.schedule_runner import ScheduleRunner, monotonic_ms
 
-ERROR_LENGTH = 300  # characters of an error's text that are sent
+MAX_ERROR_LENGTH = 300  # characters of an error message in a response
 
 Method = Callable[[LineConnection, jsonrpc.Request], None]
 
 
 class GatewayServer:
-    """One worker's server. `name` is the worker's; `start` is a random number that identifies this start of it."""
+    """The server of one worker. `name` is that of the worker; `start_id` identifies this start of it."""
 
     def __init__(
-        self, runner: ScheduleRunner, open_requests: OpenRequests, name: str, start: int, record: Recorder
+        self, runner: ScheduleRunner, open_requests: OpenRequests, name: str, start_id: int, record: Recorder
     ) -> None:
         self.runner = runner
         self.open_requests = open_requests
         self.name = name
-        self.start = start
+        self.start_id = start_id
         self.record = record
         self.started_at = monotonic_ms()
         self.server: LineServer | None = None
@@ -37,17 +37,17 @@
         }
 
     def open(self, address: str) -> None:
-        """Starts to serve; raises AddressInUseError, OSError."""
+        """Starts to listen on the address; raises AddressInUseError, OSError."""
         self.server = LineServer(address, self._receive, self._disconnected)
 
     def close(self) -> None:
-        """Ends all connections."""
+        """Closes the listener and all connections."""
         if self.server is not None:
             self.server.close()
 
     @property
     def all_sent(self) -> bool:
-        """Whether no answer waits to be sent."""
+        """Whether all answers have been sent."""
         return self.server is None or all(
             connection.write_buffer.empty() for connection in list(self.server.connections)
         )
@@ -64,15 +64,15 @@
             method(connection, request)
         except msgspec.MsgspecError as error:
             if not request.is_notification:
-                text = f"Invalid params: {error}"[:ERROR_LENGTH]
+                text = f"Invalid params: {error}"[:MAX_ERROR_LENGTH]
                 connection.send(jsonrpc.error_response(request.ident, jsonrpc.INVALID_PARAMS, text))
 
     def _hello(self, connection: LineConnection, request: jsonrpc.Request) -> None:
         connection.peer = msgspec.json.decode(request.params, type=worker_messages.GatewayHello).gateway
-        self.record("hello", gateway=connection.peer, start=self.start)
+        self.record("hello", gateway=connection.peer, start=self.start_id)
         up_ms = monotonic_ms() - self.started_at
         draining = self.runner.schedule.draining
-        answer = worker_messages.WorkerHello(worker_messages.VERSION, self.name, self.start, up_ms, draining)
+        answer = worker_messages.WorkerHello(worker_messages.VERSION, self.name, self.start_id, up_ms, draining)
         connection.send(jsonrpc.result_response(request.ident, jsonrpc.encode(answer)))
 
     def _check_health(self, connection: LineConnection, request: jsonrpc.Request) -> None:
@@ -88,7 +88,7 @@
                 connection.send(jsonrpc.error_response(None, jsonrpc.INVALID_REQUEST, "an id that is in use, or none"))
                 return
             self.open_requests.add(key, run)
-            # The time that it waited to be read is no time that its sender has left.
+            # The time between its arrival and now reduces the time that its sender has left.
             time_left = run.time_left_ms - (monotonic_ms() - connection.received_at)
             schedule.submit(key, run.function, run.memory_mb, run.concurrency, time_left)
 
@@ -96,7 +96,7 @@
         prewarm = msgspec.json.decode(request.params, type=worker_messages.PrewarmRequest)
         with self.runner.event() as schedule:
             self.record(
-                "hold", gateway=connection.peer, program=prewarm.function, copies=prewarm.replicas, start=self.start
+                "hold", gateway=connection.peer, program=prewarm.function, copies=prewarm.replicas, start=self.start_id
             )
             key = RequestKey(connection, request.ident)
             schedule.prewarm(key, prewarm.function, prewarm.memory_mb, prewarm.concurrency, prewarm.replicas)
