--- a/wickdyke/platform/worker_connection.py
+++ b/wickdyke/platform/worker_connection.py
@@ -278,9 +278,7 @@
         except (BlockingIOError, InterruptedError):
             return
         except OSError as error:
-            if (
-                error.errno not in OUT_OF_MEMORY_ERRORS
-            ):  # recv(2): temporary; the kernel reports the same bytes again
+            if error.errno not in OUT_OF_MEMORY_ERRORS:  # recv(2): temporary; the kernel reports the same bytes again
                 self.end_by_worker(f"{type(error).__name__}: {error}")
             return
         if not data:
