--- a/wickdyke/routing/__init__.py
+++ b/wickdyke/routing/__init__.py
@@ -1,6 +1,6 @@
-"""Every decision of a front end: where functions are placed, which worker a request goes to, what is prewarmed.
+"""The decisions of a front end: where functions are placed, which worker a request goes to, what is prewarmed.
 
-Nothing here does I/O, reads a clock or imports anything but the standard library. The host makes a `Router`, advances
-its time, passes it inputs, and takes its decisions one by one (`decide`) to carry them out. All times are milliseconds
-of the host's monotonic clock.
+The package does no I/O, reads no clock and depends only on the standard library. The host creates a `Router`, advances
+its time, passes it inputs, and carries out the decisions that `decide` returns one by one. All times are milliseconds
+on the host's monotonic clock.
 """
--- a/wickdyke/routing/decisions.py
+++ b/wickdyke/routing/decisions.py
@@ -1,4 +1,4 @@
-"""The router's decisions. The host carries them out in their order."""
+"""The router's decisions, which the host carries out in order."""
 
 from dataclasses import dataclass
 
@@ -7,7 +7,7 @@
 
 @dataclass(slots=True, frozen=True, eq=False)
 class Forward:
-    """Send the request's next attempt to the worker; withdraw it after `timeout` ms, if that is given."""
+    """Send the request's next attempt to the worker, and withdraw it after `timeout` ms if that is given."""
 
     request: Request
     worker: Worker
@@ -23,7 +23,7 @@
 
 @dataclass(slots=True, frozen=True, eq=False)
 class Reject:
-    """Answer that nothing was done and the request may be repeated, after `retry_after` ms if that is given."""
+    """Answer that the request may safely be repeated, after `retry_after` ms if that is given."""
 
     request: Request
     retry_after: float | None
@@ -38,7 +38,7 @@
 
 @dataclass(slots=True, frozen=True, eq=False)
 class Prewarm:
-    """Request that the worker loads so many replicas of the function."""
+    """Request that the worker load `replicas` replicas of the function."""
 
     worker: Worker
     function: Function
@@ -47,14 +47,14 @@
 
 @dataclass(slots=True, frozen=True, eq=False)
 class HealthCheck:
-    """Request the worker's load report."""
+    """Request a load report from the worker."""
 
     worker: Worker
 
 
 @dataclass(slots=True, frozen=True)
 class FollowEndpoints:
-    """Subscribe to the endpoint list, or stop."""
+    """Subscribe to the endpoint list if `enabled`, otherwise unsubscribe."""
 
     enabled: bool
 
--- a/wickdyke/routing/fleet.py
+++ b/wickdyke/routing/fleet.py
@@ -1,11 +1,12 @@
-"""The listed workers as cells of bounded size, and the functions in use, each with its home.
-
-All of it follows from the list alone, so front ends with the same list agree without communication, in whatever order
-they received its changes. A fleet of at most `single_cell_limit` workers is one cell. In a larger one, a worker's
-identifier is hashed to a path of bits. A binary trie over the paths ends in a cell wherever at most `cell_capacity`
-workers lie below a node (extendible hashing: Fagin et al., ACM TODS 4(3), 1979). A cell that overflows is split in
-two, two that fit one again are merged; no other cell is touched. The cell of a function's nearest worker on the hash
-ring is its home; without the home's workers, the nearest of the others gives the next cell.
+"""The listed workers, partitioned into cells of bounded size, and the functions in use, each with a home cell.
+
+The partition depends only on the endpoint list, so front ends with the same list agree without communication,
+regardless of the order in which they received its changes. A fleet of at most `single_cell_limit` workers is one cell.
+In a larger fleet, each worker's identifier is hashed to a path of bits. A binary trie over the paths has a cell as leaf
+wherever at most `cell_capacity` workers lie below a node (extendible hashing: Fagin et al., ACM TODS 4(3), 1979). A
+cell that overflows is split in two, and two siblings that fit into one cell are merged; other cells do not change. A
+function's home is the cell of its nearest worker on the hash ring; its next cell is that of the nearest worker outside
+the home, and so on.
 """
 
 from collections.abc import Callable, Collection, Iterable, Iterator
@@ -29,12 +30,12 @@
 from wickdyke.routing.replicas import forget_replicas
 
 PATH_BITS = 64
-EVICTED_FRACTION = 1 / 8  # of a cell's functions, where there are too many
+EVICTED_FRACTION = 1 / 8  # part of the largest cell's functions that is removed when there are too many functions
 
 
 @dataclass(slots=True, frozen=True)
 class Home:
-    """A function's cell, and its nearest worker there; None in a fleet of one cell, where ranks alone decide."""
+    """A function's cell, and its nearest worker there; None in a fleet of one cell, where only the ranking counts."""
 
     cell: Cell
     nearest_worker: Worker | None = None
@@ -42,7 +43,7 @@
 
 @dataclass(slots=True, frozen=True)
 class FleetChanges:
-    """The effects of an update: workers that are gone, and cells whose ready workers have changed."""
+    """The effects of an update: removed or restarted workers, and cells whose ready workers or sizes have changed."""
 
     removed: list[Worker]
     cells: list[Cell]
@@ -51,7 +52,7 @@
 class Fleet:
     """The listed workers and the functions in use.
 
-    `make_worker` returns the record of a worker that is new on the list, `make_placement` the placement of a cell.
+    `make_worker` creates the record of a worker that is new on the list, `make_placement` the placement of a cell.
     """
 
     def __init__(
@@ -62,7 +63,7 @@
         make_worker: Callable[[Endpoint], Worker],
         make_placement: Callable[[Cell], Any],
     ) -> None:
-        """A fleet of one cell without workers."""
+        """Creates a fleet of one cell without workers."""
         self.single_cell_limit = single_cell_limit
         self.cell_capacity = cell_capacity
         self.points_per_function = points_per_function
@@ -73,9 +74,9 @@
         self.cells: dict[tuple[int, int], Cell] = {}
         self._open(Cell(0, 0))
         self.cells_without_workers: set[Cell] = set(self.cells.values())
-        self.version = 0  # grows with each change that may move a function's home
+        self.version = 0  # incremented by each change that may move a function to another home
         self.ring = HashRing()
-        self.positions: dict[str, tuple[int, int]] = {}  # path, point on the ring
+        self.positions: dict[str, tuple[int, int]] = {}  # path and point on the ring, by worker identifier
         self.next_cell = 0
         self.touched_cells: dict[Cell, None] = {}
         self.removed_cells: list[Cell] = []
@@ -83,7 +84,10 @@
     # ---- the endpoint list ----
 
     def update(self, endpoints: Iterable[Endpoint], whole: bool) -> FleetChanges:
-        """Enters the `whole` list, or changed entries; the cost is linear in the entries."""
+        """Applies the complete list if `whole`, otherwise changed entries; returns what changed.
+
+        With changed entries the cost is linear in their number.
+        """
         named = {endpoint.ident: endpoint for endpoint in endpoints}
         missing = [ident for ident in self.workers if ident not in named] if whole else []
         removed = [self._remove(ident) for ident in missing]
@@ -153,7 +157,7 @@
     # ---- cells ----
 
     def cell_of(self, ident: str) -> Cell:
-        """The cell of a listed worker."""
+        """Returns the cell of a listed worker."""
         path, _ = self.positions[ident]
         depth = 0
         while (cell := self.cells.get((depth, path >> PATH_BITS - depth))) is None:
@@ -186,7 +190,7 @@
         for cell in new:
             self._open(cell)
             self.touched_cells[cell] = None
-        for cell in old:  # until they are settled, or called again
+        for cell in old:  # provisional homes, until the functions are refreshed or requested again
             new[0].functions.update(cell.functions)
             for function in cell.functions.values():
                 function.cell = new[0]
@@ -196,21 +200,21 @@
         cell.placement = self.make_placement(cell)
 
     def cells_in_turn(self, count: int) -> list[Cell]:
-        """Of the next `count` cells, those with functions; each call continues where the last one ended."""
+        """Returns those of the next `count` cells that have functions; each call continues where the last one ended."""
         cells = list(self.cells.values())
         start = self.next_cell % len(cells)
         self.next_cell = start + count
         return [cell for cell in islice(chain(cells[start:], cells[:start]), count) if cell.functions]
 
     def ready_workers(self, excluded: Collection[Worker] = ()) -> Iterator[Worker]:
-        """The workers that the list states as ready, without the `excluded` ones."""
+        """Returns the workers that are listed as ready, without the `excluded` ones."""
         everyone = chain.from_iterable(cell.ready_workers for cell in self.cells.values())
         return (worker for worker in everyone if worker not in excluded)
 
     # ---- functions ----
 
     def add_function(self, function: Function) -> Cell:
-        """Adds a function; returns its home."""
+        """Adds a function; returns its home cell."""
         self.functions[function.name] = function
         return self.home_of(function)
 
@@ -222,14 +226,14 @@
                 del self.functions[function.name], function.cell.functions[function.name]
 
     def evict_functions(self, maximum: int) -> None:
-        """Removes the least recently called functions of the largest cell, where there are more than `maximum`."""
+        """Removes the least recently requested functions of the cell with most, if there are more than `maximum`."""
         if len(self.functions) > maximum:
             largest = max((cell.functions for cell in self.cells.values()), key=len)
             count = ceil(len(largest) * EVICTED_FRACTION)
             self.remove_functions(nsmallest(count, largest.values(), lambda function: function.last_request_at))
 
     def home_of(self, function: Function) -> Cell:
-        """The cell of a function, computed again only where the list has changed since."""
+        """Returns the function's home cell, which is recomputed only if the list has changed since the last call."""
         if function.fleet_version != self.version:
             home = self.home(function.name) or Home(function.cell or next(iter(self.cells.values())))
             if home.cell is not function.cell or home.nearest_worker is not function.nearest_worker:
@@ -239,7 +243,7 @@
         return cell
 
     def _move(self, function: Function, home: Home) -> None:
-        # A waiting request may refer to a function that was removed since, and another of the same name be added.
+        # A waiting request may refer to a function that was removed since; another of its name may have been added.
         if self.functions.get(function.name) is function:
             if function.cell is not None:
                 del function.cell.functions[function.name]
@@ -249,13 +253,13 @@
         function.ranked_from = None
 
     def refresh_functions(self, cell: Cell, before: float) -> None:
-        """Moves functions whose home has changed out of the cell; removes those last called before that time (ms)."""
+        """Moves functions whose home has changed out of the cell; removes those last requested before `before` (ms)."""
         for function in [moved for moved in cell.functions.values() if moved.fleet_version != self.version]:
             self.home_of(function)
         self.remove_functions([function for function in cell.functions.values() if function.last_request_at < before])
 
     def nearest_cells(self, function: Function, maximum: int) -> Iterator[Cell]:
-        """The nearest cells of a function, its home first, at most `maximum`."""
+        """Yields up to `maximum` of the nearest cells of a function, its home first."""
         cells = [self.home_of(function)]
         yield cells[0]
         while len(cells) < maximum and (home := self.home(function.name, cells)):
@@ -263,7 +267,7 @@
             yield home.cell
 
     def home(self, name: str, besides: Collection[Cell] = ()) -> Home | None:
-        """The nearest cell with a ready worker of the function of that name, not one of `besides`; None without."""
+        """Returns the nearest cell of the function `name` that has ready workers and is not in `besides`, or None."""
         if len(self.cells) == 1:
             (only,) = self.cells.values()
             return None if only in besides else Home(only)
@@ -276,5 +280,5 @@
 
 
 def _replaces(endpoint: Endpoint, worker: Worker) -> bool:
-    """Whether by this entry the worker is gone: removed, or restarted under the same identifier."""
+    """Returns whether the entry ends the worker's record: it was removed, or restarted under the same identifier."""
     return endpoint.state == EndpointState.GONE or endpoint.started_at != worker.endpoint.started_at
--- a/wickdyke/routing/hash_ring.py
+++ b/wickdyke/routing/hash_ring.py
@@ -1,8 +1,8 @@
 """Multi-probe consistent hashing (Appleton and O'Reilly, arXiv:1505.00062, 2015) of functions to workers.
 
-A worker has one point on a ring of 2**64, a function has several. A worker's distance from a function is the shortest
-way from one of the function's points up to the worker's, divided by the worker's size. So shares follow size, a worker
-that joins takes just its own share, and one that leaves gives up just that.
+A worker has one point on a ring of 2**64 points, a function has several. A worker's distance from a function is the
+shortest way from one of the function's points up to the worker's point, divided by the worker's size. Workers therefore
+get shares of the functions in proportion to their sizes. A worker that joins or leaves moves only its own share.
 """
 
 from bisect import bisect_left
@@ -14,11 +14,11 @@
 
 POINT_BITS = 64
 RING = 2**POINT_BITS
-DIGEST_POINTS = 8  # points that one digest of 64 bytes gives
+DIGEST_POINTS = 8  # points that one digest of 64 bytes yields
 
 
 def points_of(name: str, count: int) -> list[int]:
-    """The points on the ring of the function of that name."""
+    """Returns the first `count` points on the ring of the function `name`."""
     text = name.encode()
     digests = (
         blake2b(text, digest_size=DIGEST_POINTS * POINT_BITS // 8, salt=bytes([number])).digest()
@@ -28,10 +28,10 @@
 
 
 class HashRing:
-    """The points of all workers, in order, each with its owner's identifier and size."""
+    """The points of all workers in ascending order, each with its owner's identifier and size."""
 
     def __init__(self) -> None:
-        """A ring without workers."""
+        """Creates a ring without workers."""
         self.points: list[int] = []
         self.owners: list[str] = []
         self.sizes: dict[str, float] = {}
@@ -69,7 +69,7 @@
         return index
 
     def nearest(self, points: list[int], excluded: Callable[[str], bool]) -> str | None:
-        """The identifier of the worker nearest to a function's points, of those not excluded; None where all are."""
+        """Returns the identifier of the worker nearest to a function's points that is not excluded, or None."""
         ring = self.points
         largest = max(self.size_counts)
         shortest = inf
--- a/wickdyke/routing/in_flight.py
+++ b/wickdyke/routing/in_flight.py
@@ -1,4 +1,4 @@
-"""The attempts in flight, and how many of them are active: at each worker, and in all for the limit on all attempts."""
+"""The attempts in flight, and the number of active ones at each worker and at all workers, for the adaptive limits."""
 
 from collections import deque
 from dataclasses import dataclass, field
@@ -10,9 +10,9 @@
 
 @dataclass(slots=True, eq=False, repr=False)
 class GlobalConcurrency:
-    """The attempts of this front end at all workers together, and the limit on them."""
+    """The attempts of this front end at all workers, and the limit on them."""
 
-    load_reports: deque[LoadReport]  # of the whole fleet
+    load_reports: deque[LoadReport]  # mean reports of the fleet
     objective_shares: deque[ObjectiveShare]
     concurrency_limit: float = inf
     limit_lowered_at: float = 0.0  # ms
@@ -25,14 +25,14 @@
 
 
 def begin_attempt(attempt: Attempt) -> None:
-    """Enters an attempt that is sent."""
+    """Adds an attempt that is sent to the records of its request, replica and worker."""
     attempt.request.attempts.append(attempt)
     attempt.replica.in_flight += 1
     attempt.replica.worker.in_flight.append(attempt)
 
 
 def finish_attempt(attempt: Attempt, outcome: Outcome) -> None:
-    """Enters how an attempt ended; it is in flight no more."""
+    """Records the outcome of an attempt, which is no longer in flight."""
     if attempt.outcome is None:
         attempt.replica.in_flight -= 1
         attempt.replica.worker.in_flight.remove(attempt)
@@ -40,9 +40,9 @@
 
 
 def active_attempts(pool: ConcurrencyLimited, now: float) -> int:
-    """Our attempts that use cores there now: neither waiting for a load nor overdue at that time (ms).
+    """Returns the number of own attempts that use the pool's cores: neither waiting for a load nor overdue.
 
-    Counted as they change, since thousands may be in flight.
+    The count is maintained incrementally, as thousands of attempts may be in flight.
     """
     while pool.overdue_queue and pool.overdue_queue[0][0] < now:
         attempt = heappop(pool.overdue_queue).attempt
@@ -51,7 +51,7 @@
 
 
 def begin_activity(attempt: Attempt, pools: tuple[ConcurrencyLimited, ...]) -> None:
-    """Adds a warm attempt to the count of those active in these pools."""
+    """Adds a warm attempt to the active attempts of the pools."""
     entry = OverdueEntry(attempt.overdue_at, attempt.request.ident, attempt.number, attempt)
     for pool in pools:
         heappush(pool.overdue_queue, entry)
@@ -59,7 +59,7 @@
 
 
 def end_activity(attempt: Attempt, pools: tuple[ConcurrencyLimited, ...], now: float) -> None:
-    """Removes an attempt from the count of those active in these pools."""
+    """Removes an attempt from the active attempts of the pools."""
     if not attempt.warm or attempt.outcome is not None:
         return
     for pool in pools:
--- a/wickdyke/routing/latency.py
+++ b/wickdyke/routing/latency.py
@@ -1,4 +1,4 @@
-"""Estimates of how long a request takes at a worker: its work, the worker's pace and load, and a load's time."""
+"""Estimates of a request's latency at a worker: its work, the worker's slowdown and utilization, and load times."""
 
 from collections import deque
 
@@ -19,47 +19,47 @@
 from wickdyke.routing.settings import FunctionCache, GatewayInstance, TenantQuotas
 
 MAX_SAMPLE_AGE = 15000.0  # ms for which a latency sample counts
-MAX_LATENCY_SAMPLES = 40  # of a worker
-MAX_RESULT_SAMPLES = 8  # of a worker
-MAX_LOAD_REPORTS = 8  # of a worker
-MAX_OBJECTIVE_SHARES = 8  # of a worker; its limit is adapted from that many
+MAX_LATENCY_SAMPLES = 40  # samples of a worker
+MAX_RESULT_SAMPLES = 8  # samples of a worker
+MAX_LOAD_REPORTS = 8  # reports of a worker
+MAX_OBJECTIVE_SHARES = 8  # samples of a worker; its limit is lowered only on the mean of that many
 WORKER_RECORDS = RecordLengths(MAX_LATENCY_SAMPLES, MAX_RESULT_SAMPLES, MAX_LOAD_REPORTS, MAX_OBJECTIVE_SHARES)
-MAX_DURATION_SAMPLES = 16  # of a function, of a request class, of loads
-PRIOR_ANSWERS = 6.0  # answers that the pace of its kind weighs in a worker's pace
-MAX_REPORT_AGE = 4000.0  # ms over which a load report fades
-DEFAULT_LOAD_TIME = 1000.0  # ms, before any load was measured
-MIN_LOAD_TIME = 50.0  # ms: what took less was no load
+MAX_DURATION_SAMPLES = 16  # samples of a function, of a request class and of loads
+PRIOR_ANSWERS = 6.0  # answers that the slowdown of its kind counts as in a worker's slowdown
+MAX_REPORT_AGE = 4000.0  # ms over which the weight of a load report falls to 0
+DEFAULT_LOAD_TIME = 1000.0  # ms, until a load is measured
+MIN_LOAD_TIME = 50.0  # ms; a shorter time is taken as evidence that nothing was loaded
 MIN_LOADS_WITHOUT_HINT = 4  # measured loads of a function from which its hint no longer counts
-DEFAULT_WORK_FRACTION = 0.25  # of the latency objective, before any answer was received
-MIN_REMAINING_LOAD_FRACTION = 0.2  # of the load time, for a load that should have ended
-KIND_PRIOR_DIVISOR = 16  # the average pace weighs 1/16 of all work in a kind's pace
+DEFAULT_WORK_FRACTION = 0.25  # work as a part of the latency objective, until an answer is received
+MIN_REMAINING_LOAD_FRACTION = 0.2  # remaining part of the load time of a load that should have ended
+KIND_PRIOR_DIVISOR = 16  # the average slowdown counts as 1/16 of all work in the slowdown of a kind
 MAX_CORE_SAMPLES = 400
-MIN_CORE_SAMPLES = 16  # above which they count
-DEFAULT_CORES = 4.0  # requests that a worker runs at once, without any evidence
-CORES_QUANTILE = 0.1  # low, as requests that wait for concurrency or loads use no core
-# Cores are estimated from reports between these utilizations: below noise prevails, above queues do.
+MIN_CORE_SAMPLES = 16  # number of samples above which they are used
+DEFAULT_CORES = 4.0  # requests that a worker is assumed to run at once, without any evidence
+CORES_QUANTILE = 0.1  # low, as requests that wait for concurrency or for loads use no core
+# Cores are estimated from reports between these utilizations: noise dominates below them, queueing above.
 MIN_UTILIZATION_FOR_CORES = 0.15
 MAX_UTILIZATION_FOR_CORES = 0.85
-CLOCK_RESOLUTION = 0.001  # ms; an answer within one reading of the clock took part of it
-PROMISED_UTILIZATION = 0.8  # part of a fleet's capacity that is promised to tenants
-OVERDUE_FACTOR = 3.0  # times its expected latency after which an attempt is overdue
-MIN_OVERDUE = 400.0  # ms
+CLOCK_RESOLUTION = 0.001  # ms; shortest time of an attempt, as an answer may arrive within one reading of the clock
+PROMISED_UTILIZATION = 0.8  # part of a fleet's capacity that is assumed to be promised to tenants
+OVERDUE_FACTOR = 3.0  # multiple of its expected latency after which an attempt is overdue
+MIN_OVERDUE = 400.0  # ms before which no attempt is overdue
 
 
 def is_overdue(attempt: Attempt, now: float) -> bool:
-    """Whether an answer should have been received by now."""
+    """Returns whether an answer to the attempt should have been received by `now` (ms)."""
     factor = OVERDUE_FACTOR if attempt.warm else 1.0
     return now - attempt.sent_at > max(MIN_OVERDUE, factor * attempt.expected_latency)
 
 
 class LatencyEstimator:
-    """Estimates paces, cores and load times from answers and load reports.
+    """Estimates slowdowns, cores and load times from answers and load reports.
 
-    A worker's pace is the measured latency of its answers over the work in them: 1 on the average worker.
+    A worker's slowdown is the measured latency of its answers over their work: 1 on the average worker.
     """
 
     def __init__(self, cache: FunctionCache, instance: GatewayInstance, quotas: TenantQuotas) -> None:
-        """An estimator without samples."""
+        """Creates an estimator without samples."""
         self.idle_timeout = cache.idle_timeout
         self.has_report_fields = bool(instance.report_fields)
         self.promised_rate = sum(quotas.quotas)
@@ -69,37 +69,37 @@
         self.load_times: deque[float] = deque(maxlen=MAX_DURATION_SAMPLES)
         self.core_samples: deque[float] = deque(maxlen=MAX_CORE_SAMPLES)
 
-    # ---- work and pace ----
+    # ---- work and slowdown ----
 
     def expected_work(self, request: Request) -> float:
-        """ms that the request takes on the average worker: by its hint, else as usual for its function."""
+        """Returns the ms that the request takes on the average worker: its hint, or the usual work of its function."""
         if request.work is None:
             return self.usual_work(request.function)
         return max(1.0, request.work)
 
     def usual_work(self, function: Function) -> float:
-        """ms that a request of the function takes on the average worker, the mean of its class counts as one sample."""
+        """Returns the mean work of the function's requests (ms); the mean of its class counts as one sample."""
         request_class = function.request_class
         usual = mean(request_class.durations, request_class.latency_objective * DEFAULT_WORK_FRACTION)
         return (sum(function.durations) + usual) / (len(function.durations) + 1)
 
     def slowdown(self, worker: Worker) -> float:
-        """Latency over work at that worker, drawn towards the pace of its kind where few answers were received."""
+        """Returns the worker's latency over work, close to the slowdown of its kind where there are few answers."""
         prior = PRIOR_ANSWERS * worker.sampled_work / (len(worker.latency_samples) or 1) or 1.0
         return (worker.sampled_latency + prior * self.usual_slowdown(worker)) / (worker.sampled_work + prior)
 
     def usual_slowdown(self, worker: Worker) -> float:
-        """The pace of workers of its kind."""
+        """Returns the slowdown of workers of this worker's kind."""
         return self.slowdown_by_kind.get(worker.endpoint.kind, self.average_slowdown)
 
     def cores(self, worker: Worker) -> float:
-        """Requests that the worker runs at once without slowing down."""
+        """Returns the number of requests that the worker runs at once without slowing down."""
         return max(1.0, self.cores_per_size * worker.endpoint.size)
 
     def update_estimates(self, cell: Cell, cells: list[Cell], mean_work: float, now: float) -> None:
-        """Sums up the samples of a cell's workers, and estimates paces and cores from all cells' last surveys.
+        """Sums up the samples of a cell's workers, and estimates slowdowns and cores from the last sums of all cells.
 
-        `mean_work` is the ms that a request of the cell's functions takes on the average worker.
+        `mean_work` is the mean work (ms) of the requests of the cell's functions.
         """
         workers = cell.ready_workers
         cell.latency_sums_by_kind = {worker.endpoint.kind: (0.0, 0.0) for worker in workers}
@@ -129,9 +129,9 @@
             ordered = sorted(self.core_samples)
             cores = ordered[int(len(ordered) * CORES_QUANTILE)]
         else:
-            # Reports with only one of utilization and requests in flight are no evidence of cores, and in the first
-            # seconds there are none. The rates promised to tenants are; the estimate is wrong where far less or more
-            # is promised than the fleet can serve.
+            # Reports with only one of utilization and requests in flight give no evidence of cores, and in the first
+            # seconds there are no reports. The estimate then follows from the rates promised to tenants; it is wrong
+            # where far less or far more is promised than the fleet can serve.
             ready = max(1, sum(len(cell.ready_workers) for cell in cells))
             promised = self.promised_rate / 1000 * mean_work / PROMISED_UTILIZATION / ready
             size = mean([worker.endpoint.size for worker in workers], 1.0)
@@ -139,9 +139,9 @@
         self.cores_per_size = cores
 
     def record_report(self, worker: Worker, load: WorkerLoad | None, now: float) -> None:
-        """Enters a load report.
+        """Records a load report.
 
-        Of utilization and requests in flight each stands in for the other where only one is given.
+        Where only one of utilization and requests in flight is reported, the other is derived from it.
         """
         if load is None or not load.reported or not self.has_report_fields:
             return
@@ -161,25 +161,25 @@
     # ---- loads ----
 
     def record_load(self, function: Function, elapsed: float, is_certain: bool = False) -> None:
-        """Enters how long a load took (ms); a short one counts only where the worker reported a load (`is_certain`)."""
+        """Records the duration of a load (ms); a short one counts only if the worker reported a load (`is_certain`)."""
         if is_certain or elapsed > MIN_LOAD_TIME:
             load_time = max(1.0, elapsed)
             function.load_times.append(load_time)
             self.load_times.append(load_time)
 
     def load_time(self, function: Function) -> float:
-        """ms that a load of the function takes.
+        """Returns the expected duration of a load of the function (ms).
 
-        A hint that is far too long would keep requests waiting at silent workers for two such loads, and packages may
-        become smaller: after a few measured loads the hint no longer counts. That is too short where the first few
-        were served from a cache.
+        After a few measured loads the hint no longer counts: one that is far too long would keep requests waiting at
+        silent workers for two such loads, and packages may become smaller. The estimate is too short where the first
+        few loads were served from a cache.
         """
         hint = function.load_hint if len(function.load_times) < MIN_LOADS_WITHOUT_HINT else 0.0
         usual = function.load_hint or mean(self.load_times, DEFAULT_LOAD_TIME)
         return max(hint, mean(function.load_times, usual))
 
     def is_loaded(self, replica: Replica, now: float) -> bool:
-        """Whether the function is assumed loaded there: used within the idle timeout."""
+        """Returns whether the replica is assumed to be loaded: it was loaded, and used within the idle timeout."""
         return replica.loaded_replicas > 0 and (replica.in_flight > 0 or now - replica.last_used < self.idle_timeout)
 
     def _remaining_load(self, replica: Replica, now: float) -> float:
@@ -190,7 +190,10 @@
     # ---- latency of a request ----
 
     def expected_latency(self, replica: Replica, request: Request, now: float) -> float:
-        """ms until an answer, counting our own load there now and that of others as last reported."""
+        """Returns the expected ms until an answer.
+
+        This accounts for own attempts in flight at the worker and those of other front ends by its last report.
+        """
         worker = replica.worker
         others = 0.0  # attempts of other front ends in flight there
         if worker.load_reports:
@@ -201,10 +204,10 @@
         return self.expected_work(request) * self.slowdown(worker) * crowding + self._remaining_load(replica, now)
 
     def record_attempt(self, attempt: Attempt, outcome: Outcome, now: float) -> None:
-        """Enters how long an attempt at a loaded replica took.
+        """Records the latency of an attempt at a loaded replica.
 
-        One that was given up after its expected latency counts as having taken at least that long: otherwise neither a
-        worker that becomes slower nor lost answers would show.
+        An attempt that was given up after its expected latency counts with the time that it took until then. Otherwise
+        neither a worker that becomes slower nor lost answers would affect the estimate.
         """
         worker = attempt.replica.worker
         request = attempt.request
--- a/wickdyke/routing/model.py
+++ b/wickdyke/routing/model.py
@@ -1,7 +1,7 @@
-"""What the router knows of functions, workers, requests and attempts.
+"""Records of the router's state: functions, workers, requests and attempts.
 
-These are plain records; nothing here decides. Times are milliseconds
-on the host's monotonic clock, spans are milliseconds, memory is in MB.
+The records make no decisions. Times are milliseconds on the host's monotonic clock, durations are milliseconds, and
+memory is in MB.
 """
 
 from collections import deque
@@ -16,21 +16,21 @@
 
 
 class Outcome(StrEnum):
-    """How an attempt, a prewarm or a health check ended.
+    """The outcome of an attempt, a prewarm or a health check.
 
-    The values are the words of recordings and of the simulator's adapter.
+    The values are stored in recordings and used by the simulator's adapter.
     """
 
     OK = "ok"
-    ERROR = "error"  # the worker answered that it failed: it may have run
-    FULL = "full"  # rejected for lack of capacity: it never ran
-    MISS = "miss"  # the function is not loaded there: it never ran
-    TIMEOUT = "timeout"  # no answer in time: it may have run
-    UNREACHED = "unreached"  # no connection could be made: it never ran
-    CONNECTION_LOST = "cut"  # the connection ended under it: it may have run
-    CANCELLED = "cancelled"  # withdrawn: it may have run
-    UNSENT = "unsent"  # no byte of it was sent: it never ran
-    NOT_READY = "not-ready"  # of a health check: the worker answered that it accepts no work, as one that drains does
+    ERROR = "error"  # the worker answered with an error: the attempt may have run
+    FULL = "full"  # rejected for lack of capacity: the attempt never ran
+    MISS = "miss"  # the function is not loaded on the worker: the attempt never ran
+    TIMEOUT = "timeout"  # no answer in time: the attempt may have run
+    UNREACHED = "unreached"  # no connection could be made: the attempt never ran
+    CONNECTION_LOST = "cut"  # the connection ended during the attempt: the attempt may have run
+    CANCELLED = "cancelled"  # withdrawn: the attempt may have run
+    UNSENT = "unsent"  # no byte was sent: the attempt never ran
+    NOT_READY = "not-ready"  # only of health checks: the worker answered that it accepts no work, e.g. as it drains
 
 
 class Effect(StrEnum):
@@ -42,7 +42,7 @@
 
 
 class Scope(StrEnum):
-    """Among which workers an idempotency key is recognized."""
+    """The group of workers among which an idempotency key is recognized."""
 
     ALL = "all"
     ZONE = "zone"
@@ -50,7 +50,7 @@
 
 
 class EndpointState(StrEnum):
-    """What the endpoint list states of a worker."""
+    """The state of a worker by the endpoint list."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -58,11 +58,11 @@
 
 
 class LoadNote(StrEnum):
-    """What an answer states of the replica that served it."""
+    """What an answer states on the load of the replica that served the attempt."""
 
-    ALREADY_LOADED = "stood"  # it was loaded already
-    STARTED_LOAD = "began"  # this attempt started the load
-    AWAITED_LOAD = "awaited"  # it waited for a load in progress
+    ALREADY_LOADED = "stood"  # the replica was already loaded
+    STARTED_LOAD = "began"  # the attempt started the load
+    AWAITED_LOAD = "awaited"  # the attempt waited for a load in progress
     LOAD_FAILED = "load failed"
 
 
@@ -70,7 +70,7 @@
 
 
 class LatencySample(NamedTuple):
-    """The latency (ms) of an answer received `at` (ms), and the work in it (ms on the average worker)."""
+    """The latency (ms) of an answer received at the time `at` (ms), and its work (ms on the average worker)."""
 
     at: float
     latency: float
@@ -78,30 +78,33 @@
 
 
 class ResultSample(NamedTuple):
-    """Whether what ended `at` (ms) ended well."""
+    """Whether an attempt, prewarm or health check that ended at the time `at` (ms) succeeded."""
 
     at: float
     succeeded: bool
 
 
 class ObjectiveShare(NamedTuple):
-    """The part of its latency objective that an answer took, and our attempts that were active there as it was sent."""
+    """The part of its latency objective that an answer took.
+
+    `active` is the number of this front end's attempts that were active in the same pool when the attempt was sent.
+    """
 
     share: float
     active: int
 
 
 class WorkSample(NamedTuple):
-    """Work (ms on the average worker) that was sent or served `at` (ms)."""
+    """Work (ms on the average worker) that was sent or served at the time `at` (ms)."""
 
     at: float
     work: float
 
 
 class LoadReport(NamedTuple):
-    """A load report; None where it gives neither this field nor the one it is derived from.
+    """A worker's load report; a field is None where neither it nor the field that it is derived from was reported.
 
-    `own_in_flight` are our attempts that were in flight there as the report arrived.
+    `own_in_flight` is the number of this front end's attempts in flight at the worker when the report arrived.
     """
 
     received_at: float
@@ -117,10 +120,10 @@
 
 @dataclass(slots=True, eq=False, repr=False)
 class RequestClass:
-    """A class of requests, as the settings state it.
+    """A class of requests from the settings.
 
-    `scope` is where an idempotency key is recognized for `dedupe_window`; `latency_objective` is the time within which
-    an answer has its full weight, longer by `objective_per_work` for each ms of work.
+    An idempotency key is recognized within `scope` for `dedupe_window`. `latency_objective` is the time within which an
+    answer has its full weight; it is extended by `objective_per_work` for each ms of work.
     """
 
     name: str
@@ -136,24 +139,24 @@
 
 
 class Backoff(NamedTuple):
-    """How long a request waits before its next attempt: `first` ms, times `growth` for each one before."""
+    """The wait before a retry: `first` ms before the first one, multiplied by `growth` for each later one."""
 
     first: float  # ms
     growth: float
     maximum: float  # ms
-    jitter: float  # part by which a wait is lengthened at random, at most
+    jitter: float  # largest part of a wait by which it is randomly extended
 
 
 class Hedging(NamedTuple):
-    """When a second attempt is sent while the first is in flight."""
+    """When a further attempt is sent while earlier ones are in flight."""
 
     after: float  # ms without an answer
     max_in_flight: int  # attempts of one request
-    tokens_per_request: float  # hedged requests that each request pays for
+    tokens_per_request: float  # hedge tokens that each request adds; one token pays for one hedged attempt
 
 
 class RetryBudgetTerms(NamedTuple):
-    """How many retries a route's requests may have within `window` ms: `floor` and a `share` of the requests."""
+    """The limit on the retries of a route within `window` ms: `floor` plus a `share` of the route's requests."""
 
     window: float  # ms
     share: float
@@ -162,9 +165,9 @@
 
 @dataclass(slots=True, frozen=True, eq=False)
 class RoutePolicy:
-    """What an operator's route states of the attempts of its requests.
+    """The rules of an operator's route for the attempts of its requests.
 
-    Equal policies are one object: the retry budget is kept by `budget_key`.
+    Equal policies are one object. The retry budget is identified by `budget_key`.
     """
 
     latency_objective: float
@@ -181,16 +184,16 @@
 
 @dataclass(slots=True, eq=False, repr=False)
 class RetryBudget:
-    """What a route's requests may still spend: recent requests and retries, and hedge tokens saved up."""
+    """A route's recent requests and retries, and its unused hedge tokens."""
 
-    requests: deque[float] = field(default_factory=deque)  # when they were received (ms)
-    retries: deque[float] = field(default_factory=deque)  # when they were sent (ms)
+    requests: deque[float] = field(default_factory=deque)  # times at which requests were received (ms)
+    retries: deque[float] = field(default_factory=deque)  # times at which retries were sent (ms)
     hedge_tokens: float = 0.0
 
 
 @dataclass(slots=True, frozen=True)
 class Endpoint:
-    """One entry of the endpoint list; `started_at` is None unless the worker started late."""
+    """One entry of the endpoint list; `started_at` (ms) is None where the worker is not known as just started."""
 
     ident: str
     zone: int
@@ -203,10 +206,10 @@
 
 @dataclass(slots=True, eq=False, repr=False)
 class Worker:
-    """A worker as this front end knows it.
+    """This front end's view of a worker.
 
     `latency_samples`, `recent_results`, `load_reports`, `objective_shares` and `slow_start_sends` are NO_SAMPLES until
-    something is first sent there, so that a worker that is only listed costs little memory.
+    something is first sent to the worker, so that a worker that is only listed uses little memory.
     """
 
     endpoint: Endpoint
@@ -216,7 +219,7 @@
     objective_shares: Samples[ObjectiveShare]
     memory_budget: float
     concurrency_limit: float
-    warming_since: float | None  # when its slow start began
+    warming_since: float | None  # start of its slow start (ms)
     name_hash: int
     slow_start_sends: Samples[WorkSample] = field(default_factory=deque)
     in_flight: list["Attempt"] = field(default_factory=list)
@@ -229,10 +232,10 @@
     memory_short_until: float = 0.0
     last_answer_at: float = 0.0
     last_check_at: float = 0.0
-    check_sent_at: float | None = None  # when the health check in flight was sent
-    ready_at: float = float("-inf")  # when it was ready, as far as it has shown that itself
-    not_ready_since: float | None = None  # it said so, or its process had ended
-    same_process_since: float = float("-inf")  # as far as its connections have shown
+    check_sent_at: float | None = None  # time at which the health check in flight was sent
+    ready_at: float = float("-inf")  # latest time at which its own answers proved it ready
+    not_ready_since: float | None = None  # time since which it is known as not ready, or its process as ended
+    same_process_since: float = float("-inf")  # earliest time since which its connections show the same process
     limit_lowered_at: float = 0.0
     utilization: float = 0.0
     sampled_latency: float = 0.0
@@ -240,7 +243,7 @@
 
     @classmethod
     def from_endpoint(cls, endpoint: Endpoint, memory_budget: float, concurrency_limit: float) -> "Worker":
-        """A worker that is only listed: warming up since it started, with no records yet."""
+        """Returns the record of a worker that is only listed: warming up since its start, with no samples yet."""
         name = name_hash(endpoint.ident)
         return cls(
             endpoint=endpoint,
@@ -256,17 +259,17 @@
         )
 
     def sum_samples(self, since: float) -> None:
-        """Sums up latency and work of the answers received after that time (ms)."""
+        """Updates the sums of latency and work over the answers received after `since` (ms)."""
         trim(self.latency_samples, since)
         self.sampled_latency = sum(map(_latency_of, self.latency_samples))
         self.sampled_work = sum(map(_work_of, self.latency_samples))
 
     def pinned_memory(self) -> float:
-        """The part of its memory that is in use by its last report; 0 where none states it."""
+        """Returns the part of the worker's memory that is in use by its last report; 0 without a report."""
         return self.load_reports[-1].pinned_memory if self.load_reports else 0.0
 
     def open_records(self, lengths: "RecordLengths") -> None:
-        """Begins the records, if it has none yet."""
+        """Creates the worker's sample records, if it has none yet."""
         if self.slow_start_sends is NO_SAMPLES:
             self.latency_samples = Recent(lengths.latency_samples)
             self.recent_results = Recent(lengths.recent_results)
@@ -276,7 +279,7 @@
 
 
 class RecordLengths(NamedTuple):
-    """How many samples are kept of a worker."""
+    """The maximum numbers of samples that are kept of a worker."""
 
     latency_samples: int
     recent_results: int
@@ -286,28 +289,28 @@
 
 @dataclass(slots=True, eq=False, repr=False)
 class Function:
-    """What a request runs and a worker loads.
+    """Code or a model that requests run and workers load.
 
-    `cell` is its home, with `nearest` its nearest worker there, both as of the fleet's version `fleet_version`;
-    `ranking` ranks the workers of `ranked_from`.
+    `cell` is the function's home cell and `nearest_worker` its nearest worker there, both as of the fleet's version
+    `fleet_version`. `ranking` is the function's order of the workers of `ranked_from`.
     """
 
     name: str
     request_class: RequestClass
     memory: float
     concurrency: int  # requests that one replica runs at once
-    load_hint: float
-    request_times: Samples[float]  # when it was called (ms)
+    load_hint: float  # ms that a load takes by the client; 0 where it is not stated
+    request_times: Samples[float]  # times at which recent requests were received (ms)
     durations: Samples[float]  # ms of work of recent requests
     load_times: Samples[float]  # ms
-    concurrency_samples: Samples[tuple[Worker, int]]  # (worker, requests of this function in flight there)
+    concurrency_samples: Samples[tuple[Worker, int]]  # (worker, requests of this function in flight on it)
     name_hash: int = 0
     replicas: list["Replica"] = field(default_factory=list)
     last_request_at: float = 0.0
     placed_at: float = float("-inf")
     ranking: list[Worker] = field(default_factory=list)
     ranked_from: Any = None
-    verified: bool = False  # a request of it was answered, or it was loaded
+    verified: bool = False  # whether one of its requests was answered, or it was loaded
     cell: Any = None
     nearest_worker: Worker | None = None
     fleet_version: int = -1
@@ -315,7 +318,11 @@
 
 @dataclass(slots=True, eq=False, repr=False)
 class Replica:
-    """A function on a worker; `loaded` instances of it are believed to be there, `wanted` are to be there."""
+    """A function on a worker.
+
+    `loaded_replicas` instances of the function are assumed to be loaded, `wanted_replicas` should be; `is_placed` is
+    whether the placement assigns the function to the worker.
+    """
 
     function: Function
     worker: Worker
@@ -330,13 +337,16 @@
     in_flight: int = 0
 
     def concurrency(self) -> int:
-        """Requests that may run there at once."""
+        """Returns the number of requests that may run there at once."""
         return max(1, self.loaded_replicas) * self.function.concurrency
 
 
 @dataclass(slots=True, eq=False, repr=False)
 class Request:
-    """One request as received; `objective_at` is when an answer is wanted, `deadline` when the client's time is up."""
+    """A client's request.
+
+    `objective_at` is the time by which an answer has its full weight, `deadline` the time at which the client gives up.
+    """
 
     ident: int
     function: Function
@@ -354,7 +364,7 @@
     queued: bool = False
 
     def may_have_run(self) -> list["Attempt"]:
-        """Its attempts that may have run: all but those whose outcome excludes it."""
+        """Returns the attempts that may have run: all but those whose outcome rules that out."""
         return [attempt for attempt in self.attempts if attempt.outcome not in NEVER_RAN]
 
 
@@ -362,8 +372,8 @@
 class Attempt:
     """One attempt of a request at a replica.
 
-    `warm`: a loaded replica was expected; `active_at_worker` and `active_in_total` count our attempts that were active
-    as it was sent.
+    `warm`: whether a loaded replica was expected. `active_at_worker` and `active_in_total` are the numbers of this
+    front end's attempts that were active when this one was sent.
     """
 
     request: Request
@@ -380,7 +390,7 @@
 
 
 class OverdueEntry(NamedTuple):
-    """An active attempt, ordered by when its answer is overdue (ms)."""
+    """An active attempt; entries are ordered by the time at which the answer is overdue (ms)."""
 
     overdue_at: float
     request_ident: int
--- a/wickdyke/routing/replicas.py
+++ b/wickdyke/routing/replicas.py
@@ -1,10 +1,10 @@
-"""Operations that keep a replica's entries at its worker and its function consistent."""
+"""Operations that keep the entries of replicas at their workers and functions consistent."""
 
 from wickdyke.routing.model import Function, Replica, Worker
 
 
 def replica_of(function: Function, worker: Worker) -> Replica:
-    """The function's replica on that worker, entered on both if it is new."""
+    """Returns the function's replica on the worker; creates it and adds it to both if it does not exist."""
     replica = worker.replicas.get(function)
     if replica is None:
         replica = worker.replicas[function] = Replica(function, worker)
@@ -21,7 +21,7 @@
 
 
 def clear_replicas(worker: Worker) -> None:
-    """Nothing is loaded or loading on that worker any more."""
+    """Marks all replicas on the worker as neither loaded nor loading."""
     for replica in worker.replicas.values():
         replica.loaded_replicas = 0
         replica.loading_since = None
--- a/wickdyke/routing/samples.py
+++ b/wickdyke/routing/samples.py
@@ -1,4 +1,4 @@
-"""Arithmetic on short records of samples."""
+"""Short records of samples, and arithmetic on them."""
 
 from collections import deque
 from collections.abc import Collection, Hashable, Iterable
@@ -10,26 +10,27 @@
 
 
 class Recent(list[Sample]):
-    """The newest samples, at most `maximum` of them if that is given.
+    """A list of the newest samples, at most `maximum` of them if that is given.
 
-    A deque takes 600 bytes for one sample, this takes 100: most functions and workers of a large fleet have one or two.
+    It takes 100 bytes for one sample where a deque takes 600; most functions and workers of a large fleet have only one
+    or two samples.
     """
 
     __slots__ = ("maximum",)
 
     def __init__(self, maximum: int | None = None) -> None:
-        """An empty record."""
+        """Creates an empty record."""
         super().__init__()
         self.maximum = maximum
 
     def append(self, sample: Sample) -> None:
-        """Adds the newest sample; drops the oldest one where the record is full."""
+        """Adds the newest sample; removes the oldest one if the record is full."""
         if self.maximum is not None and len(self) >= self.maximum:
             del self[0]
         super().append(sample)
 
     def extend(self, samples: Iterable[Sample]) -> None:
-        """Adds samples, the newest last."""
+        """Adds samples, of which the last is the newest."""
         for sample in samples:
             self.append(sample)
 
@@ -39,22 +40,22 @@
 
 
 Samples = deque[Sample] | Recent[Sample]
-NO_SAMPLES: Recent[Any] = Recent(0)  # stands for the records of a worker that has none: nothing can be added to it
+NO_SAMPLES: Recent[Any] = Recent(0)  # shared placeholder for the records of workers without samples; never filled
 
 
 def mean(samples: Collection[float], absent: float) -> float:
-    """The mean of the samples, or `absent` where there are none."""
+    """Returns the mean of the samples, or `absent` where there are none."""
     return sum(samples) / len(samples) if samples else absent
 
 
 def pooled_mean(parts: Iterable[tuple[float, int]], absent: float) -> float:
-    """The mean of samples of which each part gives sum and count, or `absent` where there are none."""
+    """Returns the mean of samples from the sum and count of each part, or `absent` where there are no samples."""
     sums, counts = zip(*parts, strict=True)
     return sum(sums) / sum(counts) if sum(counts) else absent
 
 
 def sum_by_key(parts: Iterable[dict[Key, Sums]]) -> dict[Key, Sums]:
-    """The sums of the pairs that the parts have under each key."""
+    """Returns for each key the elementwise sums of the parts' pairs."""
     totals: dict[Key, Sums] = {}
     for part in parts:
         for key, (first, second) in part.items():
@@ -64,12 +65,12 @@
 
 
 def trim(samples: Samples[Any], before: float) -> None:
-    """Drops the samples, tuples that begin with their time (ms), up to and including `before`."""
+    """Removes samples up to and including the time `before` (ms); samples are tuples that begin with their time."""
     while samples and samples[0][0] <= before:
         samples.popleft()
 
 
 def trim_times(times: Samples[float], before: float) -> None:
-    """Drops the times (ms) up to and including `before`."""
+    """Removes the times up to and including `before` (ms)."""
     while times and times[0] <= before:
         times.popleft()
--- a/wickdyke/routing/seeded_random.py
+++ b/wickdyke/routing/seeded_random.py
@@ -1,4 +1,4 @@
-"""Random numbers that can be replayed, and hashes of names: the same seed gives the same draws on every machine."""
+"""Reproducible random numbers and hashes of names: the same seed gives the same numbers on every machine."""
 
 from collections.abc import Iterable
 
@@ -8,24 +8,24 @@
 
 
 class SeededRandom:
-    """A linear congruential generator (Knuth's MMIX constants), of which the high bits are used."""
+    """A linear congruential generator with the constants of Knuth's MMIX; only its high bits are used."""
 
     def __init__(self, seed: int) -> None:
-        """A generator that starts from this seed."""
+        """Creates a generator that starts from `seed`."""
         self.state = seed % MODULUS
 
     def below(self, bound: int) -> int:
-        """An integer of at least 0 and below `bound`."""
+        """Returns an integer of at least 0 and below `bound`."""
         self.state = (self.state * MULTIPLIER + INCREMENT) % MODULUS
         return (self.state >> 33) % bound
 
     def fraction(self) -> float:
-        """A number of at least 0 and below 1."""
+        """Returns a number of at least 0 and below 1."""
         return self.below(2**31) / 2**31
 
 
 def name_hash(text: str) -> int:
-    """A 64-bit hash of the text."""
+    """Returns a 64-bit hash of the text."""
     random = SeededRandom(0)
     for byte in text.encode():
         random.state ^= byte
@@ -34,7 +34,10 @@
 
 
 def hash_fraction(*hashes: int) -> float:
-    """A number above 0 and at most 1 that depends on the hashes alone; makes no SeededRandom, as it is called often."""
+    """Returns a number above 0 and at most 1 that depends only on the hashes.
+
+    Does without a SeededRandom object, as it is called often.
+    """
     state = 0
     for value in (*hashes, None):
         state = state if value is None else state ^ value ^ state >> 33
@@ -43,7 +46,7 @@
 
 
 def hash_fractions(first: int, others: Iterable[int]) -> list[float]:
-    """`hash_fraction(first, other)` for each of the others, at a fraction of its cost."""
+    """Returns `hash_fraction(first, other)` for each of the others, at a fraction of the cost."""
     state = (first * MULTIPLIER + INCREMENT) % MODULUS
     state ^= state >> 33
     return [
--- a/wickdyke/routing/settings.py
+++ b/wickdyke/routing/settings.py
@@ -1,6 +1,6 @@
-"""The router's settings, as a deployment states them: one frozen record for each part.
+"""The router's settings of a deployment: one frozen record for each component.
 
-Spans are milliseconds, memory is in MB, shares are parts of one.
+Durations are milliseconds, memory is in MB, shares are between 0 and 1.
 """
 
 from dataclasses import dataclass
@@ -10,10 +10,10 @@
 
 @dataclass(slots=True, frozen=True)
 class SlowStart:
-    """How much a worker that has just started can take.
+    """The capacity of a worker that has just started.
 
-    Its capacity grows over `ramp` from `start_share` of the usual to all of it; it is overloaded by `multiple` times
-    that within `window`.
+    The capacity grows over `ramp` from `start_share` of the usual capacity to all of it. Work above `multiple` times
+    the present capacity within `window` overloads the worker.
     """
 
     start_share: float
@@ -24,7 +24,7 @@
 
 @dataclass(slots=True, frozen=True)
 class PrewarmQuota:
-    """How many prewarms may be sent within `window`: `free` and `share` of the requests. A window of 0: no limit."""
+    """The limit on prewarms within `window`: `free` plus `share` of the requests; a window of 0 means no limit."""
 
     free: float
     share: float
@@ -33,10 +33,11 @@
 
 @dataclass(slots=True, frozen=True)
 class FunctionCache:
-    """How functions are kept loaded on workers.
+    """How workers load functions and keep them loaded.
 
-    `loads_on_demand`: an attempt at a worker without the function loads it; otherwise it misses. `reports_warmth` and
-    `reports_concurrency`: whether answers state if the function was loaded, and its requests in flight.
+    `loads_on_demand`: whether an attempt at a worker without the function loads it; otherwise the attempt misses.
+    `reports_warmth` and `reports_concurrency`: whether answers state if the function was loaded, and the function's
+    requests in flight.
     """
 
     memory: tuple[float, ...]
@@ -48,7 +49,7 @@
     reports_concurrency: bool
 
     def memory_on(self, endpoint: Endpoint) -> float:
-        """MB that a worker of that kind has for replicas; 0 where the settings do not state it."""
+        """Returns the MB that the endpoint's kind of worker has for replicas; 0 where the settings do not state it."""
         return (self.memory[endpoint.kind :] or self.memory or (0.0,))[0]
 
 
@@ -56,7 +57,7 @@
 class AttemptLimits:
     """Limits on the attempts of a request and of this front end.
 
-    `hedging`: attempts of one request may overlap; `retry_after` is the longest pause that a rejection states.
+    `hedging`: whether attempts of one request may overlap. `retry_after`: the longest wait that a rejection states.
     """
 
     attempts: int
@@ -70,7 +71,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Discovery:
-    """How the endpoint list is received, and how soon a draining worker must be sent nothing more (`drain_grace`)."""
+    """How the endpoint list is received, and the time within which work to a draining worker stops (`drain_grace`)."""
 
     pushed: bool
     poll_within: float
@@ -79,7 +80,7 @@
 
 @dataclass(slots=True, frozen=True)
 class CostWeights:
-    """Costs, as parts of the priority weight of the request."""
+    """Costs as parts of a request's priority weight."""
 
     waste: float
     late: float
@@ -91,14 +92,14 @@
 
 @dataclass(slots=True, frozen=True)
 class TenantQuotas:
-    """The rate that each tenant is promised, in requests per second of the whole fleet."""
+    """The rate that each tenant is promised, in requests per second over the whole fleet."""
 
     quotas: tuple[float, ...] = ()
 
 
 @dataclass(slots=True, frozen=True)
 class GatewayInstance:
-    """Which of how many front ends this is, its zone, and the fields of load reports."""
+    """This front end's index among `count` front ends, its zone, and the fields of load reports."""
 
     index: int
     count: int
@@ -109,7 +110,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RouterSettings:
-    """All settings of a router but its request classes."""
+    """All settings of a router except its request classes."""
 
     instance: GatewayInstance
     attempt_limits: AttemptLimits
