--- a/tests/readiness_rig.py
+++ b/tests/readiness_rig.py
@@ -18,7 +18,9 @@
     def fleet(self, workers=4, **more):
         self.front_end = Fleet(workers, health_checks=True, **more)
         router = self.front_end.router
-        router.health_checker.check_in_turn = lambda tick, now: None  # those for load reports, which nobody answers
+        router.health_checker.check_in_turn = (
+            lambda elapsed, now: None
+        )  # leaves out checks for load reports, which get no answer
         for worker in router.workers.values():
             worker.check_sent_at = None
         return self.front_end
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -27,7 +27,7 @@
 
 def first_of(fleet, name):
     """The worker that ranks first for a function."""
-    return fleet.home(name).nearest_worker.endpoint.ident
+    return fleet.find_home(name).nearest_worker.endpoint.ident
 
 
 def shape(fleet):
@@ -49,7 +49,7 @@
         fleet = fleet_of([listing(number, size=1.0 + number % 4) for number in range(WHOLE)])
         (cell,) = fleet.cells.values()
         for name in names(20):
-            self.assertEqual((fleet.home(name).cell, fleet.home(name).nearest_worker), (cell, None))
+            self.assertEqual((fleet.find_home(name).cell, fleet.find_home(name).nearest_worker), (cell, None))
             entry = function(name)
             lots = {w: ranking.rendezvous_rank(entry, w) for w in cell.ready_workers}
             self.assertEqual(
@@ -102,7 +102,7 @@
                 fleet.update(more, False)
                 at_once = fleet_of([row for row in {row.ident: row for row in [*rows, *more]}.values()])
                 for entry in functions:
-                    cell, home = fleet.home_of(entry), at_once.home(entry.name)
+                    cell, home = fleet.home_of(entry), at_once.find_home(entry.name)
                     self.assertEqual((cell.depth, cell.prefix), (home.cell.depth, home.cell.prefix))
                     first = [worker and worker.endpoint.ident for worker in (entry.nearest_worker, home.nearest_worker)]
                     self.assertEqual(first[0], first[1])
@@ -124,7 +124,7 @@
     def test_cells_of_a_large_fleet_get_their_even_share(self):
         """With 5,000 workers chance alone gives the busiest of them 1.7 times its 32 functions; cells are even."""
         fleet = fleet_of([listing(number) for number in range(5000)])
-        counts = Counter(fleet.home(name).cell for name in names(40000))
+        counts = Counter(fleet.find_home(name).cell for name in names(40000))
         for cell in fleet.cells.values():
             self.assertLessEqual(counts[cell] / (40000 * len(cell.members) / 5000), 1.3)
 
@@ -174,7 +174,7 @@
                 fleet, other, left = fleet_of(rows), fleet_of(rows[::-1]), True
                 name, lost = names(1)[0], set()
                 while left:
-                    home = fleet.home(name)
+                    home = fleet.find_home(name)
                     self.assertEqual(first_of(other, name), home.nearest_worker.endpoint.ident)
                     self.assertTrue(home.cell.ready_workers)
                     away = [replace(w.endpoint, state=state) for w in home.cell.ready_workers]
@@ -182,7 +182,7 @@
                     fleet.update(away, False)
                     other.update(away[::-1], False)
                     left = len(lost) < len(rows) and len(fleet.cells) > 1
-                rest = fleet.home(name)
+                rest = fleet.find_home(name)
                 self.assertEqual(rest is not None, any(row.ident not in lost for row in rows))
 
     def test_an_update_costs_what_it_changes(self):
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -22,7 +22,7 @@
             fleet.router.health_checked(name, "ok", fleet.reported(0.2, 0.6))
         for at in range(400):
             fleet.serve(f"p{at % 5}", calls=1, ms=60.0)
-        opened = set(fleet.placement.active)
+        opened = set(fleet.placement.selected_workers)
         self.assertLess(len(opened), 6)
         placed = {p.worker for function in fleet.router.functions.values() for p in function.replicas if p.is_placed}
         self.assertLessEqual(placed, opened)
@@ -34,7 +34,7 @@
                 fleet = Fleet(workers=6, loads_on_demand=False, reports_concurrency=tells)
                 fleet.take()
                 function, workers, placement = fleet.router.functions["p"], fleet.ready_workers, fleet.placement
-                placement.mean_capacity, placement.active, one = (
+                placement.mean_capacity, placement.selected_workers, one = (
                     1.0,
                     dict.fromkeys(workers),
                     dict.fromkeys(workers, 1.0),
@@ -121,7 +121,7 @@
                 fleet.take()
                 function, workers = fleet.router.functions["p"], list(fleet.router.workers.values())
                 home = min(workers, key=lambda w: rendezvous_rank(function, w))
-                fleet.placement.mean_capacity, fleet.placement.active = 1.0, dict.fromkeys(workers)
+                fleet.placement.mean_capacity, fleet.placement.selected_workers = 1.0, dict.fromkeys(workers)
                 room = {w: left if w is home else 1.0 for w in workers}
                 budget, part = dict.fromkeys(workers, 9e9), dict.fromkeys(workers, 1.0)
                 chosen = choose_workers(fleet.placement, function, load, part, room, budget)
--- a/tests/test_prewarming.py
+++ b/tests/test_prewarming.py
@@ -83,14 +83,15 @@
             with self.subTest(proven=proven):
                 fleet = Fleet(workers=1, prewarm_quota=PrewarmQuota(1.0, 1.0, 5000.0))
                 fleet.serve(calls=1 if proven else 0)
-                before = len(fleet.router.prewarm_limiter.requests)
+                before = len(fleet.router.prewarm_limiter.request_times)
                 for _ in range(4):
                     for request in [d.request for d in fleet.take() if isinstance(d, Forward)]:
                         fleet.end(request, "error", final=True)
                 fleet.pass_time(600)
                 worker = fleet.router.workers["a"]
                 self.assertEqual(
-                    (bool(worker.ejections), len(fleet.router.prewarm_limiter.requests) - before > 0), (proven, proven)
+                    (bool(worker.ejections), len(fleet.router.prewarm_limiter.request_times) - before > 0),
+                    (proven, proven),
                 )
                 self.assertEqual(any(place.is_placed for place in fleet.router.functions["p"].replicas), proven)
 
@@ -120,7 +121,7 @@
                     all_decisions += fleet.pass_time(20, step=20.0)
                 orders = verbs(all_decisions).count("prewarm")
                 self.assertLessEqual(orders, ration.free + ration.share * legitimate)
-                self.assertEqual(len(fleet.router.prewarm_limiter.requests), legitimate)
+                self.assertEqual(len(fleet.router.prewarm_limiter.request_times), legitimate)
 
     def test_what_was_taken_before_the_first_answer_earns_orders_with_it(self):
         """(what proves that the function exists, ms after the first request) -> requests counted in the window."""
@@ -130,7 +131,7 @@
                     workers=1, loads_on_demand=False, prewarm_quota=PrewarmQuota(3.0, 0.2, 5000.0), prewarm_outcome=None
                 )
                 fleet.serve("other", calls=1)
-                fleet.router.prewarm_limiter.requests.clear()
+                fleet.router.prewarm_limiter.request_times.clear()
                 first = fleet.take()[0].request
                 fleet.take()
                 fleet.pass_time(wait)
@@ -139,9 +140,9 @@
                     fleet.router.prewarm_finished("a", "p", "ok", 1, 1.0)
                 else:
                     fleet.end(first, "ok" if proof == "answer" else "miss", number=0)
-                self.assertEqual(len(fleet.router.prewarm_limiter.requests), counted)
+                self.assertEqual(len(fleet.router.prewarm_limiter.request_times), counted)
                 self.assertEqual(
-                    list(fleet.router.prewarm_limiter.requests), sorted(fleet.router.prewarm_limiter.requests)
+                    list(fleet.router.prewarm_limiter.request_times), sorted(fleet.router.prewarm_limiter.request_times)
                 )
 
     def test_front_ends_ask_at_several_homes_before_their_first_fill(self):
--- a/tests/test_router_scale.py
+++ b/tests/test_router_scale.py
@@ -145,7 +145,7 @@
             for name, cell in held.items():
                 self.assertIs(front_end.functions[name].cell, cell)
                 if front_end.functions[name].fleet_version == front_end.fleet.version:
-                    self.assertIs(front_end.fleet.home(name).cell, cell)
+                    self.assertIs(front_end.fleet.find_home(name).cell, cell)
         fleet.run(40000.0)
         self.assertEqual(fleet.violations, [])
 
--- a/wickdyke/routing/active_workers.py
+++ b/wickdyke/routing/active_workers.py
@@ -62,11 +62,11 @@
             for worker in workers
             if worker.load_reports and now - worker.load_reports[-1].received_at < MAX_SAMPLE_AGE
         ]
-        ours = mean([worker.utilization for worker in reporting if worker.endpoint.zone == self.zone], 0.0)
-        others = mean([worker.utilization for worker in reporting if worker.endpoint.zone != self.zone], 0.0)
-        if ours >= CROWDED_UTILIZATION and others < ours - MIN_UTILIZATION_DIFFERENCE:
+        own_zone = mean([worker.utilization for worker in reporting if worker.endpoint.zone == self.zone], 0.0)
+        other_zones = mean([worker.utilization for worker in reporting if worker.endpoint.zone != self.zone], 0.0)
+        if own_zone >= CROWDED_UTILIZATION and other_zones < own_zone - MIN_UTILIZATION_DIFFERENCE:
             self.other_zones_weight = min(1.0, max(INITIAL_OTHER_ZONES_WEIGHT, 2 * self.other_zones_weight))
-        elif ours < RELIEVED_UTILIZATION or others > ours:
+        elif own_zone < RELIEVED_UTILIZATION or other_zones > own_zone:
             self.other_zones_weight *= 0.5 * (self.other_zones_weight > INITIAL_OTHER_ZONES_WEIGHT)
 
 
--- a/wickdyke/routing/cells.py
+++ b/wickdyke/routing/cells.py
@@ -43,7 +43,7 @@
         self.size = sum(worker.endpoint.size for worker in self.ready_workers)
         return (self.ready_workers, self.size) != before
 
-    def due(self) -> float:
+    def next_placement_at(self) -> float:
         """Returns the time of the next placement (ms)."""
         return self.placed_at + self.period
 
--- a/wickdyke/routing/demand.py
+++ b/wickdyke/routing/demand.py
@@ -50,8 +50,8 @@
         if not samples_by_worker:
             return own if self.reports_concurrency else scaled
         beside = sum(concurrent / samples_by_worker[worker] for worker, concurrent in samples)
-        calls = own * self.idle_timeout / self.latency.usual_work(function) / self.latency.average_slowdown
-        scaled_variance = scaled**2 * (1 - share) / calls
+        request_count = own * self.idle_timeout / self.latency.usual_work(function) / self.latency.average_slowdown
+        scaled_variance = scaled**2 * (1 - share) / request_count
         beside_variance = (beside + 1 / PRIOR_SAMPLES) * len(samples_by_worker) / len(samples)
         return (scaled * beside_variance + beside * scaled_variance) / (scaled_variance + beside_variance)
 
--- a/wickdyke/routing/dispatcher.py
+++ b/wickdyke/routing/dispatcher.py
@@ -164,10 +164,10 @@
         def is_proved(worker: Worker) -> bool:
             return self.readiness.may_send(worker, now) and can_serve(worker)
 
-        proved = self.selector.choose_loaded(request, is_proved, now)
-        if proved is None:
+        proved_replica = self.selector.choose_loaded(request, is_proved, now)
+        if proved_replica is None:
             self.readiness.require_ready(preferred.worker, now)
-        return proved
+        return proved_replica
 
     def _filter(self, request: Request, excluded: set[Worker], now: float) -> Callable[[Worker], bool]:
         allowed = attempts_allowed(request, self.limits)
--- a/wickdyke/routing/fleet.py
+++ b/wickdyke/routing/fleet.py
@@ -235,7 +235,7 @@
     def home_of(self, function: Function) -> Cell:
         """Returns the function's home cell, which is recomputed only if the list has changed since the last call."""
         if function.fleet_version != self.version:
-            home = self.home(function.name) or Home(function.cell or next(iter(self.cells.values())))
+            home = self.find_home(function.name) or Home(function.cell or next(iter(self.cells.values())))
             if home.cell is not function.cell or home.nearest_worker is not function.nearest_worker:
                 self._move(function, home)
             function.fleet_version = self.version
@@ -262,16 +262,16 @@
         """Yields up to `maximum` of the nearest cells of a function, its home first."""
         cells = [self.home_of(function)]
         yield cells[0]
-        while len(cells) < maximum and (home := self.home(function.name, cells)):
+        while len(cells) < maximum and (home := self.find_home(function.name, cells)):
             cells.append(home.cell)
             yield home.cell
 
-    def home(self, name: str, besides: Collection[Cell] = ()) -> Home | None:
+    def find_home(self, name: str, excluded_cells: Collection[Cell] = ()) -> Home | None:
         """Returns the nearest cell of the function `name` that has ready workers and is not in `besides`, or None."""
         if len(self.cells) == 1:
             (only,) = self.cells.values()
-            return None if only in besides else Home(only)
-        excluded = self.cells_without_workers.union(besides)
+            return None if only in excluded_cells else Home(only)
+        excluded = self.cells_without_workers.union(excluded_cells)
         if len(excluded) >= len(self.cells):
             return None
         points = points_of(name, self.points_per_function)
--- a/wickdyke/routing/hash_ring.py
+++ b/wickdyke/routing/hash_ring.py
@@ -77,11 +77,11 @@
         for point in points:
             start = bisect_left(ring, point)
             for index in range(start - len(ring), start):  # a negative index wraps around the ring
-                way = (ring[index] - point) % RING
-                if way >= shortest * largest:
+                arc = (ring[index] - point) % RING
+                if arc >= shortest * largest:
                     break
                 ident = self.owners[index]
-                distance = way / self.sizes[ident]
+                distance = arc / self.sizes[ident]
                 if distance < shortest and not excluded(ident):
                     shortest = distance
                     nearest = ident
--- a/wickdyke/routing/health_checks.py
+++ b/wickdyke/routing/health_checks.py
@@ -48,14 +48,14 @@
         worker.check_sent_at = now
         self.decisions.append(HealthCheck(worker))
 
-    def check_in_turn(self, tick: float, now: float) -> None:
+    def check_in_turn(self, elapsed: float, now: float) -> None:
         """Checks the next workers of the rotation, at a rate that checks each worker once in CHECK_EVERY ms.
 
-        `tick` is the time since the last call (ms).
+        `elapsed` is the time since the last call (ms).
         """
         if not self.budget.has_spare_tokens():
             return
-        for _ in range(ceil(len(self.check_rotation) * tick / CHECK_EVERY)):
+        for _ in range(ceil(len(self.check_rotation) * elapsed / CHECK_EVERY)):
             self.check_rotation.rotate(-1)
             self.check(self.check_rotation[0], CHECK_EVERY, now)
 
--- a/wickdyke/routing/in_flight.py
+++ b/wickdyke/routing/in_flight.py
@@ -18,7 +18,7 @@
     limit_lowered_at: float = 0.0  # ms
     in_flight: list[Attempt] = field(default_factory=list)
     overdue_queue: list[OverdueEntry] = field(default_factory=list)  # a heap
-    active: int = 0
+    active_count: int = 0
 
 
 ConcurrencyLimited = Worker | GlobalConcurrency
@@ -46,8 +46,8 @@
     """
     while pool.overdue_queue and pool.overdue_queue[0][0] < now:
         attempt = heappop(pool.overdue_queue).attempt
-        pool.active -= attempt.warm and attempt.outcome is None
-    return pool.active
+        pool.active_count -= attempt.warm and attempt.outcome is None
+    return pool.active_count
 
 
 def begin_activity(attempt: Attempt, pools: tuple[ConcurrencyLimited, ...]) -> None:
@@ -55,7 +55,7 @@
     entry = OverdueEntry(attempt.overdue_at, attempt.request.ident, attempt.number, attempt)
     for pool in pools:
         heappush(pool.overdue_queue, entry)
-        pool.active += 1
+        pool.active_count += 1
 
 
 def end_activity(attempt: Attempt, pools: tuple[ConcurrencyLimited, ...], now: float) -> None:
@@ -64,4 +64,4 @@
         return
     for pool in pools:
         active_attempts(pool, now)
-        pool.active -= attempt.overdue_at >= now
+        pool.active_count -= attempt.overdue_at >= now
--- a/wickdyke/routing/latency.py
+++ b/wickdyke/routing/latency.py
@@ -200,8 +200,8 @@
             report = worker.load_reports[-1]
             fade = max(0.0, 1 - (now - report.received_at) / MAX_REPORT_AGE)
             others = max(0.0, (report.in_flight or 0.0) - report.own_in_flight) * fade
-        crowding = 1 + (len(worker.in_flight) + others) / self.cores(worker)
-        return self.expected_work(request) * self.slowdown(worker) * crowding + self._remaining_load(replica, now)
+        contention = 1 + (len(worker.in_flight) + others) / self.cores(worker)
+        return self.expected_work(request) * self.slowdown(worker) * contention + self._remaining_load(replica, now)
 
     def record_attempt(self, attempt: Attempt, outcome: Outcome, now: float) -> None:
         """Records the latency of an attempt at a loaded replica.
--- a/wickdyke/routing/model.py
+++ b/wickdyke/routing/model.py
@@ -224,7 +224,7 @@
     slow_start_sends: Samples[WorkSample] = field(default_factory=deque)
     in_flight: list["Attempt"] = field(default_factory=list)
     overdue_queue: list["OverdueEntry"] = field(default_factory=list)  # a heap
-    active: int = 0
+    active_count: int = 0
     replicas: dict["Function", "Replica"] = field(default_factory=dict)
     ejected_until: float = 0.0
     ejections: int = 0
--- a/wickdyke/routing/outliers.py
+++ b/wickdyke/routing/outliers.py
@@ -91,9 +91,9 @@
         failures = recent.count(False)
         if worker.ejected_until > now:
             return
-        often = failures >= MIN_FAILURES and failures > FAILURE_SHARE * len(recent)
-        again = failures > 0 and worker.ejections > 0
-        failing = outcome in FAILURE_OUTCOMES and (often or again)
+        fails_often = failures >= MIN_FAILURES and failures > FAILURE_SHARE * len(recent)
+        fails_again = failures > 0 and worker.ejections > 0
+        failing = outcome in FAILURE_OUTCOMES and (fails_often or fails_again)
         if outcome == Outcome.UNREACHED or failing:
             self.eject(worker, now, f"{outcome}, {failures} of {len(recent)} bad")
 
--- a/wickdyke/routing/placement.py
+++ b/wickdyke/routing/placement.py
@@ -76,12 +76,12 @@
         self.latency = latency
         self.cache = cache
         self.explicit_loads = not cache.loads_on_demand  # a miss then costs only a round trip
-        self.front_ends = instance.count
+        self.front_end_count = instance.count
         zone = instance.zone if costs.cross_zone > 0 and self.explicit_loads else None
         self.scope = CandidateScope(cell, zone)
         self.demand_estimator = DemandEstimator(latency, cache, since)
         self.active_workers = ActiveWorkers(latency)
-        self.active: dict[Worker, None] = {}  # the workers that functions are placed on, in order
+        self.selected_workers: dict[Worker, None] = {}  # the workers that functions are placed on, in order
         self.mean_capacity = 1.0  # load that this front end may put on an active worker, on average
         self.hot_utilization = inf  # utilization above which a worker is given nothing new
         self.own_share = 1.0  # this front end's part of the workers' load
@@ -102,13 +102,13 @@
             self._place(function, this_pass, now)
 
     def _functions_in_use(self, now: float) -> list[Function]:
-        called = self.cell.functions_requested_since(now - self.cache.idle_timeout)
-        return [function for function in called if function.verified or self.explicit_loads]
+        requested = self.cell.functions_requested_since(now - self.cache.idle_timeout)
+        return [function for function in requested if function.verified or self.explicit_loads]
 
     def _update_estimates(self, used: list[Function], cells: list[Cell], now: float) -> None:
-        calls = sum(len(function.request_times) for function in used)
+        request_count = sum(len(function.request_times) for function in used)
         work = sum(len(function.request_times) * self.latency.usual_work(function) for function in used)
-        self.latency.update_estimates(self.cell, cells, work / max(1, calls), now)
+        self.latency.update_estimates(self.cell, cells, work / max(1, request_count), now)
 
     # ---- inputs of a pass ----
 
@@ -128,7 +128,7 @@
         self._select_active(workers, healthy, own_total * cores_per_request / share, sum(memory.values()))
         capacity = self._capacity(healthy, sum(demand.values()), share)
         self.own_share = share
-        self.mean_capacity = max(MIN_CAPACITY, mean([capacity[worker] for worker in self.active], 1.0))
+        self.mean_capacity = max(MIN_CAPACITY, mean([capacity[worker] for worker in self.selected_workers], 1.0))
         return PlacementPass(
             own_demand=own_demand,
             fleet_demand=fleet_demand,
@@ -143,7 +143,7 @@
 
     def _share(self, workers: list[Worker], own_total: float) -> float:
         """Returns this front end's part of the workers' load; close to an even part where there are few reports."""
-        even = min(1.0, len(self.cell.ready_workers) / len(workers) / self.front_ends)
+        even = min(1.0, len(self.cell.ready_workers) / len(workers) / self.front_end_count)
         return self.demand_estimator.own_share(workers, own_total, even)
 
     def _cores_per_request(self, workers: list[Worker], own_total: float, share: float) -> float:
@@ -155,7 +155,7 @@
     def _select_active(self, workers: list[Worker], healthy: list[Worker], load: float, memory: float) -> None:
         selected = self.active_workers.select(workers, load, memory)
         active = [worker for worker in selected if not worker.ejections] or healthy
-        self.active = dict.fromkeys(active)
+        self.selected_workers = dict.fromkeys(active)
         reported = mean([worker.utilization for worker in active if worker.load_reports], 0.0)
         self.hot_utilization = max(MIN_HOT_UTILIZATION, HOT_UTILIZATION_FACTOR * reported)
 
@@ -165,7 +165,7 @@
         This is an even part of its demand with some slack, or its share of the worker's cores if that is larger.
         """
         relative = self.active_workers.capacity
-        even = FAIR_SHARE_SLACK * demand / sum(relative[worker] for worker in self.active)
+        even = FAIR_SHARE_SLACK * demand / sum(relative[worker] for worker in self.selected_workers)
         return {
             worker: max(even * relative[worker], FILL_UTILIZATION * share * self.latency.cores(worker))
             for worker in healthy
@@ -175,7 +175,9 @@
         keep_for = KEEP_WORKERS_FOR / max(1 - share, MIN_CAPACITY)  # a single front end keeps its workers
         return {
             function: [
-                replica.worker for replica in function.replicas if replica.is_placed and replica.worker in self.active
+                replica.worker
+                for replica in function.replicas
+                if replica.is_placed and replica.worker in self.selected_workers
             ]
             for function in demand
             if now - function.placed_at < keep_for
@@ -238,7 +240,7 @@
         ][:needed]
         if len(chosen) == needed:
             return chosen
-        ranking = [worker for worker in self.ranking(function) if worker in self.active]
+        ranking = [worker for worker in self.ranking(function) if worker in self.selected_workers]
         self._add_workers(chosen, needed, function, load_each, ranking, this_pass)
         if chosen or kept:
             return chosen or kept[:needed]
@@ -268,10 +270,10 @@
                 break
         chosen += short_of_memory[: needed - len(chosen)]
 
-    def _workers_needed(self, load: float, kept: int) -> int:
-        """Returns the number of workers for `load`; at least `kept` while the kept workers are well utilized."""
+    def _workers_needed(self, load: float, kept_count: int) -> int:
+        """Returns the number of workers for `load`; at least `kept_count` while the kept workers are well utilized."""
         capacity = self.mean_capacity
         fraction = 1.0 if self.cache.reports_concurrency else MAX_CAPACITY_FRACTION
         needed = max(1, ceil(load / capacity / fraction))
-        well_used = load > (kept - 1) * capacity * MAX_LOAD_AFTER_REMOVAL
-        return max(needed, kept if well_used else 0)
+        well_used = load > (kept_count - 1) * capacity * MAX_LOAD_AFTER_REMOVAL
+        return max(needed, kept_count if well_used else 0)
--- a/wickdyke/routing/placement_schedule.py
+++ b/wickdyke/routing/placement_schedule.py
@@ -55,7 +55,7 @@
         cell.placed_at = now
         cell.period = PLACEMENT_PERIOD * factor * jitter
         cell.requests_since_placement = 0
-        next_due = min(candidate.due() for candidate in used) if len(cells) <= MAX_CELLS_COMPARED else now
+        next_due = min(candidate.next_placement_at() for candidate in used) if len(cells) <= MAX_CELLS_COMPARED else now
         self.next_at = max(now + TICK_INTERVAL, next_due)
 
     def _update_estimates(self, cells: list[Cell], now: float) -> None:
--- a/wickdyke/routing/prewarming.py
+++ b/wickdyke/routing/prewarming.py
@@ -41,13 +41,13 @@
     def __init__(self, quota: PrewarmQuota) -> None:
         """Creates a limiter without requests."""
         self.quota = quota
-        self.requests: deque[float] = deque()  # times at which counted requests were received (ms)
-        self.sent: deque[float] = deque()  # times at which prewarms were sent (ms)
+        self.request_times: deque[float] = deque()  # times at which counted requests were received (ms)
+        self.prewarm_times: deque[float] = deque()  # times at which prewarms were sent (ms)
 
     def request_received(self, function: Function, now: float) -> None:
         """Counts a request, if its function is verified."""
         if function.verified:
-            self.requests.append(now)
+            self.request_times.append(now)
 
     def verify(self, function: Function, now: float) -> None:
         """Marks a function as verified, once it was answered or loaded, and counts its requests within the window."""
@@ -56,22 +56,22 @@
             since = now - self.quota.window
             for at in function.request_times:
                 if at > since:
-                    insort(self.requests, at)
+                    insort(self.request_times, at)
 
     def trim(self, now: float) -> None:
         """Removes requests that are older than the window."""
-        trim_times(self.requests, now - self.quota.window)
+        trim_times(self.request_times, now - self.quota.window)
 
     def may_send(self, worker: Worker, renewal: bool, now: float) -> bool:
         """Returns whether one more prewarm may be sent to the worker now."""
         if worker.endpoint.state != EndpointState.READY:
             return False
         self.trim(now)
-        trim_times(self.sent, now - self.quota.window - WINDOW_MARGIN)
+        trim_times(self.prewarm_times, now - self.quota.window - WINDOW_MARGIN)
         if not self.quota.window:
             return True
-        allowed = self.quota.free + self.quota.share * len(self.requests)
-        return len(self.sent) + 1 <= allowed * (1 - FRACTION_FOR_NEW * renewal)
+        allowed = self.quota.free + self.quota.share * len(self.request_times)
+        return len(self.prewarm_times) + 1 <= allowed * (1 - FRACTION_FOR_NEW * renewal)
 
 
 class Prewarmer:
@@ -99,7 +99,9 @@
         """Returns the prewarms for the functions of a cell, functions with the most recent requests first."""
         plans: list[PrewarmPlan] = []
         new_replicas: Counter[Worker] = Counter()
-        for function in sorted(cell.functions.values(), key=lambda called: (-len(called.request_times), called.name)):
+        for function in sorted(
+            cell.functions.values(), key=lambda candidate: (-len(candidate.request_times), candidate.name)
+        ):
             if now - function.last_request_at >= self.cache.idle_timeout:
                 continue
             for replica in function.replicas:
@@ -113,15 +115,15 @@
         function = replica.function
         loaded = self.latency.is_loaded(replica, now)
         renewal = loaded and replica.loaded_replicas >= replica.wanted_replicas
-        called_again = len(function.request_times) > 1  # a single request triggers the prewarm by its miss
+        requested_again = len(function.request_times) > 1  # a single request triggers the prewarm by its miss
         if renewal:
-            wanted = called_again and now - replica.last_used >= RENEWAL_IDLE_FRACTION * self.cache.idle_timeout
+            wanted = requested_again and now - replica.last_used >= RENEWAL_IDLE_FRACTION * self.cache.idle_timeout
         else:
             since = replica.loading_since
-            lost = since is None or now - since > LOST_LOAD_FACTOR * self.latency.load_time(function)
-            may_load = called_again or self.cache.loads_on_demand
+            load_lost = since is None or now - since > LOST_LOAD_FACTOR * self.latency.load_time(function)
+            may_load = requested_again or self.cache.loads_on_demand
             few_new = new_replicas[replica.worker] < MAX_NEW_PER_WORKER
-            wanted = may_load and few_new and (loaded or lost)
+            wanted = may_load and few_new and (loaded or load_lost)
         if wanted:
             new_replicas[replica.worker] += not renewal
             plans.append(PrewarmPlan(replica, replica.wanted_replicas, renewal))
@@ -139,7 +141,7 @@
             if len(self.held_plans) < MAX_HELD_PLANS and self.readiness.may_choose(replica.worker, now):
                 self.held_plans[replica] = plan
             return
-        self.limiter.sent.append(now)
+        self.limiter.prewarm_times.append(now)
         self.budget.spend()
         replica.prewarm_sent_at = now
         if not plan.renewal and not replica.loaded_replicas:
--- a/wickdyke/routing/ranking.py
+++ b/wickdyke/routing/ranking.py
@@ -35,14 +35,16 @@
         self.zoned = zone is not None
         self.hashes = [worker.name_hash for worker in workers]
         self.sizes = [size_of(worker.endpoint) for worker in workers]
-        self.parts = [other_zones_weight if zone not in (None, worker.endpoint.zone) else 1.0 for worker in workers]
+        self.zone_weights = [
+            other_zones_weight if zone not in (None, worker.endpoint.zone) else 1.0 for worker in workers
+        ]
 
     def ranked(self, function: Function) -> list[Worker]:
         """Returns the workers by rank, the function's nearest worker first; by rank alone where a zone is given."""
         fractions = hash_fractions(function.name_hash, self.hashes)
         ranks = [-log(fraction) / size for fraction, size in zip(fractions, self.sizes, strict=True)]
         if self.zoned:
-            ranks = [rank / part for rank, part in zip(ranks, self.parts, strict=True)]
+            ranks = [rank / weight for rank, weight in zip(ranks, self.zone_weights, strict=True)]
         elif function.nearest_worker in self.workers:
             ranks[self.workers.index(function.nearest_worker)] = FIRST_RANK
         order = sorted(range(len(ranks)), key=ranks.__getitem__)
--- a/wickdyke/routing/readiness.py
+++ b/wickdyke/routing/readiness.py
@@ -102,7 +102,7 @@
         if outcome == Outcome.NOT_READY:
             self._exclude(worker, "not ready", now)
         elif outcome == Outcome.OK and check_sent_at is not None:
-            self._ready(worker, check_sent_at, same_process_since, now)
+            self._record_ready(worker, check_sent_at, same_process_since, now)
 
     def process_ended(self, worker: Worker, now: float) -> None:
         """Records that, by its connections, the worker's process has ended.
@@ -132,7 +132,7 @@
             worker.not_ready_since = now
         self.not_ready[worker] = None
 
-    def _ready(self, worker: Worker, check_sent_at: float, same_process_since: float | None, now: float) -> None:
+    def _record_ready(self, worker: Worker, check_sent_at: float, same_process_since: float | None, now: float) -> None:
         process_since = NEVER if same_process_since is None else same_process_since
         is_new_process = process_since > worker.same_process_since
         worker.same_process_since = max(process_since, worker.same_process_since)
@@ -142,7 +142,7 @@
                 return  # it may be another worker at the same address
             self._readmit(worker, restarted, now)
         elif is_new_process and self.heard_at is not None and process_since > self.heard_at:
-            self._restarted(worker, now)
+            self._record_restart(worker, now)
         worker.ready_at = max(worker.ready_at, check_sent_at)
         if self.list_was_expired and worker not in self.proved_ready:
             self.proved_ready.add(worker)
@@ -153,9 +153,9 @@
         self.not_ready.pop(worker, None)
         self.log_note(f"worker {worker.endpoint.ident} ready again")
         if restarted:
-            self._restarted(worker, now)
+            self._record_restart(worker, now)
 
-    def _restarted(self, worker: Worker, now: float) -> None:
+    def _record_restart(self, worker: Worker, now: float) -> None:
         # Discovery will report the actual start. Until then the worker counts as started now, with nothing loaded: its
         # slow start may be longer than necessary, but not shorter.
         clear_replicas(worker)
@@ -165,9 +165,9 @@
 
     def update(self, now: float) -> bool:
         """Logs when the list expires or is valid again; returns whether it has just expired."""
-        was_in_doubt = self.list_was_expired
+        had_expired = self.list_was_expired
         self.list_was_expired = self.list_expired(now)
-        if self.list_was_expired == was_in_doubt:
+        if self.list_was_expired == had_expired:
             return False
         self.proved_ready.clear()
         self.log_note(f"endpoint list {'expired' if self.list_was_expired else 'valid again'}")
--- a/wickdyke/routing/samples.py
+++ b/wickdyke/routing/samples.py
@@ -43,15 +43,15 @@
 NO_SAMPLES: Recent[Any] = Recent(0)  # shared placeholder for the records of workers without samples; never filled
 
 
-def mean(samples: Collection[float], absent: float) -> float:
-    """Returns the mean of the samples, or `absent` where there are none."""
-    return sum(samples) / len(samples) if samples else absent
+def mean(samples: Collection[float], default: float) -> float:
+    """Returns the mean of the samples, or `default` where there are none."""
+    return sum(samples) / len(samples) if samples else default
 
 
-def pooled_mean(parts: Iterable[tuple[float, int]], absent: float) -> float:
-    """Returns the mean of samples from the sum and count of each part, or `absent` where there are no samples."""
+def pooled_mean(parts: Iterable[tuple[float, int]], default: float) -> float:
+    """Returns the mean of samples from the sum and count of each part, or `default` where there are no samples."""
     sums, counts = zip(*parts, strict=True)
-    return sum(sums) / sum(counts) if sum(counts) else absent
+    return sum(sums) / sum(counts) if sum(counts) else default
 
 
 def sum_by_key(parts: Iterable[dict[Key, Sums]]) -> dict[Key, Sums]:
--- a/wickdyke/routing/selection.py
+++ b/wickdyke/routing/selection.py
@@ -129,7 +129,7 @@
         function = request.function
         for cell in self.fleet.nearest_cells(function, 1 + FURTHER_CELLS):
             ranking = cell.placement.ranking(function)
-            active = cell.placement.active
+            active = cell.placement.selected_workers
             for workers in ((worker for worker in ranking if worker in active), ranking):
                 free = [worker for worker in islice(workers, MAX_WORKERS_COMPARED) if can_load(worker)]
                 if free:
--- a/wickdyke/routing/slow_start.py
+++ b/wickdyke/routing/slow_start.py
@@ -96,8 +96,8 @@
         # This wastes capacity where all functions are on warming workers.
         offset = self.instance_fraction / self.even_share * GOLDEN_RATIO % 1
         turn = int(age / self.settings.window + offset)
-        drawn = (hash_fraction(worker.name_hash, turn) + self.instance_fraction) % 1
-        return turn > 0 and drawn < max(part, self.even_share)
+        turn_position = (hash_fraction(worker.name_hash, turn) + self.instance_fraction) % 1
+        return turn > 0 and turn_position < max(part, self.even_share)
 
     def mean_work(self, request: Request) -> float:
         """Returns the mean work (ms) of requests of the request's class."""
