--- a/tests/test_descriptor_limit.py
+++ b/tests/test_descriptor_limit.py
@@ -93,7 +93,7 @@
                     service.open_descriptors(limit),
                 )
                 self.assertLessEqual(
-                    most + used + service.DESCRIPTORS_RESERVED - 1, limit
+                    most + used + service.RESERVED_DESCRIPTORS - 1, limit
                 )  # the loop's own was made in between
                 self.assertGreater(most, limit / 2)
                 self.assertLessEqual(made.client_server.connection_limit, made.protocol.pool.capacity)
--- a/wickdyke/platform/client_connection.py
+++ b/wickdyke/platform/client_connection.py
@@ -27,7 +27,7 @@
 # Requests that waited unread in the kernel for at most this long (ms) count as received when they are read.
 MAX_UNREAD_TIME = 60.0
 MAX_READS_PER_CALL = 8  # consecutive reads of one connection, to get all data that the kernel has received
-# Data that has waited unread for longer (ms) may be followed by a cancel or a close, so reading continues.
+# Data that has waited unread for longer than this (ms) may be followed by a cancel or a close: reading continues.
 UNREAD_AGE_THRESHOLD = 20.0
 MAX_READ_TIME = 10.0  # ms that consecutive reads may take: other connections wait meanwhile
 REREAD_INTERVAL = 50.0  # ms since the last read after which a client is read again before an attempt for it begins
--- a/wickdyke/platform/client_server.py
+++ b/wickdyke/platform/client_server.py
@@ -187,7 +187,7 @@
             self.counts["no_room"] += 1
             sock.close()
             return
-        # It may fail on a connection that was already reset. If it fails on another connection, an answer may be
+        # The call may fail on a connection that was already reset. If it fails on another connection, an answer may be
         # delayed until the previous one is acknowledged.
         with suppress(OSError):
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
--- a/wickdyke/platform/configuration.py
+++ b/wickdyke/platform/configuration.py
@@ -25,7 +25,7 @@
 MAX_EVENTS = 20000  # events that may wait for the coordinator
 ANSWER_MARGIN = 10.0  # ms reserved for an answer to reach its client
 HEALTH_CHECK_TIMEOUT = 250.0  # ms until a health check times out
-MIN_MEMORY = 1  # MB
+MIN_MEMORY_MB = 1
 MIN_SOCKETS = 64
 MAX_PORT = 65535
 
@@ -149,7 +149,7 @@
         raise ConfigurationError(f"{path}: known.batch has {error}") from None
     if not request_classes:
         raise ConfigurationError(f"{path}: settings has no classes, expected one at least")
-    memory = _limit(document, path, "memory_mb", MIN_MEMORY)
+    memory = _limit(document, path, "memory_mb", MIN_MEMORY_MB)
     tenants = range(pairs.get("tenants.count", deployment_settings.count, 0))
     return Configuration(
         name=name or str(document.get("name") or "gateway"),
--- a/wickdyke/platform/connection_state.py
+++ b/wickdyke/platform/connection_state.py
@@ -16,10 +16,10 @@
 class EndCause(Enum):
     """Why a connection ended, and what that shows about the worker."""
 
-    PLAIN = "plain"  # the worker closed the connection, or was unreachable
+    CLOSED_OR_UNREACHABLE = "plain"  # the worker closed it, or was unreachable
     INVALID_ANSWER = "invalid answer"  # the worker is alive, as it has just sent data
     RESET_EARLY = "reset early"  # the worker accepted the connection and reset it at once
     INCONCLUSIVE = "inconclusive"  # the cause may be this connection or this machine alone
 
 
-LIVENESS = {EndCause.RESET_EARLY: Liveness.ALIVE, EndCause.INCONCLUSIVE: Liveness.UNKNOWN}  # otherwise DOWN
+LIVENESS_BY_CAUSE = {EndCause.RESET_EARLY: Liveness.ALIVE, EndCause.INCONCLUSIVE: Liveness.UNKNOWN}  # otherwise DOWN
--- a/wickdyke/platform/liveness_probe.py
+++ b/wickdyke/platform/liveness_probe.py
@@ -68,8 +68,8 @@
 
     def settle(self, liveness: Liveness) -> None:
         """Resolves the commands if a connection to the worker that was established or failed shows enough."""
-        is_over = self.connection is None or self.connection.closed
-        if self.unresolved and (liveness is Liveness.ALIVE or is_over):
+        probe_ended = self.connection is None or self.connection.closed
+        if self.unresolved and (liveness is Liveness.ALIVE or probe_ended):
             if liveness is Liveness.UNKNOWN:
                 self._connect()
                 return
--- a/wickdyke/platform/requests.py
+++ b/wickdyke/platform/requests.py
@@ -11,7 +11,7 @@
 KEY_PATTERN = re.compile(r"[0-9A-Za-z_.:-]{1,64}", re.ASCII)
 REPEAT_PATTERN = re.compile(r"[0-9]{1,9}|true|false", re.ASCII)
 TAG_LIMITS = {"memory_mb": 1e7, "lanes": 4096.0, "load_ms": 3.6e6}
-MAX_TIME = 3.6e6  # ms
+MAX_REQUEST_TIME = 3.6e6  # ms; limit of the time left and of the estimated work
 MAX_QUOTED = 20  # characters of an invalid value that an error quotes
 # The fields on the wire. c: class; i: id; d: ms that the client waits; o: function; tags: further numbers. Optional, by
 # deployment: t: tenant; h: estimated ms of work; k: idempotency key; r: whether the request is a retry.
@@ -91,7 +91,7 @@
     """Validates the fields of a request. Raises InvalidRequestError."""
     fields = message.fields
     request_class = _check_names(fields, request_classes)
-    time_left = _number(fields.get("d", ""), "d", MAX_TIME)
+    time_left = _number(fields.get("d", ""), "d", MAX_REQUEST_TIME)
     numbers = _tags(fields.get("tags", ""))
     _check_optional(fields, request_class, tenants)
     parameters = RequestParameters(
@@ -101,7 +101,7 @@
         memory_mb=numbers.get("memory_mb", 0.0),
         concurrency=max(1, int(numbers.get("lanes", 1.0))),
         load_ms=numbers.get("load_ms"),
-        work_ms=_number(fields["h"], "h", MAX_TIME) if "h" in fields else None,
+        work_ms=_number(fields["h"], "h", MAX_REQUEST_TIME) if "h" in fields else None,
         is_repeat=fields.get("r", "0") not in ("0", "false"),
         idempotency_key=fields.get("k", ""),
     )
--- a/wickdyke/platform/service.py
+++ b/wickdyke/platform/service.py
@@ -35,8 +35,8 @@
 MAX_WAIT = 100.0  # ms that one iteration waits at most, to notice the flags that signal handlers set
 DISCOVERY_RETRY_FRACTION = 0.4  # part of the grace period for drains within which discovery is retried
 MAX_DISCOVERY_RETRY = 400.0  # ms between two connects to discovery, at most
-IDLE_FRACTION = 0.7  # part of a worker's idle timeout after which this side closes an idle connection
-DESCRIPTORS_RESERVED = 12  # for discovery's old and new connection, an accept, a file being read and others
+IDLE_TIMEOUT_FRACTION = 0.7  # part of a worker's idle timeout after which this side closes an idle connection
+RESERVED_DESCRIPTORS = 12  # for discovery's old and new connection, an accept, a file being read and others
 
 
 def open_descriptors(limit: int) -> int:
@@ -52,7 +52,7 @@
 def _worker_settings(configuration: Configuration) -> WorkerClientSettings:
     limits = configuration.attempt_limits
     return WorkerClientSettings(
-        limits.connect_timeout, limits.idle_timeout * IDLE_FRACTION, configuration.instance.report_fields
+        limits.connect_timeout, limits.idle_timeout * IDLE_TIMEOUT_FRACTION, configuration.instance.report_fields
     )
 
 
@@ -79,7 +79,7 @@
         )
         # Idle clients could use all descriptors, and then neither discovery nor a worker could be reached. So the
         # descriptors are divided: some are reserved, half of the rest is for clients, the other half for workers.
-        free_descriptors = configuration.sockets - open_descriptors(configuration.sockets) - DESCRIPTORS_RESERVED
+        free_descriptors = configuration.sockets - open_descriptors(configuration.sockets) - RESERVED_DESCRIPTORS
         self.protocol = PlatformWorkerProtocol(
             self.loop, _worker_settings(configuration), free_descriptors - free_descriptors // 2
         )
@@ -216,15 +216,15 @@
         elapsed = clock() - self.shutdown_requested_at
         if elapsed < min(GRACE_PERIOD, self.shutdown_timeout):
             return True
-        late = elapsed >= self.shutdown_timeout
+        deadline_passed = elapsed >= self.shutdown_timeout
         self.client_server.close_listener()
-        if late:
+        if deadline_passed:
             self._answer_all()
-        if not self.client_server.listener_closed or not self._all_answered(late):
+        if not self.client_server.listener_closed or not self._all_answered(deadline_passed):
             return True
         # Data received since the last poll is read before the end: the kernel has acknowledged it, and closing a socket
         # with unread data sends a reset, which may discard an answer in transit.
-        return self.client_server.read_clients() or not self.client_server.close_idle(late)
+        return self.client_server.read_clients() or not self.client_server.close_idle(deadline_passed)
 
     def _begin_shutdown(self) -> None:
         """Begins the graceful shutdown if it was requested."""
@@ -241,8 +241,8 @@
         if self.shutdown_requested_at is None:
             return float("inf")
         steps = (
-            self.shutdown_requested_at + span
-            for span in (min(GRACE_PERIOD, self.shutdown_timeout), self.shutdown_timeout)
+            self.shutdown_requested_at + delay
+            for delay in (min(GRACE_PERIOD, self.shutdown_timeout), self.shutdown_timeout)
         )
         now = clock()
         return min((step for step in steps if step > now), default=float("inf"))
@@ -254,9 +254,9 @@
             self.client_server.close_listener(True)
         self.coordinator.answer_all(RejectionReason.STOPPING)
 
-    def _all_answered(self, late: bool) -> bool:
-        """Returns whether all requests are answered and, unless `late`, no attempt is in flight."""
-        if late:
+    def _all_answered(self, deadline_passed: bool) -> bool:
+        """Returns whether all requests are answered and, unless `deadline_passed`, no attempt is in flight."""
+        if deadline_passed:
             return self.coordinator.events.empty() and self.client_server.all_answers_sent()
         return self.coordinator.idle() and self.client_server.all_answers_sent()
 
--- a/wickdyke/platform/thrift.py
+++ b/wickdyke/platform/thrift.py
@@ -36,7 +36,7 @@
 FIELDS_ARGUMENT = 1
 BODY_ARGUMENT = 2
 
-SIZES = {BOOL: 1, BYTE: 1, DOUBLE: 8, I16: 2, I32: 4, I64: 8}
+FIXED_SIZES = {BOOL: 1, BYTE: 1, DOUBLE: 8, I16: 2, I32: 4, I64: 8}
 
 # Application exception codes.
 UNKNOWN_METHOD = 1
@@ -44,7 +44,7 @@
 
 _I16 = struct.Struct(">h")
 _I32 = struct.Struct(">i")
-_FIELD = struct.Struct(">bh")
+_FIELD_HEADER = struct.Struct(">bh")
 
 
 class MalformedMessageError(Exception):
@@ -149,8 +149,8 @@
         return fields
 
     def skip(self, kind: int, depth: int = MAX_DEPTH) -> None:
-        if kind in SIZES:
-            self.read_bytes(SIZES[kind])
+        if kind in FIXED_SIZES:
+            self.read_bytes(FIXED_SIZES[kind])
         elif kind == STRING:
             self.string()
         elif depth and kind == STRUCT:
@@ -171,8 +171,8 @@
 def parse_message(frame: bytes) -> Message:
     """Parses the message in a frame. Raises MalformedMessageError."""
     reader = _Reader(frame)
-    head = reader.i32() & 0xFFFFFFFF
-    if head & 0xFFFFFF00 != VERSION or head & 0xFF not in (CALL, ONEWAY):
+    header = reader.i32() & 0xFFFFFFFF
+    if header & 0xFFFFFF00 != VERSION or header & 0xFF not in (CALL, ONEWAY):
         raise MalformedMessageError("no call of the strict binary protocol")
     name = reader.string()
     number = reader.i32()
@@ -188,13 +188,13 @@
     fields: dict[str, str] = {}
     body = b""
     cancelled_number = 0
-    seen: set[int] = set()
+    arguments_read: set[int] = set()
     while (field := reader.field())[0] != STOP:
         kind, ident = field
         if name == b"dispatch" and ident in (FIELDS_ARGUMENT, BODY_ARGUMENT):
-            if ident in seen or kind != (MAP if ident == FIELDS_ARGUMENT else STRING):
+            if ident in arguments_read or kind != (MAP if ident == FIELDS_ARGUMENT else STRING):
                 raise MalformedMessageError(f"argument {ident} of type {kind} or twice")
-            seen.add(ident)
+            arguments_read.add(ident)
             if ident == FIELDS_ARGUMENT:
                 fields = reader.fields()
             else:
@@ -245,12 +245,12 @@
         number,
         b"".join(
             (
-                _FIELD.pack(STRUCT, 0),
-                _FIELD.pack(STRING, 1),
+                _FIELD_HEADER.pack(STRUCT, 0),
+                _FIELD_HEADER.pack(STRING, 1),
                 _encode_string(body),
-                _FIELD.pack(MAP, 2),
+                _FIELD_HEADER.pack(MAP, 2),
                 _encode_map({}),
-                _FIELD.pack(BOOL, 3),
+                _FIELD_HEADER.pack(BOOL, 3),
                 bytes((success, STOP, STOP)),
             )
         ),
@@ -262,7 +262,7 @@
         REPLY,
         method,
         number,
-        _FIELD.pack(STRUCT, field_id) + _FIELD.pack(MAP, 1) + _encode_map(fields) + bytes((STOP, STOP)),
+        _FIELD_HEADER.pack(STRUCT, field_id) + _FIELD_HEADER.pack(MAP, 1) + _encode_map(fields) + bytes((STOP, STOP)),
     )
 
 
@@ -282,9 +282,9 @@
         EXCEPTION,
         method,
         number,
-        _FIELD.pack(STRING, 1)
+        _FIELD_HEADER.pack(STRING, 1)
         + _encode_string(reason.encode())
-        + _FIELD.pack(I32, 2)
+        + _FIELD_HEADER.pack(I32, 2)
         + _I32.pack(code)
         + bytes((STOP,)),
     )
--- a/wickdyke/platform/worker_connection.py
+++ b/wickdyke/platform/worker_connection.py
@@ -9,7 +9,7 @@
 from wickdyke.gateway.interfaces import CommandKind, Withdrawal
 from wickdyke.platform import resp
 from wickdyke.platform.connection_owner import ConnectionOwner
-from wickdyke.platform.connection_state import LIVENESS, ConnectionState, EndCause
+from wickdyke.platform.connection_state import LIVENESS_BY_CAUSE, ConnectionState, EndCause
 from wickdyke.platform.reachability import Liveness
 from wickdyke.platform.worker_command import Command
 from wickdyke.platform.worker_results import read_result
@@ -229,7 +229,7 @@
     def _connect_timed_out(self) -> None:
         if self.state is ConnectionState.CONNECTING:
             unreachable = self.worker_client.reachability.connect_timed_out(self.connect_started_at)
-            self.end("no connection in time", EndCause.PLAIN if unreachable else EndCause.INCONCLUSIVE)
+            self.end("no connection in time", EndCause.CLOSED_OR_UNREACHABLE if unreachable else EndCause.INCONCLUSIVE)
 
     def writable(self) -> None:
         """Handles the end of the connect, or sends more data."""
@@ -262,7 +262,7 @@
         inconclusive = self.worker_client.reachability.is_inconclusive(code)
         if code in PEER_RESET_ERRORS:
             return EndCause.RESET_EARLY
-        return EndCause.INCONCLUSIVE if inconclusive else EndCause.PLAIN
+        return EndCause.INCONCLUSIVE if inconclusive else EndCause.CLOSED_OR_UNREACHABLE
 
     def broken(self) -> None:
         """Closes the connection after its handler raised an exception; commands in flight may have run."""
@@ -330,7 +330,7 @@
         self.end(reason)
         self.worker_client.process_ended()
 
-    def end(self, reason: str, cause: EndCause = EndCause.PLAIN) -> None:
+    def end(self, reason: str, cause: EndCause = EndCause.CLOSED_OR_UNREACHABLE) -> None:
         """Closes the connection and ends its commands. `reason` is counted if the connection was never established."""
         if self.state is ConnectionState.CLOSED:
             return
@@ -350,7 +350,7 @@
         self._end_pending(pending, was_established or cause in (EndCause.RESET_EARLY, EndCause.INCONCLUSIVE))
         self._end_in_flight(in_flight, cause)
         if not was_established:
-            self.worker_client.settle_unresolved(LIVENESS.get(cause, Liveness.DOWN))
+            self.worker_client.settle_unresolved(LIVENESS_BY_CAUSE.get(cause, Liveness.DOWN))
 
     def _end_pending(self, pending: list[Command], resend: bool) -> None:
         for command in pending:
--- a/wickdyke/platform/worker_protocol.py
+++ b/wickdyke/platform/worker_protocol.py
@@ -38,7 +38,7 @@
         # carried the time that was left when it was decided, the worker would run past the client's deadline. So the
         # time left is rendered when the first byte is sent.
         deadline = clock() + time_left
-        parameters: RequestParameters = pending.params  # type: ignore[assignment]  # as of all pending requests of the platform
+        parameters: RequestParameters = pending.params  # type: ignore[assignment]  # as in all platform requests
         ident = parameters.ident
         body: bytes = parameters.input  # type: ignore[assignment]  # None only after the request was answered
         before = f"lane={attempt.request.request_class.name},name={attempt.request.function.name},ttl="
--- a/wickdyke/platform/worker_results.py
+++ b/wickdyke/platform/worker_results.py
@@ -15,7 +15,7 @@
     b"READY": Outcome.OK,
     b"AILING": Outcome.NOT_READY,
 }
-NOTES = {"w": LoadNote.STOOD, "c": LoadNote.BEGAN, "j": LoadNote.AWAITED, "f": LoadNote.FAILED}
+LOAD_NOTES = {"w": LoadNote.STOOD, "c": LoadNote.BEGAN, "j": LoadNote.AWAITED, "f": LoadNote.FAILED}
 ANSWER_PART_COUNT = 4  # id, status, fields, body
 MAX_REPORT_VALUE = 1e12  # of a field of a load report; larger values are invalid
 # Load reports name their fields as the protocol does or as the settings do.
@@ -55,5 +55,5 @@
         raise resp.InvalidAnswerError("ahead or units is not a number") from None
     report = read_report(values["rep"], report_fields) if "rep" in values else None
     return CommandResult(
-        OUTCOMES_BY_STATUS[status], body, NOTES.get(values.get("why", "")), concurrent, report, replicas
+        OUTCOMES_BY_STATUS[status], body, LOAD_NOTES.get(values.get("why", "")), concurrent, report, replicas
     )
