--- a/tests/test_platform_parsers.py
+++ b/tests/test_platform_parsers.py
@@ -174,11 +174,11 @@
                 endpoints.apply([rig.event(1, a, reset=True)], 0.0)
                 change = endpoints.apply(events, 0.0)
                 self.assertEqual(sorted((endpoint.ident, endpoint.state) for endpoint in change.endpoints), changes)
-                self.assertEqual({name: endpoints.address(name) for name in endpoints.listed}, addresses)
+                self.assertEqual({worker: endpoints.address(worker) for worker in endpoints.listed}, addresses)
                 changed_addresses = {
-                    name for name in {"a", *addresses} if {"a": "h:1"}.get(name) != addresses.get(name)
+                    worker for worker in {"a", *addresses} if {"a": "h:1"}.get(worker) != addresses.get(worker)
                 }
-                self.assertEqual(change.addresses, {name: addresses.get(name) for name in changed_addresses})
+                self.assertEqual(change.addresses, {worker: addresses.get(worker) for worker in changed_addresses})
 
     def test_a_start_time_that_is_reported_again_keeps_its_value(self):
         endpoints = endpoint_list.EndpointList(("hall",), ("std",), lambda: 1000.5)
--- a/tests/test_platform_traffic.py
+++ b/tests/test_platform_traffic.py
@@ -34,7 +34,7 @@
         self.addCleanup(serving.loop.close)
         self.addCleanup(lambda: [client.close() for client in list(serving.client_server.clients.values())])
         self.addCleanup(serving.discovery.close)
-        self.addCleanup(lambda: [client.close() for client in list(serving.coordinator.workers.clients.values())])
+        self.addCleanup(lambda: [each.close() for each in list(serving.coordinator.workers.clients.values())])
         serving.open()
         self.addCleanup(serving.client_server.close_listener)
         worker_state = serving.coordinator.router.workers["w0"]
