--- a/wickdyke/platform/worker_results.py
+++ b/wickdyke/platform/worker_results.py
@@ -15,7 +15,7 @@
     b"READY": Outcome.OK,
     b"AILING": Outcome.NOT_READY,
 }
-NOTES = {
+LOAD_NOTES = {
     "w": LoadNote.ALREADY_LOADED,
     "c": LoadNote.STARTED_LOAD,
     "j": LoadNote.AWAITED_LOAD,
@@ -60,5 +60,5 @@
         raise resp.InvalidAnswerError("ahead or units is not a number") from None
     report = read_report(values["rep"], report_fields) if "rep" in values else None
     return CommandResult(
-        OUTCOMES_BY_STATUS[status], body, NOTES.get(values.get("why", "")), concurrent, report, replicas
+        OUTCOMES_BY_STATUS[status], body, LOAD_NOTES.get(values.get("why", "")), concurrent, report, replicas
     )
