--- a/tests/test_worker.py
+++ b/tests/test_worker.py
@@ -218,7 +218,7 @@
         for program, why in (
             ("none", "no package none"),
             ("x", "RuntimeError: at import"),
-            ("y", "is no function"),
+            ("y", "is not callable"),
             ("../p", "names no package"),
         ):
             with self.subTest(program=program):
--- a/wickdyke/worker/parent.py
+++ b/wickdyke/worker/parent.py
@@ -1,4 +1,4 @@
-"""The warm parent: a process without threads that has imported what replicas need, forks them and reaps them.
+"""The warm parent: a single-threaded process with the modules of replicas imported, which forks and reaps them.
 
 It receives StartReplica and EndReplica on a socket pair, and sends ReplicaStarted and ReplicaEnded there.
 """
@@ -19,18 +19,18 @@
 
 PR_SET_PDEATHSIG = 1  # linux/prctl.h
 PR_SET_CHILD_SUBREAPER = 36  # linux/prctl.h
-MESSAGE_BYTES = 1 << 20
-END_ROUNDS = 20  # of killing the processes that are left, at the end
-END_INTERVAL = 0.01  # s between them
+MESSAGE_BYTES = 1 << 20  # the most bytes of one message
+MAX_KILL_ROUNDS = 20  # when it ends: how often it kills and reaps the remaining processes
+KILL_INTERVAL = 0.01  # s between two of these rounds
 
 
 def prctl(option: int, value: int) -> None:
-    """The system call; errors are ignored, as for options that the kernel does not know."""
+    """Makes the system call. Ignores errors, such as those of options that the kernel does not know."""
     ctypes.CDLL(None, use_errno=True).prctl(option, value, 0, 0, 0)
 
 
 class Parent:
-    """Forks and reaps replicas until the worker is gone."""
+    """Forks and reaps replicas until the worker has ended."""
 
     def __init__(self, control: socket.socket) -> None:
         self.control = control
@@ -40,27 +40,27 @@
 
     def serve(self) -> None:
         """Serves until the worker's end of the socket is closed, then kills all replicas."""
-        wake_in, wake_out = os.pipe()
-        os.set_blocking(wake_in, False)
-        os.set_blocking(wake_out, False)
+        wakeup_reader, wakeup_writer = os.pipe()
+        os.set_blocking(wakeup_reader, False)
+        os.set_blocking(wakeup_writer, False)
         signal.signal(signal.SIGCHLD, lambda number, frame: None)
-        signal.set_wakeup_fd(wake_out, warn_on_full_buffer=False)
+        signal.set_wakeup_fd(wakeup_writer, warn_on_full_buffer=False)
         for number in (signal.SIGINT, signal.SIGTERM):
-            signal.signal(number, signal.SIG_IGN)  # the worker handles a signal to the process group
-        sources: list[socket.socket | int] = [self.control, wake_in]
+            signal.signal(number, signal.SIG_IGN)  # the worker handles signals to the process group
+        inputs: list[socket.socket | int] = [self.control, wakeup_reader]
         try:
             while True:
-                ready, _, _ = select.select(sources, [], [])
-                if wake_in in ready:
-                    os.read(wake_in, 4096)
+                ready, _, _ = select.select(inputs, [], [])
+                if wakeup_reader in ready:
+                    os.read(wakeup_reader, 4096)
                     self._reap()
                 if self.control in ready and not self._receive():
                     return
         finally:
-            self._end_all()
+            self._kill_all()
 
     def _receive(self) -> bool:
-        """Carries out one message; returns False where the worker is gone."""
+        """Handles one message; returns False where the worker has ended."""
         try:
             data, descriptors, _, _ = socket.recv_fds(self.control, MESSAGE_BYTES, 2)
         except OSError:
@@ -74,17 +74,17 @@
             self._kill(self.pids[message.number])
         return True
 
-    def _fork(self, order: StartReplica, sock: int, output: int) -> None:
+    def _fork(self, start_message: StartReplica, sock: int, output: int) -> None:
         pid = os.fork()
         if pid == 0:
-            self._run_child(order, sock, output)
+            self._run_child(start_message, sock, output)
         os.close(sock)
         os.close(output)
-        self.pids[order.number] = pid
-        self.numbers[pid] = order.number
-        self._send(ReplicaStarted(order.number, pid))
+        self.pids[start_message.number] = pid
+        self.numbers[pid] = start_message.number
+        self._send(ReplicaStarted(start_message.number, pid))
 
-    def _run_child(self, order: StartReplica, sock: int, output: int) -> None:
+    def _run_child(self, start_message: StartReplica, sock: int, output: int) -> None:
         code = 1
         try:
             parent = os.getppid()
@@ -100,7 +100,7 @@
             for descriptor, standard in ((null, 0), (output, 1), (output, 2)):
                 os.dup2(descriptor, standard)
             os.close(output)
-            replica_server.run(socket.socket(fileno=sock), order)
+            replica_server.run(socket.socket(fileno=sock), start_message)
             code = 0
         except BaseException as error:  # noqa: BLE001 - a package may raise anything; the process ends in any case
             with contextlib.suppress(OSError):
@@ -124,17 +124,21 @@
             number = self.numbers.pop(pid, None)
             if number is not None:
                 del self.pids[number]
-                self._kill(pid)  # also the processes that it left behind in its session
+                self._kill(pid)  # also the remaining processes of its session
                 self._send(ReplicaEnded(number, os.waitstatus_to_exitcode(status)))
-            for stray in children(os.getpid()):
-                if stray not in self.numbers:  # forked by a replica into another session, and adopted by this process
-                    self._kill(stray)
+            for orphan in children(os.getpid()):
+                if (
+                    orphan not in self.numbers
+                ):  # forked by a replica into another session, and reparented to this process
+                    self._kill(orphan)
 
-    def _end_all(self) -> None:
+    def _kill_all(self) -> None:
         for pid in self.numbers:
             self._kill(pid)
         own_pid = os.getpid()
-        for _ in range(END_ROUNDS):  # what replicas forked into other sessions is adopted by this process as they end
+        for _ in range(
+            MAX_KILL_ROUNDS
+        ):  # processes that replicas forked into other sessions become children as their parents end
             for pid in children(own_pid):
                 self._kill(pid)
             try:
@@ -142,10 +146,10 @@
                     pass
             except ChildProcessError:
                 return
-            select.select([], [], [], END_INTERVAL)
+            select.select([], [], [], KILL_INTERVAL)
 
     def _send(self, message: ReplicaStarted | ReplicaEnded) -> None:
-        with contextlib.suppress(OSError):  # the worker is gone: the next read of the socket shows it
+        with contextlib.suppress(OSError):  # the worker has ended, which the next read of the socket shows
             self.control.send(msgspec.json.encode(message))
 
 
--- a/wickdyke/worker/parent_client.py
+++ b/wickdyke/worker/parent_client.py
@@ -1,4 +1,4 @@
-"""The worker's side of the warm parent (parent.py): a process that forks replicas and reaps them."""
+"""The worker's client of the warm parent (parent.py), the process that forks and reaps replicas."""
 
 import contextlib
 import socket
@@ -10,12 +10,12 @@
 
 from wickdyke.worker.replica_messages import EndReplica, ReplicaEnded, ReplicaStarted, StartReplica
 
-MESSAGE_BYTES = 1 << 16
-EXIT_TIMEOUT = 10.0  # s after which it is killed
+MESSAGE_BYTES = 1 << 16  # the most bytes of one message
+EXIT_TIMEOUT = 10.0  # s, after which `close` kills the parent
 
 
 class ParentClient:
-    """Starts the parent and sends it messages. They are lost where the parent is gone; `events` then ends."""
+    """Starts the parent and sends it messages. Once the parent has ended, messages are dropped and `events` ends."""
 
     def __init__(self) -> None:
         self.control, remote = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
@@ -31,18 +31,18 @@
         """The parent's process id."""
         return self.process.pid
 
-    def start_replica(self, order: StartReplica, sock: int, output: int) -> None:
-        """Forks a replica that inherits both descriptors: its socket, and the pipe of its output."""
+    def start_replica(self, start_message: StartReplica, sock: int, output: int) -> None:
+        """Has the parent fork a replica that inherits two descriptors: its socket, and the pipe for its output."""
         with contextlib.suppress(OSError):
-            socket.send_fds(self.control, [msgspec.json.encode(order)], [sock, output])
+            socket.send_fds(self.control, [msgspec.json.encode(start_message)], [sock, output])
 
     def end_replica(self, number: int) -> None:
-        """Kills a replica and everything that it forked."""
+        """Has the parent kill a replica and all processes that it forked."""
         with contextlib.suppress(OSError):
             self.control.send(msgspec.json.encode(EndReplica(number)))
 
     def events(self) -> Iterator[ReplicaStarted | ReplicaEnded]:
-        """The parent's messages, until it is gone."""
+        """Yields the parent's messages until it ends."""
         kinds = ReplicaStarted | ReplicaEnded
         decoder: msgspec.json.Decoder[ReplicaStarted | ReplicaEnded] = msgspec.json.Decoder(kinds)
         while data := self._receive():
@@ -55,7 +55,7 @@
             return b""
 
     def close(self) -> None:
-        """Ends the parent, and with it all replicas."""
+        """Ends the parent, which kills all replicas."""
         with contextlib.suppress(OSError):
             self.control.shutdown(socket.SHUT_RDWR)
         try:
--- a/wickdyke/worker/replica_loader.py
+++ b/wickdyke/worker/replica_loader.py
@@ -1,4 +1,4 @@
-"""Loads replicas: fetches the package, starts the process and waits until it is ready, in a thread for each load."""
+"""Loads replicas: fetches the package, starts the process and waits until it is ready, one thread per load."""
 
 import os
 import socket
@@ -19,11 +19,11 @@
 from wickdyke.worker.schedule_runner import ScheduleRunner, monotonic_ms
 from wickdyke.worker.source import PackageNotFoundError, PackageStore
 
-START_TIMEOUT = 30.0  # s for a package to be imported
+START_TIMEOUT = 30.0  # s until the package must be imported
 
 
-class OutOfMemoryError(Exception):
-    """A replica does not fit into the worker's memory, by what its manifest states."""
+class ReplicaTooLargeError(Exception):
+    """The memory that a package's manifest states does not fit into the worker's memory."""
 
 
 class LoadError(Exception):
@@ -32,7 +32,7 @@
 
 @dataclass(slots=True, frozen=True)
 class LoadFailure:
-    """Why a load failed: for the requests that wait for it, and for the log."""
+    """Why a load failed: the rejection of the waiting requests, and the reason for the log."""
 
     rejection: Rejection
     reason: str
@@ -62,7 +62,7 @@
         replica = action.replica
         try:
             threading.Thread(target=self._load, args=(replica,), name=f"load {replica.number}", daemon=True).start()
-        except RuntimeError as error:  # no thread can be started: the requests that wait for the load are answered now
+        except RuntimeError as error:  # no thread can be started: the requests that wait for the load are rejected now
             self._log_failure(replica, str(error), 0)
             self.runner.schedule.load_finished(replica, Rejection.FULL)
 
@@ -71,7 +71,7 @@
         failure: LoadFailure | None = None
         try:
             self._fetch_and_start(replica)
-        except Exception as error:  # noqa: BLE001 - whatever failed, the requests that wait are answered now
+        except Exception as error:  # noqa: BLE001 - on any error, the requests that wait for the load are rejected now
             failure = _failure(error)
         with self.runner.event() as schedule:
             if failure is not None:
@@ -96,13 +96,13 @@
         manifest, folder = self.cache.acquire(stored.digest, lambda path: self.store.fetch(stored, path))
         try:
             if manifest.name != stored.name or manifest.version != stored.version:
-                raise LoadError(f"{stored.name}@{stored.version} holds {manifest.name}@{manifest.version}")
+                raise LoadError(f"{stored.name}@{stored.version} contains {manifest.name}@{manifest.version}")
             self._apply_manifest(replica, manifest)
             process = self._start_process(replica, manifest, folder, stored.digest)
         except BaseException:
             self.cache.release(stored.digest)
             raise
-        # From here on the process keeps the entry in use; the supervisor releases it.
+        # From now on the process keeps the entry in use; the supervisor releases the entry when it ends the process.
         self._wait_until_ready(process, manifest)
 
     def _apply_manifest(self, replica: Replica, manifest: Manifest) -> None:
@@ -111,18 +111,20 @@
                 replica, manifest.memory, manifest.concurrency, manifest.run_timeout
             )
         if not fits:
-            raise OutOfMemoryError(f"{manifest.memory:g} MB, as its manifest says, do not fit")
+            raise ReplicaTooLargeError(
+                f"{manifest.memory:g} MB, as stated in the manifest, do not fit into the worker's memory"
+            )
 
     def _start_process(self, replica: Replica, manifest: Manifest, folder: str, digest: str) -> ReplicaProcess:
         worker_socket, replica_socket = socket.socketpair()
         output, output_writer = os.pipe()
         os.set_blocking(output, False)
         process = ReplicaProcess(replica, worker_socket, output, digest)
-        order = StartReplica(
+        start_message = StartReplica(
             replica.number, folder, manifest.entry, manifest.concurrency, manifest.memory, dict(manifest.environment)
         )
         with self.runner.lock:
-            self.supervisor.parent.start_replica(order, replica_socket.fileno(), output_writer)
+            self.supervisor.parent.start_replica(start_message, replica_socket.fileno(), output_writer)
             self.supervisor.processes[replica.number] = process
         replica_socket.close()
         os.close(output_writer)
@@ -131,7 +133,7 @@
     def _wait_until_ready(self, process: ReplicaProcess, manifest: Manifest) -> None:
         name = f"replica {process.replica.number}"
         threading.Thread(target=self.supervisor.listen, args=(process,), name=name, daemon=True).start()
-        if not process.started.wait(START_TIMEOUT):
+        if not process.start_ended.wait(START_TIMEOUT):
             raise LoadError(f"not ready within {START_TIMEOUT:g} s")
         if process.failure is not None:
             raise LoadError(f"{manifest.entry}: {process.failure}")
@@ -139,7 +141,7 @@
 
 def _failure(error: Exception) -> LoadFailure:
     match error:
-        case CacheFullError() | OutOfMemoryError():
+        case CacheFullError() | ReplicaTooLargeError():
             return LoadFailure(Rejection.FULL, str(error))
         case PackageNotFoundError() | LoadError():
             return LoadFailure(Rejection.MISS, str(error))
--- a/wickdyke/worker/replica_messages.py
+++ b/wickdyke/worker/replica_messages.py
@@ -1,17 +1,17 @@
-"""Messages between a worker, its warm parent and its replicas, which are processes of the same machine and release.
+"""Messages between a worker, its warm parent and its replicas, which run on the same machine in the same release.
 
-Worker and replica exchange JSON lines on a socket pair, worker and parent one JSON message a packet. The field `type`
-distinguishes the messages. `request` is the number that the worker gives a request for its replica.
+Worker and replica exchange JSON lines on a socket pair; worker and parent send one JSON message per packet. The field
+`type` distinguishes the messages. `request` is the number by which the worker and the replica identify a request.
 """
 
 import msgspec
 
 MB = 1 << 20
-LINE_LIMIT = 64 * MB  # bytes of a line between a worker and a replica
+LINE_LIMIT = 64 * MB  # the most bytes of a line between a worker and a replica
 
 
 class StartReplica(msgspec.Struct, tag="start"):
-    """Worker to parent, with two descriptors: the replica's socket, and the pipe of its output."""
+    """Worker to parent: fork a replica. Two descriptors are attached: its socket, and the pipe for its output."""
 
     number: int
     folder: str
@@ -22,20 +22,20 @@
 
 
 class EndReplica(msgspec.Struct, tag="end"):
-    """Worker to parent: kill a replica and everything that it forked."""
+    """Worker to parent: kill a replica and all processes that it forked."""
 
     number: int
 
 
 class ReplicaStarted(msgspec.Struct, tag="started"):
-    """Parent to worker: the process of a replica."""
+    """Parent to worker: a replica's process was forked."""
 
     number: int
     pid: int
 
 
 class ReplicaEnded(msgspec.Struct, tag="ended"):
-    """Parent to worker: the process of a replica ended with that exit status."""
+    """Parent to worker: a replica's process ended with this exit status."""
 
     number: int
     status: int
@@ -49,7 +49,7 @@
 
 
 class StopRequest(msgspec.Struct, tag="stop"):
-    """Worker to replica: stop a request. It answers with SlotFreed."""
+    """Worker to replica: stop a request. The replica sends SlotFreed once the request has ended."""
 
     request: int
 
@@ -79,7 +79,7 @@
 
 
 class SlotFreed(msgspec.Struct, tag="freed"):
-    """Replica to worker: a request that was to be stopped has ended."""
+    """Replica to worker: a stopped request has ended."""
 
     request: int
 
--- a/wickdyke/worker/replica_process.py
+++ b/wickdyke/worker/replica_process.py
@@ -1,4 +1,4 @@
-"""The worker's side of one replica's process: its socket, and the pipe of its output."""
+"""The worker's handle of a replica's process: its socket, and the pipe for its output."""
 
 import os
 import socket
@@ -23,37 +23,37 @@
     WorkerMessage,
 )
 
-READ_BYTES = 1 << 18
-OUTPUT_BYTES = 1 << 16  # of a replica's output that are read at once: one that prints more waits
-OUTPUT_LINES = 20  # logged at once
-OUTPUT_LINE_BYTES = 300  # of a line that are logged
+READ_BYTES = 1 << 18  # of messages, read at a time
+OUTPUT_READ_BYTES = 1 << 16  # of output, read at a time; a replica that prints more blocks until the next read
+MAX_LOGGED_LINES = 20  # of output, for each read
+MAX_LOGGED_LINE_BYTES = 300  # of output; the rest of a longer line is not logged
 
 
 class ReplicaProcess:
-    """One process. `digest` is that of its package, which it keeps in use in the cache while it lives.
+    """One process. `digest` is that of its package, which stays in use in the cache while the process runs.
 
-    `started` is set once it is ready or has failed, `failure` then is the reason. `pid` is 0 until the parent reports
-    it.
+    `start_ended` is set once the replica is ready or its start has failed; `failure` is then the reason of the failure.
+    `pid` is 0 until the parent reports it.
     """
 
     def __init__(self, replica: Replica, sock: socket.socket, output: int, digest: str) -> None:
-        """`output` is the reading end of the pipe of its standard output and error."""
+        """`output` is the read end of the pipe for its standard output and error."""
         self.replica = replica
         self.sock = sock
         self.output = output
         self.digest = digest
         self.write_buffer = WriteBuffer(sock, 2 * LINE_LIMIT, f"replica {replica.number}")
         self.pid = 0
-        self.started = threading.Event()
+        self.start_ended = threading.Event()
         self.failure: str | None = None
-        self.unread_output = b""  # a line that is not complete yet
+        self.incomplete_line = b""  # the start of a line whose end has not been read yet
 
-    def run(self, number: int, content: msgspec.Raw) -> bool:
-        """Sends it a request; False where it reads too slowly or is gone."""
-        return self._send(RunFunction(number, content))
+    def run(self, number: int, input_json: msgspec.Raw) -> bool:
+        """Sends a request to the replica; False where the replica reads too slowly or has ended."""
+        return self._send(RunFunction(number, input_json))
 
     def stop(self, number: int) -> None:
-        """Has it stop a request."""
+        """Tells the replica to stop a request."""
         self._send(StopRequest(number))
 
     def _send(self, message: WorkerMessage) -> bool:
@@ -64,7 +64,7 @@
         return True
 
     def messages(self) -> Iterator[ReplicaMessage]:
-        """The messages it sends, until it is gone or sends an invalid one."""
+        """Yields the replica's messages until it ends or sends an invalid one."""
         lines = LineReader(LINE_LIMIT)
         kinds = ReplicaReady | StartFailed | FunctionReturned | FunctionRaised | SlotFreed
         decoder: msgspec.json.Decoder[ReplicaMessage] = msgspec.json.Decoder(kinds)
@@ -76,19 +76,19 @@
             return
 
     def read_output(self) -> list[str]:
-        """Some of its output, as lines for the log."""
+        """Reads a part of the replica's output, and returns its lines for the log."""
         try:
-            data = os.read(self.output, OUTPUT_BYTES) if self.output >= 0 else b""
+            data = os.read(self.output, OUTPUT_READ_BYTES) if self.output >= 0 else b""
         except OSError:
             return []
-        *lines, rest = (self.unread_output + data)[-OUTPUT_BYTES:].split(b"\n")
-        self.unread_output = rest[-OUTPUT_LINE_BYTES:]
-        texts = [line[:OUTPUT_LINE_BYTES].decode("utf-8", "replace") for line in lines[:OUTPUT_LINES]]
-        if len(lines) > OUTPUT_LINES:
-            texts.append(f"({len(lines) - OUTPUT_LINES} lines more)")
-        return texts
+        *lines, incomplete_line = (self.incomplete_line + data)[-OUTPUT_READ_BYTES:].split(b"\n")
+        self.incomplete_line = incomplete_line[-MAX_LOGGED_LINE_BYTES:]
+        logged_lines = [line[:MAX_LOGGED_LINE_BYTES].decode("utf-8", "replace") for line in lines[:MAX_LOGGED_LINES]]
+        if len(lines) > MAX_LOGGED_LINES:
+            logged_lines.append(f"({len(lines) - MAX_LOGGED_LINES} more lines)")
+        return logged_lines
 
     def close_output(self) -> None:
-        """Closes the pipe of its output; to be called once."""
+        """Closes the pipe for its output; must be called only once."""
         os.close(self.output)
         self.output = -1
--- a/wickdyke/worker/replica_supervisor.py
+++ b/wickdyke/worker/replica_supervisor.py
@@ -1,4 +1,4 @@
-"""The running replicas: sends them requests, receives their answers, and ends them."""
+"""Supervises the replicas' processes: sends them requests, receives their answers, and ends them."""
 
 from wickdyke.worker.actions import Run, Stop
 from wickdyke.worker.cache import Cache
@@ -22,7 +22,7 @@
 
 
 class ReplicaSupervisor:
-    """The processes of all replicas, by number. Its state is guarded by the schedule's lock."""
+    """The processes of all replicas, by the number of the replica. The schedule's lock guards its state."""
 
     def __init__(
         self,
@@ -38,14 +38,13 @@
         self.cache = cache
         self.log = log
         self.processes: dict[int, ReplicaProcess] = {}
-        self.running: dict[int, Request] = {}  # by their number in replica messages
-        self.stopped: dict[
-            int, Replica
-        ] = {}  # replicas of stopped requests whose slot is not free yet, by the same number
+        self.running_requests: dict[int, Request] = {}  # by their number in messages to replicas
+        # By the same number: the replicas of stopped requests whose slot is not free yet.
+        self.stopped_request_replicas: dict[int, Replica] = {}
         self.last_number = 0
 
     def is_current(self, process: ReplicaProcess) -> bool:
-        """Whether it has not been ended."""
+        """Whether the process has not been ended by `end`."""
         return self.processes.get(process.replica.number) is process
 
     # ---- actions of the schedule, under its lock ----
@@ -55,24 +54,24 @@
         request = action.request
         replica = action.replica
         self.last_number += 1
-        self.running[self.last_number] = request
+        self.running_requests[self.last_number] = request
         request.number = self.last_number
         process = self.processes.get(replica.number)
         if process is None or not process.run(request.number, self.open_requests.input(request)):
-            self.end(replica, "it does not read")
+            self.end(replica, "the replica does not read its messages")
             self.runner.schedule.replica_ended(replica)
 
     def stop(self, action: Stop) -> None:
-        """Has a replica stop a request."""
+        """Tells the request's replica to stop it."""
         number = action.request.number
-        self.running.pop(number, None)
-        self.stopped[number] = action.replica
+        self.running_requests.pop(number, None)
+        self.stopped_request_replicas[number] = action.replica
         process = self.processes.get(action.replica.number)
         if process is not None:
             process.stop(number)
 
     def end(self, replica: Replica, reason: str) -> None:
-        """Ends a replica's process. A `reason` is logged; there is none where it was idle."""
+        """Ends a replica's process. Logs the `reason`, unless it is empty, as for an idle replica."""
         process = self.processes.pop(replica.number, None)
         if process is None:
             return
@@ -85,16 +84,16 @@
     # ---- threads ----
 
     def listen(self, process: ReplicaProcess) -> None:
-        """Handles a replica's messages until it is gone."""
+        """Handles a replica's messages until it ends."""
         for message in process.messages():
             self._handle(process, message)
         if process.failure is None:
-            process.failure = "it ended"
-        process.started.set()
+            process.failure = "the replica ended"
+        process.start_ended.set()
         with self.runner.lock:
             is_loading = process.replica.state == ReplicaState.LOADING
             if self.is_current(process) and not is_loading:
-                self.end(process.replica, "it ended by itself")
+                self.end(process.replica, "the replica ended by itself")
                 with self.runner.event() as schedule:
                     schedule.replica_ended(process.replica)
         process.write_buffer.close()
@@ -105,31 +104,31 @@
     def _handle(self, process: ReplicaProcess, message: ReplicaMessage) -> None:
         match message:
             case ReplicaReady():
-                process.started.set()
+                process.start_ended.set()
             case StartFailed():
                 process.failure = message.reason
-                process.started.set()
+                process.start_ended.set()
             case FunctionReturned() | FunctionRaised() | SlotFreed():
                 with self.runner.event() as schedule:
-                    # An answer that was sent before the order to stop frees the slot as well.
-                    if message.request in self.stopped:
-                        self._slot_freed(schedule, process, message.request)
+                    # An answer that was sent before the replica received StopRequest frees the slot too.
+                    if message.request in self.stopped_request_replicas:
+                        self._free_slot(schedule, process, message.request)
                     elif not isinstance(message, SlotFreed):
-                        self._answered(schedule, process, message)
+                        self._handle_answer(schedule, process, message)
 
-    def _slot_freed(self, schedule: Schedule, process: ReplicaProcess, number: int) -> None:
-        """A stopped request has ended."""
-        if self.stopped[number] is process.replica:
-            del self.stopped[number]
+    def _free_slot(self, schedule: Schedule, process: ReplicaProcess, number: int) -> None:
+        """Frees the slot of a stopped request that has ended."""
+        if self.stopped_request_replicas[number] is process.replica:
+            del self.stopped_request_replicas[number]
             schedule.slot_freed(process.replica)
 
-    def _answered(
+    def _handle_answer(
         self, schedule: Schedule, process: ReplicaProcess, message: FunctionReturned | FunctionRaised
     ) -> None:
-        request = self.running.get(message.request)
+        request = self.running_requests.get(message.request)
         if request is None or request.replica is not process.replica:
             return
-        del self.running[message.request]
+        del self.running_requests[message.request]
         if not schedule.request_answered(request.key):
             return
         if isinstance(message, FunctionRaised):
@@ -138,7 +137,7 @@
             self.open_requests.answer(request, message.output)
 
     def watch_parent(self) -> None:
-        """Handles the parent's messages until it is gone."""
+        """Handles the parent's messages until it ends."""
         for event in self.parent.events():
             with self.runner.lock:
                 self._handle_event(event)
@@ -156,7 +155,7 @@
         )
 
     def log_output(self) -> None:
-        """Logs some of the output of each replica; one that prints more waits until the rest is read."""
+        """Logs a part of the output of each replica; a replica that prints more blocks until the rest is read."""
         with self.runner.lock:
             for process in list(self.processes.values()):
                 replica = process.replica
