--- a/tests/test_package.py
+++ b/tests/test_package.py
@@ -33,11 +33,11 @@
             (good.replace('(set "WORD" "sea")', '(set "W" "1") (set "W" "2")'), ("second time",)),
             (good.replace("(memory 64 MB)", ""), ("without memory",)),
             (good[:-1] + ' (digest "md5:1"))', ("md5:1", "sha256")),
-            (good[:-1] + ' (digest "sha256:' + "0" * 64 + '"))', ("take (digest ...) out",)),
+            (good[:-1] + ' (digest "sha256:' + "0" * 64 + '"))', ("remove (digest ...)",)),
             (good + good, ("a second (package ...)",)),
             ("(package", ("never closed",)),
             ("", ("nothing",)),
-            ("\udcff", ("no UTF-8",)),
+            ("\udcff", ("not UTF-8",)),
         ):
             with self.subTest(text=text):
                 shutil.rmtree(self.path("f"), ignore_errors=True)
@@ -94,13 +94,13 @@
             ([*plain, ("link", b"/etc/passwd", 0o120777)], None, ("link", "plain files")),
             ([*plain, ("pipe", b"", 0o010644)], None, ("plain files",)),
             ([*plain, ("main.py", code)], None, ("twice",)),
-            ([*plain, ("more.py", b"1")], None, ("digest", "as its manifest says")),
+            ([*plain, ("more.py", b"1")], None, ("digest", "as stated in its manifest")),
             ([("package.sexp", right), ("main.py", code + b"#")], None, ("digest",)),
             ([("package.sexp", text), ("main.py", code)], None, ("without a digest",)),
             ([("main.py", code)], None, ("no package.sexp",)),
-            (plain, 100, ("whole zip",)),
-            (plain, -10, ("whole zip",)),
-            (plain, 0, ("whole zip",)),
+            (plain, 100, ("complete zip archive",)),
+            (plain, -10, ("complete zip archive",)),
+            (plain, 0, ("complete zip archive",)),
         ):
             with self.subTest(entries=[name for name, *_ in entries], cut=cut):
                 with warnings.catch_warnings():
--- a/tests/test_worker_store.py
+++ b/tests/test_worker_store.py
@@ -113,7 +113,7 @@
     def test_nothing_comes(self):
         """(what the store does) -> the fetch ends with its reason, after so many breaks without a byte more."""
         self.store()
-        for how, words in (("hang up", "ended the connection"), ("stall", "timed out"), ("lie", "can't be read")):
+        for how, words in (("hang up", "ended the connection"), ("stall", "timed out"), ("lie", "an invalid response")):
             with self.subTest(how=how):
                 tries = []
 
--- a/wickdyke/worker/__init__.py
+++ b/wickdyke/worker/__init__.py
@@ -1,1 +1,1 @@
-"""A worker: loads packages on demand into replica processes, runs requests there, and measures their memory."""
+"""The worker: loads packages on demand into replica processes, runs requests there, and measures their memory."""
--- a/wickdyke/worker/package.py
+++ b/wickdyke/worker/package.py
@@ -1,6 +1,6 @@
-"""Packages as folders and as archives: reading them with all checks, and packing them.
+"""Reads and checks packages, which are folders or archives, and packs them.
 
-A package is Python code beside a manifest (manifest.py). What is read is checked before anything of it is used.
+A package consists of Python code and a manifest (manifest.py). It is checked completely before it is used.
 """
 
 import contextlib
@@ -15,13 +15,13 @@
 from wickdyke.worker.manifest import Manifest, invalid_package
 from wickdyke.worker.package_digest import PackageFile, content_digest
 
-FILES_LIMIT = 10_000  # of one package
-BYTES_LIMIT = 2 << 30  # of one package, unpacked
-ENTRY_NAME_SHOWN = 80  # characters of an archive entry's name in errors
-ENTRY_DATE = (1980, 1, 1, 0, 0, 0)  # of all archive entries, so that the same files give the same bytes
-FILE_MODE = stat.S_IFREG | 0o644
-DIGEST_MISMATCH = "as its manifest says"
-UNREADABLE_ARCHIVE = (
+MAX_FILES = 10_000  # of one package
+MAX_BYTES = 2 << 30  # of one package, unpacked
+MAX_SHOWN_NAME_LENGTH = 80  # characters of an archive entry's name in an error message
+ENTRY_DATE = (1980, 1, 1, 0, 0, 0)  # of all archive entries, so that equal files give equal archives
+FILE_MODE = stat.S_IFREG | 0o644  # of all archive entries
+DIGEST_MISMATCH = "as stated in its manifest"  # in the expected value of a diagnostic, by which `pack` finds it
+UNREADABLE_ARCHIVE_ERRORS = (
     zipfile.BadZipFile,
     zipfile.LargeZipFile,
     zlib.error,
@@ -29,7 +29,7 @@
     NotImplementedError,
     RuntimeError,
     ValueError,
-)  # what zipfile raises for an archive that is damaged or unsupported
+)  # raised by zipfile for a damaged or unsupported archive
 
 
 def from_folder(path: str) -> tuple[Manifest, list[PackageFile]]:
@@ -47,7 +47,7 @@
             if not stat.S_ISREG(os.lstat(file_path).st_mode):
                 raise invalid_package(file_path, "a link or special file", "plain files only")
             with open(file_path, "rb") as source:
-                data = source.read(BYTES_LIMIT + 1)
+                data = source.read(MAX_BYTES + 1)
             total += len(data)
             files.append((os.path.relpath(file_path, path).replace(os.sep, "/"), data))
             _check_limits(path, len(files), total)
@@ -58,8 +58,8 @@
     """(manifest, other files) of an archive, checked by its actual bytes; raises InvalidConfigError."""
     try:
         files = _read_entries(path)
-    except UNREADABLE_ARCHIVE as error:
-        raise invalid_package(path, f"an archive that can't be read ({error})", "a whole zip") from None
+    except UNREADABLE_ARCHIVE_ERRORS as error:
+        raise invalid_package(path, f"an archive that can't be read ({error})", "a complete zip archive") from None
     except OSError as error:
         raise invalid_package(path, error.strerror or str(error), "a file that can be read") from None
     manifest, files = _split_manifest(path, files)
@@ -76,9 +76,9 @@
             if entry.is_dir():
                 continue
             _check_entry(path, entry, files)
-            # Limited by what is decompressed, not by the size that the archive's directory states.
+            # Limits the decompressed bytes, as the size in the archive's directory may be wrong.
             with archive.open(entry) as source:
-                data = source.read(BYTES_LIMIT - total + 1)
+                data = source.read(MAX_BYTES - total + 1)
             total += len(data)
             files[entry.filename] = data
             _check_limits(path, len(files), total)
@@ -86,7 +86,7 @@
 
 
 def _check_entry(path: str, entry: zipfile.ZipInfo, files: dict[str, bytes]) -> None:
-    label = f"the entry {entry.filename[:ENTRY_NAME_SHOWN]!r}"
+    label = f"the entry {entry.filename[:MAX_SHOWN_NAME_LENGTH]!r}"
     mode = entry.external_attr >> 16
     if not _is_safe_path(entry.filename):
         raise invalid_package(path, label, "paths that stay inside the package")
@@ -103,15 +103,15 @@
 
 
 def _check_limits(path: str, file_count: int, total: int) -> None:
-    if file_count > FILES_LIMIT or total > BYTES_LIMIT:
-        raise invalid_package(path, f"over {FILES_LIMIT} files or {BYTES_LIMIT >> 20} MB", "less")
+    if file_count > MAX_FILES or total > MAX_BYTES:
+        raise invalid_package(path, f"over {MAX_FILES} files or {MAX_BYTES >> 20} MB", "fewer files and bytes")
 
 
 def _split_manifest(path: str, files: list[PackageFile]) -> tuple[Manifest, list[PackageFile]]:
-    """(manifest, other files), checked against each other."""
+    """(manifest, other files); raises InvalidConfigError where they do not match."""
     by_name = dict(files)
     if manifests.FILE_NAME not in by_name:
-        raise invalid_package(path, f"no {manifests.FILE_NAME}", "one at its top")
+        raise invalid_package(path, f"no {manifests.FILE_NAME}", "one at the top level")
     manifest = manifests.parse(by_name.pop(manifests.FILE_NAME), os.path.join(path, manifests.FILE_NAME))
     module = manifest.entry.partition(":")[0].replace(".", "/")
     if not {module + ".py", module + "/__init__.py"} & by_name.keys():
@@ -132,8 +132,8 @@
 def pack(folder: str, target: str) -> tuple[Manifest, str]:
     """Writes the archive of a folder as `target`/NAME@VERSION.zip, the same bytes for the same files.
 
-    Returns (manifest, path); raises InvalidConfigError, OSError. A right digest in the folder's manifest is written
-    anew, a wrong one is an error.
+    Returns (manifest, path); raises InvalidConfigError, OSError. A correct digest in the folder's manifest is
+    written again, a wrong one is an error.
     """
     try:
         manifest, files = from_folder(folder)
@@ -141,7 +141,10 @@
         if not any(DIGEST_MISMATCH in diagnostic.expected for diagnostic in error.diagnostics):
             raise
         raise invalid_package(
-            folder, "a digest in the manifest that does not fit", "none: pack writes it", "take (digest ...) out"
+            folder,
+            "a digest in the manifest that does not match the files",
+            "none: pack writes it",
+            "remove (digest ...)",
         ) from None
     text = manifests.render(manifest, content_digest(files))
     path = os.path.join(target, f"{manifest.name}@{manifest.version}.zip")
@@ -162,7 +165,7 @@
 
 
 def _replace_file(path: str, content: memoryview) -> None:
-    """Writes a file and renames it into place, so that it is there in full or not at all."""
+    """Writes a temporary file and renames it to `path`, so that a failure leaves no incomplete file there."""
     temporary = path + ".new"
     try:
         with open(temporary, "wb") as sink:
--- a/wickdyke/worker/parent.py
+++ b/wickdyke/worker/parent.py
@@ -20,7 +20,7 @@
 PR_SET_PDEATHSIG = 1  # linux/prctl.h
 PR_SET_CHILD_SUBREAPER = 36  # linux/prctl.h
 MESSAGE_BYTES = 1 << 20  # the most bytes of one message
-MAX_KILL_ROUNDS = 20  # when it ends: how often it kills and reaps the remaining processes
+MAX_KILL_ROUNDS = 20  # of killing and reaping the remaining processes when the parent ends
 KILL_INTERVAL = 0.01  # s between two of these rounds
 
 
@@ -127,18 +127,16 @@
                 self._kill(pid)  # also the remaining processes of its session
                 self._send(ReplicaEnded(number, os.waitstatus_to_exitcode(status)))
             for orphan in children(os.getpid()):
-                if (
-                    orphan not in self.numbers
-                ):  # forked by a replica into another session, and reparented to this process
+                # An orphan was forked by a replica into another session, and reparented to this process.
+                if orphan not in self.numbers:
                     self._kill(orphan)
 
     def _kill_all(self) -> None:
         for pid in self.numbers:
             self._kill(pid)
         own_pid = os.getpid()
-        for _ in range(
-            MAX_KILL_ROUNDS
-        ):  # processes that replicas forked into other sessions become children as their parents end
+        # Processes that replicas forked into other sessions become children of this process as their parents end.
+        for _ in range(MAX_KILL_ROUNDS):
             for pid in children(own_pid):
                 self._kill(pid)
             try:
--- a/wickdyke/worker/replica_server.py
+++ b/wickdyke/worker/replica_server.py
@@ -31,12 +31,10 @@
     WorkerMessage,
 )
 
-MEMORY_MARGIN_BYTES = (
-    96 * MB
-)  # private data beyond the memory that the manifest states, for the interpreter and its threads
-MEMORY_FACTOR = (
-    1.5  # times the memory that the manifest states; the worker kills a replica at 1, by its measured memory
-)
+# Private data beyond the memory that the manifest states, for the interpreter and the stacks of threads.
+MEMORY_MARGIN_BYTES = 96 * MB
+# Times the memory that the manifest states. By its measured memory the worker kills a replica long before this limit.
+MEMORY_FACTOR = 1.5
 STACK_BYTES = 512 * 1024  # of each thread
 READ_BYTES = 1 << 18  # read at a time
 MAX_OUTPUT_BYTES = LINE_LIMIT // 2  # of a function's encoded output
--- a/wickdyke/worker/source.py
+++ b/wickdyke/worker/source.py
@@ -1,4 +1,4 @@
-"""Where packages come from: the interface of a package store, and the store that is a folder of archives."""
+"""The interface of a package store, and a store that is a folder of archives."""
 
 import os
 import shutil
@@ -7,12 +7,12 @@
 
 from wickdyke.worker import manifest, package_digest
 
-NAME_SHOWN = 80  # characters of a function's name in errors
+MAX_SHOWN_NAME_LENGTH = 80  # characters of a function's name in an error message
 ARCHIVE_SUFFIX = ".zip"
 
 
 class PackageNotFoundError(Exception):
-    """There is no package of that name or version."""
+    """The store has no package of that name or version."""
 
 
 @dataclass(slots=True, frozen=True)
@@ -27,12 +27,12 @@
 
 
 class PackageStore(Protocol):
-    """What a worker loads packages from."""
+    """A store from which a worker loads packages."""
 
     def find(self, function: str) -> StoredPackage:
-        """The archive of a function, NAME for the newest version or NAME@VERSION.
+        """The archive of a function, given as NAME for the newest version or as NAME@VERSION.
 
-        Raises PackageNotFoundError, or OSError where the store can't be read for now.
+        Raises PackageNotFoundError, or OSError where the store can't be read at present.
         """
 
     def fetch(self, stored: StoredPackage, path: str) -> None:
@@ -41,7 +41,7 @@
 
 @dataclass(slots=True, frozen=True)
 class FileVersion:
-    """What identifies the contents of a file as long as nobody writes it."""
+    """Identifies the contents of a file by its metadata, which a write changes."""
 
     path: str
     modified_ns: int
@@ -50,22 +50,24 @@
 
 
 def split_name(function: str) -> tuple[str, str | None]:
-    """(name, version) of a function as requests name it: NAME for the newest, or NAME@VERSION.
+    """(name, version) of a function as in requests: NAME with None for the newest version, or NAME@VERSION.
 
-    Raises PackageNotFoundError where it can't be the name of a package.
+    Raises PackageNotFoundError where `function` is not a valid name of a package.
     """
     name, separator, version = function.partition("@")
     is_version = not separator or manifest.VERSION_PATTERN.fullmatch(version)
     if not manifest.is_package_name(name) or not is_version:
-        raise PackageNotFoundError(f"{function[:NAME_SHOWN]!r} names no package, expected NAME or NAME@VERSION")
+        raise PackageNotFoundError(
+            f"{function[:MAX_SHOWN_NAME_LENGTH]!r} names no package, expected NAME or NAME@VERSION"
+        )
     return name, version if separator else None
 
 
 class FolderStore:
     """A folder of archives NAME@VERSION.zip, as `wickdyke pack` writes them.
 
-    It is listed anew for each `find`, so that a package put there is found at once. Digests are computed once, as long
-    as the file does not change.
+    Each `find` lists the folder again, so that a new package is found immediately. The digest of a file is computed
+    again only after the file has changed.
     """
 
     def __init__(self, path: str) -> None:
@@ -73,7 +75,7 @@
         self.digests: dict[FileVersion, str] = {}
 
     def find(self, function: str) -> StoredPackage:
-        """The archive of a function; raises PackageNotFoundError, or OSError where the folder can't be read for now."""
+        """The archive of a function; raises PackageNotFoundError, or OSError where the folder can't be read."""
         name, version = split_name(function)
         versions = self._versions(name)
         if version is not None:
@@ -87,7 +89,7 @@
             status = os.stat(path)
             file_version = FileVersion(path, status.st_mtime_ns, status.st_ino, status.st_size)
             digest = self._digest(file_version)
-        except FileNotFoundError as error:  # removed since it was listed
+        except FileNotFoundError as error:  # removed after the folder was listed
             raise PackageNotFoundError(f"{path}: {error.strerror}") from None
         return StoredPackage(name, newest, digest, status.st_size, path)
 
--- a/wickdyke/worker/store.py
+++ b/wickdyke/worker/store.py
@@ -1,8 +1,8 @@
 """The store service: serves a folder of archives to workers over a socket, at a rate that all readers share.
 
-One JSON-RPC request a line. The result of `find` is name, version, digest and size. The result of `read`, of a digest
-from an offset on, is the number of bytes that follow, then come these bytes; a worker that lost its connection reads
-the rest from a later offset.
+Each line is one JSON-RPC request. `find` returns the name, version, digest and size of an archive. `read` takes a
+digest and an offset; its result is the number of bytes from there on, and is followed by these bytes. A worker whose
+connection was lost reads the rest from a later offset.
 """
 
 import contextlib
@@ -30,26 +30,26 @@
     ReadResult,
 )
 
-ERROR_LENGTH = 300  # characters of an error's text that are sent
-DIGEST_SHOWN = 80  # characters of a digest in errors
+MAX_ERROR_LENGTH = 300  # characters of an error message in a response
+MAX_SHOWN_DIGEST_LENGTH = 80  # characters of a digest in an error message
 
 
 class StoreServer:
-    """Serves from its construction until it is closed."""
+    """The server, which serves from its construction until it is closed."""
 
     def __init__(self, address: str, folder: str, rate: float, max_readers: int) -> None:
         """`rate` is bytes per second for all readers together; raises AddressInUseError."""
         self.folder = FolderStore(folder)
         self.max_readers = max_readers
         self.rate_limiter = RateLimiter(rate)
-        self.lock = threading.Lock()  # guards the rate limiter and the next two
-        self.packages: dict[str, StoredPackage] = {}  # those that were looked up, by digest
-        self.readers = 0  # reads in progress
+        self.lock = threading.Lock()  # guards the rate limiter, `packages` and `active_readers`
+        self.packages: dict[str, StoredPackage] = {}  # by digest, of those that were looked up
+        self.active_readers = 0  # the number of reads in progress
         self.closed = threading.Event()
         self.listener = Listener(address, self._serve)
 
     def close(self) -> None:
-        """Ends all connections."""
+        """Closes the listener and all connections."""
         self.closed.set()
         self.listener.close()
 
@@ -73,7 +73,7 @@
             else:
                 _send(sock, jsonrpc.error_response(request.ident, jsonrpc.METHOD_NOT_FOUND, "expected find or read"))
         except msgspec.MsgspecError as error:
-            _send(sock, jsonrpc.error_response(request.ident, jsonrpc.INVALID_PARAMS, str(error)[:ERROR_LENGTH]))
+            _send(sock, jsonrpc.error_response(request.ident, jsonrpc.INVALID_PARAMS, str(error)[:MAX_ERROR_LENGTH]))
         except PackageNotFoundError as error:
             _send(sock, jsonrpc.error_response(request.ident, PACKAGE_NOT_FOUND, str(error)))
 
@@ -81,7 +81,7 @@
         find = msgspec.json.decode(request.params, type=FindRequest)
         try:
             package = self.folder.find(find.function)
-        except OSError as error:  # of the folder, for now: the worker may retry
+        except OSError as error:  # the folder can't be read at present; the worker may retry
             reason = f"{error.filename or self.folder.path}: {error.strerror or error}"
             _send(sock, jsonrpc.error_response(request.ident, UNREADABLE, reason))
             return
@@ -94,8 +94,8 @@
         read = msgspec.json.decode(request.params, type=ReadRequest)
         with self.lock:
             package = self.packages.get(read.digest)
-            is_full = self.readers >= self.max_readers
-            self.readers += not is_full
+            is_full = self.active_readers >= self.max_readers
+            self.active_readers += not is_full
         if is_full:
             text = f"{self.max_readers} read already"
             _send(sock, jsonrpc.error_response(request.ident, TOO_MANY_READERS, text))
@@ -109,13 +109,13 @@
                 self._send_file(sock, source, size)
         finally:
             with self.lock:
-                self.readers -= 1
+                self.active_readers -= 1
 
     def _check(self, package: StoredPackage | None, read: ReadRequest) -> StoredPackage:
-        """The package; raises PackageNotFoundError where there are no such bytes to be read."""
-        # A package may be replaced under its name; a read that is resumed must be of the same archive.
+        """Returns the package; raises PackageNotFoundError where it was replaced or has no such offset."""
+        # An archive may be replaced by another one of the same name; a resumed read must be of the same archive.
         if package is None or self.folder.find(f"{package.name}@{package.version}").digest != read.digest:
-            digest = read.digest[:DIGEST_SHOWN]
+            digest = read.digest[:MAX_SHOWN_DIGEST_LENGTH]
             raise PackageNotFoundError(f"no archive {digest} any more, expected one that find gave")
         if not 0 <= read.offset <= package.size:
             raise PackageNotFoundError(f"no byte {read.offset} of {package.size}")
@@ -131,7 +131,7 @@
             sock.sendall(chunk)
             remaining -= len(chunk)
         if remaining:
-            raise OSError("the file is shorter than it was")  # ends the connection: the worker retries
+            raise OSError("the archive became shorter while it was read")  # closes the connection; the worker retries
 
 
 def _send(sock: socket.socket, message: bytes) -> None:
--- a/wickdyke/worker/store_client.py
+++ b/wickdyke/worker/store_client.py
@@ -1,4 +1,4 @@
-"""The client of the store service: finds archives, and resumes a read whose connection was lost."""
+"""The client of the store service: finds archives, and reads them with retries after lost connections."""
 
 import errno
 import os
@@ -23,33 +23,39 @@
 )
 
 CONNECT_TIMEOUT = 2000.0  # ms
-STALL_TIMEOUT = 3000.0  # ms without a byte after which a connection counts as stalled
-READ_BYTES = 4096  # of a response's line that are read at once
+STALL_TIMEOUT = 3000.0  # ms without a received byte, after which a connection counts as stalled
+READ_BYTES = 4096  # of a response line, received at a time
 
 Result = TypeVar("Result", FindResult, ReadResult)
 
 
 @dataclass(slots=True)
 class RetryBackoff:
-    """When a fetch is retried. It ends after `attempts` in a row without progress; the pauses between them double."""
+    """The pauses between the retries of a fetch.
 
-    attempts: int = 4
+    A fetch fails after `max_failures` lost connections in a row without progress; each of these doubles the pause.
+    """
+
+    max_failures: int = 4
     first_pause: float = 50.0  # ms
     max_pause: float = 1000.0  # ms
-    failures: int = 0  # in a row, without progress
-    received: int = 0  # bytes
+    failures_in_a_row: int = 0  # without progress
+    received_bytes: int = 0  # in total, until the last failure
 
     def connection_lost(self, received: int) -> float | None:
-        """A connection was lost after `received` bytes in total. The ms to wait before the next; None to give up."""
-        self.failures = 0 if received > self.received else self.failures + 1
-        self.received = received
-        if self.failures >= self.attempts:
+        """Records a lost connection, with the bytes received in total.
+
+        Returns the ms to wait before the retry; None where the fetch has failed.
+        """
+        self.failures_in_a_row = 0 if received > self.received_bytes else self.failures_in_a_row + 1
+        self.received_bytes = received
+        if self.failures_in_a_row >= self.max_failures:
             return None
-        return min(self.max_pause, self.first_pause * 2.0**self.failures)
+        return min(self.max_pause, self.first_pause * 2.0**self.failures_in_a_row)
 
 
 class LocalWriteError(Exception):
-    """Received bytes could not be written here. That is no fault of the store, so the read is not retried."""
+    """Received bytes could not be written to the local file. The store can't help, so the read is not retried."""
 
     def __init__(self, cause: OSError) -> None:
         super().__init__(str(cause))
@@ -57,7 +63,7 @@
 
 
 class StoreClient:
-    """The store service at an address: a source.PackageStore. `stall_timeout` is in ms."""
+    """Accesses the store service at an address as a source.PackageStore. `stall_timeout` is in ms."""
 
     def __init__(self, address: str, stall_timeout: float = STALL_TIMEOUT) -> None:
         self.address = address
@@ -70,7 +76,10 @@
         return StoredPackage(result.name, result.version, result.digest, result.size)
 
     def fetch(self, stored: StoredPackage, path: str) -> None:
-        """Reads the archive into a file; raises PackageNotFoundError where it is gone, OSError where that fails."""
+        """Reads the archive into a file.
+
+        Raises PackageNotFoundError where the store no longer has the archive, OSError where reading or writing fails.
+        """
         backoff = RetryBackoff()
         with open(path, "wb") as sink:
             while sink.tell() < stored.size:
@@ -82,19 +91,22 @@
                     received = sink.tell()
                     pause = backoff.connection_lost(received)
                     if pause is None:
-                        text = f"{error}, at byte {received} of {stored.size}"
-                        raise OSError(error.errno or 0, text, self.address) from None
+                        message = f"{error}, at byte {received} of {stored.size}"
+                        raise OSError(error.errno or 0, message, self.address) from None
                     time.sleep(pause / 1000)
 
     def _read_or_find(self, stored: StoredPackage, sink: BinaryIO) -> None:
-        """Reads the rest. A store serves only packages that were looked up since its start: after a restart this looks
-        the package up and raises OSError, so that the read is retried."""
+        """Reads the rest of the archive.
+
+        A store serves only packages that were looked up since its start. After a restart this method looks the package
+        up and raises OSError, so that the read is retried.
+        """
         try:
             self._read(stored, sink)
         except PackageNotFoundError:
             if self.find(f"{stored.name}@{stored.version}").digest != stored.digest:
                 raise
-            raise OSError("the store was started anew") from None
+            raise OSError("the store was restarted") from None
 
     def _read(self, stored: StoredPackage, sink: BinaryIO) -> None:
         with self._connect() as sock:
@@ -103,7 +115,7 @@
             remaining = result.bytes
             if remaining != expected or len(received) > remaining:
                 raise PackageNotFoundError(
-                    f"{self.address}: {remaining} bytes of {stored.digest} to come, expected {expected}"
+                    f"{self.address}: {remaining} bytes of {stored.digest} remain, expected {expected}"
                 )
             while remaining:
                 chunk = received or sock.recv(min(remaining, CHUNK_BYTES))
@@ -124,7 +136,7 @@
     def _request(
         self, sock: socket.socket, method: str, params: FindRequest | ReadRequest, result_type: type[Result]
     ) -> tuple[Result, bytes]:
-        """Sends a request. (result, bytes received after its line); raises PackageNotFoundError, OSError."""
+        """Sends a request. Returns (result, bytes received after its line); raises PackageNotFoundError, OSError."""
         sock.sendall(jsonrpc.request_line(method, jsonrpc.encode(params), 1))
         data = b""
         while b"\n" not in data:
@@ -133,7 +145,7 @@
                 raise ConnectionResetError("the store ended the connection")
             data += chunk
             if len(data) > LINE_LIMIT + CHUNK_BYTES:
-                raise OSError("an answer without an end")
+                raise OSError("a response line that is too long")
         line, _, rest = data.partition(b"\n")
         try:
             _, result, error_object = jsonrpc.parse_response(line)
@@ -143,4 +155,4 @@
                 raise OSError(os.strerror(errno.EAGAIN) if error_object is None else error_object.message)
             return msgspec.json.decode(result, type=result_type), rest
         except (jsonrpc.MalformedRequestError, msgspec.MsgspecError) as error:
-            raise OSError(f"an answer that can't be read ({error})") from None
+            raise OSError(f"an invalid response ({error})") from None
--- a/wickdyke/worker/store_messages.py
+++ b/wickdyke/worker/store_messages.py
@@ -2,28 +2,28 @@
 
 import msgspec
 
-CHUNK_BYTES = 1 << 16  # of an archive that are sent or read at once
-LINE_LIMIT = 1 << 16  # bytes of a line
-PACKAGE_NOT_FOUND = -32020  # error code: no such package, or no such bytes of it
-TOO_MANY_READERS = -32010  # error code
-UNREADABLE = -32603  # error code: the folder can't be read for now
+CHUNK_BYTES = 1 << 16  # of an archive, sent or received at a time
+LINE_LIMIT = 1 << 16  # the most bytes of a line
+PACKAGE_NOT_FOUND = -32020  # error code: there is no such package, or it has no such offset
+TOO_MANY_READERS = -32010  # error code: the limit of concurrent reads is reached
+UNREADABLE = -32603  # error code: the folder can't be read at present
 
 
 class FindRequest(msgspec.Struct):
-    """The params of `find`: the archive of a function, NAME or NAME@VERSION."""
+    """The params of `find`, which looks up the archive of a function, NAME or NAME@VERSION."""
 
     function: str = msgspec.field(name="program")
 
 
 class ReadRequest(msgspec.Struct):
-    """The params of `read`: an archive's bytes from an offset on."""
+    """The params of `read`, which reads the archive with a digest from an offset in bytes to its end."""
 
     digest: str
     offset: int = 0
 
 
 class FindResult(msgspec.Struct):
-    """The result of `find`; `size` is in bytes."""
+    """The result of `find`: the archive that was found. `size` is in bytes."""
 
     name: str
     version: str
@@ -32,6 +32,6 @@
 
 
 class ReadResult(msgspec.Struct):
-    """The result of `read`: as many bytes follow after this line."""
+    """The result of `read`: the number of bytes that follow after this line."""
 
     bytes: int
