--- a/tests/test_coordinator.py
+++ b/tests/test_coordinator.py
@@ -81,7 +81,9 @@
             first = next(iter(running.coordinator.requests.by_id.values()))
             client.send(jsonrpc.notification_line("cancel", b'{"id":"x"}'))
             client.ask("x")
-            self.assertTrue(until(lambda: any(ask is not first for ask in running.coordinator.requests.by_id.values())))
+            self.assertTrue(
+                until(lambda: any(pending is not first for pending in running.coordinator.requests.by_id.values()))
+            )
             first.answer(b'{"wrong":1}')
             client.sock.settimeout(0.2)
             with self.assertRaises(TimeoutError):
@@ -129,7 +131,9 @@
         with Running((worker_that_does_not_read,), deadline="60 s", soft="50 s") as running:
             client = running.client()
             client.ask(1, input="x" * (8 << 20))
-            self.assertTrue(until(lambda: any(ask.commands for ask in running.coordinator.requests.by_id.values())))
+            self.assertTrue(
+                until(lambda: any(pending.commands for pending in running.coordinator.requests.by_id.values()))
+            )
             client.close()
             self.assertTrue(until(lambda: "worker disconnected" in running.log_output.getvalue()))
             self.assertTrue(until(lambda: not running.coordinator.requests.by_id))
--- a/tests/test_gateway_stopped.py
+++ b/tests/test_gateway_stopped.py
@@ -70,7 +70,7 @@
         os.waitpid(self.process.pid, os.WUNTRACED)
         began_at = time.monotonic()
         act()
-        time.sleep(max(0.0, STOP_SECONDS - (time.monotonic() - began_at)))  # the outage itself
+        time.sleep(max(0.0, STOP_SECONDS - (time.monotonic() - began_at)))  # the rest of the outage
         self.process.send_signal(signal.SIGCONT)
 
     def ask_all(self, clients, time_left, **more):
@@ -79,9 +79,9 @@
 
     def test_requests_whose_time_limit_has_expired_are_rejected(self):
         """(whether the connections are opened while the process is stopped, or before)"""
-        for new in (False, True):
-            with self.subTest(new=new):
-                clients = [] if new else [self.client() for _ in range(CLIENTS)]
+        for connects_while_stopped in (False, True):
+            with self.subTest(connects_while_stopped=connects_while_stopped):
+                clients = [] if connects_while_stopped else [self.client() for _ in range(CLIENTS)]
 
                 def act(clients=clients):
                     clients += [self.client() for _ in range(CLIENTS - len(clients))]
@@ -93,10 +93,10 @@
 
     def test_the_remaining_time_is_passed_on(self):
         """(whether the connections are opened while the process is stopped) -> workers receive the remaining time."""
-        for new in (False, True):
-            with self.subTest(new=new):
+        for connects_while_stopped in (False, True):
+            with self.subTest(connects_while_stopped=connects_while_stopped):
                 self.received_limits.clear()
-                clients = [] if new else [self.client() for _ in range(CLIENTS)]
+                clients = [] if connects_while_stopped else [self.client() for _ in range(CLIENTS)]
 
                 def act(clients=clients):
                     clients += [self.client() for _ in range(CLIENTS - len(clients))]
@@ -136,9 +136,9 @@
     def test_clients_that_left(self):
         """(how clients leave, whether they connect during the stop) -> their requests reach no worker."""
         for how in ("close", "cancel"):
-            for new in (False, True):
-                with self.subTest(how=how, new=new):
-                    clients = [] if new else [self.client() for _ in range(CLIENTS)]
+            for connects_while_stopped in (False, True):
+                with self.subTest(how=how, connects_while_stopped=connects_while_stopped):
+                    clients = [] if connects_while_stopped else [self.client() for _ in range(CLIENTS)]
 
                     def act(how=how, clients=clients):
                         clients += [self.client() for _ in range(CLIENTS - len(clients))]
--- a/tests/test_log.py
+++ b/tests/test_log.py
@@ -18,12 +18,12 @@
         read_end, write_end = os.pipe()
         sink = os.fdopen(write_end, "w")
         with Running(sink=sink) as running:
-            for at in range(logs.MAX_QUEUED_LINES + 5000):
-                running.log.info("filler", at=at, more="x" * 100)
+            for index in range(logs.MAX_QUEUED_LINES + 5000):
+                running.log.info("filler", index=index, more="x" * 100)
             self.assertTrue(until(lambda: running.log_writer.lost_lines > 0))
             client = running.client()
-            for at in range(50):
-                client.ask(at, time_left_ms=5000)
+            for index in range(50):
+                client.ask(index, time_left_ms=5000)
                 self.assertIn("result", client.answer())
             client.close()
             reader = threading.Thread(target=lambda: [None for _ in iter(lambda: os.read(read_end, 1 << 16), b"")])
--- a/tests/test_log_faults.py
+++ b/tests/test_log_faults.py
@@ -68,9 +68,9 @@
                         with open(self.path("log"), "w") as sink:
                             with mock.patch.object(os, "write", FailingWrite(self.path("log"), error, failing, limit)):
                                 log_writer = logs.LogWriter(sink)
-                                for at in range(40):
-                                    log_writer.msg(f"<line {at}>")
-                                    if at % 10 == 0:
+                                for number in range(40):
+                                    log_writer.msg(f"<line {number}>")
+                                    if number % 10 == 0:
                                         self.assertTrue(until(log_writer.lines.empty))
                                 log_writer.close(LONG)
                             self.assertFalse(log_writer.thread.is_alive())
@@ -243,8 +243,8 @@
         with Running() as running:
             running.gateway.coordinator.driver.recorder = recorder
             client = running.client()
-            for at in range(20):
-                client.ask(at, time_left_ms=5000)
+            for number in range(20):
+                client.ask(number, time_left_ms=5000)
                 self.assertIn("result", client.answer())
             client.close()
             self.assertTrue(until(lambda: len(log.lines) == 1))
--- a/tests/test_recordings.py
+++ b/tests/test_recordings.py
@@ -22,8 +22,8 @@
             (willing, refuses(worker_messages.FULL), dies_on_run, silent), soft="300 ms", deadline="800 ms", record=True
         ) as running:
             client = running.client()
-            for at in range(150):
-                client.ask(at, ("idem", "side")[at % 3 == 0], f"p{at % 7}")
+            for number in range(150):
+                client.ask(number, ("idem", "side")[number % 3 == 0], f"p{number % 7}")
             received = {client.answer()["id"] for _ in range(150)}
             self.assertEqual(received, set(range(150)))
             client.close()
@@ -62,8 +62,8 @@
             os.mkfifo(path)
             reader = os.open(path, os.O_RDONLY | os.O_NONBLOCK)
             recorder = recording.DecisionRecorder(path)
-            for at in range(100000):
-                recorder.record_input(float(at), "left", ("x" * 100,))
+            for number in range(100000):
+                recorder.record_input(float(number), "left", ("x" * 100,))
                 if recorder.has_ended:
                     break
             self.assertTrue(recorder.has_ended)
--- a/wickdyke/gateway/circuit_breaker.py
+++ b/wickdyke/gateway/circuit_breaker.py
@@ -16,7 +16,7 @@
 
     function: str
     digest: bytes
-    start: int
+    worker_start: int
 
 
 def input_digest(request_input: bytes) -> bytes:
@@ -90,22 +90,22 @@
                 reason="replicas end while executing the request",
             )
 
-    def connection_lost(self, worker: str, start: int, function: str, request_digest: bytes) -> bool:
+    def connection_lost(self, worker: str, worker_start: int, function: str, request_digest: bytes) -> bool:
         """Records that a connection was lost with the request in flight.
 
         Returns True for the worker's first unresolved loss: the caller is then to call `resolve_losses` later.
         """
         lost = self.unresolved_losses.setdefault(worker, [])
-        lost.append(LostAttempt(function, request_digest, start))
+        lost.append(LostAttempt(function, request_digest, worker_start))
         return len(lost) == 1
 
-    def resolve_losses(self, worker: str, start: int | None, now: float) -> None:
+    def resolve_losses(self, worker: str, worker_start: int | None, now: float) -> None:
         """Resolves the lost attempts of a worker once it is known whether the worker is down.
 
-        `start` is the worker's start number on its current connection, None where it has none. A connection lost
+        `worker_start` is the worker's start number on its current connection, None where it has none. A connection lost
         without a restart of the worker counts against no request.
         """
-        down = [lost for lost in self.unresolved_losses.pop(worker, []) if lost.start != start]
+        down = [lost for lost in self.unresolved_losses.pop(worker, []) if lost.worker_start != worker_start]
         for lost in down:
             self.replica_ended(lost.function, lost.digest, len(down), now)
 
--- a/wickdyke/gateway/file_watcher.py
+++ b/wickdyke/gateway/file_watcher.py
@@ -79,7 +79,8 @@
         try:
             content = self.read(self.path)
         except InvalidConfigError as error:
-            # An incomplete input may become valid without a change of this file, so it is read again each time.
+            # An incomplete input may become valid without a change of this file, so the file is read again at each
+            # check; the error is logged only once.
             if isinstance(error, IncompleteInputError):
                 self.version = _Marker.UNKNOWN
             if self.logged_version != version:
--- a/wickdyke/gateway/interfaces.py
+++ b/wickdyke/gateway/interfaces.py
@@ -273,7 +273,7 @@
         """Whether there is a connection."""
 
 
-# The coordinator passes a command only to worker clients of the protocol that made it, so the type is left open.
+# The coordinator passes a command only to worker clients of the protocol that made it, so its type is not checked.
 AnyWorkerClient = WorkerClient[Any]
 
 
@@ -298,7 +298,7 @@
         """Returns the number of listed workers."""
 
 
-AnyEndpointList = EndpointList[Any]  # entries are passed on as they were received, so their type is left open
+AnyEndpointList = EndpointList[Any]  # entries are passed on unchanged, so their type is not checked
 
 
 class WorkerHello(Protocol):
--- a/wickdyke/gateway/isolation.py
+++ b/wickdyke/gateway/isolation.py
@@ -111,8 +111,8 @@
         return self._rejection_in_flight(attempt, function, digest)
 
     def _connection_lost(self, worker: str, function: str, digest: bytes) -> None:
-        start = self._start_of(worker) or 0
-        if self.breaker.connection_lost(worker, start, function, digest):
+        worker_start = self._start_of(worker) or 0
+        if self.breaker.connection_lost(worker, worker_start, function, digest):
             self.context.timers.at(self.context.now() + RECONNECT_TIMEOUT, self._resolve_losses, worker)
 
     def _resolve_losses(self, worker: str) -> None:
