--- a/tests/test_client_leaving.py
+++ b/tests/test_client_leaving.py
@@ -18,6 +18,7 @@
     """Clients that leave before, during and after an attempt."""
 
     def settings(self, **limits):
+        """Returns settings with changed limits."""
         return {**rig.SETTINGS, "limits": {**rig.SETTINGS["limits"], **limits}}
 
     def test_an_unread_request_on_the_connection_to_be_evicted(self):
--- a/tests/test_coordinator_faults.py
+++ b/tests/test_coordinator_faults.py
@@ -13,6 +13,7 @@
     """Every request gets its final answer, also after an exception in the coordinator."""
 
     def advance(self, milliseconds):
+        """Runs the front end while its clock advances in steps of 50 ms."""
         for _ in range(milliseconds // 50):
             self.run_once()
             self.now += 50
--- a/tests/test_gateway_stopped.py
+++ b/tests/test_gateway_stopped.py
@@ -51,6 +51,7 @@
                 sock.sendall(ok(request["id"]))
 
     def client(self):
+        """Returns a new client connection."""
         client = Client(self.path)
         self.addCleanup(client.close)
         return client
@@ -61,6 +62,7 @@
         return self.outcome(client)
 
     def outcome(self, client):
+        """Returns the result of the next answer: ok, or the reason of the rejection."""
         received = client.answer()
         return received["result"]["answer"] if "result" in received else received["error"]["data"]["why"]
 
@@ -74,6 +76,7 @@
         self.process.send_signal(signal.SIGCONT)
 
     def ask_all(self, clients, time_left, **more):
+        """Sends one request from each client, with ids from 1 on."""
         for ident, client in enumerate(clients, 1):
             client.ask(ident, time_left_ms=time_left, **more)
 
--- a/tests/test_log_faults.py
+++ b/tests/test_log_faults.py
@@ -28,6 +28,7 @@
         self.folder = temporary_folder.name
 
     def path(self, *parts):
+        """Returns a path in the folder."""
         return os.path.join(self.folder, *parts)
 
 
@@ -51,6 +52,7 @@
     """Logs whose writes fail, and pipes that are not read."""
 
     def lines(self):
+        """Returns the lines of the log; the last one is empty where the log ends with a newline."""
         with open(self.path("log")) as source:
             return source.read().split("\n")
 
--- a/tests/test_work_held_back.py
+++ b/tests/test_work_held_back.py
@@ -120,11 +120,13 @@
         return self.recorded[-1]
 
     def test_the_first_connection_is_no_sign_of_a_new_process(self):
+        """Nothing shows a restart of the process: it counts as running since -inf."""
         client = self.client()
         self.check(client, 1)
         self.assertEqual(client.same_process_since, float("-inf"))
 
     def test_a_reset_of_the_only_connection_may_be_a_new_process(self):
+        """Once no connection is left, the worker's process may have been replaced."""
         client = self.client()
         self.check(client, 1)
         worker_socks = list(self.worker.socks)
@@ -137,6 +139,7 @@
         self.assertGreater(client.same_process_since, 0.0)
 
     def test_a_reset_beside_another_connection_is_no_sign_of_a_new_process(self):
+        """Another connection that stays open shows that the worker's process is still the same."""
         client = self.client()
         attempt = worker_command.Command(CommandKind.ATTEMPT, "a", b"a", rig.bulk(b"invoke", b"a", b"-", b"x"))
         client.send(attempt)
@@ -152,6 +155,7 @@
         self.assertEqual(client.same_process_since, float("-inf"))
 
     def test_a_health_check_takes_an_idle_connection(self):
+        """No second connection is opened for a health check while one is idle."""
         client = self.client()
         attempt = worker_command.Command(CommandKind.ATTEMPT, "a", b"a", rig.bulk(b"invoke", b"a", b"-", b"x"))
         client.send(attempt)
@@ -160,6 +164,7 @@
         self.assertEqual(len(self.worker.socks), 1)
 
     def test_a_command_that_may_not_begin_is_not_sent(self):
+        """The command ends as unsent."""
         client = self.client()
         command = worker_command.Command(CommandKind.PREWARM, "p", b"p", rig.bulk(b"prewarm", b"p", b"name=x,units=1"))
         command.may_begin = lambda now: False
