--- a/tests/test_gateway_stopped.py
+++ b/tests/test_gateway_stopped.py
@@ -51,6 +51,7 @@
                 sock.sendall(success_line(request["id"]))
 
     def client(self):
+        """Returns a new client connection."""
         client = Client(self.path)
         self.addCleanup(client.close)
         return client
@@ -61,6 +62,7 @@
         return self.outcome(client)
 
     def outcome(self, client):
+        """Returns the result of the next answer: ok, or the reason of the rejection."""
         received = client.answer()
         return received["result"]["answer"] if "result" in received else received["error"]["data"]["why"]
 
@@ -70,18 +72,19 @@
         os.waitpid(self.process.pid, os.WUNTRACED)
         began_at = time.monotonic()
         act()
-        time.sleep(max(0.0, STOP_SECONDS - (time.monotonic() - began_at)))  # the outage itself
+        time.sleep(max(0.0, STOP_SECONDS - (time.monotonic() - began_at)))  # the rest of the outage
         self.process.send_signal(signal.SIGCONT)
 
     def ask_all(self, clients, time_left, **more):
+        """Sends one request from each client, with ids from 1 on."""
         for ident, client in enumerate(clients, 1):
             client.ask(ident, time_left_ms=time_left, **more)
 
     def test_requests_whose_time_limit_has_expired_are_rejected(self):
         """(whether the connections are opened while the process is stopped, or before)"""
-        for new in (False, True):
-            with self.subTest(new=new):
-                clients = [] if new else [self.client() for _ in range(CLIENTS)]
+        for connects_while_stopped in (False, True):
+            with self.subTest(connects_while_stopped=connects_while_stopped):
+                clients = [] if connects_while_stopped else [self.client() for _ in range(CLIENTS)]
 
                 def act(clients=clients):
                     clients += [self.client() for _ in range(CLIENTS - len(clients))]
@@ -93,10 +96,10 @@
 
     def test_the_remaining_time_is_passed_on(self):
         """(whether the connections are opened while the process is stopped) -> workers receive the remaining time."""
-        for new in (False, True):
-            with self.subTest(new=new):
+        for connects_while_stopped in (False, True):
+            with self.subTest(connects_while_stopped=connects_while_stopped):
                 self.received_limits.clear()
-                clients = [] if new else [self.client() for _ in range(CLIENTS)]
+                clients = [] if connects_while_stopped else [self.client() for _ in range(CLIENTS)]
 
                 def act(clients=clients):
                     clients += [self.client() for _ in range(CLIENTS - len(clients))]
@@ -136,9 +139,9 @@
     def test_clients_that_left(self):
         """(how clients leave, whether they connect during the stop) -> their requests reach no worker."""
         for how in ("close", "cancel"):
-            for new in (False, True):
-                with self.subTest(how=how, new=new):
-                    clients = [] if new else [self.client() for _ in range(CLIENTS)]
+            for connects_while_stopped in (False, True):
+                with self.subTest(how=how, connects_while_stopped=connects_while_stopped):
+                    clients = [] if connects_while_stopped else [self.client() for _ in range(CLIENTS)]
 
                     def act(how=how, clients=clients):
                         clients += [self.client() for _ in range(CLIENTS - len(clients))]
--- a/tests/test_log_faults.py
+++ b/tests/test_log_faults.py
@@ -28,6 +28,7 @@
         self.folder = temporary_folder.name
 
     def path(self, *parts):
+        """Returns a path in the folder."""
         return os.path.join(self.folder, *parts)
 
 
@@ -51,6 +52,7 @@
     """Logs whose writes fail, and pipes that are not read."""
 
     def lines(self):
+        """Returns the lines of the log; the last one is empty where the log ends with a newline."""
         with open(self.path("log")) as source:
             return source.read().split("\n")
 
@@ -68,9 +70,9 @@
                         with open(self.path("log"), "w") as sink:
                             with mock.patch.object(os, "write", FailingWrite(self.path("log"), error, failing, limit)):
                                 log_writer = logs.LogWriter(sink)
-                                for at in range(40):
-                                    log_writer.msg(f"<line {at}>")
-                                    if at % 10 == 0:
+                                for number in range(40):
+                                    log_writer.msg(f"<line {number}>")
+                                    if number % 10 == 0:
                                         self.assertTrue(until(log_writer.lines.empty))
                                 log_writer.close(LONG)
                             self.assertFalse(log_writer.thread.is_alive())
@@ -243,8 +245,8 @@
         with RunningGateway() as running:
             running.gateway.coordinator.driver.recorder = recorder
             client = running.client()
-            for at in range(20):
-                client.ask(at, time_left_ms=5000)
+            for number in range(20):
+                client.ask(number, time_left_ms=5000)
                 self.assertIn("result", client.answer())
             client.close()
             self.assertTrue(until(lambda: len(log.lines) == 1))
