--- a/tests/schedule_rig.py
+++ b/tests/schedule_rig.py
@@ -1,4 +1,4 @@
-"""Set-up that the tests of a worker's schedule share."""
+"""Helpers for the tests of a worker's schedule."""
 
 from dataclasses import fields
 
@@ -7,58 +7,69 @@
 from wickdyke.worker.schedule import Schedule
 from wickdyke.worker.slow_start import SlowStart
 
-VERBS = {
+ACTION_NAMES = {
     StartLoad: "load",
     Unload: "unload",
-    Kill: "end",
+    Kill: "kill",
     Run: "run",
     Stop: "stop",
-    Reject: "refuse",
-    PrewarmDone: "held",
-    PrewarmFailed: "unheld",
+    Reject: "reject",
+    PrewarmDone: "prewarmed",
+    PrewarmFailed: "prewarm failed",
 }
 
 
 def new_schedule(  # noqa: PLR0913 - the limits of a worker, each with a default
     memory=100.0,
-    at_once=4,
-    loads_at_once=2,
-    queue=20,
-    idle_life=1000.0,
-    run_time=500.0,
-    stop_within=100.0,
+    concurrency=4,
+    load_concurrency=2,
+    max_requests=20,
+    idle_timeout=1000.0,
+    run_timeout=500.0,
+    stop_timeout=100.0,
     slow_start=None,
 ):
-    """A schedule at time 0 with these limits."""
+    """A schedule at time 0 with the given limits."""
     limits = ScheduleLimits(
-        memory, at_once, loads_at_once, queue, idle_life, run_time, stop_within, slow_start or SlowStart()
+        memory,
+        concurrency,
+        load_concurrency,
+        max_requests,
+        idle_timeout,
+        run_timeout,
+        stop_timeout,
+        slow_start or SlowStart(),
     )
     return Schedule(0.0, limits)
 
 
-def decisions(schedule):
-    """The actions one at a time: a verb, and the fields of the action."""
+def iter_actions(schedule):
+    """Yields each action as a tuple of its name and its fields."""
     for action in iter(schedule.next_action, None):
-        yield VERBS[type(action)], *(getattr(action, field.name) for field in fields(action))
+        yield ACTION_NAMES[type(action)], *(getattr(action, field.name) for field in fields(action))
 
 
-def take_decisions(schedule):
-    """All actions for now."""
-    return list(decisions(schedule))
+def take_actions(schedule):
+    """All actions that are due now."""
+    return list(iter_actions(schedule))
 
 
-def summary(acts):
-    """The verbs of actions, with the key or function they are about, and reasons."""
+def summarize(actions):
+    """The names of actions, each with the key or function of its subject, and with its texts."""
     return [
-        (verb, getattr(it, "key", None) or it.function.name, *(value for value in more if isinstance(value, str)))
-        for verb, it, *more in acts
+        (
+            action_name,
+            getattr(subject, "key", None) or subject.function.name,
+            *(value for value in values if isinstance(value, str)),
+        )
+        for action_name, subject, *values in actions
     ]
 
 
-def load_replica(schedule, name, memory=10.0, lanes=1):
-    """A replica that is ready."""
-    schedule.prewarm(f"h-{name}", name, memory, lanes, 1)
-    replica = next(action for verb, action, *_ in take_decisions(schedule) if verb == "load")
+def load_replica(schedule, name, memory=10.0, concurrency=1):
+    """Loads a replica, and returns it ready."""
+    schedule.prewarm(f"h-{name}", name, memory, concurrency, 1)
+    replica = next(subject for action_name, subject, *_ in take_actions(schedule) if action_name == "load")
     schedule.load_finished(replica, None)
-    take_decisions(schedule)
+    take_actions(schedule)
     return replica
--- a/tests/test_worker_schedule_machine.py
+++ b/tests/test_worker_schedule_machine.py
@@ -1,4 +1,4 @@
-"""A worker's schedule under any order of events, as a state machine that checks what must hold."""
+"""A worker's schedule under random sequences of events, checked by a state machine."""
 
 import unittest
 
@@ -6,56 +6,68 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from tests.schedule_rig import decisions, new_schedule
+from tests.schedule_rig import iter_actions, new_schedule
 from wickdyke.worker.model import ReplicaState
 
 
 class ScheduleMachine(RuleBasedStateMachine):
-    """Events in any order; the invariants are checked at each action and between events."""
+    """Reports events in any order; checks each action against a model, and invariants between events."""
 
     def __init__(self):
         super().__init__()
-        self.schedule, self.now, self.turn = new_schedule(memory=40.0, at_once=3, loads_at_once=2, queue=8), 0.0, 0
-        self.open, self.running, self.loading, self.live, self.stuck = {}, {}, set(), set(), []
-        self.came = []
-
-    def pull(self):
-        """Takes all actions, checks each, and keeps the model in step."""
-        for verb, it, *more in decisions(self.schedule):
-            match verb:
+        self.schedule, self.now, self.last_key = (
+            new_schedule(memory=40.0, concurrency=3, load_concurrency=2, max_requests=8),
+            0.0,
+            0,
+        )
+        self.open_requests, self.running_requests, self.loading_replicas, self.live_replicas, self.stopped_requests = (
+            {},
+            {},
+            set(),
+            set(),
+            [],
+        )
+        self.arrived_keys = []
+
+    def check_actions(self):
+        """Takes all actions, checks each one, and updates the model."""
+        for action_name, about, *values in iter_actions(self.schedule):
+            match action_name:
                 case "load":
-                    assert it.function.waiting_requests or any(
-                        h.function is it.function for h in self.schedule.prewarms.values()
-                    ), "a load that nothing waits for"
-                    self.loading.add(it)
+                    assert about.function.waiting_requests or any(
+                        prewarm.function is about.function for prewarm in self.schedule.prewarms.values()
+                    ), "a load starts for which nothing waits"
+                    self.loading_replicas.add(about)
                 case "run":
-                    replica = more[0]
-                    assert it.key in self.open, "a call is run that was answered or left"
-                    assert replica in self.live and it.key not in self.running
-                    ahead = [
+                    replica = values[0]
+                    assert about.key in self.open_requests, "a request runs that was answered or cancelled"
+                    assert replica in self.live_replicas and about.key not in self.running_requests
+                    earlier = [
                         key
-                        for key in self.came
-                        if key in self.open and key not in self.running and self.open[key] == it.function.name
+                        for key in self.arrived_keys
+                        if key in self.open_requests
+                        and key not in self.running_requests
+                        and self.open_requests[key] == about.function.name
                     ]
-                    assert ahead[0] == it.key, "one that came later goes first"
-                    self.running[it.key] = replica
-                    inside = sum(each is replica for each in self.running.values())
-                    assert inside + sum(each is replica for _, each in self.stuck) <= replica.concurrency, (
-                        "more than its lanes"
-                    )
-                case "refuse":
-                    assert self.open.pop(it.key, None) is not None, "answered twice"
-                    self.running.pop(it.key, None)
+                    assert earlier[0] == about.key, "a later request overtakes an earlier one"
+                    self.running_requests[about.key] = replica
+                    in_use = sum(other is replica for other in self.running_requests.values())
+                    assert (
+                        in_use + sum(other is replica for _, other in self.stopped_requests) <= replica.concurrency
+                    ), "more requests than slots"
+                case "reject":
+                    assert self.open_requests.pop(about.key, None) is not None, "a request is answered twice"
+                    self.running_requests.pop(about.key, None)
                 case "stop":
-                    self.running.pop(it.key, None)
-                    self.stuck.append((it.key, more[0]))
+                    self.running_requests.pop(about.key, None)
+                    self.stopped_requests.append((about.key, values[0]))
                 case "unload":
-                    assert it in self.live and it not in self.running.values(), "ended for room while at work"
-                    assert all(each is not it for _, each in self.stuck)
-                    self.live.discard(it)
-                case "end":
-                    self.live.discard(it)
-                    self.stuck = [each for each in self.stuck if each[1] is not it]
+                    assert about in self.live_replicas and about not in self.running_requests.values(), "a busy replica"
+                    assert all(other is not about for _, other in self.stopped_requests)
+                    self.live_replicas.discard(about)
+                case "kill":
+                    self.live_replicas.discard(about)
+                    self.stopped_requests = [other for other in self.stopped_requests if other[1] is not about]
 
     def tick(self):
         """Lets 1 ms pass."""
@@ -65,137 +77,143 @@
     @rule(
         name=st.sampled_from("ppq"),
         memory=st.sampled_from([5.0, 5.0, 15.0, 30.0, 50.0]),
-        lanes=st.integers(1, 2),
-        left=st.sampled_from([5.0, 50.0, 2000.0, 2000.0]),
-        many=st.integers(1, 4),
+        concurrency=st.integers(1, 2),
+        time_left=st.sampled_from([5.0, 50.0, 2000.0, 2000.0]),
+        count=st.integers(1, 4),
     )
-    def call(self, name, memory, lanes, left, many):
+    def submit(self, name, memory, concurrency, time_left, count):
         """Requests of a function arrive."""
-        for _ in range(many):
+        for _ in range(count):
             self.tick()
-            self.turn += 1
-            self.open[self.turn] = name
-            self.came.append(self.turn)
-            self.schedule.submit(self.turn, name, memory, lanes, left)
-        self.pull()
+            self.last_key += 1
+            self.open_requests[self.last_key] = name
+            self.arrived_keys.append(self.last_key)
+            self.schedule.submit(self.last_key, name, memory, concurrency, time_left)
+        self.check_actions()
 
     @rule()
-    def loads_end(self):
+    def all_loads_succeed(self):
         """All loads succeed."""
         self.tick()
-        for replica in sorted(self.loading, key=lambda each: each.number):
-            self.loading.discard(replica)
-            self.live.add(replica)
+        for replica in sorted(self.loading_replicas, key=lambda other: other.number):
+            self.loading_replicas.discard(replica)
+            self.live_replicas.add(replica)
             self.schedule.load_finished(replica, None)
-        self.pull()
+        self.check_actions()
 
     @rule(name=st.sampled_from("pqr"), memory=st.sampled_from([5.0, 15.0]), replicas=st.sampled_from([0, 1, 1, 2, 3]))
     def prewarm(self, name, memory, replicas):
         """A prewarm request arrives."""
         self.tick()
-        self.turn += 1
-        self.schedule.prewarm(self.turn, name, memory, 1, replicas)
-        self.pull()
+        self.last_key += 1
+        self.schedule.prewarm(self.last_key, name, memory, 1, replicas)
+        self.check_actions()
 
-    @rule(at=st.integers(0, 20))
-    def cancel(self, at):
+    @rule(index=st.integers(0, 20))
+    def cancel(self, index):
         """A request is cancelled."""
         self.tick()
-        keys = list(self.open)
+        keys = list(self.open_requests)
         if keys:
-            key = keys[at % len(keys)]
+            key = keys[index % len(keys)]
             self.schedule.cancel(key)
-            del self.open[key]
-            self.pull()
+            del self.open_requests[key]
+            self.check_actions()
 
     @rule(
-        at=st.integers(0, 20),
-        outcome=st.sampled_from([None, None, None, "miss", "full"]),
-        real=st.sampled_from([None, 5.0, 20.0]),
+        index=st.integers(0, 20),
+        failure=st.sampled_from([None, None, None, "miss", "full"]),
+        stated_memory=st.sampled_from([None, 5.0, 20.0]),
     )
-    def load_ends(self, at, outcome, real):
-        """One load succeeds or fails, perhaps after its manifest was read."""
+    def one_load_ends(self, index, failure, stated_memory):
+        """One load succeeds or fails; in some cases its manifest has been applied before."""
         self.tick()
-        if not self.loading:
+        if not self.loading_replicas:
             return
-        replica = sorted(self.loading, key=lambda each: each.number)[at % len(self.loading)]
-        self.loading.discard(replica)
-        if real is not None and not self.schedule.apply_manifest(replica, real, 1, None):
-            outcome = "full"
-        if outcome is None:
-            self.live.add(replica)
-        self.schedule.load_finished(replica, outcome)
-        self.pull()
-
-    @rule(at=st.integers(0, 20))
-    def answer_late(self, at):
-        """A stopped request answers, which must not count."""
-        if self.stuck:
-            assert not self.schedule.request_answered(self.stuck[at % len(self.stuck)][0]), (
-                "an answer after the last word"
+        replica = sorted(self.loading_replicas, key=lambda other: other.number)[index % len(self.loading_replicas)]
+        self.loading_replicas.discard(replica)
+        if stated_memory is not None and not self.schedule.apply_manifest(replica, stated_memory, 1, None):
+            failure = "full"
+        if failure is None:
+            self.live_replicas.add(replica)
+        self.schedule.load_finished(replica, failure)
+        self.check_actions()
+
+    @rule(index=st.integers(0, 20))
+    def answer_stopped_request(self, index):
+        """A stopped request is answered, which must be ignored."""
+        if self.stopped_requests:
+            assert not self.schedule.request_answered(self.stopped_requests[index % len(self.stopped_requests)][0]), (
+                "an answer to a stopped request is accepted"
             )
 
-    @rule(at=st.integers(0, 20))
-    def answer(self, at):
+    @rule(index=st.integers(0, 20))
+    def answer(self, index):
         """A running request is answered."""
         self.tick()
-        keys = list(self.running)
+        keys = list(self.running_requests)
         if keys:
-            key = keys[at % len(keys)]
-            assert self.schedule.request_answered(key), "an answer that nobody waits for"
-            del self.running[key], self.open[key]
+            key = keys[index % len(keys)]
+            assert self.schedule.request_answered(key), "the answer to a running request is not accepted"
+            del self.running_requests[key], self.open_requests[key]
             assert not self.schedule.request_answered(key)
-            self.pull()
+            self.check_actions()
 
     @rule()
     def slot_freed(self):
         """A stopped request ends."""
         self.tick()
-        if self.stuck:
-            _, replica = self.stuck.pop(0)
+        if self.stopped_requests:
+            _, replica = self.stopped_requests.pop(0)
             self.schedule.slot_freed(replica)
-            self.pull()
+            self.check_actions()
 
-    @rule(at=st.integers(0, 20))
-    def replica_ends(self, at):
+    @rule(index=st.integers(0, 20))
+    def replica_ends(self, index):
         """A replica ends by itself."""
         self.tick()
-        if self.live:
-            replica = sorted(self.live, key=lambda each: each.number)[at % len(self.live)]
-            self.live.discard(replica)
-            self.running = {key: each for key, each in self.running.items() if each is not replica}
-            self.stuck = [each for each in self.stuck if each[1] is not replica]
+        if self.live_replicas:
+            replica = sorted(self.live_replicas, key=lambda other: other.number)[index % len(self.live_replicas)]
+            self.live_replicas.discard(replica)
+            self.running_requests = {key: other for key, other in self.running_requests.items() if other is not replica}
+            self.stopped_requests = [other for other in self.stopped_requests if other[1] is not replica]
             self.schedule.replica_ended(replica)
-            self.pull()
+            self.check_actions()
 
-    @rule(at=st.integers(0, 20), part=st.sampled_from([0.5, 1.0, 1.5]))
-    def measure(self, at, part):
+    @rule(index=st.integers(0, 20), factor=st.sampled_from([0.5, 1.0, 1.5]))
+    def measure(self, index, factor):
         """A replica's memory is measured."""
         self.tick()
-        if self.live:
-            replica = sorted(self.live, key=lambda each: each.number)[at % len(self.live)]
-            self.schedule.memory_measured(replica, replica.memory * part)
-            self.pull()
+        if self.live_replicas:
+            replica = sorted(self.live_replicas, key=lambda other: other.number)[index % len(self.live_replicas)]
+            self.schedule.memory_measured(replica, replica.memory * factor)
+            self.check_actions()
 
-    @rule(ms=st.sampled_from([1.0, 10.0, 30.0, 120.0, 1100.0]))
-    def time(self, ms):
+    @rule(duration=st.sampled_from([1.0, 10.0, 30.0, 120.0, 1100.0]))
+    def pass_time(self, duration):
         """Time passes."""
-        self.now += ms
+        self.now += duration
         self.schedule.advance(self.now)
-        self.pull()
+        self.check_actions()
 
     @invariant()
     def schedule_is_consistent(self):
-        """The limits hold, the model agrees, and whatever waits will be served."""
+        """The limits hold, the model agrees, and each waiting request has a replica that will serve it."""
         schedule = self.schedule
         assert sum(replica.charged_memory for replica in schedule.pool.replicas()) <= schedule.limits.memory + 1e-9, (
-            "memory over budget"
+            "the replicas exceed the memory limit"
+        )
+        assert set(self.open_requests) == set(schedule.requests), (
+            "the schedule lost a request or kept one that has ended"
+        )
+        assert (
+            schedule.used_slots
+            == len(self.running_requests) + len(self.stopped_requests)
+            <= schedule.limits.concurrency
         )
-        assert set(self.open) == set(schedule.requests), "calls lost or kept"
-        assert schedule.used_slots == len(self.running) + len(self.stuck) <= schedule.limits.concurrency
-        assert schedule.pool.loading_count == len(self.loading) <= schedule.limits.load_concurrency
-        for key in set(self.open) - set(self.running):  # no starvation: what waits has something that will serve it
-            function = schedule.pool.functions[self.open[key]]
+        assert schedule.pool.loading_count == len(self.loading_replicas) <= schedule.limits.load_concurrency
+        for key in set(self.open_requests) - set(self.running_requests):  # no starvation: some replica will serve each
+            function = schedule.pool.functions[self.open_requests[key]]
             assert any(
                 replica.state in (ReplicaState.QUEUED, ReplicaState.LOADING, ReplicaState.READY) or replica.requests
                 for replica in function.replicas
