--- a/wickdyke/config/__init__.py
+++ b/wickdyke/config/__init__.py
@@ -1,1 +1,1 @@
-"""Settings files read into checked values; each error is reported with its location, what was found and expected."""
+"""Readers of settings files, which return validated values and report each error with its location."""
--- a/wickdyke/config/address.py
+++ b/wickdyke/config/address.py
@@ -8,18 +8,18 @@
 from wickdyke.config.schema import Diagnostics
 from wickdyke.config.sexpr import Expression
 
-MAX_PATH_BYTES = 107  # of a Unix socket on Linux (sockaddr_un)
+MAX_PATH_BYTES = 107  # of the path of a Unix socket on Linux (sockaddr_un)
 MAX_PORT = 65535
 
 SocketAddress = str | tuple[str, int]  # a path, or a host and a port
 
 
 class InvalidAddressError(ValueError):
-    """A text that is no address; its message is what was expected."""
+    """A text is not a valid address; the message of the exception states what was expected."""
 
 
 def parse(address: str) -> tuple[socket.AddressFamily, SocketAddress]:
-    """The family of an address and what `socket.connect` takes; raises InvalidAddressError."""
+    """Returns the address family and the argument for `socket.connect`. Raises InvalidAddressError."""
     host, colon, port = address.rpartition(":")
     if "/" in address or not colon:
         if len(os.fsencode(address)) > MAX_PATH_BYTES:
@@ -35,17 +35,17 @@
         expected = "a Unix socket's path (with a /) or a loopback address with its port"
         raise InvalidAddressError(expected) from None
     if not ip.is_loopback:
-        raise InvalidAddressError("a loopback address: wickdyke listens on this machine only")
+        raise InvalidAddressError("a loopback address: wickdyke accepts connections from this machine only")
     return (socket.AF_INET6 if ip.version == 6 else socket.AF_INET), (str(ip), int(port))
 
 
-def beside(address: str, folder: str) -> str:
-    """An address in a file of that folder: the path of a socket is relative to it, a loopback address is not."""
+def resolve(address: str, folder: str) -> str:
+    """Returns an address from a file in that folder: a relative path of a Unix socket is joined to the folder."""
     return address if ":" in address and "/" not in address else os.path.join(folder, address)
 
 
 def read(expression: Expression, diagnostics: Diagnostics) -> str | None:
-    """Reads an address in a settings file."""
+    """Reads an address in a settings file; returns None and reports an error where it is invalid."""
     address = schema.text(expression, diagnostics)
     if address is None:
         return None
@@ -59,7 +59,7 @@
 
 
 def connect(address: str, timeout: float) -> socket.socket:
-    """A blocking connection that was made within `timeout` ms; raises OSError or InvalidAddressError."""
+    """Returns a blocking socket that was connected within `timeout` ms. Raises OSError or InvalidAddressError."""
     family, destination = parse(address)
     sock = socket.socket(family, socket.SOCK_STREAM)
     try:
--- a/wickdyke/config/builders.py
+++ b/wickdyke/config/builders.py
@@ -1,4 +1,4 @@
-"""Builders for `schema.record`: what becomes of the location of a section."""
+"""Builders for `schema.record`, which store or ignore the location of a section."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -11,14 +11,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Located(Generic[T]):
-    """A value and the location of the section that states it."""
+    """A value and the location of the section or field that states it."""
 
     value: T
     location: SourceLocation
 
 
 def located(build: Callable[..., T]) -> Callable[..., Located[T]]:
-    """A builder for `record` that keeps the location beside what `build` returns."""
+    """Returns a builder for `record` that combines the result of `build` with the location of the section."""
 
     def build_with_location(location: SourceLocation, **values: Any) -> Located[T]:
         return Located(build(**values), location)
@@ -27,7 +27,7 @@
 
 
 def unlocated(build: Callable[..., T]) -> Callable[..., T]:
-    """A builder for `record` that makes no use of the location."""
+    """Returns a builder for `record` that ignores the location of the section."""
 
     def build_without_location(location: SourceLocation, **values: Any) -> T:
         return build(**values)
--- a/wickdyke/config/deployment_settings.py
+++ b/wickdyke/config/deployment_settings.py
@@ -1,7 +1,7 @@
-"""The settings that a deployment gives a front end, as `path=value` pairs in the deployment's own words.
+"""The settings that a deployment gives a front end, as `path=value` pairs under the deployment's names.
 
-The simulator's first message brings them as pairs, the platform's configuration as one nested object; both are read
-here, by the same tables of words. Standard library only: the simulator adapter needs nothing else.
+The simulator's first message contains the pairs, the platform's configuration one nested object. Both are read here,
+with the same tables of names. Only the standard library is imported, because the simulator adapter needs nothing else.
 """
 
 from collections.abc import Callable, Mapping
@@ -21,17 +21,17 @@
 )
 
 T = TypeVar("T")
-MICROSECONDS = 1000  # in a ms
-MAX_QUOTED = 40  # characters of a value that an error message repeats
-ABSENT_VALUE = "-"  # stands for a value that is left out
+MICROSECONDS_PER_MS = 1000
+MAX_QUOTED_CHARACTERS = 40  # of a value in an error message
+ABSENT_VALUE = "-"  # the text of a value that is not given
 DEFAULT_IDLE_TIMEOUT = 15000.0  # ms
 
 
 class InvalidInputError(Exception):
-    """Input that is not what the wire or the deployment's settings allow."""
+    """A message or a setting of the deployment is invalid."""
 
 
-# ---- readers of single values; they raise ValueError with what was expected ----
+# ---- readers of single values; they raise ValueError with the expected form ----
 
 
 def integer(text: str) -> int:
@@ -51,7 +51,7 @@
 
 
 def number(text: str) -> float:
-    """Reads a number that is neither infinite nor undefined."""
+    """Reads a finite number."""
     try:
         value = float(text)
     except ValueError:
@@ -61,27 +61,27 @@
     return value
 
 
-def span(text: str) -> float:
-    """Reads a duration, from microseconds to ms."""
-    return integer(text) / MICROSECONDS
+def duration(text: str) -> float:
+    """Reads a duration in microseconds; returns it in ms."""
+    return integer(text) / MICROSECONDS_PER_MS
 
 
 def flag(text: str) -> bool:
-    """Reads 1 or 0."""
+    """Reads 1 or 0 as a boolean."""
     if text not in ("0", "1"):
         raise ValueError("1 or 0")
     return text == "1"
 
 
-def word(text: str) -> str:
-    """Reads a text that is not empty."""
+def non_empty_text(text: str) -> str:
+    """Reads a text that is neither empty nor the mark of an absent value."""
     if not text or text == ABSENT_VALUE:
-        raise ValueError("a word")
+        raise ValueError("a text that is not empty")
     return text
 
 
 def one_of(table: Mapping[str, T]) -> Callable[[str], T]:
-    """A reader of the words of a table, which returns the word's value."""
+    """Returns a reader of the keys of a table, which returns the value of the key."""
 
     def read(text: str) -> T:
         if text not in table:
@@ -92,7 +92,7 @@
 
 
 def optional(read: Callable[[str], T]) -> Callable[[str], T | None]:
-    """A reader that returns None for a value that is left out."""
+    """Returns a reader that returns None for an absent value."""
 
     def read_optional(text: str) -> T | None:
         return None if text == ABSENT_VALUE else read(text)
@@ -100,14 +100,14 @@
     return read_optional
 
 
-# ---- the deployment's words ----
+# ---- the deployment's names of enumerated values ----
 
-EFFECT_WORDS = {
+EFFECTS_BY_NAME = {
     "pure": Effect.IDEMPOTENT,
     "token": Effect.KEYED,
     "side_effect": Effect.SIDE_EFFECTING,
 }
-REPORTS = {
+REPORT_FIELD_NAMES = {
     "outstanding": "in_flight",
     "backlog": "queued",
     "utilization": "utilization",
@@ -118,7 +118,7 @@
     "x1": "loads",
 }
 boolean = one_of({"true": True, "false": False})
-effect = one_of(EFFECT_WORDS)
+effect = one_of(EFFECTS_BY_NAME)
 scope = one_of({"all": Scope.ALL, "zone": Scope.ZONE, "cell": Scope.CELL})
 weight_unit = one_of({"request": False, "work": True})
 action_without_replica = one_of({"load": True, "miss": False})
@@ -126,59 +126,65 @@
 
 
 class DeploymentSettings:
-    """The pairs of one instance, read one by one so that an error names the setting; `place` begins the error."""
+    """The settings of one instance by path, read one at a time so that an error names the invalid setting.
 
-    def __init__(self, values: dict[str, str], place: str = "POWER_ON") -> None:
+    `error_prefix` starts each error message.
+    """
+
+    def __init__(self, values: dict[str, str], error_prefix: str = "POWER_ON") -> None:
         self.values = values
-        self.place = place
+        self.error_prefix = error_prefix
 
     def get(self, name: str, read: Callable[[str], T], default: T | None = None) -> T:
-        """The value of one setting. Raises InvalidInputError, also where it is missing and has no default."""
+        """Returns the value of one setting. Raises InvalidInputError if it is invalid, or missing without a default."""
         text = self.values.get(name)
         if text is None:
             if default is None:
-                raise InvalidInputError(f"{self.place}: the setting {name} is missing")
+                raise InvalidInputError(f"{self.error_prefix}: the setting {name} is missing")
             return default
         try:
             return read(text)
         except ValueError as error:
-            raise InvalidInputError(f"{self.place}: {name} is {text[:MAX_QUOTED]!r}, expected {error}") from None
+            raise InvalidInputError(
+                f"{self.error_prefix}: {name} is {text[:MAX_QUOTED_CHARACTERS]!r}, expected {error}"
+            ) from None
 
     def names(self, name: str) -> tuple[str, ...]:
-        """A list of texts."""
+        """Returns the texts of a comma-separated list."""
         text = self.get(name, str)
         return tuple(text.split(",")) if text else ()
 
     def numbers(self, name: str) -> tuple[float, ...]:
-        """A list of numbers."""
+        """Returns the numbers of a comma-separated list. Raises InvalidInputError."""
         try:
             return tuple(number(part) for part in self.names(name))
         except ValueError as error:
-            raise InvalidInputError(f"{self.place}: {name}, expected {error} in each place") from None
+            raise InvalidInputError(f"{self.error_prefix}: {name}, expected {error} for each item") from None
 
 
-# ---- forms of the settings ----
+# ---- input formats ----
 
 
 def from_pairs(pairs: list[str]) -> DeploymentSettings:
-    """The settings in pairs of path=value; raises InvalidInputError."""
+    """Returns the settings of path=value pairs. Raises InvalidInputError."""
     values: dict[str, str] = {}
     for pair in pairs:
-        name, sign, value = pair.partition("=")
-        if not sign:
-            raise InvalidInputError(f"POWER_ON: {pair[:MAX_QUOTED]!r}, expected path=value")
+        name, separator, value = pair.partition("=")
+        if not separator:
+            raise InvalidInputError(f"POWER_ON: {pair[:MAX_QUOTED_CHARACTERS]!r}, expected path=value")
         values[name] = value
     return DeploymentSettings(values)
 
 
-def from_nested(nested: object, place: str) -> DeploymentSettings:
-    """The settings in nested objects: a list of plain values is one value, one a list of objects a count and paths.
+def from_nested(nested: object, error_prefix: str) -> DeploymentSettings:
+    """Returns the settings of nested objects.
 
-    `place` begins the errors.
+    A list of plain values becomes one comma-separated value; a list that contains objects or lists becomes a count and
+    one path per item. `error_prefix` starts each error message.
     """
     values: dict[str, str] = {}
     _flatten(nested, "", values)
-    return DeploymentSettings(values, place)
+    return DeploymentSettings(values, error_prefix)
 
 
 def _flatten(nested: object, path: str, values: dict[str, str]) -> None:
@@ -195,27 +201,27 @@
         values[path] = str(nested).lower() if isinstance(nested, bool) else str(nested)
 
 
-# ---- the router's settings by section ----
+# ---- sections of the router's settings ----
 
 
 def request_class(settings: DeploymentSettings, index: int) -> RequestClass:
-    """One of the request classes."""
+    """Returns the request class of that index. Raises InvalidInputError."""
     path = f"lanes.{index}"
     return RequestClass(
         name=settings.get(f"{path}.name", str),
         effect=settings.get(f"{path}.repeat", effect),
         scope=settings.get(f"{path}.key-scope", scope, Scope.ALL),
-        dedupe_window=settings.get(f"{path}.window", span, 0.0),
-        latency_objective=settings.get(f"{path}.aim", span),
+        dedupe_window=settings.get(f"{path}.window", duration, 0.0),
+        latency_objective=settings.get(f"{path}.aim", duration),
         objective_per_work=settings.get(f"{path}.aim-stretch", number, 0.0),
-        deadline=settings.get(f"{path}.deadline", span),
+        deadline=settings.get(f"{path}.deadline", duration),
         priority_weight=settings.get(f"{path}.gain", number),
         late_weight=settings.get(f"{path}.late-worth", number, 0.0),
     )
 
 
 def request_classes(settings: DeploymentSettings) -> list[RequestClass]:
-    """All request classes; raises InvalidInputError."""
+    """Returns all request classes. Raises InvalidInputError."""
     return [request_class(settings, index) for index in range(settings.get("lanes.count", count))]
 
 
@@ -224,7 +230,7 @@
         index=settings.get("self-index", count),
         count=settings.get("instances", count),
         zone=settings.get("zone", count, 0),
-        report_fields=tuple(REPORTS.get(name, name) for name in settings.names("report.fields")),
+        report_fields=tuple(REPORT_FIELD_NAMES.get(name, name) for name in settings.names("report.fields")),
         weight_by_work=settings.get("value-by", weight_unit, False),
     )
 
@@ -236,8 +242,8 @@
         cancel=settings.get("limits.cancelling", boolean),
         health_checks=settings.get("limits.probing", boolean),
         retry_after=_longest_retry_after(settings),
-        connect_timeout=settings.get("limits.dial-timeout", span),
-        idle_timeout=settings.get("limits.idle-close", span, DEFAULT_IDLE_TIMEOUT),
+        connect_timeout=settings.get("limits.dial-timeout", duration),
+        idle_timeout=settings.get("limits.idle-close", duration, DEFAULT_IDLE_TIMEOUT),
     )
 
 
@@ -245,16 +251,16 @@
     """The longest time to retry after that an answer may state, in ms; 0 where answers state none."""
     if not settings.get("limits.retry-after", boolean, False):
         return 0.0
-    return settings.get("limits.max-retry-after", span, 0.0)
+    return settings.get("limits.max-retry-after", duration, 0.0)
 
 
 def _function_cache(settings: DeploymentSettings) -> FunctionCache:
     return FunctionCache(
         memory=settings.numbers("family-info.memory-mb-by-kind"),
-        idle_timeout=settings.get("family-info.idle-life", span),
+        idle_timeout=settings.get("family-info.idle-life", duration),
         may_prewarm=settings.get("family-info.may-load", boolean),
         loads_on_demand=settings.get("family-info.if-cold", action_without_replica),
-        prewarm_timeout=settings.get("family-info.load-wait", span),
+        prewarm_timeout=settings.get("family-info.load-wait", duration),
         reports_warmth=settings.get("family-info.warm-notes", boolean),
         reports_concurrency=settings.get("family-info.says-company", boolean),
     )
@@ -263,9 +269,9 @@
 def _slow_start(settings: DeploymentSettings) -> SlowStart:
     return SlowStart(
         start_share=settings.get("rules.cold-from", number),
-        ramp=settings.get("rules.ramp-time", span),
+        ramp=settings.get("rules.ramp-time", duration),
         multiple=settings.get("rules.overload-factor", number),
-        window=settings.get("rules.tip-after", span),
+        window=settings.get("rules.tip-after", duration),
     )
 
 
@@ -273,15 +279,15 @@
     return PrewarmQuota(
         free=settings.get("family-info.free-loads", number, 0.0),
         share=settings.get("family-info.load-part", number, 0.0),
-        window=settings.get("family-info.load-window", span, 0.0),
+        window=settings.get("family-info.load-window", duration, 0.0),
     )
 
 
 def _discovery(settings: DeploymentSettings) -> Discovery:
     return Discovery(
         pushed=settings.get("discovery", discovery_mode),
-        poll_within=settings.get("rules.ask-within", span, 0.0),
-        drain_grace=settings.get("rules.stop-sending-within", span),
+        poll_within=settings.get("rules.ask-within", duration, 0.0),
+        drain_grace=settings.get("rules.stop-sending-within", duration),
     )
 
 
@@ -302,7 +308,7 @@
 
 
 def router_settings(settings: DeploymentSettings) -> RouterSettings:
-    """The router's settings but its request classes; raises InvalidInputError for the first that is invalid."""
+    """Returns the router's settings without the request classes. Raises InvalidInputError for the first invalid one."""
     return RouterSettings(
         instance=_instance(settings),
         attempt_limits=_attempt_limits(settings),
--- a/wickdyke/config/effective_policy.py
+++ b/wickdyke/config/effective_policy.py
@@ -1,4 +1,4 @@
-"""What holds for the requests of one route and request class: what the route states or inherits, else the class."""
+"""The policy for the requests of one route and request class: fields of the route, else defaults of the class."""
 
 from dataclasses import dataclass
 from typing import TypeVar
@@ -15,7 +15,7 @@
 
 @dataclass(slots=True, frozen=True)
 class EffectivePolicy:
-    """What holds for the requests of one route and request class, and the fields that state it."""
+    """The policy for the requests of one route and request class, and the route's fields that state it."""
 
     route: Route
     policy: Policy
@@ -24,37 +24,37 @@
 
     @property
     def origins(self) -> dict[str, SourceLocation]:
-        """Where each stated field is stated, by its key in the file."""
+        """The location of each stated field, by its key in the file."""
         return {key: stated.location for key, stated in self.fields.stated().items()}
 
 
 def effective_policy(
     route: Route, route_fields: RouteFields, request_class: RequestClass, diagnostics: Diagnostics
 ) -> EffectivePolicy:
-    """What holds for a route with these fields, its own and inherited ones; adds a diagnostic for a bad hedge."""
-    latency_objective = _value(route_fields.latency_objective, request_class.latency_objective)
-    attempt = _optional(route_fields.attempt)
+    """Returns the policy for a route with these fields (its own and inherited ones); reports an invalid hedge."""
+    latency_objective = _value_or_default(route_fields.latency_objective, request_class.latency_objective)
+    attempt = _value_or_none(route_fields.attempt)
     policy = Policy(
         latency_objective=latency_objective,
-        deadline=_value(route_fields.deadline, request_class.deadline),
+        deadline=_value_or_default(route_fields.deadline, request_class.deadline),
         attempt_timeout=None if attempt is None else attempt.timeout,
         linger=None if attempt is None else attempt.linger,
-        max_attempts=_value(route_fields.max_attempts, 1),
-        backoff=_value(route_fields.backoff, BackoffPolicy()),
-        retryable=_value(route_fields.retryable, NEVER_RAN),
+        max_attempts=_value_or_default(route_fields.max_attempts, 1),
+        backoff=_value_or_default(route_fields.backoff, BackoffPolicy()),
+        retryable=_value_or_default(route_fields.retryable, NEVER_RAN),
         hedge=_hedge_policy(route_fields.hedge, latency_objective, diagnostics),
-        retry_budget=_optional(route_fields.retry_budget),
-        queue_timeout=_optional(route_fields.queue_timeout),
-        priority=_value(route_fields.priority, 0),
+        retry_budget=_value_or_none(route_fields.retry_budget),
+        queue_timeout=_value_or_none(route_fields.queue_timeout),
+        priority=_value_or_default(route_fields.priority, 0),
     )
     return EffectivePolicy(route, policy, route_fields, router_policy(policy, route.name))
 
 
-def _value(stated: Located[T] | None, default: T) -> T:
+def _value_or_default(stated: Located[T] | None, default: T) -> T:
     return default if stated is None else stated.value
 
 
-def _optional(stated: Located[T] | None) -> T | None:
+def _value_or_none(stated: Located[T] | None) -> T | None:
     return None if stated is None else stated.value
 
 
@@ -72,15 +72,16 @@
 
 
 def router_policy(policy: Policy, budget_key: str) -> RoutePolicy:
-    """The policy as the router takes it.
+    """Returns the policy in the form that the router uses.
 
-    The retry budget is kept by `budget_key`, the route's name: it goes on when the file is read again, also for
-    requests that were received under the earlier file.
+    The router stores the retry budget under `budget_key`, the name of the route. So the budget continues when the file
+    is read again, also for requests that were received under the earlier file.
     """
     backoff = policy.backoff
     hedge = policy.hedge
     budget = policy.retry_budget
-    longest_backoff = min(backoff.maximum, policy.deadline)  # recordings have no infinity; a longer one never ends
+    # A backoff that is longer than the deadline never ends before it, so the limit changes nothing.
+    longest_backoff = min(backoff.maximum, policy.deadline)  # recordings can't store infinity
     return RoutePolicy(
         policy.latency_objective,
         policy.attempt_timeout,
--- a/wickdyke/config/endpoint_file.py
+++ b/wickdyke/config/endpoint_file.py
@@ -1,4 +1,4 @@
-"""The endpoint file: a list of workers as S-expressions, which its writer replaces as a whole."""
+"""The endpoint file: a list of workers as S-expressions, which its writer replaces atomically."""
 
 import os
 from dataclasses import dataclass, replace
@@ -13,7 +13,7 @@
 class EndpointRow:
     """One worker in the list.
 
-    `start` changes when a worker was started again under the same name; `state` is ready, draining or gone.
+    `start` changes when a worker restarts under the same name; `state` is ready, draining or gone.
     """
 
     name: str
@@ -45,21 +45,25 @@
 
 
 def _check_name(
-    located_row: Located[EndpointRow], what: str, value: str | None, names: tuple[str, ...], diagnostics: Diagnostics
+    located_row: Located[EndpointRow],
+    field_name: str,
+    value: str | None,
+    names: tuple[str, ...],
+    diagnostics: Diagnostics,
 ) -> None:
-    """Reports a zone or kind that is not one of the gateway's, where it has any."""
+    """Reports a zone or kind that the gateway's settings don't name, if they name any."""
     if names and value not in names:
-        actual = f'{what} "{value}"' if value else f"no {what}"
-        expected = f"one of {', '.join(names)}, as the gateway's file names them"
+        actual = f'{field_name} "{value}"' if value else f"no {field_name}"
+        expected = f"one of {', '.join(names)}, as in the gateway's settings"
         diagnostics.add(located_row.location, actual, expected)
 
 
 def parse_endpoints(
     expressions: list[Expression], path: str, zones: tuple[str, ...] = (), kinds: tuple[str, ...] = ()
 ) -> list[EndpointRow]:
-    """The rows of a list; their zones and kinds must be among those given, if any are given.
+    """Returns the rows of a list; their zones and kinds must be among those given, if any are given.
 
-    Raises InvalidConfigError with all that is wrong.
+    Raises InvalidConfigError with all errors.
     """
     diagnostics = Diagnostics()
     rows = schema.read_single(expressions, "workers", path, WORKERS, diagnostics)
@@ -72,10 +76,10 @@
 
 
 def read_endpoints(path: str, zones: tuple[str, ...] = (), kinds: tuple[str, ...] = ()) -> list[EndpointRow]:
-    """The rows of a file; paths of sockets are relative to its folder. Raises InvalidConfigError."""
+    """Returns the rows of a file; paths of sockets are relative to its folder. Raises InvalidConfigError."""
     folder = os.path.dirname(path)
     return [
-        replace(row, address=address.beside(row.address, folder))
+        replace(row, address=address.resolve(row.address, folder))
         for row in parse_endpoints(sexpr.read(path), path, zones, kinds)
     ]
 
@@ -91,5 +95,5 @@
 
 
 def format_endpoints(rows: list[EndpointRow]) -> str:
-    """The text of a list, from which `parse_endpoints` reads the same rows."""
+    """Returns the text of a list, from which `parse_endpoints` reads the same rows."""
     return "\n".join(["(workers", *map(_format_row, rows)]) + ")\n"
--- a/wickdyke/config/gateway_config.py
+++ b/wickdyke/config/gateway_config.py
@@ -172,7 +172,7 @@
     memory = tuple(kind.value.memory for kind in section.kinds)
     return GatewayConfig(
         name=section.name,
-        listen=address.beside(section.listen, folder),
+        listen=address.resolve(section.listen, folder),
         endpoints_path=os.path.join(folder, section.endpoints.path or ""),
         endpoints_poll_interval=section.endpoints.poll_interval,
         routes_path=_join(folder, section.routes.path),
--- a/wickdyke/config/gateway_sections.py
+++ b/wickdyke/config/gateway_sections.py
@@ -12,11 +12,11 @@
     Field,
     choice,
     count,
+    duration,
     flag,
     number,
     record,
     size,
-    span,
     text,
     word_list,
 )
@@ -184,9 +184,9 @@
     named=True,
     effect=Field(choice(idempotent=Effect.IDEMPOTENT, tokened=Effect.KEYED, side_effecting=Effect.SIDE_EFFECTING)),
     scope=Field(choice(all=Scope.ALL, zone=Scope.ZONE, cell=Scope.CELL), Scope.ALL),
-    window=Field(span(), 0.0, parameter="dedupe_window"),
-    soft_deadline=Field(span(1.0), parameter="latency_objective"),
-    deadline=Field(span(1.0)),
+    window=Field(duration(), 0.0, parameter="dedupe_window"),
+    soft_deadline=Field(duration(1.0), parameter="latency_objective"),
+    deadline=Field(duration(1.0)),
     soft_stretch=Field(number(0, 1000), 0.0, parameter="objective_per_work"),
     gain=Field(number(0, 1e6), 1.0, parameter="priority_weight"),
     late_gain=Field(number(0, 1), 0.0, parameter="late_weight"),
@@ -196,7 +196,7 @@
     named=True,
     memory=Field(size(0)),
     lanes=Field(count(1, 4096), 1, parameter="concurrency"),
-    load=Field(span(), None, parameter="load_time"),
+    load=Field(duration(), None, parameter="load_time"),
 )
 ZONE = record(located(_zone), named=True)
 WORKER_KIND = record(located(WorkerKind), named=True, memory=Field(size()))
@@ -205,7 +205,7 @@
 POLLED_FILE = record(
     unlocated(PolledFile),
     file=Field(text, parameter="path"),
-    reread=Field(span(5.0, 60000.0), DEFAULT_POLL_INTERVAL, parameter="poll_interval"),
+    reread=Field(duration(5.0, 60000.0), DEFAULT_POLL_INTERVAL, parameter="poll_interval"),
 )
 INSTANCE_NUMBER = record(
     located(InstanceNumber),
@@ -221,31 +221,31 @@
     overlap=Field(flag, False, parameter="hedging"),
     cancel=Field(flag, True),
     probe=Field(flag, True, parameter="health_checks"),
-    retry_after=Field(span(), 0.0),
-    dial=Field(span(1.0, 60000.0), 250.0, parameter="connect_timeout"),
-    idle_close=Field(span(1.0), 15000.0, parameter="idle_timeout"),
+    retry_after=Field(duration(), 0.0),
+    dial=Field(duration(1.0, 60000.0), 250.0, parameter="connect_timeout"),
+    idle_close=Field(duration(1.0), 15000.0, parameter="idle_timeout"),
 )
 FUNCTION_CACHE = record(
     unlocated(_function_cache),
-    idle_life=Field(span(1.0), parameter="idle_timeout"),
+    idle_life=Field(duration(1.0), parameter="idle_timeout"),
     may_hold=Field(flag, True, parameter="may_prewarm"),
     loads_on_call=Field(flag, True, parameter="loads_on_demand"),
-    hold_wait=Field(span(1.0), 10000.0, parameter="prewarm_timeout"),
+    hold_wait=Field(duration(1.0), 10000.0, parameter="prewarm_timeout"),
     tells_standing=Field(flag, True, parameter="reports_warmth"),
     tells_company=Field(flag, True, parameter="reports_concurrency"),
 )
 SLOW_START = record(
     unlocated(SlowStart),
     start_share=Field(number(0.001, 1)),
-    ramp=Field(span()),
+    ramp=Field(duration()),
     multiple=Field(number(1, 1000)),
-    window=Field(span(1.0)),
+    window=Field(duration(1.0)),
 )
 PREWARM_QUOTA = record(
     unlocated(PrewarmQuota),
     free=Field(number(0, 1e6)),
     share=Field(number(0, 1e6)),
-    window=Field(span()),
+    window=Field(duration()),
 )
 COST_WEIGHTS = record(
     unlocated(CostWeights),
@@ -270,16 +270,16 @@
 FUNCTION_BREAKER = record(
     unlocated(FunctionBreakerSettings),
     workers=Field(count(1, 1000), DEFAULT_BREAKERS.functions.workers),
-    window=Field(span(1.0), DEFAULT_BREAKERS.functions.window),
-    first=Field(span(1.0), DEFAULT_BREAKERS.functions.first_pause, parameter="first_pause"),
-    most=Field(span(1.0), DEFAULT_BREAKERS.functions.longest_pause, parameter="longest_pause"),
+    window=Field(duration(1.0), DEFAULT_BREAKERS.functions.window),
+    first=Field(duration(1.0), DEFAULT_BREAKERS.functions.first_pause, parameter="first_pause"),
+    most=Field(duration(1.0), DEFAULT_BREAKERS.functions.longest_pause, parameter="longest_pause"),
 )
 REQUEST_BREAKER = record(
     unlocated(RequestBreakerSettings),
     copies=Field(number(1, 1000), DEFAULT_BREAKERS.requests.replicas, parameter="replicas"),
-    window=Field(span(1.0), DEFAULT_BREAKERS.requests.window),
-    first=Field(span(1.0), DEFAULT_BREAKERS.requests.first_pause, parameter="first_pause"),
-    most=Field(span(1.0), DEFAULT_BREAKERS.requests.longest_pause, parameter="longest_pause"),
+    window=Field(duration(1.0), DEFAULT_BREAKERS.requests.window),
+    first=Field(duration(1.0), DEFAULT_BREAKERS.requests.first_pause, parameter="first_pause"),
+    most=Field(duration(1.0), DEFAULT_BREAKERS.requests.longest_pause, parameter="longest_pause"),
 )
 BREAKERS = record(
     unlocated(BreakerSettings),
@@ -307,11 +307,11 @@
     stock=Field(FUNCTION_CACHE, parameter="function_cache"),
     warmup=Field(SLOW_START, parameter="slow_start"),
     ration=Field(PREWARM_QUOTA, PrewarmQuota(0.0, 0.0, 0.0), parameter="prewarm_quota"),
-    drain_grace=Field(span()),
+    drain_grace=Field(duration()),
     tariff=Field(COST_WEIGHTS, CostWeights(0, 0, 0, 0, 0, 0), parameter="cost_weights"),
     bounds=Field(SERVER_LIMITS, DEFAULT_LIMITS, parameter="limits"),
-    answer_way=Field(span(0.0, 60000.0), 20.0, parameter="answer_margin"),
-    probe_wait=Field(span(1.0, 60000.0), 250.0, parameter="health_check_timeout"),
+    answer_way=Field(duration(0.0, 60000.0), 20.0, parameter="answer_margin"),
+    probe_wait=Field(duration(1.0, 60000.0), 250.0, parameter="health_check_timeout"),
     isolation=Field(BREAKERS, DEFAULT_BREAKERS, parameter="breakers"),
     tenant=Field(TENANT, None, many=True, parameter="tenants"),
 )
--- a/wickdyke/config/route_syntax.py
+++ b/wickdyke/config/route_syntax.py
@@ -12,9 +12,9 @@
     Reader,
     choice,
     count,
+    duration,
     number,
     record,
-    span,
     text,
 )
 from wickdyke.config.sexpr import Atom, Expression, SourceLocation
@@ -89,13 +89,13 @@
 def _read_attempt(form: Expression, diagnostics: Diagnostics) -> AttemptField | None:
     """(attempt 500 ms (linger 300 ms))"""
     timeout_items: list[Atom | Expression] = [item for item in form.items if isinstance(item, Atom)]
-    timeout = span(1.0)(Expression("attempt", timeout_items, form.location), diagnostics)
+    timeout = duration(1.0)(Expression("attempt", timeout_items, form.location), diagnostics)
     linger = None
     for item in form.items:
         if isinstance(item, Atom):
             continue
         if item.name == "linger" and linger is None:
-            linger = span()(item, diagnostics)
+            linger = duration()(item, diagnostics)
         else:
             expected = "(attempt TIME) or (attempt TIME (linger TIME))"
             diagnostics.add(item.location, schema.describe(item), expected)
@@ -117,7 +117,7 @@
 
 _read_hedge_record = record(
     unlocated(HedgeField),
-    after=Field(span(1.0), None),
+    after=Field(duration(1.0), None),
     after_share=Field(number(0.01, 10), None),
     at_once=Field(count(2, 10), 2, parameter="max_concurrent"),
     part=Field(number(0.0001, 1), 0.05, parameter="request_share"),
@@ -134,14 +134,14 @@
 
 _read_backoff = record(
     unlocated(BackoffPolicy),
-    first=Field(span(), parameter="initial"),
+    first=Field(duration(), parameter="initial"),
     growth=Field(number(1, 100), 1.0),
-    most=Field(span(), float("inf"), parameter="maximum"),
+    most=Field(duration(), float("inf"), parameter="maximum"),
     spread=Field(number(0, 10), 0.0, parameter="jitter"),
 )
 _read_retry_budget = record(
     unlocated(RetryBudgetPolicy),
-    window=Field(span()),
+    window=Field(duration()),
     share=Field(number(0, 100), 0.0),
     floor=Field(number(0, 1e6), 0.0),
 )
@@ -165,15 +165,15 @@
 # How each field of a route is read, by its key in the file, and the attribute of RouteFields that it becomes. This is
 # the order in which fields are listed.
 _FIELDS: dict[str, Field[Any]] = {
-    "soft-deadline": Field(_located(span(1.0)), None, parameter="latency_objective"),
-    "deadline": Field(_located(span(1.0)), None, parameter="deadline"),
+    "soft-deadline": Field(_located(duration(1.0)), None, parameter="latency_objective"),
+    "deadline": Field(_located(duration(1.0)), None, parameter="deadline"),
     "attempt": Field(_located(_read_attempt), None, parameter="attempt"),
     "attempts": Field(_located(count(1, 100)), None, parameter="max_attempts"),
     "pause": Field(_located(_read_backoff), None, parameter="backoff"),
     "again": Field(_located(_read_retryable), None, parameter="retryable"),
     "second": Field(_located(_read_hedge), None, parameter="hedge"),
     "budget": Field(_located(_read_retry_budget), None, parameter="retry_budget"),
-    "queue": Field(_located(span()), None, parameter="queue_timeout"),
+    "queue": Field(_located(duration()), None, parameter="queue_timeout"),
     "priority": Field(_located(count(-1000, 1000)), None, parameter="priority"),
 }
 # The attribute of RouteFields for each key of the file.
--- a/wickdyke/config/schema.py
+++ b/wickdyke/config/schema.py
@@ -124,7 +124,7 @@
     return reader
 
 
-def span(minimum: float = 0.0, maximum: float = 3.6e6) -> Reader[float]:
+def duration(minimum: float = 0.0, maximum: float = 3.6e6) -> Reader[float]:
     """A reader of a duration, in ms."""
     return _quantity(TIME, minimum, maximum)
 
--- a/wickdyke/config/store_config.py
+++ b/wickdyke/config/store_config.py
@@ -36,4 +36,4 @@
     section = schema.read_single(sexpr.read(path), "store", path, STORE, diagnostics)
     config = schema.required(section, diagnostics)
     folder = os.path.dirname(os.path.abspath(path))
-    return replace(config, folder=os.path.join(folder, config.folder), listen=address.beside(config.listen, folder))
+    return replace(config, folder=os.path.join(folder, config.folder), listen=address.resolve(config.listen, folder))
--- a/wickdyke/config/worker_config.py
+++ b/wickdyke/config/worker_config.py
@@ -5,7 +5,7 @@
 
 from wickdyke.config import address, schema, sexpr
 from wickdyke.config.builders import unlocated
-from wickdyke.config.schema import Diagnostics, Field, count, number, record, size, span, text
+from wickdyke.config.schema import Diagnostics, Field, count, duration, number, record, size, text
 from wickdyke.config.sexpr import SourceLocation
 
 REQUESTS_PER_CORE = 2  # concurrent requests where the file states no limit
@@ -89,7 +89,7 @@
 RAMP = record(
     unlocated(RampSettings),
     start_share=Field(number(0.001, 1), DEFAULT_RAMP.start_share),
-    ramp=Field(span(), DEFAULT_RAMP.duration, parameter="duration"),
+    ramp=Field(duration(), DEFAULT_RAMP.duration, parameter="duration"),
 )
 STORE = record(
     unlocated(StoreSection),
@@ -111,10 +111,10 @@
     calls_at_once=Field(count(1, 4096), REQUESTS_PER_CORE * (os.cpu_count() or 1), parameter="concurrency"),
     loads_at_once=Field(count(1, 256), 4, parameter="load_concurrency"),
     queue=Field(count(1, 10**6), 200),
-    idle_life=Field(span(10), 30000.0, parameter="idle_timeout"),
-    run_time=Field(span(1), 60000.0, parameter="run_timeout"),
-    stop_within=Field(span(1), 1000.0, parameter="stop_timeout"),
-    measure=Field(span(10), 250.0, parameter="report_interval"),
+    idle_life=Field(duration(10), 30000.0, parameter="idle_timeout"),
+    run_time=Field(duration(1), 60000.0, parameter="run_timeout"),
+    stop_within=Field(duration(1), 1000.0, parameter="stop_timeout"),
+    measure=Field(duration(10), 250.0, parameter="report_interval"),
     ramp=Field(RAMP, DEFAULT_RAMP),
     log=Field(text, None),
     trace=Field(text, None),
@@ -144,9 +144,9 @@
     store = section.store
     return WorkerConfig(
         name=section.name,
-        listen=address.beside(section.listen, folder),
+        listen=address.resolve(section.listen, folder),
         store_folder=join(store.folder),
-        store_address=None if store.address is None else address.beside(store.address, folder),
+        store_address=None if store.address is None else address.resolve(store.address, folder),
         cache_folder=os.path.join(folder, section.cache.folder),
         cache_capacity=section.cache.capacity,
         memory=section.memory,
--- a/wickdyke/fault_injection/faults.py
+++ b/wickdyke/fault_injection/faults.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from wickdyke.config import schema, sexpr
-from wickdyke.config.schema import Diagnostics, Reader, count, number, span
+from wickdyke.config.schema import Diagnostics, Reader, count, duration, number
 from wickdyke.config.sexpr import Atom, AtomKind, Expression, SourceLocation
 from wickdyke.fault_injection.fake_worker.faults import TriggerEvent
 
@@ -125,7 +125,7 @@
 
 
 def _duration(default: float) -> FaultParameter:
-    return FaultParameter(span(), default)
+    return FaultParameter(duration(), default)
 
 
 def _share(maximum: float, default: float) -> FaultParameter:
@@ -219,7 +219,7 @@
     if not items or not isinstance(items[-1], Expression):
         diagnostics.add(expression.location, "(at ...) without a trouble", "(at TIME (TROUBLE ...))")
         return None
-    at = span()(Expression("at", items[:-1], expression.location), diagnostics)
+    at = duration()(Expression("at", items[:-1], expression.location), diagnostics)
     return _read_fault(items[-1], diagnostics, at=at)
 
 
--- a/wickdyke/fault_injection/scenario.py
+++ b/wickdyke/fault_injection/scenario.py
@@ -10,7 +10,7 @@
 
 from wickdyke.config import schema, sexpr
 from wickdyke.config.builders import unlocated
-from wickdyke.config.schema import Diagnostics, Field, choice, count, flag, number, record, size, span
+from wickdyke.config.schema import Diagnostics, Field, choice, count, duration, flag, number, record, size
 from wickdyke.config.sexpr import Expression, SourceLocation
 from wickdyke.fault_injection.faults import (
     FAULT_SPECIFICATIONS,
@@ -129,30 +129,30 @@
     named=True,
     effect=Field(choice(idempotent=Effect.IDEMPOTENT, tokened=Effect.TOKENED, side_effecting=Effect.SIDE_EFFECTING)),
     scope=Field(choice(all=EffectScope.ALL, zone=EffectScope.ZONE, cell=EffectScope.CELL), EffectScope.ALL),
-    window=Field(span(), 0.0, parameter="key_window_ms"),
-    soft_deadline=Field(span(1), parameter="soft_deadline_ms"),
-    deadline=Field(span(1), parameter="deadline_ms"),
+    window=Field(duration(), 0.0, parameter="key_window_ms"),
+    soft_deadline=Field(duration(1), parameter="soft_deadline_ms"),
+    deadline=Field(duration(1), parameter="deadline_ms"),
     gain=Field(number(0, 1e6), 1.0),
     late_gain=Field(number(0, 1), 0.2),
     part=Field(number(0, 1e6), 1.0, parameter="weight"),
-    work=Field(span(0.01), parameter="work_ms"),
+    work=Field(duration(0.01), parameter="work_ms"),
     programs=Field(count(1, 10000), 20, parameter="function_count"),
     memory=Field(size(), 2000.0, parameter="memory_mb"),
     lanes=Field(count(1, 1000), 4, parameter="concurrency"),
-    load=Field(span(), 500.0, parameter="load_ms"),
+    load=Field(duration(), 500.0, parameter="load_ms"),
 )
 SLOW_START = record(
     unlocated(SlowStart),
     start_share=Field(number(0.001, 1), 0.25),
-    ramp=Field(span(), 6000.0, parameter="ramp_ms"),
+    ramp=Field(duration(), 6000.0, parameter="ramp_ms"),
     multiple=Field(number(1, 1000), 3.0, parameter="overload_multiple"),
-    window=Field(span(1), 1500.0, parameter="window_ms"),
+    window=Field(duration(1), 1500.0, parameter="window_ms"),
 )
 PREWARM_QUOTA = record(
     unlocated(PrewarmQuota),
     free=Field(number(0, 1e6), 0.0),
     share=Field(number(0, 1e6), 0.0),
-    window=Field(span(), 0.0, parameter="window_ms"),
+    window=Field(duration(), 0.0, parameter="window_ms"),
 )
 
 
@@ -170,7 +170,7 @@
     runtime=Field(flag, False, parameter="real_workers"),
     holds=Field(flag, True, parameter="prewarming"),
     seed=Field(count(0, 2**31), 1),
-    length=Field(span(100), parameter="duration_ms"),
+    length=Field(duration(100), parameter="duration_ms"),
     gateways=Field(count(1, 64), 2, parameter="gateway_count"),
     workers=Field(count(1, 200), 6, parameter="worker_count"),
     zones=Field(count(1, 20), 1, parameter="zone_count"),
@@ -178,16 +178,16 @@
     speed=Field(number(0.01, 100), 1.0),
     memory=Field(size(1), 24000.0, parameter="worker_memory_mb"),
     queue=Field(count(1, 10**6), 200, parameter="queue_limit"),
-    idle_life=Field(span(100), 6000.0, parameter="idle_lifetime_ms"),
+    idle_life=Field(duration(100), 6000.0, parameter="idle_lifetime_ms"),
     rate=Field(number(0.1, 100000), 100.0, parameter="request_rate"),
     connections=Field(count(1, 1000), 2),
     most=Field(count(0, 10**7), 0, parameter="max_requests"),
     call_outs=Field(count(1, 100), 3, parameter="max_attempts"),
     overlap=Field(flag, False),
-    drain_grace=Field(span(), 1000.0, parameter="drain_grace_ms"),
-    list_lag=Field(span(), 500.0, parameter="endpoint_lag_ms"),
-    answer_way=Field(span(), 150.0, parameter="response_transit_ms"),
-    transit=Field(span(), 250.0, parameter="transit_ms"),
+    drain_grace=Field(duration(), 1000.0, parameter="drain_grace_ms"),
+    list_lag=Field(duration(), 500.0, parameter="endpoint_lag_ms"),
+    answer_way=Field(duration(), 150.0, parameter="response_transit_ms"),
+    transit=Field(duration(), 250.0, parameter="transit_ms"),
     store_pace=Field(count(1, 10000), 8, parameter="store_concurrency"),
     warmup=Field(SLOW_START, SlowStart(), parameter="slow_start"),
     ration=Field(PREWARM_QUOTA, PrewarmQuota(), parameter="prewarm_quota"),
--- a/wickdyke/platform/worker_results.py
+++ b/wickdyke/platform/worker_results.py
@@ -1,6 +1,6 @@
 """Parses the answers of workers: the outcome of a command, and the load report."""
 
-from wickdyke.config.deployment_settings import REPORTS
+from wickdyke.config.deployment_settings import REPORT_FIELD_NAMES
 from wickdyke.gateway.interfaces import CommandResult
 from wickdyke.platform import resp
 from wickdyke.routing.inputs import WorkerLoad
@@ -24,7 +24,7 @@
 ANSWER_PART_COUNT = 4  # id, status, fields, body
 MAX_REPORT_VALUE = 1e12  # of a field of a load report; larger values are invalid
 # Load reports name their fields as the protocol does or as the settings do.
-REPORT_FIELDS = REPORTS | {
+REPORT_FIELDS = REPORT_FIELD_NAMES | {
     "inflight": "in_flight",
     "util": "utilization",
     "latency_ms": "recent",
--- a/wickdyke/simulator/host.py
+++ b/wickdyke/simulator/host.py
@@ -8,10 +8,10 @@
 from wickdyke.config.deployment_settings import (
     InvalidInputError,
     count,
+    duration,
     from_pairs,
     request_classes,
     router_settings,
-    span,
 )
 from wickdyke.routing.inputs import AttemptFinished, RequestReceived, WorkerLoad
 from wickdyke.routing.model import Endpoint
@@ -86,7 +86,7 @@
     def _set_clock(self, name: str, values: list[str]) -> None:
         if name != "MARK":
             raise InvalidInputError(f"found {name[: codec.MAX_TEXT_SHOWN]!r}, expected MARK")
-        (now,) = codec.decode_values("MARK", values, (("clock", span),))
+        (now,) = codec.decode_values("MARK", values, (("clock", duration),))
         if now < self.now:
             raise InvalidInputError(f"MARK: the clock is {now}, expected at least {self.now}")
         self.now = now
--- a/wickdyke/worker/manifest.py
+++ b/wickdyke/worker/manifest.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 
 from wickdyke.config import schema, sexpr
-from wickdyke.config.schema import Diagnostics, Field, count, record, size, span, text
+from wickdyke.config.schema import Diagnostics, Field, count, duration, record, size, text
 from wickdyke.config.sexpr import Atom, AtomKind, Diagnostic, Expression, InvalidConfigError, SourceLocation
 
 FILE_NAME = "package.sexp"
@@ -76,7 +76,7 @@
     entry=Field(_matching(ENTRY_PATTERN, 'a module and a function, as "main:run"')),
     memory=Field(size(1.0, 1e6)),
     lanes=Field(count(1, 256), 1, parameter="concurrency"),
-    run_time=Field(span(1.0), 60000.0, parameter="run_timeout"),
+    run_time=Field(duration(1.0), 60000.0, parameter="run_timeout"),
     environment=Field(_environment, ()),
     digest=Field(_matching(DIGEST_PATTERN, '"sha256:" and 64 hexadecimal digits'), None),
 )
