--- a/wickdyke/config/endpoint_file.py
+++ b/wickdyke/config/endpoint_file.py
@@ -41,7 +41,7 @@
     state=Field(choice(ready="ready", draining="draining", gone="gone"), "ready"),
     start=Field(count(0, 2**53), 0),
 )
-WORKERS = record(unlocated(_rows), worker=Field(WORKER, None, many=True))
+WORKERS = record(unlocated(_rows), worker=Field(WORKER, None, repeatable=True))
 
 
 def _check_name(
--- a/wickdyke/config/gateway_config.py
+++ b/wickdyke/config/gateway_config.py
@@ -1,4 +1,4 @@
-"""The settings file of a gateway, read into checked values."""
+"""Reads and validates the settings file of a gateway."""
 
 import os
 from collections.abc import Sequence
@@ -28,9 +28,9 @@
 
 @dataclass(slots=True)
 class GatewayConfig:
-    """All settings of a gateway. Times are ms; paths start from the folder of the settings file.
+    """All settings of a gateway. Times are in ms; relative paths start from the folder of the settings file.
 
-    `answer_margin` is reserved at the end of a request's time for its answer to reach the client.
+    `answer_margin` is the time before a request's deadline that is reserved for its answer to reach the client.
     """
 
     name: str
@@ -61,16 +61,16 @@
     tenant_quotas: TenantQuotas
 
     def function_settings(self, function: str) -> FunctionSettings | None:
-        """The settings of a function: those of its exact name, else of the longest prefix; None if there are none."""
+        """Returns the settings of a function: those of its exact name, else of its longest prefix, else None."""
         matching = [settings for settings in self.functions if settings.matches(function)]
         return max(matching, key=lambda settings: (not settings.is_prefix, len(settings.name)), default=None)
 
 
-# ---- checks of sections against each other ----
+# ---- consistency checks across sections ----
 
 
-def _check_request_class(located: Located[RequestClass], answer_margin: float, diagnostics: Diagnostics) -> None:
-    request_class, location = located.value, located.location
+def _check_request_class(located_class: Located[RequestClass], answer_margin: float, diagnostics: Diagnostics) -> None:
+    request_class, location = located_class.value, located_class.location
     if request_class.latency_objective >= request_class.deadline:
         diagnostics.add(
             location,
@@ -89,10 +89,10 @@
 
 
 def _check_names(section: GatewaySection, diagnostics: Diagnostics) -> None:
-    """Reports names that are stated twice."""
+    """Reports names that occur more than once."""
 
-    def check(what: str, names: Sequence[str], located: Sequence[Located[T]]) -> None:
-        schema.check_unique(names, [item.location for item in located], what, diagnostics)
+    def check(label: str, names: Sequence[str], located_values: Sequence[Located[T]]) -> None:
+        schema.check_unique(names, [item.location for item in located_values], label, diagnostics)
 
     check("method", [item.value.name for item in section.request_classes], section.request_classes)
     functions = section.functions
@@ -110,12 +110,12 @@
         expected = "one of the zones" + "".join(f' "{zone}"' for zone in zones)
         diagnostics.add(section.location, f'(at "{section.own_zone}")', expected)
     if section.own_zone is None and len(zones) > 1:
-        expected = '(at "ZONE"): where this gateway stands'
+        expected = '(at "ZONE"): the zone of this gateway'
         diagnostics.add(section.location, f"{len(zones)} zones and no (at ...)", expected)
 
 
 def _check_section(section: GatewaySection, diagnostics: Diagnostics) -> None:
-    """Reports what contradicts other parts of the file."""
+    """Reports values that contradict other parts of the file."""
     for request_class in section.request_classes:
         _check_request_class(request_class, section.answer_margin, diagnostics)
     _check_names(section, diagnostics)
@@ -125,26 +125,26 @@
         actual = f"number {instance.index} of {instance.count}"
         diagnostics.add(section.instance.location, actual, f"a number of 0 to {instance.count - 1}")
     if section.endpoints.path == section.listen:
-        actual = f'"{section.listen}" as socket and as list of workers'
+        actual = f'"{section.listen}" as socket and as endpoint file'
         diagnostics.add(section.location, actual, "two different files")
     if section.limits.unread_size < section.limits.line_size:
-        actual = f"unread of {section.limits.unread_size:g} MB under line of {section.limits.line_size:g} MB"
-        diagnostics.add(section.location, actual, "room for one line at least")
+        actual = f"unread of {section.limits.unread_size:g} MB, below line of {section.limits.line_size:g} MB"
+        diagnostics.add(section.location, actual, "at least the size of one line")
 
 
 # ---- reading ----
 
 
 def read(path: str) -> GatewayConfig:
-    """Reads and checks a gateway's file; relative paths in it start from its folder.
+    """Reads and validates a gateway's file; relative paths in it start from its folder.
 
-    Raises InvalidConfigError with all that is wrong.
+    Raises InvalidConfigError with all errors.
     """
     return build(sexpr.read(path), path)
 
 
 def build(expressions: list[sexpr.Expression], path: str) -> GatewayConfig:
-    """The settings in the expressions of a file that has, or will have, that path; raises InvalidConfigError."""
+    """Returns the settings in the expressions of a file, which needn't exist yet. Raises InvalidConfigError."""
     diagnostics = Diagnostics()
     section = schema.read_single(expressions, "gateway", path, GATEWAY, diagnostics)
     if section is not None:
@@ -158,7 +158,7 @@
         index=section.instance.value.index,
         count=section.instance.value.count,
         zone=zones.index(section.own_zone) if section.own_zone else 0,
-        report_fields=tuple(REPORT_FIELDS.get(word, word) for word in section.report_words),
+        report_fields=tuple(REPORT_FIELDS.get(key, key) for key in section.report_keys),
         weight_by_work=section.weight_by_work,
     )
 
@@ -168,7 +168,7 @@
 
 
 def _from_section(section: GatewaySection, folder: str) -> GatewayConfig:
-    """The settings of a checked section, with paths that start from the folder."""
+    """Returns the settings of a validated section, with its paths joined to the folder."""
     memory = tuple(kind.value.memory for kind in section.kinds)
     return GatewayConfig(
         name=section.name,
--- a/wickdyke/config/gateway_sections.py
+++ b/wickdyke/config/gateway_sections.py
@@ -1,6 +1,7 @@
 """The sections of a gateway's settings file and their readers.
 
-The keyword of each field is its key in the file; `parameter` maps it to the name in the code where they differ.
+The keyword argument of each field is its key in the file, with underscores for hyphens; `parameter` is the name in
+the code where it differs from the key.
 """
 
 from dataclasses import dataclass
@@ -30,7 +31,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ServerLimits:
-    """What a gateway bounds; requests or clients beyond it are rejected or disconnected (docs/protocol.md)."""
+    """Limits of a gateway; requests that exceed them are rejected and clients disconnected (docs/protocol.md)."""
 
     connections: int
     open_requests: int
@@ -42,7 +43,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ServerLimitsSection:
-    """The limits as a file states them, sizes in MB."""
+    """The limits as the file states them, with sizes in MB."""
 
     connections: int = 1024
     open_requests: int = 32768
@@ -52,7 +53,7 @@
     events: int = 100000
 
     def limits(self) -> ServerLimits:
-        """The limits with sizes in bytes."""
+        """Returns the limits with sizes in bytes."""
         return ServerLimits(
             self.connections,
             self.open_requests,
@@ -65,9 +66,9 @@
 
 @dataclass(slots=True, frozen=True)
 class FunctionSettings:
-    """Settings of the functions whose name is `name`, or begins with it where it ends with a star.
+    """Settings of the function `name`, or, where `name` ends with a star, of all functions with that prefix.
 
-    `memory` of a replica is in MB; `concurrency` is how many requests a replica runs at once; `load_time` is in ms.
+    `memory` is MB per replica, `concurrency` the number of concurrent requests per replica, `load_time` is in ms.
     """
 
     name: str
@@ -78,17 +79,17 @@
 
     @property
     def is_prefix(self) -> bool:
-        """Whether the name is the beginning of functions' names."""
+        """Whether `name` is a prefix of the names of several functions."""
         return self.name.endswith("*")
 
     def matches(self, function: str) -> bool:
-        """Whether these are settings of that function."""
+        """Returns whether these settings apply to that function."""
         return function.startswith(self.name[:-1]) if self.is_prefix else function == self.name
 
 
 @dataclass(slots=True, frozen=True)
 class PolledFile:
-    """A file that is read again when it changes; `poll_interval` is ms. There is none where `path` is None."""
+    """A file that is read again when it changes; `poll_interval` is in ms, and `path` is None if there is no file."""
 
     path: str | None = None
     poll_interval: float = DEFAULT_POLL_INTERVAL
@@ -96,7 +97,7 @@
 
 @dataclass(slots=True, frozen=True)
 class WorkerKind:
-    """A kind of worker and its memory for replicas in MB."""
+    """A kind of worker and its memory for replicas, in MB."""
 
     name: str
     memory: float
@@ -104,7 +105,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Tenant:
-    """A tenant and its quota in requests a second of the whole fleet."""
+    """A tenant and its quota for the whole fleet, in requests per second."""
 
     name: str
     quota: float
@@ -112,7 +113,7 @@
 
 @dataclass(slots=True, frozen=True)
 class InstanceNumber:
-    """Which of how many gateways this is, counted from 0."""
+    """The index of this gateway, counted from 0, and the number of gateways."""
 
     index: int = 0
     count: int = 1
@@ -120,7 +121,7 @@
 
 @dataclass(slots=True, frozen=True)
 class GatewaySection:
-    """All that a gateway's file states, before the sections are checked against each other. Times are ms."""
+    """All sections of a gateway's file, before they are checked for consistency. Times are in ms."""
 
     location: SourceLocation
     name: str
@@ -136,7 +137,7 @@
     request_classes: list[Located[RequestClass]]
     functions: list[FunctionSettings]
     instance: Located[InstanceNumber]
-    report_words: tuple[str, ...]
+    report_keys: tuple[str, ...]
     weight_by_work: bool
     attempt_limits: AttemptLimits
     function_cache: FunctionCache
@@ -167,7 +168,7 @@
     reports_warmth: bool,
     reports_concurrency: bool,
 ) -> FunctionCache:
-    """The settings but for the memory, which the kinds of workers state."""
+    """Returns the settings without the memory, which the kinds of workers state."""
     return FunctionCache(
         memory=(),
         idle_timeout=idle_timeout,
@@ -295,13 +296,13 @@
     log=Field(text, None),
     tape=Field(text, None, parameter="recording"),
     seed=Field(count(0, 2**53), None),
-    zone=Field(ZONE, None, many=True, parameter="zones"),
+    zone=Field(ZONE, None, repeatable=True, parameter="zones"),
     at=Field(text, None, parameter="own_zone"),
-    kind=Field(WORKER_KIND, None, many=True, parameter="kinds"),
-    method=Field(REQUEST_CLASS, many=True, parameter="request_classes"),
-    program=Field(FUNCTION, None, many=True, parameter="functions"),
+    kind=Field(WORKER_KIND, None, repeatable=True, parameter="kinds"),
+    method=Field(REQUEST_CLASS, repeatable=True, parameter="request_classes"),
+    program=Field(FUNCTION, None, repeatable=True, parameter="functions"),
     seat=Field(INSTANCE_NUMBER, Located(InstanceNumber(), NOWHERE), parameter="instance"),
-    report=Field(word_list, ("busy", "held"), parameter="report_words"),
+    report=Field(word_list, ("busy", "held"), parameter="report_keys"),
     by_work=Field(flag, False, parameter="weight_by_work"),
     call_outs=Field(ATTEMPT_LIMITS, DEFAULT_ATTEMPT_LIMITS, parameter="attempt_limits"),
     stock=Field(FUNCTION_CACHE, parameter="function_cache"),
@@ -313,5 +314,5 @@
     answer_way=Field(duration(0.0, 60000.0), 20.0, parameter="answer_margin"),
     probe_wait=Field(duration(1.0, 60000.0), 250.0, parameter="health_check_timeout"),
     isolation=Field(BREAKERS, DEFAULT_BREAKERS, parameter="breakers"),
-    tenant=Field(TENANT, None, many=True, parameter="tenants"),
+    tenant=Field(TENANT, None, repeatable=True, parameter="tenants"),
 )
--- a/wickdyke/config/route_syntax.py
+++ b/wickdyke/config/route_syntax.py
@@ -199,7 +199,7 @@
     return route
 
 
-_read_routes = record(unlocated(_routes), route=Field(_read_route, None, many=True))
+_read_routes = record(unlocated(_routes), route=Field(_read_route, None, repeatable=True))
 
 
 def parse_routes(forms: list[Expression], path: str) -> list[Route]:
--- a/wickdyke/config/schema.py
+++ b/wickdyke/config/schema.py
@@ -1,7 +1,7 @@
-"""Typed readers of expressions: what a section of a file may hold, in which units, and its defaults.
+"""Typed readers of expressions, which define the fields of a section with their units and defaults.
 
-A reader takes the expression of one field, reports each error to the diagnostics and returns the value, or None where
-it is unusable. `record` combines the readers of a section's fields into a reader of the section.
+A reader takes the expression of one field, adds each error to the diagnostics and returns the value, or None if the
+expression is invalid. `record` combines the readers of a section's fields into a reader of the section.
 """
 
 from collections.abc import Callable, Sequence
@@ -16,7 +16,7 @@
 
 @dataclass(slots=True)
 class Diagnostics:
-    """The errors of a file so far."""
+    """Collects the errors of a file."""
 
     entries: list[Diagnostic] = field(default_factory=list)
 
@@ -34,7 +34,7 @@
 
 
 def describe(item: Atom | Expression) -> str:
-    """An item as a message names it."""
+    """Returns the text that stands for an item in a message."""
     return f"({item.name} ...)" if isinstance(item, Expression) else item.text
 
 
@@ -43,7 +43,7 @@
 
 
 def _single_atom(expression: Expression, diagnostics: Diagnostics, kind: AtomKind, expected: str) -> Atom | None:
-    """The only item of the expression, if it is an atom of that kind; else None and an error."""
+    """Returns the only item of the expression if it is an atom of that kind; else reports an error."""
     only = expression.items[0] if len(expression.items) == 1 else None
     if isinstance(only, Atom) and only.kind == kind:
         return only
@@ -58,19 +58,19 @@
 
 @dataclass(slots=True, frozen=True)
 class Quantity:
-    """What is measured, as a message names it, and the size of each unit in the base unit (whose size is 1)."""
+    """A kind of quantity: its name in messages, and the factor from each unit to the base unit (whose factor is 1)."""
 
     description: str
     units: dict[str, float]
 
     @property
     def base_unit(self) -> str:
-        """The unit in which values are kept."""
+        """The unit of the values that readers return."""
         return next(unit for unit, factor in self.units.items() if factor == 1.0)
 
     @property
     def unit_names(self) -> str:
-        """All units, as a message lists them."""
+        """All units, as listed in messages."""
         return ", ".join(self.units)
 
 
@@ -79,31 +79,31 @@
 
 
 def _read_unit(quantity: Quantity, expression: Expression, amount: Atom, diagnostics: Diagnostics) -> str | None:
-    """The unit that follows the amount; None and an error where it is missing or unknown."""
+    """Returns the unit that follows the amount; returns None and reports an error if it is missing or unknown."""
     items = expression.items
     if len(items) == 1:
         diagnostics.add(
             amount.location,
             f"{amount.text} without a unit",
             f"{quantity.description} with its unit ({quantity.unit_names})",
-            f"write {amount.text} {quantity.base_unit} if that is what is meant",
+            f"write {amount.text} {quantity.base_unit} if that unit is meant",
         )
         return None
     unit = items[1] if len(items) == 2 and isinstance(items[1], Atom) else None
     if unit is not None and unit.text in quantity.units:
         return unit.text
-    other_case = {name.lower(): name for name in quantity.units}.get(unit.text.lower() if unit else "")
+    unit_in_other_case = {name.lower(): name for name in quantity.units}.get(unit.text.lower() if unit else "")
     diagnostics.add(
         (unit or amount).location,
         f"the unit {_describe_all(items[1:])}",
         f"one of {quantity.unit_names}",
-        f"write {other_case}" if other_case else "",
+        f"write {unit_in_other_case}" if unit_in_other_case else "",
     )
     return None
 
 
 def _quantity(quantity: Quantity, minimum: float, maximum: float) -> Reader[float]:
-    """A reader of a number with its unit, in the base unit."""
+    """Returns a reader of a number with a unit, which converts it to the base unit."""
 
     def reader(expression: Expression, diagnostics: Diagnostics) -> float | None:
         first = expression.items[0] if expression.items else None
@@ -125,12 +125,12 @@
 
 
 def duration(minimum: float = 0.0, maximum: float = 3.6e6) -> Reader[float]:
-    """A reader of a duration, in ms."""
+    """Returns a reader of a duration, in ms."""
     return _quantity(TIME, minimum, maximum)
 
 
 def size(minimum: float = 0.0, maximum: float = 1e9) -> Reader[float]:
-    """A reader of a size of memory, in MB."""
+    """Returns a reader of a size of memory or files, in MB."""
     return _quantity(SIZE, minimum, maximum)
 
 
@@ -138,7 +138,7 @@
 
 
 def number(minimum: float, maximum: float) -> Reader[float]:
-    """A reader of a number without a unit."""
+    """Returns a reader of a number without a unit."""
 
     def reader(expression: Expression, diagnostics: Diagnostics) -> float | None:
         expected = f"number of {minimum:g} to {maximum:g}"
@@ -155,7 +155,7 @@
 
 
 def count(minimum: int, maximum: int) -> Reader[int]:
-    """A reader of an integer."""
+    """Returns a reader of an integer."""
     read_number = number(minimum, maximum)
 
     def reader(expression: Expression, diagnostics: Diagnostics) -> int | None:
@@ -181,7 +181,7 @@
 
 
 def choice(**choices: T) -> Reader[T]:
-    """A reader of one of these words (an underscore stands for a hyphen), which returns the word's value."""
+    """Returns a reader of one of these words (an underscore stands for a hyphen), which returns the word's value."""
     table = {word.replace("_", "-"): value for word, value in choices.items()}
     expected = "one of " + ", ".join(table)
 
@@ -202,7 +202,7 @@
 
 
 def word_list(expression: Expression, diagnostics: Diagnostics) -> tuple[str, ...] | None:
-    """Reads words, each at most once; an error leaves the others."""
+    """Reads words, each at most once; reports each invalid item and returns the others."""
     words: list[str] = []
     for item in expression.items:
         if not isinstance(item, Atom) or item.kind != AtomKind.WORD:
@@ -229,18 +229,19 @@
 class Field(Generic[T]):
     """A field of a section: its reader, its value where it is absent, and whether it may be repeated.
 
-    The value of a field with `many` is a list, which is empty where it is absent; with `absent` None it may be.
-    `parameter` is the name under which the value is passed to the section's builder, if it is not the field's own.
+    The value of a `repeatable` field is a list, which is empty where the field is absent; without `absent` at least
+    one is required. `parameter` is the name under which the value is passed to the section's builder, if it differs
+    from the name of the field.
     """
 
     reader: Reader[T]
     absent: T | Required | None = REQUIRED
-    many: bool = False
+    repeatable: bool = False
     parameter: str = ""
 
     def default(self) -> T | Required | list[T] | None:
-        """The value where the field is absent."""
-        return [] if self.many and self.absent in (REQUIRED, None) else self.absent
+        """Returns the value where the field is absent."""
+        return [] if self.repeatable and self.absent in (REQUIRED, None) else self.absent
 
 
 class _RecordReader(Generic[T]):
@@ -258,7 +259,7 @@
         if self.named:
             self._read_name(expression, items, values, diagnostics)
         first_locations: dict[str, SourceLocation] = {}
-        misspelt: set[str] = set()  # these are not also reported as missing
+        misspelt: set[str] = set()  # fields that are not reported as missing as well
         for item in items:
             if isinstance(item, Atom) or not item.name:
                 diagnostics.add(item.location, describe(item), f"a field of {expression.name} in brackets")
@@ -284,17 +285,19 @@
         values: dict[str, Any],
         diagnostics: Diagnostics,
     ) -> None:
-        """Takes the name from the items."""
+        """Removes the name from the items and stores it in `values`; reports an error if there is none."""
         first = items.pop(0) if items and isinstance(items[0], Atom) else None
         if isinstance(first, Atom) and first.kind == AtomKind.STRING and first.value:
             values["name"] = str(first.value)
             return
-        diagnostics.add(expression.location, f"({expression.name} without a name", f'({expression.name} "NAME" ...)')
+        diagnostics.add(
+            expression.location, f"({expression.name} ...) without a name", f'({expression.name} "NAME" ...)'
+        )
 
     def _report_unknown(self, item: Expression, section: str, diagnostics: Diagnostics) -> list[str]:
-        """Reports a field that the section does not have; returns the name that is probably meant, if there is one."""
+        """Reports an unknown field; returns the most similar field name, if any, in a list."""
         similar = get_close_matches(item.name, self.fields, 1, 0.5)
-        fix = f"did you mean {similar[0]}?" if similar else "it knows " + ", ".join(self.fields)
+        fix = f"did you mean {similar[0]}?" if similar else "known fields: " + ", ".join(self.fields)
         diagnostics.add(item.location, f"({item.name} ...)", f"a field of {section}", fix)
         return similar
 
@@ -306,13 +309,13 @@
         diagnostics: Diagnostics,
     ) -> None:
         definition = self.fields[item.name]
-        if item.name in first_locations and not definition.many:
-            fix = f"the first stands in line {first_locations[item.name].line}"
-            diagnostics.add(item.location, f"({item.name} ...) a second time", "it once", fix)
+        if item.name in first_locations and not definition.repeatable:
+            fix = f"the first is on line {first_locations[item.name].line}"
+            diagnostics.add(item.location, f"({item.name} ...) a second time", "it only once", fix)
             return
         first_locations[item.name] = item.location
         value = definition.reader(item, diagnostics)
-        if definition.many:
+        if definition.repeatable:
             values.setdefault(item.name, []).append(value)
         else:
             values[item.name] = value
@@ -329,10 +332,10 @@
 
 
 def record(build: Callable[..., T], named: bool = False, **fields: Field[Any]) -> Reader[T]:
-    """A reader of a section with these fields (an underscore stands for a hyphen).
+    """Returns a reader of a section with these fields (an underscore stands for a hyphen).
 
-    `build` is called with the section's `location` and the value of each field, only where there is no error; with
-    `named` a string comes first in the section and is passed as `name`. All errors are reported, each once.
+    If there is no error, `build` is called with the section's `location` and the value of each field. With `named`, a
+    string must come first in the section and is passed as `name`. All errors are reported, each once.
     """
     return _RecordReader(build, named, {name.replace("_", "-"): definition for name, definition in fields.items()})
 
@@ -343,7 +346,7 @@
 def single_expression(
     expressions: list[Expression], name: str, file: str, diagnostics: Diagnostics
 ) -> Expression | None:
-    """The one expression of that name which a file has to hold; None and an error where there is none."""
+    """Returns the only expression of a file, which must have that name; reports missing and further expressions."""
     matching = [expression for expression in expressions if expression.name == name]
     for expression in expressions:
         if expression.name != name:
@@ -358,24 +361,26 @@
 def read_single(
     expressions: list[Expression], name: str, file: str, reader: Reader[T], diagnostics: Diagnostics
 ) -> T | None:
-    """The value of the one expression of that name in a file; None and an error where there is none."""
+    """Returns the value of the only expression of a file, which must have that name; reports all errors."""
     expression = single_expression(expressions, name, file, diagnostics)
     return None if expression is None else reader(expression, diagnostics)
 
 
 def required(value: T | None, diagnostics: Diagnostics) -> T:
-    """The value, if nothing is wrong with it; else raises InvalidConfigError with all errors."""
+    """Returns the value. Raises InvalidConfigError with all errors, if there are any."""
     diagnostics.raise_if_any()
     if value is None:
         raise AssertionError("a reader returned no value and reported no error")
     return value
 
 
-def check_unique(names: Sequence[object], locations: list[SourceLocation], what: str, diagnostics: Diagnostics) -> None:
-    """Reports each name that occurs again; `what` is what bears the names."""
+def check_unique(
+    names: Sequence[object], locations: list[SourceLocation], label: str, diagnostics: Diagnostics
+) -> None:
+    """Reports each repeated name; `label` is the kind of thing that has the names, for the message."""
     first_locations: dict[object, SourceLocation] = {}
     for name, location in zip(names, locations, strict=True):
         if name in first_locations:
-            fix = f"the first stands in line {first_locations[name].line}"
-            diagnostics.add(location, f"{what} {name} a second time", "each once", fix)
+            fix = f"the first is on line {first_locations[name].line}"
+            diagnostics.add(location, f"{label} {name} a second time", "each name once", fix)
         first_locations.setdefault(name, location)
--- a/wickdyke/config/store_config.py
+++ b/wickdyke/config/store_config.py
@@ -1,4 +1,4 @@
-"""The settings file of a package store, read into checked values."""
+"""Reads and validates the settings file of a package store."""
 
 import os
 from dataclasses import dataclass, replace
@@ -10,7 +10,7 @@
 
 @dataclass(slots=True, frozen=True)
 class StoreConfig:
-    """All settings of a store. `bandwidth` is MB a second for all readers together; `readers` is their maximum."""
+    """All settings of a store. `bandwidth` is MB per second of all readers together, `readers` their maximum."""
 
     listen: str
     folder: str
@@ -28,9 +28,9 @@
 
 
 def read(path: str) -> StoreConfig:
-    """Reads and checks a store's file, `(store ...)`; relative paths in it start from its folder.
+    """Reads and validates a store's file, `(store ...)`; relative paths in it start from its folder.
 
-    Raises InvalidConfigError with all that is wrong.
+    Raises InvalidConfigError with all errors.
     """
     diagnostics = Diagnostics()
     section = schema.read_single(sexpr.read(path), "store", path, STORE, diagnostics)
--- a/wickdyke/config/worker_config.py
+++ b/wickdyke/config/worker_config.py
@@ -1,4 +1,4 @@
-"""The settings file of a worker, read into checked values."""
+"""Reads and validates the settings file of a worker."""
 
 import os
 from dataclasses import dataclass
@@ -8,12 +8,15 @@
 from wickdyke.config.schema import Diagnostics, Field, count, duration, number, record, size, text
 from wickdyke.config.sexpr import SourceLocation
 
-REQUESTS_PER_CORE = 2  # concurrent requests where the file states no limit
+DEFAULT_REQUESTS_PER_CORE = 2  # concurrent requests, where the file states no limit
 
 
 @dataclass(slots=True, frozen=True)
 class RampSettings:
-    """A slow start: at first `start_share` of the concurrent requests, all of them after `duration` ms (0: at once)."""
+    """A slow start: the limit of concurrent requests rises from `start_share` of it to all of it within `duration` ms.
+
+    There is no slow start where `duration` is 0.
+    """
 
     start_share: float = 0.25
     duration: float = 0.0
@@ -24,7 +27,7 @@
 
 @dataclass(slots=True, frozen=True)
 class CacheSection:
-    """Where packages are cached and how much of them, in MB."""
+    """The folder in which packages are cached, and the capacity of the cache in MB."""
 
     folder: str
     capacity: float
@@ -32,7 +35,7 @@
 
 @dataclass(slots=True, frozen=True)
 class StoreSection:
-    """Where packages come from: a folder or the address of a store."""
+    """The source of packages: a folder or the address of a store; the other is None."""
 
     folder: str | None
     address: str | None
@@ -40,9 +43,9 @@
 
 @dataclass(slots=True)
 class WorkerConfig:
-    """All settings of a worker. Memory and sizes are MB, times are ms; paths are absolute.
+    """All settings of a worker. Memory and sizes are in MB, times in ms; paths are absolute.
 
-    Packages come from `store_folder` or `store_address`: the other is None.
+    Packages are read from `store_folder` or `store_address`; the other is None.
     """
 
     name: str
@@ -66,7 +69,7 @@
 
 @dataclass(slots=True, frozen=True)
 class WorkerSection:
-    """All that a worker's file states, with the paths as written. The keys of its fields stand at `WORKER`."""
+    """All sections of a worker's file, with paths as written. `WORKER` maps the keys of the file to these fields."""
 
     location: SourceLocation
     name: str
@@ -108,7 +111,7 @@
     store=Field(STORE),
     cache=Field(CACHE),
     memory=Field(size(16)),
-    calls_at_once=Field(count(1, 4096), REQUESTS_PER_CORE * (os.cpu_count() or 1), parameter="concurrency"),
+    calls_at_once=Field(count(1, 4096), DEFAULT_REQUESTS_PER_CORE * (os.cpu_count() or 1), parameter="concurrency"),
     loads_at_once=Field(count(1, 256), 4, parameter="load_concurrency"),
     queue=Field(count(1, 10**6), 200),
     idle_life=Field(duration(10), 30000.0, parameter="idle_timeout"),
@@ -122,9 +125,9 @@
 
 
 def read(path: str) -> WorkerConfig:
-    """Reads and checks a worker's file; relative paths in it start from its folder.
+    """Reads and validates a worker's file; relative paths in it start from its folder.
 
-    Raises InvalidConfigError with all that is wrong.
+    Raises InvalidConfigError with all errors.
     """
     diagnostics = Diagnostics()
     section = schema.read_single(sexpr.read(path), "worker", path, WORKER, diagnostics)
@@ -136,7 +139,7 @@
 
 
 def _from_section(section: WorkerSection, folder: str) -> WorkerConfig:
-    """The settings of a checked section, with paths that start from the folder."""
+    """Returns the settings of a validated section, with its paths joined to the folder."""
 
     def join(path: str | None) -> str | None:
         return None if path is None else os.path.join(folder, path)
--- a/wickdyke/fault_injection/scenario.py
+++ b/wickdyke/fault_injection/scenario.py
@@ -165,7 +165,7 @@
 SCENARIO = record(
     unlocated(_build_scenario),
     named=True,
-    route=Field(_route_text, None, many=True),
+    route=Field(_route_text, None, repeatable=True),
     cancel=Field(flag, True, parameter="cancel_supported"),
     runtime=Field(flag, False, parameter="real_workers"),
     holds=Field(flag, True, parameter="prewarming"),
@@ -191,9 +191,9 @@
     store_pace=Field(count(1, 10000), 8, parameter="store_concurrency"),
     warmup=Field(SLOW_START, SlowStart(), parameter="slow_start"),
     ration=Field(PREWARM_QUOTA, PrewarmQuota(), parameter="prewarm_quota"),
-    method=Field(REQUEST_CLASS, many=True, parameter="request_classes"),
-    at=Field(read_timed_fault, None, many=True, parameter="timed_faults"),
-    on=Field(read_triggered_fault, None, many=True, parameter="triggered_faults"),
+    method=Field(REQUEST_CLASS, repeatable=True, parameter="request_classes"),
+    at=Field(read_timed_fault, None, repeatable=True, parameter="timed_faults"),
+    on=Field(read_triggered_fault, None, repeatable=True, parameter="triggered_faults"),
 )
 
 
