--- a/wickdyke/config/gateway_sections.py
+++ b/wickdyke/config/gateway_sections.py
@@ -1,6 +1,7 @@
 """The sections of a gateway's settings file and their readers.
 
-The keyword of each field is its key in the file; `parameter` maps it to the name in the code where they differ.
+The keyword argument of each field is its key in the file, with underscores for hyphens; `parameter` is the name in
+the code where it differs from the key.
 """
 
 from dataclasses import dataclass
@@ -12,11 +13,11 @@
     Field,
     choice,
     count,
+    duration,
     flag,
     number,
     record,
     size,
-    span,
     text,
     word_list,
 )
@@ -30,7 +31,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ServerLimits:
-    """What a gateway bounds; requests or clients beyond it are rejected or disconnected (docs/protocol.md)."""
+    """Limits of a gateway; requests that exceed them are rejected and clients disconnected (docs/protocol.md)."""
 
     connections: int
     open_requests: int
@@ -42,7 +43,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ServerLimitsSection:
-    """The limits as a file states them, sizes in MB."""
+    """The limits as the file states them, with sizes in MB."""
 
     connections: int = 1024
     open_requests: int = 32768
@@ -52,7 +53,7 @@
     events: int = 100000
 
     def limits(self) -> ServerLimits:
-        """The limits with sizes in bytes."""
+        """Returns the limits with sizes in bytes."""
         return ServerLimits(
             self.connections,
             self.open_requests,
@@ -65,9 +66,9 @@
 
 @dataclass(slots=True, frozen=True)
 class FunctionSettings:
-    """Settings of the functions whose name is `name`, or begins with it where it ends with a star.
+    """Settings of the function `name`, or, where `name` ends with a star, of all functions with that prefix.
 
-    `memory` of a replica is in MB; `concurrency` is how many requests a replica runs at once; `load_time` is in ms.
+    `memory` is MB per replica, `concurrency` the number of concurrent requests per replica, `load_time` is in ms.
     """
 
     name: str
@@ -78,17 +79,17 @@
 
     @property
     def is_prefix(self) -> bool:
-        """Whether the name is the beginning of functions' names."""
+        """Whether `name` is a prefix of the names of several functions."""
         return self.name.endswith("*")
 
     def matches(self, function: str) -> bool:
-        """Whether these are settings of that function."""
+        """Returns whether these settings apply to that function."""
         return function.startswith(self.name[:-1]) if self.is_prefix else function == self.name
 
 
 @dataclass(slots=True, frozen=True)
 class PolledFile:
-    """A file that is read again when it changes; `poll_interval` is ms. There is none where `path` is None."""
+    """A file that is read again when it changes; `poll_interval` is in ms, and `path` is None if there is no file."""
 
     path: str | None = None
     poll_interval: float = DEFAULT_POLL_INTERVAL
@@ -96,7 +97,7 @@
 
 @dataclass(slots=True, frozen=True)
 class WorkerKind:
-    """A kind of worker and its memory for replicas in MB."""
+    """A kind of worker and its memory for replicas, in MB."""
 
     name: str
     memory: float
@@ -104,7 +105,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Tenant:
-    """A tenant and its quota in requests a second of the whole fleet."""
+    """A tenant and its quota for the whole fleet, in requests per second."""
 
     name: str
     quota: float
@@ -112,7 +113,7 @@
 
 @dataclass(slots=True, frozen=True)
 class InstanceNumber:
-    """Which of how many gateways this is, counted from 0."""
+    """The index of this gateway, counted from 0, and the number of gateways."""
 
     index: int = 0
     count: int = 1
@@ -120,7 +121,7 @@
 
 @dataclass(slots=True, frozen=True)
 class GatewaySection:
-    """All that a gateway's file states, before the sections are checked against each other. Times are ms."""
+    """All sections of a gateway's file, before they are checked for consistency. Times are in ms."""
 
     location: SourceLocation
     name: str
@@ -136,7 +137,7 @@
     request_classes: list[Located[RequestClass]]
     functions: list[FunctionSettings]
     instance: Located[InstanceNumber]
-    report_words: tuple[str, ...]
+    report_keys: tuple[str, ...]
     weight_by_work: bool
     attempt_limits: AttemptLimits
     function_cache: FunctionCache
@@ -167,7 +168,7 @@
     reports_warmth: bool,
     reports_concurrency: bool,
 ) -> FunctionCache:
-    """The settings but for the memory, which the kinds of workers state."""
+    """Returns the settings without the memory, which the kinds of workers state."""
     return FunctionCache(
         memory=(),
         idle_timeout=idle_timeout,
@@ -184,9 +185,9 @@
     named=True,
     effect=Field(choice(idempotent=Effect.IDEMPOTENT, tokened=Effect.KEYED, side_effecting=Effect.SIDE_EFFECTING)),
     scope=Field(choice(all=Scope.ALL, zone=Scope.ZONE, cell=Scope.CELL), Scope.ALL),
-    window=Field(span(), 0.0, parameter="dedupe_window"),
-    soft_deadline=Field(span(1.0), parameter="latency_objective"),
-    deadline=Field(span(1.0)),
+    window=Field(duration(), 0.0, parameter="dedupe_window"),
+    soft_deadline=Field(duration(1.0), parameter="latency_objective"),
+    deadline=Field(duration(1.0)),
     soft_stretch=Field(number(0, 1000), 0.0, parameter="objective_per_work"),
     gain=Field(number(0, 1e6), 1.0, parameter="priority_weight"),
     late_gain=Field(number(0, 1), 0.0, parameter="late_weight"),
@@ -196,7 +197,7 @@
     named=True,
     memory=Field(size(0)),
     lanes=Field(count(1, 4096), 1, parameter="concurrency"),
-    load=Field(span(), None, parameter="load_time"),
+    load=Field(duration(), None, parameter="load_time"),
 )
 ZONE = record(located(_zone), named=True)
 WORKER_KIND = record(located(WorkerKind), named=True, memory=Field(size()))
@@ -205,7 +206,7 @@
 POLLED_FILE = record(
     unlocated(PolledFile),
     file=Field(text, parameter="path"),
-    reread=Field(span(5.0, 60000.0), DEFAULT_POLL_INTERVAL, parameter="poll_interval"),
+    reread=Field(duration(5.0, 60000.0), DEFAULT_POLL_INTERVAL, parameter="poll_interval"),
 )
 INSTANCE_NUMBER = record(
     located(InstanceNumber),
@@ -221,31 +222,31 @@
     overlap=Field(flag, False, parameter="hedging"),
     cancel=Field(flag, True),
     probe=Field(flag, True, parameter="health_checks"),
-    retry_after=Field(span(), 0.0),
-    dial=Field(span(1.0, 60000.0), 250.0, parameter="connect_timeout"),
-    idle_close=Field(span(1.0), 15000.0, parameter="idle_timeout"),
+    retry_after=Field(duration(), 0.0),
+    dial=Field(duration(1.0, 60000.0), 250.0, parameter="connect_timeout"),
+    idle_close=Field(duration(1.0), 15000.0, parameter="idle_timeout"),
 )
 FUNCTION_CACHE = record(
     unlocated(_function_cache),
-    idle_life=Field(span(1.0), parameter="idle_timeout"),
+    idle_life=Field(duration(1.0), parameter="idle_timeout"),
     may_hold=Field(flag, True, parameter="may_prewarm"),
     loads_on_call=Field(flag, True, parameter="loads_on_demand"),
-    hold_wait=Field(span(1.0), 10000.0, parameter="prewarm_timeout"),
+    hold_wait=Field(duration(1.0), 10000.0, parameter="prewarm_timeout"),
     tells_standing=Field(flag, True, parameter="reports_warmth"),
     tells_company=Field(flag, True, parameter="reports_concurrency"),
 )
 SLOW_START = record(
     unlocated(SlowStart),
     start_share=Field(number(0.001, 1)),
-    ramp=Field(span()),
+    ramp=Field(duration()),
     multiple=Field(number(1, 1000)),
-    window=Field(span(1.0)),
+    window=Field(duration(1.0)),
 )
 PREWARM_QUOTA = record(
     unlocated(PrewarmQuota),
     free=Field(number(0, 1e6)),
     share=Field(number(0, 1e6)),
-    window=Field(span()),
+    window=Field(duration()),
 )
 COST_WEIGHTS = record(
     unlocated(CostWeights),
@@ -270,16 +271,16 @@
 FUNCTION_BREAKER = record(
     unlocated(FunctionBreakerSettings),
     workers=Field(count(1, 1000), DEFAULT_BREAKERS.functions.workers),
-    window=Field(span(1.0), DEFAULT_BREAKERS.functions.window),
-    first=Field(span(1.0), DEFAULT_BREAKERS.functions.first_pause, parameter="first_pause"),
-    most=Field(span(1.0), DEFAULT_BREAKERS.functions.longest_pause, parameter="longest_pause"),
+    window=Field(duration(1.0), DEFAULT_BREAKERS.functions.window),
+    first=Field(duration(1.0), DEFAULT_BREAKERS.functions.first_pause, parameter="first_pause"),
+    most=Field(duration(1.0), DEFAULT_BREAKERS.functions.longest_pause, parameter="longest_pause"),
 )
 REQUEST_BREAKER = record(
     unlocated(RequestBreakerSettings),
     copies=Field(number(1, 1000), DEFAULT_BREAKERS.requests.replicas, parameter="replicas"),
-    window=Field(span(1.0), DEFAULT_BREAKERS.requests.window),
-    first=Field(span(1.0), DEFAULT_BREAKERS.requests.first_pause, parameter="first_pause"),
-    most=Field(span(1.0), DEFAULT_BREAKERS.requests.longest_pause, parameter="longest_pause"),
+    window=Field(duration(1.0), DEFAULT_BREAKERS.requests.window),
+    first=Field(duration(1.0), DEFAULT_BREAKERS.requests.first_pause, parameter="first_pause"),
+    most=Field(duration(1.0), DEFAULT_BREAKERS.requests.longest_pause, parameter="longest_pause"),
 )
 BREAKERS = record(
     unlocated(BreakerSettings),
@@ -295,23 +296,23 @@
     log=Field(text, None),
     tape=Field(text, None, parameter="recording"),
     seed=Field(count(0, 2**53), None),
-    zone=Field(ZONE, None, many=True, parameter="zones"),
+    zone=Field(ZONE, None, repeatable=True, parameter="zones"),
     at=Field(text, None, parameter="own_zone"),
-    kind=Field(WORKER_KIND, None, many=True, parameter="kinds"),
-    method=Field(REQUEST_CLASS, many=True, parameter="request_classes"),
-    program=Field(FUNCTION, None, many=True, parameter="functions"),
+    kind=Field(WORKER_KIND, None, repeatable=True, parameter="kinds"),
+    method=Field(REQUEST_CLASS, repeatable=True, parameter="request_classes"),
+    program=Field(FUNCTION, None, repeatable=True, parameter="functions"),
     seat=Field(INSTANCE_NUMBER, Located(InstanceNumber(), NOWHERE), parameter="instance"),
-    report=Field(word_list, ("busy", "held"), parameter="report_words"),
+    report=Field(word_list, ("busy", "held"), parameter="report_keys"),
     by_work=Field(flag, False, parameter="weight_by_work"),
     call_outs=Field(ATTEMPT_LIMITS, DEFAULT_ATTEMPT_LIMITS, parameter="attempt_limits"),
     stock=Field(FUNCTION_CACHE, parameter="function_cache"),
     warmup=Field(SLOW_START, parameter="slow_start"),
     ration=Field(PREWARM_QUOTA, PrewarmQuota(0.0, 0.0, 0.0), parameter="prewarm_quota"),
-    drain_grace=Field(span()),
+    drain_grace=Field(duration()),
     tariff=Field(COST_WEIGHTS, CostWeights(0, 0, 0, 0, 0, 0), parameter="cost_weights"),
     bounds=Field(SERVER_LIMITS, DEFAULT_LIMITS, parameter="limits"),
-    answer_way=Field(span(0.0, 60000.0), 20.0, parameter="answer_margin"),
-    probe_wait=Field(span(1.0, 60000.0), 250.0, parameter="health_check_timeout"),
+    answer_way=Field(duration(0.0, 60000.0), 20.0, parameter="answer_margin"),
+    probe_wait=Field(duration(1.0, 60000.0), 250.0, parameter="health_check_timeout"),
     isolation=Field(BREAKERS, DEFAULT_BREAKERS, parameter="breakers"),
-    tenant=Field(TENANT, None, many=True, parameter="tenants"),
+    tenant=Field(TENANT, None, repeatable=True, parameter="tenants"),
 )
--- a/wickdyke/config/worker_config.py
+++ b/wickdyke/config/worker_config.py
@@ -1,19 +1,22 @@
-"""The settings file of a worker, read into checked values."""
+"""Reads and validates the settings file of a worker."""
 
 import os
 from dataclasses import dataclass
 
 from wickdyke.config import address, schema, sexpr
 from wickdyke.config.builders import unlocated
-from wickdyke.config.schema import Diagnostics, Field, count, number, record, size, span, text
+from wickdyke.config.schema import Diagnostics, Field, count, duration, number, record, size, text
 from wickdyke.config.sexpr import SourceLocation
 
-REQUESTS_PER_CORE = 2  # concurrent requests where the file states no limit
+DEFAULT_REQUESTS_PER_CORE = 2  # concurrent requests, where the file states no limit
 
 
 @dataclass(slots=True, frozen=True)
 class RampSettings:
-    """A slow start: at first `start_share` of the concurrent requests, all of them after `duration` ms (0: at once)."""
+    """A slow start: the limit of concurrent requests rises from `start_share` of it to all of it within `duration` ms.
+
+    There is no slow start where `duration` is 0.
+    """
 
     start_share: float = 0.25
     duration: float = 0.0
@@ -24,7 +27,7 @@
 
 @dataclass(slots=True, frozen=True)
 class CacheSection:
-    """Where packages are cached and how much of them, in MB."""
+    """The folder in which packages are cached, and the capacity of the cache in MB."""
 
     folder: str
     capacity: float
@@ -32,7 +35,7 @@
 
 @dataclass(slots=True, frozen=True)
 class StoreSection:
-    """Where packages come from: a folder or the address of a store."""
+    """The source of packages: a folder or the address of a store; the other is None."""
 
     folder: str | None
     address: str | None
@@ -40,9 +43,9 @@
 
 @dataclass(slots=True)
 class WorkerConfig:
-    """All settings of a worker. Memory and sizes are MB, times are ms; paths are absolute.
+    """All settings of a worker. Memory and sizes are in MB, times in ms; paths are absolute.
 
-    Packages come from `store_folder` or `store_address`: the other is None.
+    Packages are read from `store_folder` or `store_address`; the other is None.
     """
 
     name: str
@@ -66,7 +69,7 @@
 
 @dataclass(slots=True, frozen=True)
 class WorkerSection:
-    """All that a worker's file states, with the paths as written. The keys of its fields stand at `WORKER`."""
+    """All sections of a worker's file, with paths as written. `WORKER` maps the keys of the file to these fields."""
 
     location: SourceLocation
     name: str
@@ -89,7 +92,7 @@
 RAMP = record(
     unlocated(RampSettings),
     start_share=Field(number(0.001, 1), DEFAULT_RAMP.start_share),
-    ramp=Field(span(), DEFAULT_RAMP.duration, parameter="duration"),
+    ramp=Field(duration(), DEFAULT_RAMP.duration, parameter="duration"),
 )
 STORE = record(
     unlocated(StoreSection),
@@ -108,13 +111,13 @@
     store=Field(STORE),
     cache=Field(CACHE),
     memory=Field(size(16)),
-    calls_at_once=Field(count(1, 4096), REQUESTS_PER_CORE * (os.cpu_count() or 1), parameter="concurrency"),
+    calls_at_once=Field(count(1, 4096), DEFAULT_REQUESTS_PER_CORE * (os.cpu_count() or 1), parameter="concurrency"),
     loads_at_once=Field(count(1, 256), 4, parameter="load_concurrency"),
     queue=Field(count(1, 10**6), 200),
-    idle_life=Field(span(10), 30000.0, parameter="idle_timeout"),
-    run_time=Field(span(1), 60000.0, parameter="run_timeout"),
-    stop_within=Field(span(1), 1000.0, parameter="stop_timeout"),
-    measure=Field(span(10), 250.0, parameter="report_interval"),
+    idle_life=Field(duration(10), 30000.0, parameter="idle_timeout"),
+    run_time=Field(duration(1), 60000.0, parameter="run_timeout"),
+    stop_within=Field(duration(1), 1000.0, parameter="stop_timeout"),
+    measure=Field(duration(10), 250.0, parameter="report_interval"),
     ramp=Field(RAMP, DEFAULT_RAMP),
     log=Field(text, None),
     trace=Field(text, None),
@@ -122,9 +125,9 @@
 
 
 def read(path: str) -> WorkerConfig:
-    """Reads and checks a worker's file; relative paths in it start from its folder.
+    """Reads and validates a worker's file; relative paths in it start from its folder.
 
-    Raises InvalidConfigError with all that is wrong.
+    Raises InvalidConfigError with all errors.
     """
     diagnostics = Diagnostics()
     section = schema.read_single(sexpr.read(path), "worker", path, WORKER, diagnostics)
@@ -136,7 +139,7 @@
 
 
 def _from_section(section: WorkerSection, folder: str) -> WorkerConfig:
-    """The settings of a checked section, with paths that start from the folder."""
+    """Returns the settings of a validated section, with its paths joined to the folder."""
 
     def join(path: str | None) -> str | None:
         return None if path is None else os.path.join(folder, path)
@@ -144,9 +147,9 @@
     store = section.store
     return WorkerConfig(
         name=section.name,
-        listen=address.beside(section.listen, folder),
+        listen=address.resolve(section.listen, folder),
         store_folder=join(store.folder),
-        store_address=None if store.address is None else address.beside(store.address, folder),
+        store_address=None if store.address is None else address.resolve(store.address, folder),
         cache_folder=os.path.join(folder, section.cache.folder),
         cache_capacity=section.cache.capacity,
         memory=section.memory,
