--- a/tests/storage_rig.py
+++ b/tests/storage_rig.py
@@ -1,4 +1,4 @@
-"""Set-up that the tests of failing disks share: system calls that fail or are the last before a kill."""
+"""Helpers for the tests of failing disks: system calls that fail, or at which the process is killed."""
 
 import builtins
 import contextlib
@@ -29,15 +29,15 @@
     "sendfile",
 )
 ERRORS = (errno.ENOSPC, errno.EIO)
-CAPACITY_MB = 0.1  # of the cache
+CAPACITY_MB = 0.1  # capacity of the cache
 
 
 class Killed(BaseException):
-    """Simulates SIGKILL: no system call is made after it."""
+    """Simulates SIGKILL: no system call is made after it was raised."""
 
 
 class FaultyFile:
-    """A file whose writes and flushes are system calls of a `FaultyDisk`."""
+    """A file whose writes and flushes count as system calls of a `FaultyDisk`."""
 
     def __init__(self, disk, file):
         self.disk, self.file = disk, file
@@ -45,7 +45,7 @@
     def __enter__(self):
         return self
 
-    def __exit__(self, *raised):
+    def __exit__(self, *error_info):
         self.file.close()
 
     def __getattr__(self, name):
@@ -57,118 +57,119 @@
 
 
 class FaultyDisk:
-    """Patches system calls: the one with the number `at` and the next `more` fail, or the process is killed there.
+    """Patches system calls. Call number `first_failure` and the next `more_failures` raise an OSError with `error`.
 
-    `seen` counts the calls; `dead` is set after the kill.
+    With `kill`, the process is killed at call `first_failure` instead; `is_killed` is set then. `call_count` counts the
+    calls of the functions `call_names`.
     """
 
-    def __init__(self, at=0, error=0, more=0, kill=False, only=SYSTEM_CALLS):
-        self.at = at
+    def __init__(self, first_failure=0, error=0, more_failures=0, kill=False, call_names=SYSTEM_CALLS):
+        self.first_failure = first_failure
         self.error = error
-        self.more = more
+        self.more_failures = more_failures
         self.kill = kill
-        self.only = only
-        self.seen = 0
-        self.dead = False
+        self.call_names = call_names
+        self.call_count = 0
+        self.is_killed = False
         self.stack = contextlib.ExitStack()
 
     def faulty(self, name, real):
-        """The system call with its faults."""
+        """Wraps a system call so that it fails or kills as configured."""
 
-        def step(*args, **named):
-            if self.dead:
+        def faulty_call(*args, **keywords):
+            if self.is_killed:
                 raise Killed
-            self.seen += 1
-            if self.kill and self.seen == self.at:
-                self.dead = True
+            self.call_count += 1
+            if self.kill and self.call_count == self.first_failure:
+                self.is_killed = True
                 raise Killed
-            if self.at <= self.seen <= self.at + self.more and self.error:
-                raise OSError(self.error, os.strerror(self.error), f"call {self.seen}: {name}")
-            return real(*args, **named)
+            if self.first_failure <= self.call_count <= self.first_failure + self.more_failures and self.error:
+                raise OSError(self.error, os.strerror(self.error), f"call {self.call_count}: {name}")
+            return real(*args, **keywords)
 
-        return step
+        return faulty_call
 
     def _opened(self, real):
-        step = self.faulty("open", real)
-        return lambda *args, **named: FaultyFile(self, step(*args, **named))
+        faulty_call = self.faulty("open", real)
+        return lambda *args, **keywords: FaultyFile(self, faulty_call(*args, **keywords))
 
     def __enter__(self):
-        for name in self.only:
+        for name in self.call_names:
             self.stack.enter_context(mock.patch.object(os, name, self.faulty(name, getattr(os, name))))
-        # zipfile opens paths through io.open, which is not patched: it only reads
+        # zipfile opens files with io.open, which is not patched, as zipfile only reads
         for module in (cache_files, store_client, package, package_digest, shutil):
             self.stack.enter_context(mock.patch.object(module, "open", self._opened(builtins.open), create=True))
         return self
 
-    def __exit__(self, *raised):
+    def __exit__(self, *error_info):
         self.stack.close()
 
 
 def bytes_on_disk(folder):
-    """Bytes of all files below a folder."""
-    return sum(os.lstat(os.path.join(at, name)).st_size for at, _, names in os.walk(folder) for name in names)
+    """The bytes of all files below a folder."""
+    return sum(os.lstat(os.path.join(parent, name)).st_size for parent, _, names in os.walk(folder) for name in names)
 
 
 def archive_bytes(folder):
-    """Bytes of the archives that are being fetched, which do not count for the cache's capacity."""
+    """The bytes of archives that are being fetched, which do not count towards the cache's capacity."""
     return sum(os.lstat(os.path.join(folder, name)).st_size for name in os.listdir(folder) if name.endswith(".zip"))
 
 
 class CacheTest(rig.TemporaryFolderTest):
-    """Tests with three packages of 40 kB; a cache of CAPACITY_MB has room for two of them."""
+    """A test case with three packages of 40 kB; a cache of CAPACITY_MB has room for two of them."""
 
     def setUp(self):
-        """Packs the packages: (archive, digest) of each."""
+        """Packs the packages; `archives` has (path, digest) of the archive of each."""
         super().setUp()
-        self.packs = []
-        for at in range(3):
+        self.archives = []
+        for number in range(3):
             code = rig.PACKAGE_CODE + "#" + "x" * 40_000
-            rig.write_package(self.path(f"f{at}"), name=f"p{at}", code=code)
-            # files in a folder of its own, so that folders are made and listed too
-            rig.write_package(self.path(f"f{at}", "deep"), name=f"p{at}", code="#")
-            os.unlink(self.path(f"f{at}", "deep", "package.sexp"))
-            path = package.pack(self.path(f"f{at}"), self.path("s"))[1]
-            self.packs.append((path, package_digest.file_digest(path)))
-        self.cached = self.path("c")
-
-    def take(self, cache, at):
-        """Acquires a package and checks that it is the right one, complete."""
-        path, digest = self.packs[at]
-        made, folder = cache.acquire(digest, lambda to: shutil.copyfile(path, to))
-        self.assertEqual((made.name, os.path.basename(folder)), (f"p{at}", digest[7:]))
-        self.whole(folder, at)
-
-    def whole(self, folder, at):
-        """Checks that the folder is that package's."""
-        made, files = package.from_folder(folder)
-        self.assertEqual(made.name, f"p{at}")
+            rig.write_package(self.path(f"f{number}"), name=f"p{number}", code=code)
+            # a file in a subfolder, so that folders are created and listed too
+            rig.write_package(self.path(f"f{number}", "deep"), name=f"p{number}", code="#")
+            os.unlink(self.path(f"f{number}", "deep", "package.sexp"))
+            path = package.pack(self.path(f"f{number}"), self.path("s"))[1]
+            self.archives.append((path, package_digest.file_digest(path)))
+        self.cache_path = self.path("c")
+
+    def acquire_and_check(self, cache, number):
+        """Acquires a package, and checks that it is the right one and complete."""
+        path, digest = self.archives[number]
+        manifest, folder = cache.acquire(digest, lambda to: shutil.copyfile(path, to))
+        self.assertEqual((manifest.name, os.path.basename(folder)), (f"p{number}", digest[7:]))
+        self.check_package(folder, number)
+
+    def check_package(self, folder, number):
+        """Checks that the folder contains the package, complete."""
+        manifest, files = package.from_folder(folder)
+        self.assertEqual(manifest.name, f"p{number}")
         self.assertEqual(sorted(name for name, _ in files), ["deep/main.py", "main.py"])
 
-    def filled(self):
-        """A cache with packages 0 and 1, of which 0 is in use."""
-        shutil.rmtree(self.cached, ignore_errors=True)
-        cache = Cache(self.cached, CAPACITY_MB)
-        for at in (0, 1):
-            self.take(cache, at)
-        cache.release(self.packs[1][1])
+    def filled_cache(self):
+        """A new cache with packages 0 and 1, of which 0 is in use."""
+        shutil.rmtree(self.cache_path, ignore_errors=True)
+        cache = Cache(self.cache_path, CAPACITY_MB)
+        for number in (0, 1):
+            self.acquire_and_check(cache, number)
+        cache.release(self.archives[1][1])
         return cache
 
-    def mended(self, cache, used):
-        """Checks a cache once writing works again: loads succeed, nothing is left, the index agrees with the disk."""
-        self.assertEqual(cache.index.use_counts, used)
-        self.take(cache, 2)
-        cache.release(self.packs[2][1])
-        self.assertEqual(cache.index.use_counts, used)
+    def check_recovered(self, cache, use_counts):
+        """Checks a cache after its faults ended: loads succeed, no leftover remains, and the index matches the disk."""
+        self.assertEqual(cache.index.use_counts, use_counts)
+        self.acquire_and_check(cache, 2)
+        cache.release(self.archives[2][1])
+        self.assertEqual(cache.index.use_counts, use_counts)
         self.assertEqual((cache.index.reserved, cache.index.leftovers), (0, {}))
-        self.assertEqual(sorted(os.listdir(self.cached)), sorted(cache.index.sizes))
+        self.assertEqual(sorted(os.listdir(self.cache_path)), sorted(cache.index.sizes))
         self.assertEqual(sorted(cache.index.order), sorted(cache.index.sizes))
-        self.assertEqual(cache.bytes, bytes_on_disk(self.cached))
+        self.assertEqual(cache.bytes, bytes_on_disk(self.cache_path))
         self.assertLessEqual(cache.bytes, CAPACITY_MB * MB)
-        for at, (_, digest) in enumerate(self.packs):
+        for number, (_, digest) in enumerate(self.archives):
             if digest[7:] in cache.index.sizes:
-                self.whole(os.path.join(self.cached, digest[7:]), at)
+                self.check_package(os.path.join(self.cache_path, digest[7:]), number)
 
-    def take_only(self, cache, at):
+    def acquire(self, cache, number):
         """Acquires a package without checks."""
-        path, digest = self.packs[at]
+        path, digest = self.archives[number]
         return cache.acquire(digest, lambda to: shutil.copyfile(path, to))
--- a/tests/test_cache_recovery.py
+++ b/tests/test_cache_recovery.py
@@ -1,4 +1,4 @@
-"""The cache of packages after a kill at each system call, after a power cut, and with clocks that are stepped."""
+"""The cache of packages after a kill at each system call, after a power failure, and with clock steps."""
 
 import contextlib
 import os
@@ -14,48 +14,49 @@
 
 
 class CacheKillTest(CacheTest):
-    """A kill at each system call: a cache that is opened after it has complete entries only."""
+    """A kill at each system call: a cache that is opened afterwards has only complete entries."""
 
-    def test_killed_at_each_step(self):
-        """No system call is made after the kill, also none that cleans up. A new cache on the folder is consistent."""
-        at = 0
+    def test_killed_at_each_call(self):
+        """A kill at any system call of `acquire`, without cleanup: a new cache on the folder is consistent."""
+        index = 0
         while True:
-            at += 1
-            cache = self.filled()
-            with FaultyDisk(at, kill=True) as disk, contextlib.suppress(Killed):
-                path, digest = self.packs[2]
+            index += 1
+            cache = self.filled_cache()
+            with FaultyDisk(index, kill=True) as disk, contextlib.suppress(Killed):
+                path, digest = self.archives[2]
                 cache.acquire(digest, lambda to, path=path: shutil.copyfile(path, to))
-            with self.subTest(at=at):
-                after = Cache(self.cached, CAPACITY_MB)
-                self.assertEqual(after.index.leftovers, {})
-                self.assertEqual(after.bytes, bytes_on_disk(self.cached))
+            with self.subTest(index=index):
+                reopened = Cache(self.cache_path, CAPACITY_MB)
+                self.assertEqual(reopened.index.leftovers, {})
+                self.assertEqual(reopened.bytes, bytes_on_disk(self.cache_path))
                 for number in (0, 1, 2):
-                    self.take(after, number)
-                    after.release(self.packs[number][1])
-                self.mended(after, {})
-            if not disk.dead:
-                self.assertGreater(at, 20)
+                    self.acquire_and_check(reopened, number)
+                    reopened.release(self.archives[number][1])
+                self.check_recovered(reopened, {})
+            if not disk.is_killed:
+                self.assertGreater(index, 20)
                 break
 
-    def test_killed_at_each_step_of_a_start(self):
-        """A start that removes leftovers is killed too."""
-        at = 0
+    def test_start_killed_at_each_call(self):
+        """A kill at any system call of a start that removes leftovers: a new cache on the folder is consistent."""
+        index = 0
         while True:
-            at += 1
-            self.filled()
+            index += 1
+            self.filled_cache()
             shutil.copytree(
-                os.path.join(self.cached, self.packs[0][1][7:]), os.path.join(self.cached, TEMPORARY_PREFIX + "1-1")
+                os.path.join(self.cache_path, self.archives[0][1][7:]),
+                os.path.join(self.cache_path, TEMPORARY_PREFIX + "1-1"),
             )
-            with FaultyDisk(at, kill=True) as disk, contextlib.suppress(Killed):
-                Cache(self.cached, CAPACITY_MB)
-            with self.subTest(at=at):
-                self.mended(Cache(self.cached, CAPACITY_MB), {})
-            if not disk.dead:
-                self.assertGreater(at, 10)
+            with FaultyDisk(index, kill=True) as disk, contextlib.suppress(Killed):
+                Cache(self.cache_path, CAPACITY_MB)
+            with self.subTest(index=index):
+                self.check_recovered(Cache(self.cache_path, CAPACITY_MB), {})
+            if not disk.is_killed:
+                self.assertGreater(index, 10)
                 break
 
-    def test_what_a_power_cut_left(self):
-        """An entry under its final name that lost a part of a file, or a file, is fetched again, not used."""
+    def test_damage_by_power_failure(self):
+        """A damaged entry under its final name is not used, but fetched again: a file lost data, or is missing."""
 
         def shortened(folder):
             os.truncate(os.path.join(folder, "main.py"), 10_000)
@@ -65,52 +66,52 @@
             with open(os.path.join(folder, "main.py"), "wb") as sink:
                 sink.truncate(size)
 
-        def without(folder):
+        def missing(folder):
             os.unlink(os.path.join(folder, "deep", "main.py"))
 
-        def unstated(folder):
+        def emptied_manifest(folder):
             os.truncate(os.path.join(folder, "package.sexp"), 0)
 
-        for harm in (shortened, zeroed, without, unstated):
-            with self.subTest(harm=harm.__name__):
-                self.filled()
-                harm(os.path.join(self.cached, self.packs[1][1][7:]))
-                after = Cache(self.cached, CAPACITY_MB)
-                self.take(after, 1)
-                after.release(self.packs[1][1])
-                self.mended(after, {})
+        for damage in (shortened, zeroed, missing, emptied_manifest):
+            with self.subTest(damage=damage.__name__):
+                self.filled_cache()
+                damage(os.path.join(self.cache_path, self.archives[1][1][7:]))
+                reopened = Cache(self.cache_path, CAPACITY_MB)
+                self.acquire_and_check(reopened, 1)
+                reopened.release(self.archives[1][1])
+                self.check_recovered(reopened, {})
 
 
-HOUR = 3600.0
+HOUR = 3600.0  # s
 
 
 class CacheClockTest(CacheTest):
-    """Wall clocks that are stepped, and file times out of range."""
+    """Steps of the wall clock, and file times out of range."""
 
-    def test_stepped(self):
-        """A clock stepped by an hour does not change which entry is evicted first, also after a restart."""
+    def test_clock_steps(self):
+        """A clock step of an hour does not change the order of eviction, also after a restart."""
         rng = random.Random(6)
         for _ in range(30):
-            shutil.rmtree(self.cached, ignore_errors=True)
-            wall, cache, order = [1.8e9], Cache(self.cached, 10.0), []
-            with mock.patch.object(time, "time_ns", lambda wall=wall: int(wall[0] * 1e9)):
-                for at in [0, 1, 2, *(rng.randrange(3) for _ in range(6))]:
-                    self.take(cache, at)
-                    cache.release(self.packs[at][1])
-                    name = self.packs[at][1][7:]
-                    order = [each for each in order if each != name] + [name]
+            shutil.rmtree(self.cache_path, ignore_errors=True)
+            wall_time, cache, order = [1.8e9], Cache(self.cache_path, 10.0), []
+            with mock.patch.object(time, "time_ns", lambda wall_time=wall_time: int(wall_time[0] * 1e9)):
+                for index in [0, 1, 2, *(rng.randrange(3) for _ in range(6))]:
+                    self.acquire_and_check(cache, index)
+                    cache.release(self.archives[index][1])
+                    name = self.archives[index][1][7:]
+                    order = [other for other in order if other != name] + [name]
                     self.assertEqual(cache.index.order, order)
-                    wall[0] += rng.choice((0.0, 0.5, HOUR, -HOUR, 5.0, -5.0))
-                self.assertEqual(Cache(self.cached, 10.0).index.order, order)
+                    wall_time[0] += rng.choice((0.0, 0.5, HOUR, -HOUR, 5.0, -5.0))
+                self.assertEqual(Cache(self.cache_path, 10.0).index.order, order)
 
     def test_times_out_of_range(self):
-        """Entries with file times far ahead do not hold up a load."""
-        self.filled()
-        late = 2**63 - 1
-        for name in os.listdir(self.cached):
+        """Entries with file times far in the future do not prevent a load."""
+        self.filled_cache()
+        max_time_ns = 2**63 - 1
+        for name in os.listdir(self.cache_path):
             with contextlib.suppress(OSError, OverflowError):
-                os.utime(os.path.join(self.cached, name), ns=(late, late))
-        self.mended(Cache(self.cached, CAPACITY_MB), {})
+                os.utime(os.path.join(self.cache_path, name), ns=(max_time_ns, max_time_ns))
+        self.check_recovered(Cache(self.cache_path, CAPACITY_MB), {})
 
 
 if __name__ == "__main__":
--- a/tests/test_package.py
+++ b/tests/test_package.py
@@ -1,4 +1,4 @@
-"""Packages: what is refused, and which version of a package is found."""
+"""Packages: invalid folders and archives, and the version that a store finds."""
 
 import contextlib
 import io
@@ -15,26 +15,26 @@
 
 
 class PackageTest(TemporaryFolderTest):
-    """Folders and archives that are refused, and the order of versions."""
+    """Invalid folders and archives, and the order of versions."""
 
-    def test_bad_folders(self):
-        """(manifest, files beside) -> words of the one trouble."""
-        good = MANIFEST.format(name="p", version="1.0", memory=64, lanes=1)
+    def test_invalid_folders(self):
+        """(manifest) -> words of the only diagnostic."""
+        valid = MANIFEST.format(name="p", version="1.0", memory=64, lanes=1)
         for text, words in (
-            (good.replace('"p"', '"../p"'), ("../p", "letters")),
-            (good.replace('"p"', '"/p"'), ("letters",)),
-            (good.replace('"p"', '"p/"'), ("letters",)),
-            (good.replace("1.0", "one"), ("one", "numbers with dots")),
-            (good.replace("main:run", "main"), ("main", "a module and a function")),
-            (good.replace("main:run", "other:run"), ("other", "other.py")),
-            (good.replace("64 MB", "64"), ("without a unit", "MB")),
-            (good.replace("(lanes 1)", "(lanes 0)"), ("0", "1 to 256")),
-            (good.replace('"WORD"', '"A=B"'), ("A=B", "without =")),
-            (good.replace('(set "WORD" "sea")', '(set "W" "1") (set "W" "2")'), ("second time",)),
-            (good.replace("(memory 64 MB)", ""), ("without memory",)),
-            (good[:-1] + ' (digest "md5:1"))', ("md5:1", "sha256")),
-            (good[:-1] + ' (digest "sha256:' + "0" * 64 + '"))', ("remove (digest ...)",)),
-            (good + good, ("a second (package ...)",)),
+            (valid.replace('"p"', '"../p"'), ("../p", "letters")),
+            (valid.replace('"p"', '"/p"'), ("letters",)),
+            (valid.replace('"p"', '"p/"'), ("letters",)),
+            (valid.replace("1.0", "one"), ("one", "numbers with dots")),
+            (valid.replace("main:run", "main"), ("main", "a module and a function")),
+            (valid.replace("main:run", "other:run"), ("other", "other.py")),
+            (valid.replace("64 MB", "64"), ("without a unit", "MB")),
+            (valid.replace("(lanes 1)", "(lanes 0)"), ("0", "1 to 256")),
+            (valid.replace('"WORD"', '"A=B"'), ("A=B", "without =")),
+            (valid.replace('(set "WORD" "sea")', '(set "W" "1") (set "W" "2")'), ("second time",)),
+            (valid.replace("(memory 64 MB)", ""), ("without memory",)),
+            (valid[:-1] + ' (digest "md5:1"))', ("md5:1", "sha256")),
+            (valid[:-1] + ' (digest "sha256:' + "0" * 64 + '"))', ("remove (digest ...)",)),
+            (valid + valid, ("a second (package ...)",)),
             ("(package", ("never closed",)),
             ("", ("nothing",)),
             ("\udcff", ("not UTF-8",)),
@@ -42,93 +42,93 @@
             with self.subTest(text=text):
                 shutil.rmtree(self.path("f"), ignore_errors=True)
                 write_package(self.path("f"))
-                with open(self.path("f", "package.sexp"), "w", errors="surrogateescape") as sink:
-                    sink.write(text)
-                with self.assertRaises(InvalidConfigError) as caught:
+                with open(self.path("f", "package.sexp"), "w", errors="surrogateescape") as file:
+                    file.write(text)
+                with self.assertRaises(InvalidConfigError) as raised:
                     package.pack(self.path("f"), self.path("store"))
-                self.assertEqual(len(caught.exception.diagnostics), 1, caught.exception)
+                self.assertEqual(len(raised.exception.diagnostics), 1, raised.exception)
                 for word in words:
-                    self.assertIn(word, str(caught.exception))
+                    self.assertIn(word, str(raised.exception))
                 self.assertFalse(os.path.exists(self.path("store")))
 
     def test_links(self):
-        """A symbolic link in a folder is refused: it would pack files from elsewhere."""
+        """A symbolic link in a folder is an error: it would add files from outside the folder."""
         write_package(self.path("f"))
         os.symlink("/etc/hostname", self.path("f", "more.py"))
-        with self.assertRaises(InvalidConfigError) as caught:
+        with self.assertRaises(InvalidConfigError) as raised:
             package.pack(self.path("f"), self.path("store"))
-        self.assertIn("plain files only", str(caught.exception))
+        self.assertIn("plain files only", str(raised.exception))
 
     def test_same_bytes(self):
-        """The same files give the same archive, whenever and wherever packed."""
+        """The same files give the same archive, independent of file times and folders."""
         digests = set()
-        for at in range(2):
-            write_package(self.path(f"f{at}"))
-            os.utime(self.path(f"f{at}", "main.py"), (at * 1e6, at * 1e6))
-            digests.add(package_digest.file_digest(package.pack(self.path(f"f{at}"), self.path(f"s{at}"))[1]))
+        for index in range(2):
+            write_package(self.path(f"f{index}"))
+            os.utime(self.path(f"f{index}", "main.py"), (index * 1e6, index * 1e6))
+            digests.add(package_digest.file_digest(package.pack(self.path(f"f{index}"), self.path(f"s{index}"))[1]))
         self.assertEqual(len(digests), 1)
 
-    def archive(self, *entries, digest=None, cut=None):
-        """An archive as hostile hands make it: (name, bytes[, mode]) each."""
-        held = io.BytesIO()
-        with zipfile.ZipFile(held, "w", zipfile.ZIP_DEFLATED) as made:
+    def archive(self, *entries, digest=None, length=None):
+        """Writes an archive of entries (name, bytes[, mode]), without any check, and cuts it to `length` bytes."""
+        buffer = io.BytesIO()
+        with zipfile.ZipFile(buffer, "w", zipfile.ZIP_DEFLATED) as archive:
             for name, data, *mode in entries:
                 entry = zipfile.ZipInfo(name)
                 entry.external_attr = (mode[0] if mode else 0o100644) << 16
-                made.writestr(entry, data)
-        with open(self.path("a.zip"), "wb") as sink:
-            sink.write(held.getvalue()[:cut])
+                archive.writestr(entry, data)
+        with open(self.path("a.zip"), "wb") as file:
+            file.write(buffer.getvalue()[:length])
         return self.path("a.zip")
 
-    def test_bad_archives(self):
-        """(entries, bytes kept) -> words of the one trouble."""
+    def test_invalid_archives(self):
+        """(entries, length to which the archive is cut) -> words of the only diagnostic."""
         code = b"def run(x): return x\n"
-        text = MANIFEST.format(name="p", version="1.0", memory=64, lanes=1)
-        right = text[:-1] + f' (digest "{package_digest.content_digest([("main.py", code)])}"))'
-        plain = [("package.sexp", right), ("main.py", code)]
-        for entries, cut, words in (
-            ([*plain, ("../out.py", b"1")], None, ("../out.py", "stay inside")),
-            ([*plain, ("/etc/out", b"1")], None, ("/etc/out", "stay inside")),
-            ([*plain, ("a/../../b", b"1")], None, ("stay inside",)),
-            ([*plain, ("a\\b", b"1")], None, ("stay inside",)),
-            ([*plain, ("link", b"/etc/passwd", 0o120777)], None, ("link", "plain files")),
-            ([*plain, ("pipe", b"", 0o010644)], None, ("plain files",)),
-            ([*plain, ("main.py", code)], None, ("twice",)),
-            ([*plain, ("more.py", b"1")], None, ("digest", "as stated in its manifest")),
-            ([("package.sexp", right), ("main.py", code + b"#")], None, ("digest",)),
-            ([("package.sexp", text), ("main.py", code)], None, ("without a digest",)),
+        without_digest = MANIFEST.format(name="p", version="1.0", memory=64, lanes=1)
+        with_digest = without_digest[:-1] + f' (digest "{package_digest.content_digest([("main.py", code)])}"))'
+        valid_entries = [("package.sexp", with_digest), ("main.py", code)]
+        for entries, length, words in (
+            ([*valid_entries, ("../out.py", b"1")], None, ("../out.py", "stay inside")),
+            ([*valid_entries, ("/etc/out", b"1")], None, ("/etc/out", "stay inside")),
+            ([*valid_entries, ("a/../../b", b"1")], None, ("stay inside",)),
+            ([*valid_entries, ("a\\b", b"1")], None, ("stay inside",)),
+            ([*valid_entries, ("link", b"/etc/passwd", 0o120777)], None, ("link", "plain files")),
+            ([*valid_entries, ("pipe", b"", 0o010644)], None, ("plain files",)),
+            ([*valid_entries, ("main.py", code)], None, ("twice",)),
+            ([*valid_entries, ("more.py", b"1")], None, ("digest", "as stated in its manifest")),
+            ([("package.sexp", with_digest), ("main.py", code + b"#")], None, ("digest",)),
+            ([("package.sexp", without_digest), ("main.py", code)], None, ("without a digest",)),
             ([("main.py", code)], None, ("no package.sexp",)),
-            (plain, 100, ("complete zip archive",)),
-            (plain, -10, ("complete zip archive",)),
-            (plain, 0, ("complete zip archive",)),
+            (valid_entries, 100, ("complete zip archive",)),
+            (valid_entries, -10, ("complete zip archive",)),
+            (valid_entries, 0, ("complete zip archive",)),
         ):
-            with self.subTest(entries=[name for name, *_ in entries], cut=cut):
+            with self.subTest(entries=[name for name, *_ in entries], length=length):
                 with warnings.catch_warnings():
                     warnings.simplefilter("ignore")
-                    path = self.archive(*entries, cut=cut)
-                with self.assertRaises(InvalidConfigError) as caught:
+                    path = self.archive(*entries, length=length)
+                with self.assertRaises(InvalidConfigError) as raised:
                     package.from_zip(path)
-                self.assertEqual(len(caught.exception.diagnostics), 1)
+                self.assertEqual(len(raised.exception.diagnostics), 1)
                 for word in words:
-                    self.assertIn(word, str(caught.exception))
-        made, files = package.from_zip(self.archive(*plain))
-        self.assertEqual((made.name, files), ("p", [("main.py", code)]))
+                    self.assertIn(word, str(raised.exception))
+        manifest, files = package.from_zip(self.archive(*valid_entries))
+        self.assertEqual((manifest.name, files), ("p", [("main.py", code)]))
 
-    def test_flipped_bits(self):
-        """Whichever byte of an archive is changed: refused, or what comes out is the same."""
+    def test_changed_bytes(self):
+        """An archive with one changed byte is an error, or gives the same files."""
         write_package(self.path("f"))
         _, path = package.pack(self.path("f"), self.path("s"))
         with open(path, "rb") as source:
-            whole = source.read()
-        right = package.from_zip(path)
-        for at in range(0, len(whole), 7):
-            with open(self.path("b.zip"), "wb") as sink:
-                sink.write(whole[:at] + bytes([whole[at] ^ 0x41]) + whole[at + 1 :])
+            content = source.read()
+        expected = package.from_zip(path)
+        for index in range(0, len(content), 7):
+            with open(self.path("b.zip"), "wb") as file:
+                file.write(content[:index] + bytes([content[index] ^ 0x41]) + content[index + 1 :])
             with contextlib.suppress(InvalidConfigError):
-                self.assertEqual(package.from_zip(self.path("b.zip"))[1], right[1], at)
+                self.assertEqual(package.from_zip(self.path("b.zip"))[1], expected[1], index)
 
     def test_versions(self):
-        """(function) -> the version found in the folder; the newest by numbers where none is named."""
+        """(function) -> the version that the store finds; without a version, the one with the highest numbers."""
         for version in ("1.9", "1.10", "1.2.3"):
             write_package(self.path("f" + version), name="a/p", version=version)
             package.pack(self.path("f" + version), self.path("s"))
--- a/tests/test_worker_cache.py
+++ b/tests/test_worker_cache.py
@@ -1,4 +1,4 @@
-"""The cache of packages: its bound, fetches that fail, and a kill at each step."""
+"""The cache of packages: its capacity, failed fetches, and a kill at each system call."""
 
 import os
 import shutil
@@ -13,93 +13,95 @@
 
 
 class CacheCapacityTest(TemporaryFolderTest):
-    """Capacity, fetches that fail, and kills of a process."""
+    """Capacity, failed fetches, and kills of the process."""
 
-    def packed(self, at, size=1000):
-        """Packs a package of that size: (path, digest) of its archive."""
-        write_package(self.path(f"f{at}"), name=f"p{at}", code=PACKAGE_CODE + "#" + "x" * size)
-        path = package.pack(self.path(f"f{at}"), self.path("s"))[1]
+    def pack(self, number, size=1000):
+        """Packs a package of `size` bytes. Returns (path, digest) of its archive."""
+        write_package(self.path(f"f{number}"), name=f"p{number}", code=PACKAGE_CODE + "#" + "x" * size)
+        path = package.pack(self.path(f"f{number}"), self.path("s"))[1]
         return path, package_digest.file_digest(path)
 
-    def test_bound(self):
-        """Least recently used entries go first, those in use never; nothing is left of one that does not fit."""
-        packs = [self.packed(at, 400_000) for at in range(4)]
+    def test_capacity(self):
+        """Evicts least recently used entries first, and none in use; a package that does not fit leaves no files."""
+        archives = [self.pack(number, 400_000) for number in range(4)]
         cache = Cache(self.path("c"), 1.0)
-        cache.acquire(packs[0][1], lambda to: shutil.copy(packs[0][0], to))
-        for at in (1, 2, 3, 1):
-            cache.acquire(packs[at][1], lambda to, at=at: shutil.copy(packs[at][0], to))
-            if at != 1:
-                cache.release(packs[at][1])
+        cache.acquire(archives[0][1], lambda target: shutil.copy(archives[0][0], target))
+        for number in (1, 2, 3, 1):
+            cache.acquire(archives[number][1], lambda target, number=number: shutil.copy(archives[number][0], target))
+            if number != 1:
+                cache.release(archives[number][1])
             self.assertLessEqual(cache.bytes, 1 << 20)
-            self.assertIn(packs[0][1][7:], cache.index.sizes)
-            if at == 1:
-                self.assertRaises(CacheFullError, cache.acquire, packs[2][1], lambda to: shutil.copy(packs[2][0], to))
-                cache.release(packs[1][1])
+            self.assertIn(archives[0][1][7:], cache.index.sizes)
+            if number == 1:
+                self.assertRaises(
+                    CacheFullError, cache.acquire, archives[2][1], lambda target: shutil.copy(archives[2][0], target)
+                )
+                cache.release(archives[1][1])
         self.assertEqual(sorted(os.listdir(self.path("c"))), sorted(cache.index.sizes))
 
-    def test_bad_fetches(self):
-        """(bytes from the store) -> an error, nothing left behind, and the right archive is accepted after it."""
-        path, digest = self.packed(0)
-        other, _ = self.packed(1)
+    def test_failed_fetches(self):
+        """(failing fetch) -> an error, and no files remain; the correct archive is accepted afterwards."""
+        path, digest = self.pack(0)
+        other, _ = self.pack(1)
         cache = Cache(self.path("c"), 10.0)
 
-        def short(to):
-            with open(path, "rb") as source, open(to, "wb") as sink:
+        def truncated(target):
+            with open(path, "rb") as source, open(target, "wb") as sink:
                 sink.write(source.read()[:-100])
 
-        def broken(to):
-            short(to)
+        def truncated_then_reset(target):
+            truncated(target)
             raise ConnectionResetError
 
         for fetch, error in (
-            (lambda to: shutil.copy(other, to), InvalidConfigError),
-            (short, InvalidConfigError),
-            (broken, OSError),
+            (lambda target: shutil.copy(other, target), InvalidConfigError),
+            (truncated, InvalidConfigError),
+            (truncated_then_reset, OSError),
         ):
             self.assertRaises(error, cache.acquire, digest, fetch)
             self.assertEqual(os.listdir(self.path("c")), [])
-        made, folder = cache.acquire(digest, lambda to: shutil.copy(path, to))
-        self.assertEqual((made.name, sorted(os.listdir(folder))), ("p0", ["main.py", "package.sexp"]))
-
-    def test_killed(self):
-        """Killed before each step of a fetch that evicts: the next start has complete entries only, and goes on."""
-        packs = [self.packed(at, 400_000) for at in range(3)]
-        steps = ("open", "rename", "unlink", "fsync", "makedirs", "rmdir", "replace", "utime")
-        total = None
+        manifest, folder = cache.acquire(digest, lambda target: shutil.copy(path, target))
+        self.assertEqual((manifest.name, sorted(os.listdir(folder))), ("p0", ["main.py", "package.sexp"]))
+
+    def test_killed_at_each_call(self):
+        """Killed before each system call of a fetch that evicts: the next start has only complete entries."""
+        archives = [self.pack(number, 400_000) for number in range(3)]
+        call_names = ("open", "rename", "unlink", "fsync", "makedirs", "rmdir", "replace", "utime")
+        call_total = None
         for kill_at in range(1, 200):
             shutil.rmtree(self.path("c"), ignore_errors=True)
             cache = Cache(self.path("c"), 1.0)
-            for path, digest in packs[:2]:
-                cache.acquire(digest, lambda to, path=path: shutil.copy(path, to))
+            for path, digest in archives[:2]:
+                cache.acquire(digest, lambda target, path=path: shutil.copy(path, target))
                 cache.release(digest)
             pid = os.fork()
             if pid == 0:
-                seen = [0]
+                call_count = [0]
 
-                def counted(real, seen=seen, kill_at=kill_at):
-                    def step(*args, **more):
-                        seen[0] += 1
-                        if seen[0] == kill_at:
+                def count_calls(real, call_count=call_count, kill_at=kill_at):
+                    def counted_call(*args, **keywords):
+                        call_count[0] += 1
+                        if call_count[0] == kill_at:
                             os._exit(9)
-                        return real(*args, **more)
+                        return real(*args, **keywords)
 
-                    return step
+                    return counted_call
 
-                for name in steps:
-                    setattr(os, name, counted(getattr(os, name)))
-                cache.acquire(packs[2][1], lambda to: shutil.copy(packs[2][0], to))
+                for name in call_names:
+                    setattr(os, name, count_calls(getattr(os, name)))
+                cache.acquire(archives[2][1], lambda target: shutil.copy(archives[2][0], target))
                 os._exit(0)
             status = os.waitstatus_to_exitcode(os.waitpid(pid, 0)[1])
-            after = Cache(self.path("c"), 1.0)
+            reopened = Cache(self.path("c"), 1.0)
             self.assertFalse([name for name in os.listdir(self.path("c")) if name.startswith(TEMPORARY_PREFIX)])
-            self.assertLessEqual(after.bytes, 1 << 20)
-            for name in after.index.sizes:  # whole: its contents have the digest that its manifest states
+            self.assertLessEqual(reopened.bytes, 1 << 20)
+            for name in reopened.index.sizes:  # raises where the contents do not have the digest of the manifest
                 package.from_folder(self.path("c", name))
-            after.acquire(packs[2][1], lambda to: shutil.copy(packs[2][0], to))
+            reopened.acquire(archives[2][1], lambda target: shutil.copy(archives[2][0], target))
             if status == 0:
-                total = kill_at
+                call_total = kill_at
                 break
-        self.assertGreater(total, 10)
+        self.assertGreater(call_total, 10)
 
 
 if __name__ == "__main__":
--- a/tests/test_worker_processes.py
+++ b/tests/test_worker_processes.py
@@ -1,4 +1,4 @@
-"""Processes of a worker: what a kill of one leaves, loads under way, and what the meter measures."""
+"""Processes of a worker: kills of each, interrupted loads, and the measurement of memory."""
 
 import glob
 import os
@@ -24,17 +24,17 @@
 from wickdyke.worker.store import StoreServer
 
 
-class OrphanedProcessTest(TemporaryFolderTest):
-    """No process is left where worker, parent or replica are killed."""
+class KilledProcessTest(TemporaryFolderTest):
+    """A kill of the worker, the parent or a replica leaves no process behind."""
 
-    def test_killed_worker(self):
-        """(who is killed, what ran) -> nothing of it survives, also not what replicas forked into other sessions."""
+    def test_no_process_survives(self):
+        """(killed process) -> the processes below it end too, also those that replicas forked into other sessions."""
         write_package(self.path("f"))
         package.pack(self.path("f"), self.path("store"))
-        with open(self.path("w.sexp"), "w") as sink:
-            sink.write(WORKER_CONFIG.format(memory=400, idle=60, cache=50, more=""))
-        for whom in ("worker", "parent", "copy"):
-            with self.subTest(whom=whom):
+        with open(self.path("w.sexp"), "w") as file:
+            file.write(WORKER_CONFIG.format(memory=400, idle_s=60, cache_mb=50, more_settings=""))
+        for victim in ("worker", "parent", "replica"):
+            with self.subTest(victim=victim):
                 process = subprocess.Popen(
                     [sys.executable, "-m", "wickdyke.cli", "worker", self.path("w.sexp")],
                     stdout=subprocess.PIPE,
@@ -43,25 +43,25 @@
                 try:
                     self.assertIn(b"ready", process.stdout.readline())
                     gateway = GatewayConnection(self.path("w1.sock"))
-                    replica = gateway.run()[1]["pid"]
+                    replica_pid = gateway.run()[1]["pid"]
                     gateway.run(fork=1)
                     for _ in range(2):
                         gateway.send(spin=1)
                     gateway.request("probe")
-                    parent = psutil.Process(replica).ppid()
-                    self.assertTrue(until(lambda replica=replica: len(child_pids(replica)) == 1))
-                    stray = child_pids(replica)[0]
-                    os.kill({"worker": process.pid, "parent": parent, "copy": replica}[whom], signal.SIGKILL)
-                    gone = [replica, stray] + ([parent, process.pid] if whom != "copy" else [])
-                    if whom == "parent":  # nobody is left who adopts: what left its session is the kernel's to give
-                        gone.remove(stray)
-                    self.assertTrue(until(lambda gone=gone: not any(map(is_running, gone))), gone)
-                    if whom == "parent":
-                        os.kill(stray, signal.SIGKILL)
-                    if whom == "copy":
-                        again = GatewayConnection(self.path("w1.sock"))
-                        self.assertNotEqual(again.run()[1]["pid"], replica)
-                        again.close()
+                    parent = psutil.Process(replica_pid).ppid()
+                    self.assertTrue(until(lambda replica_pid=replica_pid: len(child_pids(replica_pid)) == 1))
+                    orphan = child_pids(replica_pid)[0]
+                    os.kill({"worker": process.pid, "parent": parent, "replica": replica_pid}[victim], signal.SIGKILL)
+                    pids = [replica_pid, orphan] + ([parent, process.pid] if victim != "replica" else [])
+                    if victim == "parent":  # no subreaper is left: a process in another session survives its parent
+                        pids.remove(orphan)
+                    self.assertTrue(until(lambda pids=pids: not any(map(is_running, pids))), pids)
+                    if victim == "parent":
+                        os.kill(orphan, signal.SIGKILL)
+                    if victim == "replica":
+                        second_gateway = GatewayConnection(self.path("w1.sock"))
+                        self.assertNotEqual(second_gateway.run()[1]["pid"], replica_pid)
+                        second_gateway.close()
                     gateway.close()
                 finally:
                     process.kill()
@@ -70,22 +70,22 @@
 
 
 class InterruptedLoadTest(TemporaryFolderTest):
-    """Loads that are under way when the worker is killed."""
+    """Loads that a kill of the worker interrupts."""
 
-    def test_killed_with_loads_under_way(self):
-        """Killed in the middle of two fetches: nothing of them is left to mislead the next start, which loads both."""
+    def test_worker_killed_during_loads(self):
+        """A worker is killed during two fetches: the next one removes their partial files, and loads both packages."""
         for name in "ab":
             write_package(self.path(name), name=name, code=PACKAGE_CODE + "#" + os.urandom(200_000).hex())
             package.pack(self.path(name), self.path("store"))
-        with open(self.path("w.sexp"), "w") as sink:
-            sink.write(
-                WORKER_CONFIG.format(memory=400, idle=60, cache=50, more="").replace(
+        with open(self.path("w.sexp"), "w") as file:
+            file.write(
+                WORKER_CONFIG.format(memory=400, idle_s=60, cache_mb=50, more_settings="").replace(
                     '(folder "store")', '(service "s.sock")'
                 )
             )
-        slow = StoreServer(self.path("s.sock"), self.path("store"), 50_000.0, 8)
-        parts = []
-        for at in range(2):
+        slow_store = StoreServer(self.path("s.sock"), self.path("store"), 50_000.0, 8)
+        partial_files = []
+        for round_number in range(2):
             process = subprocess.Popen(
                 [sys.executable, "-m", "wickdyke.cli", "worker", self.path("w.sexp")],
                 stdout=subprocess.PIPE,
@@ -93,10 +93,10 @@
             )
             try:
                 self.assertIn(b"ready", process.stdout.readline())
-                if at:  # what the first left is swept before it serves
+                if round_number:  # the partial files are removed before the worker serves
                     self.assertEqual(os.listdir(self.path("cache")), [])
                 gateway = GatewayConnection(self.path("w1.sock"))
-                if not at:
+                if not round_number:
                     for name in "ab":
                         gateway.send(name)
                     self.assertTrue(
@@ -111,10 +111,10 @@
                         )
                     )
                     process.kill()
-                    parts = os.listdir(self.path("cache"))
-                    slow.close()
-                    fast = StoreServer(self.path("s.sock"), self.path("store"), 1e9, 8)
-                    self.addCleanup(fast.close)
+                    partial_files = os.listdir(self.path("cache"))
+                    slow_store.close()
+                    fast_store = StoreServer(self.path("s.sock"), self.path("store"), 1e9, 8)
+                    self.addCleanup(fast_store.close)
                 else:
                     self.assertEqual([gateway.run(name)[0] for name in "ab"], [None, None])
                 gateway.close()
@@ -122,32 +122,32 @@
                 process.kill()
                 process.wait()
                 process.stdout.close()
-        self.assertEqual(len(parts), 2)
+        self.assertEqual(len(partial_files), 2)
 
 
 class MemoryMeterTest(TemporaryFolderTest):
-    """What the meter measures of processes that share memory."""
+    """The measurement of processes that share memory."""
 
-    def test_pages_shared(self):
-        """The measured memory of processes that share pages adds up to what they use together."""
+    def test_shared_pages(self):
+        """The measured sizes of processes that share pages add up to the memory they use together."""
         size = 64 << 20
-        held = os.urandom(1 << 20) * (size >> 20)
-        ends = [os.pipe() for _ in range(3)]
+        shared_block = os.urandom(1 << 20) * (size >> 20)
+        pipes = [os.pipe() for _ in range(3)]
         pids = []
-        for reads, _ in ends:
+        for read_end, _ in pipes:
             pid = os.fork()
             if pid == 0:
-                os.read(reads, 1)
-                os._exit(len(held) & 0)
+                os.read(read_end, 1)
+                os._exit(len(shared_block) & 0)
             pids.append(pid)
         total = meter.process_memory(os.getpid()) + sum(map(meter.process_memory, pids))
-        for (reads, writes), pid in zip(ends, pids, strict=True):
-            os.write(writes, b"x")
-            os.close(reads)
-            os.close(writes)
+        for (read_end, write_end), pid in zip(pipes, pids, strict=True):
+            os.write(write_end, b"x")
+            os.close(read_end)
+            os.close(write_end)
             os.waitpid(pid, 0)
-        alone = meter.process_memory(os.getpid())
-        self.assertLess(abs(total - alone), 0.25 * alone)  # four resident sizes would add up to nearly four times
+        single = meter.process_memory(os.getpid())
+        self.assertLess(abs(total - single), 0.25 * single)  # four resident sizes would add up to nearly four times
 
 
 if __name__ == "__main__":
--- a/tests/worker_rig.py
+++ b/tests/worker_rig.py
@@ -1,4 +1,4 @@
-"""Set-up that the tests of workers share: packages, a gateway's connection, and a worker in this process."""
+"""Helpers for the tests of workers: packages, the connection of a gateway, and a worker in this process."""
 
 import io
 import os
@@ -23,60 +23,60 @@
 
 PACKAGE_CODE = """
 import os, sys, time
-held, mother = [], os.getpid()
-def run(asked):
-    asked = asked or {}
-    time.sleep(asked.get("sleep", 0))
-    if asked.get("spin"):
+allocated, parent_pid = [], os.getpid()
+def run(function_input):
+    function_input = function_input or {}
+    time.sleep(function_input.get("sleep", 0))
+    if function_input.get("spin"):
         while True:
             pass
-    if asked.get("die"):
+    if function_input.get("die"):
         os._exit(7)
-    if asked.get("leave"):
+    if function_input.get("leave"):
         sys.exit(3)
-    if asked.get("fail"):
-        raise ValueError("asked to")
-    if asked.get("mb"):
-        held.append(os.urandom(1 << 20) * asked["mb"])
-    if asked.get("fork") and not os.fork():
+    if function_input.get("fail"):
+        raise ValueError("as requested")
+    if function_input.get("mb"):
+        allocated.append(os.urandom(1 << 20) * function_input["mb"])
+    if function_input.get("fork") and not os.fork():
         os.setsid()
         time.sleep(600)
-    if asked.get("flood"):
+    if function_input.get("flood"):
         while True:
             print("x" * 1000)
-    if asked.get("big"):
+    if function_input.get("big"):
         return "x" * (40 << 20)
-    if asked.get("odd"):
+    if function_input.get("odd"):
         return object()
     return {"pid": os.getpid(), "word": os.environ["WORD"], "version": VERSION}
 """
 
 
 def write_package(folder, name="p", version="1.0", memory=64, lanes=2, code=PACKAGE_CODE, manifest=None):
-    """Writes the folder of a package."""
+    """Writes a package as a folder."""
     os.makedirs(folder, exist_ok=True)
-    with open(os.path.join(folder, "main.py"), "w") as sink:
-        sink.write(f"VERSION = {version!r}\n" + code)
-    with open(os.path.join(folder, "package.sexp"), "w") as sink:
-        sink.write(manifest or MANIFEST.format(name=name, version=version, memory=memory, lanes=lanes))
+    with open(os.path.join(folder, "main.py"), "w") as file:
+        file.write(f"VERSION = {version!r}\n" + code)
+    with open(os.path.join(folder, "package.sexp"), "w") as file:
+        file.write(manifest or MANIFEST.format(name=name, version=version, memory=memory, lanes=lanes))
 
 
 class TemporaryFolderTest(unittest.TestCase):
-    """Tests with a temporary folder each."""
+    """A test case with a temporary folder for each test."""
 
     def setUp(self):
-        """Makes the folder; it is removed after the test."""
+        """Creates the folder, which is removed after the test."""
         folder = tempfile.TemporaryDirectory(prefix="wd-")
         self.addCleanup(folder.cleanup)
         self.folder = folder.name
 
     def path(self, *parts):
-        """A path in the folder."""
+        """The path of a file in the folder."""
         return os.path.join(self.folder, *parts)
 
 
 class GatewayConnection:
-    """A gateway's side of one connection to a worker."""
+    """The connection of a gateway to a worker."""
 
     def __init__(self, path):
         self.sock = socket.socket(socket.AF_UNIX)
@@ -94,22 +94,28 @@
         return self.last_id
 
     def answer(self, ident):
-        """The answer to that request."""
+        """The answer to the request with this id."""
         self.sock.settimeout(30)
         while ident not in self.answers:
             line = msgspec.json.decode(self.source.readline())
             self.answers[line["id"]] = line
         return self.answers.pop(ident)
 
-    def send(self, program="p", left=20000.0, memory=64.0, **asked):
-        """Sends a `run` request with that input; returns its id."""
+    def send(self, program="p", time_left_ms=20000.0, memory=64.0, **function_input):
+        """Sends a `run` request with the given input; returns its id."""
         return self.request(
-            "run", method="m", program=program, input=asked, memory_mb=memory, lanes=2, time_left_ms=left
+            "run",
+            method="m",
+            program=program,
+            input=function_input,
+            memory_mb=memory,
+            lanes=2,
+            time_left_ms=time_left_ms,
         )
 
-    def run(self, program="p", left=20000.0, memory=64.0, **asked):
-        """Runs a function: (error code or None, output or message)."""
-        answer = self.answer(self.send(program, left, memory, **asked))
+    def run(self, program="p", time_left_ms=20000.0, memory=64.0, **function_input):
+        """Runs a function. Returns (None, output) or (error code, error message)."""
+        answer = self.answer(self.send(program, time_left_ms, memory, **function_input))
         if "result" in answer:
             return None, answer["result"]["output"]
         return answer["error"]["code"], answer["error"]["message"]
@@ -122,19 +128,21 @@
 
 
 WORKER_CONFIG = """(worker (name "w1") (listen "w1.sock") (store (folder "store"))
-  (cache (folder "cache") (most {cache} MB))
-  (memory {memory} MB) (idle-life {idle} s) (stop-within 200 ms) (measure 50 ms) (calls-at-once 8) {more})"""
+  (cache (folder "cache") (most {cache_mb} MB))
+  (memory {memory} MB) (idle-life {idle_s} s) (stop-within 200 ms) (measure 50 ms) (calls-at-once 8) {more_settings})"""
 
 
 class WorkerTest(TemporaryFolderTest):
-    """Tests of a worker that runs in this process."""
+    """A test case with a worker in this process."""
 
-    def worker(self, memory=400, idle=60, cache=50, more="", takes=64):
-        """(worker that serves, a connection to it). Its store has the package p, which states `takes` MB."""
-        write_package(self.path("f"), memory=takes)
+    def worker(self, memory=400, idle_s=60, cache_mb=50, more_settings="", package_memory=64):
+        """(worker that serves, a connection to it). Its store has the package p, which states `package_memory` MB."""
+        write_package(self.path("f"), memory=package_memory)
         package.pack(self.path("f"), self.path("store"))
-        with open(self.path("w.sexp"), "w") as sink:
-            sink.write(WORKER_CONFIG.format(memory=memory, idle=idle, cache=cache, more=more))
+        with open(self.path("w.sexp"), "w") as file:
+            file.write(
+                WORKER_CONFIG.format(memory=memory, idle_s=idle_s, cache_mb=cache_mb, more_settings=more_settings)
+            )
         config = worker_config.read(self.path("w.sexp"))
         self.log_output = io.StringIO()
         log, _ = logs.logger(self.log_output, False)
@@ -147,7 +155,7 @@
 
 
 def is_running(pid):
-    """Whether a process exists and is no zombie."""
+    """Whether a process exists and is not a zombie."""
     try:
         with open(f"/proc/{pid}/stat") as source:
             return source.read().rpartition(")")[2].split()[0] not in "ZX"
@@ -161,6 +169,6 @@
 
 
 def proportional_set_size(pid):
-    """A process's proportional set size in MB, added up from all its mappings."""
+    """A process's proportional set size in MB: the sum of its mappings."""
     with open(f"/proc/{pid}/smaps") as source:
         return sum(int(line.split()[1]) for line in source if line.startswith("Pss:")) / 1024
