--- a/tests/storage_rig.py
+++ b/tests/storage_rig.py
@@ -135,7 +135,7 @@
     def acquire_and_check(self, cache, number):
         """Acquires a package, and checks that it is the right one and complete."""
         path, digest = self.archives[number]
-        manifest, folder = cache.acquire(digest, lambda to: shutil.copyfile(path, to))
+        manifest, folder = cache.acquire(digest, lambda target: shutil.copyfile(path, target))
         self.assertEqual((manifest.name, os.path.basename(folder)), (f"p{number}", digest[7:]))
         self.check_package(folder, number)
 
@@ -172,4 +172,4 @@
     def acquire(self, cache, number):
         """Acquires a package without checks."""
         path, digest = self.archives[number]
-        return cache.acquire(digest, lambda to: shutil.copyfile(path, to))
+        return cache.acquire(digest, lambda target: shutil.copyfile(path, target))
--- a/tests/test_cache_recovery.py
+++ b/tests/test_cache_recovery.py
@@ -24,7 +24,7 @@
             cache = self.filled_cache()
             with FaultyDisk(index, kill=True) as disk, contextlib.suppress(Killed):
                 path, digest = self.archives[2]
-                cache.acquire(digest, lambda to, path=path: shutil.copyfile(path, to))
+                cache.acquire(digest, lambda target, path=path: shutil.copyfile(path, target))
             with self.subTest(index=index):
                 reopened = Cache(self.cache_path, CAPACITY_MB)
                 self.assertEqual(reopened.index.leftovers, {})
--- a/tests/test_cache_write_errors.py
+++ b/tests/test_cache_write_errors.py
@@ -129,7 +129,7 @@
         rig.write_package(self.path("g"), name="small")
         path = package.pack(self.path("g"), self.path("s"))[1]
         digest = package_digest.file_digest(path)
-        _, folder = cache.acquire(digest, lambda to: shutil.copyfile(path, to))
+        _, folder = cache.acquire(digest, lambda target: shutil.copyfile(path, target))
         self.assertEqual(sorted(os.listdir(folder)), ["main.py", "package.sexp"])
         cache.release(digest)
         self.check_recovered(cache, {})
@@ -162,12 +162,12 @@
             return real()
 
         def load(number):
-            def fetch(to):
+            def fetch(target):
                 if number == 0:
                     fetch_started.set()
                     may_fail.wait(30)
                     raise OSError(errno.ENOSPC, "no space")
-                shutil.copyfile(path, to)
+                shutil.copyfile(path, target)
 
             try:
                 cache.acquire(digest, fetch)
--- a/tests/test_storage_faults.py
+++ b/tests/test_storage_faults.py
@@ -52,14 +52,14 @@
         server = store.StoreServer(self.path("st.sock"), self.path("s"), 1e9, 4)
         self.addCleanup(server.close)
         client = store_client.StoreClient(self.path("st.sock"))
-        package_found = client.find("p0")
+        found_package = client.find("p0")
         for error in ERRORS:
             with (
                 FaultyDisk(2, error, 1000, call_names=()),
                 mock.patch.object(client, "_request", side_effect=client._request) as request_mock,
                 self.assertRaises(OSError) as raised,
             ):
-                client.fetch(package_found, self.path("had.zip"))
+                client.fetch(found_package, self.path("had.zip"))
             self.assertEqual((raised.exception.errno, request_mock.call_count), (error, 1))
             self.assertEqual(raised.exception.filename, self.path("had.zip"))
 
--- a/tests/test_worker.py
+++ b/tests/test_worker.py
@@ -79,9 +79,8 @@
         )
         try:
             self.assertIn(b"ready", process.stdout.readline())
-            self.assertEqual(
-                command("worker", self.path("w.sexp")).returncode, 2
-            )  # another worker serves on the same socket
+            # A second worker fails, as the first one serves on the same socket.
+            self.assertEqual(command("worker", self.path("w.sexp")).returncode, 2)
             gateway = GatewayConnection(self.path("w1.sock"))
             self.assertEqual(gateway.run()[1]["word"], "sea")
             gateway.close()
--- a/tests/test_worker_scenario.py
+++ b/tests/test_worker_scenario.py
@@ -32,9 +32,8 @@
         self.assertEqual([str(finding) for finding in checker.findings], [])
         totals = sum(checker.outcomes().values(), Counter())
         self.assertEqual(totals["lost"], 0)
-        self.assertGreater(
-            totals["ok in time"], 0.3 * totals["asked"]
-        )  # a low bound, as workers are slow while they warm up
+        # The bound is low, as workers are slow while they warm up.
+        self.assertGreater(totals["ok in time"], 0.3 * totals["asked"])
 
     def test_unsupported_faults(self):
         """(runtime, fault) -> words of the error; real and simulated workers support different faults."""
--- a/tests/test_worker_schedule.py
+++ b/tests/test_worker_schedule.py
@@ -77,9 +77,8 @@
         self.assertEqual(summarize(take_actions(schedule)), [("stop", "bad"), ("reject", "bad", "out-of-time")])
         schedule.advance(250.0)
         schedule.submit("late", "p", 10, 2, 400.0)
-        self.assertEqual(
-            summarize(take_actions(schedule)), [("load", "p")]
-        )  # "late" gets a new replica; the old one still runs "good"
+        # "late" gets a new replica; the old one still runs "good".
+        self.assertEqual(summarize(take_actions(schedule)), [("load", "p")])
         self.assertTrue(schedule.request_answered("good"))
         self.assertEqual(
             [(action_name, subject) for action_name, subject, *_ in take_actions(schedule) if action_name == "kill"],
--- a/tests/test_worker_schedule_machine.py
+++ b/tests/test_worker_schedule_machine.py
@@ -95,7 +95,7 @@
     def all_loads_succeed(self):
         """All loads succeed."""
         self.tick()
-        for replica in sorted(self.loading_replicas, key=lambda other: other.number):
+        for replica in sorted(self.loading_replicas, key=lambda candidate: candidate.number):
             self.loading_replicas.discard(replica)
             self.live_replicas.add(replica)
             self.schedule.load_finished(replica, None)
@@ -130,7 +130,9 @@
         self.tick()
         if not self.loading_replicas:
             return
-        replica = sorted(self.loading_replicas, key=lambda other: other.number)[index % len(self.loading_replicas)]
+        replica = sorted(self.loading_replicas, key=lambda candidate: candidate.number)[
+            index % len(self.loading_replicas)
+        ]
         self.loading_replicas.discard(replica)
         if stated_memory is not None and not self.schedule.apply_manifest(replica, stated_memory, 1, None):
             failure = "full"
@@ -173,7 +175,9 @@
         """A replica ends by itself."""
         self.tick()
         if self.live_replicas:
-            replica = sorted(self.live_replicas, key=lambda other: other.number)[index % len(self.live_replicas)]
+            replica = sorted(self.live_replicas, key=lambda candidate: candidate.number)[
+                index % len(self.live_replicas)
+            ]
             self.live_replicas.discard(replica)
             self.running_requests = {key: other for key, other in self.running_requests.items() if other is not replica}
             self.stopped_requests = [other for other in self.stopped_requests if other[1] is not replica]
@@ -185,7 +189,9 @@
         """A replica's memory is measured."""
         self.tick()
         if self.live_replicas:
-            replica = sorted(self.live_replicas, key=lambda other: other.number)[index % len(self.live_replicas)]
+            replica = sorted(self.live_replicas, key=lambda candidate: candidate.number)[
+                index % len(self.live_replicas)
+            ]
             self.schedule.memory_measured(replica, replica.memory * factor)
             self.check_actions()
 
--- a/tests/test_worker_store.py
+++ b/tests/test_worker_store.py
@@ -156,10 +156,10 @@
 
     def test_archive_replaced_during_fetch(self):
         """A fetch continues after a restart of the store; an archive that was replaced is an error."""
-        first = self.store()
+        first_server = self.store()
         store_client = StoreClient(self.path("s.sock"))
         found_package = store_client.find("p")
-        first.close()
+        first_server.close()
         self.store()
         store_client.fetch(found_package, self.path("got"))
         with open(self.path("got"), "rb") as source:
@@ -188,15 +188,15 @@
 
     def test_rate_limiter(self):
         """(sizes reserved at the same time, then later) -> the wait of each."""
-        rate = RateLimiter(1000.0)
-        self.assertEqual([rate.reserve(0.0, size) for size in (100, 200, 50)], [0.0, 100.0, 300.0])
-        self.assertEqual([rate.reserve(index, 100) for index in (340.0, 1000.0)], [10.0, 0.0])
+        rate_limiter = RateLimiter(1000.0)
+        self.assertEqual([rate_limiter.reserve(0.0, size) for size in (100, 200, 50)], [0.0, 100.0, 300.0])
+        self.assertEqual([rate_limiter.reserve(now, 100) for now in (340.0, 1000.0)], [10.0, 0.0])
 
     def test_worker(self):
         """A worker loads from a store service; while the store is closed, a load is a miss, and later it succeeds."""
         server = self.store()
-        with open(self.path("w.sexp"), "w") as sink:
-            sink.write(
+        with open(self.path("w.sexp"), "w") as file:
+            file.write(
                 WORKER_CONFIG.format(memory=400, idle_s=60, cache_mb=50, more_settings="").replace(
                     '(folder "store")', '(service "s.sock")'
                 )
--- a/wickdyke/worker/package.py
+++ b/wickdyke/worker/package.py
@@ -21,6 +21,7 @@
 ENTRY_DATE = (1980, 1, 1, 0, 0, 0)  # of all archive entries, so that equal files give equal archives
 FILE_MODE = stat.S_IFREG | 0o644  # of all archive entries
 DIGEST_MISMATCH = "as stated in its manifest"  # in the expected value of a diagnostic, by which `pack` finds it
+# Raised by zipfile for a damaged or unsupported archive.
 UNREADABLE_ARCHIVE_ERRORS = (
     zipfile.BadZipFile,
     zipfile.LargeZipFile,
@@ -29,7 +30,7 @@
     NotImplementedError,
     RuntimeError,
     ValueError,
-)  # raised by zipfile for a damaged or unsupported archive
+)
 
 
 def from_folder(path: str) -> tuple[Manifest, list[PackageFile]]:
