--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""A router with a small fleet, and helpers that pass it inputs."""
+"""A router with a small fleet, and helpers that pass it inputs and read its decisions."""
 
 from wickdyke.routing.decisions import Cancel, Fail, FollowEndpoints, Forward, HealthCheck, LogNote, Prewarm, Reject
 from wickdyke.routing.inputs import AttemptFinished, RequestReceived, WorkerLoad
@@ -17,18 +17,18 @@
     TenantQuotas,
 )
 
-ROW = {"zone": 0, "kind": 0, "cell": 0, "state": "ready", "size": 4.0, "started_at": None}
+DEFAULT_ENDPOINT = {"zone": 0, "kind": 0, "cell": 0, "state": "ready", "size": 4.0, "started_at": None}
 
 
-def row(ident, **more):
-    """A row of the endpoint list: ROW with these fields."""
-    return Endpoint(ident, **{**ROW, **more})
+def listed_endpoint(ident, **more):
+    """Returns an entry of the endpoint list: DEFAULT_ENDPOINT with the given fields."""
+    return Endpoint(ident, **{**DEFAULT_ENDPOINT, **more})
 
 
-class Fleet:
-    """One front end with workers a, b, c ...; `clock` is its time (ms)."""
+class FrontEnd:
+    """A front end's router with workers a, b, c and so on; `clock` is its time (ms)."""
 
-    def __init__(  # noqa: PLR0913 - one keyword for each part of a deployment
+    def __init__(  # noqa: PLR0913 - one keyword argument for each property of a deployment
         self,
         workers=4,
         effect="idempotent",
@@ -65,15 +65,17 @@
                 TenantQuotas(quotas),
             ),
         )
-        self.list(endpoints if endpoints is not None else [row(name) for name in "abcdefghij"[:workers]])
+        self.update_endpoints(
+            endpoints if endpoints is not None else [listed_endpoint(name) for name in "abcdefghij"[:workers]]
+        )
 
-    def reported(self, *values):
-        """A worker's load report with these values, in the order of the settings' report fields."""
+    def load_report(self, *values):
+        """Returns a worker's load report with these values, in the order of the settings' report fields."""
         return WorkerLoad.from_values(self.router.instance.report_fields, values)
 
     @property
     def cell(self):
-        """The one cell that all its workers fit."""
+        """Returns the only cell, which holds all workers."""
         (cell,) = self.router.fleet.cells.values()
         return cell
 
@@ -85,13 +87,13 @@
     def placement(self):
         return self.cell.placement
 
-    def list(self, endpoints, whole=True):
+    def update_endpoints(self, endpoints, whole=True):
         self.router.advance(self.clock)
         self.router.endpoints_changed(endpoints, whole)
-        return self.pull()
+        return self.take_decisions()
 
-    def pull(self):
-        """All decisions but the notes; prewarms end at once with `prewarm_outcome`, if that is given."""
+    def take_decisions(self):
+        """Returns all decisions except log notes; prewarms end at once with `prewarm_outcome`, if that is given."""
         done = [d for d in iter(self.router.decide, None) if not isinstance(d, LogNote)]
         for prewarm in [d for d in done if isinstance(d, Prewarm) and self.prewarm_outcome]:
             self.router.prewarm_finished(
@@ -99,45 +101,45 @@
             )
         return done
 
-    def take(self, function="p", time_left=4000.0, policy=None):
+    def submit(self, function="p", time_left=4000.0, policy=None):
         self.ids += 1
         self.router.advance(self.clock)
         received = RequestReceived(
             self.ids, time_left, self.request_class, function, 4000.0, self.concurrency, None, None, False, policy
         )
         self.router.request_received(received)
-        return self.pull()
+        return self.take_decisions()
 
-    def end(self, request, outcome="ok", number=None, load_note="stood", final=None):
+    def finish_attempt(self, request, outcome="ok", number=None, load_note="stood", final=None):
         final = outcome == "ok" if final is None else final
         number = len(request.attempts) - 1 if number is None else number
         load_note = load_note if outcome == "ok" else None
         self.router.advance(self.clock)
         self.router.attempt_finished(AttemptFinished(request.ident, number, outcome, final, load_note, 0, None))
-        return self.pull()
+        return self.take_decisions()
 
-    def pass_time(self, ms, step=50.0):
+    def advance_time(self, ms, step=50.0):
         done = []
         for _ in range(round(ms / step)):
             self.clock += step
             self.router.advance(self.clock)
-            done += self.pull()
+            done += self.take_decisions()
         return done
 
-    def serve(self, function="p", calls=20, ms=100.0, load_note="stood"):
-        """Sends requests one after another, each answered ok; returns all decisions."""
+    def serve_requests(self, function="p", count=20, ms=100.0, load_note="stood"):
+        """Submits requests one after another, each answered successfully after `ms`; returns all decisions."""
         done = []
-        for _ in range(calls):
-            got = self.take(function)
+        for _ in range(count):
+            got = self.submit(function)
             done += got
             request = next((d.request for d in got if isinstance(d, Forward)), None)
             self.clock += ms
             if request is not None:
-                done += self.end(request, load_note=load_note)
+                done += self.finish_attempt(request, load_note=load_note)
         return done
 
 
-WORDS = {
+DECISION_NAMES = {
     Forward: "forward",
     Cancel: "cancel",
     Reject: "reject",
@@ -148,17 +150,20 @@
 }
 
 
-def verbs(decisions):
-    """The word of each decision, as WORDS has it."""
-    return [WORDS[type(d)] for d in decisions]
+def decision_names(decisions):
+    """Returns the name of each decision, as in DECISION_NAMES."""
+    return [DECISION_NAMES[type(d)] for d in decisions]
 
 
-def called(decisions):
-    """The ident of each worker that a request was forwarded to, in order."""
+def forwarded_to(decisions):
+    """Returns the identifiers of the workers that requests were forwarded to, in order."""
     return [d.worker.endpoint.ident for d in decisions if isinstance(d, Forward)]
 
 
 def choose_workers(placement, function, load, capacity, room, budget):
-    """The workers that a pass with that room and memory left chooses for so many lanes; a replica takes 1 MB."""
+    """Returns the workers that a placement pass chooses for `load` with that free capacity and free memory.
+
+    A replica of the function takes 1 MB.
+    """
     this_pass = PlacementPass({}, {}, {}, {function: 1.0}, 1.0, capacity, room, budget, {})
     return placement.choose_workers(function, load, [], this_pass)
--- a/tests/readiness_rig.py
+++ b/tests/readiness_rig.py
@@ -1,22 +1,22 @@
-"""A router that was told when discovery was heard, and what it asks and sends."""
+"""A router that is informed of messages from discovery, and helpers that read its health checks and prewarms."""
 
 import unittest
 
-from tests.helpers import Fleet
+from tests.helpers import FrontEnd
 from wickdyke.routing.decisions import HealthCheck, Prewarm
 from wickdyke.routing.model import Outcome
 from wickdyke.routing.readiness import GRACE_FRACTION, NEVER, OUTAGE_NOTICE_DELAY
 
-GRACE = 1000.0  # ms, for a drain, in the settings of Fleet
+GRACE = 1000.0  # ms, the grace period of a drain in the settings of FrontEnd
 WORKER_LEASE = GRACE_FRACTION * GRACE
 LIST_LEASE = OUTAGE_NOTICE_DELAY + WORKER_LEASE
 
 
 class ReadinessCase(unittest.TestCase):
-    """A router that was told that discovery is heard."""
+    """Base class of tests on the leases of the endpoint list and of workers."""
 
-    def fleet(self, workers=4, **more):
-        self.front_end = Fleet(workers, health_checks=True, **more)
+    def start_front_end(self, workers=4, **more):
+        self.front_end = FrontEnd(workers, health_checks=True, **more)
         router = self.front_end.router
         router.health_checker.check_in_turn = (
             lambda elapsed, now: None
@@ -28,33 +28,33 @@
     def heard(self, at=None):
         self.front_end.router.advance(self.front_end.clock)
         self.front_end.router.discovery_heard(self.front_end.clock if at is None else at)
-        return self.front_end.pull()
+        return self.front_end.take_decisions()
 
     def expire(self):
-        """The list has just expired; what was asked then is answered as ready, and that has run out as well."""
-        decisions = self.front_end.pass_time(LIST_LEASE + 100.0)
+        """Lets the endpoint list expire, answers the resulting health checks, and lets those leases expire too."""
+        decisions = self.front_end.advance_time(LIST_LEASE + 100.0)
         for worker in asked(decisions):
             self.answer(worker)
-        self.front_end.pass_time(WORKER_LEASE + 50.0)
+        self.front_end.advance_time(WORKER_LEASE + 50.0)
 
     def answer(self, worker, outcome=Outcome.OK, same_process_since=NEVER):
         self.front_end.router.advance(self.front_end.clock)
         self.front_end.router.health_checked(worker, outcome, None, same_process_since)
-        return self.front_end.pull()
+        return self.front_end.take_decisions()
 
     def refresh(self, worker):
-        """The worker is asked, and proves ready."""
+        """Checks the worker and answers that it is ready; returns the decisions that follow."""
         record = self.front_end.router.workers[worker]
         self.front_end.router.readiness.health_checker.check_now(record, self.front_end.clock)
-        self.front_end.pull()
+        self.front_end.take_decisions()
         return self.answer(worker)
 
 
 def asked(decisions):
-    """The workers that were health checked."""
+    """Returns the identifiers of the workers that were sent health checks."""
     return [decision.worker.endpoint.ident for decision in decisions if isinstance(decision, HealthCheck)]
 
 
 def prewarmed(decisions):
-    """The workers that prewarms were sent to."""
+    """Returns the identifiers of the workers that were sent prewarms."""
     return [decision.worker.endpoint.ident for decision in decisions if isinstance(decision, Prewarm)]
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -1,8 +1,8 @@
-"""What the router does by a route's policy: attempts, backoff, outcomes, hedging, budgets, queueing, priority."""
+"""Tests of route policies in the router: attempts, backoff, outcomes, hedging, budgets, queueing and priority."""
 
 import unittest
 
-from tests.helpers import Fleet, called, verbs
+from tests.helpers import FrontEnd, decision_names, forwarded_to
 from wickdyke.routing.decisions import Forward
 from wickdyke.routing.model import Backoff, Hedging, RetryBudgetTerms, RoutePolicy
 
@@ -23,21 +23,21 @@
 
 
 def timing(**more):
-    """A route's policy; those of its fields that are records are given as tuples."""
+    """Returns a route policy: PLAIN with the given fields, of which those that are records are given as tuples."""
     fields = {**PLAIN, **more}
     records = {name: kind(*fields[name]) for name, kind in RECORDS.items() if fields[name] is not None}
     return RoutePolicy(**{**fields, **records})
 
 
 def first(decisions, verb="forward"):
-    """The first decision that `verb` names."""
-    return next(d for d, word in zip(decisions, verbs(decisions), strict=True) if word == verb)
+    """Returns the first decision of the given name."""
+    return next(d for d, word in zip(decisions, decision_names(decisions), strict=True) if word == verb)
 
 
-def fail(fleet, request):
-    """Each attempt times out until the request is closed; how many there were."""
+def fail(front_end, request):
+    """Lets attempts time out until the request is closed; returns the number of attempts."""
     for calls in range(1, 20):
-        fleet.end(request, "timeout", final=False)
+        front_end.finish_attempt(request, "timeout", final=False)
         if request.closed:
             return calls
     raise AssertionError("never closed")
@@ -46,110 +46,115 @@
 class Attempts(unittest.TestCase):
     """Retries, hedged attempts and queueing as the policy of a route allows them."""
 
-    def test_patience(self):
-        """A attempt goes out with its attempt's time; without a route with none."""
-        fleet = Fleet()
-        self.assertEqual(first(fleet.take(policy=timing())).timeout, 500.0)
-        self.assertIsNone(first(fleet.take()).timeout)
+    def test_attempt_timeout(self):
+        """An attempt is forwarded with its route's attempt time-out, and without a route with none."""
+        front_end = FrontEnd()
+        self.assertEqual(first(front_end.submit(policy=timing())).timeout, 500.0)
+        self.assertIsNone(first(front_end.submit()).timeout)
 
     def test_outcomes(self):
-        """(outcomes one after another, timing, effect) -> attempts in all, and the final answer."""
+        """(outcomes in order, policy fields, effect) -> number of attempts and final answer."""
         for outcomes, more, effect, calls, final in (
             (["timeout"] * 5, {}, "idempotent", 3, "reject"),
             (["timeout"] * 5, {"attempts": 1}, "idempotent", 1, "reject"),
-            (["timeout"] * 5, {"attempts": 9}, "idempotent", 4, "reject"),  # the deployment's own most
+            (["timeout"] * 5, {"attempts": 9}, "idempotent", 4, "reject"),  # the deployment's limit
             (["error"], {}, "idempotent", 1, "reject"),
             (["error"] * 5, {"retryable": frozenset({"error"})}, "idempotent", 3, "reject"),
             (["full", "error"], {}, "idempotent", 2, "reject"),
             (["full", "full", "error"], {}, "side-effecting", 3, "fail"),
-            (["timeout"], {}, "side-effecting", 1, "fail"),  # asked for past the check: rule 2 stands above
+            (["timeout"], {}, "side-effecting", 1, "fail"),  # the effect forbids what the route allows
             (["full"] * 5, {}, "side-effecting", 3, "reject"),
             (["cancelled", "full", "full"], {"retryable": frozenset()}, "idempotent", 2, "reject"),
         ):
             with self.subTest(outcomes=outcomes, more=more, effect=effect):
-                fleet = Fleet(workers=8, effect=effect, attempts=4)
-                done = fleet.take(policy=timing(**more))
+                front_end = FrontEnd(workers=8, effect=effect, attempts=4)
+                done = front_end.submit(policy=timing(**more))
                 request, all_done = first(done).request, list(done)
                 for outcome in outcomes:
                     if request.closed:
                         break
-                    all_done += fleet.end(request, outcome, final=False)
-                self.assertEqual((verbs(all_done).count("forward"), verbs(all_done)[-1]), (calls, final))
+                    all_done += front_end.finish_attempt(request, outcome, final=False)
+                self.assertEqual(
+                    (decision_names(all_done).count("forward"), decision_names(all_done)[-1]), (calls, final)
+                )
 
-    def test_pauses(self):
-        """The nth further attempt waits its pause, grown and bounded, and is sent within a look of it."""
+    def test_backoff(self):
+        """Each retry waits its growing, bounded backoff, and is sent within a tick after that."""
         for pause, least in (
             ((100.0, 2.0, 1e9, 0.0), (100.0, 200.0)),
             ((100.0, 3.0, 150.0, 0.0), (100.0, 150.0)),
             ((100.0, 1.0, 1e9, 0.5), (100.0, 100.0)),
             ((0.0, 1.0, 1e9, 0.0), (0.0, 0.0)),
         ):
-            fleet = Fleet(workers=8)
-            request = first(fleet.take(policy=timing(backoff=pause))).request
+            front_end = FrontEnd(workers=8)
+            request = first(front_end.submit(policy=timing(backoff=pause))).request
             for wait in least:
                 with self.subTest(pause=pause, wait=wait):
-                    done, ended = fleet.end(request, "full", final=False), fleet.clock
+                    done, ended = front_end.finish_attempt(request, "full", final=False), front_end.clock
                     for _ in range(2000):
                         if done:
                             break
-                        fleet.clock += 1
-                        fleet.router.advance(fleet.clock)
-                        done = fleet.pull() if fleet.clock >= fleet.router.wake_at else []
-                    self.assertIn("forward", verbs(done))
-                    took = fleet.clock - ended
+                        front_end.clock += 1
+                        front_end.router.advance(front_end.clock)
+                        done = front_end.take_decisions() if front_end.clock >= front_end.router.wake_at else []
+                    self.assertIn("forward", decision_names(done))
+                    took = front_end.clock - ended
                     self.assertGreaterEqual(took, wait)
                     self.assertLessEqual(took, wait * (1 + pause[3]) + 50)
 
-    def test_pause_past_the_end(self):
-        """A request whose pause would outlast it is answered before its time is up."""
-        fleet = Fleet(workers=8)
-        request = first(fleet.take(time_left=1000.0, policy=timing(backoff=(5000.0, 1.0, 1e9, 0.0)))).request
-        fleet.end(request, "full", final=False)
-        self.assertIn("reject", verbs(fleet.pass_time(1000)))
+    def test_backoff_beyond_the_deadline(self):
+        """A request whose backoff would exceed its deadline is answered before the deadline."""
+        front_end = FrontEnd(workers=8)
+        request = first(front_end.submit(time_left=1000.0, policy=timing(backoff=(5000.0, 1.0, 1e9, 0.0)))).request
+        front_end.finish_attempt(request, "full", final=False)
+        self.assertIn("reject", decision_names(front_end.advance_time(1000)))
 
-    def test_budget(self):
-        """Retries are at most the floor and the share of the requests within the window; then none; then again."""
-        fleet = Fleet(workers=8)
+    def test_retry_budget(self):
+        """Retries are limited to the floor plus the share of the requests within the window, which moves on."""
+        front_end = FrontEnd(workers=8)
         terms = timing(budget_terms=(10000.0, 0.1, 2.0))
 
         def failing(many):
             calls = 0
             for _ in range(many):
-                done = fleet.take(f"p{fleet.ids % 5}", policy=terms)
+                done = front_end.submit(f"p{front_end.ids % 5}", policy=terms)
                 request = first(done).request
-                calls += fail(fleet, request)
+                calls += fail(front_end, request)
             return calls - many
 
         self.assertEqual(failing(100), 2 + 10)
         self.assertEqual(failing(50), 5)
-        fleet.clock += 10001
+        front_end.clock += 10001
         self.assertEqual(failing(1), 2)
 
-    def test_budgets_apart(self):
-        """Each route pays for itself."""
-        fleet = Fleet(workers=8)
+    def test_routes_have_separate_retry_budgets(self):
+        """Retries of one route do not use the budget of another."""
+        front_end = FrontEnd(workers=8)
         poor, rich = (
             timing(budget_terms=(1e4, 0.0, floor), budget_key=name) for name, floor in (("poor", 1.0), ("rich", 9.0))
         )
         for terms, calls in ((poor, 2), (poor, 1), (rich, 3), (poor, 1), (rich, 3)):
-            request = first(fleet.take(policy=terms)).request
-            self.assertEqual(fail(fleet, request), calls)
+            request = first(front_end.submit(policy=terms)).request
+            self.assertEqual(fail(front_end, request), calls)
 
-    def test_budget_goes_on(self):
-        """After a reload, requests of the route as it is now pay for an earlier one, and it pays for them."""
-        fleet = Fleet(workers=8)
+    def test_retry_budget_persists_across_reloads(self):
+        """Requests received before and after a reload of their route share its retry budget."""
+        front_end = FrontEnd(workers=8)
         before, after = (
             timing(budget_terms=(1e4, 0.5, 0.0), budget_key=name, priority=at) for at, name in enumerate(("r", "r"))
         )
-        old = first(fleet.take(policy=before)).request
+        old = first(front_end.submit(policy=before)).request
         for _ in range(3):
-            fleet.end(first(fleet.take(policy=after)).request, "ok", final=True)
-        self.assertEqual(fail(fleet, old), 3)
-        self.assertEqual(fail(fleet, first(fleet.take(policy=after)).request), 1)
+            front_end.finish_attempt(first(front_end.submit(policy=after)).request, "ok", final=True)
+        self.assertEqual(fail(front_end, old), 3)
+        self.assertEqual(fail(front_end, first(front_end.submit(policy=after)).request), 1)
 
-    def test_time_outs_lower_the_limits(self):
-        """(outcome, terms, busy share, standing) -> whether the limits on our attempts fall: a route's attempts that
-        are over say that answers are late, though none was; a cancel, a request's own end and a load say nothing."""
+    def test_timeouts_lower_the_limits(self):
+        """(outcome, policy, utilization) -> whether the concurrency limits are lowered.
+
+        Attempts that end by their route's time-out count as late answers. Cancelled attempts, errors and attempts that
+        end by the request's own deadline do not count.
+        """
         for outcome, terms, busy, lowered in (
             ("timeout", timing(attempts=1), 0.95, True),
             ("timeout", timing(attempts=3), 0.95, True),
@@ -160,26 +165,29 @@
             ("timeout", timing(attempts=1, attempt_timeout=None), 0.95, False),
         ):
             with self.subTest(outcome=outcome, terms=terms, busy=busy):
-                fleet = Fleet(workers=1)
-                fleet.serve(calls=8)
-                worker = fleet.router.workers["a"]
-                before = worker.concurrency_limit, fleet.router.global_concurrency.concurrency_limit
+                front_end = FrontEnd(workers=1)
+                front_end.serve_requests(count=8)
+                worker = front_end.router.workers["a"]
+                before = worker.concurrency_limit, front_end.router.global_concurrency.concurrency_limit
                 for _ in range(12):
-                    fleet.router.health_checked("a", "ok", fleet.reported(busy, 4.0))
-                    called = [d.request for d in fleet.take(policy=terms) if isinstance(d, Forward)]
+                    front_end.router.health_checked("a", "ok", front_end.load_report(busy, 4.0))
+                    called = [d.request for d in front_end.submit(policy=terms) if isinstance(d, Forward)]
                     while called and not called[0].closed:
-                        fleet.clock += 120.0
-                        fleet.end(called[0], outcome, final=terms is None)
+                        front_end.clock += 120.0
+                        front_end.finish_attempt(called[0], outcome, final=terms is None)
                 self.assertEqual(
                     (
                         worker.concurrency_limit < before[0],
-                        fleet.router.global_concurrency.concurrency_limit < before[1],
+                        front_end.router.global_concurrency.concurrency_limit < before[1],
                     ),
                     (lowered, lowered),
                 )
 
-    def test_second_copies(self):
-        """(overlap, effect, second, time passed) -> attempts out; never more than saved up, never at one worker."""
+    def test_hedging(self):
+        """(hedging allowed, effect, hedge policy, ms passed) -> attempts in flight, each at a worker of its own.
+
+        There are never more than the hedge tokens allow.
+        """
         for overlap, effect, second, ms, out in (
             (True, "idempotent", (200.0, 2, 1.0), 150, 1),
             (True, "idempotent", (200.0, 2, 1.0), 300, 2),
@@ -191,45 +199,45 @@
             (True, "idempotent", None, 300, 1),
         ):
             with self.subTest(overlap=overlap, effect=effect, second=second, ms=ms):
-                fleet = Fleet(workers=6, hedging=overlap, effect=effect)
-                request = first(fleet.take(policy=timing(hedge=second))).request
-                fleet.pass_time(ms)
+                front_end = FrontEnd(workers=6, hedging=overlap, effect=effect)
+                request = first(front_end.submit(policy=timing(hedge=second))).request
+                front_end.advance_time(ms)
                 workers = [attempt.replica.worker for attempt in request.attempts if attempt.outcome is None]
                 self.assertEqual(len(workers), out)
                 self.assertEqual(len(set(workers)), out)
 
     def test_first_answer_wins(self):
-        """The loser is cancelled; its answer on the way changes nothing; a failed one leaves the other out."""
+        """The first answer cancels the other attempt, whose answer is ignored; an error leaves the other in flight."""
         for begins, want in ((("ok", 0), ["cancel"]), (("ok", 1), ["cancel"]), (("error", 0), [])):
             with self.subTest(begins=begins):
-                fleet = Fleet(workers=6, hedging=True)
-                request = first(fleet.take(policy=timing(hedge=(200.0, 2, 1.0)))).request
-                fleet.pass_time(300)
+                front_end = FrontEnd(workers=6, hedging=True)
+                request = first(front_end.submit(policy=timing(hedge=(200.0, 2, 1.0)))).request
+                front_end.advance_time(300)
                 outcome, number = begins
-                self.assertEqual(verbs(fleet.end(request, outcome, number)), want)
-                self.assertEqual(verbs(fleet.end(request, "ok", 1 - number, final=True)), [])
-                self.assertNotIn(request.ident, fleet.router.requests)
+                self.assertEqual(decision_names(front_end.finish_attempt(request, outcome, number)), want)
+                self.assertEqual(decision_names(front_end.finish_attempt(request, "ok", 1 - number, final=True)), [])
+                self.assertNotIn(request.ident, front_end.router.requests)
 
     def test_queue_and_priority(self):
-        """What waits for a first place is denied after its queueing time; the dearest by priority goes first."""
-        fleet = Fleet(workers=1, prewarm_outcome=None)  # a placement may order a second copy: it is to have one lane
-        fleet.concurrency = 1
-        served = fleet.serve(calls=5)
-        self.assertTrue(called(served))
+        """Requests that wait for their first attempt are rejected after the queue time-out; priorities go first."""
+        front_end = FrontEnd(workers=1, prewarm_outcome=None)  # no prewarm may add a second replica
+        front_end.concurrency = 1
+        served = front_end.serve_requests(count=5)
+        self.assertTrue(forwarded_to(served))
         low, high = (
             timing(priority=0, queue_timeout=2000.0, latency_objective=3000.0),
             timing(priority=5, queue_timeout=2000.0, latency_objective=3000.0),
         )
         short = timing(queue_timeout=120.0, latency_objective=3000.0)
-        out = [first(fleet.take(policy=high)).request]
+        out = [first(front_end.submit(policy=high)).request]
         for terms in (low, low, high, short):
-            fleet.take(policy=terms)
-        waiting = list(fleet.router.dispatcher.waiting)
+            front_end.submit(policy=terms)
+        waiting = list(front_end.router.dispatcher.waiting)
         self.assertEqual(len(waiting), 4)
-        self.assertEqual(verbs(fleet.pass_time(100)).count("reject"), 0)
-        self.assertIn("reject", verbs(fleet.pass_time(100)))
-        fleet.end(out[0])
-        done = fleet.pass_time(100)
+        self.assertEqual(decision_names(front_end.advance_time(100)).count("reject"), 0)
+        self.assertIn("reject", decision_names(front_end.advance_time(100)))
+        front_end.finish_attempt(out[0])
+        done = front_end.advance_time(100)
         self.assertEqual(first(done).request.route_policy.priority, 5)
 
 
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -11,7 +11,7 @@
 
 from tests import front_end_rig
 from tests import platform_rig as rig
-from tests.helpers import Fleet, verbs
+from tests.helpers import FrontEnd, decision_names
 from wickdyke.gateway.interfaces import EndpointListChange
 from wickdyke.platform import endpoint_list, service
 
@@ -296,7 +296,7 @@
 
     def sent(self, clock_step, writers_step, known):
         """How many of 60 requests in a second the one worker gets that has just started."""
-        fleet, clocks = Fleet(endpoints=[], front_ends=1), Clocks(now=0.0)
+        fleet, clocks = FrontEnd(endpoints=[], front_ends=1), Clocks(now=0.0)
         clocks.now = fleet.clock
         clocks.writers = writers_step if known else 0.0
         row = late(started=clocks.stamp(100.0))
@@ -309,13 +309,13 @@
             row = late(started=clocks.stamp(100.0))
             view.send_raw(row)
         listing = view.roster.listed["a"][0]
-        fleet.list([listing])
+        fleet.update_endpoints([listing])
         worker = fleet.router.workers["a"]
         self.assertTrue(fleet.router.slow_start.is_warming_up(worker, fleet.clock))
         self.assertFalse(fleet.router.slow_start.is_warming_up(worker, fleet.clock + 18 * SECOND))
         calls = 0
         for _ in range(60):
-            calls += verbs(fleet.take()).count("forward")
+            calls += decision_names(fleet.submit()).count("forward")
         return calls
 
     def test_a_start_told_while_a_clock_is_stepped(self):
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""Cells and rankings of the fleet: agreement, balance, and what changes move."""
+"""Tests of the fleet's cells and rankings: agreement, balance, and the effect of changes of the endpoint list."""
 
 import random
 import unittest
@@ -14,38 +14,38 @@
 
 
 def made(row):
-    """The books of a worker that is only listed."""
+    """Returns the record of a worker that is only listed."""
     return Worker.from_endpoint(row, 0.0, 8.0)
 
 
 def fleet_of(rows):
-    """A fleet of these rows."""
+    """Returns a fleet with these entries of the endpoint list."""
     fleet = Fleet(WHOLE, CAPACITY, POINTS, made, lambda cell: None)
     fleet.update(rows, True)
     return fleet
 
 
 def first_of(fleet, name):
-    """The worker that ranks first for a function."""
+    """Returns the identifier of the worker that is nearest to a function."""
     return fleet.find_home(name).nearest_worker.endpoint.ident
 
 
 def shape(fleet):
-    """The cells, and which workers are in each."""
+    """Returns the workers of each cell by the cell's depth and prefix."""
     return {at: frozenset(cell.members) for at, cell in fleet.cells.items()}
 
 
 class Index(unittest.TestCase):
-    """The index of cells, and the workers that rank first for a function."""
+    """Cells, home cells and the nearest workers of functions."""
 
-    def test_draws_are_those_of_draw(self):
+    def test_hash_fractions_equal_single_hash_fractions(self):
         for first in names(20):
             others = [name_hash(name) for name in names(20, seed=9)]
             self.assertEqual(
                 hash_fractions(name_hash(first), others), [hash_fraction(name_hash(first), other) for other in others]
             )
 
-    def test_a_fleet_that_fits_one_cell_is_ranked_by_lot(self):
+    def test_a_fleet_of_one_cell_is_ranked_by_rendezvous_hashing(self):
         fleet = fleet_of([listing(number, size=1.0 + number % 4) for number in range(WHOLE)])
         (cell,) = fleet.cells.values()
         for name in names(20):
@@ -62,20 +62,20 @@
             sizes = [len(cell.members) for cell in fleet.cells.values()]
             self.assertEqual(sum(sizes), many)
             self.assertLessEqual(max(sizes), CAPACITY)
-            for depth, prefix in fleet.cells:  # no two that would fit one
+            for depth, prefix in fleet.cells:  # no two siblings would fit into one cell
                 sibling = fleet.cells.get((depth, prefix ^ 1))
                 if depth and sibling:
                     both = len(sibling.members) + len(fleet.cells[depth, prefix].members)
                     self.assertGreater(both, CAPACITY)
 
-    def test_front_ends_agree_whatever_order_the_changes_came_in(self):
+    def test_front_ends_agree_regardless_of_the_order_of_changes(self):
         rows, chance = [listing(number, size=1.0 + number % 3) for number in range(900)], random.Random(5)
         want = fleet_of(rows)
         requested = names(300)
         for seed in range(3):
             chance.shuffle(rows)
             fleet = fleet_of([listing(number) for number in range(2000, 2000 + 400 * seed)])
-            for at in range(0, len(rows), 7):  # in pieces, with others that come and go between
+            for at in range(0, len(rows), 7):  # in pieces, with other changes in between
                 fleet.update([replace(row, size=9.0) for row in rows[at : at + 7]], False)
                 fleet.update([listing(5000 + at, state="ready")], False)
                 fleet.update(rows[at : at + 7], False)
@@ -86,8 +86,8 @@
                 near = [[(c.depth, c.prefix) for c in f.nearest_cells(function(name), 3)] for f in (fleet, want)]
                 self.assertEqual(near[0], near[1])
 
-    def test_a_home_looked_up_before_a_change_is_that_looked_up_after_it(self):
-        """(rows that come) -> the home of a function known before is that of a fleet that had the rows at once."""
+    def test_known_functions_follow_changes_of_the_list(self):
+        """(changed entries) -> a known function has the same home as in a fleet that had all entries at once."""
         rows = [listing(number) for number in range(400)]
         for more in (
             [listing(number, state="draining") for number in range(1000, 1003)],
@@ -108,8 +108,10 @@
                     self.assertEqual(first[0], first[1])
 
     def test_shares_follow_size(self):
-        """(workers, sizes) -> the busiest worker's functions of 160,000, over its even share: 1.3 at most; with 1,000
-        workers numbers drawn evenly give 1.28 already, and the ring may add a tenth."""
+        """(workers, sizes) -> the largest ratio of a worker's functions to its fair share of 160,000: at most 1.3.
+
+        With 1,000 workers a uniformly random assignment already gives 1.28, to which the ring may add a tenth.
+        """
         for many, sizes, ceiling in ((200, (2.0, 4.0, 8.0), 1.3), (1000, (4.0,), 1.1 * 1.28)):
             with self.subTest(many=many, sizes=sizes):
                 rows = [listing(number, size=sizes[number % len(sizes)]) for number in range(many)]
@@ -121,14 +123,14 @@
                     even = 160000 * sum(row.size for row in rows if row.size == kind) / total
                     self.assertAlmostEqual(mine / even, 1.0, delta=0.06)
 
-    def test_cells_of_a_large_fleet_get_their_even_share(self):
-        """With 5,000 workers chance alone gives the busiest of them 1.7 times its 32 functions; cells are even."""
+    def test_cells_of_a_large_fleet_get_even_shares(self):
+        """With 5,000 workers chance alone gives one worker 1.7 times its even share of 32 functions; cells are even."""
         fleet = fleet_of([listing(number) for number in range(5000)])
         counts = Counter(fleet.find_home(name).cell for name in names(40000))
         for cell in fleet.cells.values():
             self.assertLessEqual(counts[cell] / (40000 * len(cell.members) / 5000), 1.3)
 
-    def test_what_moves_when_workers_join_and_leave(self):
+    def test_joining_workers_move_only_their_share(self):
         rows, requested = [listing(number) for number in range(1000)], names(20000)
         fleet = fleet_of(rows)
         before = {name: first_of(fleet, name) for name in requested}
@@ -141,7 +143,7 @@
         fleet.update([listing(number, state="gone") for number in (7001, 7002)], False)
         self.assertEqual({name: first_of(fleet, name) for name in requested}, before)
 
-    def test_what_moves_when_a_zone_goes_and_comes_back(self):
+    def test_zone_loss_moves_only_its_functions_until_it_returns(self):
         rows, requested = [listing(number) for number in range(1100)], names(5000)
         fleet = fleet_of(rows)
         before = {name: first_of(fleet, name) for name in requested}
@@ -155,7 +157,7 @@
         fleet.update([row for row in rows if row.zone == 3], False)
         self.assertEqual({name: first_of(fleet, name) for name in requested}, before)
 
-    def test_a_cell_that_splits_moves_no_first_worker(self):
+    def test_cell_splits_move_no_nearest_worker(self):
         fleet, requested, number = fleet_of([listing(number) for number in range(600)]), names(2000), 600
         while True:
             cells, before = set(fleet.cells), {name: first_of(fleet, name) for name in requested}
@@ -166,8 +168,8 @@
         moved = {first_of(fleet, name) for name in requested if first_of(fleet, name) != before[name]}
         self.assertLessEqual(moved, {listing(number).ident})
 
-    def test_there_is_always_a_next_cell_the_same_for_all(self):
-        """What has happened to the home -> there is another, with ready workers, until none is left at all."""
+    def test_next_cell_is_the_same_for_all_front_ends(self):
+        """(state of the home's workers) -> another cell with ready workers becomes home, while there is one."""
         rows = [listing(number) for number in range(700)]
         for state in ("draining", "gone"):
             with self.subTest(state=state):
@@ -186,7 +188,7 @@
                 self.assertEqual(rest is not None, any(row.ident not in lost for row in rows))
 
     def test_an_update_costs_what_it_changes(self):
-        """Lines run for one row of the list, as the fleet grows."""
+        """The number of lines run to apply one entry of the list does not grow with the fleet."""
         lines = []
         for many in SIZES:
             fleet, counted = fleet_of([listing(number) for number in range(many)]), []
--- a/tests/test_health_checks.py
+++ b/tests/test_health_checks.py
@@ -1,53 +1,56 @@
-"""Which workers are probed, and what the answers or their absence change."""
+"""Tests of health checks: which workers are checked, and the effects of answers and of missing answers."""
 
 import unittest
 
-from tests.helpers import Fleet, called, row, verbs
+from tests.helpers import FrontEnd, decision_names, forwarded_to, listed_endpoint
 
 
 class HealthChecksTest(unittest.TestCase):
-    """Which workers are probed, and what the answers or their absence change."""
+    """Rate and targets of health checks, and the effects of their outcomes."""
 
-    def test_probes_go_by_own_traffic(self):
-        """(requests in ten seconds) -> probes at most, with 40 workers."""
+    def test_health_checks_are_limited_by_own_requests(self):
+        """(requests in ten seconds) -> maximum number of health checks with 40 workers."""
         for requests, highest in ((0, 8), (20, 18), (100, 58)):
             with self.subTest(requests=requests):
-                fleet = Fleet(endpoints=[row(f"w{n}") for n in range(40)], front_ends=50, health_checks=True)
-                decisions = [d for _ in range(requests) for d in fleet.serve(calls=1)]
-                decisions += fleet.pass_time(10000 - fleet.clock + 1000)
+                front_end = FrontEnd(
+                    endpoints=[listed_endpoint(f"w{n}") for n in range(40)], front_ends=50, health_checks=True
+                )
+                decisions = [d for _ in range(requests) for d in front_end.serve_requests(count=1)]
+                decisions += front_end.advance_time(10000 - front_end.clock + 1000)
                 self.assertTrue(
-                    0 < verbs(decisions).count("health_check") <= highest, verbs(decisions).count("health_check")
+                    0 < decision_names(decisions).count("health_check") <= highest,
+                    decision_names(decisions).count("health_check"),
                 )
 
-    def test_only_homes_are_probed_in_turn(self):
-        fleet = Fleet(workers=8)
-        self.assertEqual(len(fleet.router.health_checker.check_rotation), 8)
-        fleet.serve(calls=20)
-        homes = {place.worker for place in fleet.router.functions["p"].replicas if place.is_placed}
-        self.assertEqual(set(fleet.router.health_checker.check_rotation), homes)
+    def test_only_workers_with_placed_functions_are_checked_in_turn(self):
+        front_end = FrontEnd(workers=8)
+        self.assertEqual(len(front_end.router.health_checker.check_rotation), 8)
+        front_end.serve_requests(count=20)
+        homes = {replica.worker for replica in front_end.router.functions["p"].replicas if replica.is_placed}
+        self.assertEqual(set(front_end.router.health_checker.check_rotation), homes)
 
-    def test_unanswered_probes_shun_and_an_answer_brings_the_trial(self):
-        fleet = Fleet(workers=3, health_checks=True)
-        home = called(fleet.serve(calls=150))[-1]
+    def test_unanswered_checks_eject_and_an_answer_allows_one_attempt(self):
+        front_end = FrontEnd(workers=3, health_checks=True)
+        home = forwarded_to(front_end.serve_requests(count=150))[-1]
         for _ in range(3):
-            fleet.router.health_checked(home, "timeout", None)
-        fleet.pass_time(100)
-        self.assertNotIn(home, called(fleet.serve(calls=10, ms=10.0)))
-        fleet.router.health_checked(home, "ok", None)
-        decisions = [d for _ in range(3) for d in fleet.take()]
-        self.assertEqual(called(decisions).count(home), 1)
-
-    def test_an_answer_from_before_the_shun_does_not_end_it(self):
-        """(ms after the shun that an ok comes) -> shuns left of two."""
+            front_end.router.health_checked(home, "timeout", None)
+        front_end.advance_time(100)
+        self.assertNotIn(home, forwarded_to(front_end.serve_requests(count=10, ms=10.0)))
+        front_end.router.health_checked(home, "ok", None)
+        decisions = [d for _ in range(3) for d in front_end.submit()]
+        self.assertEqual(forwarded_to(decisions).count(home), 1)
+
+    def test_an_answer_during_an_ejection_does_not_end_it(self):
+        """(ms from the ejection to the successful answer) -> ejections left of two."""
         for ms, left in ((100, 2), (6000, 1)):
             with self.subTest(ms=ms):
-                fleet = Fleet(workers=1)
-                request = fleet.take()[0].request
+                front_end = FrontEnd(workers=1)
+                request = front_end.submit()[0].request
                 worker = request.attempts[0].replica.worker
                 for _ in range(2):
-                    fleet.router.outliers.eject(worker, fleet.clock, "test")
-                fleet.clock += ms
-                fleet.end(request)
+                    front_end.router.outliers.eject(worker, front_end.clock, "test")
+                front_end.clock += ms
+                front_end.finish_attempt(request)
                 self.assertEqual(worker.ejections, left)
 
 
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -1,9 +1,9 @@
-"""On which workers the replicas of a function are placed."""
+"""Tests of the placement of functions on workers."""
 
 import unittest
 from collections import deque
 
-from tests.helpers import Fleet, called, choose_workers, row
+from tests.helpers import FrontEnd, choose_workers, forwarded_to, listed_endpoint
 from wickdyke.routing.decisions import Forward
 from wickdyke.routing.inputs import AttemptFinished
 from wickdyke.routing.model import (
@@ -14,26 +14,32 @@
 
 
 class PlacementTest(unittest.TestCase):
-    """On which workers the replicas of a function are placed."""
+    """Workers on which functions are placed."""
 
-    def test_homes_leave_a_closed_worker(self):
-        fleet = Fleet(workers=6)
+    def test_functions_are_placed_on_selected_workers_only(self):
+        front_end = FrontEnd(workers=6)
         for name in "abcdef" * 8:
-            fleet.router.health_checked(name, "ok", fleet.reported(0.2, 0.6))
+            front_end.router.health_checked(name, "ok", front_end.load_report(0.2, 0.6))
         for at in range(400):
-            fleet.serve(f"p{at % 5}", calls=1, ms=60.0)
-        opened = set(fleet.placement.selected_workers)
+            front_end.serve_requests(f"p{at % 5}", count=1, ms=60.0)
+        opened = set(front_end.placement.selected_workers)
         self.assertLess(len(opened), 6)
-        placed = {p.worker for function in fleet.router.functions.values() for p in function.replicas if p.is_placed}
+        placed = {
+            p.worker for function in front_end.router.functions.values() for p in function.replicas if p.is_placed
+        }
         self.assertLessEqual(placed, opened)
 
-    def test_a_program_spreads_where_no_company_is_told(self):
-        """(company told) -> homes of a function that needs 0.6 of a worker's part."""
+    def test_functions_spread_where_concurrency_is_not_reported(self):
+        """(concurrency reported) -> workers for a function that needs 0.6 of a worker's capacity."""
         for tells, homes in ((True, 1), (False, 3)):
             with self.subTest(tells=tells):
-                fleet = Fleet(workers=6, loads_on_demand=False, reports_concurrency=tells)
-                fleet.take()
-                function, workers, placement = fleet.router.functions["p"], fleet.ready_workers, fleet.placement
+                front_end = FrontEnd(workers=6, loads_on_demand=False, reports_concurrency=tells)
+                front_end.submit()
+                function, workers, placement = (
+                    front_end.router.functions["p"],
+                    front_end.ready_workers,
+                    front_end.placement,
+                )
                 placement.mean_capacity, placement.selected_workers, one = (
                     1.0,
                     dict.fromkeys(workers),
@@ -42,9 +48,9 @@
                 chosen = choose_workers(placement, function, 0.6, one, one, dict.fromkeys(workers, 9e9))
                 self.assertEqual(len(chosen), homes)
 
-    def test_a_zone_is_a_fleet_of_its_own_where_crossing_costs(self):
+    def test_zones_are_placed_separately_where_crossing_has_a_cost(self):
         """(cost of crossing, loads on demand, workers of the zone ejected) -> zones in which functions are placed."""
-        rows = [row(name, zone=at % 2) for at, name in enumerate("abcdefgh")]
+        endpoints = [listed_endpoint(name, zone=at % 2) for at, name in enumerate("abcdefgh")]
         for crossing, on_call, ill, zones in (
             (0.0, False, 0, {0, 1}),
             (0.05, True, 0, {0, 1}),
@@ -52,14 +58,15 @@
             (0.05, False, 3, {0, 1}),
         ):
             with self.subTest(crossing=crossing, on_call=on_call, ill=ill):
-                fleet = Fleet(endpoints=rows, cross_zone_cost=crossing, loads_on_demand=on_call)
-                for worker in [w for w in fleet.ready_workers if w.endpoint.zone == 0][:ill]:
+                front_end = FrontEnd(endpoints=endpoints, cross_zone_cost=crossing, loads_on_demand=on_call)
+                for worker in [w for w in front_end.ready_workers if w.endpoint.zone == 0][:ill]:
                     worker.ejections = 1
-                self.assertEqual({w.endpoint.zone for w in fleet.placement.scope.update(fleet.clock)}, zones)
+                self.assertEqual({w.endpoint.zone for w in front_end.placement.scope.update(front_end.clock)}, zones)
 
-    def test_other_zones_count_in_part_while_ours_is_crowded(self):
-        """(busy in our zone, in the other; periods) -> how much the other's workers count, and that some are homes."""
-        rows = [row(name, zone=at % 2) for at, name in enumerate("abcdefgh")]
+    def test_other_zones_count_in_part_while_the_own_zone_is_overloaded(self):
+        """(utilization of the own zone, of the other zone, periods) -> weight of the other zone's workers, some of
+        which then rank first."""
+        endpoints = [listed_endpoint(name, zone=at % 2) for at, name in enumerate("abcdefgh")]
         for mine, far, periods, reach in (
             (0.9, 0.3, 1, 0.125),
             (0.9, 0.3, 9, 1.0),
@@ -68,13 +75,15 @@
             (0.9, None, 1, 0.125),
         ):
             with self.subTest(mine=mine, far=far, periods=periods):
-                fleet = Fleet(endpoints=rows, cross_zone_cost=0.05, loads_on_demand=False)
-                placement, ready = fleet.placement, fleet.ready_workers
+                front_end = FrontEnd(endpoints=endpoints, cross_zone_cost=0.05, loads_on_demand=False)
+                placement, ready = front_end.placement, front_end.ready_workers
                 for worker in ready:
                     if (busy := far if worker.endpoint.zone else mine) is not None:
-                        fleet.router.latency.record_report(worker, fleet.reported(busy, 4.0), fleet.clock)
+                        front_end.router.latency.record_report(
+                            worker, front_end.load_report(busy, 4.0), front_end.clock
+                        )
                 for _ in range(periods):
-                    placement.scope.update(fleet.clock)
+                    placement.scope.update(front_end.clock)
                 self.assertEqual(
                     (placement.scope.other_zones_weight, placement.scope.workers == ready), (reach, reach > 0)
                 )
@@ -87,44 +96,48 @@
                 self.assertEqual(heads, {0, 1} if reach else {0})
                 for worker in (worker for worker in ready if worker.load_reports):
                     worker.load_reports.clear()
-                for _ in range(4):  # nothing told any more: our zone alone again
-                    placement.scope.update(fleet.clock)
+                for _ in range(4):  # without reports only the own zone is in scope again
+                    placement.scope.update(front_end.clock)
                 self.assertEqual({w.endpoint.zone for w in placement.scope.workers}, {0})
 
-    def test_a_copy_that_stood_unknown_is_no_load(self):
-        """(ms that an answer took which does not tell) -> samples of a load's time."""
+    def test_fast_answers_without_load_note_are_no_loads(self):
+        """(ms of an answer without load note) -> number of load time samples."""
         for ms, samples in ((230.0, 0), (1500.0, 1)):
             with self.subTest(ms=ms):
-                fleet = Fleet(workers=1, prewarm_outcome=None)
-                request = next(d.request for d in fleet.take() if isinstance(d, Forward))
-                fleet.clock += ms
-                fleet.end(request, load_note=None)
+                front_end = FrontEnd(workers=1, prewarm_outcome=None)
+                request = next(d.request for d in front_end.submit() if isinstance(d, Forward))
+                front_end.clock += ms
+                front_end.finish_attempt(request, load_note=None)
                 self.assertEqual(len(request.function.load_times), samples)
 
-    def test_full_without_company_tells_of_memory(self):
-        """(requests of the function held there) -> whether the copy still counts and others may load there."""
+    def test_rejection_without_concurrent_requests_shows_lack_of_memory(self):
+        """(requests of the function in flight there) -> whether the replica still counts and others may load there."""
         for concurrent, room in ((0, False), (3, True)):
             with self.subTest(concurrent=concurrent):
-                fleet = Fleet(workers=2)
-                home = called(fleet.serve(calls=100))[-1]
-                request = fleet.take()[0].request
-                place = request.attempts[0].replica
-                fleet.router.attempt_finished(AttemptFinished(request.ident, 0, "full", False, None, concurrent, None))
-                self.assertEqual(place.loaded_replicas > 0, room)
-                self.assertEqual(home in called(fleet.take("new")) + called(fleet.take("newer")), room)
+                front_end = FrontEnd(workers=2)
+                home = forwarded_to(front_end.serve_requests(count=100))[-1]
+                request = front_end.submit()[0].request
+                replica = request.attempts[0].replica
+                front_end.router.attempt_finished(
+                    AttemptFinished(request.ident, 0, "full", False, None, concurrent, None)
+                )
+                self.assertEqual(replica.loaded_replicas > 0, room)
+                self.assertEqual(
+                    home in forwarded_to(front_end.submit("new")) + forwarded_to(front_end.submit("newer")), room
+                )
 
-    def test_little_used_programs_stay_at_home(self):
-        """(load, of a room of 1 what is left at the first by lot) -> whether it is chosen anew."""
+    def test_functions_with_little_load_keep_their_worker(self):
+        """(load, free capacity of the first worker by rank, out of 1) -> whether that worker is chosen again."""
         for load, left, first in ((0.02, -0.1, True), (0.02, -0.5, False), (0.4, -0.1, False), (0.4, 0.5, True)):
             with self.subTest(load=load, left=left):
-                fleet = Fleet(workers=3, front_ends=3)
-                fleet.take()
-                function, workers = fleet.router.functions["p"], list(fleet.router.workers.values())
+                front_end = FrontEnd(workers=3, front_ends=3)
+                front_end.submit()
+                function, workers = front_end.router.functions["p"], list(front_end.router.workers.values())
                 home = min(workers, key=lambda w: rendezvous_rank(function, w))
-                fleet.placement.mean_capacity, fleet.placement.selected_workers = 1.0, dict.fromkeys(workers)
+                front_end.placement.mean_capacity, front_end.placement.selected_workers = 1.0, dict.fromkeys(workers)
                 room = {w: left if w is home else 1.0 for w in workers}
                 budget, part = dict.fromkeys(workers, 9e9), dict.fromkeys(workers, 1.0)
-                chosen = choose_workers(fleet.placement, function, load, part, room, budget)
+                chosen = choose_workers(front_end.placement, function, load, part, room, budget)
                 self.assertEqual(chosen == [home], first)
 
 
--- a/tests/test_routing_slow_start.py
+++ b/tests/test_routing_slow_start.py
@@ -5,7 +5,7 @@
 from math import ceil, sqrt
 from unittest.mock import Mock
 
-from tests.helpers import Fleet, called, row
+from tests.helpers import FrontEnd, forwarded_to, listed_endpoint
 from wickdyke.routing.cells import Cell
 from wickdyke.routing.model import (
     Endpoint,
@@ -24,11 +24,11 @@
         """(age of the new worker in ms, most it may get of 40 requests at once)."""
         for age, highest in ((0.0, 2), (17000.0, 40)):
             with self.subTest(age=age):
-                fleet = Fleet(workers=1)
-                fleet.serve(calls=30)
-                fleet.list([row("z", started_at=fleet.clock - age)], whole=False)
-                fleet.list([row("a", state="draining")], whole=False)
-                forwarded = called([d for n in range(40) for d in fleet.take(f"q{n}")])
+                front_end = FrontEnd(workers=1)
+                front_end.serve_requests(count=30)
+                front_end.update_endpoints([listed_endpoint("z", started_at=front_end.clock - age)], whole=False)
+                front_end.update_endpoints([listed_endpoint("a", state="draining")], whole=False)
+                forwarded = forwarded_to([d for n in range(40) for d in front_end.submit(f"q{n}")])
                 self.assertLessEqual(len(forwarded), highest)
                 self.assertTrue(forwarded)
 
@@ -38,18 +38,21 @@
             with self.subTest(many=many):
                 ages, gap = [], 1000.0 * many / 60
                 for seed in range(many):
-                    fleet = Fleet(front_ends=many, seed=seed, index=seed)
-                    fleet.pass_time(seed * gap / many, step=1.0 + seed * gap / many)
+                    front_end = FrontEnd(front_ends=many, seed=seed, index=seed)
+                    front_end.advance_time(seed * gap / many, step=1.0 + seed * gap / many)
                     for _ in range(12):
-                        fleet.serve(calls=1)
+                        front_end.serve_requests(count=1)
                         for name in "abcd":
-                            fleet.router.health_checked(name, "ok", fleet.reported(0.4, 2.0))
-                        fleet.pass_time(gap - 100, step=gap - 100)
-                    born = fleet.clock
-                    fleet.list([row("z", started_at=born)])
+                            front_end.router.health_checked(name, "ok", front_end.load_report(0.4, 2.0))
+                        front_end.advance_time(gap - 100, step=gap - 100)
+                    born = front_end.clock
+                    front_end.update_endpoints([listed_endpoint("z", started_at=born)])
                     for _ in range(ceil(8000 / gap)):
-                        ages += [fleet.clock - born for _ in called(fleet.serve(calls=1))]
-                        ages += [fleet.clock - born for _ in called(fleet.pass_time(gap - 100, step=gap - 100))]
+                        ages += [front_end.clock - born for _ in forwarded_to(front_end.serve_requests(count=1))]
+                        ages += [
+                            front_end.clock - born
+                            for _ in forwarded_to(front_end.advance_time(gap - 100, step=gap - 100))
+                        ]
                 for start in range(0, 6000, 250):
                     stands = 2.0 * (0.2 + 0.8 * start / 18000) * 4 * 2000 / 100
                     self.assertLess(sum(start <= age < start + 2000 for age in ages), stands)
@@ -118,12 +121,12 @@
         """(outcome) -> whether it counts as started anew, before the list tells."""
         for outcome, warming_up in (("cut", True), ("unreached", True), ("error", False), ("full", False)):
             with self.subTest(outcome=outcome):
-                fleet = Fleet(workers=2)
-                fleet.serve(calls=20)
-                request = fleet.take()[0].request
+                front_end = FrontEnd(workers=2)
+                front_end.serve_requests(count=20)
+                request = front_end.submit()[0].request
                 worker = request.attempts[0].replica.worker
-                fleet.end(request, outcome)
-                self.assertEqual(fleet.router.slow_start.is_warming_up(worker, fleet.clock), warming_up)
+                front_end.finish_attempt(request, outcome)
+                self.assertEqual(front_end.router.slow_start.is_warming_up(worker, front_end.clock), warming_up)
 
     def test_many_unreached_and_none_cut_are_no_restarts(self):
         """(outcomes at as many workers, one each) -> whether the replicas there count as lost."""
@@ -133,13 +136,15 @@
             (["ok"] * 5 + ["cut"] + ["unreached"] * 4, True),
         ):
             with self.subTest(outcomes=outcomes):
-                fleet = Fleet(workers=10)
-                fleet.router.advance(fleet.clock)
-                fleet.take()
-                for worker, outcome in zip(fleet.ready_workers, outcomes, strict=True):
-                    fleet.router.outliers.record(worker, outcome, fleet.clock)
-                last = fleet.ready_workers[-1]
-                self.assertEqual((last.warming_since is not None, last in fleet.router.outliers.ejected), (lost, lost))
+                front_end = FrontEnd(workers=10)
+                front_end.router.advance(front_end.clock)
+                front_end.submit()
+                for worker, outcome in zip(front_end.ready_workers, outcomes, strict=True):
+                    front_end.router.outliers.record(worker, outcome, front_end.clock)
+                last = front_end.ready_workers[-1]
+                self.assertEqual(
+                    (last.warming_since is not None, last in front_end.router.outliers.ejected), (lost, lost)
+                )
 
 
 if __name__ == "__main__":
--- a/tests/test_selection.py
+++ b/tests/test_selection.py
@@ -6,16 +6,16 @@
 import unittest
 from unittest.mock import Mock
 
-from tests.helpers import Fleet, called, row
+from tests.helpers import FrontEnd, forwarded_to, listed_endpoint
 from wickdyke.routing.inputs import RequestReceived
 from wickdyke.routing.ranking import rendezvous_rank
 
 REPLAY = """
-from tests.helpers import Fleet
-fleet = Fleet(workers=5, health_checks=True)
+from tests.helpers import FrontEnd
+front_end = FrontEnd(workers=5, health_checks=True)
 out = []
 for at in range(200):
-    out += fleet.serve(f"p{at * 7 % 13}", calls=1, ms=30.0)
+    out += front_end.serve_requests(f"p{at * 7 % 13}", count=1, ms=30.0)
 print([(type(d).__name__, getattr(getattr(d, 'request', None), 'ident', None)) for d in out])
 """
 
@@ -24,39 +24,39 @@
     """Which replica a request is sent to, and that the choice is reproducible."""
 
     def test_sticks_to_the_loaded_copy(self):
-        fleet = Fleet(workers=6)
-        self.assertEqual(len(set(called(fleet.serve(calls=260))[-60:])), 1)
+        front_end = FrontEnd(workers=6)
+        self.assertEqual(len(set(forwarded_to(front_end.serve_requests(count=260))[-60:])), 1)
 
     def test_packs_at_low_load(self):
         """(calls a second of each of six functions) -> workers used at most."""
         for gap, most in ((200.0, 3), (60.0, 4)):
             with self.subTest(gap=gap):
-                fleet = Fleet(workers=8)
+                front_end = FrontEnd(workers=8)
                 used = []
                 for name in "abcdefgh" * 8:
-                    fleet.router.health_checked(name, "ok", fleet.reported(0.1, 0.3))
+                    front_end.router.health_checked(name, "ok", front_end.load_report(0.1, 0.3))
                 for at in range(300):
-                    used += called(fleet.serve(f"p{at % 6}", calls=1, ms=gap))
+                    used += forwarded_to(front_end.serve_requests(f"p{at % 6}", count=1, ms=gap))
                 self.assertLessEqual(len(set(used[-60:])), most)
 
     def test_looks_of_one_rpc_do_not_grow_with_the_fleet(self):
         """What a request for a new function, one for a known one and a tick look at, on 20 and on 90 workers."""
         counts = []
         for workers in (20, 90):
-            fleet = Fleet(endpoints=[row(f"w{n}") for n in range(workers)], front_ends=50)
-            fleet.serve(calls=60)
-            fleet.router.schedule.next_at, looks = float("inf"), []
-            for part, name in ((fleet.router.slow_start, "admits"), (fleet.router.outliers, "is_silent")):
+            front_end = FrontEnd(endpoints=[listed_endpoint(f"w{n}") for n in range(workers)], front_ends=50)
+            front_end.serve_requests(count=60)
+            front_end.router.schedule.next_at, looks = float("inf"), []
+            for part, name in ((front_end.router.slow_start, "admits"), (front_end.router.outliers, "is_silent")):
                 setattr(part, name, Mock(wraps=getattr(part, name)))
                 looks.append(getattr(part, name))
-            fleet.take("new")
-            fleet.take()
-            fleet.pass_time(100)
+            front_end.submit("new")
+            front_end.submit()
+            front_end.advance_time(100)
             counts.append(sum(look.call_count for look in looks))
         self.assertLess(counts[1], counts[0] + 10)
 
     def test_lot_is_the_same_for_all(self):
-        one, two = Fleet(seed=1).router, Fleet(seed=2).router
+        one, two = FrontEnd(seed=1).router, FrontEnd(seed=2).router
         for fe in (one, two):
             fe.request_received(RequestReceived(1, 4000.0, fe.request_classes[0], "p", 1.0, 1, None, None, False))
         self.assertEqual(
@@ -88,14 +88,14 @@
             ("draining", 0.6, True, True),
         ):
             with self.subTest(state=state, busy=busy, on_call=on_call):
-                fleet = Fleet(workers=3, loads_on_demand=on_call)
-                home = called(fleet.serve(calls=200))[-1]
-                for place in fleet.router.functions["p"].replicas if state == "ready" else ():
-                    place.worker.concurrency_limit *= place.loaded_replicas == 0
-                for worker in fleet.ready_workers:
+                front_end = FrontEnd(workers=3, loads_on_demand=on_call)
+                home = forwarded_to(front_end.serve_requests(count=200))[-1]
+                for replica in front_end.router.functions["p"].replicas if state == "ready" else ():
+                    replica.worker.concurrency_limit *= replica.loaded_replicas == 0
+                for worker in front_end.ready_workers:
                     worker.utilization = busy
-                fleet.list([row(home, state=state)], whole=False)
-                self.assertEqual(bool(called(fleet.take())), elsewhere)
+                front_end.update_endpoints([listed_endpoint(home, state=state)], whole=False)
+                self.assertEqual(bool(forwarded_to(front_end.submit())), elsewhere)
 
 
 if __name__ == "__main__":
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -15,7 +15,7 @@
 
 from bench.simulated_fleet import SimulatedFleet, SimulatedFrontEnd
 from bench.simulated_worker import REPORT_FIELDS, Settings, SimulatedWorker, listing
-from tests.helpers import Fleet, called, row
+from tests.helpers import FrontEnd, forwarded_to, listed_endpoint
 from wickdyke.routing.cells import Cell
 from wickdyke.routing.decisions import Forward
 from wickdyke.routing.inputs import WorkerLoad
@@ -93,11 +93,11 @@
         for ident in idents:
             self.workers[ident].dead = True
         self.run(RESTART + gone)
-        rows = [replace(self.workers[ident].endpoint, started_at=self.now) for ident in idents]
-        self.workers.update((each.ident, MeasuredServer(each, self)) for each in rows)
+        endpoints = [replace(self.workers[ident].endpoint, started_at=self.now) for ident in idents]
+        self.workers.update((each.ident, MeasuredServer(each, self)) for each in endpoints)
         for front in self.fronts:
             self.heard[front.number] = self.now + chance.uniform(*told)
-            self.at(self.heard[front.number], self.notify_list, front, rows)
+            self.at(self.heard[front.number], self.notify_list, front, endpoints)
 
     def start_front_ends_anew(self) -> None:
         """All of them restart and know nothing but the list."""
@@ -222,29 +222,29 @@
 
     def settled(self):
         """A front end, alone, that has been sending to its one worker for a while."""
-        fleet = Fleet(workers=1, front_ends=1)
+        fleet = FrontEnd(workers=1, front_ends=1)
         for _ in range(8):
-            fleet.serve(calls=5)
-            fleet.router.health_checked("a", "ok", fleet.reported(0.5, 2.0))
-            fleet.pass_time(200)
+            fleet.serve_requests(count=5)
+            fleet.router.health_checked("a", "ok", fleet.load_report(0.5, 2.0))
+            fleet.advance_time(200)
         return fleet
 
     def most_at_once(self, fleet):
         """How many of 60 requests at once go to a worker."""
-        return len(called([each for number in range(60) for each in fleet.take(f"q{number}")]))
+        return len(forwarded_to([each for number in range(60) for each in fleet.submit(f"q{number}")]))
 
     def sent_before(self, fleet, calls):
         """Those of that many requests, at once, that go to the worker while nothing tells that it started anew."""
-        return len(called([each for number in range(calls) for each in fleet.take(f"b{number}")]))
+        return len(forwarded_to([each for number in range(calls) for each in fleet.submit(f"b{number}")]))
 
     def test_attempts_before_the_start_was_listed_count(self):
         fresh, late = self.settled(), self.settled()
         born = fresh.clock
-        fresh.list([row("a", started_at=born)])
+        fresh.update_endpoints([listed_endpoint("a", started_at=born)])
         allowed = self.most_at_once(fresh)
         before = self.sent_before(late, 2)
-        late.pass_time(50)
-        late.list([row("a", started_at=born)])
+        late.advance_time(50)
+        late.update_endpoints([listed_endpoint("a", started_at=born)])
         self.assertGreater(allowed, before)
         self.assertGreater(before, 0)
         self.assertLessEqual(before + self.most_at_once(late), allowed)
@@ -253,8 +253,8 @@
         fresh, other = self.settled(), self.settled()
         self.assertGreater(self.sent_before(other, 2), 0)
         for fleet in (fresh, other):
-            fleet.pass_time(50)
-            fleet.list([row("a", started_at=fleet.clock)])
+            fleet.advance_time(50)
+            fleet.update_endpoints([listed_endpoint("a", started_at=fleet.clock)])
         self.assertEqual(self.most_at_once(other), self.most_at_once(fresh))
 
     def test_attempts_before_a_connection_broke_went_to_the_process_that_ended(self):
@@ -265,17 +265,17 @@
                 rpcs = [
                     each.request
                     for number in range(8)
-                    for each in fleet.take(f"b{number}")
+                    for each in fleet.submit(f"b{number}")
                     if isinstance(each, Forward)
                 ]
                 worker = rpcs[0].attempts[0].replica.worker
-                fleet.end(rpcs[0], outcome)
+                fleet.finish_attempt(rpcs[0], outcome)
                 self.assertTrue(fleet.router.slow_start.is_warming_up(worker, fleet.clock))
                 self.assertTrue(all(at >= fleet.clock for at, _ in worker.slow_start_sends))  # a retry at most
                 worker.slow_start_sends.clear()
                 for _ in range(3):
                     fleet.router.slow_start.attempt_sent(worker, rpcs[0], fleet.clock)
-                fleet.pass_time(50)
+                fleet.advance_time(50)
                 fleet.router.slow_start.connection_lost(worker, fleet.clock)
                 self.assertEqual(len(worker.slow_start_sends), 3)
 
