--- a/tests/readiness_rig.py
+++ b/tests/readiness_rig.py
@@ -33,7 +33,7 @@
     def expire(self):
         """Lets the endpoint list expire, answers the resulting health checks, and lets those leases expire too."""
         decisions = self.front_end.advance_time(LIST_LEASE + 100.0)
-        for worker in asked(decisions):
+        for worker in checked(decisions):
             self.answer(worker)
         self.front_end.advance_time(WORKER_LEASE + 50.0)
 
@@ -50,7 +50,7 @@
         return self.answer(worker)
 
 
-def asked(decisions):
+def checked(decisions):
     """Returns the identifiers of the workers that were sent health checks."""
     return [decision.worker.endpoint.ident for decision in decisions if isinstance(decision, HealthCheck)]
 
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -22,24 +22,24 @@
 RECORDS = {"backoff": Backoff, "hedge": Hedging, "budget_terms": RetryBudgetTerms}
 
 
-def timing(**more):
+def make_policy(**more):
     """Returns a route policy: PLAIN with the given fields, of which those that are records are given as tuples."""
     fields = {**PLAIN, **more}
     records = {name: kind(*fields[name]) for name, kind in RECORDS.items() if fields[name] is not None}
     return RoutePolicy(**{**fields, **records})
 
 
-def first(decisions, verb="forward"):
+def first_decision(decisions, name="forward"):
     """Returns the first decision of the given name."""
-    return next(d for d, word in zip(decisions, decision_names(decisions), strict=True) if word == verb)
+    return next(d for d, word in zip(decisions, decision_names(decisions), strict=True) if word == name)
 
 
-def fail(front_end, request):
+def time_out_attempts(front_end, request):
     """Lets attempts time out until the request is closed; returns the number of attempts."""
-    for calls in range(1, 20):
+    for attempt_count in range(1, 20):
         front_end.finish_attempt(request, "timeout", final=False)
         if request.closed:
-            return calls
+            return attempt_count
     raise AssertionError("never closed")
 
 
@@ -49,12 +49,12 @@
     def test_attempt_timeout(self):
         """An attempt is forwarded with its route's attempt time-out, and without a route with none."""
         front_end = FrontEnd()
-        self.assertEqual(first(front_end.submit(policy=timing())).timeout, 500.0)
-        self.assertIsNone(first(front_end.submit()).timeout)
+        self.assertEqual(first_decision(front_end.submit(policy=make_policy())).timeout, 500.0)
+        self.assertIsNone(first_decision(front_end.submit()).timeout)
 
     def test_outcomes(self):
         """(outcomes in order, policy fields, effect) -> number of attempts and final answer."""
-        for outcomes, more, effect, calls, final in (
+        for outcomes, more, effect, attempt_count, final in (
             (["timeout"] * 5, {}, "idempotent", 3, "reject"),
             (["timeout"] * 5, {"attempts": 1}, "idempotent", 1, "reject"),
             (["timeout"] * 5, {"attempts": 9}, "idempotent", 4, "reject"),  # the deployment's limit
@@ -68,29 +68,29 @@
         ):
             with self.subTest(outcomes=outcomes, more=more, effect=effect):
                 front_end = FrontEnd(workers=8, effect=effect, attempts=4)
-                done = front_end.submit(policy=timing(**more))
-                request, all_done = first(done).request, list(done)
+                done = front_end.submit(policy=make_policy(**more))
+                request, all_done = first_decision(done).request, list(done)
                 for outcome in outcomes:
                     if request.closed:
                         break
                     all_done += front_end.finish_attempt(request, outcome, final=False)
                 self.assertEqual(
-                    (decision_names(all_done).count("forward"), decision_names(all_done)[-1]), (calls, final)
+                    (decision_names(all_done).count("forward"), decision_names(all_done)[-1]), (attempt_count, final)
                 )
 
     def test_backoff(self):
         """Each retry waits its growing, bounded backoff, and is sent within a tick after that."""
-        for pause, least in (
+        for backoff, waits in (
             ((100.0, 2.0, 1e9, 0.0), (100.0, 200.0)),
             ((100.0, 3.0, 150.0, 0.0), (100.0, 150.0)),
             ((100.0, 1.0, 1e9, 0.5), (100.0, 100.0)),
             ((0.0, 1.0, 1e9, 0.0), (0.0, 0.0)),
         ):
             front_end = FrontEnd(workers=8)
-            request = first(front_end.submit(policy=timing(backoff=pause))).request
-            for wait in least:
-                with self.subTest(pause=pause, wait=wait):
-                    done, ended = front_end.finish_attempt(request, "full", final=False), front_end.clock
+            request = first_decision(front_end.submit(policy=make_policy(backoff=backoff))).request
+            for wait in waits:
+                with self.subTest(backoff=backoff, wait=wait):
+                    done, ended_at = front_end.finish_attempt(request, "full", final=False), front_end.clock
                     for _ in range(2000):
                         if done:
                             break
@@ -98,56 +98,60 @@
                         front_end.router.advance(front_end.clock)
                         done = front_end.take_decisions() if front_end.clock >= front_end.router.wake_at else []
                     self.assertIn("forward", decision_names(done))
-                    took = front_end.clock - ended
-                    self.assertGreaterEqual(took, wait)
-                    self.assertLessEqual(took, wait * (1 + pause[3]) + 50)
+                    elapsed = front_end.clock - ended_at
+                    self.assertGreaterEqual(elapsed, wait)
+                    self.assertLessEqual(elapsed, wait * (1 + backoff[3]) + 50)
 
     def test_backoff_beyond_the_deadline(self):
         """A request whose backoff would exceed its deadline is answered before the deadline."""
         front_end = FrontEnd(workers=8)
-        request = first(front_end.submit(time_left=1000.0, policy=timing(backoff=(5000.0, 1.0, 1e9, 0.0)))).request
+        request = first_decision(
+            front_end.submit(time_left=1000.0, policy=make_policy(backoff=(5000.0, 1.0, 1e9, 0.0)))
+        ).request
         front_end.finish_attempt(request, "full", final=False)
         self.assertIn("reject", decision_names(front_end.advance_time(1000)))
 
     def test_retry_budget(self):
         """Retries are limited to the floor plus the share of the requests within the window, which moves on."""
         front_end = FrontEnd(workers=8)
-        terms = timing(budget_terms=(10000.0, 0.1, 2.0))
+        policy = make_policy(budget_terms=(10000.0, 0.1, 2.0))
 
-        def failing(many):
-            calls = 0
+        def count_retries(many):
+            attempt_count = 0
             for _ in range(many):
-                done = front_end.submit(f"p{front_end.ids % 5}", policy=terms)
-                request = first(done).request
-                calls += fail(front_end, request)
-            return calls - many
+                done = front_end.submit(f"p{front_end.ids % 5}", policy=policy)
+                request = first_decision(done).request
+                attempt_count += time_out_attempts(front_end, request)
+            return attempt_count - many
 
-        self.assertEqual(failing(100), 2 + 10)
-        self.assertEqual(failing(50), 5)
+        self.assertEqual(count_retries(100), 2 + 10)
+        self.assertEqual(count_retries(50), 5)
         front_end.clock += 10001
-        self.assertEqual(failing(1), 2)
+        self.assertEqual(count_retries(1), 2)
 
     def test_routes_have_separate_retry_budgets(self):
         """Retries of one route do not use the budget of another."""
         front_end = FrontEnd(workers=8)
         poor, rich = (
-            timing(budget_terms=(1e4, 0.0, floor), budget_key=name) for name, floor in (("poor", 1.0), ("rich", 9.0))
+            make_policy(budget_terms=(1e4, 0.0, floor), budget_key=name)
+            for name, floor in (("poor", 1.0), ("rich", 9.0))
         )
-        for terms, calls in ((poor, 2), (poor, 1), (rich, 3), (poor, 1), (rich, 3)):
-            request = first(front_end.submit(policy=terms)).request
-            self.assertEqual(fail(front_end, request), calls)
+        for policy, attempt_count in ((poor, 2), (poor, 1), (rich, 3), (poor, 1), (rich, 3)):
+            request = first_decision(front_end.submit(policy=policy)).request
+            self.assertEqual(time_out_attempts(front_end, request), attempt_count)
 
     def test_retry_budget_persists_across_reloads(self):
         """Requests received before and after a reload of their route share its retry budget."""
         front_end = FrontEnd(workers=8)
         before, after = (
-            timing(budget_terms=(1e4, 0.5, 0.0), budget_key=name, priority=at) for at, name in enumerate(("r", "r"))
+            make_policy(budget_terms=(1e4, 0.5, 0.0), budget_key=name, priority=at)
+            for at, name in enumerate(("r", "r"))
         )
-        old = first(front_end.submit(policy=before)).request
+        old = first_decision(front_end.submit(policy=before)).request
         for _ in range(3):
-            front_end.finish_attempt(first(front_end.submit(policy=after)).request, "ok", final=True)
-        self.assertEqual(fail(front_end, old), 3)
-        self.assertEqual(fail(front_end, first(front_end.submit(policy=after)).request), 1)
+            front_end.finish_attempt(first_decision(front_end.submit(policy=after)).request, "ok", final=True)
+        self.assertEqual(time_out_attempts(front_end, old), 3)
+        self.assertEqual(time_out_attempts(front_end, first_decision(front_end.submit(policy=after)).request), 1)
 
     def test_timeouts_lower_the_limits(self):
         """(outcome, policy, utilization) -> whether the concurrency limits are lowered.
@@ -155,26 +159,26 @@
         Attempts that end by their route's time-out count as late answers. Cancelled attempts, errors and attempts that
         end by the request's own deadline do not count.
         """
-        for outcome, terms, busy, lowered in (
-            ("timeout", timing(attempts=1), 0.95, True),
-            ("timeout", timing(attempts=3), 0.95, True),
-            ("timeout", timing(attempts=1), 0.5, False),
-            ("cancelled", timing(attempts=1), 0.95, False),
-            ("error", timing(attempts=1), 0.95, False),
+        for outcome, policy, utilization, lowered in (
+            ("timeout", make_policy(attempts=1), 0.95, True),
+            ("timeout", make_policy(attempts=3), 0.95, True),
+            ("timeout", make_policy(attempts=1), 0.5, False),
+            ("cancelled", make_policy(attempts=1), 0.95, False),
+            ("error", make_policy(attempts=1), 0.95, False),
             ("timeout", None, 0.95, False),
-            ("timeout", timing(attempts=1, attempt_timeout=None), 0.95, False),
+            ("timeout", make_policy(attempts=1, attempt_timeout=None), 0.95, False),
         ):
-            with self.subTest(outcome=outcome, terms=terms, busy=busy):
+            with self.subTest(outcome=outcome, policy=policy, utilization=utilization):
                 front_end = FrontEnd(workers=1)
                 front_end.serve_requests(count=8)
                 worker = front_end.router.workers["a"]
                 before = worker.concurrency_limit, front_end.router.global_concurrency.concurrency_limit
                 for _ in range(12):
-                    front_end.router.health_checked("a", "ok", front_end.load_report(busy, 4.0))
-                    called = [d.request for d in front_end.submit(policy=terms) if isinstance(d, Forward)]
-                    while called and not called[0].closed:
+                    front_end.router.health_checked("a", "ok", front_end.load_report(utilization, 4.0))
+                    open_requests = [d.request for d in front_end.submit(policy=policy) if isinstance(d, Forward)]
+                    while open_requests and not open_requests[0].closed:
                         front_end.clock += 120.0
-                        front_end.finish_attempt(called[0], outcome, final=terms is None)
+                        front_end.finish_attempt(open_requests[0], outcome, final=policy is None)
                 self.assertEqual(
                     (
                         worker.concurrency_limit < before[0],
@@ -188,7 +192,7 @@
 
         There are never more than the hedge tokens allow.
         """
-        for overlap, effect, second, ms, out in (
+        for hedging_allowed, effect, hedge, ms, attempts_in_flight in (
             (True, "idempotent", (200.0, 2, 1.0), 150, 1),
             (True, "idempotent", (200.0, 2, 1.0), 300, 2),
             (True, "idempotent", (200.0, 3, 1.0), 300, 2),
@@ -198,23 +202,23 @@
             (True, "idempotent", (200.0, 2, 0.5), 300, 1),
             (True, "idempotent", None, 300, 1),
         ):
-            with self.subTest(overlap=overlap, effect=effect, second=second, ms=ms):
-                front_end = FrontEnd(workers=6, hedging=overlap, effect=effect)
-                request = first(front_end.submit(policy=timing(hedge=second))).request
+            with self.subTest(hedging_allowed=hedging_allowed, effect=effect, hedge=hedge, ms=ms):
+                front_end = FrontEnd(workers=6, hedging=hedging_allowed, effect=effect)
+                request = first_decision(front_end.submit(policy=make_policy(hedge=hedge))).request
                 front_end.advance_time(ms)
                 workers = [attempt.replica.worker for attempt in request.attempts if attempt.outcome is None]
-                self.assertEqual(len(workers), out)
-                self.assertEqual(len(set(workers)), out)
+                self.assertEqual(len(workers), attempts_in_flight)
+                self.assertEqual(len(set(workers)), attempts_in_flight)
 
     def test_first_answer_wins(self):
         """The first answer cancels the other attempt, whose answer is ignored; an error leaves the other in flight."""
-        for begins, want in ((("ok", 0), ["cancel"]), (("ok", 1), ["cancel"]), (("error", 0), [])):
-            with self.subTest(begins=begins):
+        for first_answer, decisions in ((("ok", 0), ["cancel"]), (("ok", 1), ["cancel"]), (("error", 0), [])):
+            with self.subTest(first_answer=first_answer):
                 front_end = FrontEnd(workers=6, hedging=True)
-                request = first(front_end.submit(policy=timing(hedge=(200.0, 2, 1.0)))).request
+                request = first_decision(front_end.submit(policy=make_policy(hedge=(200.0, 2, 1.0)))).request
                 front_end.advance_time(300)
-                outcome, number = begins
-                self.assertEqual(decision_names(front_end.finish_attempt(request, outcome, number)), want)
+                outcome, number = first_answer
+                self.assertEqual(decision_names(front_end.finish_attempt(request, outcome, number)), decisions)
                 self.assertEqual(decision_names(front_end.finish_attempt(request, "ok", 1 - number, final=True)), [])
                 self.assertNotIn(request.ident, front_end.router.requests)
 
@@ -225,20 +229,20 @@
         served = front_end.serve_requests(count=5)
         self.assertTrue(forwarded_to(served))
         low, high = (
-            timing(priority=0, queue_timeout=2000.0, latency_objective=3000.0),
-            timing(priority=5, queue_timeout=2000.0, latency_objective=3000.0),
+            make_policy(priority=0, queue_timeout=2000.0, latency_objective=3000.0),
+            make_policy(priority=5, queue_timeout=2000.0, latency_objective=3000.0),
         )
-        short = timing(queue_timeout=120.0, latency_objective=3000.0)
-        out = [first(front_end.submit(policy=high)).request]
-        for terms in (low, low, high, short):
-            front_end.submit(policy=terms)
+        short = make_policy(queue_timeout=120.0, latency_objective=3000.0)
+        attempts_in_flight = [first_decision(front_end.submit(policy=high)).request]
+        for policy in (low, low, high, short):
+            front_end.submit(policy=policy)
         waiting = list(front_end.router.dispatcher.waiting)
         self.assertEqual(len(waiting), 4)
         self.assertEqual(decision_names(front_end.advance_time(100)).count("reject"), 0)
         self.assertIn("reject", decision_names(front_end.advance_time(100)))
-        front_end.finish_attempt(out[0])
+        front_end.finish_attempt(attempts_in_flight[0])
         done = front_end.advance_time(100)
-        self.assertEqual(first(done).request.route_policy.priority, 5)
+        self.assertEqual(first_decision(done).request.route_policy.priority, 5)
 
 
 if __name__ == "__main__":
--- a/tests/test_concurrency.py
+++ b/tests/test_concurrency.py
@@ -43,11 +43,11 @@
 
     def test_cores_from_promised_tenant_rates(self):
         """(promised requests per second) -> cores of each of 4 workers at 200 ms per request; a default without."""
-        for quotas, want in (((), 4.0), ((16.0, 16.0), 2.0), ((64.0,), 4.0), ((320.0,), 20.0)):
+        for quotas, expected in (((), 4.0), ((16.0, 16.0), 2.0), ((64.0,), 4.0), ((320.0,), 20.0)):
             with self.subTest(quotas=quotas):
                 front_end = FrontEnd(workers=4, report_fields=("in_flight",), quotas=quotas)
                 front_end.router.latency.update_estimates(front_end.cell, [front_end.cell], 200.0, front_end.clock)
-                self.assertAlmostEqual(front_end.router.latency.cores(front_end.router.workers["a"]), want)
+                self.assertAlmostEqual(front_end.router.latency.cores(front_end.router.workers["a"]), expected)
 
     def test_attempts_do_not_exceed_replica_concurrency(self):
         front_end = FrontEnd(workers=3)
@@ -60,12 +60,12 @@
 
     def test_late_answers_limit_all_attempts(self):
         """(ms of each answer, utilization) -> whether the limit on all attempts of the front end is lowered."""
-        for ms, busy, limited in ((900.0, 0.95, True), (100.0, 0.95, False), (900.0, 0.5, False)):
-            with self.subTest(ms=ms, busy=busy):
+        for ms, utilization, limited in ((900.0, 0.95, True), (100.0, 0.95, False), (900.0, 0.5, False)):
+            with self.subTest(ms=ms, utilization=utilization):
                 front_end = FrontEnd(workers=6, front_ends=200)
                 for at in range(12):
                     front_end.router.health_checked(
-                        "f", "ok", front_end.load_report(busy, 6.0)
+                        "f", "ok", front_end.load_report(utilization, 6.0)
                     )  # elsewhere: at a busy home they would be denied
                     front_end.serve_requests(f"p{at}", count=2, ms=ms)
                 self.assertEqual(front_end.router.global_concurrency.concurrency_limit < 9.0, limited)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -13,14 +13,14 @@
 from wickdyke.routing.seeded_random import hash_fraction, hash_fractions, name_hash
 
 
-def made(row):
+def make_worker(row):
     """Returns the record of a worker that is only listed."""
     return Worker.from_endpoint(row, 0.0, 8.0)
 
 
 def fleet_of(rows):
     """Returns a fleet with these entries of the endpoint list."""
-    fleet = Fleet(WHOLE, CAPACITY, POINTS, made, lambda cell: None)
+    fleet = Fleet(WHOLE, CAPACITY, POINTS, make_worker, lambda cell: None)
     fleet.update(rows, True)
     return fleet
 
@@ -35,7 +35,7 @@
     return {at: frozenset(cell.members) for at, cell in fleet.cells.items()}
 
 
-class Index(unittest.TestCase):
+class CellsTest(unittest.TestCase):
     """Cells, home cells and the nearest workers of functions."""
 
     def test_hash_fractions_equal_single_hash_fractions(self):
@@ -51,9 +51,9 @@
         for name in names(20):
             self.assertEqual((fleet.find_home(name).cell, fleet.find_home(name).nearest_worker), (cell, None))
             entry = function(name)
-            lots = {w: ranking.rendezvous_rank(entry, w) for w in cell.ready_workers}
+            ranks = {w: ranking.rendezvous_rank(entry, w) for w in cell.ready_workers}
             self.assertEqual(
-                ranking.Candidates(cell.ready_workers).ranked(entry), sorted(cell.ready_workers, key=lots.get)
+                ranking.Candidates(cell.ready_workers).ranked(entry), sorted(cell.ready_workers, key=ranks.get)
             )
 
     def test_cells_are_bounded_and_split_late(self):
@@ -69,11 +69,11 @@
                     self.assertGreater(both, CAPACITY)
 
     def test_front_ends_agree_regardless_of_the_order_of_changes(self):
-        rows, chance = [listing(number, size=1.0 + number % 3) for number in range(900)], random.Random(5)
+        rows, random_source = [listing(number, size=1.0 + number % 3) for number in range(900)], random.Random(5)
         want = fleet_of(rows)
         requested = names(300)
         for seed in range(3):
-            chance.shuffle(rows)
+            random_source.shuffle(rows)
             fleet = fleet_of([listing(number) for number in range(2000, 2000 + 400 * seed)])
             for at in range(0, len(rows), 7):  # in pieces, with other changes in between
                 fleet.update([replace(row, size=9.0) for row in rows[at : at + 7]], False)
@@ -179,10 +179,10 @@
                     home = fleet.find_home(name)
                     self.assertEqual(first_of(other, name), home.nearest_worker.endpoint.ident)
                     self.assertTrue(home.cell.ready_workers)
-                    away = [replace(w.endpoint, state=state) for w in home.cell.ready_workers]
-                    lost.update(row.ident for row in away)
-                    fleet.update(away, False)
-                    other.update(away[::-1], False)
+                    changed = [replace(w.endpoint, state=state) for w in home.cell.ready_workers]
+                    lost.update(row.ident for row in changed)
+                    fleet.update(changed, False)
+                    other.update(changed[::-1], False)
                     left = len(lost) < len(rows) and len(fleet.cells) > 1
                 rest = fleet.find_home(name)
                 self.assertEqual(rest is not None, any(row.ident not in lost for row in rows))
--- a/tests/test_latency.py
+++ b/tests/test_latency.py
@@ -33,7 +33,7 @@
 
         After four measured loads the hint no longer counts.
         """
-        for hint, seen, want, *triggered in (
+        for hint, measured, expected, *triggered in (
             (5000.0, [], 5000.0),
             (5000.0, [100.0] * 3, 5000.0),
             (5000.0, [100.0] * 4, 100.0),
@@ -44,14 +44,14 @@
             (5000.0, [10.0] * 4, 10.0, True),
             (5000.0, [-3.0] * 4, 1.0, True),
         ):
-            with self.subTest(hint=hint, seen=seen):
+            with self.subTest(hint=hint, measured=measured):
                 front_end = FrontEnd()
                 front_end.submit()
                 function = front_end.router.functions["p"]
                 function.load_hint = hint
-                for duration in seen:
+                for duration in measured:
                     front_end.router.latency.record_load(function, duration, *triggered)
-                self.assertEqual(front_end.router.latency.load_time(function), want)
+                self.assertEqual(front_end.router.latency.load_time(function), expected)
 
     def test_attempts_given_up_late_count_as_slowdown(self):
         """(outcome, ms) -> whether the worker counts as slower; it does not where the client left early."""
--- a/tests/test_prewarming.py
+++ b/tests/test_prewarming.py
@@ -17,9 +17,9 @@
         for free, share, window in ((2.0, 0.1, 5000.0), (0.0, 0.05, 3000.0), (6.0, 0.0, 1000.0)):
             with self.subTest(free=free, share=share):
                 front_end = FrontEnd(prewarm_quota=PrewarmQuota(free, share, window))
-                prewarms, taken = [], []
+                prewarms, request_times = [], []
                 for at in range(400):
-                    taken.append(front_end.clock)
+                    request_times.append(front_end.clock)
                     decisions = front_end.submit(
                         f"p{at % 40}"
                     )  # later attempts all miss, so prewarms are always wanted
@@ -32,13 +32,13 @@
                     for _ in [d for d in decisions if isinstance(d, Prewarm)]:
                         prewarms.append(front_end.clock)
                         recent = [t for t in prewarms if front_end.clock - t < window]
-                        recent_taken = [t for t in taken if front_end.clock - t < window]
-                        self.assertLessEqual(len(recent), free + share * len(recent_taken) + 1e-9)
+                        recent_requests = [t for t in request_times if front_end.clock - t < window]
+                        self.assertLessEqual(len(recent), free + share * len(recent_requests) + 1e-9)
                 self.assertTrue(prewarms)
 
     def test_a_miss_triggers_one_prewarm_and_a_retry(self):
         """(outcome of the first attempt) -> prewarms and further attempts: none after ok, one each after a miss."""
-        for outcome, prewarms, calls in (("ok", 0, 0), ("miss", 1, 1)):
+        for outcome, prewarms, forwards in (("ok", 0, 0), ("miss", 1, 1)):
             with self.subTest(outcome=outcome):
                 front_end = FrontEnd(workers=1, loads_on_demand=False, prewarm_outcome=None)
                 decisions = front_end.submit()
@@ -46,7 +46,7 @@
                 decisions = front_end.finish_attempt(decisions[0].request, outcome) + front_end.advance_time(100)
                 self.assertEqual(
                     (decision_names(decisions).count("prewarm"), decision_names(decisions).count("forward")),
-                    (prewarms, calls),
+                    (prewarms, forwards),
                 )
 
     def test_further_replicas_are_prewarmed_only_where_attempts_load(self):
@@ -62,12 +62,12 @@
         front_end = FrontEnd(
             workers=6, loads_on_demand=False, prewarm_outcome=None, front_ends=50, reports_concurrency=False
         )
-        decisions, orders = front_end.submit() + front_end.advance_time(600), 0
+        decisions, prewarms_sent = front_end.submit() + front_end.advance_time(600), 0
         for request in [decisions[0].request] * 3:
-            orders += decision_names(front_end.finish_attempt(request, "miss")).count("prewarm")
+            prewarms_sent += decision_names(front_end.finish_attempt(request, "miss")).count("prewarm")
             front_end.router.schedule.next_at = front_end.router.wake_at = front_end.clock
-            orders += decision_names(front_end.advance_time(50)).count("prewarm")
-        self.assertEqual(orders, 0)
+            prewarms_sent += decision_names(front_end.advance_time(50)).count("prewarm")
+        self.assertEqual(prewarms_sent, 0)
 
     def test_after_misses_the_prewarm_goes_to_the_first_placed_worker_by_rank(self):
         for seed in range(4):  # front ends with different random numbers agree
@@ -78,9 +78,9 @@
             ]:
                 replica.is_placed = True
             first = min(front_end.ready_workers[:3], key=lambda w: rendezvous_rank(decisions[0].request.function, w))
-            while not (orders := [d for d in decisions if isinstance(d, Prewarm)]):
+            while not (prewarms_sent := [d for d in decisions if isinstance(d, Prewarm)]):
                 decisions = front_end.finish_attempt(decisions[-1].request, "miss") + front_end.advance_time(50)
-            self.assertEqual(orders[0].worker, first)
+            self.assertEqual(prewarms_sent[0].worker, first)
 
     def test_the_last_attempt_is_kept_for_after_the_prewarm(self):
         front_end = FrontEnd(workers=3, loads_on_demand=False, prewarm_outcome=None, attempts=1)
@@ -88,10 +88,10 @@
 
     def test_errors_of_unverified_functions_eject_no_worker_and_earn_no_prewarms(self):
         """(whether the function was answered before) -> worker ejected after errors, requests counted for the quota."""
-        for proven in (True, False):
-            with self.subTest(proven=proven):
+        for verified in (True, False):
+            with self.subTest(verified=verified):
                 front_end = FrontEnd(workers=1, prewarm_quota=PrewarmQuota(1.0, 1.0, 5000.0))
-                front_end.serve_requests(count=1 if proven else 0)
+                front_end.serve_requests(count=1 if verified else 0)
                 before = len(front_end.router.prewarm_limiter.request_times)
                 for _ in range(4):
                     for request in [d.request for d in front_end.submit() if isinstance(d, Forward)]:
@@ -100,19 +100,21 @@
                 worker = front_end.router.workers["a"]
                 self.assertEqual(
                     (bool(worker.ejections), len(front_end.router.prewarm_limiter.request_times) - before > 0),
-                    (proven, proven),
+                    (verified, verified),
+                )
+                self.assertEqual(
+                    any(replica.is_placed for replica in front_end.router.functions["p"].replicas), verified
                 )
-                self.assertEqual(any(replica.is_placed for replica in front_end.router.functions["p"].replicas), proven)
 
     def test_requests_of_unknown_functions_earn_no_prewarms(self):
         """(number of unknown functions, whether an existing one is requested) -> maximum number of prewarms.
 
         Attempts at workers without the function miss.
         """
-        ration = PrewarmQuota(3.0, 0.2, 5000.0)
+        quota = PrewarmQuota(3.0, 0.2, 5000.0)
         for unknown, existing in ((60, False), (60, True), (0, True)):
             with self.subTest(unknown=unknown, existing=existing):
-                front_end = FrontEnd(workers=4, loads_on_demand=False, prewarm_quota=ration, prewarm_outcome=None)
+                front_end = FrontEnd(workers=4, loads_on_demand=False, prewarm_quota=quota, prewarm_outcome=None)
                 all_decisions, legitimate = [], 0
                 for number in range(60):
                     requested = ([f"nobody-has-{number}"] if unknown else []) + (["p"] if existing else [])
@@ -131,8 +133,8 @@
                                 )
                         all_decisions += decisions
                     all_decisions += front_end.advance_time(20, step=20.0)
-                orders = decision_names(all_decisions).count("prewarm")
-                self.assertLessEqual(orders, ration.free + ration.share * legitimate)
+                prewarms_sent = decision_names(all_decisions).count("prewarm")
+                self.assertLessEqual(prewarms_sent, quota.free + quota.share * legitimate)
                 self.assertEqual(len(front_end.router.prewarm_limiter.request_times), legitimate)
 
     def test_requests_before_the_first_answer_count_once_the_function_is_verified(self):
--- a/tests/test_readiness_refusals.py
+++ b/tests/test_readiness_refusals.py
@@ -1,9 +1,9 @@
-"""Workers that are not ready while the endpoint list is old, prewarms that wait for them, and the log."""
+"""Tests of workers that are not ready while the endpoint list is old, of held prewarms, and of log notes."""
 
 import unittest
 
 from tests.helpers import FrontEnd, decision_names, forwarded_to, listed_endpoint
-from tests.readiness_rig import ReadinessCase, asked, prewarmed
+from tests.readiness_rig import ReadinessCase, checked, prewarmed
 from wickdyke.routing.decisions import Forward, LogNote
 from wickdyke.routing.health_checks import CHECK_EVERY
 from wickdyke.routing.model import Outcome
@@ -11,18 +11,18 @@
 from wickdyke.routing.readiness import MAX_ANSWER_WAIT, MAX_DISCOVERY_SILENCE, NEVER
 
 
-class Refusals(ReadinessCase):
-    """Workers that say that they are not ready, that don't answer, or whose process has ended."""
+class NotReadyWorkers(ReadinessCase):
+    """Workers that answer that they are not ready, that do not answer, or whose process has ended."""
 
-    def test_not_ready_is_left_out_and_the_next_is_asked_at_once(self):
+    def test_worker_that_is_not_ready_is_excluded_and_the_next_is_checked_at_once(self):
         front_end = self.start_front_end(2)
         self.heard(NEVER)
-        (first,) = asked(front_end.submit())
-        (second,) = asked(self.answer(first, Outcome.NOT_READY))
+        (first,) = checked(front_end.submit())
+        (second,) = checked(self.answer(first, Outcome.NOT_READY))
         self.assertNotEqual(first, second)
         self.assertEqual(forwarded_to(self.answer(second)), [second])
 
-    def test_not_ready_counts_while_discovery_is_heard_as_well(self):
+    def test_worker_that_is_not_ready_is_excluded_while_discovery_is_heard_too(self):
         front_end = self.start_front_end(2)
         self.heard()
         self.refresh("a")
@@ -31,33 +31,33 @@
         self.answer("a", Outcome.NOT_READY)
         self.assertEqual(set(forwarded_to(front_end.serve_requests(count=5))), {"b"})
 
-    def test_it_is_asked_again_each_second_and_used_once_it_is_ready(self):
+    def test_excluded_worker_is_checked_each_second_and_used_once_it_is_ready(self):
         front_end = self.start_front_end(1)
         self.heard(NEVER)
         front_end.submit(time_left=500.0)
         self.answer("a", Outcome.NOT_READY)
         self.heard()
-        self.assertEqual(asked(front_end.advance_time(CHECK_EVERY + 1000.0))[:1], ["a"])
+        self.assertEqual(checked(front_end.advance_time(CHECK_EVERY + 1000.0))[:1], ["a"])
         self.answer("a")
         self.assertTrue(front_end.router.may_send(front_end.router.workers["a"], front_end.clock))
 
-    def test_no_answer_asks_the_next_after_some_time(self):
+    def test_missing_answer_leads_to_a_check_of_the_next_worker(self):
         front_end = self.start_front_end(2)
         self.heard(NEVER)
-        (first,) = asked(front_end.submit())
+        (first,) = checked(front_end.submit())
         decisions = front_end.advance_time(MAX_ANSWER_WAIT + 50.0)
-        self.assertEqual(len(set(asked(decisions)) - {first}), 1)
+        self.assertEqual(len(set(checked(decisions)) - {first}), 1)
 
-    def test_no_worker_is_asked_twice_at_a_time(self):
+    def test_no_worker_has_two_checks_in_flight(self):
         front_end = self.start_front_end(1)
         self.heard(NEVER)
         decisions = front_end.submit()
         for number in range(50):
             decisions += front_end.submit(f"function {number}")
         decisions += front_end.advance_time(200.0)
-        self.assertEqual(asked(decisions), ["a"])
+        self.assertEqual(checked(decisions), ["a"])
 
-    def test_nothing_proves_ready_and_requests_end_in_time(self):
+    def test_requests_end_in_time_where_no_worker_is_ready(self):
         front_end = self.start_front_end(2)
         self.heard(NEVER)
         decisions = front_end.submit(time_left=1000.0)
@@ -68,7 +68,7 @@
             [word for word in decision_names(decisions) if word in ("reject", "fail", "forward")], ["reject"]
         )
 
-    def test_back_on_the_same_process(self):
+    def test_same_process_that_is_ready_again_needs_no_slow_start(self):
         front_end = self.start_front_end(1)
         self.heard(NEVER)
         front_end.submit(time_left=500.0)
@@ -79,7 +79,7 @@
         self.assertIsNone(front_end.router.workers["a"].warming_since)
 
     def test_another_process_at_its_address_is_sent_nothing_until_discovery_is_heard(self):
-        """It may be another worker; once discovery is heard, it counts as just started."""
+        """The process may be another worker; once discovery is heard, the worker counts as just started."""
         front_end = self.start_front_end(1)
         self.heard(NEVER)
         front_end.submit(time_left=500.0)
@@ -96,7 +96,7 @@
         self.assertTrue(front_end.router.may_send(record, front_end.clock))
         self.assertEqual(record.warming_since, front_end.clock)
 
-    def test_listed_as_restarted_it_begins_anew(self):
+    def test_worker_listed_as_restarted_is_ready(self):
         front_end = self.start_front_end(1)
         self.heard(NEVER)
         front_end.submit(time_left=500.0)
@@ -106,18 +106,18 @@
         self.assertTrue(front_end.router.may_send(front_end.router.workers["a"], front_end.clock))
         self.assertEqual(front_end.router.readiness.not_ready, {})
 
-    def test_a_process_that_ended_while_news_may_be_missing_is_left_out(self):
-        """(ms since discovery was heard) -> whether the worker is left out when its process ends."""
-        for age, left_out in ((MAX_DISCOVERY_SILENCE - 1.0, False), (MAX_DISCOVERY_SILENCE, True)):
+    def test_worker_whose_process_ended_while_updates_may_be_missing_is_excluded(self):
+        """(ms since discovery was heard) -> whether the worker is excluded when its process ends."""
+        for age, excluded in ((MAX_DISCOVERY_SILENCE - 1.0, False), (MAX_DISCOVERY_SILENCE, True)):
             with self.subTest(age):
                 front_end = self.start_front_end(1)
                 self.heard()
                 front_end.clock += age
                 (forwarded,) = [each for each in front_end.submit() if isinstance(each, Forward)]
                 front_end.finish_attempt(forwarded.request, "cut")
-                self.assertEqual(front_end.router.workers["a"].not_ready_since is not None, left_out)
+                self.assertEqual(front_end.router.workers["a"].not_ready_since is not None, excluded)
 
-    def test_a_new_process_that_was_not_seen_to_end_warms_up(self):
+    def test_new_process_unknown_to_discovery_warms_up(self):
         front_end = self.start_front_end(1)
         self.heard()
         heard_at = front_end.clock
@@ -127,7 +127,7 @@
         self.answer("a", Outcome.OK, heard_at + 10.0)
         self.assertEqual(record.warming_since, front_end.clock)
 
-    def test_a_new_process_that_discovery_knows_of_does_not(self):
+    def test_process_known_to_discovery_does_not_warm_up(self):
         front_end = self.start_front_end(1)
         self.heard()
         heard_at = front_end.clock
@@ -137,18 +137,18 @@
         self.answer("a", Outcome.OK, heard_at - 10.0)
         self.assertIsNone(record.warming_since)
 
-    def test_without_health_checks_nothing_is_sent_on_an_expired_list_and_all_after_it(self):
+    def test_without_health_checks_nothing_is_sent_while_the_list_is_expired(self):
         front_end = FrontEnd(2)
         self.front_end = front_end
         self.heard(NEVER)
         decisions = front_end.submit() + front_end.advance_time(1000.0)
-        self.assertEqual((forwarded_to(decisions), asked(decisions)), ([], []))
+        self.assertEqual((forwarded_to(decisions), checked(decisions)), ([], []))
         self.heard()
         self.assertEqual(len(forwarded_to(front_end.submit())), 1)
 
 
 class HeldPrewarms(ReadinessCase):
-    """Prewarms, which keep loaded what requests will need, while the list has expired."""
+    """Prewarms that wait for their workers' answers while the list has expired."""
 
     def start(self):
         front_end = self.start_front_end(prewarm_outcome="ok")
@@ -157,16 +157,16 @@
         self.expire()
         return front_end
 
-    def test_a_prewarm_waits_for_its_worker_and_then_goes_out(self):
+    def test_a_prewarm_waits_for_the_answer_of_its_worker(self):
         front_end = self.start()
         replica = next(iter(front_end.router.functions["p"].replicas))
         worker = replica.worker.endpoint.ident
         front_end.router.planned_prewarms.append(PrewarmPlan(replica, 1, False))
         decisions = front_end.take_decisions()
-        self.assertEqual((prewarmed(decisions), asked(decisions)), ([], [worker]))
+        self.assertEqual((prewarmed(decisions), checked(decisions)), ([], [worker]))
         self.assertEqual(prewarmed(self.answer(worker)), [worker])
 
-    def test_it_is_dropped_where_the_worker_is_not_ready(self):
+    def test_a_held_prewarm_is_dropped_where_the_worker_is_not_ready(self):
         for outcome in (Outcome.NOT_READY, Outcome.TIMEOUT, Outcome.UNSENT):
             with self.subTest(outcome):
                 front_end = self.start()
@@ -177,28 +177,28 @@
                 self.assertNotIn(worker, prewarmed(self.answer(worker, outcome)))
                 self.assertEqual(front_end.router.prewarmer.held_plans, {})
 
-    def test_a_draining_worker_gets_none_for_as_long_as_it_is_up(self):
-        """Requests go on for 30 s; one worker always says that it is not ready."""
+    def test_a_worker_that_stays_not_ready_is_sent_nothing(self):
+        """Requests continue for 30 s, during which one worker always answers that it is not ready."""
         front_end = self.start()
         sent = []
         for _ in range(300):
             decisions = front_end.submit() + front_end.advance_time(50.0)
             while decisions:
-                following = []
+                next_decisions = []
                 sent += prewarmed(decisions) + forwarded_to(decisions)
-                for worker in asked(decisions):
-                    following += self.answer(worker, Outcome.NOT_READY if worker == "a" else Outcome.OK)
+                for worker in checked(decisions):
+                    next_decisions += self.answer(worker, Outcome.NOT_READY if worker == "a" else Outcome.OK)
                 for forwarded in (each for each in decisions if isinstance(each, Forward)):
-                    following += front_end.finish_attempt(forwarded.request)
-                decisions = following
+                    next_decisions += front_end.finish_attempt(forwarded.request)
+                decisions = next_decisions
         self.assertNotIn("a", sent)
         self.assertGreater(len(sent), 250)
 
 
-class Notes(ReadinessCase):
-    """The log has one line for each change."""
+class LogNotes(ReadinessCase):
+    """Log notes on changes of readiness."""
 
-    def test_each_change_once(self):
+    def test_each_change_is_logged_once(self):
         front_end = self.start_front_end(2)
         notes = []
         router = front_end.router
--- a/tests/test_router_scale.py
+++ b/tests/test_router_scale.py
@@ -1,4 +1,4 @@
-"""What one request or worker costs a router must not grow with the fleet, counted in draws, lines and bytes."""
+"""Tests that the costs of requests and workers do not grow with the fleet, in hashes, lines run and bytes."""
 
 import random
 import tracemalloc
@@ -15,49 +15,49 @@
 
 
 def simulated_fleet(workers, front_ends=1, **more):
-    """A simulated fleet with this many workers, all announced."""
+    """Returns a simulated fleet with this many listed workers."""
     fleet = SimulatedFleet(Settings(memory=1e9, **more), [], front_ends)
     fleet.announce([listing(number) for number in range(workers)])
     fleet.run(1.0)
     return fleet
 
 
-class FrontEnds(unittest.TestCase):
+class RouterScaleTest(unittest.TestCase):
     """The costs of requests, functions and workers in fleets of growing size."""
 
     def test_a_function_costs_the_same_in_every_fleet(self):
-        """Draws and lines for a function that is met."""
+        """Hashes and lines run for a new function do not grow with the fleet."""
         counts = []
         for many in SIZES:
-            fleet, drawn = simulated_fleet(many), []
+            fleet, hashed = simulated_fleet(many), []
             fleet.run(5000.0)
             front, inner = fleet.fronts[0], ranking.hash_fractions
 
-            def counted(first, others, inner=inner, drawn=drawn):
-                drawn.append(len(others))
+            def counted(first, others, inner=inner, hashed=hashed):
+                hashed.append(len(others))
                 return inner(first, others)
 
             with patch.object(ranking, "hash_fractions", counted):
                 lines = sum(count_lines(fleet.submit_request, front, name) for name in names(60))
-            counts.append((sum(drawn) / 60, lines))
-        self.assertLessEqual(max(drawn for drawn, _ in counts), CAPACITY)
-        for drawn, lines in counts[2:]:  # the smallest fleet's cells happen to be smaller than the others'
-            self.assertLessEqual(drawn, FLAT * counts[1][0])
+            counts.append((sum(hashed) / 60, lines))
+        self.assertLessEqual(max(hashed for hashed, _ in counts), CAPACITY)
+        for hashed, lines in counts[2:]:  # the smallest fleet's cells happen to be smaller than the others'
+            self.assertLessEqual(hashed, FLAT * counts[1][0])
             self.assertLessEqual(lines, FLAT * counts[1][1])
 
     def test_a_function_takes_the_same_memory_in_every_fleet(self):
-        """Bytes for a function that is met once, its worker's books counted in."""
-        held = []
+        """Bytes for a function that is requested once, including the records of its worker, stay below 8 KiB."""
+        homes = []
         for many in SIZES:
             fleet = simulated_fleet(many)
             fleet.clients(127.0, Draw(160000, 0.0, 7), 9000.0)
             tracemalloc.start()
             try:
                 fleet.run(9000.0)
-                held.append(tracemalloc.get_traced_memory()[0] / len(fleet.fronts[0].router.functions))
+                homes.append(tracemalloc.get_traced_memory()[0] / len(fleet.fronts[0].router.functions))
             finally:
                 tracemalloc.stop()
-        self.assertLessEqual(max(held), 8 * 1024)
+        self.assertLessEqual(max(homes), 8 * 1024)
 
     def test_a_worker_that_is_only_listed_costs_little(self):
         tracemalloc.start()
@@ -70,7 +70,7 @@
             tracemalloc.stop()
         self.assertLessEqual(per_worker, 2048)
 
-    def test_what_is_not_called_within_an_idle_life_is_forgotten(self):
+    def test_functions_not_requested_within_the_idle_timeout_are_removed(self):
         fleet = simulated_fleet(1000, idle_timeout=5000.0)
         fleet.clients(60.0, Draw(160000, 0.0, 7), 8000.0)
         fleet.run(8000.0)
@@ -80,20 +80,22 @@
         self.assertFalse(functions)
         self.assertFalse(any(cell.functions for cell in fleet.fronts[0].router.fleet.cells.values()))
 
-    def test_no_more_functions_are_known_than_the_bound(self):
+    def test_the_number_of_functions_is_bounded(self):
         with patch.object(router, "MAX_FUNCTIONS", 200):
             fleet = simulated_fleet(300)
             front = fleet.fronts[0]
             for name in names(500):
                 fleet.submit_request(front, name)
                 fleet.run(fleet.now + 10.0)
-                out = sum(place.in_flight > 0 for entry in front.router.functions.values() for place in entry.replicas)
-                self.assertLessEqual(len(front.router.functions), 200 + out)
+                in_flight_count = sum(
+                    replica.in_flight > 0 for entry in front.router.functions.values() for replica in entry.replicas
+                )
+                self.assertLessEqual(len(front.router.functions), 200 + in_flight_count)
             fleet.run(fleet.now + 10000.0)
         self.assertEqual((fleet.violations, front.costs.answers["ok"]), ([], 500))
 
-    def test_a_request_outlives_the_forgetting_of_its_function(self):
-        """Requests wait, their functions are forgotten and met again, the list changes: all get their answers."""
+    def test_requests_survive_the_removal_of_their_function(self):
+        """Requests wait while their functions are removed and added again and the list changes: all are answered."""
         with patch.object(router, "MAX_FUNCTIONS", 40):
             fleet = simulated_fleet(300)
             front = fleet.fronts[0]
@@ -110,17 +112,17 @@
             for worker in front_end.workers.values():
                 worker.concurrency_limit = 8.0
             fleet.run(fleet.now + 6000.0)
-            held = {name: cell for cell in front_end.fleet.cells.values() for name in cell.functions}
-            self.assertEqual((fleet.violations, set(held)), ([], set(front_end.functions)))
+            homes = {name: cell for cell in front_end.fleet.cells.values() for name in cell.functions}
+            self.assertEqual((fleet.violations, set(homes)), ([], set(front_end.functions)))
             self.assertEqual((front.costs.answers.total(), front.costs.answers["ok"]), (70, 70))
 
-    def test_a_look_fills_one_cell(self):
+    def test_one_cell_is_placed_at_a_time(self):
         fleet, runs = simulated_fleet(5000), Counter()
         inner = Placement.run
 
-        def counted(fill, cells, now):
+        def counted(placement, cells, now):
             runs[now] += 1
-            return inner(fill, cells, now)
+            return inner(placement, cells, now)
 
         with patch.object(Placement, "run", counted):
             fleet.clients(127.0, Draw(160000, 0.0, 7), 6000.0)
@@ -128,7 +130,7 @@
         self.assertEqual(set(runs.values()), {1})
 
     def test_functions_follow_their_cells(self):
-        """Whatever the list does, each known function is in the books of the cell that is its home."""
+        """Through all changes of the list, each known function is registered in its home cell."""
         fleet, chance = simulated_fleet(300), random.Random(2)
         front_end, number = fleet.fronts[0].router, 300
         fleet.clients(60.0, Draw(3000, 0.0, 7), 30000.0)
@@ -140,36 +142,36 @@
             number += 30
             fleet.announce(rows)
             fleet.run(fleet.now + 600.0)
-            held = {name: cell for cell in front_end.fleet.cells.values() for name in cell.functions}
-            self.assertEqual(set(held), set(front_end.functions))
-            for name, cell in held.items():
+            homes = {name: cell for cell in front_end.fleet.cells.values() for name in cell.functions}
+            self.assertEqual(set(homes), set(front_end.functions))
+            for name, cell in homes.items():
                 self.assertIs(front_end.functions[name].cell, cell)
                 if front_end.functions[name].fleet_version == front_end.fleet.version:
                     self.assertIs(front_end.fleet.find_home(name).cell, cell)
         fleet.run(40000.0)
         self.assertEqual(fleet.violations, [])
 
-    def test_a_home_that_can_not_serve_sends_on_to_the_next_cell(self):
-        """(what is wrong with all of the home's workers) -> the attempt goes to the second cell, for each front end."""
-        for wrong in ("shunned", "cold", "at their limit", "without memory", "draining", "gone"):
-            with self.subTest(wrong=wrong):
+    def test_requests_go_to_the_next_cell_where_the_home_cannot_serve(self):
+        """(state of all workers of the home) -> all front ends send the attempt to the same worker of the next cell."""
+        for condition in ("ejected", "warming up", "at their limit", "without memory", "draining", "gone"):
+            with self.subTest(condition=condition):
                 fleet, name, chosen = simulated_fleet(600, front_ends=3), names(1)[0], set()
                 for front in fleet.fronts:
                     front_end = front.router
                     home, second = list(front_end.fleet.nearest_cells(function(name), 2))
-                    away = []
+                    changed = []
                     for worker in home.ready_workers:
-                        if wrong == "shunned":
+                        if condition == "ejected":
                             front_end.outliers.eject(worker, fleet.now, "test")
-                        elif wrong == "cold":
+                        elif condition == "warming up":
                             worker.warming_since = fleet.now
-                        elif wrong == "at their limit":
+                        elif condition == "at their limit":
                             worker.concurrency_limit = 0.0
-                        elif wrong == "without memory":
+                        elif condition == "without memory":
                             worker.memory_short_until = fleet.now + 60000.0
                         else:
-                            away.append(replace(worker.endpoint, state=wrong))
-                    fleet.notify_list(front, away)
+                            changed.append(replace(worker.endpoint, state=condition))
+                    fleet.notify_list(front, changed)
                     members = set(second.members)
                     ident = fleet.submit_request(front, name)
                     (sent,) = front_end.requests[ident].attempts
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -1,7 +1,7 @@
-"""What all front ends together send a server in slow start, against its budget, in fleets of any size.
+"""Tests that all front ends together do not overload a worker in slow start, for any number of front ends.
 
-The budget of a window: N requests of mean work, plus 2 x root of N + 2; under 30 requests, plus 3 x root of N + 3.
-N is what the settings allow: multiple x present capacity x window.
+The budget of a window is N requests of mean work plus 2 x sqrt(N) + 2, or plus 3 x sqrt(N) + 3 below 30 requests. N is
+what the settings allow: multiple x present capacity x window.
 """
 
 import itertools
@@ -23,33 +23,33 @@
 from wickdyke.routing.settings import GatewayInstance, SlowStart
 from wickdyke.routing.slow_start import SlowStartGuard
 
-LEAST = SlowStart(0.17, 12000.0, 2.0, 1000.0)  # the settings that the pages allow: least and greatest, and a usual one
+LEAST = SlowStart(0.17, 12000.0, 2.0, 1000.0)  # the least and the greatest documented settings, and usual ones
 USUAL = SlowStart(0.2, 18000.0, 2.0, 2000.0)
 GREATEST = SlowStart(0.45, 5000.0, 4.0, 2000.0)
 WORK = 40.0  # ms of a core for each request
-RESTART = 4000.0  # ms: when the servers die, on the fleet's clock
-REPORTED = 1000.0  # ms: the time over which a server's busy share is the mean
+RESTART = 4000.0  # ms on the fleet's clock at which the workers die
+REPORTED = 1000.0  # ms over which a worker's reported utilization is averaged
 
 
 def present_share(warmup: SlowStart, age: float) -> float:
-    """The share of its capacity that a server of that age (ms) has."""
+    """Returns the share of its full capacity that a worker of that age (ms) has."""
     return warmup.start_share + (1 - warmup.start_share) * min(1.0, age / warmup.ramp)
 
 
 def budget(allowed: float) -> float:
-    """How many requests a server in slow start stands in a window in which the settings allow it that many."""
+    """Returns the number of requests that overload a worker if exceeded in a window for which `allowed` are set."""
     return allowed + (3 * sqrt(allowed) + 3 if allowed < 30 else 2 * sqrt(allowed) + 2)
 
 
-class MeasuredServer(SimulatedWorker):
-    """A server that reports which share of its present capacity the requests of the last second took."""
+class MeasuredWorker(SimulatedWorker):
+    """A worker that reports the share of its present capacity that the requests of the last second took."""
 
     def __init__(self, listed: Endpoint, fleet: "MeasuredFleet") -> None:
         super().__init__(listed, fleet.settings)
         self.fleet, self.arrived = fleet, deque()
 
     def report(self) -> WorkerLoad | None:
-        """Busy share and requests held."""
+        """Returns a report of utilization and requests in flight."""
         now, born = self.fleet.now, self.endpoint.started_at
         while self.arrived and self.arrived[0] <= now - REPORTED:
             self.arrived.popleft()
@@ -59,27 +59,27 @@
 
 
 class MeasuredFleet(SimulatedFleet):
-    """A simulated fleet that keeps each attempt that reached a server in slow start: when, and from which front end."""
+    """A simulated fleet that records the time and the front end of each attempt at a worker in slow start."""
 
-    rate = None  # the simulated fleet's own check of slow start is left out
+    rate = None  # disables the simulated fleet's own check of slow start
 
-    def __init__(self, settings: Settings, servers: int, seed: int) -> None:
-        super().__init__(settings, [listing(number, 1) for number in range(servers)], settings.front_ends, seed)
-        self.workers = {ident: MeasuredServer(old.endpoint, self) for ident, old in self.workers.items()}
+    def __init__(self, settings: Settings, worker_count: int, seed: int) -> None:
+        super().__init__(settings, [listing(number, 1) for number in range(worker_count)], settings.front_ends, seed)
+        self.workers = {ident: MeasuredWorker(old.endpoint, self) for ident, old in self.workers.items()}
         self.attempts: dict[str, list[tuple[float, int]]] = {}
-        self.heard: dict[int, float] = {}  # when each front end was told of the start
+        self.informed_at: dict[int, float] = {}  # time at which each front end was informed of the restart
 
     def _forward(self, front: SimulatedFrontEnd, decision: Forward) -> None:
-        server = self.workers[decision.worker.endpoint.ident]
-        if not server.dead:
-            server.arrived.append(self.now)
-            if server.endpoint.started_at is not None:
-                self.attempts.setdefault(server.endpoint.ident, []).append((self.now, front.number))
+        worker = self.workers[decision.worker.endpoint.ident]
+        if not worker.dead:
+            worker.arrived.append(self.now)
+            if worker.endpoint.started_at is not None:
+                self.attempts.setdefault(worker.endpoint.ident, []).append((self.now, front.number))
         super()._forward(front, decision)
 
     def traffic(self, parts: list[float], used: float, burst: float, until: float) -> None:
-        """Requests at random, `used` of the capacity of all servers, `burst` times that from the restart on."""
-        capacity = sum(server.endpoint.size for server in self.workers.values()) / WORK
+        """Schedules random requests that use the part `used` of all capacity, times `burst` after the restart."""
+        capacity = sum(worker.endpoint.size for worker in self.workers.values()) / WORK
         at, chance = 0.0, random.Random(5)
         ends = list(itertools.accumulate(parts))
         while at < until:
@@ -87,38 +87,38 @@
             (number,) = chance.choices(range(len(parts)), cum_weights=ends)
             self.at(at, self.submit_request, self.fronts[number], f"f{chance.randrange(12)}")
 
-    def restart(self, servers: int, gone: float, told: tuple[float, float]) -> None:
-        """That many servers die and start anew `gone` ms later; each front end is told at its time after that."""
-        idents, chance = list(self.workers)[:servers], random.Random(9)
+    def restart(self, worker_count: int, outage: float, told: tuple[float, float]) -> None:
+        """Restarts workers with an outage of `gone` ms; each front end is informed `told` (range of ms) later."""
+        idents, chance = list(self.workers)[:worker_count], random.Random(9)
         for ident in idents:
             self.workers[ident].dead = True
-        self.run(RESTART + gone)
+        self.run(RESTART + outage)
         endpoints = [replace(self.workers[ident].endpoint, started_at=self.now) for ident in idents]
-        self.workers.update((each.ident, MeasuredServer(each, self)) for each in endpoints)
+        self.workers.update((each.ident, MeasuredWorker(each, self)) for each in endpoints)
         for front in self.fronts:
-            self.heard[front.number] = self.now + chance.uniform(*told)
-            self.at(self.heard[front.number], self.notify_list, front, endpoints)
+            self.informed_at[front.number] = self.now + chance.uniform(*told)
+            self.at(self.informed_at[front.number], self.notify_list, front, endpoints)
 
-    def start_front_ends_anew(self) -> None:
-        """All of them restart and know nothing but the list."""
+    def restart_front_ends(self) -> None:
+        """Restarts all front ends, which then know only the endpoint list."""
         old, self.fronts = self.fronts, []
         for before in old:
-            before.wake_at = float("-inf")  # the process is gone: it decides nothing more
+            before.wake_at = float("-inf")  # the process has ended and makes no more decisions
             front = SimulatedFrontEnd(before.number, self.settings.router(self.now, before.number))
             front.deadlines, front.final = before.deadlines, before.final
             self.fronts.append(front)
-            self.heard[front.number] = self.now
-            self.notify_list(front, [server.endpoint for server in self.workers.values()], True)
+            self.informed_at[front.number] = self.now
+            self.notify_list(front, [worker.endpoint for worker in self.workers.values()], True)
 
-    def falls(self) -> list[str]:
-        """The servers that fell while over two thirds of the window came from front ends that had been told.
+    def overloaded_workers(self) -> list[str]:
+        """Returns the workers that were overloaded while informed front ends sent over two thirds of the window.
 
-        All that such a front end sent in the window counts, also before it was told, if it sent any after: what only
-        the untold sent can fill a budget by itself, and nothing that a front end does once it is told prevents that.
+        All that a front end sent in the window counts as sent by an informed one if any of it was sent after it was
+        informed. Attempts of uninformed front ends alone can exceed a budget, and informed ones cannot prevent that.
         """
-        return [text for ident in self.attempts for text in self._fall(ident)]
+        return [text for ident in self.attempts for text in self._find_overload(ident)]
 
-    def _fall(self, ident: str) -> Iterable[str]:
+    def _find_overload(self, ident: str) -> Iterable[str]:
         warmup, window = self.settings.slow_start, deque()
         listed = self.workers[ident].endpoint
         for at, number in self.attempts[ident]:
@@ -126,23 +126,23 @@
             while window[0][0] <= at - warmup.window:
                 window.popleft()
             share = present_share(warmup, window[0][0] - listed.started_at)
-            stands = budget(warmup.multiple * share * listed.size / WORK * warmup.window)
-            if len(window) > stands:  # it has fallen, and stays down
-                knew = {each for sent, each in window if sent >= self.heard[each]}
-                told = sum(each in knew for _, each in window)
+            limit = budget(warmup.multiple * share * listed.size / WORK * warmup.window)
+            if len(window) > limit:  # the worker is overloaded, and does not recover
+                informed = {each for sent, each in window if sent >= self.informed_at[each]}
+                told = sum(each in informed for _, each in window)
                 if told > 2 / 3 * len(window):
                     age = at - listed.started_at
-                    yield f"{ident}: {len(window)} of {stands:.1f} at {age:.0f} ms, {told} by the told"
+                    yield f"{ident}: {len(window)} of {limit:.1f} at {age:.0f} ms, {told} by informed front ends"
                 return
 
 
 class WholeFleet(unittest.TestCase):
-    """Real decisions of all front ends, on six servers that are made."""
+    """Decisions of all front ends on a simulated fleet of six workers that restart."""
 
-    def played(  # noqa: PLR0913 - one keyword for each property of the day
-        self, many, warmup, restarted=6, used=0.6, burst=1.0, gone=1000.0, told=(300.0, 600.0), skew=False
+    def run_scenario(  # noqa: PLR0913 - one keyword argument for each property of the scenario
+        self, many, warmup, restarted=6, used=0.6, burst=1.0, outage=1000.0, told=(300.0, 600.0), skew=False
     ):
-        """The fleet after that day, of `many` front ends, one of which has six times the others' traffic if `skew`."""
+        """Returns the fleet after the scenario; with `skew` one of the `many` front ends has six times the traffic."""
         settings = Settings(
             front_ends=many,
             zones=1,
@@ -152,76 +152,80 @@
             replica_memory=64.0,
             slow_start=warmup,
         )
-        fleet, until = MeasuredFleet(settings, 6, seed=1), RESTART + gone + 2.2 * warmup.window
+        fleet, until = MeasuredFleet(settings, 6, seed=1), RESTART + outage + 2.2 * warmup.window
         parts = [6.0 if skew and number == many // 2 else 1.0 for number in range(many)]
         fleet.traffic(parts, used, burst, until)
         fleet.run(RESTART)
-        fleet.restart(restarted, gone, told)
+        fleet.restart(restarted, outage, told)
         fleet.run(until)
         self.assertTrue(fleet.attempts)
         return fleet
 
     def test_all_servers_restart_under_a_burst(self):
-        """(settings, front ends) -> no server falls, whether all are told at once or late."""
+        """(settings, front ends) -> no worker is overloaded."""
         for warmup, many in itertools.product((LEAST, USUAL, GREATEST), (1, 2, 3, 8)):
             with self.subTest(warmup=warmup, many=many):
-                self.assertEqual(self.played(many, warmup, burst=1.5).falls(), [])
+                self.assertEqual(self.run_scenario(many, warmup, burst=1.5).overloaded_workers(), [])
 
     def test_one_front_end_has_several_times_the_mean(self):
         for many in (4, 20, 200):
             with self.subTest(many=many):
-                self.assertEqual(self.played(many, LEAST, used=0.85, skew=True, told=(0.0, 0.0)).falls(), [])
+                self.assertEqual(
+                    self.run_scenario(many, LEAST, used=0.85, skew=True, told=(0.0, 0.0)).overloaded_workers(), []
+                )
 
-    def test_a_zone_returns_at_once_and_is_listed_late(self):
-        """(front ends) -> four of six servers start anew within 10 ms, told 1 to 1.5 s later."""
+    def test_a_zone_restarts_at_once_and_is_listed_late(self):
+        """(front ends) -> no worker is overloaded where four of six restart within 10 ms, listed 1 to 1.5 s later."""
         for many in (1, 4, 30):
             with self.subTest(many=many):
-                fleet = self.played(many, USUAL, restarted=4, gone=10.0, told=(1000.0, 1500.0))
-                self.assertEqual(fleet.falls(), [])
+                fleet = self.run_scenario(many, USUAL, restarted=4, outage=10.0, told=(1000.0, 1500.0))
+                self.assertEqual(fleet.overloaded_workers(), [])
 
 
 class OneZoneCarriesAll(unittest.TestCase):
-    """Front ends numbered zone by zone, of which one zone has all the traffic, always with a request at hand."""
+    """Front ends are numbered zone by zone; those of one zone have all the traffic, and always a pending request."""
 
-    WORK, SIZE, SERVERS = 330.0, 3.0, 12
+    WORK, SIZE, WORKER_COUNT = 330.0, 3.0, 12
 
     def attempts(self, many: int, warmup: SlowStart, name: str) -> list[float]:
-        """When they sent to one server in slow start; they carried half of what the servers can do, evenly."""
+        """Returns the times (ms) at which they sent to one worker in slow start, after using half of all capacity."""
         request, sent, pairs = Mock(), [], []
         request.request_class.durations, request.request_class.latency_objective = [self.WORK], 0.0
         busy = many // 3
         for number in range(busy):
-            guards = SlowStartGuard(warmup, GatewayInstance(number, many, 0, (), False))
-            size = self.SERVERS * self.SIZE
-            guards.served_work.append(WorkSample(5000.0, size * 0.5 * 5000.0 / busy))
-            guards.update_estimates([Cell(0, 0, size=size, utilization=(0.5 * self.SERVERS, self.SERVERS))], 5000.0)
+            guard = SlowStartGuard(warmup, GatewayInstance(number, many, 0, (), False))
+            size = self.WORKER_COUNT * self.SIZE
+            guard.served_work.append(WorkSample(5000.0, size * 0.5 * 5000.0 / busy))
+            guard.update_estimates(
+                [Cell(0, 0, size=size, utilization=(0.5 * self.WORKER_COUNT, self.WORKER_COUNT))], 5000.0
+            )
             worker = Worker.from_endpoint(Endpoint(name, 0, 0, 0, "ready", self.SIZE, 5000.0), 1e4, 8.0)
             worker.open_records(RecordLengths(8, 8, 8, 8))
-            pairs.append((guards, worker))
+            pairs.append((guard, worker))
         for now in range(5000, int(5000 + warmup.ramp), 50):
-            for guards, worker in pairs:
-                while guards.admits(worker, request, float(now)):
-                    guards.attempt_sent(worker, request, float(now))
+            for guard, worker in pairs:
+                while guard.admits(worker, request, float(now)):
+                    guard.attempt_sent(worker, request, float(now))
                     sent.append(now - 5000.0)
         return sent
 
-    def test_neighbours_do_not_have_their_turns_at_once(self):
-        """(settings, front ends, server) -> no window over the budget."""
+    def test_front_ends_with_adjacent_indexes_have_turns_apart(self):
+        """(settings, front ends, worker) -> no window exceeds the budget."""
         for warmup, many, name in itertools.product((LEAST, USUAL, GREATEST), (3, 30, 200), ("z0", "z1")):
             with self.subTest(warmup=warmup, many=many, name=name):
                 sent = self.attempts(many, warmup, name)
                 self.assertTrue(sent)
                 for start in range(0, int(warmup.ramp - warmup.window), 100):
                     share = present_share(warmup, start)
-                    stands = budget(warmup.multiple * share * self.SIZE * warmup.window / self.WORK)
-                    self.assertLessEqual(sum(start <= at < start + warmup.window for at in sent), stands, start)
+                    limit = budget(warmup.multiple * share * self.SIZE * warmup.window / self.WORK)
+                    self.assertLessEqual(sum(start <= at < start + warmup.window for at in sent), limit, start)
 
 
 class OneFrontEnd(unittest.TestCase):
-    """What a front end sent before it was told counts towards what it may send after."""
+    """Attempts sent before a front end is informed of a restart count towards its limit afterwards."""
 
-    def settled(self):
-        """A front end, alone, that has been sending to its one worker for a while."""
+    def front_end_in_use(self):
+        """Returns a single front end that has been sending requests to its only worker."""
         fleet = FrontEnd(workers=1, front_ends=1)
         for _ in range(8):
             fleet.serve_requests(count=5)
@@ -229,52 +233,53 @@
             fleet.advance_time(200)
         return fleet
 
-    def most_at_once(self, fleet):
-        """How many of 60 requests at once go to a worker."""
+    def forwarded_at_once(self, fleet):
+        """Returns how many of 60 simultaneous requests are forwarded."""
         return len(forwarded_to([each for number in range(60) for each in fleet.submit(f"q{number}")]))
 
-    def sent_before(self, fleet, calls):
-        """Those of that many requests, at once, that go to the worker while nothing tells that it started anew."""
-        return len(forwarded_to([each for number in range(calls) for each in fleet.submit(f"b{number}")]))
+    def forwarded_before_restart_is_known(self, fleet, count):
+        """Returns how many of `calls` simultaneous requests are forwarded before the restart is known."""
+        return len(forwarded_to([each for number in range(count) for each in fleet.submit(f"b{number}")]))
 
     def test_attempts_before_the_start_was_listed_count(self):
-        fresh, late = self.settled(), self.settled()
+        fresh, late = self.front_end_in_use(), self.front_end_in_use()
         born = fresh.clock
         fresh.update_endpoints([listed_endpoint("a", started_at=born)])
-        allowed = self.most_at_once(fresh)
-        before = self.sent_before(late, 2)
+        allowed = self.forwarded_at_once(fresh)
+        before = self.forwarded_before_restart_is_known(late, 2)
         late.advance_time(50)
         late.update_endpoints([listed_endpoint("a", started_at=born)])
         self.assertGreater(allowed, before)
         self.assertGreater(before, 0)
-        self.assertLessEqual(before + self.most_at_once(late), allowed)
+        self.assertLessEqual(before + self.forwarded_at_once(late), allowed)
 
     def test_attempts_to_the_process_before_do_not_count(self):
-        fresh, other = self.settled(), self.settled()
-        self.assertGreater(self.sent_before(other, 2), 0)
+        fresh, other = self.front_end_in_use(), self.front_end_in_use()
+        self.assertGreater(self.forwarded_before_restart_is_known(other, 2), 0)
         for fleet in (fresh, other):
             fleet.advance_time(50)
             fleet.update_endpoints([listed_endpoint("a", started_at=fleet.clock)])
-        self.assertEqual(self.most_at_once(other), self.most_at_once(fresh))
+        self.assertEqual(self.forwarded_at_once(other), self.forwarded_at_once(fresh))
 
-    def test_attempts_before_a_connection_broke_went_to_the_process_that_ended(self):
-        """(outcome) -> they do not count; those of a worker known as cold still do, whatever breaks then."""
+    def test_attempts_before_a_lost_connection_count_only_if_the_worker_was_warming_up(self):
+        """(outcome) -> earlier attempts do not count, as they went to the process that ended. Attempts at a worker that
+        was already known to warm up still count after another lost connection."""
         for outcome in ("cut", "unreached"):
             with self.subTest(outcome=outcome):
-                fleet = self.settled()
-                rpcs = [
+                fleet = self.front_end_in_use()
+                requests = [
                     each.request
                     for number in range(8)
                     for each in fleet.submit(f"b{number}")
                     if isinstance(each, Forward)
                 ]
-                worker = rpcs[0].attempts[0].replica.worker
-                fleet.finish_attempt(rpcs[0], outcome)
+                worker = requests[0].attempts[0].replica.worker
+                fleet.finish_attempt(requests[0], outcome)
                 self.assertTrue(fleet.router.slow_start.is_warming_up(worker, fleet.clock))
-                self.assertTrue(all(at >= fleet.clock for at, _ in worker.slow_start_sends))  # a retry at most
+                self.assertTrue(all(at >= fleet.clock for at, _ in worker.slow_start_sends))  # at most a retry remains
                 worker.slow_start_sends.clear()
                 for _ in range(3):
-                    fleet.router.slow_start.attempt_sent(worker, rpcs[0], fleet.clock)
+                    fleet.router.slow_start.attempt_sent(worker, requests[0], fleet.clock)
                 fleet.advance_time(50)
                 fleet.router.slow_start.connection_lost(worker, fleet.clock)
                 self.assertEqual(len(worker.slow_start_sends), 3)
