--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -81,13 +81,16 @@
 
     @property
     def ready_workers(self):
+        """Returns the workers that are listed as ready."""
         return self.cell.ready_workers
 
     @property
     def placement(self):
+        """Returns the placement of the only cell."""
         return self.cell.placement
 
     def update_endpoints(self, endpoints, whole=True):
+        """Passes entries of the endpoint list to the router; returns the decisions."""
         self.router.advance(self.clock)
         self.router.endpoints_changed(endpoints, whole)
         return self.take_decisions()
@@ -102,6 +105,7 @@
         return done
 
     def submit(self, function="p", time_left=4000.0, policy=None):
+        """Passes a request to the router; returns the decisions."""
         self.ids += 1
         self.router.advance(self.clock)
         received = RequestReceived(
@@ -111,6 +115,7 @@
         return self.take_decisions()
 
     def finish_attempt(self, request, outcome="ok", number=None, load_note="stood", final=None):
+        """Passes the outcome of an attempt, by default the last one, to the router; returns the decisions."""
         final = outcome == "ok" if final is None else final
         number = len(request.attempts) - 1 if number is None else number
         load_note = load_note if outcome == "ok" else None
@@ -119,6 +124,7 @@
         return self.take_decisions()
 
     def advance_time(self, ms, step=50.0):
+        """Advances the router's time in steps; returns the decisions."""
         done = []
         for _ in range(round(ms / step)):
             self.clock += step
--- a/tests/readiness_rig.py
+++ b/tests/readiness_rig.py
@@ -16,6 +16,7 @@
     """Base class of tests on the leases of the endpoint list and of workers."""
 
     def start_front_end(self, workers=4, **more):
+        """Creates and returns a front end with health checks on demand only."""
         self.front_end = FrontEnd(workers, health_checks=True, **more)
         router = self.front_end.router
         router.health_checker.check_in_turn = (
@@ -26,6 +27,7 @@
         return self.front_end
 
     def heard(self, at=None):
+        """Reports a message from discovery, by default now; returns the decisions."""
         self.front_end.router.advance(self.front_end.clock)
         self.front_end.router.discovery_heard(self.front_end.clock if at is None else at)
         return self.front_end.take_decisions()
@@ -38,6 +40,7 @@
         self.front_end.advance_time(WORKER_LEASE + 50.0)
 
     def answer(self, worker, outcome=Outcome.OK, same_process_since=NEVER):
+        """Answers the health check of a worker; returns the decisions."""
         self.front_end.router.advance(self.front_end.clock)
         self.front_end.router.health_checked(worker, outcome, None, same_process_since)
         return self.front_end.take_decisions()
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -236,7 +236,7 @@
         attempts_in_flight = [first_decision(front_end.submit(policy=high)).request]
         for policy in (low, low, high, short):
             front_end.submit(policy=policy)
-        waiting = list(front_end.router.dispatcher.waiting)
+        waiting = list(front_end.router.dispatcher.waiting_requests)
         self.assertEqual(len(waiting), 4)
         self.assertEqual(decision_names(front_end.advance_time(100)).count("reject"), 0)
         self.assertIn("reject", decision_names(front_end.advance_time(100)))
--- a/wickdyke/routing/active_workers.py
+++ b/wickdyke/routing/active_workers.py
@@ -99,9 +99,8 @@
             )
             return next(counts, len(sums))
 
-        self.count -= (
-            workers_for(load / MAX_LOAD_AFTER_REMOVAL) < self.count
-        )  # removes one per period, with capacity to spare
+        # Removes at most one worker per period, and only with capacity to spare.
+        self.count -= workers_for(load / MAX_LOAD_AFTER_REMOVAL) < self.count
         self.count = max(workers_for(load), min(self.count, len(order)))
         return order[: self.count]
 
--- a/wickdyke/routing/dispatcher.py
+++ b/wickdyke/routing/dispatcher.py
@@ -65,26 +65,26 @@
     global_concurrency: GlobalConcurrency
     decisions: deque[Decision]
     requests: dict[int, Request] = field(default_factory=dict)
-    pending: deque[Request] = field(default_factory=deque)  # requests to dispatch now
-    waiting: list[Request] = field(default_factory=list)  # requests to dispatch again at the next tick
+    dispatch_queue: deque[Request] = field(default_factory=deque)  # requests to dispatch now
+    waiting_requests: list[Request] = field(default_factory=list)  # requests to dispatch again at the next tick
     unplaceable: set[RequestKind] = field(default_factory=set)  # kinds for which no replica was found at this time
 
     def open(self, request: Request) -> None:
         """Adds a new request."""
         self.requests[request.ident] = request
-        self.pending.append(request)
+        self.dispatch_queue.append(request)
 
     def attempt_failed(self, request: Request) -> None:
         """Queues a request for dispatch after one of its attempts ended without a final answer."""
         if not request.queued:
             request.queued = True
-            self.pending.append(request)
+            self.dispatch_queue.append(request)
 
     def retry_waiting(self, rank: Callable[[Request], tuple[float, float]]) -> None:
         """Queues all waiting requests for dispatch, in ascending order of `rank`."""
-        self.waiting.sort(key=rank)
-        self.pending.extend(self.waiting)
-        self.waiting = []
+        self.waiting_requests.sort(key=rank)
+        self.dispatch_queue.extend(self.waiting_requests)
+        self.waiting_requests = []
 
     def close(self, request: Request) -> None:
         """Closes a request that is answered or whose client is gone, and cancels its attempts in flight."""
@@ -171,7 +171,7 @@
 
     def _filter(self, request: Request, excluded: set[Worker], now: float) -> Callable[[Worker], bool]:
         allowed = attempts_allowed(request, self.limits)
-        missed = {
+        missed_workers = {
             attempt.replica.worker
             for attempt in request.attempts
             if attempt.outcome == Outcome.MISS
@@ -187,7 +187,7 @@
                 and worker.ejected_until <= now
                 and worker.not_ready_since is None
                 and (not list_expired or self.readiness.may_choose(worker, now))
-                and not (worker in missed and not self.prewarm_limiter.may_send(worker, False, now))
+                and not (worker in missed_workers and not self.prewarm_limiter.may_send(worker, False, now))
                 and not (worker.ejections and (worker.in_flight or worker.failed_checks))
                 and self.slow_start.admits(worker, request, now)
                 and may_attempt_at(request, worker, allowed, now)
@@ -243,7 +243,7 @@
     def forward(self, request: Request, replica: Replica, now: float) -> None:
         """Sends the next attempt to the replica."""
         worker = replica.worker
-        warm = self.latency.is_loaded(replica, now)
+        expected_loaded = self.latency.is_loaded(replica, now)
         worker.open_records(WORKER_RECORDS)
         expected = self.latency.expected_latency(replica, request, now)
         active_at_worker = active_attempts(worker, now)
@@ -251,16 +251,16 @@
         overdue_at = now + max(MIN_OVERDUE, OVERDUE_FACTOR * expected)
         number = len(request.attempts)
         attempt = Attempt(  # positional arguments, as keyword arguments take twice the time
-            request, number, replica, now, expected, warm, active_at_worker, active_in_total, overdue_at
+            request, number, replica, now, expected, expected_loaded, active_at_worker, active_in_total, overdue_at
         )
         begin_attempt(attempt)
         self.global_concurrency.in_flight.append(attempt)
-        if warm:
+        if expected_loaded:
             begin_activity(attempt, (worker, self.global_concurrency))
         self.slow_start.attempt_sent(worker, request, now)
         timeout = request.route_policy.attempt_timeout if request.route_policy else None
         self.decisions.append(Forward(request, worker, timeout))
-        if warm:
+        if expected_loaded:
             replica.last_used = now
         elif self.cache.loads_on_demand:
             replica.loading_since = replica.loading_since or now
@@ -290,7 +290,7 @@
         quota_used_up = request.attempts and not replica and not self.cache.loads_on_demand
         if quota_used_up and not self.readiness.list_expired(now):
             request.not_before = max(request.not_before, now + RETRY_INTERVAL)
-        self.waiting.append(request)
+        self.waiting_requests.append(request)
 
     def _give_up(self, request: Request) -> None:
         if may_reject(request):
--- a/wickdyke/routing/in_flight.py
+++ b/wickdyke/routing/in_flight.py
@@ -46,7 +46,7 @@
     """
     while pool.overdue_queue and pool.overdue_queue[0][0] < now:
         attempt = heappop(pool.overdue_queue).attempt
-        pool.active_count -= attempt.warm and attempt.outcome is None
+        pool.active_count -= attempt.expected_loaded and attempt.outcome is None
     return pool.active_count
 
 
@@ -60,7 +60,7 @@
 
 def end_activity(attempt: Attempt, pools: tuple[ConcurrencyLimited, ...], now: float) -> None:
     """Removes an attempt from the active attempts of the pools."""
-    if not attempt.warm or attempt.outcome is not None:
+    if not attempt.expected_loaded or attempt.outcome is not None:
         return
     for pool in pools:
         active_attempts(pool, now)
--- a/wickdyke/routing/latency.py
+++ b/wickdyke/routing/latency.py
@@ -48,7 +48,7 @@
 
 def is_overdue(attempt: Attempt, now: float) -> bool:
     """Returns whether an answer to the attempt should have been received by `now` (ms)."""
-    factor = OVERDUE_FACTOR if attempt.warm else 1.0
+    factor = OVERDUE_FACTOR if attempt.expected_loaded else 1.0
     return now - attempt.sent_at > max(MIN_OVERDUE, factor * attempt.expected_latency)
 
 
--- a/wickdyke/routing/model.py
+++ b/wickdyke/routing/model.py
@@ -372,8 +372,8 @@
 class Attempt:
     """One attempt of a request at a replica.
 
-    `warm`: whether a loaded replica was expected. `active_at_worker` and `active_in_total` are the numbers of this
-    front end's attempts that were active when this one was sent.
+    `expected_loaded`: whether a loaded replica was expected. `active_at_worker` and `active_in_total` are the numbers
+    of this front end's attempts that were active when this one was sent.
     """
 
     request: Request
@@ -381,7 +381,7 @@
     replica: Replica
     sent_at: float
     expected_latency: float
-    warm: bool
+    expected_loaded: bool
     active_at_worker: int
     active_in_total: int
     overdue_at: float = 0.0
--- a/wickdyke/routing/outliers.py
+++ b/wickdyke/routing/outliers.py
@@ -50,7 +50,7 @@
         self.last_outcomes: dict[Worker, tuple[float, Outcome]] = {}  # time (ms) and outcome, of recent workers
         self.network_fault = False
 
-    def forget(self, worker: Worker) -> None:
+    def remove_worker(self, worker: Worker) -> None:
         """Removes a worker that is no longer listed."""
         self.ejected.pop(worker, None)
         self.last_outcomes.pop(worker, None)
@@ -135,7 +135,9 @@
                 for attempt in worker.in_flight
             )
         unanswered = [
-            attempt for attempt in worker.in_flight if worker.last_answer_at <= attempt.sent_at and attempt.warm
+            attempt
+            for attempt in worker.in_flight
+            if worker.last_answer_at <= attempt.sent_at and attempt.expected_loaded
         ]
         silences = (
             (now - attempt.sent_at) / max(attempt.expected_latency, MIN_EXPECTED_LATENCY) for attempt in unanswered
--- a/wickdyke/routing/readiness.py
+++ b/wickdyke/routing/readiness.py
@@ -53,8 +53,8 @@
         self.log_note = log_note
         self.worker_lease = max(MIN_WORKER_LEASE, GRACE_FRACTION * drain_grace)
         self.list_lease = OUTAGE_NOTICE_DELAY + self.worker_lease
-        self.heard_at: float | None = None  # ms; None where the host does not report it
-        self.lost_at = NEVER  # ms; updates since then may be missing, however short the outage was
+        self.discovery_heard_at: float | None = None  # ms; None where the host does not report it
+        self.discovery_lost_at = NEVER  # ms; updates since then may be missing, however short the outage was
         self.list_valid_until = math.inf  # ms
         self.list_was_expired = False
         self.not_ready: dict[Worker, None] = {}  # workers that answered so, or whose process has ended
@@ -64,7 +64,7 @@
 
     def discovery_heard(self, at: float) -> None:
         """Records that the endpoint list was complete at `at` (ms); -inf where its age is unknown."""
-        self.heard_at = at if self.heard_at is None else max(at, self.heard_at)
+        self.discovery_heard_at = at if self.discovery_heard_at is None else max(at, self.discovery_heard_at)
         self._renew_list()
 
     def discovery_lost(self, at: float) -> None:
@@ -73,15 +73,15 @@
         Discovery may have been reachable during that time, so OUTAGE_NOTICE_DELAY does not apply: the gateway is
         treated as informed at once of what discovery reported.
         """
-        if self.heard_at is not None:
-            self.lost_at = max(at, self.lost_at)
+        if self.discovery_heard_at is not None:
+            self.discovery_lost_at = max(at, self.discovery_lost_at)
             self._renew_list()
 
     def _renew_list(self) -> None:
-        assert self.heard_at is not None
-        self.list_valid_until = self.heard_at + self.list_lease
-        if self.heard_at <= self.lost_at:
-            self.list_valid_until = min(self.list_valid_until, self.lost_at + self.worker_lease)
+        assert self.discovery_heard_at is not None
+        self.list_valid_until = self.discovery_heard_at + self.list_lease
+        if self.discovery_heard_at <= self.discovery_lost_at:
+            self.list_valid_until = min(self.list_valid_until, self.discovery_lost_at + self.worker_lease)
 
     def work_accepted(self, worker: Worker, sent_at: float) -> None:
         """Records that the worker accepted work that was sent at `sent_at` (ms)."""
@@ -92,7 +92,7 @@
         if self.list_expired(now):
             worker.ready_at = NEVER
 
-    def checked(self, worker: Worker, outcome: Outcome, same_process_since: float | None, now: float) -> None:
+    def check_finished(self, worker: Worker, outcome: Outcome, same_process_since: float | None, now: float) -> None:
         """Records the outcome of a health check of the worker.
 
         `same_process_since`: the earliest time (ms) since which the worker's connections show the same process.
@@ -113,7 +113,7 @@
         if self.updates_may_be_missing(now) and self.health_checker.enabled:
             self._exclude(worker, "its process ended", now)
 
-    def forget(self, worker: Worker) -> None:
+    def remove_worker(self, worker: Worker) -> None:
         """Removes a worker that is no longer listed, or is listed as restarted."""
         self.not_ready.pop(worker, None)
         self.proved_ready.discard(worker)
@@ -124,7 +124,7 @@
 
     def updates_may_be_missing(self, now: float) -> bool:
         """Returns whether discovery is silent, so that updates may be missing although the list may still be valid."""
-        return self.heard_at is not None and now - self.heard_at >= MAX_DISCOVERY_SILENCE
+        return self.discovery_heard_at is not None and now - self.discovery_heard_at >= MAX_DISCOVERY_SILENCE
 
     def _exclude(self, worker: Worker, reason: str, now: float) -> None:
         if worker.not_ready_since is None:
@@ -141,7 +141,7 @@
             if restarted and self.updates_may_be_missing(now):
                 return  # it may be another worker at the same address
             self._readmit(worker, restarted, now)
-        elif is_new_process and self.heard_at is not None and process_since > self.heard_at:
+        elif is_new_process and self.discovery_heard_at is not None and process_since > self.discovery_heard_at:
             self._record_restart(worker, now)
         worker.ready_at = max(worker.ready_at, check_sent_at)
         if self.list_was_expired and worker not in self.proved_ready:
--- a/wickdyke/routing/results.py
+++ b/wickdyke/routing/results.py
@@ -41,13 +41,13 @@
         function = attempt.request.function
         if load_note in (LoadNote.STARTED_LOAD, LoadNote.AWAITED_LOAD):
             end_activity(attempt, (worker, self.global_concurrency), now)
-            attempt.warm = False
+            attempt.expected_loaded = False
         self._adapt_limits(attempt, outcome, now)
         end_activity(attempt, (worker, self.global_concurrency), now)
         if attempt.outcome is None:
             self.global_concurrency.in_flight.remove(attempt)
         finish_attempt(attempt, outcome)
-        if attempt.warm or load_note == LoadNote.ALREADY_LOADED:
+        if attempt.expected_loaded or load_note == LoadNote.ALREADY_LOADED:
             self.latency.record_attempt(attempt, outcome, now)
         if outcome == Outcome.OK:
             self._attempt_served(attempt, load_note, concurrent, now)
@@ -64,7 +64,7 @@
     def _adapt_limits(self, attempt: Attempt, outcome: Outcome, now: float) -> None:
         policy = attempt.request.route_policy
         timed_out = outcome == Outcome.TIMEOUT and policy is not None and policy.attempt_timeout is not None
-        if not attempt.warm or not (outcome == Outcome.OK or timed_out):
+        if not attempt.expected_loaded or not (outcome == Outcome.OK or timed_out):
             return
         pools: list[tuple[ConcurrencyLimited, int]] = [(attempt.replica.worker, attempt.active_at_worker)]
         # Next to other attempts of this front end at the worker, the latency tells only about that worker.
@@ -81,7 +81,11 @@
         if self.cache.reports_concurrency:
             function.concurrency_samples.append((replica.worker, concurrent))
         self.slow_start.request_served(request, now)
-        if replica.loading_since is not None and load_note in (LoadNote.STARTED_LOAD, None) and not attempt.warm:
+        if (
+            replica.loading_since is not None
+            and load_note in (LoadNote.STARTED_LOAD, None)
+            and not attempt.expected_loaded
+        ):
             elapsed = now - replica.loading_since - self.latency.expected_work(request)
             self.latency.record_load(function, elapsed, load_note == LoadNote.STARTED_LOAD)
         replica.loaded_replicas = max(1, replica.loaded_replicas)
--- a/wickdyke/routing/retries.py
+++ b/wickdyke/routing/retries.py
@@ -12,9 +12,11 @@
     """The retry budgets of routes by key, which persist when the route configuration is reloaded."""
 
     def __init__(self) -> None:
+        """Creates a collection without budgets."""
         self.by_key: dict[str, RetryBudget] = {}
 
     def __bool__(self) -> bool:
+        """Returns whether any request had a route policy so far."""
         return bool(self.by_key)
 
     def request_received(self, policy: RoutePolicy, now: float) -> RetryBudget:
--- a/wickdyke/routing/router.py
+++ b/wickdyke/routing/router.py
@@ -167,8 +167,8 @@
             self.following_endpoints = self.discovery.pushed
         changes = self.fleet.update(endpoints, bool(whole))
         for worker in changes.removed:
-            self.outliers.forget(worker)
-            self.readiness.forget(worker)
+            self.outliers.remove_worker(worker)
+            self.readiness.remove_worker(worker)
             self.prewarmer.release(worker)
             self.slow_start.carry_over(worker, self.workers.get(worker.endpoint.ident))
         for cell in changes.cells:
@@ -288,7 +288,7 @@
             self.outliers.record(worker, outcome, now)
         elif outcome == Outcome.CONNECTION_LOST:
             self.readiness.process_ended(worker, now)
-        self.readiness.checked(worker, outcome, same_process_since, now)
+        self.readiness.check_finished(worker, outcome, same_process_since, now)
         self.wake_at = min(self.wake_at, now + TICK_INTERVAL)
         if self.readiness.list_expired(now):
             self._readiness_answered(worker, outcome)
@@ -299,7 +299,7 @@
         if self.readiness.may_send(worker, self.now):
             self.planned_prewarms.extend(released_plans)
         answered = outcome in (Outcome.OK, Outcome.NOT_READY)
-        if answered and len(self.dispatcher.waiting) <= MAX_RETRIED_ON_ANSWER:  # otherwise at the next tick
+        if answered and len(self.dispatcher.waiting_requests) <= MAX_RETRIED_ON_ANSWER:  # otherwise at the next tick
             self.dispatcher.retry_waiting(self._rank)
 
     # ---- decisions ----
@@ -309,8 +309,8 @@
         if self.now >= self.wake_at:
             self._tick()
         while not (self.log_notes or self.decisions):
-            if self.dispatcher.pending:
-                self.dispatcher.dispatch(self.dispatcher.pending.popleft(), self.now)
+            if self.dispatcher.dispatch_queue:
+                self.dispatcher.dispatch(self.dispatcher.dispatch_queue.popleft(), self.now)
             elif self.planned_prewarms:
                 self.prewarmer.send(self.planned_prewarms.popleft(), self.now)
             else:
--- a/wickdyke/routing/selection.py
+++ b/wickdyke/routing/selection.py
@@ -55,8 +55,8 @@
         """Returns a replica, new if necessary, on a worker that `can_serve`; None where the request has to wait."""
         function = request.function
         placement = self.fleet.home_of(function).placement
-        if trial := self._recovering_worker_to_try(request, placement, can_serve):
-            return replica_of(function, trial)
+        if recovering_worker := self._recovering_worker_to_try(request, placement, can_serve):
+            return replica_of(function, recovering_worker)
         withdrawn_from = _withdrawn_from(request)
         usable = _usable_replicas(request, withdrawn_from, can_serve)
         if replica := self._best_existing(request, usable, placement, now):
@@ -88,8 +88,10 @@
         if request.attempts or request.request_class.effect != Effect.IDEMPOTENT:
             return None
         members = placement.cell.members
-        trials = [worker for worker in self.outliers.ejected if worker.endpoint.ident in members and can_serve(worker)]
-        return min(trials, key=lambda worker: rendezvous_rank(request.function, worker), default=None)
+        recovering_workers = [
+            worker for worker in self.outliers.ejected if worker.endpoint.ident in members and can_serve(worker)
+        ]
+        return min(recovering_workers, key=lambda worker: rendezvous_rank(request.function, worker), default=None)
 
     def _best_existing(
         self, request: Request, usable: list[Replica], placement: Placement, now: float
