--- a/tests/handmade_trace.py
+++ b/tests/handmade_trace.py
@@ -1,4 +1,4 @@
-"""Handmade traces. Each function returns an event: (time in ms, writer, kind of line, its further keys)."""
+"""Builds traces by hand. Each function returns an event: (time in ms, writer, kind of line, other keys)."""
 
 SETTINGS = {
     "overlap": False,
@@ -21,7 +21,7 @@
 
 
 def trace(*events, **settings):
-    """The lines of a trace of these events, numbered in their order; `settings` replace some of SETTINGS."""
+    """Returns the lines of a trace of these events, numbered in their order; `settings` override SETTINGS."""
     lines = [{"t": 0.0, "by": "director", "n": 0, "what": "terms", **SETTINGS, **settings}]
     for number, (time_ms, writer, kind, keys) in enumerate(events, 1):
         lines.append({"t": float(time_ms), "by": writer, "n": number, "what": kind, **keys})
@@ -29,7 +29,7 @@
 
 
 def sent(time_ms, mark="a", method="idem", time_left=1000.0, gateway="g1"):
-    """A client sends a request, to be answered within `time_left` ms."""
+    """A client sends a request with a deadline `time_left` ms later."""
     return (
         time_ms,
         "c1",
@@ -44,7 +44,7 @@
 
 
 def lost(time_ms, mark="a", gateway="g1"):
-    """A client loses the connection that a request went over."""
+    """A client loses the connection over which it sent a request."""
     return time_ms, "c1", "lost", {"mark": mark, "gateway": gateway}
 
 
@@ -59,7 +59,7 @@
 
 
 def cancelled(time_ms, worker="w1", mark="a"):
-    """A worker receives the cancel of an attempt."""
+    """A worker receives the cancellation of an attempt."""
     return time_ms, worker, "cancel", {"mark": mark, "gateway": "g1"}
 
 
@@ -74,12 +74,12 @@
 
 
 def published(time_ms, state, worker="w1"):
-    """The endpoint list states another state of a worker."""
+    """The endpoint list publishes a new state of a worker."""
     return time_ms, "director", "told", {"worker": worker, "state": state, "start": 1}
 
 
 def prewarm(time_ms, replicas=1, worker="w1", gateway="g1"):
-    """A worker receives an order to have replicas loaded; 0 only asks how many are."""
+    """A worker receives a prewarm request; 0 replicas only query how many are loaded."""
     return time_ms, worker, "hold", {"gateway": gateway, "program": "p", "copies": replicas, "start": 1}
 
 
--- a/tests/test_rule_checker.py
+++ b/tests/test_rule_checker.py
@@ -1,4 +1,7 @@
-"""The rule checker: traces that break a rule, by one event or one millisecond, and near misses that keep it."""
+"""Tests of the rule checker with handmade traces.
+
+Traces that break a rule by one event or one millisecond stand beside traces that barely follow it.
+"""
 
 import unittest
 
@@ -20,14 +23,14 @@
 )
 from wickdyke.fault_injection.rule_checker import RuleChecker
 
-SUCCESS = [sent(10), received(11), ended(20), answered(21)]
+ANSWERED_REQUEST = [sent(10), received(11), ended(20), answered(21)]
 
 
 class RuleTest(unittest.TestCase):
-    """The cases of each rule."""
+    """Checks for each rule which traces break it."""
 
     def check(self, cases):
-        """Each case: its name, its events, and the numbers of the rules that they break."""
+        """Checks cases of (name, events of the trace, numbers of the rules that the trace breaks)."""
         for name, events, rules in cases:
             with self.subTest(case=name):
                 checker = RuleChecker(trace(*events))
@@ -36,19 +39,23 @@
     def test_lost_requests(self):
         self.check(
             (
-                ("answered once", SUCCESS, []),
-                ("answered at the last moment", [sent(10), answered(1010, "denied")], []),
-                ("answered a millisecond late", [sent(10), answered(1011, "denied")], [1]),
+                ("answered once", ANSWERED_REQUEST, []),
+                ("answered at its deadline", [sent(10), answered(1010, "denied")], []),
+                ("answered a millisecond after its deadline", [sent(10), answered(1011, "denied")], [1]),
                 ("never answered", [sent(10)], [1]),
-                ("answered twice", [*SUCCESS, answered(22)], [1]),
+                ("answered twice", [*ANSWERED_REQUEST, answered(22)], [1]),
                 ("answered again after its deadline", [sent(10), answered(30, "aborted"), answered(2000)], [1]),
                 ("an invalid answer", [sent(10), answered(20, "malformed")], [1]),
-                ("an unsolicited answer", [*SUCCESS, answered(22, mark="b")], [1]),
+                ("an unsolicited answer", [*ANSWERED_REQUEST, answered(22, mark="b")], [1]),
                 ("lost with its gateway", [sent(10), gateway_killed(15), lost(16)], []),
                 ("lost while its gateway ran", [sent(10), lost(16)], [1]),
                 ("lost with another gateway", [sent(10), gateway_killed(15, "g2"), lost(16)], [1]),
                 ("lost before its gateway was killed", [sent(10), lost(16), gateway_killed(17)], [1]),
-                ("lost by a gateway killed before", [gateway_killed(5), gateway_started(6), sent(10), lost(16)], [1]),
+                (
+                    "lost by a gateway that was killed before and restarted",
+                    [gateway_killed(5), gateway_started(6), sent(10), lost(16)],
+                    [1],
+                ),
             )
         )
 
@@ -150,7 +157,7 @@
                     [keyed_in_zone, received(11), ended(20, result="error"), answered(21, "denied")],
                     [2],
                 ),
-                ("an attempt of no request", [received(11), ended(12)], [2]),
+                ("an attempt without a request", [received(11), ended(12)], [2]),
             )
         )
 
@@ -158,12 +165,12 @@
         self.check(
             (
                 (
-                    "two at once",
+                    "two attempts in progress",
                     [sent(10), received(11), received(12, "w2"), ended(20), ended(21, "w2"), answered(22)],
                     [2],
                 ),
                 (
-                    "by one millisecond",
+                    "overlap of one millisecond",
                     [sent(10), received(11), received(19, "w2"), ended(20), ended(21, "w2"), answered(22)],
                     [2],
                 ),
@@ -178,7 +185,7 @@
                     [],
                 ),
                 (
-                    "after a lost answer, no cancel",
+                    "after a lost answer, without a cancel",
                     [
                         sent(10),
                         received(11),
@@ -205,16 +212,24 @@
         request = [sent(10, time_left=9000.0), answered(2500)]
         self.check(
             (
-                ("at the grace's end", [*request, published(1000, "draining"), received(2000), ended(2100)], []),
-                ("a millisecond past it", [*request, published(1000, "draining"), received(2001), ended(2100)], [3]),
-                ("after gone", [*request, published(1000, "gone"), received(2001), ended(2100)], [3]),
                 (
-                    "a second state does not extend the grace",
+                    "at the end of the grace period",
+                    [*request, published(1000, "draining"), received(2000), ended(2100)],
+                    [],
+                ),
+                (
+                    "a millisecond after the grace period",
+                    [*request, published(1000, "draining"), received(2001), ended(2100)],
+                    [3],
+                ),
+                ("after a removal", [*request, published(1000, "gone"), received(2001), ended(2100)], [3]),
+                (
+                    "a second state does not extend the grace period",
                     [*request, published(1000, "draining"), published(1500, "gone"), received(2001), ended(2100)],
                     [3],
                 ),
                 (
-                    "ready again before",
+                    "ready again before the attempt",
                     [*request, published(1000, "gone"), published(1999, "ready"), received(2001), ended(2100)],
                     [],
                 ),
@@ -225,9 +240,9 @@
         )
 
     def test_slow_start(self):
-        def requests(*times, work=500.0, gateways=("g1",)):
+        def requests(*times_ms, work=500.0, gateways=("g1",)):
             events = [worker_started(1000)]
-            for index, time_ms in enumerate(times):
+            for index, time_ms in enumerate(times_ms):
                 mark, gateway = f"m{index}", gateways[index % len(gateways)]
                 events += [
                     sent(time_ms - 1, mark, time_left=60000, gateway=gateway),
@@ -237,14 +252,14 @@
                 ]
             return events
 
-        # At its start a worker stands 2 x 0.25 x 4 x 1000 = 2000 ms of work in a second.
+        # The limit at the start of the slow start is 2 x 0.25 x 4 x 1000 = 2000 ms of work in a second.
         self.check(
             (
-                ("as much work as it stands", requests(1000, 1001, 1002, 1003), []),
+                ("as much work as the limit", requests(1000, 1001, 1002, 1003), []),
                 ("one attempt more", requests(1000, 1001, 1002, 1003, 1004), [4]),
                 ("from two gateways together", requests(1000, 1001, 1002, 1003, 1004, gateways=("g1", "g2")), [4]),
-                ("the fifth when the first is out of the window", requests(1000, 1100, 1200, 1300, 2000), []),
-                ("the fifth a millisecond before", requests(1000, 1100, 1200, 1300, 1301), [4]),
+                ("the fifth attempt when the first has left the window", requests(1000, 1100, 1200, 1300, 2000), []),
+                ("the fifth attempt a millisecond earlier", requests(1000, 1100, 1200, 1300, 1301), [4]),
                 ("after the ramp", requests(*[11000 + number for number in range(30)]), []),
                 ("crashed", [worker_started(1000), worker_crashed(1500)], [4]),
                 (
@@ -263,21 +278,25 @@
         ]
         self.check(
             (
-                ("the free ones", [prewarm(10), prewarm(11)], []),
-                ("one more", [prewarm(10), prewarm(11), prewarm(12)], [5]),
+                ("the free prewarms", [prewarm(10), prewarm(11)], []),
+                ("one more than the free prewarms", [prewarm(10), prewarm(11), prewarm(12)], [5]),
                 ("prewarms of no replicas do not count", [prewarm(10), prewarm(11), prewarm(12, 0)], []),
                 ("earned by requests", [*requests, *[prewarm(200 + number) for number in range(4)]], []),
-                ("one more than those", [*requests, *[prewarm(200 + number) for number in range(5)]], [5]),
+                ("one more than the requests earn", [*requests, *[prewarm(200 + number) for number in range(5)]], [5]),
                 (
                     "requests of another gateway earn nothing",
                     [*requests, *[prewarm(200 + number, gateway="g2") for number in range(3)]],
                     [5],
                 ),
-                ("the third when the first is out of the window", [prewarm(10), prewarm(11), prewarm(5010)], []),
-                ("the third a millisecond before", [prewarm(10), prewarm(11), prewarm(5009)], [5]),
-                ("over all workers", [prewarm(10), prewarm(11, worker="w2"), prewarm(12, worker="w3")], [5]),
+                ("the third prewarm when the first has left the window", [prewarm(10), prewarm(11), prewarm(5010)], []),
+                ("the third prewarm a millisecond earlier", [prewarm(10), prewarm(11), prewarm(5009)], [5]),
+                (
+                    "prewarms of all workers are counted together",
+                    [prewarm(10), prewarm(11, worker="w2"), prewarm(12, worker="w3")],
+                    [5],
+                ),
                 (
-                    "a restarted gateway starts anew",
+                    "a restarted gateway has its whole quota again",
                     [prewarm(10), prewarm(11), gateway_started(12), prewarm(13), prewarm(14)],
                     [],
                 ),
@@ -285,7 +304,7 @@
         )
 
     def test_transit(self):
-        """The time between a send and the line that shows it is allowed for, and no more."""
+        """A delay of up to `transit` ms between the sending of a message and the line that records it is allowed."""
         for delay, rules in ((50, []), (51, [2])):
             checker = RuleChecker(
                 trace(
@@ -301,7 +320,7 @@
             self.assertEqual(sorted({finding.rule for finding in checker.findings}), rules)
 
     def test_same_worker_again(self):
-        """A cancel written just after the next attempt at the same worker belongs to the first, by its number."""
+        """The number of a cancel tells its attempt where a worker records it after the next attempt of the request."""
 
         def numbered(event, attempt_number):
             return *event[:3], {**event[3], "job": attempt_number}
@@ -310,9 +329,9 @@
         retried = numbered(received(20), 2)
         for name, events, rules in (
             ("in order", [numbered(cancelled(19), 1), retried], []),
-            ("written a little late", [retried, numbered(cancelled(25), 1)], []),
-            ("written much too late", [retried, numbered(cancelled(71), 1)], [2]),
-            ("the second cancelled, not the first", [retried, numbered(cancelled(25), 2)], [2]),
+            ("recorded after the next attempt, within the transit time", [retried, numbered(cancelled(25), 1)], []),
+            ("recorded after the transit time", [retried, numbered(cancelled(71), 1)], [2]),
+            ("the second attempt cancelled, not the first", [retried, numbered(cancelled(25), 2)], [2]),
         ):
             with self.subTest(case=name):
                 checker = RuleChecker(
--- a/wickdyke/fault_injection/rule_checker/checker.py
+++ b/wickdyke/fault_injection/rule_checker/checker.py
@@ -1,4 +1,4 @@
-"""The rule checker: all rules over one trace."""
+"""The rule checker: applies all rules to one trace."""
 
 from collections import Counter
 from collections.abc import Iterable
@@ -19,7 +19,7 @@
 
 
 class RuleChecker:
-    """Reads a trace once; `findings` are the broken rules, in the order of time."""
+    """Checks a trace once; `findings` lists the violations of rules in order of time."""
 
     def __init__(self, trace: Iterable[Entry]) -> None:
         """Checks the lines of a trace, sorted by time; raises InvalidTraceError where they lack the run's settings."""
@@ -30,9 +30,9 @@
         )
 
     def outcomes(self) -> dict[str, Counter[str]]:
-        """By method, the requests asked (sent), ok in time, ok late, denied (rejected), aborted (failed), lost."""
+        """Counts by method: asked (sent), ok in time, ok late, denied (rejected), aborted (failed) and lost requests."""
         return outcomes.count_outcomes(self.run)
 
     def latencies(self) -> dict[str, list[float]]:
-        """By method, the latency of each ok answer, in ms."""
+        """Returns by method the latency of each ok answer, in ms."""
         return outcomes.latencies(self.run)
--- a/wickdyke/fault_injection/rule_checker/double_effects.py
+++ b/wickdyke/fault_injection/rule_checker/double_effects.py
@@ -1,4 +1,4 @@
-"""Rule 2: no effect happens twice, and a rejected request had none."""
+"""Rule 2: no request takes effect twice, and a rejected request has no effect."""
 
 from collections.abc import Iterator
 
@@ -9,18 +9,18 @@
 
 
 def check(run: ObservedRun) -> Iterator[Finding]:
-    """Attempts of one request that overlap or repeat an effect, and rejections after one."""
+    """Yields attempts that overlap or may repeat an effect, and rejections of requests that may have had one."""
     for mark, attempts in run.attempts.items():
         request = run.requests.get(mark)
         if request is None:
-            yield _finding(attempts[0].received, f"{mark} was sent to a worker, but never by a client")
+            yield _finding(attempts[0].received, f"{mark} was sent to a worker, but no client sent it")
             continue
         method = run.settings.methods[request.sent.method]
         for number, attempt in enumerate(attempts):
             for earlier in attempts[:number]:
                 yield from _check_overlap(run, earlier, attempt)
                 yield from _check_repetition(run, method, earlier, attempt)
-        if not method.repeatable_everywhere:
+        if not method.repeatable_on_any_worker:
             yield from _check_rejections(request, attempts)
 
 
@@ -28,8 +28,11 @@
     return finding_at(Rule.NO_DOUBLE_EFFECT, event, text)
 
 
-def _over_at(run: ObservedRun, attempt: ObservedAttempt) -> float | None:
-    """When the attempt was over (ms): answered or cancelled, or its worker or gateway was gone; None: never."""
+def _finished_at(run: ObservedRun, attempt: ObservedAttempt) -> float | None:
+    """Returns when the attempt was over (ms, monotonic), None where it never was.
+
+    An attempt is over once it is answered or cancelled, or its worker or gateway has ended.
+    """
     received = attempt.received
     deaths = run.worker_deaths[attempt.worker] + run.gateway_kills[received.gateway]
     times = [died_at for died_at in deaths if died_at >= received.time_ms - run.settings.transit_ms]
@@ -42,26 +45,26 @@
     if run.settings.overlap_allowed:
         return
     received = attempt.received
-    over_at = _over_at(run, earlier)
-    if over_at is None or over_at > received.time_ms + run.settings.transit_ms:
-        yield _finding(received, f"{received.mark} was out at {earlier.worker} as well")
+    finished_at = _finished_at(run, earlier)
+    if finished_at is None or finished_at > received.time_ms + run.settings.transit_ms:
+        yield _finding(received, f"{received.mark} was sent while its attempt at {earlier.worker} was in progress")
 
 
 def _check_repetition(
     run: ObservedRun, method: MethodSettings, earlier: ObservedAttempt, attempt: ObservedAttempt
 ) -> Iterator[Finding]:
-    """Whether an attempt may repeat the effect of an earlier one."""
+    """Yields a finding where an attempt may repeat the effect of an earlier one."""
     received = attempt.received
-    if _ended_unrun_by(earlier, received.time_ms + run.settings.transit_ms):
+    if _ended_without_running_by(earlier, received.time_ms + run.settings.transit_ms):
         return
     if method.effect is Effect.SIDE_EFFECTING:
-        yield _finding(received, f"{received.mark} may have run at {earlier.worker}")
+        yield _finding(received, f"{received.mark} was sent again, but may have run at {earlier.worker}")
     elif method.effect is Effect.IDEMPOTENCY_KEY:
         yield from _check_idempotency_key(run, method, earlier, attempt)
 
 
-def _ended_unrun_by(attempt: ObservedAttempt, time_ms: float) -> bool:
-    """Whether the attempt had ended by then, and never ran."""
+def _ended_without_running_by(attempt: ObservedAttempt, time_ms: float) -> bool:
+    """Returns whether the attempt had ended by `time_ms` (monotonic) without running."""
     if attempt.result is not AttemptResult.NEVER_RAN or attempt.ended_at is None:
         return False
     return attempt.ended_at <= time_ms
@@ -70,24 +73,26 @@
 def _check_idempotency_key(
     run: ObservedRun, method: MethodSettings, earlier: ObservedAttempt, attempt: ObservedAttempt
 ) -> Iterator[Finding]:
-    """Whether the earlier attempt's idempotency key was still valid at the worker of a later one."""
+    """Yields findings where the earlier attempt's idempotency key was not valid for a later attempt at its worker."""
     received = attempt.received
     late_ms = received.time_ms - earlier.received.time_ms - method.key_lifetime_ms
     if late_ms > run.settings.transit_ms:
-        yield _finding(received, f"{received.mark} sent again {late_ms:.3f} ms past its window")
+        yield _finding(received, f"{received.mark} was sent again {late_ms:.3f} ms after its idempotency key expired")
     if method.scope is Scope.ALL:
         return
     earlier_group = run.settings.workers[earlier.worker].group(method.scope)
     group = run.settings.workers[attempt.worker].group(method.scope)
     if earlier_group != group:
-        yield _finding(received, f"{received.mark} sent from {method.scope.value} {earlier_group} to {group}")
+        yield _finding(
+            received, f"{received.mark} was sent in {method.scope.value} {earlier_group}, then again in {group}"
+        )
 
 
 def _check_rejections(request: ObservedRequest, attempts: list[ObservedAttempt]) -> Iterator[Finding]:
-    """Whether a request was rejected though an attempt may have run."""
+    """Yields a finding where a request was rejected although an attempt may have run."""
     may_have_run = [attempt for attempt in attempts if attempt.result is not AttemptResult.NEVER_RAN]
     if not may_have_run:
         return
     for answer in request.answers:
         if answer.result is RequestResult.REJECTED:
-            yield _finding(answer, f"{answer.mark} denied, may have run at {may_have_run[0].worker}")
+            yield _finding(answer, f"{answer.mark} was denied, but may have run at {may_have_run[0].worker}")
--- a/wickdyke/fault_injection/rule_checker/drains.py
+++ b/wickdyke/fault_injection/rule_checker/drains.py
@@ -1,4 +1,4 @@
-"""Rule 3: a worker that drains or is gone gets no attempt and no prewarm after the grace."""
+"""Rule 3: a draining or removed worker receives no attempt and no prewarm after the grace period."""
 
 from collections.abc import Iterator
 
@@ -13,8 +13,8 @@
 
 
 def check(run: ObservedRun) -> Iterator[Finding]:
-    """Attempts and prewarms that a worker received too long after its drain was published."""
-    draining_since: dict[str, float] = {}  # by worker; a second word does not extend the grace
+    """Yields attempts and prewarms that a worker received after the grace period of its drain or removal."""
+    draining_since: dict[str, float] = {}  # ms, by worker; a second state does not extend the grace period
     for event in run.events:
         match event:
             case EndpointPublished(ready=True):
@@ -22,9 +22,9 @@
             case EndpointPublished():
                 draining_since.setdefault(event.worker, event.time_ms)
             case AttemptReceived():
-                yield from _check_message(run, draining_since, event, "run")
+                yield from _check_message(run, draining_since, event, "attempt")
             case PrewarmReceived() if event.replicas > 0:
-                yield from _check_message(run, draining_since, event, "hold")
+                yield from _check_message(run, draining_since, event, "prewarm")
 
 
 def _check_message(
@@ -33,5 +33,5 @@
     since = draining_since.get(event.writer)
     grace_ms = run.settings.drain_grace_ms + run.settings.transit_ms
     if since is not None and event.time_ms > since + grace_ms:
-        text = f"{message} {event.time_ms - since:.3f} ms after {event.writer} was published as draining or gone"
-        yield finding_at(Rule.DRAINS_KEPT, event, text)
+        text = f"{message} received {event.time_ms - since:.3f} ms after {event.writer} was listed as draining or gone"
+        yield finding_at(Rule.DRAINS_RESPECTED, event, text)
--- a/wickdyke/fault_injection/rule_checker/findings.py
+++ b/wickdyke/fault_injection/rule_checker/findings.py
@@ -1,4 +1,4 @@
-"""The rules and what breaks them."""
+"""The rules and the findings that show where they were broken."""
 
 from dataclasses import dataclass
 from enum import IntEnum
@@ -7,28 +7,28 @@
 
 
 class Rule(IntEnum):
-    """The rules that gateways keep; the values are their numbers in verdicts."""
+    """The rules that gateways must follow; the values are their numbers in reports."""
 
     NO_LOST_REQUEST = 1
     NO_DOUBLE_EFFECT = 2
-    DRAINS_KEPT = 3
-    SLOW_START_KEPT = 4
-    PREWARM_QUOTA_KEPT = 5
+    DRAINS_RESPECTED = 3
+    SLOW_START_RESPECTED = 4
+    PREWARM_QUOTA_RESPECTED = 5
 
 
-# How verdicts name the rules.
+# The names of the rules in reports.
 RULES = {
     Rule.NO_LOST_REQUEST: "no RPC lost",
     Rule.NO_DOUBLE_EFFECT: "no effect twice",
-    Rule.DRAINS_KEPT: "drains kept",
-    Rule.SLOW_START_KEPT: "no cold worker pushed over",
-    Rule.PREWARM_QUOTA_KEPT: "load orders rationed",
+    Rule.DRAINS_RESPECTED: "drains kept",
+    Rule.SLOW_START_RESPECTED: "no cold worker pushed over",
+    Rule.PREWARM_QUOTA_RESPECTED: "load orders rationed",
 }
 
 
 @dataclass(slots=True, frozen=True)
 class Finding:
-    """A broken rule, and the line of the trace that shows it: its time (ms), its writer and its number there."""
+    """A violation of a rule, and the trace line that shows it: its time (ms), writer and number among the writer's."""
 
     rule: Rule
     time_ms: float
@@ -42,5 +42,5 @@
 
 
 def finding_at(rule: Rule, event: TraceEvent, text: str) -> Finding:
-    """A finding shown by the line of `event`."""
+    """Returns a finding that the line of `event` shows."""
     return Finding(rule, event.time_ms, event.writer, event.line, text)
--- a/wickdyke/fault_injection/rule_checker/lost_requests.py
+++ b/wickdyke/fault_injection/rule_checker/lost_requests.py
@@ -1,4 +1,4 @@
-"""Rule 1: each request gets one answer, in time, unless its gateway was killed."""
+"""Rule 1: each request gets exactly one answer before its deadline, unless its gateway was killed."""
 
 from collections.abc import Iterator
 
@@ -8,9 +8,9 @@
 
 
 def check(run: ObservedRun) -> Iterator[Finding]:
-    """Requests without an answer, late, repeated, invalid and unsolicited answers."""
+    """Yields requests without an answer, and answers that are late, repeated, invalid or unsolicited."""
     for answer in run.unsolicited_answers:
-        yield _finding(answer, f"{answer.mark} was answered, but never sent by a client")
+        yield _finding(answer, f"{answer.mark} was answered, but no client sent it")
     for request in run.requests.values():
         if request.answers:
             yield from _check_answers(request)
@@ -30,16 +30,16 @@
     mark = request.sent.mark
     first, *repeated = request.answers
     if first.result is RequestResult.INVALID:
-        yield _finding(first, f"{mark} answered {first.word}")
+        yield _finding(first, f"{mark} got an invalid answer: {first.raw_result}")
     late_ms = first.time_ms - _deadline(request)
     if first.time_ms > _deadline(request):
-        yield _finding(first, f"{mark} answered {late_ms:.3f} ms late")
+        yield _finding(first, f"{mark} was answered {late_ms:.3f} ms after its deadline")
     for answer in repeated:
-        yield _finding(answer, f"{mark} answered again: {answer.word}")
+        yield _finding(answer, f"{mark} was answered again: {answer.raw_result}")
 
 
 def _gateway_was_killed(run: ObservedRun, request: ObservedRequest) -> bool:
-    """Whether the request's gateway was killed before the request was lost or its time was over."""
+    """Returns whether the request's gateway was killed before the request was lost or reached its deadline."""
     until = request.lost.time_ms if request.lost else _deadline(request)
     transit_ms = run.settings.transit_ms
     return any(
--- a/wickdyke/fault_injection/rule_checker/observations.py
+++ b/wickdyke/fault_injection/rule_checker/observations.py
@@ -1,4 +1,4 @@
-"""What the trace shows of each request and each attempt."""
+"""Collects what the trace shows of each request and each attempt."""
 
 from collections import defaultdict
 from collections.abc import Iterable
@@ -24,13 +24,14 @@
 
 @dataclass(slots=True)
 class ObservedAttempt:
-    """An attempt as its worker saw it.
+    """An attempt as its worker observed it.
 
     Attributes:
-        received: its arrival.
-        ended_at: when the worker ended it (ms, monotonic), None where it did not.
+        received: the event of its arrival.
+        ended_at: when the worker ended it (ms, monotonic); None where it did not.
         result: how it ended.
-        released_at: when the gateway could know that it is over: by its answer or its own cancel.
+        released_at: when the gateway could know that the attempt is over, by its answer or by the cancellation that the
+            gateway sent (ms, monotonic).
     """
 
     received: AttemptReceived
@@ -40,26 +41,26 @@
 
     @property
     def worker(self) -> str:
-        """The worker that received it."""
+        """The name of the worker that received the attempt."""
         return self.received.writer
 
-    def ended(self, event: AttemptEnded) -> None:
-        """Notes the end of the attempt; only the first one counts."""
+    def record_end(self, event: AttemptEnded) -> None:
+        """Records the end of the attempt; only the first end counts."""
         if self.result is None:
             self.ended_at = event.time_ms
             self.result = event.result
         if event.result is not AttemptResult.ANSWER_LOST:
-            self.released(event)
+            self.record_release(event)
 
-    def released(self, event: TraceEvent) -> None:
-        """Notes that the gateway knows the attempt to be over; only the first time counts."""
+    def record_release(self, event: TraceEvent) -> None:
+        """Records that the gateway can know that the attempt is over; only the first time counts."""
         if self.released_at is None:
             self.released_at = event.time_ms
 
 
 @dataclass(slots=True)
 class ObservedRequest:
-    """A request as its client saw it."""
+    """A request as its client observed it."""
 
     sent: RequestSent
     answers: list[RequestAnswered] = field(default_factory=list)
@@ -68,14 +69,14 @@
 
 @dataclass(slots=True)
 class ObservedRun:
-    """A run as its trace shows it: settings, events in the order of time, and what belongs together.
+    """A run as its trace shows it: settings, events in order of time, and the events grouped by what they concern.
 
     Attributes:
         requests: by mark.
-        attempts: by mark of their request, in the order of their arrival.
-        unsolicited_answers: answers to no request.
-        gateway_kills: times (ms, monotonic) by gateway.
-        worker_deaths: times (ms, monotonic) by worker, killed or crashed.
+        attempts: by the mark of their request, in order of arrival.
+        unsolicited_answers: answers that belong to no request.
+        gateway_kills: times of kills (ms, monotonic) by gateway.
+        worker_deaths: times of kills and crashes (ms, monotonic) by worker.
     """
 
     settings: RunSettings
@@ -89,10 +90,11 @@
 
 @dataclass(slots=True, frozen=True)
 class _AttemptKey:
-    """What identifies an attempt of a trace."""
+    """Identifies an attempt in a trace."""
 
-    # Danger: one request may be at a worker a second time, over another connection, before the cancel of the first
-    # attempt is noted there. Workers number their attempts, and an end or cancel belongs to its number.
+    # A worker may receive a second attempt of a request over another connection before it records the cancellation of
+    # the first. Worker and mark are therefore not enough: workers number their attempts, and the number tells which
+    # attempt an end or a cancellation belongs to.
     worker: str
     mark: str
     number: int | None
@@ -103,7 +105,7 @@
 
 
 def observe(entries: Iterable[Entry]) -> ObservedRun:
-    """What the lines of a trace, sorted by time, show; raises InvalidTraceError where they lack the run's settings."""
+    """Returns the run that a trace, sorted by time, shows; raises InvalidTraceError where it lacks the settings."""
     entries = list(entries)
     run = ObservedRun(parse_settings(entries), list(parse_events(entries)))
     latest_attempts: dict[_AttemptKey, ObservedAttempt] = {}
@@ -140,6 +142,6 @@
     if latest is None:
         return
     if isinstance(event, AttemptEnded):
-        latest.ended(event)
+        latest.record_end(event)
     else:
-        latest.released(event)
+        latest.record_release(event)
--- a/wickdyke/fault_injection/rule_checker/outcomes.py
+++ b/wickdyke/fault_injection/rule_checker/outcomes.py
@@ -1,11 +1,11 @@
-"""What became of the requests of a run, by method."""
+"""Counts the outcomes of the requests of a run, by method."""
 
 from collections import Counter, defaultdict
 
 from wickdyke.fault_injection.rule_checker.observations import ObservedRequest, ObservedRun
 from wickdyke.fault_injection.rule_checker.trace_events import RequestResult
 
-# The columns of a verdict; answers that are not OK are counted under their word.
+# Columns of the report; answers that are not OK are counted under their result as written in the trace.
 SENT = "asked"
 OK_IN_TIME = "ok in time"  # within the soft deadline
 OK_LATE = "ok late"
@@ -13,7 +13,7 @@
 
 
 def count_outcomes(run: ObservedRun) -> dict[str, Counter[str]]:
-    """By method: how many requests there were, and how many of each outcome."""
+    """Returns by method how many requests were sent, and how many had each outcome."""
     table: dict[str, Counter[str]] = defaultdict(Counter)
     for request in run.requests.values():
         counts = table[request.sent.method]
@@ -23,7 +23,7 @@
 
 
 def latencies(run: ObservedRun) -> dict[str, list[float]]:
-    """By method: the latency of each ok answer, in ms."""
+    """Returns by method the latency of each ok answer, in ms."""
     table: dict[str, list[float]] = defaultdict(list)
     for request in run.requests.values():
         if request.answers and request.answers[0].result is RequestResult.OK:
@@ -40,6 +40,6 @@
         return LOST
     answer = request.answers[0]
     if answer.result is not RequestResult.OK:
-        return answer.word
+        return answer.raw_result
     soft_deadline_ms = run.settings.methods[request.sent.method].soft_deadline_ms
     return OK_IN_TIME if _latency(request) <= soft_deadline_ms else OK_LATE
--- a/wickdyke/fault_injection/rule_checker/prewarm_quota.py
+++ b/wickdyke/fault_injection/rule_checker/prewarm_quota.py
@@ -1,4 +1,4 @@
-"""Rule 5: a gateway orders no more prewarms than its requests earn."""
+"""Rule 5: a gateway sends no more prewarm requests than its quota allows, which grows with its requests."""
 
 from bisect import bisect_left, bisect_right
 from collections import defaultdict
@@ -10,7 +10,7 @@
 from wickdyke.fault_injection.rule_checker.run_settings import RunSettings
 from wickdyke.fault_injection.rule_checker.trace_events import GatewayStarted, PrewarmReceived, RequestSent
 
-ROUNDING = 1e-9  # of the sum of shares
+ROUNDING_TOLERANCE = 1e-9  # for the floating-point sum of shares
 
 
 @dataclass(slots=True)
@@ -22,13 +22,13 @@
 
 
 def check(run: ObservedRun) -> Iterator[Finding]:
-    """Prewarms beyond the quota."""
+    """Yields prewarms beyond the quota."""
     if not run.settings.prewarm_quota.window_ms:
         return
     traffic: dict[str, _GatewayTraffic] = defaultdict(_GatewayTraffic)
     for event in run.events:
         match event:
-            case GatewayStarted():  # it knows of no prewarm before its start
+            case GatewayStarted():  # the gateway does not know of prewarms before its start
                 traffic[event.gateway] = _GatewayTraffic()
             case RequestSent():
                 traffic[event.gateway].requests.append(event.time_ms)
@@ -37,7 +37,7 @@
 
 
 def _check_prewarm(settings: RunSettings, traffic: _GatewayTraffic, prewarm: PrewarmReceived) -> Iterator[Finding]:
-    """Adds a prewarm to those of its gateway; a finding where they are too many."""
+    """Adds a prewarm to those of its gateway; yields a finding where they exceed the quota."""
     quota = settings.prewarm_quota
     traffic.prewarms.append(prewarm.time_ms)
     window_start = prewarm.time_ms - quota.window_ms
@@ -45,6 +45,6 @@
     requests = bisect_right(traffic.requests, prewarm.time_ms) - bisect_left(
         traffic.requests, window_start - settings.transit_ms
     )
-    if prewarms > quota.free + quota.share * requests + ROUNDING:
-        text = f"{prewarm.gateway} ordered {prewarms} loads in {quota.window_ms:g} ms with {requests} RPCs taken"
-        yield finding_at(Rule.PREWARM_QUOTA_KEPT, prewarm, text)
+    if prewarms > quota.free + quota.share * requests + ROUNDING_TOLERANCE:
+        text = f"{prewarm.gateway} sent {prewarms} prewarms in {quota.window_ms:g} ms, but received {requests} requests"
+        yield finding_at(Rule.PREWARM_QUOTA_RESPECTED, prewarm, text)
--- a/wickdyke/fault_injection/rule_checker/run_settings.py
+++ b/wickdyke/fault_injection/rule_checker/run_settings.py
@@ -1,4 +1,4 @@
-"""The settings of a run that the rules refer to, as the trace states them."""
+"""The settings of a run that the rules depend on, read from the trace."""
 
 from collections.abc import Iterable
 from enum import Enum
@@ -10,15 +10,15 @@
 
 
 class Effect(Enum):
-    """What a second execution of a request does; the values are the words of the trace."""
+    """Whether a request may be executed a second time; the values are those in the trace."""
 
     IDEMPOTENT = "idempotent"
     SIDE_EFFECTING = "side-effecting"
-    IDEMPOTENCY_KEY = "tokened"  # executed once within a group of workers and a time
+    IDEMPOTENCY_KEY = "tokened"  # executed once per key, within a group of workers and the lifetime of the key
 
 
 class Scope(Enum):
-    """The group of workers that share idempotency keys; the values are the words of the trace."""
+    """The group of workers that share idempotency keys; the values are those in the trace."""
 
     ALL = "all"
     ZONE = "zone"
@@ -26,7 +26,7 @@
 
 
 class MethodSettings(msgspec.Struct):
-    """A method: its effect, where and how long (ms) its idempotency key is valid, its soft deadline (ms)."""
+    """A method: its effect, the scope and lifetime (ms) of its idempotency keys, and its soft deadline (ms)."""
 
     effect: Effect
     scope: Scope
@@ -34,29 +34,32 @@
     soft_deadline_ms: float = msgspec.field(name="soft")
 
     @property
-    def repeatable_everywhere(self) -> bool:
-        """Whether executing a request again is harmless on any worker."""
+    def repeatable_on_any_worker(self) -> bool:
+        """Whether a request may be executed again on any worker."""
         if self.effect is Effect.IDEMPOTENCY_KEY:
             return self.scope is Scope.ALL
         return self.effect is Effect.IDEMPOTENT
 
 
 class WorkerSettings(msgspec.Struct):
-    """A worker: its capacity (ms of work a ms) and where it is."""
+    """A worker: its capacity (ms of work per ms) and its location."""
 
     capacity: float
     zone: str | None = None
     cell: int | None = None
 
     def group(self, scope: Scope) -> str | int | None:
-        """The worker's group within a scope; None for ALL."""
+        """Returns the worker's group within a scope, None for ALL."""
         if scope is Scope.ZONE:
             return self.zone
         return self.cell if scope is Scope.CELL else None
 
 
 class SlowStartSettings(msgspec.Struct):
-    """Capacity grows from `start_share` to 1 within `ramp_ms`; a worker withstands `multiple` of it in `window_ms`."""
+    """Slow start: capacity grows from `start_share` to 1 of the full capacity within `ramp_ms`.
+
+    A worker in slow start may receive at most `multiple` times its present capacity in work within `window_ms`.
+    """
 
     start_share: float
     ramp_ms: float = msgspec.field(name="ramp")
@@ -64,13 +67,13 @@
     window_ms: float = msgspec.field(name="window")
 
     def work_limit_ms(self, age_ms: float, capacity: float) -> float:
-        """How much work a worker of that age may be sent within the window."""
+        """Returns how much work (ms) a worker of that age may receive within the window."""
         share = self.start_share + (1 - self.start_share) * age_ms / self.ramp_ms
         return self.multiple * share * capacity * self.window_ms
 
 
 class PrewarmQuotaSettings(msgspec.Struct):
-    """Prewarms within `window_ms`: `free`, and `share` more for each request. A window of 0: no quota."""
+    """Allows `free` prewarms within `window_ms`, and `share` more for each request. A window of 0 means no quota."""
 
     free: float
     share: float
@@ -81,13 +84,13 @@
     """The settings of a run. Times are in ms.
 
     Attributes:
-        overlap_allowed: whether a request may be at two workers at once.
-        drain_grace_ms: how long after it was published a drain need not be kept yet.
-        slow_start: what workers in slow start withstand.
-        prewarm_quota: how many prewarms a gateway may order.
+        overlap_allowed: whether attempts of a request may be in progress at two workers at once.
+        drain_grace_ms: how long after a drain was published the worker may still receive messages.
+        slow_start: the limit of work for workers in slow start.
+        prewarm_quota: how many prewarms a gateway may send.
         methods: by name.
         workers: by name.
-        transit_ms: allowed between a send and the line that shows it.
+        transit_ms: the delay allowed between the sending of a message and the line that records it.
     """
 
     overlap_allowed: bool = msgspec.field(name="overlap")
@@ -100,11 +103,11 @@
 
 
 def parse_settings(entries: Iterable[Entry]) -> RunSettings:
-    """The settings in the trace; raises InvalidTraceError where they are missing or incomplete."""
+    """Returns the settings in the trace; raises InvalidTraceError where they are missing or incomplete."""
     for entry in entries:
         if entry[KIND_KEY] == SETTINGS_KIND:
             try:
                 return msgspec.convert(entry, type=RunSettings)
             except msgspec.ValidationError as error:
-                raise InvalidTraceError(f"found unusable settings of the run: {error}") from None
-    raise InvalidTraceError("found no terms in the trace, expected the line that states them")
+                raise InvalidTraceError(f"found invalid settings of the run: {error}") from None
+    raise InvalidTraceError('found no line "terms" in the trace, expected one with the settings of the run')
--- a/wickdyke/fault_injection/rule_checker/slow_start.py
+++ b/wickdyke/fault_injection/rule_checker/slow_start.py
@@ -1,4 +1,4 @@
-"""Rule 4: a worker in slow start is not sent more work than it withstands, by all gateways together."""
+"""Rule 4: all gateways together send a worker in slow start no more work than its limit."""
 
 from collections import defaultdict
 from collections.abc import Iterator
@@ -10,16 +10,16 @@
 
 
 def check(run: ObservedRun) -> Iterator[Finding]:
-    """Crashes of workers, and attempts that were too much work within the window."""
+    """Yields crashes of workers, and attempts that exceeded the limit of work within the window."""
     started: dict[str, WorkerStarted] = {}
-    received: dict[str, list[AttemptReceived]] = defaultdict(list)  # by worker, in its slow start
+    received: dict[str, list[AttemptReceived]] = defaultdict(list)  # by worker, during its slow start
     for event in run.events:
         match event:
             case WorkerStarted():
                 started[event.writer] = event
                 received[event.writer] = []
             case WorkerCrashed():
-                yield finding_at(Rule.SLOW_START_KEPT, event, f"{event.writer} fell over")
+                yield finding_at(Rule.SLOW_START_RESPECTED, event, f"{event.writer} crashed")
             case AttemptReceived():
                 start = started.get(event.writer)
                 if start is not None and start.warming_up:
@@ -29,7 +29,7 @@
 def _check_attempt(
     settings: RunSettings, start: WorkerStarted, received: list[AttemptReceived], attempt: AttemptReceived
 ) -> Iterator[Finding]:
-    """Adds an attempt to those received; a finding where their work is too much."""
+    """Adds an attempt to those received; yields a finding where their work exceeds the limit."""
     slow_start = settings.slow_start
     age_ms = attempt.time_ms - start.time_ms
     if age_ms >= slow_start.ramp_ms:
@@ -40,7 +40,7 @@
     work_ms = sum(earlier.work_ms for earlier in received if earlier.time_ms > window_start)
     if work_ms > limit_ms:
         text = (
-            f"{attempt.writer}, {age_ms:.0f} ms old, was sent {work_ms:.1f} ms of work "
-            f"in {slow_start.window_ms:g} ms and stands {limit_ms:.1f}"
+            f"{attempt.writer}, started {age_ms:.0f} ms ago, was sent {work_ms:.1f} ms of work "
+            f"in {slow_start.window_ms:g} ms, more than its limit of {limit_ms:.1f} ms"
         )
-        yield finding_at(Rule.SLOW_START_KEPT, attempt, text)
+        yield finding_at(Rule.SLOW_START_RESPECTED, attempt, text)
