--- a/wickdyke/fault_injection/rule_checker/checker.py
+++ b/wickdyke/fault_injection/rule_checker/checker.py
@@ -30,7 +30,7 @@
         )
 
     def outcomes(self) -> dict[str, Counter[str]]:
-        """Counts by method: asked (sent), ok in time, ok late, denied (rejected), aborted (failed) and lost requests."""
+        """Counts by method the requests asked (sent), ok in time, ok late, denied (rejected), aborted (failed), lost."""
         return outcomes.count_outcomes(self.run)
 
     def latencies(self) -> dict[str, list[float]]:
