--- a/wickdyke/fault_injection/rule_checker/checker.py
+++ b/wickdyke/fault_injection/rule_checker/checker.py
@@ -30,7 +30,9 @@
         )
 
     def outcomes(self) -> dict[str, Counter[str]]:
-        """Counts by method the requests asked (sent), ok in time, ok late, denied (rejected), aborted (failed), lost."""
+        """Returns by method the number of asked (sent) requests, and how many were ok in time, ok late, denied
+        (rejected), aborted (failed) or lost.
+        """
         return outcomes.count_outcomes(self.run)
 
     def latencies(self) -> dict[str, list[float]]:
