--- a/wickdyke/fault_injection/fake_store.py
+++ b/wickdyke/fault_injection/fake_store.py
@@ -13,7 +13,7 @@
 from wickdyke.protocol import jsonrpc
 from wickdyke.transport.line_server import LineConnection, LineServer
 
-OVERLOADED = -32010  # the error code of a fetch that is rejected
+OVERLOADED_ERROR_CODE = -32010  # the error code of a fetch that is rejected
 
 
 class FakeStoreConfig(msgspec.Struct):
@@ -39,7 +39,7 @@
     duration_ms: float = msgspec.field(name="took_ms")
 
 
-class StallOrder(msgspec.Struct):
+class StallCommand(msgspec.Struct):
     """A line of standard input: serve nothing for so long (ms)."""
 
     duration_ms: float = msgspec.field(name="for")
@@ -63,11 +63,11 @@
         self.config = config
         self.record = TraceRecorder(config.trace, "store")
         self.lock = threading.RLock()
-        self.changed = threading.Condition(self.lock)
+        self.fetches_changed = threading.Condition(self.lock)
         self.fetches: list[PendingFetch] = []  # a heap
-        self.numbers = itertools.count()
+        self.sequence_numbers = itertools.count()
         self.stalled_until = 0.0
-        threading.Thread(target=self._answer_due, daemon=True).start()
+        threading.Thread(target=self._answer_due_fetches, daemon=True).start()
         self.server = LineServer(config.socket, self._fetch_received, lambda connection: None)
 
     def stall(self, duration_ms: float) -> None:
@@ -84,18 +84,18 @@
         with self.lock:
             if len(self.fetches) >= self.config.max_fetches:
                 self.record("refused")
-                connection.send(jsonrpc.error_response(request.ident, OVERLOADED, "crowded"))
+                connection.send(jsonrpc.error_response(request.ident, OVERLOADED_ERROR_CODE, "crowded"))
                 return
             slowdown = max(1.0, (len(self.fetches) + 1) / self.config.full_speed_fetches)
             due_at = max(clock(), self.stalled_until) + fetch.duration_ms * slowdown
-            heapq.heappush(self.fetches, PendingFetch(due_at, next(self.numbers), connection, request.ident))
-            self.changed.notify()
+            heapq.heappush(self.fetches, PendingFetch(due_at, next(self.sequence_numbers), connection, request.ident))
+            self.fetches_changed.notify()
 
-    def _answer_due(self) -> None:
+    def _answer_due_fetches(self) -> None:
         while True:
             with self.lock:
                 while not self.fetches or self.fetches[0].due_at > clock():
-                    self.changed.wait((self.fetches[0].due_at - clock()) / 1000 if self.fetches else None)
+                    self.fetches_changed.wait((self.fetches[0].due_at - clock()) / 1000 if self.fetches else None)
                 fetch = heapq.heappop(self.fetches)
             fetch.connection.send(jsonrpc.result_response(fetch.request_id, b"{}"))
 
@@ -105,7 +105,7 @@
     store = FakeStore(msgspec.json.decode(sys.argv[1], type=FakeStoreConfig))
     print("ready", flush=True)
     for line in sys.stdin:
-        store.stall(msgspec.json.decode(line, type=StallOrder).duration_ms)
+        store.stall(msgspec.json.decode(line, type=StallCommand).duration_ms)
     os._exit(0)
 
 
--- a/wickdyke/fault_injection/fake_worker/__init__.py
+++ b/wickdyke/fault_injection/fake_worker/__init__.py
@@ -1,7 +1,7 @@
-"""A fake worker: it loads, queues, runs and reports as a worker does, and fails as it is ordered to.
+"""A fake worker, which loads, queues, runs and reports as a worker does, and injects faults on command.
 
-Work is time slept, not CPU time. The input of an attempt states what it costs: {"mark": ..., "work_ms": ...,
-"load_ms": ...}. All messages received and all results are written to a trace. Orders to fail arrive as JSON lines on
+A unit of work takes time but no CPU. The input of an attempt states its costs: {"mark": ..., "work_ms": ...,
+"load_ms": ...}. All received messages and all results are written to a trace. Fault commands arrive as JSON lines on
 standard input. `python -m wickdyke.fault_injection.fake_worker CONFIG` starts one.
 """
 
--- a/wickdyke/fault_injection/fake_worker/attempts.py
+++ b/wickdyke/fault_injection/fake_worker/attempts.py
@@ -10,7 +10,7 @@
 
 
 class LoadNote(StrEnum):
-    """The state of a function's replicas as an attempt arrived; the values are the words on the wire."""
+    """The state of a function's replicas when an attempt arrived; the values are sent over the wire."""
 
     LOADED = "stood"
     LOAD_STARTED = "began"
@@ -18,7 +18,7 @@
 
 
 class AttemptEnd(StrEnum):
-    """How an attempt ended, besides the outcomes of rejections; the values are the words in the trace."""
+    """How an attempt ended, apart from the outcomes of rejections; the values are written to the trace."""
 
     COMPLETED = "ok"
     ANSWER_LOST = "lost"
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptKey:
-    """What identifies an attempt: its connection and the id of its request there."""
+    """Identifies an attempt by its connection and the id of its request on that connection."""
 
     connection: LineConnection
     request_id: jsonrpc.Ident
@@ -36,21 +36,21 @@
 
 @dataclass(slots=True, eq=False)
 class RunningAttempt:
-    """An attempt that the worker keeps track of.
+    """An attempt that the worker tracks.
 
-    `concurrent` counts the other attempts of the function as it arrived, `number` the worker's attempts so far.
-    An attempt that has ended is kept while the gateway has no answer to it.
+    `concurrent_attempts` counts the other attempts of the function at its arrival, `number` the worker's attempts up to
+    and including this one. An attempt that has ended stays tracked while the gateway has received no answer to it.
     """
 
     key: AttemptKey
     request: worker_messages.RunRequest
     input: RequestInput
-    concurrent: int
+    concurrent_attempts: int
     number: int
     load_note: LoadNote = LoadNote.LOADED
     replica: FakeReplica | None = None
     on_core: bool = False
-    ended: bool = False
+    has_ended: bool = False
 
     @property
     def function(self) -> str:
--- a/wickdyke/fault_injection/fake_worker/config.py
+++ b/wickdyke/fault_injection/fake_worker/config.py
@@ -4,28 +4,28 @@
 
 
 class FakeWorkerConfig(msgspec.Struct):
-    """How a fake worker is built. Times are in ms, memory in MB; `name=` maps a field to its JSON key.
+    """The settings of a fake worker. Times are in ms, memory in MB; `name=` maps a field to its JSON key.
 
     Attributes:
         name: the worker's name, also in the trace.
         socket: path of the Unix socket that gateways connect to.
         trace: path of the trace file.
         store: path of the Unix socket of the fake store.
-        start: number of this incarnation of the worker.
+        start: number of this start of the worker.
         seed: seed of the random draws.
         cores: attempts that run at once.
-        speed: ms of work that one core does in a ms.
+        speed: ms of work that one core does per ms.
         memory_mb: memory for replicas.
         idle_life: time after which an idle replica is unloaded.
-        max_concurrent_loads: replicas that load at once; more wait.
-        queue_capacity: attempts accepted at once; more are rejected.
-        start_share: part of full capacity at the start of the slow start.
+        max_concurrent_loads: replicas that load at once; further loads wait.
+        queue_capacity: attempts accepted at once; further attempts are rejected.
+        start_share: fraction of full capacity at the start of the slow start.
         ramp: duration of the slow start.
         multiple: a worker in slow start crashes when sent more than this many times its capacity within `window`.
-        window: time over which received work is summed up for that.
-        fetch_fraction: part of a load that is spent on the fetch from the store.
+        window: time over which received work is summed for `multiple`.
+        fetch_fraction: fraction of the load time that the fetch from the store takes.
         report_interval: time between two samples of the load report.
-        loads_on_demand: whether an attempt without a replica starts a load, else it is rejected.
+        loads_on_demand: whether an attempt without a replica starts a load; otherwise it is rejected.
         warming_up: whether the worker starts with a slow start.
     """
 
--- a/wickdyke/fault_injection/fake_worker/load_report.py
+++ b/wickdyke/fault_injection/fake_worker/load_report.py
@@ -9,11 +9,11 @@
 
     Attributes:
         running: attempts on a core.
-        cores: how many there are.
-        neighbour_share: part of the CPU that goes to others.
+        cores: the number of cores.
+        neighbour_share: fraction of the CPU that other processes use.
         in_flight: attempts that have not ended.
-        loads: replicas loading or waiting for it.
-        pinned_fraction: part of the memory that can't be freed.
+        loads: replicas that are loading or wait to be loaded.
+        pinned_fraction: fraction of the memory that can't be freed.
     """
 
     running: int
@@ -25,7 +25,7 @@
 
 
 def load_report(load: WorkerLoad) -> dict[str, float]:
-    """The report as it goes over the wire; its words stand here alone."""
+    """Returns the report as sent over the wire; its keys are defined only here."""
     return {
         "busy": min(1.0, load.running / load.cores + load.neighbour_share),
         "held": float(load.in_flight),
--- a/wickdyke/fault_injection/fake_worker/prewarms.py
+++ b/wickdyke/fault_injection/fake_worker/prewarms.py
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PendingPrewarm:
-    """A gateway's order to have at least `replicas` of a function loaded."""
+    """A gateway's request to load replicas of a function until there are at least `replicas`."""
 
     connection: LineConnection
     request_id: jsonrpc.Ident
@@ -18,20 +18,20 @@
 
 
 class Prewarms:
-    """Answers each prewarm once its replicas are loaded, or once some of them can't be."""
+    """Answers each prewarm once its replicas are loaded, or once some of them can't be loaded."""
 
     def __init__(self, replicas: ReplicaMemory) -> None:
         self.replicas = replicas
-        self.pending: list[PendingPrewarm] = []
+        self.pending_prewarms: list[PendingPrewarm] = []
 
     def add(self, prewarm: PendingPrewarm) -> None:
-        """Answers a prewarm, now or later; its replicas are loaded or loading."""
-        self.pending.append(prewarm)
+        """Adds a prewarm whose replicas are loaded or loading, and answers it at once if they are loaded."""
+        self.pending_prewarms.append(prewarm)
         self.answer_finished()
 
     def answer_finished(self) -> None:
-        """Answers those whose replicas are all loaded or fewer than ordered."""
-        for prewarm in list(self.pending):
+        """Answers the prewarms whose replicas are all loaded, and rejects those with fewer replicas than requested."""
+        for prewarm in list(self.pending_prewarms):
             ready = self.replicas.ready_count(prewarm.function)
             if ready >= prewarm.replicas:
                 result = jsonrpc.encode(worker_messages.PrewarmResult(ready))
@@ -40,9 +40,9 @@
                 self.reject(prewarm, worker_messages.FAILED, "a load failed")
             else:
                 continue
-            self.pending.remove(prewarm)
+            self.pending_prewarms.remove(prewarm)
 
     def reject(self, prewarm: PendingPrewarm, code: int, reason: str) -> None:
-        """Answers with an error whose data states how many replicas are loaded."""
+        """Answers a prewarm with an error whose data states how many replicas are loaded."""
         result = jsonrpc.encode(worker_messages.PrewarmResult(self.replicas.ready_count(prewarm.function)))
         prewarm.connection.send(jsonrpc.error_response(prewarm.request_id, code, reason, result))
--- a/wickdyke/fault_injection/fake_worker/replica_loader.py
+++ b/wickdyke/fault_injection/fake_worker/replica_loader.py
@@ -1,4 +1,4 @@
-"""Loads of replicas: a fetch from the fake store, then the start of the replica."""
+"""Loads replicas: fetches them from the fake store, then starts them."""
 
 import socket
 import threading
@@ -22,28 +22,28 @@
         self.config = config
         self.scheduler = scheduler
         self.on_loaded = on_loaded
-        self.pending: deque[FakeReplica] = deque()
-        self.loading = 0
+        self.pending_loads: deque[FakeReplica] = deque()
+        self.loads_in_progress = 0
 
-    def unfinished(self) -> int:
-        """How many replicas are loading or wait for it."""
-        return self.loading + len(self.pending)
+    def unfinished_count(self) -> int:
+        """Returns how many replicas are loading or wait to be loaded."""
+        return self.loads_in_progress + len(self.pending_loads)
 
     def start_pending(self) -> None:
         """Starts as many of the pending loads as may run at once."""
-        while self.pending and self.loading < self.config.max_concurrent_loads:
-            replica = self.pending.popleft()
-            self.loading += 1
+        while self.pending_loads and self.loads_in_progress < self.config.max_concurrent_loads:
+            replica = self.pending_loads.popleft()
+            self.loads_in_progress += 1
             threading.Thread(target=self._load, args=(replica,), daemon=True).start()
 
     def _load(self, replica: FakeReplica) -> None:
-        """Runs in a thread of its own: waits for the store, then for the rest of the load time."""
+        """Waits for the store, then schedules the end of the load; runs in its own thread."""
         fetched = self._fetch(replica)
         start_ms = replica.load_ms * (1 - self.config.fetch_fraction) if fetched else 0.0
         self.scheduler.call_later(start_ms, partial(self._finish, replica, fetched))
 
     def _fetch(self, replica: FakeReplica) -> bool:
-        """Whether the store served the function."""
+        """Fetches the function; returns whether the store served it."""
         request = FetchRequest(replica.function, replica.load_ms * self.config.fetch_fraction)
         try:
             with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as store:
@@ -55,6 +55,6 @@
         return result is not None
 
     def _finish(self, replica: FakeReplica, succeeded: bool) -> None:
-        self.loading -= 1
+        self.loads_in_progress -= 1
         self.on_loaded(replica, succeeded)
         self.start_pending()
--- a/wickdyke/fault_injection/fake_worker/responses.py
+++ b/wickdyke/fault_injection/fake_worker/responses.py
@@ -1,4 +1,4 @@
-"""The answers of a fake worker to its gateways. A connection's `send` never waits."""
+"""Sends the answers of a fake worker to its gateways. A connection's `send` never blocks."""
 
 import msgspec
 
@@ -15,12 +15,12 @@
 
 
 def send_attempt_result(attempt: RunningAttempt, report: dict[str, float]) -> None:
-    """Answers an attempt with its output, which repeats the mark."""
+    """Answers an attempt with its output, which contains the mark of its input."""
     output = b'{"mark":%b}' % jsonrpc.encode(attempt.input.mark)
     result = worker_messages.RunResult(
         msgspec.Raw(output),
         attempt.load_note,
-        min(MAX_REPORTED_CONCURRENCY, attempt.concurrent),
+        min(MAX_REPORTED_CONCURRENCY, attempt.concurrent_attempts),
         report,
     )
     send_result(attempt.key.connection, attempt.key.request_id, result)
@@ -30,6 +30,6 @@
     attempt: RunningAttempt, code: int, reason: str, report: dict[str, float], draining: bool
 ) -> None:
     """Rejects an attempt with an error code of the protocol."""
-    data = worker_messages.RunErrorData(min(MAX_REPORTED_CONCURRENCY, attempt.concurrent), report, draining)
+    data = worker_messages.RunErrorData(min(MAX_REPORTED_CONCURRENCY, attempt.concurrent_attempts), report, draining)
     key = attempt.key
     key.connection.send(jsonrpc.error_response(key.request_id, code, reason, jsonrpc.encode(data)))
--- a/wickdyke/fault_injection/fake_worker/transport.py
+++ b/wickdyke/fault_injection/fake_worker/transport.py
@@ -1,4 +1,4 @@
-"""The connections of gateways to a fake worker: messages in, calls of the worker out."""
+"""Connections of gateways to a fake worker: decodes messages and calls the worker."""
 
 from collections.abc import Callable
 
@@ -13,10 +13,10 @@
 
 
 class GatewayServer:
-    """Serves gateways on the worker's socket. All messages are handled under the worker's lock."""
+    """Serves gateways on the worker's socket. All messages are handled with the worker's lock held."""
 
     def __init__(self, worker: FakeWorker) -> None:
-        """Listens from now on; raises AddressInUseError."""
+        """Starts to listen; raises AddressInUseError."""
         self.worker = worker
         self.handlers: dict[str, Callable[[LineConnection, jsonrpc.Request], None]] = {
             "hello": self._hello,
@@ -59,12 +59,12 @@
         self.worker.attempt_cancelled(AttemptKey(connection, request_id))
 
     def _prewarm(self, connection: LineConnection, request: jsonrpc.Request) -> None:
-        order = msgspec.json.decode(request.params, type=worker_messages.PrewarmRequest)
-        self.worker.trace.prewarm_received(connection.peer, order)
+        prewarm_request = msgspec.json.decode(request.params, type=worker_messages.PrewarmRequest)
+        self.worker.trace.prewarm_received(connection.peer, prewarm_request)
         if not self.worker.faults.hanging:
-            prewarm = PendingPrewarm(connection, request.ident, order.function, order.replicas)
-            self.worker.prewarm(prewarm, order)
+            prewarm = PendingPrewarm(connection, request.ident, prewarm_request.function, prewarm_request.replicas)
+            self.worker.prewarm(prewarm, prewarm_request)
 
     def _unload(self, connection: LineConnection, request: jsonrpc.Request) -> None:
-        order = msgspec.json.decode(request.params, type=worker_messages.UnloadRequest)
-        self.worker.replicas.unload_idle(order.function)
+        unload_request = msgspec.json.decode(request.params, type=worker_messages.UnloadRequest)
+        self.worker.replicas.unload_idle(unload_request.function)
--- a/wickdyke/fault_injection/fake_worker/worker.py
+++ b/wickdyke/fault_injection/fake_worker/worker.py
@@ -1,4 +1,4 @@
-"""The state of one fake worker: what becomes of attempts, prewarms and orders to fail."""
+"""The state of one fake worker, and how it handles attempts, prewarms and fault commands."""
 
 import os
 import random
@@ -18,8 +18,8 @@
 from wickdyke.fault_injection.fake_worker.config import FakeWorkerConfig
 from wickdyke.fault_injection.fake_worker.faults import (
     ActiveFaults,
+    FaultCommand,
     FaultKind,
-    FaultOrder,
     FaultTrigger,
     FaultTriggers,
     TriggerEvent,
@@ -36,26 +36,26 @@
 from wickdyke.protocol import jsonrpc, worker_messages
 from wickdyke.transport.line_server import LineConnection
 
-DEFAULT_LOAD_MS = 500.0  # of a prewarm that states none
+DEFAULT_LOAD_MS = 500.0  # for a prewarm that does not state its load time
 DIED_EXIT_CODE = 1
 CRASHED_EXIT_CODE = 3
-STARTED_LONG_AGO = 10  # in ramps: the age of a worker that starts without a slow start
+FULL_SPEED_AGE_RAMPS = 10  # the initial age, in ramps, of a worker without a slow start: past the end of its ramp
 
 
 class FakeWorker:
-    """One fake worker. `lock` guards all of it: callers acquire it, the scheduler does so itself."""
+    """One fake worker. `lock` guards its whole state; callers acquire it, and the scheduler does so for its actions."""
 
     def __init__(self, config: FakeWorkerConfig) -> None:
         """Raises OSError where the trace can't be opened."""
         self.config = config
-        self.started_at = clock() if config.warming_up else clock() - STARTED_LONG_AGO * config.ramp
+        self.started_at = clock() if config.warming_up else clock() - FULL_SPEED_AGE_RAMPS * config.ramp
         self.trace = WorkerTrace(config)
         self.random = random.Random(config.seed)
         self.lock = threading.RLock()
         self.faults = ActiveFaults()
         self.triggers = FaultTriggers()
         self.draining = False
-        self.attempts: dict[AttemptKey, RunningAttempt] = {}  # among them ended ones without an answer
+        self.attempts: dict[AttemptKey, RunningAttempt] = {}  # includes ended attempts whose answer was not sent
         self.slow_start = SlowStart(config, self.started_at)
         self.replicas = ReplicaMemory(config.memory_mb)
         self.prewarms = Prewarms(self.replicas)
@@ -64,10 +64,10 @@
         self.trace.started()
         self.scheduler = Scheduler(self.lock)
         self.loader = ReplicaLoader(config, self.scheduler, self._replica_loaded)
-        self._refresh()
+        self._update_periodically()
 
     def describe(self) -> worker_messages.WorkerHello:
-        """What the worker answers to the hello of a gateway."""
+        """Returns the answer to the hello message of a gateway."""
         up_ms = clock() - self.started_at
         return worker_messages.WorkerHello(
             worker_messages.VERSION, self.config.name, self.config.start, up_ms, self.draining
@@ -76,32 +76,32 @@
     # ---- attempts ----
 
     def attempt_received(self, key: AttemptKey, run: worker_messages.RunRequest) -> None:
-        """Queues or rejects an attempt, as the faults in force have it."""
+        """Queues, delays, rejects or ignores an attempt, depending on the active faults."""
         request_input = msgspec.json.decode(run.input, type=RequestInput)
         received_at = clock()
-        number = self.triggers.counts[TriggerEvent.ATTEMPT] + 1
+        number = self.triggers.event_counts[TriggerEvent.ATTEMPT] + 1
         attempt = RunningAttempt(key, run, request_input, self._in_flight(run.function), number)
         self.trace.attempt_received(attempt, received_at)
-        self._count(TriggerEvent.ATTEMPT)
+        self._record_event(TriggerEvent.ATTEMPT)
         self.attempts[key] = attempt
         if self.slow_start.is_overloaded_by(received_at, request_input.work_ms):
             self.trace.crashed()
             os._exit(CRASHED_EXIT_CODE)
         if self.faults.hanging:
             return
-        lateness = self.faults.take_lateness()
-        if lateness is not None:
-            self.scheduler.call_later(run.time_left_ms + lateness, partial(self._answer, attempt))
+        late_answer_delay = self.faults.pop_late_answer_delay()
+        if late_answer_delay is not None:
+            self.scheduler.call_later(run.time_left_ms + late_answer_delay, partial(self._answer, attempt))
             return
         self._admit(attempt)
 
     def attempt_cancelled(self, key: AttemptKey) -> None:
-        """Ends an attempt, if there is one of that key."""
+        """Ends the attempt with that key, if there is one."""
         attempt = self.attempts.get(key)
         if attempt is None:
             return
         self.trace.attempt_cancelled(attempt)
-        if attempt.ended:
+        if attempt.has_ended:
             del self.attempts[key]
         else:
             self._end(attempt, AttemptEnd.CANCELLED)
@@ -111,13 +111,15 @@
         if connection.peer:
             self.trace.connection_closed(connection.peer)
         attempts = [attempt for attempt in self.attempts.values() if attempt.key.connection is connection]
-        for attempt in [attempt for attempt in attempts if not attempt.ended]:
+        for attempt in [attempt for attempt in attempts if not attempt.has_ended]:
             self._end(attempt, AttemptEnd.CONNECTION_CLOSED)
 
     def _in_flight(self, function: str | None = None) -> int:
-        """How many attempts have not ended, of one function or of all."""
+        """Returns how many attempts of one function, or of all functions, have not ended."""
         return sum(
-            not attempt.ended for attempt in self.attempts.values() if function is None or attempt.function == function
+            not attempt.has_ended
+            for attempt in self.attempts.values()
+            if function is None or attempt.function == function
         )
 
     def _admit(self, attempt: RunningAttempt) -> None:
@@ -131,7 +133,7 @@
             self._enqueue(attempt)
 
     def _enqueue(self, attempt: RunningAttempt) -> None:
-        """Queues an attempt; starts a load where its function has no replica."""
+        """Queues an attempt; starts a load where its function has no replica, or rejects the attempt."""
         replicas = self.replicas.register(attempt.function)
         if not replicas:
             if not self.config.loads_on_demand:
@@ -148,19 +150,19 @@
         self.queue.add(attempt)
 
     def _start(self, attempt: RunningAttempt) -> None:
-        """Runs an attempt on a core, which takes time only."""
+        """Runs an attempt on a core; the work takes time but no CPU."""
         self.scheduler.call_later(attempt.input.work_ms * self._run_ms_per_work_ms(), partial(self._answer, attempt))
 
     def _run_ms_per_work_ms(self) -> float:
-        """How many ms a ms of work takes on one core now."""
+        """Returns how many ms a ms of work takes on one core now."""
         capacity = self.config.speed * self.slow_start.capacity_share() * (1 - self.faults.neighbour_share)
         return self.faults.slowdown / capacity
 
     def _answer(self, attempt: RunningAttempt) -> None:
-        if attempt.ended:
+        if attempt.has_ended:
             return
         if self.faults.hanging or self.random.random() < self.faults.answer_loss_rate:
-            self._end(attempt, AttemptEnd.ANSWER_LOST, keep=True)
+            self._end(attempt, AttemptEnd.ANSWER_LOST, keep_entry=True)
             return
         self._end(attempt, AttemptEnd.COMPLETED)
         responses.send_attempt_result(attempt, self.report)
@@ -169,40 +171,42 @@
         self._end(attempt, worker_messages.OUTCOMES[code])
         responses.send_attempt_error(attempt, code, reason, self.report, self.draining)
 
-    def _end(self, attempt: RunningAttempt, result: str, keep: bool = False) -> None:
-        """Frees the attempt's place; with `keep` it stays entered until the gateway cancels it."""
+    def _end(self, attempt: RunningAttempt, result: str, keep_entry: bool = False) -> None:
+        """Ends an attempt; with `keep_entry` it stays in `attempts` until the gateway cancels it."""
         self.trace.attempt_ended(attempt, result)
-        attempt.ended = True
-        if not keep:
+        attempt.has_ended = True
+        if not keep_entry:
             self.attempts.pop(attempt.key, None)
         self.queue.remove(attempt)
 
     # ---- replicas ----
 
-    def prewarm(self, prewarm: PendingPrewarm, order: worker_messages.PrewarmRequest) -> None:
-        """Starts the loads that are missing to an order, which is answered when they are done."""
-        if self.draining and order.replicas:
+    def prewarm(self, prewarm: PendingPrewarm, prewarm_request: worker_messages.PrewarmRequest) -> None:
+        """Starts the loads that a prewarm needs; the prewarm is answered when they are done."""
+        if self.draining and prewarm_request.replicas:
             connection, request_id = prewarm.connection, prewarm.request_id
             connection.send(jsonrpc.error_response(request_id, worker_messages.DRAINING, "draining"))
             return
-        replicas = self.replicas.register(order.function)
-        for replica in replicas[: order.replicas]:
+        replicas = self.replicas.register(prewarm_request.function)
+        for replica in replicas[: prewarm_request.replicas]:
             replica.last_used = clock()
-        load_ms = order.load_ms or DEFAULT_LOAD_MS
-        while len(replicas) < order.replicas:
-            replica = FakeReplica(order.function, order.memory_mb, order.concurrency, load_ms, clock())
+        load_ms = prewarm_request.load_ms or DEFAULT_LOAD_MS
+        while len(replicas) < prewarm_request.replicas:
+            replica = FakeReplica(
+                prewarm_request.function, prewarm_request.memory_mb, prewarm_request.concurrency, load_ms, clock()
+            )
             if not self._load(replica):
                 self.prewarms.reject(prewarm, worker_messages.FULL, "no memory")
                 return
         self.prewarms.add(prewarm)
 
     def _load(self, replica: FakeReplica) -> bool:
-        """Starts to load a replica; False where there is no memory for it."""
+        """Starts to load a replica; returns False where there is not enough memory."""
         if not self.replicas.make_room(replica.memory_mb, self.queue.has_waiting):
             return False
         self.replicas.register(replica.function).append(replica)
-        self.loader.pending.append(replica)
-        self._count(TriggerEvent.LOAD)
+        self.loader.pending_loads.append(replica)
+        self._record_event(TriggerEvent.LOAD)
         self.loader.start_pending()
         return True
 
@@ -215,39 +219,39 @@
             if not succeeded:
                 replicas.remove(replica)
                 if not replicas:
-                    for attempt in self.queue.waiting(replica.function):
+                    for attempt in self.queue.attempts_waiting(replica.function):
                         self._reject(attempt, worker_messages.MISS, "the load failed")
         self.queue.dispatch(replica.function)
         self.prewarms.answer_finished()
 
-    def _refresh(self) -> None:
-        """Samples the load report, ages, and unloads what was idle for long; then again after the interval."""
+    def _update_periodically(self) -> None:
+        """Samples the load report, advances aging and unloads expired replicas; schedules itself after the interval."""
         self.report = load_report(
             WorkerLoad(
-                running=self.queue.running,
+                running=self.queue.running_attempts,
                 cores=self.config.cores,
                 neighbour_share=self.faults.neighbour_share,
                 in_flight=self._in_flight(),
-                loads=self.loader.unfinished(),
+                loads=self.loader.unfinished_count(),
                 pinned_fraction=self.replicas.pinned_fraction(),
             )
         )
-        self.faults.age()
+        self.faults.advance_aging()
         self.replicas.unload_expired(self.config.idle_life, self.queue.has_waiting)
-        self.scheduler.call_later(self.config.report_interval, self._refresh)
+        self.scheduler.call_later(self.config.report_interval, self._update_periodically)
 
     # ---- faults ----
 
     def add_trigger(self, trigger: FaultTrigger) -> None:
-        """Keeps an order until the event that it waits for."""
+        """Adds a command that starts at the event of its trigger."""
         with self.lock:
             self.triggers.add(trigger)
 
-    def apply_fault(self, order: FaultOrder) -> None:
-        """Fails as ordered, at once or from now on."""
+    def apply_fault(self, command: FaultCommand) -> None:
+        """Applies a fault command: ends the process, acts at once, or activates the fault."""
         with self.lock:
-            self.trace.fault_ordered(order)
-            match order.kind:
+            self.trace.fault_received(command)
+            match command.kind:
                 case FaultKind.DIE:
                     os._exit(DIED_EXIT_CODE)
                 case FaultKind.DRAIN:
@@ -255,20 +259,20 @@
                 case FaultKind.RELEASE:
                     self.replicas.unload_all_idle()
                 case FaultKind.AGE:
-                    self.faults.start_aging(order.value, order.duration_ms or 0.0, self.config.report_interval)
+                    self.faults.start_aging(command.value, command.duration_ms or 0.0, self.config.report_interval)
                 case _:
-                    self.faults.activate(order.kind, order.value)
-                    if order.duration_ms is not None:
-                        self.scheduler.call_later(order.duration_ms, partial(self._fault_over, order.kind))
+                    self.faults.activate(command.kind, command.value)
+                    if command.duration_ms is not None:
+                        self.scheduler.call_later(command.duration_ms, partial(self._end_fault, command.kind))
 
-    def _count(self, event: TriggerEvent) -> None:
-        for order in self.triggers.count(event):
-            self.apply_fault(order)
+    def _record_event(self, event: TriggerEvent) -> None:
+        for command in self.triggers.record_event(event):
+            self.apply_fault(command)
 
-    def _fault_over(self, kind: FaultKind) -> None:
+    def _end_fault(self, kind: FaultKind) -> None:
         self.faults.clear(kind)
         if kind is FaultKind.HANG:
-            # What has no replica by now is never answered, also where the end of another frees one for it.
-            attempts = [attempt for attempt in self.attempts.values() if not attempt.ended]
+            # Attempts without a replica by now are never answered, even if the end of another attempt frees a replica.
+            attempts = [attempt for attempt in self.attempts.values() if not attempt.has_ended]
             for attempt in [attempt for attempt in attempts if attempt.replica is None]:
-                self._end(attempt, AttemptEnd.ANSWER_LOST, keep=True)
+                self._end(attempt, AttemptEnd.ANSWER_LOST, keep_entry=True)
--- a/wickdyke/fault_injection/fault_injector.py
+++ b/wickdyke/fault_injection/fault_injector.py
@@ -6,9 +6,9 @@
 import psutil  # type: ignore[import-untyped]  # the package has no types
 
 from wickdyke.fault_injection.endpoint_publisher import EndpointPublisher
-from wickdyke.fault_injection.fake_store import StallOrder
+from wickdyke.fault_injection.fake_store import StallCommand
+from wickdyke.fault_injection.fake_worker.faults import FaultCommand
 from wickdyke.fault_injection.fake_worker.faults import FaultKind as WorkerFaultKind
-from wickdyke.fault_injection.fake_worker.faults import FaultOrder
 from wickdyke.fault_injection.fake_worker.faults import FaultTrigger as WorkerFaultTrigger
 from wickdyke.fault_injection.faults import Fault, FaultKind, FaultValue
 from wickdyke.fault_injection.load_client.plan import TrafficChange
@@ -21,11 +21,11 @@
 ROUTE_FILE = "routes.sexp"
 NO_HOT_FUNCTIONS = (1, 0.0)  # one hot function, called by none of the requests
 DEPLOY_DRAIN_SHARE = 0.8  # of the time between the workers of a deploy
-ORDER_VALUES = (
+COMMAND_VALUES = (
     FaultValue.FACTOR,
     FaultValue.SHARE,
     FaultValue.LATENESS,
-)  # an order to a fake worker has at most one of them
+)  # a command to a fake worker has at most one of them
 
 
 def write_routes(folder: RunFolder, routes: str) -> None:
@@ -33,13 +33,13 @@
     folder.replace(ROUTE_FILE, f"(routes {routes})\n")
 
 
-def worker_order(fault: Fault) -> FaultOrder:
-    """The order that starts a fault in a fake worker."""
-    order = FaultOrder(WorkerFaultKind(fault.kind.value), duration_ms=fault.values.get(FaultValue.DURATION))
-    for key in ORDER_VALUES:
+def fault_command(fault: Fault) -> FaultCommand:
+    """The command that starts a fault in a fake worker."""
+    command = FaultCommand(WorkerFaultKind(fault.kind.value), duration_ms=fault.values.get(FaultValue.DURATION))
+    for key in COMMAND_VALUES:
         if key in fault.values:
-            order.value = fault.values[key]
-    return order
+            command.value = fault.values[key]
+    return command
 
 
 class FaultInjector:
@@ -89,14 +89,14 @@
             raise ValueError(f"{fault.location}: a fault without a trigger")
         trigger = fault.trigger
         self._processes.workers[trigger.worker].send(
-            WorkerFaultTrigger(trigger.event, trigger.nth, worker_order(fault))
+            WorkerFaultTrigger(trigger.event, trigger.nth, fault_command(fault))
         )
 
     # ---- workers ----
 
     def _send_to_workers(self, fault: Fault) -> None:
         for name in fault.targets:
-            self._processes.workers[name].send(worker_order(fault))
+            self._processes.workers[name].send(fault_command(fault))
 
     def _kill_workers(self, fault: Fault) -> None:
         for name in fault.targets:
@@ -117,12 +117,12 @@
 
     def _age_workers(self, fault: Fault) -> None:
         for name in fault.targets:
-            self._processes.workers[name].send(worker_order(fault))
+            self._processes.workers[name].send(fault_command(fault))
             self._timeline.schedule(fault.duration, self._workers.kill, name, fault.restart_delay)
 
     def _release(self, fault: Fault) -> None:
         for child in self._processes.workers.values():
-            child.send(worker_order(fault))
+            child.send(fault_command(fault))
 
     def _kill_replicas(self, fault: Fault) -> None:
         for name in fault.targets:
@@ -152,7 +152,7 @@
             store.send_signal(signal.SIGSTOP)
             self._timeline.schedule(fault.duration, store.send_signal, signal.SIGCONT)
         else:
-            store.send(StallOrder(fault.duration))
+            store.send(StallCommand(fault.duration))
 
     def _kill_store(self, fault: Fault) -> None:
         self._processes.store.kill()
--- a/wickdyke/fault_injection/worker_lifecycle.py
+++ b/wickdyke/fault_injection/worker_lifecycle.py
@@ -6,8 +6,8 @@
 
 from wickdyke.fault_injection.child_process import ChildProcess, RigError
 from wickdyke.fault_injection.endpoint_publisher import EndpointPublisher
+from wickdyke.fault_injection.fake_worker.faults import FaultCommand
 from wickdyke.fault_injection.fake_worker.faults import FaultKind as WorkerFaultKind
-from wickdyke.fault_injection.fake_worker.faults import FaultOrder
 from wickdyke.fault_injection.rig_processes import RigProcesses
 from wickdyke.fault_injection.run_folder import RunFolder
 from wickdyke.fault_injection.run_trace import RunTrace
@@ -102,7 +102,7 @@
             self._processes.workers[name].send_signal(signal.SIGTERM)
             self._timeline.schedule(DRAIN_EXIT_DELAY, self._restart_once_ended, name)
         else:  # the fake worker rejects new attempts and finishes those that it has
-            self._processes.workers[name].send(FaultOrder(WorkerFaultKind.DRAIN))
+            self._processes.workers[name].send(FaultCommand(WorkerFaultKind.DRAIN))
             self._timeline.schedule(DRAIN_EXIT_DELAY, self.kill, name, 0.0)
 
     def _restart_once_ended(self, name: str) -> None:
