--- a/tests/faulty_gateways.py
+++ b/tests/faulty_gateways.py
@@ -18,11 +18,11 @@
 from wickdyke.routing.prewarming import PrewarmLimiter
 from wickdyke.routing.slow_start import SlowStartGuard
 
-RESPONSES_PER_DEFECT = 50  # one response of so many is wrong
+DEFECTIVE_RESPONSE_INTERVAL = 50  # one of this many responses is wrong
 
 
 class Defect(Enum):
-    """What is wrong with a gateway; the value is the word on the command line."""
+    """The defects of faulty gateways; the value is the command-line argument."""
 
     NONE = "none"
     DUPLICATE_RESPONSES = "duplicate-responses"
@@ -36,57 +36,57 @@
 
 
 _response_numbers = itertools.count(1)
-_answer = PendingRequest.answer
-_apply = EndpointList.apply
+_original_answer = PendingRequest.answer
+_original_apply = EndpointList.apply
 
 
 def _is_defective_response():
-    return next(_response_numbers) % RESPONSES_PER_DEFECT == 0
+    return next(_response_numbers) % DEFECTIVE_RESPONSE_INTERVAL == 0
 
 
-def _answer_twice_at_times(request, body):
-    _answer(request, body)
+def _answer_some_twice(request, body):
+    _original_answer(request, body)
     if _is_defective_response():
         request.client.write(body + b"\n")
 
 
-def _answer_not_always(request, body):
+def _drop_some_answers(request, body):
     if not _is_defective_response():
-        _answer(request, body)
+        _original_answer(request, body)
 
 
 def _withdraw_without_cancel(attempts, pending, attempt, outcome):
     attempts.context.post(AttemptWithdrawn(pending, attempt, outcome))
 
 
-def _apply_as_ready(endpoint_list, rows, now):
-    return _apply(endpoint_list, [_ready(row) for row in rows], now)
+def _apply_all_as_ready(endpoint_list, rows, now):
+    return _original_apply(endpoint_list, [_ready(row) for row in rows], now)
 
 
 def _ready(row):
     return EndpointRow(**{name: getattr(row, name) for name in row.__slots__ if name != "state"}, state="ready")
 
 
-def _no_worker_is_draining(endpoint_list, name):
+def _no_draining_workers(endpoint_list, name):
     return []
 
 
 def install(defect):
-    """Put the defect into the classes of this process's gateway."""
+    """Patches the classes of the gateway in this process with the defect."""
     match defect:
         case Defect.NONE:
             pass
         case Defect.DUPLICATE_RESPONSES:
-            PendingRequest.answer = _answer_twice_at_times
+            PendingRequest.answer = _answer_some_twice
         case Defect.MISSING_RESPONSES:
-            PendingRequest.answer = _answer_not_always
+            PendingRequest.answer = _drop_some_answers
         case Defect.RETRIES_EVERYTHING:
             Request.may_have_run = lambda request: []
         case Defect.WITHDRAWS_WITHOUT_CANCEL:
             Attempts._withdraw = _withdraw_without_cancel
         case Defect.IGNORES_DRAINING:
-            EndpointList.apply = _apply_as_ready
-            EndpointList.draining = _no_worker_is_draining
+            EndpointList.apply = _apply_all_as_ready
+            EndpointList.draining = _no_draining_workers
         case Defect.IGNORES_SLOW_START:
             SlowStartGuard.is_warming_up = lambda guard, worker, now: False
         case Defect.ACCEPTS_ANY_ROUTES:
--- a/tests/test_fault_injection.py
+++ b/tests/test_fault_injection.py
@@ -1,4 +1,7 @@
-"""Scenarios against real gateways: the rules hold, and the checker finds each rule that a faulty gateway breaks."""
+"""Runs scenarios against real and faulty gateways.
+
+A correct gateway must follow all rules, and the checker must find each rule that a faulty gateway breaks.
+"""
 
 import os
 import subprocess
@@ -14,7 +17,7 @@
 from wickdyke.fault_injection.rule_checker import RuleChecker
 from wickdyke.fault_injection.scenario_runner import ScenarioRunner
 
-FAULTS_SCENARIO = """(script "day" (length 6 s) (gateways 2) (workers 6) (zones 2) (rate 130) (drain-grace 300 ms)
+MANY_FAULTS_SCENARIO = """(script "day" (length 6 s) (gateways 2) (workers 6) (zones 2) (rate 130) (drain-grace 300 ms)
   (warmup (start-share 0.05) (ramp 8 s) (multiple 1.5) (window 2 s)) (ration (free 3) (share 0.02) (window 5 s))
   (method "idem" (effect idempotent) (soft-deadline 750 ms) (deadline 3 s) (work 60 ms) (programs 30) (load 300 ms))
   (method "side" (effect side-effecting) (soft-deadline 1 s) (deadline 2 s) (part 0.5) (work 40 ms) (programs 4))
@@ -33,15 +36,15 @@
 
 
 def faulty_gateway_command(defect):
-    """The command that starts a gateway with a defect."""
+    """Returns the command that starts a gateway with a defect."""
     return (sys.executable, "-m", "tests.faulty_gateways", defect.value, "serve")
 
 
 class InvalidRoutesTest(unittest.TestCase):
-    """Routes that validation would have rejected break the rule it guards."""
+    """Routes that validation rejects break the rule that the validation protects."""
 
-    def test_rule_of_skipped_validation(self):
-        """Invalid routes, forced past the validation, break the rule that it guards; else the gateway refuses them."""
+    def test_skipped_validation(self):
+        """Invalid routes break a rule where validation is skipped; otherwise the gateway refuses to start."""
         with tempfile.TemporaryDirectory(prefix="wd-") as folder:
             for name, figures, defect, rules in (
                 ("accepted", ("", 1), Defect.ACCEPTS_ANY_ROUTES, {2}),
@@ -65,10 +68,10 @@
 
 
 class DefectsTest(unittest.TestCase):
-    """The rules that each faulty gateway breaks are found."""
+    """The rule checker finds the rule that each faulty gateway breaks."""
 
     def test_broken_rules_found(self):
-        """(defect) -> the rule that the checker must find broken; without a defect all rules are kept."""
+        """(defect) -> the rule that the checker must find broken; without a defect there must be no finding."""
         cases = (
             (Defect.NONE, set()),
             (Defect.DUPLICATE_RESPONSES, {1}),
@@ -83,8 +86,8 @@
         with tempfile.TemporaryDirectory(prefix="wd-") as folder:
             path = os.path.join(folder, "day.sexp")
             with open(path, "w") as sink:
-                sink.write(FAULTS_SCENARIO)
-            # With timed attempts a withdrawal does not depend on how long the router waits for a silent worker.
+                sink.write(MANY_FAULTS_SCENARIO)
+            # With an attempt timeout, withdrawals do not depend on how long the router waits for a silent worker.
             timed_path = os.path.join(folder, "timed.sexp")
             with open(timed_path, "w") as sink:
                 sink.write(INVALID_ROUTES_SCENARIO.replace(" (cancel no)", "") % ("", 1))
@@ -100,7 +103,7 @@
                 except Exception as error:  # noqa: BLE001 - the main thread asserts that there is none
                     errors[defect] = error
 
-            for batch in (cases[:3], cases[3:6], cases[6:]):  # a few at once: each run is several processes
+            for batch in (cases[:3], cases[3:6], cases[6:]):  # only a few at once, as each run starts several processes
                 threads = [threading.Thread(target=run, args=(defect,)) for defect, _ in batch]
                 for thread in threads:
                     thread.start()
@@ -120,14 +123,14 @@
     """Diagnostics for invalid scenarios."""
 
     def test_diagnostics(self):
-        """(an invalid fault) -> words of the one diagnostic."""
+        """(invalid fault) -> words of its only diagnostic."""
         for text, words in (
             ('(at 1 s (dye "w1"))', ("dye", "die")),
             ('(at 1 s (die "w9"))', ("w9", "w1, w2")),
             ("(at 1 s (die))", ("0 names",)),
             ('(at 1 (die "w1"))', ("unit", "1 ms")),
             ('(at 1 s (slow "w1" (factr 3)))', ("factr", "factor")),
-            ("(at 1 s)", ("without a trouble",)),
+            ("(at 1 s)", ("without a fault",)),
             ('(at 1 s (burst "w1"))', ("1 names", "none")),
             ('(on (call-out "w1" 3) (burst))', ("burst", "on an event")),
             ('(on (call-out "w1" 3) (die "w2"))', ("w2", "w1")),
@@ -148,20 +151,20 @@
 
 
 class CommandsTest(unittest.TestCase):
-    """Exit codes of the commands."""
+    """Exit codes and messages of the commands."""
 
     def test_exit_codes(self):
-        """(arguments) -> exit code and words of the output; never a traceback."""
+        """(arguments) -> exit code and words of the output, which must not contain a traceback."""
         with tempfile.TemporaryDirectory() as folder:
             invalid = os.path.join(folder, "a.trace")
-            without_terms = os.path.join(folder, "b.trace")
+            without_settings = os.path.join(folder, "b.trace")
             with open(invalid, "w") as sink:
                 sink.write("no\n{}\n")
-            with open(without_terms, "w") as sink:
+            with open(without_settings, "w") as sink:
                 sink.write('{"t":1,"by":"c","n":1,"what":"x"}\n')
             for arguments, code, words in (
                 (("judge", invalid), 2, "a.trace:1"),
-                (("judge", without_terms), 2, "terms"),
+                (("judge", without_settings), 2, "terms"),
                 (("judge", folder + "/none"), 2, "none"),
                 (("prove", folder + "/none"), 2, "none"),
                 (("check", folder + "/none"), 2, "none"),
--- a/tests/test_log_faults.py
+++ b/tests/test_log_faults.py
@@ -297,7 +297,7 @@
     def setUp(self):
         super().setUp()
         standard_error = self.enterContext(open(self.path("standard-error"), "wb", 0))
-        self.enterContext(mock.patch.object(trace, "STANDARD_ERROR", standard_error.fileno()))
+        self.enterContext(mock.patch.object(trace, "STANDARD_ERROR_FD", standard_error.fileno()))
 
     def reported(self):
         """Returns the lines that were written to standard error."""
@@ -324,7 +324,7 @@
                         self.assertRaises(trace.InvalidTraceError, trace.read, [path])
                         os.close(record.file)
                         os.unlink(path)
-                        os.unlink(path + trace.INCOMPLETE)
+                        os.unlink(path + trace.INCOMPLETE_SUFFIX)
         self.assertEqual(len(self.reported()), 2 * 5 * 2)
         self.assertTrue(all(b" of w was not written (" in line for line in self.reported()))
 
--- a/tests/test_worker_scenario.py
+++ b/tests/test_worker_scenario.py
@@ -38,8 +38,8 @@
         """(runtime, fault) -> words of the error: real workers can not have the faults of simulated ones."""
         for runtime, fault, words in (
             ("yes", '(at 1 s (hang "w1"))', "kill-copy"),
-            ("yes", '(on (call-out "w1" 3) (die "w1"))', "can have"),
-            ("no", '(at 1 s (kill-copy "w1"))', "stand-ins have no such"),
+            ("yes", '(on (call-out "w1" 3) (die "w1"))', "that real workers support"),
+            ("no", '(at 1 s (kill-copy "w1"))', "fake workers do not support"),
         ):
             with self.subTest(fault=fault), tempfile.TemporaryDirectory(prefix="wd-") as folder:
                 with open(os.path.join(folder, "s.sexp"), "w") as sink:
--- a/wickdyke/cli/prove.py
+++ b/wickdyke/cli/prove.py
@@ -61,7 +61,7 @@
     if brief:
         print(_brief_line(current, checker), flush=True)
     else:
-        print("\n" + report.verdict(checker))
+        print("\n" + report.format_report(checker))
     if checker.findings or kept_folder:
         print(f"traces and logs: {folder}")
     else:
@@ -92,7 +92,7 @@
         checker = RuleChecker(trace.read(_trace_files(traces)))
     except (trace.InvalidTraceError, ValueError) as error:
         fail(error)
-    print(report.verdict(checker, MAX_FINDINGS))
+    print(report.format_report(checker, MAX_FINDINGS))
     raise SystemExit(EXIT_RULE_BROKEN if checker.findings else ExitCode.OK)
 
 
--- a/wickdyke/fault_injection/__init__.py
+++ b/wickdyke/fault_injection/__init__.py
@@ -1,5 +1,5 @@
-"""Fault injection: fake workers, store and clients, scenarios of faults, and the checker of the five rules.
+"""Fault injection: fake workers, a fake store, load clients, scenarios of faults, and the checker of the five rules.
 
-Everything is observed at the sockets: this package uses the wire protocol and the reader of S-expressions, never the
-gateway or its router.
+All observations are made at the sockets: this package uses the wire protocol and the parser of S-expressions, but not
+the gateway or its router.
 """
--- a/wickdyke/fault_injection/child_process.py
+++ b/wickdyke/fault_injection/child_process.py
@@ -8,13 +8,13 @@
 
 import msgspec
 
-READY_TIMEOUT_SECONDS = 30.0  # generous: the machines that run scenarios are busy
+READY_TIMEOUT_SECONDS = 30.0  # long, because the machines that run scenarios are heavily loaded
 EXIT_TIMEOUT_SECONDS = 20.0
-LABEL_ARGUMENTS = 4  # so many arguments name a process in an error
+LABEL_ARGUMENT_COUNT = 4  # how many of its arguments identify a process in an error message
 
 
 class RigError(Exception):
-    """A process of the scenario itself did not start, or did not end as expected."""
+    """Raised where a process of a scenario does not start, or does not end as expected."""
 
 
 class ChildProcess:
@@ -24,18 +24,18 @@
     """
 
     def __init__(self, arguments: Sequence[str], error_log: str, wait_until_ready: bool = True) -> None:
-        """Start the process; raises OSError, and RigError if it was to be waited for and did not become ready."""
+        """Starts the process; raises OSError, and RigError where it is waited for and does not become ready."""
         self.error_log = open(error_log, "ab")  # noqa: SIM115 - open as long as the process
         self.process = subprocess.Popen(arguments, stdin=subprocess.PIPE, stdout=subprocess.PIPE, stderr=self.error_log)
         if self.process.stdin is None or self.process.stdout is None:
-            raise RigError(f"{arguments[0]}: started without pipes")
+            raise RigError(f"{arguments[0]}: process has no pipes for standard input and output")
         self._stdin = self.process.stdin
         self._stdout = self.process.stdout
         if wait_until_ready:
-            self.wait_until_ready(" ".join(arguments[:LABEL_ARGUMENTS]))
+            self.wait_until_ready(" ".join(arguments[:LABEL_ARGUMENT_COUNT]))
 
     def wait_until_ready(self, label: str) -> None:
-        """Wait for the first line of output; raises RigError, which names the process by `label`, if none comes."""
+        """Waits for the first line of output; raises RigError, which names the process by `label`, where none comes."""
         first_lines: list[bytes] = []
         reader = threading.Thread(target=lambda: first_lines.append(self._stdout.readline()), daemon=True)
         reader.start()
@@ -45,18 +45,18 @@
             raise RigError(f"{label}: did not become ready; see {self.error_log.name}")
 
     def send(self, command: msgspec.Struct) -> None:
-        """Send one command, as a line of JSON; a process that has ended does not get it, and this is no error."""
+        """Sends one command as a line of JSON; does nothing if the process has ended."""
         with contextlib.suppress(OSError):
             self._stdin.write(msgspec.json.encode(command) + b"\n")
             self._stdin.flush()
 
     def send_signal(self, number: signal.Signals) -> None:
-        """Send a signal to the process."""
+        """Sends a signal to the process."""
         self.process.send_signal(number)
 
     @property
     def exit_code(self) -> int | None:
-        """The exit code, negative for a signal; None while the process runs."""
+        """The exit code, negative if a signal ended the process; None while it runs."""
         return self.process.poll()
 
     @property
@@ -65,12 +65,12 @@
         return self.exit_code is None
 
     def kill(self) -> None:
-        """Kill the process and wait for its end."""
+        """Kills the process and waits for its end."""
         self.process.kill()
         self.wait()
 
     def wait(self, timeout: float = EXIT_TIMEOUT_SECONDS) -> int:
-        """Wait for the end of the process, kill it after `timeout` seconds; returns the exit code."""
+        """Waits for the end of the process, kills it after `timeout` seconds, and returns the exit code."""
         try:
             return self.process.wait(timeout)
         except subprocess.TimeoutExpired:
--- a/wickdyke/fault_injection/endpoint_publisher.py
+++ b/wickdyke/fault_injection/endpoint_publisher.py
@@ -1,4 +1,4 @@
-"""The endpoint file of a scenario over time: which workers it lists, in which state, and how late."""
+"""Publishes the endpoint file of a scenario: which workers it lists, in which state, and after which delay."""
 
 from dataclasses import replace
 
@@ -17,40 +17,40 @@
     """Writes the endpoint file that the gateways follow, and records in the trace what it lists."""
 
     def __init__(self, folder: RunFolder, timeline: Timeline, trace: RunTrace, lag: float) -> None:
-        """Publish changes `lag` ms after they happen."""
+        """Publishes changes `lag` ms after they happen."""
         self.lag = lag
-        self.rows: dict[str, EndpointRow] = {}  # workers as they were last started, by name
+        self.rows: dict[str, EndpointRow] = {}  # the row of each worker at its last start, by name
         self._folder = folder
         self._timeline = timeline
         self._trace = trace
         self._published: dict[str, EndpointRow] = {}
-        self._last_due = 0.0  # trace clock, ms: changes are published in the order in which they happened
+        self._last_due_at = 0.0  # trace clock, ms; keeps changes in the order in which they happened
 
     def set_lag(self, lag: float) -> None:
-        """Publish later changes `lag` ms after they happen."""
+        """Sets the delay of all later changes to `lag` ms."""
         self.lag = lag
 
     def publish_all(self) -> None:
-        """List every worker at once, as ready; raises OSError."""
+        """Lists every worker as ready, without delay; raises OSError."""
         self._published = dict(self.rows)
         self._write_file()
 
     def record_all(self) -> None:
-        """Record in the trace that every worker is listed as ready."""
+        """Records in the trace that every worker is listed as ready."""
         for row in self.rows.values():
             self._trace.endpoint_listed(row)
 
     def publish_later(self, name: str, state: EndpointState, lag: float | None = None) -> None:
-        """List a worker in a new state after `lag` ms, or after the lag in force."""
-        self._last_due = max(self._last_due, clock() + (self.lag if lag is None else lag))
+        """Lists a worker in a new state after `lag` ms, by default after the present lag."""
+        self._last_due_at = max(self._last_due_at, clock() + (self.lag if lag is None else lag))
         row = replace(self.rows[name], state=state.value)
-        self._timeline.schedule(self._last_due - clock(), self._publish, row)
+        self._timeline.schedule(self._last_due_at - clock(), self._publish, row)
 
     def _publish(self, row: EndpointRow) -> None:
         self._published[row.name] = row
-        # Danger: a gateway may read the new file before this process records it. So `ready` counts from before the
-        # file is replaced and the other states from after it; otherwise an attempt that was sent in good time would
-        # look like one sent to a draining worker.
+        # A gateway may read the new file before this process records the change. Therefore `ready` is recorded with a
+        # time before the file is replaced, and the other states with a time after it; otherwise an attempt that was
+        # sent in time would appear to have been sent to a draining worker.
         before = clock()
         self._write_file()
         published_at = before if row.state == EndpointState.READY.value else None
--- a/wickdyke/fault_injection/fake_store.py
+++ b/wickdyke/fault_injection/fake_store.py
@@ -1,4 +1,4 @@
-"""A fake store that workers fetch functions from: its capacity is shared by all of them, and it may stall."""
+"""A fake store from which workers fetch functions; all workers share its capacity, and it can be stalled."""
 
 import heapq
 import itertools
@@ -13,7 +13,7 @@
 from wickdyke.protocol import jsonrpc
 from wickdyke.transport.line_server import LineConnection, LineServer
 
-OVERLOADED_ERROR_CODE = -32010  # the error code of a fetch that is rejected
+OVERLOADED_ERROR_CODE = -32010  # of a rejected fetch
 
 
 class FakeStoreConfig(msgspec.Struct):
@@ -22,8 +22,8 @@
     Attributes:
         socket: path of the Unix socket that it listens on.
         trace: path of the trace file.
-        full_speed_fetches: fetches that run at full speed at once.
-        max_fetches: fetches at once; more are rejected.
+        full_speed_fetches: fetches that can run at full speed at once.
+        max_fetches: fetches accepted at once; further fetches are rejected.
     """
 
     socket: str
@@ -33,21 +33,21 @@
 
 
 class FetchRequest(msgspec.Struct):
-    """The params of `fetch`: a function, and how long its fetch takes at full speed (ms)."""
+    """The params of `fetch`: a function, and the duration (ms) of its fetch at full speed."""
 
     function: str = msgspec.field(name="program")
     duration_ms: float = msgspec.field(name="took_ms")
 
 
 class StallCommand(msgspec.Struct):
-    """A line of standard input: serve nothing for so long (ms)."""
+    """A command on standard input: serve nothing for `duration_ms`."""
 
     duration_ms: float = msgspec.field(name="for")
 
 
 @dataclass(order=True, slots=True)
 class PendingFetch:
-    """A fetch and when it is answered (ms, monotonic); those due at once are answered in the order of arrival."""
+    """A fetch and when it is due (ms, monotonic); fetches due at the same time are answered in order of arrival."""
 
     due_at: float
     number: int
@@ -56,10 +56,10 @@
 
 
 class FakeStore:
-    """Answers each fetch after its duration, later when many run at once."""
+    """Answers each fetch after its duration, which grows when many fetches run at once."""
 
     def __init__(self, config: FakeStoreConfig) -> None:
-        """Listens from now on; raises AddressInUseError, or OSError where the trace can't be opened."""
+        """Starts to listen; raises AddressInUseError, or OSError where the trace can't be opened."""
         self.config = config
         self.record = TraceRecorder(config.trace, "store")
         self.lock = threading.RLock()
@@ -71,7 +71,7 @@
         self.server = LineServer(config.socket, self._fetch_received, lambda connection: None)
 
     def stall(self, duration_ms: float) -> None:
-        """Serves nothing for so long; fetches in flight are answered that much later."""
+        """Serves nothing for `duration_ms`; fetches in flight are answered that much later."""
         with self.lock:
             self.record("stalled", lasts=duration_ms)
             self.stalled_until = clock() + duration_ms
@@ -101,7 +101,7 @@
 
 
 def main() -> None:
-    """Runs a store until standard input, which brings orders to stall, ends."""
+    """Runs a store until the end of standard input, from which it reads stall commands."""
     store = FakeStore(msgspec.json.decode(sys.argv[1], type=FakeStoreConfig))
     print("ready", flush=True)
     for line in sys.stdin:
--- a/wickdyke/fault_injection/fault_injector.py
+++ b/wickdyke/fault_injection/fault_injector.py
@@ -19,8 +19,8 @@
 from wickdyke.fault_injection.worker_lifecycle import WorkerLifecycle
 
 ROUTE_FILE = "routes.sexp"
-NO_HOT_FUNCTIONS = (1, 0.0)  # one hot function, called by none of the requests
-DEPLOY_DRAIN_SHARE = 0.8  # of the time between the workers of a deploy
+NO_HOT_FUNCTIONS = (1, 0.0)  # one hot function, which none of the requests call
+DEPLOY_DRAIN_SHARE = 0.8  # fraction of the interval between the workers of a deploy
 COMMAND_VALUES = (
     FaultValue.FACTOR,
     FaultValue.SHARE,
@@ -29,12 +29,12 @@
 
 
 def write_routes(folder: RunFolder, routes: str) -> None:
-    """Replace the route file that the gateways follow; raises OSError."""
+    """Replaces the route file that the gateways follow; raises OSError."""
     folder.replace(ROUTE_FILE, f"(routes {routes})\n")
 
 
 def fault_command(fault: Fault) -> FaultCommand:
-    """The command that starts a fault in a fake worker."""
+    """Returns the command that starts a fault in a fake worker."""
     command = FaultCommand(WorkerFaultKind(fault.kind.value), duration_ms=fault.values.get(FaultValue.DURATION))
     for key in COMMAND_VALUES:
         if key in fault.values:
@@ -43,7 +43,7 @@
 
 
 class FaultInjector:
-    """Starts faults, and ends those that last for a time."""
+    """Starts faults, and ends those with a limited duration."""
 
     def __init__(
         self,
@@ -68,25 +68,25 @@
             FaultKind.AGE: self._age_workers,
             FaultKind.REROUTE: self._replace_routes,
             FaultKind.KILL_REPLICA: self._kill_replicas,
-            FaultKind.RELEASE: self._release,
+            FaultKind.RELEASE: self._unload_functions,
             FaultKind.LIST_LAG: self._delay_endpoint_file,
             FaultKind.KILL_GATEWAY: self._kill_gateways,
             FaultKind.STALL: self._stall_store,
             FaultKind.STORE_DOWN: self._kill_store,
             FaultKind.BURST: self._change_rate,
-            FaultKind.HOT: self._call_few_functions,
-            FaultKind.ONCE: self._call_functions_once,
+            FaultKind.HOT: self._add_hot_functions,
+            FaultKind.ONCE: self._add_one_time_functions,
             FaultKind.SHORT: self._shorten_deadlines,
         }
 
     def inject(self, fault: Fault) -> None:
-        """Start a fault now."""
+        """Starts a fault now."""
         self._handlers.get(fault.kind, self._send_to_workers)(fault)
 
-    def arm(self, fault: Fault) -> None:
-        """Have the fake worker of the fault's trigger start the fault on its event."""
+    def register_trigger(self, fault: Fault) -> None:
+        """Has the fake worker of the fault's trigger start it on its event; raises ValueError without a trigger."""
         if fault.trigger is None:
-            raise ValueError(f"{fault.location}: a fault without a trigger")
+            raise ValueError(f"{fault.location}: the fault has no trigger")
         trigger = fault.trigger
         self._processes.workers[trigger.worker].send(
             WorkerFaultTrigger(trigger.event, trigger.nth, fault_command(fault))
@@ -120,7 +120,7 @@
             self._processes.workers[name].send(fault_command(fault))
             self._timeline.schedule(fault.duration, self._workers.kill, name, fault.restart_delay)
 
-    def _release(self, fault: Fault) -> None:
+    def _unload_functions(self, fault: Fault) -> None:
         for child in self._processes.workers.values():
             child.send(fault_command(fault))
 
@@ -164,12 +164,12 @@
         factor = fault.values[FaultValue.FACTOR]
         self._change_traffic(fault, TrafficChange(rate_factor=factor), TrafficChange(rate_factor=1.0))
 
-    def _call_few_functions(self, fault: Fault) -> None:
+    def _add_hot_functions(self, fault: Fault) -> None:
         functions = int(fault.values[FaultValue.FUNCTION_COUNT])
         share = fault.values[FaultValue.SHARE]
         self._change_traffic(fault, TrafficChange(hot=(functions, share)), TrafficChange(hot=NO_HOT_FUNCTIONS))
 
-    def _call_functions_once(self, fault: Fault) -> None:
+    def _add_one_time_functions(self, fault: Fault) -> None:
         share = fault.values[FaultValue.SHARE]
         self._change_traffic(fault, TrafficChange(one_time_share=share), TrafficChange(one_time_share=0.0))
 
--- a/wickdyke/fault_injection/faults.py
+++ b/wickdyke/fault_injection/faults.py
@@ -1,6 +1,6 @@
-"""The faults that a scenario can inject, and the reader of their (at ...) and (on ...) expressions.
+"""The faults that a scenario can inject, and the parser of their (at ...) and (on ...) expressions.
 
-The names of faults and of their values are keys of scenario files, commands to fake processes and words of traces.
+The names of faults and of their values are used in scenario files, in commands to fake processes and in traces.
 """
 
 from dataclasses import dataclass, field
@@ -14,9 +14,9 @@
 
 
 class FaultKind(Enum):
-    """What goes wrong; the value is the name in scenario files."""
+    """The kinds of faults; the value is the name in scenario files."""
 
-    DIE = "die"  # the worker is killed and started again
+    DIE = "die"  # the worker is killed and restarted
     DRAIN = "drain"  # the worker is drained, then replaced
     DEPLOY = "deploy"  # the workers are drained and replaced one after another
     HANG = "hang"  # the worker answers nothing
@@ -25,36 +25,36 @@
     LOSE = "lose"  # a share of the responses is not sent
     NEIGHBOUR = "neighbour"  # another tenant uses a share of the cores
     AGE = "age"  # the worker becomes slower and slower until it is restarted
-    LATE = "late"  # one response comes after its deadline
-    RELEASE = "release"  # a release: workers drop their loaded functions
+    LATE = "late"  # one response is sent after its deadline
+    RELEASE = "release"  # a release of new versions: workers unload their idle functions
     LIST_LAG = "list-lag"  # the endpoint file is written later than usual
-    BURST = "burst"  # more requests
+    BURST = "burst"  # the request rate changes by a factor
     HOT = "hot"  # a share of the requests calls very few functions
-    ONCE = "once"  # a share of the requests calls functions that nothing else calls
+    ONCE = "once"  # a share of the requests calls functions that no other request calls
     SHORT = "short"  # a share of the requests has a shorter deadline
     STALL = "stall"  # the store serves nothing
-    KILL_GATEWAY = "kill-gateway"  # the gateway is killed and started again
-    LOSE_ZONE = "lose-zone"  # all workers of the zone are killed and started again
+    KILL_GATEWAY = "kill-gateway"  # the gateway is killed and restarted
+    LOSE_ZONE = "lose-zone"  # all workers of the zone are killed and restarted
     REROUTE = "reroute"  # the route file is replaced
     KILL_REPLICA = "kill-copy"  # one replica process of the worker is killed
-    STORE_DOWN = "store-down"  # the store is killed and started again
+    STORE_DOWN = "store-down"  # the store is killed and restarted
 
 
 class FaultValue(StrEnum):
-    """A value of a fault; the word is its key in scenario files. Times are ms."""
+    """The values of faults; the value of a member is its key in scenario files. Times are in ms."""
 
     DURATION = "for"
-    RESTART_DELAY = "back"  # until what was killed is started again
+    RESTART_DELAY = "back"  # until the killed process is restarted
     INTERVAL = "each"  # between the workers of a deploy
     FACTOR = "factor"
     SHARE = "share"
     LAG = "by"  # of the endpoint file
-    LATENESS = "past"  # of a response beyond its deadline
+    LATENESS = "past"  # of a response after its deadline
     FUNCTION_COUNT = "programs"
 
 
 class FaultTarget(Enum):
-    """What a fault names; the value is the word of messages."""
+    """The kind of thing that a fault targets; the value is used in error messages."""
 
     WORKERS = "workers"
     GATEWAYS = "gateway"
@@ -64,7 +64,7 @@
 
 
 class WorkerSupport(Enum):
-    """Which workers can have a fault."""
+    """Which kinds of workers support a fault."""
 
     ANY = "any"
     FAKE_ONLY = "fake only"
@@ -73,7 +73,7 @@
 
 @dataclass(slots=True, frozen=True)
 class FaultParameter:
-    """A value of a fault: how it is read, and what it is where it is left out."""
+    """A value of a fault: the reader that parses it, and its default."""
 
     reader: Reader[float]
     default: float
@@ -81,17 +81,17 @@
 
 @dataclass(slots=True, frozen=True)
 class FaultSpecification:
-    """What a kind of fault names, which values it takes, who can have it, and whether an event can trigger it."""
+    """The targets and values of a kind of fault, the workers that support it, and whether an event can trigger it."""
 
     target: FaultTarget
     parameters: dict[FaultValue, FaultParameter] = field(default_factory=dict)
     support: WorkerSupport = WorkerSupport.ANY
-    on_event: bool = False
+    can_be_triggered: bool = False
 
 
 @dataclass(slots=True, frozen=True)
 class FaultTrigger:
-    """A fault starts when the worker gets its `nth` attempt or load."""
+    """Starts a fault when the worker receives its `nth` attempt or starts its `nth` load."""
 
     event: TriggerEvent
     worker: str
@@ -100,7 +100,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Fault:
-    """One fault of a scenario: at a time (`at`, ms from the start of the run) or on a trigger."""
+    """One fault of a scenario, which starts at a time (`at`, ms from the start of the run) or on a trigger."""
 
     kind: FaultKind
     targets: tuple[str, ...]
@@ -117,7 +117,7 @@
 
     @property
     def restart_delay(self) -> float:
-        """After how many ms what was killed is started again."""
+        """The delay in ms until the killed process is restarted."""
         return self.values[FaultValue.RESTART_DELAY]
 
     def __str__(self) -> str:
@@ -134,36 +134,36 @@
 
 FAULT_SPECIFICATIONS: dict[FaultKind, FaultSpecification] = {
     FaultKind.DIE: FaultSpecification(
-        FaultTarget.WORKERS, {FaultValue.RESTART_DELAY: _duration(4000.0)}, on_event=True
+        FaultTarget.WORKERS, {FaultValue.RESTART_DELAY: _duration(4000.0)}, can_be_triggered=True
     ),
     FaultKind.DRAIN: FaultSpecification(FaultTarget.WORKERS, {FaultValue.DURATION: _duration(3000.0)}),
     FaultKind.DEPLOY: FaultSpecification(FaultTarget.WORKERS, {FaultValue.INTERVAL: _duration(2500.0)}),
     FaultKind.HANG: FaultSpecification(
-        FaultTarget.WORKERS, {FaultValue.DURATION: _duration(4000.0)}, WorkerSupport.FAKE_ONLY, on_event=True
+        FaultTarget.WORKERS, {FaultValue.DURATION: _duration(4000.0)}, WorkerSupport.FAKE_ONLY, can_be_triggered=True
     ),
     FaultKind.SLOW: FaultSpecification(
         FaultTarget.WORKERS,
         {FaultValue.FACTOR: FaultParameter(number(1, 1000), 4.0), FaultValue.DURATION: _duration(5000.0)},
         WorkerSupport.FAKE_ONLY,
-        on_event=True,
+        can_be_triggered=True,
     ),
     FaultKind.FAIL: FaultSpecification(
         FaultTarget.WORKERS,
         {FaultValue.SHARE: _share(1, 0.8), FaultValue.DURATION: _duration(5000.0)},
         WorkerSupport.FAKE_ONLY,
-        on_event=True,
+        can_be_triggered=True,
     ),
     FaultKind.LOSE: FaultSpecification(
         FaultTarget.WORKERS,
         {FaultValue.SHARE: _share(1, 0.3), FaultValue.DURATION: _duration(5000.0)},
         WorkerSupport.FAKE_ONLY,
-        on_event=True,
+        can_be_triggered=True,
     ),
     FaultKind.NEIGHBOUR: FaultSpecification(
         FaultTarget.WORKERS,
         {FaultValue.SHARE: _share(0.95, 0.6), FaultValue.DURATION: _duration(5000.0)},
         WorkerSupport.FAKE_ONLY,
-        on_event=True,
+        can_be_triggered=True,
     ),
     FaultKind.AGE: FaultSpecification(
         FaultTarget.WORKERS,
@@ -175,7 +175,7 @@
         WorkerSupport.FAKE_ONLY,
     ),
     FaultKind.LATE: FaultSpecification(
-        FaultTarget.WORKERS, {FaultValue.LATENESS: _duration(5.0)}, WorkerSupport.FAKE_ONLY, on_event=True
+        FaultTarget.WORKERS, {FaultValue.LATENESS: _duration(5.0)}, WorkerSupport.FAKE_ONLY, can_be_triggered=True
     ),
     FaultKind.RELEASE: FaultSpecification(FaultTarget.NONE, support=WorkerSupport.FAKE_ONLY),
     FaultKind.LIST_LAG: FaultSpecification(
@@ -210,33 +210,36 @@
         FaultTarget.NONE, {FaultValue.RESTART_DELAY: _duration(2000.0)}, WorkerSupport.REAL_ONLY
     ),
 }
-NAMES = {kind.value: kind for kind in FAULT_SPECIFICATIONS}
+KINDS_BY_NAME = {kind.value: kind for kind in FAULT_SPECIFICATIONS}
 
 
 def read_timed_fault(expression: Expression, diagnostics: Diagnostics) -> Fault | None:
-    """Read (at TIME (FAULT ...)), as in `(at 5 s (die "w3"))`; None where it is invalid."""
+    """Reads (at TIME (FAULT ...)), as in `(at 5 s (die "w3"))`; returns None where it is invalid."""
     items = expression.items
     if not items or not isinstance(items[-1], Expression):
-        diagnostics.add(expression.location, "(at ...) without a trouble", "(at TIME (TROUBLE ...))")
+        diagnostics.add(expression.location, "(at ...) without a fault", "(at TIME (FAULT ...))")
         return None
     at = span()(Expression("at", items[:-1], expression.location), diagnostics)
     return _read_fault(items[-1], diagnostics, at=at)
 
 
 def read_triggered_fault(expression: Expression, diagnostics: Diagnostics) -> Fault | None:
-    """Read (on (EVENT WORKER NTH) (FAULT ...)), as in `(on (call-out "w2" 20) (die "w2"))`; None where invalid."""
+    """Reads (on (EVENT WORKER NTH) (FAULT ...)), as in `(on (call-out "w2" 20) (die "w2"))`.
+
+    Returns None where it is invalid.
+    """
     parts = [item for item in expression.items if isinstance(item, Expression)]
     if len(expression.items) != 2 or len(parts) != 2:
         diagnostics.add(
-            expression.location, "(on ...) with other items", '(on (call-out|load "WORKER" NTH) (TROUBLE ...))'
+            expression.location, "(on ...) with other items", '(on (call-out|load "WORKER" NTH) (FAULT ...))'
         )
         return None
     event, fault_expression = parts
     if not _check_trigger(event, diagnostics):
         return None
-    kind = NAMES.get(fault_expression.name)
-    if kind is None or not FAULT_SPECIFICATIONS[kind].on_event:
-        allowed = [kind.value for kind, specification in FAULT_SPECIFICATIONS.items() if specification.on_event]
+    kind = KINDS_BY_NAME.get(fault_expression.name)
+    if kind is None or not FAULT_SPECIFICATIONS[kind].can_be_triggered:
+        allowed = [kind.value for kind, specification in FAULT_SPECIFICATIONS.items() if specification.can_be_triggered]
         diagnostics.add(
             fault_expression.location, schema.describe(fault_expression), "on an event one of " + ", ".join(allowed)
         )
@@ -246,7 +249,7 @@
     if fault is not None and fault.targets != (trigger.worker,):
         diagnostics.add(
             fault_expression.location,
-            f"trouble at {', '.join(fault.targets)}",
+            f"a fault of {', '.join(fault.targets)}",
             f"the worker of the event, {trigger.worker}",
         )
     return fault
@@ -271,19 +274,19 @@
 def _read_fault(
     expression: Expression, diagnostics: Diagnostics, at: float | None = None, trigger: FaultTrigger | None = None
 ) -> Fault | None:
-    kind = NAMES.get(expression.name)
+    kind = KINDS_BY_NAME.get(expression.name)
     if kind is None:
-        diagnostics.add(expression.location, f"({expression.name} ...)", "a trouble: " + ", ".join(NAMES))
+        diagnostics.add(expression.location, f"({expression.name} ...)", "a fault: " + ", ".join(KINDS_BY_NAME))
         return None
     specification = FAULT_SPECIFICATIONS[kind]
-    if specification.target is FaultTarget.ROUTES:  # any text: a scenario may also put in an invalid route file
-        return Fault(kind, (), {}, expression.location, at, trigger, _text_of_items(expression))
+    if specification.target is FaultTarget.ROUTES:  # not validated: a scenario may also install an invalid route file
+        return Fault(kind, (), {}, expression.location, at, trigger, _format_items(expression))
     targets = _read_targets(expression, specification, diagnostics)
     values = _read_values(expression, specification, diagnostics)
     return Fault(kind, targets, values, expression.location, at, trigger)
 
 
-def _text_of_items(expression: Expression) -> str:
+def _format_items(expression: Expression) -> str:
     return " ".join(
         sexpr.format_expression(item) if isinstance(item, Expression) else item.text for item in expression.items
     )
--- a/wickdyke/fault_injection/function_packages.py
+++ b/wickdyke/fault_injection/function_packages.py
@@ -1,4 +1,4 @@
-"""The packages of the functions that a scenario's requests call on real workers."""
+"""Builds the packages of the functions that a scenario's requests call on real workers."""
 
 import os
 import tempfile
@@ -6,7 +6,7 @@
 from wickdyke.fault_injection.scenario import RequestClassTraffic, Scenario
 from wickdyke.worker import manifest, package
 
-# Loading and running are time slept. The input's keys are those that the load client sends.
+# Loading and running only sleep. The keys of the input are those that the load client sends.
 FUNCTION_SOURCE = """import time
 time.sleep({load} / 1000)
 def run(arguments):
@@ -16,7 +16,7 @@
 
 
 def write_packages(scenario: Scenario, store_folder: str) -> None:
-    """Pack every function of the scenario into the folder of a store; raises OSError."""
+    """Packs every function of the scenario into the folder of a store; raises OSError."""
     with tempfile.TemporaryDirectory(prefix="wd-") as source_folder:
         for request_class in scenario.request_classes:
             for number in range(request_class.function_count):
--- a/wickdyke/fault_injection/load_client/__init__.py
+++ b/wickdyke/fault_injection/load_client/__init__.py
@@ -1,6 +1,6 @@
 """A load client: sends requests to gateways over several connections and writes each request and answer to a trace.
 
-It is an open loop: requests are sent when they are due, whatever became of those before.
+The client is an open loop: it sends requests when they are due, regardless of the state of earlier ones.
 `python -m wickdyke.fault_injection.load_client PLAN` starts one, PLAN as JSON.
 """
 
--- a/wickdyke/fault_injection/load_client/__main__.py
+++ b/wickdyke/fault_injection/load_client/__main__.py
@@ -10,19 +10,19 @@
 from wickdyke.fault_injection.load_client.client import LoadClient
 from wickdyke.fault_injection.load_client.plan import LoadPlan, TrafficChange
 
-CONNECT_TIME_S = 0.2  # before the first request
+CONNECT_TIME_S = 0.2  # time for connecting before the first request
 PARENT_GONE_EXIT_CODE = 1
 
 
 def follow_changes(client: LoadClient) -> None:
-    """Applies changes of traffic from standard input; ends the process with it, as the parent process is gone."""
+    """Applies traffic changes from standard input; ends the process at its end, when the parent has ended."""
     for line in sys.stdin:
         client.change_traffic(msgspec.json.decode(line, type=TrafficChange))
     os._exit(PARENT_GONE_EXIT_CODE)
 
 
 def main() -> None:
-    """Plays a plan to its end."""
+    """Runs a load client until its plan is complete."""
     client = LoadClient(msgspec.json.decode(sys.argv[1], type=LoadPlan))
     threading.Thread(target=follow_changes, args=(client,), daemon=True).start()
     time.sleep(CONNECT_TIME_S)
--- a/wickdyke/fault_injection/load_client/client.py
+++ b/wickdyke/fault_injection/load_client/client.py
@@ -13,12 +13,12 @@
 from wickdyke.fault_injection.trace import clock
 from wickdyke.protocol import jsonrpc
 
-LAST_ANSWERS_MS = 2000  # past the longest deadline, how long answers are waited for
+FINAL_ANSWER_WAIT_MS = 2000  # how long to wait for answers after the longest deadline
 POLL_PAUSE_S = 0.02
 
 
 class CallParams(msgspec.Struct, omit_defaults=True):
-    """The params of `call` as this client fills them in. Times are ms, memory is MB."""
+    """The params of `call` that this client sends. Times are in ms, memory in MB."""
 
     method: str
     function: str = msgspec.field(name="program")
@@ -31,7 +31,7 @@
 
 
 class LoadClient:
-    """Draws requests and sends each when it is due."""
+    """Generates random requests and sends each when it is due."""
 
     def __init__(self, plan: LoadPlan) -> None:
         """Starts to connect; raises OSError where the trace can't be opened."""
@@ -39,8 +39,8 @@
         self.trace = ClientTrace(plan)
         self.random = random.Random(plan.seed)
         self.generator = RequestGenerator(plan, self.random)
-        self.rate = plan.rate  # requests a second
-        self.requests = 0  # drawn so far
+        self.rate = plan.rate  # requests per second
+        self.request_count = 0  # generated so far
         self.connections = [
             ClientConnection(gateway, path, self.trace, self._mark)
             for gateway, path in plan.gateways.items()
@@ -48,14 +48,14 @@
         ]
 
     def change_traffic(self, change: TrafficChange) -> None:
-        """Sends in another way from now on; may be called from another thread."""
+        """Applies a change to all later requests; may be called from another thread."""
         self.trace.traffic_changed(change)
         if change.rate_factor is not None:
             self.rate = self.plan.rate * change.rate_factor
         self.generator.change(change)
 
     def run(self) -> None:
-        """Sends until the plan's time is over or its requests are sent, then waits for the last answers."""
+        """Sends requests until the plan's time is over or its requests are sent, then waits for the last answers."""
         started_at = clock()
         due_at = started_at
         while clock() - started_at < self.plan.duration_ms and not self._all_sent():
@@ -65,13 +65,13 @@
             self._send_next()
             due_at += self.random.expovariate(1.0) * 1000 / self.rate
         self._await_answers()
-        self.trace.done(self.requests)
+        self.trace.run_ended(self.request_count)
 
     def _all_sent(self) -> bool:
-        return bool(self.plan.max_requests) and self.requests >= self.plan.max_requests
+        return bool(self.plan.max_requests) and self.request_count >= self.plan.max_requests
 
     def _await_answers(self) -> None:
-        give_up_at = clock() + LAST_ANSWERS_MS + max(kind.deadline_ms for kind in self.plan.kinds)
+        give_up_at = clock() + FINAL_ANSWER_WAIT_MS + max(kind.deadline_ms for kind in self.plan.kinds)
         while clock() < give_up_at and any(connection.in_flight for connection in self.connections):
             time.sleep(POLL_PAUSE_S)
 
@@ -79,10 +79,10 @@
         return f"{self.plan.name}-{request_id}"
 
     def _send_next(self) -> None:
-        """Draws one request and sends it over a random connection, or the next one that is open."""
-        request = self.generator.generate(self.requests)
-        self.requests += 1
-        request_id = self.requests
+        """Generates one request and sends it over a random connection, or the next open one."""
+        request = self.generator.generate(self.request_count)
+        self.request_count += 1
+        request_id = self.request_count
         line = jsonrpc.request_line("call", jsonrpc.encode(self._call_params(request, request_id)), request_id)
         first = self.random.randrange(len(self.connections))
         for connection in self.connections[first:] + self.connections[:first]:
--- a/wickdyke/fault_injection/load_client/client_trace.py
+++ b/wickdyke/fault_injection/load_client/client_trace.py
@@ -1,4 +1,4 @@
-"""What a load client writes to its trace; the kinds of lines and their keys stand here alone."""
+"""The trace that a load client writes; the kinds of its lines and their keys are defined only here."""
 
 import msgspec
 
@@ -12,17 +12,17 @@
 
 
 class ClientTrace:
-    """The trace of one client. Each method writes one line and raises InvalidTraceError where that fails."""
+    """The trace of one client. Each method writes one line; raises InvalidTraceError where it is not written."""
 
     def __init__(self, plan: LoadPlan) -> None:
         self.record = TraceRecorder(plan.trace, plan.name)
 
     def traffic_changed(self, change: TrafficChange) -> None:
-        """The traffic is about to change."""
+        """Records that the traffic is about to change."""
         self.record("traffic", **msgspec.to_builtins(change))
 
     def request_sent(self, mark: str, gateway: str, request: GeneratedRequest) -> None:
-        """A request is about to be sent."""
+        """Records that a request is about to be sent."""
         self.record(
             "asked",
             mark=mark,
@@ -34,11 +34,11 @@
         )
 
     def request_unsent(self, mark: str) -> None:
-        """A request was not sent, as there is no connection."""
+        """Records that a request was not sent because there is no connection."""
         self.record("unsent", mark=mark)
 
     def request_lost(self, mark: str, gateway: str) -> None:
-        """The connection closed before the answer to a request."""
+        """Records that the connection closed before the answer to a request."""
         self.record("lost", mark=mark, gateway=gateway)
 
     def request_answered(
@@ -49,7 +49,10 @@
         answer: FinalAnswer | None,
         error: jsonrpc.ErrorObject | None,
     ) -> None:
-        """An answer arrived at `received_at` (ms, monotonic); None where it is no final one, with its error."""
+        """Records an answer that arrived at `received_at` (ms, monotonic).
+
+        `answer` is None where it is not a final answer of the protocol; `error` is then recorded as the reason.
+        """
         self.record(
             "answered",
             received_at,
@@ -60,6 +63,6 @@
             call_outs=answer.attempts if answer else 0,
         )
 
-    def done(self, requests: int) -> None:
-        """All requests were sent, and those that got an answer have it."""
+    def run_ended(self, requests: int) -> None:
+        """Records that all requests were sent and the wait for answers is over."""
         self.record("done", asked=requests)
--- a/wickdyke/fault_injection/load_client/connection.py
+++ b/wickdyke/fault_injection/load_client/connection.py
@@ -13,33 +13,33 @@
 from wickdyke.protocol.framing import LineReader
 
 RECONNECT_PAUSE_S = 0.05
-READ_SIZE = 1 << 16  # bytes at a time
-MAX_LINE = 64 << 20  # bytes of one answer
+READ_SIZE_BYTES = 1 << 16  # per read
+MAX_LINE_BYTES = 64 << 20  # of one answer
 
 
 class ClientConnection:
-    """One connection to a gateway, made anew when it is lost. A thread of its own reads answers."""
+    """One connection to a gateway, re-established when it is lost. Its own thread reads answers."""
 
     def __init__(self, gateway: str, path: str, trace: ClientTrace, mark_of: Callable[[jsonrpc.Ident], str]) -> None:
-        """Connects to the Unix socket at `path`; `mark_of` gives the mark of a request id."""
+        """Connects to the Unix socket at `path`; `mark_of` returns the mark of a request id."""
         self.gateway = gateway
         self.path = path
         self.trace = trace
         self.mark_of = mark_of
-        self.sock: socket.socket | None = None  # None: not connected
+        self.sock: socket.socket | None = None  # None while not connected
         self.in_flight: dict[jsonrpc.Ident, str] = {}  # marks by request id, in the order of sending
         self.lock = threading.Lock()
         threading.Thread(target=self._run, daemon=True).start()
 
     def send(self, request_id: int, line: bytes, request: GeneratedRequest) -> bool:
-        """Sends one request, encoded as `line`; False where there is no connection."""
+        """Sends one request, encoded as `line`; returns False where there is no connection."""
         with self.lock:
             if self.sock is None:
                 return False
             mark = self.mark_of(request_id)
             self.in_flight[request_id] = mark
             self.trace.request_sent(mark, self.gateway, request)
-            with contextlib.suppress(OSError):  # the reader notices and writes it down
+            with contextlib.suppress(OSError):  # the reader thread detects and records the loss
                 self.sock.sendall(line)
             return True
 
@@ -54,7 +54,7 @@
             sock.close()
 
     def _connect(self) -> socket.socket:
-        """A connected socket, as soon as there can be one."""
+        """Returns a connected socket; retries until the connection succeeds."""
         while True:
             sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
             try:
@@ -66,9 +66,9 @@
                 return sock
 
     def _read_answers(self, sock: socket.socket) -> None:
-        """Reads until the gateway closes; raises OSError."""
-        lines = LineReader(MAX_LINE)
-        while data := sock.recv(READ_SIZE):
+        """Reads answers until the gateway closes the connection; raises OSError."""
+        lines = LineReader(MAX_LINE_BYTES)
+        while data := sock.recv(READ_SIZE_BYTES):
             received_at = clock()
             for line in lines.feed(data):
                 self._answer_received(line, received_at)
--- a/wickdyke/fault_injection/load_client/plan.py
+++ b/wickdyke/fault_injection/load_client/plan.py
@@ -1,4 +1,4 @@
-"""What a load client is to send: its plan, as JSON on the command line, and changes of it, as lines of JSON."""
+"""The plan of a load client, as JSON on the command line, and its changes, as lines of JSON on standard input."""
 
 import msgspec
 
@@ -8,10 +8,10 @@
 
     Attributes:
         method: the method's name.
-        weight: its part of all requests, relative to the weights of the others.
-        deadline_ms: time left as a request is sent.
+        weight: share of all requests, relative to the weights of the other kinds.
+        deadline_ms: time left when a request is sent.
         work_ms: mean work of a request.
-        functions: how many functions there are; a few are called often.
+        function_count: number of functions; a few of them are called often.
         memory_mb: memory of a replica.
         concurrency: attempts that a replica runs at once.
         load_ms: how long a replica takes to load.
@@ -22,7 +22,7 @@
     weight: float = msgspec.field(name="part")
     deadline_ms: float = msgspec.field(name="deadline")
     work_ms: float
-    functions: int = msgspec.field(name="programs")
+    function_count: int = msgspec.field(name="programs")
     memory_mb: float
     concurrency: int = msgspec.field(name="lanes")
     load_ms: float
@@ -30,18 +30,18 @@
 
 
 class LoadPlan(msgspec.Struct):
-    """Which gateways to call, with what and how often. `name=` maps a field to its JSON key.
+    """The gateways, the traffic and the rate of a load client. `name=` maps a field to its JSON key.
 
     Attributes:
         name: the client's name, also in the trace and in marks.
         trace: path of the trace file.
-        gateways: paths of their Unix sockets by name.
+        gateways: paths of the Unix sockets of gateways, by name.
         kinds: the traffic by method.
-        rate: requests a second.
-        duration_ms: how long to send.
+        rate: requests per second.
+        duration_ms: how long to send requests.
         seed: seed of the random draws.
-        connections: to each gateway.
-        max_requests: stop after so many; 0: no limit.
+        connections: number of connections to each gateway.
+        max_requests: number of requests after which to stop; 0 means no limit.
     """
 
     name: str
@@ -56,11 +56,11 @@
 
 
 class TrafficChange(msgspec.Struct, omit_defaults=True):
-    """A change of the traffic; what is None stays as it is.
+    """A change of the traffic; fields that are None change nothing.
 
     Attributes:
-        rate_factor: times the rate of the plan.
-        hot: how many functions are hot, and the share of requests that call one of them.
+        rate_factor: factor applied to the rate of the plan.
+        hot: number of hot functions, and the share of requests that call one of them.
         one_time_share: the share of requests whose function is called only once.
         short_deadline_share: the share of requests with a shorter deadline.
     """
--- a/wickdyke/fault_injection/load_client/request_generator.py
+++ b/wickdyke/fault_injection/load_client/request_generator.py
@@ -1,4 +1,4 @@
-"""Random draws of requests."""
+"""Generates random requests."""
 
 import random
 from dataclasses import dataclass
@@ -6,15 +6,15 @@
 from wickdyke.fault_injection.load_client.plan import LoadPlan, RequestKind, TrafficChange
 
 POPULARITY_EXPONENT = 0.8  # of the Pareto distribution of calls over functions
-MAX_FUNCTION = 10**6
+MAX_FUNCTION_RANK = 10**6
 SHORT_DEADLINE_FACTOR = 0.3
-WORK_LOG_MEAN = -0.08  # with WORK_LOG_DEVIATION, a mean of 1
+WORK_LOG_MEAN = -0.08  # together with WORK_LOG_DEVIATION this gives a mean of 1
 WORK_LOG_DEVIATION = 0.4
 
 
 @dataclass(frozen=True, slots=True)
 class HotFunctions:
-    """Functions that get a `share` of all requests, beside the others."""
+    """A number of functions that get a `share` of all requests, in addition to the other functions."""
 
     count: int
     share: float
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GeneratedRequest:
-    """A request as it was drawn. Times are in ms."""
+    """A randomly generated request. Times are in ms."""
 
     kind: RequestKind
     function: str
@@ -31,7 +31,7 @@
 
 
 class RequestGenerator:
-    """Draws requests as the plan and later changes state. The same seed and changes give the same requests."""
+    """Generates requests from a plan and its changes; the same seed and changes give the same requests."""
 
     def __init__(self, plan: LoadPlan, rng: random.Random) -> None:
         self.plan = plan
@@ -41,7 +41,7 @@
         self.short_deadline_share = 0.0
 
     def change(self, change: TrafficChange) -> None:
-        """Draws in another way from now on."""
+        """Applies a change to all later requests."""
         if change.hot is not None:
             self.hot = HotFunctions(*change.hot)
         if change.one_time_share is not None:
@@ -50,7 +50,7 @@
             self.short_deadline_share = change.short_deadline_share
 
     def generate(self, number: int) -> GeneratedRequest:
-        """Draws one request; `number` counts those before it."""
+        """Returns a random request; `number` is the number of requests before it."""
         kind = self.rng.choices(self.plan.kinds, [kind.weight for kind in self.plan.kinds])[0]
         function = self._function(kind, number)
         deadline_factor = SHORT_DEADLINE_FACTOR if self.rng.random() < self.short_deadline_share else 1.0
@@ -58,8 +58,8 @@
         return GeneratedRequest(kind, function, kind.deadline_ms * deadline_factor, work_ms)
 
     def _function(self, kind: RequestKind, number: int) -> str:
-        hot = self.hot  # another thread may put others in its place
-        rank = min(int(self.rng.paretovariate(POPULARITY_EXPONENT)) - 1, MAX_FUNCTION) % kind.functions
+        hot = self.hot  # read once, as another thread may replace it
+        rank = min(int(self.rng.paretovariate(POPULARITY_EXPONENT)) - 1, MAX_FUNCTION_RANK) % kind.function_count
         if self.rng.random() < hot.share:
             return f"{kind.method}/hot{self.rng.randrange(hot.count)}"
         if self.rng.random() < self.one_time_share:
--- a/wickdyke/fault_injection/report.py
+++ b/wickdyke/fault_injection/report.py
@@ -1,4 +1,4 @@
-"""The result of a run as text: rules, outcomes and latencies."""
+"""Formats the result of a run as text: rules, outcomes and latencies."""
 
 from hdrh.histogram import HdrHistogram  # type: ignore[import-untyped]  # the package has no types
 
@@ -7,26 +7,26 @@
 COLUMNS = ("asked", "ok in time", "ok late", "denied", "aborted", "lost")  # the keys of RuleChecker.outcomes()
 PERCENTILES = (50.0, 90.0, 99.0, 99.9, 100.0)
 MICROSECONDS_PER_MS = 1000
-MAX_LATENCY = 60_000_000  # microseconds
+MAX_LATENCY_US = 60_000_000  # microseconds
 SIGNIFICANT_DIGITS = 3
 
 
 def histogram(latencies: list[float]) -> HdrHistogram:
-    """A histogram, in microseconds, of latencies in ms; they are clamped to a microsecond and a minute."""
-    result = HdrHistogram(1, MAX_LATENCY, SIGNIFICANT_DIGITS)
+    """Returns a histogram, in microseconds, of latencies in ms, which are clamped to 1 microsecond and 1 minute."""
+    result = HdrHistogram(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
     for latency in latencies:
-        result.record_value(max(1, min(MAX_LATENCY, round(latency * MICROSECONDS_PER_MS))))
+        result.record_value(max(1, min(MAX_LATENCY_US, round(latency * MICROSECONDS_PER_MS))))
     return result
 
 
 def quantiles(latencies: list[float]) -> list[float]:
-    """The latencies at PERCENTILES, in ms."""
+    """Returns the latencies at PERCENTILES, in ms."""
     values = histogram(latencies)
     return [values.get_value_at_percentile(percentile) / MICROSECONDS_PER_MS for percentile in PERCENTILES]
 
 
 def table(head: tuple[str, ...], rows: list[list[str]]) -> str:
-    """A table as text; the first column is aligned to the left, the others to the right."""
+    """Returns a table as text, with the first column left-aligned and the others right-aligned."""
     lines = [list(head), *rows]
     widths = [max(len(line[column]) for line in lines) for column in range(len(head))]
     return "\n".join(_table_line(line, widths) for line in lines)
@@ -38,8 +38,8 @@
     return "  ".join(aligned).rstrip()
 
 
-def verdict(checker: RuleChecker, max_findings: int = 5) -> str:
-    """Rules with at most `max_findings` findings each, outcomes by request class, and latencies."""
+def format_report(checker: RuleChecker, max_findings: int = 5) -> str:
+    """Returns the rules with at most `max_findings` findings each, and outcomes and latencies by request class."""
     parts = [*_rule_lines(checker, max_findings), "", _outcome_table(checker)]
     if checker.latencies():
         parts += ["", _latency_table(checker)]
--- a/wickdyke/fault_injection/request_input.py
+++ b/wickdyke/fault_injection/request_input.py
@@ -4,11 +4,11 @@
 
 
 class RequestInput(msgspec.Struct):
-    """What a request costs.
+    """The input of a request, which states its costs.
 
     Attributes:
-        mark: names the request in traces; unique in a run.
-        work_ms: the work of one attempt.
+        mark: identifies the request in traces; unique in a run.
+        work_ms: the work of one attempt, in ms on a core of speed 1.
         load_ms: how long a replica of its function takes to load.
     """
 
--- a/wickdyke/fault_injection/rig_processes.py
+++ b/wickdyke/fault_injection/rig_processes.py
@@ -19,17 +19,17 @@
 from wickdyke.fault_injection.settings_files import STORE_SETTINGS, gateway_settings, worker_settings
 
 GATEWAY_COMMAND = (sys.executable, "-m", "wickdyke.cli", "serve")
-STARTS_PER_SEED = 100000  # start numbers of scenarios with different seeds are apart by this
-WORKER_SEED_FACTOR = 7919  # a prime: workers of different seeds and starts have different random numbers
+STARTS_PER_SEED = 100000  # distance between the start numbers of scenarios with successive seeds
+WORKER_SEED_FACTOR = 7919  # a prime, so that different seeds and starts give workers different random numbers
 WORKER_KIND = "k"
 CLIENT_NAME = "c1"
 
 
 class RigProcesses:
-    """Starts the processes of a scenario in a folder and keeps them by name."""
+    """Starts the processes of a scenario in a folder and holds them by name."""
 
     def __init__(self, scenario: Scenario, folder: RunFolder, trace: RunTrace, gateway_command: Sequence[str]) -> None:
-        """Start nothing yet; `gateway_command` is what the name of a settings file is appended to."""
+        """Starts no process yet; `gateway_command` starts a gateway when the path of its settings is appended."""
         self.workers: dict[str, ChildProcess] = {}
         self.gateways: dict[str, ChildProcess] = {}
         self.load_clients: list[ChildProcess] = []
@@ -42,15 +42,15 @@
 
     @property
     def store(self) -> ChildProcess:
-        """The store that runs; raises RigError before its start."""
+        """The process of the store; raises RigError before its start."""
         if self._store is None:
             raise RigError("the store was not started")
         return self._store
 
     def start_worker(self, name: str, warming_up: bool) -> EndpointRow:
-        """Start a worker, in place of its last process if there was one; returns its row of the endpoint file.
+        """Starts a worker, in place of its last process if there was one; returns its row of the endpoint file.
 
-        The worker may not be ready yet. With `warming_up` unset a fake worker is at its full speed from the start.
+        The worker may not be ready yet. Without `warming_up` a fake worker has its full speed from the start.
         """
         start_number = next(self._start_numbers)
         trace_path = self._folder.trace_file(name)
@@ -106,7 +106,7 @@
         return _module_arguments("fake_worker", config)
 
     def start_gateway(self, name: str) -> None:
-        """Start a gateway with the settings that write_gateway_settings() wrote; it may not be ready yet."""
+        """Starts a gateway with the settings that write_gateway_settings() wrote; it may not be ready yet."""
         self._trace.gateway_started(name)
         arguments = (
             *self._gateway_command,
@@ -117,16 +117,16 @@
         self.gateways[name] = self._spawn(name, arguments, wait_until_ready=False)
 
     def kill_gateway(self, name: str) -> None:
-        """Kill a gateway."""
+        """Kills a gateway."""
         self.gateways[name].kill()
         self._trace.gateway_killed(name)
 
     def write_gateway_settings(self, number: int) -> None:
-        """Write the settings file of the gateway of that number; raises OSError."""
+        """Writes the settings file of the gateway with that number; raises OSError."""
         self._folder.write(f"g{number}.sexp", gateway_settings(self._scenario, number))
 
     def start_store(self) -> None:
-        """Start the store and wait until it is ready; raises RigError."""
+        """Starts the store and waits until it is ready; raises RigError."""
         if self._scenario.real_workers:
             arguments = self._real_store_arguments()
         else:
@@ -146,7 +146,7 @@
         return (sys.executable, "-m", "wickdyke.cli", "store", settings_path)
 
     def start_load_client(self) -> None:
-        """Start the load client and wait until it is ready; raises RigError."""
+        """Starts the load client and waits until it is ready; raises RigError."""
         arguments = _module_arguments("load_client", self._load_plan())
         self.load_clients.append(self._spawn(CLIENT_NAME, arguments, wait_until_ready=True))
 
@@ -158,11 +158,11 @@
                 weight=request_class.weight,
                 deadline_ms=request_class.deadline_ms,
                 work_ms=request_class.work_ms,
-                functions=request_class.function_count,
+                function_count=request_class.function_count,
                 memory_mb=request_class.memory_mb,
                 concurrency=request_class.concurrency,
                 load_ms=request_class.load_ms,
-                has_idempotency_key=request_class.effect is Effect.TOKENED,
+                has_idempotency_key=request_class.effect is Effect.IDEMPOTENCY_KEY,
             )
             for request_class in scenario.request_classes
         ]
@@ -179,14 +179,14 @@
         )
 
     def close(self) -> None:
-        """End every process; those that still run are killed."""
-        for child in self._all():
+        """Ends every process; kills those that still run."""
+        for child in self._all_processes():
             if child.is_running:
                 child.kill()
             else:
                 child.wait()
 
-    def _all(self) -> Iterator[ChildProcess]:
+    def _all_processes(self) -> Iterator[ChildProcess]:
         yield from self.load_clients
         yield from self.gateways.values()
         yield from self.workers.values()
--- a/wickdyke/fault_injection/run_trace.py
+++ b/wickdyke/fault_injection/run_trace.py
@@ -1,4 +1,4 @@
-"""What the scenario runner writes to its trace; the kinds of these lines and their keys stand here alone."""
+"""The trace that the scenario runner writes; the kinds of its lines and their keys are defined only here."""
 
 from wickdyke.config.endpoint_file import EndpointRow
 from wickdyke.fault_injection.faults import Fault
@@ -9,14 +9,14 @@
 
 
 class RunTrace:
-    """The runner's trace. Each method writes one line and raises InvalidTraceError if it cannot be written."""
+    """The runner's trace. Each method writes one line; raises InvalidTraceError where it is not written."""
 
     def __init__(self, path: str) -> None:
-        """Open the trace for appending; raises OSError."""
+        """Opens the trace for appending; raises OSError."""
         self._record = TraceRecorder(path, WRITER)
 
     def run_settings(self, scenario: Scenario) -> None:
-        """What the rule checker needs to know of the scenario."""
+        """Records the settings of the scenario that the rule checker needs."""
         slow_start = scenario.slow_start
         quota = scenario.prewarm_quota
         self._record(
@@ -36,23 +36,23 @@
         )
 
     def endpoint_listed(self, row: EndpointRow, time_ms: float | None = None) -> None:
-        """The endpoint file lists a worker in a state, since `time_ms` (trace clock) or since now."""
+        """Records that the endpoint file lists a worker in a state, since `time_ms` (trace clock) or since now."""
         self._record("told", time_ms, worker=row.name, state=row.state, start=row.start)
 
     def gateway_started(self, name: str) -> None:
-        """A gateway's process is about to be started."""
+        """Records that the process of a gateway is about to be started."""
         self._record("gateway-started", gateway=name)
 
     def gateway_killed(self, name: str) -> None:
-        """A gateway was killed."""
+        """Records that a gateway was killed."""
         self._record("gateway-killed", gateway=name)
 
     def worker_ended(self, name: str) -> None:
-        """A worker was killed, or ended by itself."""
+        """Records that a worker was killed, or ended by itself."""
         self._record("worker-killed", worker=name)
 
     def fault_injected(self, fault: Fault) -> None:
-        """A fault of the scenario is about to be injected."""
+        """Records that a fault of the scenario is about to be injected."""
         self._record("trouble", text=str(fault))
 
 
@@ -61,7 +61,7 @@
         request_class.name: {
             "effect": request_class.effect.value,
             "scope": request_class.scope.value,
-            "window": request_class.key_window_ms,
+            "window": request_class.key_lifetime_ms,
             "soft": request_class.soft_deadline_ms,
         }
         for request_class in scenario.request_classes
--- a/wickdyke/fault_injection/scenario.py
+++ b/wickdyke/fault_injection/scenario.py
@@ -1,7 +1,7 @@
-"""Scenarios: files of S-expressions that state which processes run, their traffic, and which faults come when.
+"""Scenarios: files of S-expressions that define which processes run, their traffic, and the times of faults.
 
-The keys of scenario files are the names of the fields in the tables below; where the name in the record is another,
-`parameter` gives it.
+The keys of scenario files are the names of the fields in the tables below; `parameter` states the name in the record
+where it differs.
 """
 
 from dataclasses import dataclass, field
@@ -23,15 +23,15 @@
 
 
 class Effect(Enum):
-    """What running a request a second time would do; the value is the word of settings and traces."""
+    """Whether a request may run a second time; the value is used in settings and traces."""
 
     IDEMPOTENT = "idempotent"
-    TOKENED = "tokened"
+    IDEMPOTENCY_KEY = "tokened"
     SIDE_EFFECTING = "side-effecting"
 
 
 class EffectScope(Enum):
-    """Among which workers an idempotency key is known; the value is the word of settings and traces."""
+    """The group of workers that share idempotency keys; the value is used in settings and traces."""
 
     ALL = "all"
     ZONE = "zone"
@@ -39,7 +39,7 @@
 
 
 class EndpointState(Enum):
-    """The state of a worker in the endpoint file; the value is the word of the file and of traces."""
+    """The state of a worker in the endpoint file; the value is used in the file and in traces."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -53,11 +53,11 @@
     name: str
     effect: Effect
     scope: EffectScope
-    key_window_ms: float  # how long an idempotency key is known
+    key_lifetime_ms: float  # how long workers remember an idempotency key
     soft_deadline_ms: float
     deadline_ms: float
-    gain: float  # what a response in time is worth
-    late_gain: float  # the share of it that a late response is worth
+    gain: float  # the value of a response in time
+    late_gain: float  # the share of `gain` for a late response
     weight: float  # the share of all requests, relative to the other classes
     work_ms: float
     function_count: int
@@ -68,17 +68,17 @@
 
 @dataclass(slots=True, frozen=True)
 class SlowStart:
-    """How workers warm up after a start."""
+    """How the speed of workers grows after a start."""
 
     start_share: float = 0.25  # of a worker's speed, right after its start
     ramp_ms: float = 6000.0
-    overload_multiple: float = 3.0  # of its capacity in the window, beyond which a warming worker falls over
+    overload_multiple: float = 3.0  # a worker in slow start crashes beyond this many times its capacity in the window
     window_ms: float = 1500.0
 
 
 @dataclass(slots=True, frozen=True)
 class PrewarmQuota:
-    """How many prewarm orders are allowed within the window: a fixed number and a share of the requests."""
+    """How many prewarms are allowed within the window: a fixed number plus a share of the requests."""
 
     free: float = 0.0
     share: float = 0.0
@@ -87,7 +87,7 @@
 
 @dataclass(slots=True)
 class Scenario:
-    """A run as a scenario file states it. Times in ms, memory in MB."""
+    """A run as a scenario file defines it. Times in ms, memory in MB."""
 
     name: str
     seed: int
@@ -96,19 +96,19 @@
     worker_count: int
     zone_count: int
     cores: int  # of one worker
-    speed: float  # ms of work that a core does in a ms
+    speed: float  # ms of work that a core does per ms
     worker_memory_mb: float
     queue_limit: int
-    idle_lifetime_ms: float  # of a replica without requests
-    request_rate: float  # requests a second
+    idle_lifetime_ms: float  # until a replica without requests is unloaded
+    request_rate: float  # requests per second
     connections: int
-    max_requests: int  # of the whole run; 0 for no limit
+    max_requests: int  # in the whole run; 0 means no limit
     max_attempts: int
-    overlap: bool  # whether attempts of a request may run at once
+    overlap: bool  # whether attempts of a request may overlap
     drain_grace_ms: float
-    endpoint_lag_ms: float  # from a change of a worker to the endpoint file
+    endpoint_lag_ms: float  # delay of changes of workers in the endpoint file
     response_transit_ms: float
-    transit_ms: float  # allowed by the rule checker between send and receipt
+    transit_ms: float  # delay between send and receipt that the rule checker allows
     store_concurrency: int  # fetches that the fake store serves at full speed
     slow_start: SlowStart
     prewarm_quota: PrewarmQuota
@@ -127,9 +127,11 @@
 REQUEST_CLASS = record(
     unlocated(RequestClassTraffic),
     named=True,
-    effect=Field(choice(idempotent=Effect.IDEMPOTENT, tokened=Effect.TOKENED, side_effecting=Effect.SIDE_EFFECTING)),
+    effect=Field(
+        choice(idempotent=Effect.IDEMPOTENT, tokened=Effect.IDEMPOTENCY_KEY, side_effecting=Effect.SIDE_EFFECTING)
+    ),
     scope=Field(choice(all=EffectScope.ALL, zone=EffectScope.ZONE, cell=EffectScope.CELL), EffectScope.ALL),
-    window=Field(span(), 0.0, parameter="key_window_ms"),
+    window=Field(span(), 0.0, parameter="key_lifetime_ms"),
     soft_deadline=Field(span(1), parameter="soft_deadline_ms"),
     deadline=Field(span(1), parameter="deadline_ms"),
     gain=Field(number(0, 1e6), 1.0),
@@ -198,17 +200,17 @@
 
 
 def worker_names(scenario: Scenario) -> list[str]:
-    """The names of the scenario's workers: w1, w2 ..."""
+    """Returns the names of the scenario's workers: w1, w2 ..."""
     return [f"w{number}" for number in range(1, scenario.worker_count + 1)]
 
 
 def gateway_names(scenario: Scenario) -> list[str]:
-    """The names of the scenario's gateways: g1, g2 ..."""
+    """Returns the names of the scenario's gateways: g1, g2 ..."""
     return [f"g{number}" for number in range(1, scenario.gateway_count + 1)]
 
 
 def zone_of(scenario: Scenario, worker: str) -> str:
-    """The zone of a worker: zones are assigned to workers in turn."""
+    """Returns the zone of a worker; zones are assigned to workers in turn."""
     return f"z{(int(worker[1:]) - 1) % scenario.zone_count + 1}"
 
 
@@ -216,12 +218,12 @@
 
 
 def cell_of(worker: str) -> int:
-    """The cell of a worker: cells are assigned to workers in turn."""
+    """Returns the cell of a worker; cells are assigned to workers in turn."""
     return int(worker[1:]) % CELL_COUNT
 
 
 def read(path: str) -> Scenario:
-    """Read and check a scenario file; raises InvalidConfigError with all that is wrong in it."""
+    """Reads and checks a scenario file; raises InvalidConfigError with all errors in it."""
     diagnostics = Diagnostics()
     expression = schema.single_expression(sexpr.read(path), "script", path, diagnostics)
     scenario = None if expression is None else SCENARIO(expression, diagnostics)
@@ -253,9 +255,9 @@
             for kind, specification in FAULT_SPECIFICATIONS.items()
             if specification.support is not WorkerSupport.FAKE_ONLY
         ]
-        diagnostics.add(fault.location, shown, "a trouble that workers of our own can have: " + ", ".join(supported))
+        diagnostics.add(fault.location, shown, "a fault that real workers support: " + ", ".join(supported))
     elif not scenario.real_workers and support is WorkerSupport.REAL_ONLY:
-        diagnostics.add(fault.location, shown, "it with (runtime yes): stand-ins have no such thing")
+        diagnostics.add(fault.location, shown, "a scenario with (runtime yes): fake workers do not support this fault")
 
 
 def _check_deadlines(scenario: Scenario, location: SourceLocation, diagnostics: Diagnostics) -> None:
@@ -263,6 +265,6 @@
         if request_class.soft_deadline_ms >= request_class.deadline_ms:
             diagnostics.add(
                 location,
-                f'method "{request_class.name}" with a soft deadline of {request_class.soft_deadline_ms:g} ms',
-                f"one before its deadline, {request_class.deadline_ms:g} ms",
+                f'method "{request_class.name}" whose soft deadline is {request_class.soft_deadline_ms:g} ms',
+                f"a soft deadline before its deadline of {request_class.deadline_ms:g} ms",
             )
--- a/wickdyke/fault_injection/scenario_runner.py
+++ b/wickdyke/fault_injection/scenario_runner.py
@@ -1,4 +1,4 @@
-"""Runs a scenario: starts its processes, injects its faults in time, and ends everything."""
+"""Runs a scenario: starts its processes, injects its faults at their times, and ends all processes."""
 
 import signal
 import time
@@ -17,27 +17,27 @@
 from wickdyke.fault_injection.trace import clock
 from wickdyke.fault_injection.worker_lifecycle import WorkerLifecycle
 
-STEP_SECONDS = 0.005
-CLIENT_GRACE = 20000.0  # ms beyond the scenario and its longest deadline until the load clients must have ended
+STEP_INTERVAL_SECONDS = 0.005
+CLIENT_EXIT_GRACE_MS = 20000.0  # after the scenario and its longest deadline, until load clients must have ended
 
 
-def _no_progress(text: str) -> None:
-    """Report progress to nobody."""
+def _ignore_progress(text: str) -> None:
+    """Ignores the progress report."""
 
 
 class ScenarioRunner:
-    """One run of a scenario in a folder of its own."""
+    """One run of a scenario in its own folder."""
 
     def __init__(
         self,
         scenario: Scenario,
         folder: str,
         gateway_command: Sequence[str] = GATEWAY_COMMAND,
-        report_progress: Callable[[str], None] = _no_progress,
+        report_progress: Callable[[str], None] = _ignore_progress,
     ) -> None:
-        """Empty the folder and start nothing yet; raises OSError.
+        """Empties the folder and starts no process yet; raises OSError.
 
-        `report_progress` gets a line of text for each fault, behind the seconds elapsed.
+        `report_progress` receives a line of text for each fault, which begins with the seconds elapsed.
         """
         self.scenario = scenario
         self.folder = folder
@@ -72,13 +72,13 @@
 
     @property
     def rows(self) -> dict[str, EndpointRow]:
-        """The workers as they were last started, by name."""
+        """The rows of the workers at their last start, by name."""
         return self._endpoints.rows
 
     def start(self, traffic: bool = True) -> None:
-        """Start all processes and return when they are ready; without load clients unless `traffic`.
+        """Starts all processes and returns when they are ready; starts load clients only with `traffic`.
 
-        Raises RigError if a process does not become ready.
+        Raises RigError where a process does not become ready.
         """
         self._trace.run_settings(self.scenario)
         self._processes.start_store()
@@ -88,7 +88,7 @@
             self._processes.start_load_client()
 
     def run(self) -> list[str]:
-        """Run the whole scenario and return the paths of its traces; raises RigError if the run itself fails."""
+        """Runs the whole scenario and returns the paths of its traces; raises RigError where the run itself fails."""
         try:
             self.start()
             self._timeline.start()
@@ -100,13 +100,13 @@
         return self._run_folder.trace_files
 
     def step(self) -> None:
-        """Run what is due, note the workers that ended, and sleep for a moment."""
+        """Runs the due actions, handles workers that ended, and sleeps for STEP_INTERVAL_SECONDS."""
         self._timeline.run_due()
-        self._workers.check_ended()
-        time.sleep(STEP_SECONDS)
+        self._workers.check_exited()
+        time.sleep(STEP_INTERVAL_SECONDS)
 
     def close(self) -> None:
-        """End every process."""
+        """Ends every process."""
         self._processes.close()
 
     def _start_workers(self) -> None:
@@ -131,7 +131,7 @@
             if fault.at is not None:
                 self._timeline.schedule(fault.at, self._inject, fault)
             else:
-                self._faults.arm(fault)
+                self._faults.register_trigger(fault)
 
     def _inject(self, fault: Fault) -> None:
         self._trace.fault_injected(fault)
@@ -140,11 +140,11 @@
 
     def _wait_for_load_clients(self) -> None:
         longest_deadline = max(request_class.deadline_ms for request_class in self.scenario.request_classes)
-        give_up_at = clock() + self.scenario.duration_ms + CLIENT_GRACE + longest_deadline
+        give_up_at = clock() + self.scenario.duration_ms + CLIENT_EXIT_GRACE_MS + longest_deadline
         while any(client.is_running for client in self._processes.load_clients):
             self.step()
             if clock() > give_up_at:
-                raise RigError("the clients did not end")
+                raise RigError("the load clients did not end")
 
     def _stop_gateways(self) -> None:
         for name, child in self.gateways.items():
--- a/wickdyke/fault_injection/settings_files.py
+++ b/wickdyke/fault_injection/settings_files.py
@@ -1,13 +1,13 @@
-"""The settings of a scenario's gateways, workers and store, as `wickdyke serve`, `worker` and `store` read them."""
+"""Formats the settings files of gateways, workers and stores for `wickdyke serve`, `worker` and `store`."""
 
 from wickdyke.fault_injection.scenario import Effect, RequestClassTraffic, Scenario
 
-SEEDS_PER_SCENARIO = 1000  # the seeds of a scenario's gateways follow one another from here
+SEEDS_PER_SCENARIO = 1000  # distance between the seeds of gateways of scenarios with successive seeds
 STORE_SETTINGS = '(store (listen "store.sock") (folder "store"))'
 
 
 def gateway_settings(scenario: Scenario, number: int) -> str:
-    """The settings of the scenario's gateway of that number (from 1)."""
+    """Returns the settings of the scenario's gateway with that number (from 1)."""
     lines = [
         "(gateway",
         *_instance_lines(scenario, number),
@@ -56,7 +56,7 @@
 
 
 def _request_class_line(request_class: RequestClassTraffic) -> str:
-    window = f" (window {request_class.key_window_ms:g} ms)" if request_class.effect is Effect.TOKENED else ""
+    window = f" (window {request_class.key_lifetime_ms:g} ms)" if request_class.effect is Effect.IDEMPOTENCY_KEY else ""
     return (
         f'  (method "{request_class.name}" (effect {request_class.effect.value})'
         f" (scope {request_class.scope.value}){window}"
@@ -70,7 +70,7 @@
 
 
 def worker_settings(scenario: Scenario, name: str) -> str:
-    """The settings of one real worker of the scenario."""
+    """Returns the settings of one real worker of the scenario."""
     slow_start = scenario.slow_start
     return (
         f'(worker (name "{name}") (listen "{name}.sock") (store (service "store.sock"))\n'
--- a/wickdyke/fault_injection/timeline.py
+++ b/wickdyke/fault_injection/timeline.py
@@ -1,4 +1,4 @@
-"""Actions that a scenario runs at set times, in the order of their times."""
+"""Scheduled actions of a scenario, run in order of their times."""
 
 import heapq
 import itertools
@@ -12,7 +12,7 @@
 
 @dataclass(slots=True, frozen=True, order=True)
 class ScheduledAction:
-    """An action due at a time of the trace's clock (ms); actions of the same time run in the order of scheduling."""
+    """An action and its due time (trace clock, ms); actions due at the same time run in order of scheduling."""
 
     due_at: float
     sequence: int
@@ -21,7 +21,7 @@
 
 
 class Timeline:
-    """Scheduled actions. Any thread may schedule; one thread runs what is due."""
+    """Scheduled actions. Any thread may schedule them; one thread runs those that are due."""
 
     started_at: float  # trace clock, ms; set by start()
 
@@ -31,21 +31,21 @@
         self._sequence = itertools.count()
 
     def start(self) -> None:
-        """Set the time from which elapsed time counts to now."""
+        """Starts to count the elapsed time."""
         self.started_at = clock()
 
     def timestamped(self, text: str) -> str:
-        """The text behind the seconds elapsed since the start, as shown to a person."""
+        """Returns the text, prefixed with the seconds elapsed since the start."""
         return f"{(clock() - self.started_at) / 1000:6.1f} s  {text}"
 
     def schedule(self, delay: float, action: Callable[..., object], *arguments: object) -> None:
-        """Have an action run `delay` ms from now."""
+        """Schedules an action to run `delay` ms from now."""
         with self._lock:
             scheduled = ScheduledAction(clock() + delay, next(self._sequence), action, arguments)
             heapq.heappush(self._actions, scheduled)
 
     def run_due(self) -> None:
-        """Run every action that is due, also those that become due meanwhile; raises what an action raises."""
+        """Runs every due action, including those that become due meanwhile; raises what an action raises."""
         while (scheduled := self._pop_due()) is not None:
             scheduled.action(*scheduled.arguments)
 
--- a/wickdyke/fault_injection/trace.py
+++ b/wickdyke/fault_injection/trace.py
@@ -1,7 +1,7 @@
-"""Traces: what fake processes and clients observe at the sockets, one JSON object a line.
+"""Traces: what fake processes and clients observe at the sockets, one JSON object per line.
 
-Keys of a line: `t`, the machine's monotonic time in ms; `by`, the name of the writer; `n`, the line's number there;
-`what`, the kind of line. docs/protocol.md lists the kinds of line and their other keys.
+Keys of a line: `t`, the machine's monotonic time in ms; `by`, the name of the writer; `n`, the line's number among the
+writer's lines; `what`, the kind of line. docs/protocol.md lists the kinds of lines and their other keys.
 """
 
 import contextlib
@@ -13,40 +13,40 @@
 
 import msgspec
 
-INCOMPLETE = ".incomplete"  # suffix of the marker file of a trace in which a line is missing
-STANDARD_ERROR = 2  # file descriptor
-SHOWN_BYTES = 40  # of an invalid line, in an error
+INCOMPLETE_SUFFIX = ".incomplete"  # suffix of the marker file of a trace in which a line is missing
+STANDARD_ERROR_FD = 2  # file descriptor
+MAX_SHOWN_BYTES = 40  # of an invalid line, in an error
 
 TraceEntry = dict[str, Any]
 
 
 class InvalidTraceError(Exception):
-    """A trace cannot be read, or a line of it is missing."""
+    """Raised where a trace cannot be read, or a line of it is missing."""
 
 
 def clock() -> float:
-    """Monotonic time in ms, the same for all processes of the machine."""
+    """Returns monotonic time in ms, the same for all processes of the machine."""
     return time.monotonic() * 1000
 
 
 class TraceRecorder:
-    """Appends lines to a trace at once, without a buffer, so that a killed process leaves all that it observed.
+    """Appends lines to a trace without a buffer, so that the trace of a killed process contains all that it observed.
 
-    If a line cannot be written, the trace is marked as incomplete by a file beside it, and the caller gets an
+    Where a line cannot be written, a marker file beside the trace marks it as incomplete, and the caller gets an
     InvalidTraceError.
     """
 
     def __init__(self, path: str, writer: str) -> None:
-        """Open the trace for appending; raises OSError."""
+        """Opens the trace for appending; raises OSError."""
         self.path = path
         self.writer = writer
         self.line_number = 0
         self.failure: str | None = None
-        self.file = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_APPEND, 0o644)  # descriptor
-        self._lock = threading.Lock()  # numbers ascend in the order of the lines
+        self.file = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_APPEND, 0o644)  # file descriptor of the trace
+        self._lock = threading.Lock()  # keeps line numbers in the order of the lines
 
     def __call__(self, what: str, t: float | None = None, **more: object) -> None:
-        """Write one line; `t` (ms) if it happened before now. Raises InvalidTraceError if a line was not written."""
+        """Writes one line with time `t` (ms), by default now; raises InvalidTraceError where a line was not written."""
         with self._lock:
             if self.failure is not None:
                 raise InvalidTraceError(self.failure)
@@ -68,17 +68,17 @@
 
     def _mark_incomplete(self, failure: str) -> None:
         with contextlib.suppress(OSError):
-            os.write(STANDARD_ERROR, f"{failure}\n".encode())
-        marker = self.path + INCOMPLETE
+            os.write(STANDARD_ERROR_FD, f"{failure}\n".encode())
+        marker = self.path + INCOMPLETE_SUFFIX
         try:
             os.close(os.open(marker, os.O_WRONLY | os.O_CREAT, 0o644))
-        except OSError:  # no new file can be made: rename the trace, so that it is not read as complete
+        except OSError:  # no file can be created: rename the trace, so that it is not read as complete
             with contextlib.suppress(OSError):
                 os.rename(self.path, marker)
 
 
 def read(paths: Iterable[str]) -> list[TraceEntry]:
-    """All lines of the traces, in the order of time, then of writer and number; raises InvalidTraceError."""
+    """Returns all lines of the traces in order of time, writer and number; raises InvalidTraceError."""
     entries: list[TraceEntry] = []
     for path in paths:
         entries.extend(_read_file(path))
@@ -87,7 +87,7 @@
 
 
 def _read_file(path: str) -> list[TraceEntry]:
-    marker = path + INCOMPLETE
+    marker = path + INCOMPLETE_SUFFIX
     if os.path.exists(marker):
         raise InvalidTraceError(f"{path}: found {marker}, expected a trace whose lines were all written")
     try:
@@ -104,14 +104,16 @@
         if entry is None and line_number == len(lines):
             continue  # the writer was killed in the middle of its last line
         if entry is None:
-            raise InvalidTraceError(f"{path}:{line_number}: found {line[:SHOWN_BYTES]!r}, expected a line of a trace")
+            raise InvalidTraceError(
+                f"{path}:{line_number}: found {line[:MAX_SHOWN_BYTES]!r}, expected a line of a trace"
+            )
         _check_number(entry, last_numbers, f"{path}:{line_number}")
         entries.append(entry)
     return entries
 
 
 def _parse(line: bytes) -> TraceEntry | None:
-    """The entry of a line; None if it is not the line of a trace."""
+    """Returns the entry of a line, None where it is not a line of a trace."""
     try:
         entry: TraceEntry = msgspec.json.decode(line)
         float(entry["t"])
@@ -124,10 +126,12 @@
 
 
 def _check_number(entry: TraceEntry, last_numbers: dict[str, int], place: str) -> None:
-    """Check that no line of the entry's writer is missing; a writer that was restarted counts from 1 again."""
+    """Checks that no line of the entry's writer is missing; a restarted writer counts from 1 again."""
     number = entry["n"]
     writer = entry["by"]
     last_number = last_numbers.get(writer, 0)
     if number not in (last_number + 1, 1):
-        raise InvalidTraceError(f"{place}: found line {number} of {writer} after {last_number}, expected the next")
+        raise InvalidTraceError(
+            f"{place}: found line {number} of {writer} after {last_number}, expected the next number"
+        )
     last_numbers[writer] = number
--- a/wickdyke/fault_injection/worker_lifecycle.py
+++ b/wickdyke/fault_injection/worker_lifecycle.py
@@ -1,4 +1,4 @@
-"""Ends, drains, replaces and restarts the workers of a run, and has the endpoint file say so."""
+"""Kills, drains, replaces and restarts the workers of a run, and publishes their states in the endpoint file."""
 
 import signal
 import threading
@@ -14,14 +14,14 @@
 from wickdyke.fault_injection.scenario import EndpointState, Scenario
 from wickdyke.fault_injection.timeline import Timeline
 
-DRAIN_EXIT_DELAY = 500.0  # ms from the order to drain to the end of the worker
+DRAIN_EXIT_DELAY = 500.0  # ms from the drain command to the end of the worker
 EXIT_POLL_INTERVAL = 50.0  # ms
-CRASH_RESTART_DELAY = 3000.0  # ms until a worker that a triggered `die` ended is started again
-TRIGGERED_DIE_EXIT_CODE = 1  # of a fake worker; one that was overloaded ends with another code and stays down
+TRIGGERED_DIE_RESTART_DELAY = 3000.0  # ms until a worker that a triggered `die` ended is restarted
+TRIGGERED_DIE_EXIT_CODE = 1  # of a fake worker; an overloaded one ends with another code and is not restarted
 
 
 class WorkerLifecycle:
-    """Takes workers down and up again; a worker that is down is left alone by later faults."""
+    """Stops and restarts workers; later faults do not affect a worker that is stopped."""
 
     def __init__(
         self,
@@ -40,45 +40,45 @@
         self._folder = folder
         self._trace = trace
         self._report_progress = report_progress
-        self._down: set[str] = set()
+        self._stopped_workers: set[str] = set()
 
     def start(self, name: str, warming_up: bool) -> None:
-        """Start a worker's process; it may not be ready yet."""
+        """Starts a worker's process; it may not be ready yet."""
         self._endpoints.rows[name] = self._processes.start_worker(name, warming_up)
 
     def kill(self, name: str, restart_delay: float) -> None:
-        """Kill a worker and start it again after `restart_delay` ms."""
-        if name in self._down:
+        """Kills a worker and restarts it after `restart_delay` ms."""
+        if name in self._stopped_workers:
             return
-        self._down.add(name)
+        self._stopped_workers.add(name)
         self._processes.workers[name].kill()
         self._record_end(name)
         self._timeline.schedule(restart_delay, self._restart, name)
 
     def kill_zone(self, zone: str, restart_delay: float) -> None:
-        """Kill all workers of a zone and start them again after `restart_delay` ms."""
+        """Kills all workers of a zone and restarts them after `restart_delay` ms."""
         for name in [name for name, row in self._endpoints.rows.items() if row.zone == zone]:
             self.kill(name, restart_delay)
 
     def drain(self, name: str, duration: float) -> None:
-        """List a worker as draining at once and replace it after `duration` ms."""
-        if name in self._down:
+        """Lists a worker as draining at once and replaces it after `duration` ms."""
+        if name in self._stopped_workers:
             return
         self._endpoints.publish_later(name, EndpointState.DRAINING, lag=0.0)
         self._timeline.schedule(duration, self._replace, name)
 
-    def check_ended(self) -> None:
-        """Note the workers that ended by themselves; only those that a triggered `die` ended are started again."""
+    def check_exited(self) -> None:
+        """Records workers that ended by themselves; restarts only those that a triggered `die` ended."""
         for name, child in self._processes.workers.items():
             exit_code = child.exit_code
-            if name in self._down or exit_code is None:
+            if name in self._stopped_workers or exit_code is None:
                 continue
-            self._down.add(name)
+            self._stopped_workers.add(name)
             self._trace.worker_ended(name)
             self._report_progress(self._timeline.timestamped(f"{name} ended with code {exit_code}"))
             self._endpoints.publish_later(name, EndpointState.GONE)
             if exit_code == TRIGGERED_DIE_EXIT_CODE:
-                self._timeline.schedule(CRASH_RESTART_DELAY, self._restart, name)
+                self._timeline.schedule(TRIGGERED_DIE_RESTART_DELAY, self._restart, name)
 
     def _record_end(self, name: str) -> None:
         self._trace.worker_ended(name)
@@ -91,22 +91,22 @@
 
     def _list_when_ready(self, name: str, child: ChildProcess) -> None:
         child.wait_until_ready(name)
-        self._down.discard(name)
+        self._stopped_workers.discard(name)
         self._timeline.schedule(0.0, self._endpoints.publish_later, name, EndpointState.READY)
 
     def _replace(self, name: str) -> None:
-        if name in self._down:
+        if name in self._stopped_workers:
             return
         if self._scenario.real_workers:
-            self._down.add(name)
+            self._stopped_workers.add(name)
             self._processes.workers[name].send_signal(signal.SIGTERM)
             self._timeline.schedule(DRAIN_EXIT_DELAY, self._restart_once_ended, name)
-        else:  # the fake worker rejects new attempts and finishes those that it has
+        else:  # the fake worker rejects new attempts and finishes the others
             self._processes.workers[name].send(FaultCommand(WorkerFaultKind.DRAIN))
             self._timeline.schedule(DRAIN_EXIT_DELAY, self.kill, name, 0.0)
 
     def _restart_once_ended(self, name: str) -> None:
-        """Wait for a real worker that finishes its attempts; raises RigError if it ends with an error."""
+        """Restarts a real worker once it has finished its attempts; raises RigError where it ends with an error."""
         exit_code = self._processes.workers[name].exit_code
         if exit_code is None:
             self._timeline.schedule(EXIT_POLL_INTERVAL, self._restart_once_ended, name)
