--- a/wickdyke/config/effective_policy.py
+++ b/wickdyke/config/effective_policy.py
@@ -25,7 +25,7 @@
     @property
     def origins(self) -> dict[str, SourceLocation]:
         """The location of each stated field, by its key in the file."""
-        return {key: stated.location for key, stated in self.fields.stated().items()}
+        return {key: stated.location for key, stated in self.fields.stated_fields().items()}
 
 
 def effective_policy(
--- a/wickdyke/config/gateway_sections.py
+++ b/wickdyke/config/gateway_sections.py
@@ -21,7 +21,7 @@
     text,
     word_list,
 )
-from wickdyke.config.sexpr import NOWHERE, SourceLocation
+from wickdyke.config.sexpr import NO_LOCATION, SourceLocation
 from wickdyke.routing.model import Effect, RequestClass, Scope
 from wickdyke.routing.settings import AttemptLimits, CostWeights, FunctionCache, PrewarmQuota, SlowStart
 
@@ -301,7 +301,7 @@
     kind=Field(WORKER_KIND, None, repeatable=True, parameter="kinds"),
     method=Field(REQUEST_CLASS, repeatable=True, parameter="request_classes"),
     program=Field(FUNCTION, None, repeatable=True, parameter="functions"),
-    seat=Field(INSTANCE_NUMBER, Located(InstanceNumber(), NOWHERE), parameter="instance"),
+    seat=Field(INSTANCE_NUMBER, Located(InstanceNumber(), NO_LOCATION), parameter="instance"),
     report=Field(word_list, ("busy", "held"), parameter="report_keys"),
     by_work=Field(flag, False, parameter="weight_by_work"),
     call_outs=Field(ATTEMPT_LIMITS, DEFAULT_ATTEMPT_LIMITS, parameter="attempt_limits"),
--- a/wickdyke/config/migration.py
+++ b/wickdyke/config/migration.py
@@ -1,7 +1,7 @@
-"""Conversion of a gateway's file for one shape of deployment to another: expressions in, expressions out.
+"""Converts the expressions of a gateway's file from one shape of deployment to another.
 
-The shape is a file of its own: `(shape ...)` with those fields of a gateway that differ there. Its fields take
-precedence, all others are kept. What is lost or changed is reported with its location in the old file.
+The new shape is a separate file: `(shape ...)` with the fields of a gateway that differ there. Its fields take
+precedence over the old ones; all others are copied. Each change and loss is reported with its location in the old file.
 """
 
 from dataclasses import dataclass, field
@@ -9,14 +9,15 @@
 from wickdyke.config.schema import Diagnostics, describe
 from wickdyke.config.sexpr import Atom, AtomKind, Expression, format_expression
 
-NAMED = ("zone", "kind", "method", "program", "tenant")  # may be repeated, each with its name
-REPLACED_TOGETHER = ("zone", "kind", "tenant")  # if the shape states any of these, they are all there are
-MERGED = ("call-outs", "stock", "warmup", "ration", "tariff", "method", "program")  # field by field
+NAMED_FIELDS = ("zone", "kind", "method", "program", "tenant")  # may be repeated, each with its own name
+# If the shape states any field of these, it replaces all old ones of that field.
+FIELDS_REPLACED_TOGETHER = ("zone", "kind", "tenant")
+MERGED_FIELDS = ("call-outs", "stock", "warmup", "ration", "tariff", "method", "program")  # part by part
 
 
 @dataclass(slots=True, frozen=True)
 class FieldKey:
-    """What identifies a field: the field's name and, if it may be repeated, the name that it states."""
+    """Identifies a field by the field's name and, if it may be repeated, by the name that it states."""
 
     field: str
     name: str
@@ -25,44 +26,44 @@
         return f"{self.field} {self.name}" if self.name else self.field
 
 
-def _key(expression: Expression) -> FieldKey:
-    first = expression.items[0] if expression.items and expression.name in NAMED else None
-    named = isinstance(first, Atom) and first.kind == AtomKind.STRING
-    return FieldKey(expression.name, str(first.value) if isinstance(first, Atom) and named else "")
+def _field_key(expression: Expression) -> FieldKey:
+    first = expression.items[0] if expression.items and expression.name in NAMED_FIELDS else None
+    has_name = isinstance(first, Atom) and first.kind == AtomKind.STRING
+    return FieldKey(expression.name, str(first.value) if isinstance(first, Atom) and has_name else "")
 
 
 @dataclass(slots=True)
 class _Migration:
-    """The fields of a shape that are not used yet, and the changes so far."""
+    """The fields of the shape that have not been applied yet, and descriptions of the changes made."""
 
     shape_fields: dict[FieldKey, Expression]
     changes: list[str] = field(default_factory=list)
 
     def counterpart(self, old: Expression, replaced: set[str]) -> Expression | None:
-        """What stands in place of an old field; None if it has no counterpart."""
-        new = self.shape_fields.pop(_key(old), None)
+        """Returns the field that replaces an old field; None if it has no counterpart."""
+        new = self.shape_fields.pop(_field_key(old), None)
         if new is None:
             if old.name not in replaced:
                 return old
             self.changes.append(f"{old.location}: {format_expression(old)} has no counterpart")
             return None
-        if old.name in MERGED:
+        if old.name in MERGED_FIELDS:
             return self._merge(old, new)
-        self._report(old, new, "")
+        self._report_change(old, new, "")
         return new
 
     def _merge(self, old: Expression, new: Expression) -> Expression:
-        """The old field with the parts that the new one states."""
+        """Returns the old field with the parts of the new field in place of its own."""
         new_parts = {part.name: part for part in new.items if isinstance(part, Expression)}
         parts: list[Atom | Expression] = []
         for part in old.items:
             new_part = new_parts.pop(part.name, None) if isinstance(part, Expression) else None
             if isinstance(part, Expression) and new_part is not None:
-                self._report(part, new_part, f"{old.name}: ")
+                self._report_change(part, new_part, f"{old.name}: ")
             parts.append(new_part or part)
         return Expression(old.name, [*parts, *new_parts.values()], old.location)
 
-    def _report(self, old: Expression, new: Expression, context: str) -> None:
+    def _report_change(self, old: Expression, new: Expression, context: str) -> None:
         old_text, new_text = format_expression(old), format_expression(new)
         if old_text != new_text:
             self.changes.append(f"{old.location}: {context}{old_text} became {new_text}")
@@ -73,17 +74,17 @@
     for item in shape.items:
         if not isinstance(item, Expression) or not item.name:
             diagnostics.add(item.location, describe(item), "a field of gateway in brackets")
-        elif _key(item) in fields:
-            diagnostics.add(item.location, f"({_key(item)} ...) a second time", "it once")
+        elif _field_key(item) in fields:
+            diagnostics.add(item.location, f"({_field_key(item)} ...) a second time", "it only once")
         else:
-            fields[_key(item)] = item
+            fields[_field_key(item)] = item
     return fields
 
 
 def migrate(old: Expression, shape: Expression, diagnostics: Diagnostics) -> tuple[Expression, list[str]]:
-    """The counterpart of a `(gateway ...)`, and a line for each change and each field that was lost."""
+    """Returns the counterpart of a `(gateway ...)`, and a line for each changed or removed field."""
     migration = _Migration(_shape_fields(shape, diagnostics))
-    replaced = {key.field for key in migration.shape_fields} & set(REPLACED_TOGETHER)
+    replaced = {key.field for key in migration.shape_fields} & set(FIELDS_REPLACED_TOGETHER)
     items: list[Atom | Expression] = []
     for item in old.items:
         new = migration.counterpart(item, replaced) if isinstance(item, Expression) else item
@@ -93,28 +94,28 @@
 
 
 def format_config(expression: Expression) -> str:
-    """The text of a file: one field a line."""
+    """Returns the text of a file, with one field per line."""
     lines = [f"  {format_expression(item) if isinstance(item, Expression) else item.text}" for item in expression.items]
     return "\n".join([f"({expression.name}", *lines]) + ")\n"
 
 
 def count_comments(source: str) -> int:
-    """How many lines of a file have a comment; a migration drops comments."""
+    """Returns the number of lines with a comment, because a migration drops comments."""
     return sum(1 for line in source.split("\n") if ";" in _without_strings(line))
 
 
 def _without_strings(line: str) -> str:
-    """A line without what is in double quotes."""
+    """Returns a line without its strings in double quotes."""
     characters: list[str] = []
-    quoted = False
+    in_string = False
     escaped = False
     for character in line:
         if escaped:
             escaped = False
-        elif quoted and character == "\\":
+        elif in_string and character == "\\":
             escaped = True
         elif character == '"':
-            quoted = not quoted
-        elif not quoted:
+            in_string = not in_string
+        elif not in_string:
             characters.append(character)
     return "".join(characters)
--- a/wickdyke/config/route_syntax.py
+++ b/wickdyke/config/route_syntax.py
@@ -1,4 +1,4 @@
-"""The form of a routes file: its fields, how each is read, and the routes as the file states them."""
+"""The syntax of a routes file: its fields, their readers, and the routes as the file states them."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, fields
@@ -22,14 +22,14 @@
 from wickdyke.route_policy.policy import RETRYABLE_OUTCOMES, BackoffPolicy, RetryBudgetPolicy
 from wickdyke.routing.model import Outcome
 
-NO_OUTCOME = "nothing"  # (again nothing): no outcome is retried
+NO_OUTCOME = "nothing"  # in `(again nothing)`: no outcome is retried
 
 T = TypeVar("T")
 
 
 @dataclass(slots=True, frozen=True)
 class AttemptField:
-    """`(attempt TIME (linger TIME))`, in ms: the timeout of an attempt, and how long a worker may go on after it."""
+    """`(attempt TIME (linger TIME))`: the timeout of an attempt, and how long a worker may continue after it, in ms."""
 
     timeout: float
     linger: float | None
@@ -37,7 +37,7 @@
 
 @dataclass(slots=True, frozen=True)
 class HedgeField:
-    """`(second ...)`: the delay of a hedge in ms or as a share of the soft deadline, and what it may amount to."""
+    """`(second ...)`: the delay of a hedge (in ms or as a share of the soft deadline), and the limits of hedges."""
 
     after: float | None
     after_share: float | None
@@ -47,7 +47,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RouteFields:
-    """The fields that a route states, None where it does not. A hedge of the value None is `(second never)`."""
+    """The fields that a route states; None for the others. A hedge whose value is None is `(second never)`."""
 
     latency_objective: Located[float] | None = None
     deadline: Located[float] | None = None
@@ -60,8 +60,8 @@
     queue_timeout: Located[float] | None = None
     priority: Located[int] | None = None
 
-    def stated(self) -> dict[str, Located[object]]:
-        """The fields that are stated, by their key in the file."""
+    def stated_fields(self) -> dict[str, Located[object]]:
+        """Returns the stated fields, by their key in the file."""
         values = {key: getattr(self, attribute) for key, attribute in ATTRIBUTES.items()}
         return {key: value for key, value in values.items() if value is not None}
 
@@ -77,21 +77,21 @@
     fields: RouteFields
 
 
-def inherited_fields(lineage: list[Route]) -> RouteFields:
-    """The fields that hold for the first of the routes; each of the others is inherited by the one before it."""
+def inherited_fields(inheritance_chain: list[Route]) -> RouteFields:
+    """Returns the own and inherited fields of the first route; each route inherits from the next one in the list."""
     merged = {}
     for attribute in fields(RouteFields):
-        stated = (getattr(route.fields, attribute.name) for route in lineage)
+        stated = (getattr(route.fields, attribute.name) for route in inheritance_chain)
         merged[attribute.name] = next((value for value in stated if value is not None), None)
     return RouteFields(**merged)
 
 
-def _read_attempt(form: Expression, diagnostics: Diagnostics) -> AttemptField | None:
-    """(attempt 500 ms (linger 300 ms))"""
-    timeout_items: list[Atom | Expression] = [item for item in form.items if isinstance(item, Atom)]
-    timeout = duration(1.0)(Expression("attempt", timeout_items, form.location), diagnostics)
+def _read_attempt(expression: Expression, diagnostics: Diagnostics) -> AttemptField | None:
+    """Reads `(attempt 500 ms (linger 300 ms))`."""
+    timeout_items: list[Atom | Expression] = [item for item in expression.items if isinstance(item, Atom)]
+    timeout = duration(1.0)(Expression("attempt", timeout_items, expression.location), diagnostics)
     linger = None
-    for item in form.items:
+    for item in expression.items:
         if isinstance(item, Atom):
             continue
         if item.name == "linger" and linger is None:
@@ -102,16 +102,16 @@
     return None if timeout is None else AttemptField(timeout, linger)
 
 
-def _read_retryable(form: Expression, diagnostics: Diagnostics) -> frozenset[Outcome]:
-    """(again full miss cut), or (again nothing)"""
-    words = schema.word_list(form, diagnostics) or ()
+def _read_retryable(expression: Expression, diagnostics: Diagnostics) -> frozenset[Outcome]:
+    """Reads `(again full miss cut)` or `(again nothing)`."""
+    words = schema.word_list(expression, diagnostics) or ()
     if not words:
-        diagnostics.add(form.location, "(again)", "outcomes, or (again nothing)")
+        diagnostics.add(expression.location, "(again)", "outcomes, or (again nothing)")
     if words == (NO_OUTCOME,):
         return frozenset()
     for word in words:
         if word not in RETRYABLE_OUTCOMES:
-            diagnostics.add(form.location, f"the outcome {word}", "some of " + ", ".join(RETRYABLE_OUTCOMES))
+            diagnostics.add(expression.location, f"the outcome {word}", "some of " + ", ".join(RETRYABLE_OUTCOMES))
     return frozenset(outcome for outcome in RETRYABLE_OUTCOMES if outcome in words)
 
 
@@ -124,12 +124,12 @@
 )
 
 
-def _read_hedge(form: Expression, diagnostics: Diagnostics) -> HedgeField | None:
-    """(second never), (second (after 300 ms) ...), (second (after-share 0.4) ...)"""
-    if len(form.items) == 1 and isinstance(form.items[0], Atom):
-        choice(never=None)(form, diagnostics)
+def _read_hedge(expression: Expression, diagnostics: Diagnostics) -> HedgeField | None:
+    """Reads `(second never)`, `(second (after 300 ms) ...)` or `(second (after-share 0.4) ...)`."""
+    if len(expression.items) == 1 and isinstance(expression.items[0], Atom):
+        choice(never=None)(expression, diagnostics)
         return None
-    return _read_hedge_record(form, diagnostics)
+    return _read_hedge_record(expression, diagnostics)
 
 
 _read_backoff = record(
@@ -154,16 +154,16 @@
 
 
 def _located(reader: Callable[[Expression, Diagnostics], T]) -> Reader[Located[T]]:
-    """A reader that keeps the place of what it reads, also where that is None."""
+    """Returns a reader that combines a value, also None, with its location."""
 
-    def read(form: Expression, diagnostics: Diagnostics) -> Located[T]:
-        return Located(reader(form, diagnostics), form.location)
+    def read(expression: Expression, diagnostics: Diagnostics) -> Located[T]:
+        return Located(reader(expression, diagnostics), expression.location)
 
     return read
 
 
-# How each field of a route is read, by its key in the file, and the attribute of RouteFields that it becomes. This is
-# the order in which fields are listed.
+# The reader of each field of a route, by its key in the file; `parameter` is the attribute of RouteFields. Fields are
+# listed in this order.
 _FIELDS: dict[str, Field[Any]] = {
     "soft-deadline": Field(_located(duration(1.0)), None, parameter="latency_objective"),
     "deadline": Field(_located(duration(1.0)), None, parameter="deadline"),
@@ -202,8 +202,8 @@
 _read_routes = record(unlocated(_routes), route=Field(_read_route, None, repeatable=True))
 
 
-def parse_routes(forms: list[Expression], path: str) -> list[Route]:
-    """The routes of a file's expressions; raises InvalidConfigError with all that is wrong with their form."""
+def parse_routes(expressions: list[Expression], path: str) -> list[Route]:
+    """Returns the routes of a file's expressions. Raises InvalidConfigError with all errors of their syntax."""
     diagnostics = Diagnostics()
-    routes = schema.read_single(forms, "routes", path, _read_routes, diagnostics)
+    routes = schema.read_single(expressions, "routes", path, _read_routes, diagnostics)
     return schema.required(routes, diagnostics)
--- a/wickdyke/config/sexpr.py
+++ b/wickdyke/config/sexpr.py
@@ -1,4 +1,4 @@
-"""Parser of S-expressions: a lark grammar whose trees become expressions that know their line and column."""
+"""Parser of S-expressions: a lark grammar whose trees are converted to expressions with their line and column."""
 
 from dataclasses import dataclass, field
 from enum import StrEnum
@@ -10,7 +10,7 @@
 
 
 class AtomKind(StrEnum):
-    """What an atom is."""
+    """The syntactic kind of an atom."""
 
     NUMBER = "number"
     STRING = "string"
@@ -29,12 +29,12 @@
         return f"{self.file}:{self.line}:{self.column}"
 
 
-NOWHERE = SourceLocation("", 1, 1)  # of what no file holds
+NO_LOCATION = SourceLocation("", 1, 1)  # of values that come from no file
 
 
 @dataclass(slots=True, frozen=True)
 class Diagnostic:
-    """One error in a file: its location, what is there and what was expected, in words, and the likely fix or ""."""
+    """One error in a file: its location, the actual and the expected text, and the likely fix or ""."""
 
     location: SourceLocation
     actual: str
@@ -47,7 +47,7 @@
 
 
 class InvalidConfigError(Exception):
-    """A file that can't be used; `diagnostics` lists all its errors in the order of its lines."""
+    """A file is invalid; `diagnostics` lists all its errors, sorted by location."""
 
     def __init__(self, diagnostics: list[Diagnostic]) -> None:
         self.diagnostics = sorted(diagnostics, key=lambda diagnostic: diagnostic.location)
@@ -55,12 +55,12 @@
 
 
 class IncompleteInputError(InvalidConfigError):
-    """A file that can't be used now but will become usable without a change of it, as time passes."""
+    """A file is invalid now, but becomes valid later without being changed."""
 
 
 @dataclass(slots=True, frozen=True)
 class Atom:
-    """A number, a string or a word. `value` is a float for a number; `text` is what the source holds."""
+    """A number, a string or a word. `value` is a float for a number; `text` is its source text."""
 
     kind: AtomKind
     value: str | float
@@ -70,11 +70,11 @@
 
 @dataclass(slots=True, frozen=True)
 class Expression:
-    """`(name item ...)`; `name` is empty where the first item is no word."""
+    """`(name item ...)`; `name` is empty if the first item is not a word."""
 
     name: str
     items: list["Atom | Expression"] = field(default_factory=list)
-    location: SourceLocation = NOWHERE
+    location: SourceLocation = NO_LOCATION
 
 
 _grammar = Lark(
@@ -87,7 +87,7 @@
 
 
 def _unescape(text: str) -> str:
-    """The value of a string from its text in quotes."""
+    """Returns the value of a string from its text in quotes."""
     body = text[1:-1]
     characters: list[str] = []
     position = 0
@@ -100,7 +100,7 @@
 
 
 def quote(value: str) -> str:
-    """A string as text in double quotes that parses to the same value."""
+    """Returns a string as text in double quotes that parses to the same value."""
     return '"' + value.replace("\\", "\\\\").replace('"', '\\"').replace("\n", "\\n") + '"'
 
 
@@ -127,34 +127,34 @@
 
 
 def format_expression(expression: Expression) -> str:
-    """An expression as text that parses to the same."""
+    """Returns an expression as text that parses to the same expression."""
     items = [format_expression(item) if isinstance(item, Expression) else item.text for item in expression.items]
     return "(" + " ".join([expression.name, *items] if expression.name else items) + ")"
 
 
 def _brackets(text: str) -> list[tuple[str, int, int]]:
-    """(bracket, line, column) of each bracket outside of strings and comments."""
+    """Returns (bracket, line, column) of each bracket outside of strings and comments."""
     brackets: list[tuple[str, int, int]] = []
     for number, line in enumerate(text.split("\n"), 1):
-        quoted = False
+        in_string = False
         escaped = False
         for column, character in enumerate(line, 1):
             if escaped:
                 escaped = False
-            elif quoted:
+            elif in_string:
                 escaped = character == "\\"
-                quoted = character != '"'
+                in_string = character != '"'
             elif character == ";":
                 break
             elif character == '"':
-                quoted = True
+                in_string = True
             elif character in "()":
                 brackets.append((character, number, column))
     return brackets
 
 
 def _unclosed_bracket(text: str) -> tuple[int, int]:
-    """Line and column of the innermost bracket that is never closed; (1, 1) if there is none."""
+    """Returns the line and column of the innermost bracket that is never closed; (1, 1) if there is none."""
     open_brackets: list[tuple[int, int]] = []
     for bracket, line, column in _brackets(text):
         if bracket == "(":
@@ -165,13 +165,13 @@
 
 
 def _syntax_error(error: UnexpectedInput, text: str, file: str) -> Diagnostic:
-    """What the grammar's error means to the author of the text."""
+    """Converts the parser's error to a diagnostic for the author of the file."""
     if isinstance(error, UnexpectedEOF) or (isinstance(error, UnexpectedToken) and error.token.type == "$END"):
         line, column = _unclosed_bracket(text)
         return Diagnostic(SourceLocation(file, line, column), "a bracket that is never closed", "a ) for each (")
     location = SourceLocation(file, error.line, error.column)
     if isinstance(error, UnexpectedToken):
-        expected = "( to open a form" if error.token.type != "RPAR" else "no ) here: none is open"
+        expected = "( to open an expression" if error.token.type != "RPAR" else "no ) here: no ( is open"
         return Diagnostic(location, f"{str(error.token)!r}", expected)
     if isinstance(error, UnexpectedCharacters):
         position = error.pos_in_stream or 0
@@ -182,20 +182,20 @@
             else "( ) a number, a word or a string in double quotes"
         )
         return Diagnostic(location, actual, expected)
-    return Diagnostic(location, "something else", "S-expressions")
+    return Diagnostic(location, "invalid syntax", "S-expressions")
 
 
 def parse(text: str, file: str) -> list[Expression]:
-    """The expressions of a text.
+    """Returns the expressions of a text.
 
-    `file` is named in locations. Raises InvalidConfigError with the one location where it stops being S-expressions.
+    `file` is the name in locations. Raises InvalidConfigError with the location of the first syntax error.
     """
     try:
         return [_expression(tree, file) for tree in _parse_tree(text).children]
     except UnexpectedInput as error:
         raise InvalidConfigError([_syntax_error(error, text, file)]) from None
     except RecursionError:
-        raise _invalid_file(file, "forms nested too deep", "fewer than 100 levels") from None
+        raise _invalid_file(file, "expressions nested too deep", "fewer than 100 levels") from None
 
 
 def _parse_tree(text: str) -> Tree[Token]:
@@ -207,7 +207,7 @@
 
 
 def read(path: str) -> list[Expression]:
-    """The expressions of a file; raises InvalidConfigError, also where the file can't be read."""
+    """Returns the expressions of a file. Raises InvalidConfigError, also if the file can't be read."""
     try:
         with open(path, encoding="utf-8") as source:
             return parse(source.read(), path)
