--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,4 +1,4 @@
-"""Tests of settings files, which report each error with its location, and of the line and JSON-RPC decoders."""
+"""Tests of settings files, whose errors are reported with their location, and of the line and JSON-RPC decoders."""
 
 import contextlib
 import os
@@ -14,7 +14,7 @@
 from wickdyke.protocol.framing import LineReader, LineTooLongError
 from wickdyke.routing.settings import TenantQuotas
 
-GOOD = """(gateway
+VALID = """(gateway
   (listen (json-rpc "run/w.sock"))
   (workers (file "workers.sexp"))
   (zone "a") (zone "b") (at "b")
@@ -28,10 +28,10 @@
 
 
 class ConfigFiles(unittest.TestCase):
-    """Valid and invalid settings and endpoint files."""
+    """Valid and invalid settings files and endpoint files."""
 
     def read(self, text, reader=gateway_config.read):
-        """What the reader returns for a file with that text."""
+        """Returns the result of the reader for a file with that text."""
         with tempfile.TemporaryDirectory() as folder:
             path = os.path.join(folder, "f.sexp")
             with open(path, "wb") as sink:
@@ -39,20 +39,23 @@
             return reader(path)
 
     def test_valid_file_is_read(self):
-        config = self.read(GOOD)
+        config = self.read(VALID)
         self.assertEqual((config.zones, config.kinds, config.instance.zone), (("a", "b"), ("quad", "duo"), 1))
         self.assertEqual(config.function_cache.memory, (65536.0, 900.0))
         self.assertEqual(
             (config.tenants, config.tenant_quotas, config.attempt_limits.idle_timeout), ((), TenantQuotas(()), 15000.0)
         )
         config_with_tenants = self.read(
-            GOOD.replace("(stock", '(tenant "a" (quota 5)) (tenant "b" (quota 2.5)) (stock')
+            VALID.replace("(stock", '(tenant "a" (quota 5)) (tenant "b" (quota 2.5)) (stock')
         )
         self.assertEqual(
             (config_with_tenants.tenants, config_with_tenants.tenant_quotas), (("a", "b"), TenantQuotas((5.0, 2.5)))
         )
         self.assertEqual(
-            [(m.name, m.effect, m.dedupe_window, m.scope) for m in config.request_classes],
+            [
+                (request_class.name, request_class.effect, request_class.dedupe_window, request_class.scope)
+                for request_class in config.request_classes
+            ],
             [("m", "idempotent", 0.0, "all"), ("t", "tokened", 120000.0, "cell")],
         )
         for function, memory in (("p/one", 100.0), ("p/two", 1024.0), ("q", None)):
@@ -61,7 +64,7 @@
         self.assertTrue(config.listen.endswith("/run/w.sock") and os.path.isabs(config.listen))
 
     def test_each_error_is_reported_once_with_its_location(self):
-        """(old text, new text) -> line:column and words of the one message."""
+        """(old text, new text) -> line:column and words of the only message."""
         for old, new, position, words in (
             ("750 ms", "750", "6:50", ("without a unit", "750 ms")),
             ("750 ms", "750 sec", "6:54", ("sec", "us, ms, s, min")),
@@ -104,12 +107,12 @@
             ("0.25", "#25", "10:24", ("#",)),
         ):
             with self.subTest(old=old, new=new):
-                text = GOOD.replace(old, new, 1)
-                self.assertNotEqual(text, GOOD)
+                text = VALID.replace(old, new, 1)
+                self.assertNotEqual(text, VALID)
                 with self.assertRaises(InvalidConfigError) as caught:
                     self.read(text)
                 message = str(caught.exception)
-                if "answer-way" in new:  # each method is reported
+                if "answer-way" in new:  # one error for each method
                     message = message.splitlines()[0]
                 self.assertEqual(message.count("\n"), 0, message)
                 self.assertIn(f"f.sexp:{position}: found ", message)
@@ -117,7 +120,7 @@
                     self.assertIn(word, message)
 
     def test_all_errors_are_reported_together(self):
-        text = GOOD.replace("750 ms", "750").replace("idempotent", "idem").replace("8 s", "8").replace("14 s", "14")
+        text = VALID.replace("750 ms", "750").replace("idempotent", "idem").replace("8 s", "8").replace("14 s", "14")
         with self.assertRaises(InvalidConfigError) as caught:
             self.read(text)
         self.assertEqual([diagnostic.location.line for diagnostic in caught.exception.diagnostics], [6, 6, 9, 10])
@@ -130,7 +133,7 @@
             gateway_config.read("/nowhere/at.all")
 
     def test_endpoint_file_reads_back_and_reports_errors(self):
-        """A formatted list reads back as it was; (list) -> words of the message."""
+        """A formatted list parses to the same rows; (invalid list) -> words of the message."""
         row = endpoint_file.EndpointRow('w "1"', "/run/w.sock", "a", "quad", 3, 2.5, "draining", 17)
         self.assertEqual(self.read(endpoint_file.format_endpoints([row]), endpoint_file.read_endpoints), [row])
         for text, words in (
@@ -167,11 +170,11 @@
                 self.assertEqual(accepted, valid)
 
 
-class Framing(unittest.TestCase):
+class Decoders(unittest.TestCase):
     """The line and JSON-RPC decoders on split, long and random input."""
 
     def test_lines_are_split_and_bounded(self):
-        """(pieces received) -> lines, of at most 6 bytes."""
+        """(received pieces) -> lines of at most 6 bytes."""
         for pieces, lines in (
             ([b"ab\ncd\n"], [b"ab", b"cd"]),
             ([b"a", b"b", b"\n"], [b"ab"]),
@@ -180,16 +183,16 @@
             ([b"abcdef", b"\n"], [b"abcdef"]),
         ):
             with self.subTest(pieces=pieces):
-                framing = LineReader(6)
-                self.assertEqual([line for piece in pieces for line in framing.feed(piece)], lines)
+                reader = LineReader(6)
+                self.assertEqual([line for piece in pieces for line in reader.feed(piece)], lines)
         for pieces in ([b"abcdefg"], [b"abcd", b"efg"], [b"a\nabcdefg\n"], [b"abcdefg\n"]):
             with self.subTest(pieces=pieces), self.assertRaises(LineTooLongError):
-                framing = LineReader(6)
+                reader = LineReader(6)
                 for piece in pieces:
-                    framing.feed(piece)
+                    reader.feed(piece)
 
     def test_responses_are_distinguished_from_other_lines(self):
-        """A line that is no JSON-RPC response raises an error."""
+        """A line that is not a JSON-RPC response raises an error."""
         self.assertEqual(jsonrpc.parse_response(jsonrpc.result_response(7, b"[1]")), (7, b"[1]", None))
         ident, result, error_object = jsonrpc.parse_response(jsonrpc.error_response("x", -1, "no", b'{"a":1}'))
         self.assertEqual((ident, result, error_object.code, bytes(error_object.data)), ("x", None, -1, b'{"a":1}'))
@@ -211,15 +214,15 @@
     @given(
         st.one_of(st.binary(max_size=80), st.text(alphabet='{}[]":,0123456789eidrsultno', max_size=60).map(str.encode))
     )
-    def test_any_bytes_give_a_value_or_the_decoders_error(self, data):
-        """A decoder returns a value or raises its own error for any input."""
-        for read, error in (
+    def test_decoders_return_a_value_or_raise_their_own_error(self, data):
+        """For any input, a decoder returns a value or raises its own error."""
+        for decode, error in (
             (jsonrpc.parse_response, jsonrpc.MalformedRequestError),
-            (lambda d: list(jsonrpc.parse_requests(d)), ()),
-            (lambda d: sexpr.parse(d.decode("latin-1"), "f"), InvalidConfigError),
+            (lambda encoded: list(jsonrpc.parse_requests(encoded)), ()),
+            (lambda encoded: sexpr.parse(encoded.decode("latin-1"), "f"), InvalidConfigError),
         ):
             with contextlib.suppress(error):
-                read(data)
+                decode(data)
 
     def test_nesting_is_bounded(self):
         for text, too_deep in (
--- a/tests/test_migration.py
+++ b/tests/test_migration.py
@@ -1,4 +1,4 @@
-"""Tests of the migration of a gateway's settings to another shape of deployment, by the command move."""
+"""Tests of the command `move`, which migrates a gateway's settings to another shape of deployment."""
 
 import os
 import tempfile
@@ -30,7 +30,7 @@
 
 
 class Migration(unittest.TestCase):
-    """The command `move`: migrated files, remarks, and rejected input."""
+    """Migrated files, remarks and rejected input of the command `move`."""
 
     def setUp(self):
         self.folder = self.enterContext(tempfile.TemporaryDirectory())
@@ -53,7 +53,10 @@
         old, new = gateway_config.read(self.path("old")), gateway_config.read(self.path("new"))
         self.assertEqual((new.kinds, new.tenants, new.tenant_quotas), (("new",), ("a",), TenantQuotas((50.0,))))
         self.assertEqual(
-            [(m.name, m.latency_objective, m.deadline) for m in new.request_classes],
+            [
+                (request_class.name, request_class.latency_objective, request_class.deadline)
+                for request_class in new.request_classes
+            ],
             [("m", 600, 4000), ("t", 1000, 4000)],
         )
         self.assertEqual((new.attempt_limits.attempts, new.attempt_limits.hedging), (4, False))
@@ -68,7 +71,7 @@
             self.assertIn(words, remarks)
         self.write("workers", ENDPOINTS.replace('"new"', '"old"'))
         self.assertIn('workers.sexp:1:10: found kind "old", expected one of new', self.move("--dry-run")[2])
-        code, _, remarks = self.move()  # an existing file is kept
+        code, _, remarks = self.move()  # the new file exists and is not overwritten
         self.assertEqual((code, remarks.count("\n")), (2, 1), remarks)
 
     def test_dry_run_writes_nothing(self):
@@ -80,7 +83,7 @@
             self.assertEqual(source.read(), out)
 
     def test_invalid_input_is_reported_and_nothing_written(self):
-        """(file, old text, new text) -> a message of one line, exit code 2, nothing written."""
+        """(file, old text, new text) -> a message of one line; the exit code is 2 and no file is written."""
         for name, text, old, new, words in (
             ("old", OLD, "750 ms", "750", "old.sexp:5:50: found 750 without a unit"),
             ("shape", SHAPE, "(shape", "(shapes", "shape.sexp:1:1: found (shapes ...), expected (shape ...)"),
@@ -96,8 +99,12 @@
                 self.write(name, text)
 
     def test_gateway_runs_with_the_new_settings(self):
-        """Where only prewarms load and reports state no utilization, a missed attempt is followed by a prewarm and a
-        second attempt; the next request needs no prewarm. A tenant that the settings do not name is rejected."""
+        """The migrated settings work in a running gateway.
+
+        Where functions are loaded by prewarms only and reports state no utilization, a missed attempt is followed by a
+        prewarm and a second attempt; the next request needs no prewarm. A tenant that the settings don't name is
+        rejected.
+        """
         commands = []
 
         def worker(sock, number):
--- a/tests/test_route_config.py
+++ b/tests/test_route_config.py
@@ -1,4 +1,4 @@
-"""Routes files: inheritance, text that reads back as the same routes, and large files."""
+"""Tests of routes files: inheritance, formatted text that parses to the same routes, and large files."""
 
 import time
 import unittest
@@ -11,7 +11,7 @@
 from wickdyke.config.builders import Located
 from wickdyke.config.route_format import format_routes
 from wickdyke.config.route_syntax import (
-    ATTRIBUTES,
+    ATTRIBUTES_BY_KEY,
     AttemptField,
     HedgeField,
     Route,
@@ -22,28 +22,28 @@
 from wickdyke.route_policy.matching import Pattern
 from wickdyke.route_policy.policy import RETRYABLE_OUTCOMES, BackoffPolicy, RetryBudgetPolicy
 
-SPANS = st.floats(1, 5000).map(lambda ms: round(ms, 3))
+DURATIONS = st.floats(1, 5000).map(lambda ms: round(ms, 3))
 FIELDS = {
-    "attempt": st.builds(AttemptField, SPANS, st.none() | SPANS),
+    "attempt": st.builds(AttemptField, DURATIONS, st.none() | DURATIONS),
     "attempts": st.integers(1, 5),
-    "queue": SPANS,
-    "deadline": SPANS,
-    "soft-deadline": SPANS,
+    "queue": DURATIONS,
+    "deadline": DURATIONS,
+    "soft-deadline": DURATIONS,
     "priority": st.integers(-9, 9),
     "pause": st.builds(
-        BackoffPolicy, SPANS, st.integers(1, 4).map(float), st.just(float("inf")) | SPANS, st.floats(0, 2)
+        BackoffPolicy, DURATIONS, st.integers(1, 4).map(float), st.just(float("inf")) | DURATIONS, st.floats(0, 2)
     ),
     "again": st.frozensets(st.sampled_from(RETRYABLE_OUTCOMES)),
-    "second": st.none() | st.builds(HedgeField, SPANS, st.none(), st.integers(2, 4), st.just(0.05)),
-    "budget": st.builds(RetryBudgetPolicy, SPANS, st.floats(0, 1), st.floats(0, 5)),
+    "second": st.none() | st.builds(HedgeField, DURATIONS, st.none(), st.integers(2, 4), st.just(0.05)),
+    "budget": st.builds(RetryBudgetPolicy, DURATIONS, st.floats(0, 1), st.floats(0, 5)),
 }
 
 
 class RouteConfigTest(unittest.TestCase):
-    """Inherited fields, round trips, and large files."""
+    """Inherited fields, round trips and large files."""
 
-    def test_inherited(self):
-        """A value is that of the nearest route that states it; the method's comes last."""
+    def test_fields_are_inherited(self):
+        """A value is taken from the nearest route that states it, else from the method."""
         routes = read_routes(
             '(route "base" (attempts 2) (attempt 1 s) (priority 1)) (route "mid" (like "base") '
             '(takes (method "idem")) (priority 2)) (route "leaf" (like "mid") (takes (method "idem") '
@@ -76,46 +76,46 @@
             max_size=4,
         )
     )
-    def test_round_trip(self, drawn):
-        """Routes that are formatted and parsed are the same."""
+    def test_formatted_routes_parse_to_the_same(self, drawn):
+        """Formatting routes and parsing the text returns the same routes."""
         location = sexpr.SourceLocation("f", 1, 1)
-        made = [
+        routes = [
             Route(
-                f"r{at}",
+                f"r{index}",
                 location,
                 Pattern(method, function),
                 None,
-                RouteFields(**{ATTRIBUTES[key]: Located(value, location) for key, value in fields.items()}),
+                RouteFields(**{ATTRIBUTES_BY_KEY[key]: Located(value, location) for key, value in fields.items()}),
             )
-            for at, (method, function, fields) in enumerate(drawn)
+            for index, (method, function, fields) in enumerate(drawn)
         ]
-        text = format_routes(made)
-        back = parse_routes(sexpr.parse(text, "f"), "f")
+        text = format_routes(routes)
+        parsed = parse_routes(sexpr.parse(text, "f"), "f")
         self.assertEqual(
             [
-                (r.name, r.pattern, {key: stated.value for key, stated in r.fields.stated_fields().items()})
-                for r in back
+                (route.name, route.pattern, {key: stated.value for key, stated in route.fields.stated_fields().items()})
+                for route in parsed
             ],
             [
-                (r.name, r.pattern, {key: stated.value for key, stated in r.fields.stated_fields().items()})
-                for r in made
+                (route.name, route.pattern, {key: stated.value for key, stated in route.fields.stated_fields().items()})
+                for route in routes
             ],
         )
-        self.assertEqual(format_routes(back), text)
+        self.assertEqual(format_routes(parsed), text)
 
-    def test_two_thousand(self):
+    def test_large_file_is_checked_quickly(self):
         """A file of 2,000 routes is checked within seconds, and each error in it is reported."""
         lines = [
-            f'(route "r{at}" (takes (method "idem") (program "p{at}/*")) (attempts 2) (attempt 1 s))'
-            for at in range(2000)
+            f'(route "r{index}" (takes (method "idem") (program "p{index}/*")) (attempts 2) (attempt 1 s))'
+            for index in range(2000)
         ]
         lines[777] = lines[777].replace("1 s", "2 s")
         lines[1500] = lines[1500].replace("p1500", "p1499")
-        began = time.monotonic()
+        started = time.monotonic()
         with self.assertRaises(InvalidConfigError) as raised:
             read_routes(" ".join(lines))
         self.assertEqual(len(raised.exception.diagnostics), 2)
-        self.assertLess(time.monotonic() - began, 60)
+        self.assertLess(time.monotonic() - started, 60)
 
 
 if __name__ == "__main__":
--- a/wickdyke/cli/__init__.py
+++ b/wickdyke/cli/__init__.py
@@ -1,4 +1,4 @@
-"""The `wickdyke` command; each module holds one subcommand or a group of related ones."""
+"""The `wickdyke` command; each module defines one subcommand or a group of related ones."""
 
 import click
 
--- a/wickdyke/cli/call.py
+++ b/wickdyke/cli/call.py
@@ -1,4 +1,4 @@
-"""The command call."""
+"""The command `call`, which sends one request to a gateway."""
 
 import click
 import msgspec
@@ -8,10 +8,10 @@
 from wickdyke.protocol import client_messages, jsonrpc
 
 CONNECT_TIMEOUT = 1000  # ms
-MAX_QUOTED = 40  # characters of the input that an error message repeats
+MAX_QUOTED_CHARACTERS = 40  # of the input in an error message
 EXIT_CODES = {"ok": 0, "denied": 3, "aborted": 4}  # by the final answer
 NO_ANSWER_EXIT_CODE = 5
-OPTIONAL_FIELDS = ("time_left_ms", "memory_mb", "lanes", "token")  # of a call on the wire, in its order
+OPTIONAL_REQUEST_FIELDS = ("time_left_ms", "memory_mb", "lanes", "token")  # of a request on the wire, in this order
 
 
 @click.command()
@@ -23,10 +23,12 @@
     "--time-left",
     "time_left_ms",
     type=float,
-    help="Milliseconds until the client gives up (else the method's deadline).",
+    help="Milliseconds until the client stops waiting (default: the method's deadline).",
 )
-@click.option("--memory", "memory_mb", type=float, help="Memory of a replica in MB (else from the gateway's settings).")
-@click.option("--lanes", type=int, help="Requests that a replica runs at once.")
+@click.option(
+    "--memory", "memory_mb", type=float, help="Memory of a replica in MB (default: from the gateway's settings)."
+)
+@click.option("--lanes", type=int, help="Number of requests that a replica runs concurrently.")
 @click.option("--token", help="The idempotency key of a tokened request.")
 def call(socket: str, method: str, function: str, input_json: str, **options: float | str | None) -> None:
     """Send one request to the gateway at SOCKET and print its final answer.
@@ -39,11 +41,11 @@
         wickdyke call run/wickdyke.sock suggest-tags tags/agency-7 '{"photo": "a.jpg"}'
     """
     params: dict[str, object] = {"method": method, "program": function, "input": _input(input_json)}
-    params |= {name: options[name] for name in OPTIONAL_FIELDS if options[name] is not None}
+    params |= {name: options[name] for name in OPTIONAL_REQUEST_FIELDS if options[name] is not None}
     result, error = _exchange(socket, params)
     final = client_messages.read_final_answer(result, error)
     if final is None:
-        reason = bytes(error.data).decode() if error else "no answer of a gateway"
+        reason = bytes(error.data).decode() if error else "no valid answer of a gateway"
         fail(f"{error.message if error else 'malformed'}: {reason}")
     body = bytes(error.data) if error else result or b""
     print(body.decode())
@@ -51,17 +53,17 @@
 
 
 def _input(text: str) -> msgspec.Raw:
-    """The input as it goes on the wire; ends the command if it is not JSON."""
+    """Returns the input as encoded on the wire; ends the command if it is not JSON."""
     try:
         encoded = text.encode()
         msgspec.json.decode(encoded)
     except (msgspec.DecodeError, UnicodeEncodeError) as error:
-        fail(f"INPUT: found {text[:MAX_QUOTED]!r}, expected JSON ({error})")
+        fail(f"INPUT: found {text[:MAX_QUOTED_CHARACTERS]!r}, expected JSON ({error})")
     return msgspec.Raw(encoded)
 
 
 def _exchange(socket: str, params: dict[str, object]) -> tuple[bytes | None, jsonrpc.ErrorObject | None]:
-    """The result and the error with which a gateway responds: one of them is None.
+    """Returns the result and the error of a gateway's response; one of them is None.
 
     Ends the command if there is no response.
     """
@@ -70,7 +72,7 @@
         connection.sendall(jsonrpc.request_line("call", jsonrpc.encode(params), 1))
         line = connection.makefile("rb").readline()
         if not line:
-            raise ConnectionResetError(0, "hung up without an answer")
+            raise ConnectionResetError(0, "connection closed without an answer")
         _, result, error = jsonrpc.parse_response(line)
     except (OSError, ValueError, jsonrpc.MalformedRequestError) as problem:
         reason = getattr(problem, "strerror", None) or problem
--- a/wickdyke/cli/check.py
+++ b/wickdyke/cli/check.py
@@ -1,4 +1,4 @@
-"""The command check."""
+"""The command `check`, which validates files."""
 
 import os
 import sys
@@ -23,8 +23,8 @@
     package.from_folder(os.path.dirname(os.path.abspath(path)))
 
 
-# by the name of the file's first expression; all others are taken for a gateway's
-CHECKS: dict[str, Callable[[str], object]] = {
+# The check of each kind of file, by the name of its first expression; all other files are checked as a gateway's.
+CHECKS_BY_NAME: dict[str, Callable[[str], object]] = {
     "workers": endpoint_file.read_endpoints,
     "script": scenario.read,
     "worker": worker_config.read,
@@ -48,7 +48,7 @@
         try:
             expressions = sexpr.read(path)
             name = expressions[0].name if expressions else ""
-            CHECKS.get(name, _check_gateway)(path)
+            CHECKS_BY_NAME.get(name, _check_gateway)(path)
             print(f"{path}: good")
         except sexpr.InvalidConfigError as error:
             all_valid = False
--- a/wickdyke/cli/common.py
+++ b/wickdyke/cli/common.py
@@ -1,4 +1,4 @@
-"""What the commands share: exit codes, the end on an error, reading of settings and the log file."""
+"""Functions that the commands share: exit codes, ending on an error, reading settings and opening the log file."""
 
 import sys
 from collections.abc import Callable
@@ -17,7 +17,7 @@
 
     OK = 0
     INVALID_INPUT = 2
-    RIG_FAILED = 3  # a process of a scenario did not start, or did not end as expected
+    SCENARIO_RUN_FAILED = 3  # a process of a scenario did not start, or did not end as expected
 
 
 def fail(message: object, exit_code: int = ExitCode.INVALID_INPUT) -> NoReturn:
@@ -27,7 +27,7 @@
 
 
 def read_or_fail(read: Callable[[str], T], path: str) -> T:
-    """What `read` returns for the file; ends the command if the file is invalid."""
+    """Returns the result of `read` for the file; ends the command if the file is invalid."""
     try:
         return read(path)
     except InvalidConfigError as error:
@@ -35,8 +35,8 @@
 
 
 def open_log_or_fail(path: str | None) -> LogSink | None:
-    """The sink of the log: a file, or standard error for None; ends the command if it can't be opened."""
+    """Returns the sink of the log: the file, or standard error for None; ends the command if it can't be opened."""
     try:
         return logs.open_sink(path)
     except OSError as error:
-        fail(f"{error.filename}: found no file to append to ({error.strerror}), expected one")
+        fail(f"{error.filename}: found {error.strerror}, expected a log file to append to")
--- a/wickdyke/cli/move.py
+++ b/wickdyke/cli/move.py
@@ -1,4 +1,4 @@
-"""The command move: a gateway's settings for another shape of deployment."""
+"""The command `move`, which converts a gateway's settings to another shape of deployment."""
 
 import os
 import sys
@@ -17,10 +17,10 @@
 @click.argument("old", type=click.Path())
 @click.argument("shape", type=click.Path())
 @click.argument("new", type=click.Path())
-@click.option("--dry-run", is_flag=True, help="Print the text of NEW and what is lost; write nothing.")
+@click.option("--dry-run", is_flag=True, help="Print the text of NEW and the remarks without writing a file.")
 def move(old: str, shape: str, new: str, dry_run: bool) -> None:
-    """Write to NEW the counterpart of the gateway's settings OLD for the deployment that SHAPE describes, and list
-    what changed or has no counterpart. OLD stays as it is, and NEW must not exist. docs/migration.md describes the
+    """Convert the gateway's settings OLD to the deployment that SHAPE describes and write the result to NEW; list
+    what changed or has no counterpart. OLD is not modified, and NEW must not exist. docs/migration.md describes the
     steps of a migration. Exit code 2 if the result is invalid.
 
     \b
@@ -37,11 +37,11 @@
         _write_new(new, text)
     for remark in remarks:
         print(remark, file=sys.stderr)
-    print(f"{new}: {'would be ' if dry_run else ''}written; {len(remarks)} to look at", file=sys.stderr)
+    print(f"{new}: {'would be ' if dry_run else ''}written; {len(remarks)} remarks to check", file=sys.stderr)
 
 
 def _write_new(path: str, text: str) -> None:
-    """Writes a file that must not exist."""
+    """Writes a file that must not exist; ends the command if it does or can't be written."""
     try:
         with open(path, "x") as sink:
             sink.write(text)
@@ -50,30 +50,30 @@
 
 
 def _read_expressions(old: str, shape: str, diagnostics: schema.Diagnostics) -> tuple[Expression, Expression]:
-    """The gateway's expression and the shape's; raises InvalidConfigError."""
+    """Returns the expressions of the gateway and of the shape. Raises InvalidConfigError."""
     gateway = schema.single_expression(sexpr.read(old), "gateway", old, diagnostics)
     new_shape = schema.single_expression(sexpr.read(shape), "shape", shape, diagnostics)
     return schema.required(gateway, diagnostics), schema.required(new_shape, diagnostics)
 
 
 def _migrate(old: str, shape: str, new: str) -> tuple[str, list[str]]:
-    """The text of the new file, checked, and remarks on what the user has to look at; raises InvalidConfigError."""
+    """Returns the validated text of the new file, and remarks for the user to check. Raises InvalidConfigError."""
     gateway_config.read(old)
     diagnostics = schema.Diagnostics()
     migrated, remarks = migration.migrate(*_read_expressions(old, shape, diagnostics), diagnostics)
     diagnostics.raise_if_any()
     text = migration.format_config(migrated)
     with open(old) as source:
-        comments = migration.count_comments(source.read())
-    if comments:
-        remarks.append(f"{old}: {comments} lines with comments: the comments are not carried over")
+        comment_lines = migration.count_comments(source.read())
+    if comment_lines:
+        remarks.append(f"{old}: {comment_lines} lines with comments: the comments are not copied")
     if os.path.dirname(os.path.abspath(old)) != os.path.dirname(os.path.abspath(new)):
-        remarks.append(f"{old}: paths hang on the folder of the file that names them, and {new} stands in another")
+        remarks.append(f"{old}: relative paths start from the folder of their file, and {new} is in another folder")
     return text, remarks + _invalid_files(gateway_config.build(sexpr.parse(text, new), new))
 
 
 def _invalid_files(config: GatewayConfig) -> list[str]:
-    """What is invalid under the new settings in the files that they name, which stay as they are."""
+    """Returns remarks on errors under the new settings in the files that they name, which are not converted."""
 
     def read_endpoints(path: str) -> object:
         return endpoint_file.read_endpoints(path, config.zones, config.kinds)
@@ -91,5 +91,5 @@
             if path is not None:
                 read(path)
         except InvalidConfigError as error:
-            remarks += [f"no longer fits: {diagnostic}" for diagnostic in error.diagnostics]
+            remarks += [f"invalid under the new settings: {diagnostic}" for diagnostic in error.diagnostics]
     return remarks
--- a/wickdyke/cli/prove.py
+++ b/wickdyke/cli/prove.py
@@ -1,4 +1,4 @@
-"""The commands prove, judge and replay: run scenarios, check the rules, compare recorded decisions."""
+"""The commands `prove`, `judge` and `replay`: run scenarios, check the rules, compare recorded decisions."""
 
 import os
 import shutil
@@ -17,18 +17,24 @@
 
 EXIT_RULE_BROKEN = 1
 EXIT_DECISIONS_DIFFER = 1
-MAX_FINDINGS = 20  # of a rule, shown by judge
+MAX_FINDINGS_PER_RULE = 20  # shown by judge
 
 
 @click.command()
 @click.argument("files", nargs=-1, required=True, type=click.Path())
-@click.option("--seeds", default=1, type=click.IntRange(1, 1000), help="Run each scenario with so many seeds.")
-@click.option("--keep", type=click.Path(), help="Keep traces and logs in this folder (else only if a rule broke).")
-@click.option("--brief", is_flag=True, help="One line a run.")
+@click.option(
+    "--seeds", default=1, type=click.IntRange(1, 1000), help="Number of seeds with which each scenario is run."
+)
+@click.option(
+    "--keep",
+    type=click.Path(),
+    help="Keep traces and logs in this folder (default: keep them only if a rule is broken).",
+)
+@click.option("--brief", is_flag=True, help="Print one line per run.")
 def prove(files: tuple[str, ...], seeds: int, keep: str | None, brief: bool) -> None:
-    """Run fault scenarios against real gateways and check the five rules from the traffic.
+    """Run fault scenarios against real gateways and check the five rules against the recorded traffic.
 
-    Exit code 0: all rules kept; 1: a rule broke; 2: a scenario is invalid; 3: the run itself failed.
+    Exit code 0: all rules kept; 1: a rule is broken; 2: a scenario is invalid; 3: the run itself failed.
 
     \b
     Example:
@@ -38,16 +44,16 @@
     any_broken = False
     for current in scenarios:
         first_seed = current.seed
-        for step in range(seeds):
-            current.seed = first_seed + step
+        for offset in range(seeds):
+            current.seed = first_seed + offset
             folder = os.path.join(keep, f"{current.name.replace(' ', '-')}-{current.seed}") if keep else None
             any_broken |= _run(current, folder, brief)
     raise SystemExit(EXIT_RULE_BROKEN if any_broken else ExitCode.OK)
 
 
-def _run(current: Scenario, kept_folder: str | None, brief: bool) -> bool:
-    """Run a scenario once and print the result; returns whether a rule broke."""
-    folder = kept_folder or tempfile.mkdtemp(prefix="wd-")
+def _run(current: Scenario, requested_folder: str | None, brief: bool) -> bool:
+    """Runs a scenario once and prints the result; returns whether a rule is broken."""
+    folder = requested_folder or tempfile.mkdtemp(prefix="wd-")
     report_progress: Callable[[str], None] = (lambda text: None) if brief else print
     report_progress(
         f"{current.name}, seed {current.seed}: {current.gateway_count} gateways, {current.worker_count} workers, "
@@ -57,12 +63,12 @@
     try:
         checker = RuleChecker(trace.read(runner.run()))
     except (RigError, trace.InvalidTraceError) as error:
-        fail(f"{current.name}, seed {current.seed}: {error}", ExitCode.RIG_FAILED)
+        fail(f"{current.name}, seed {current.seed}: {error}", ExitCode.SCENARIO_RUN_FAILED)
     if brief:
         print(_brief_line(current, checker), flush=True)
     else:
         print("\n" + report.verdict(checker))
-    if checker.findings or kept_folder:
+    if checker.findings or requested_folder:
         print(f"traces and logs: {folder}")
     else:
         shutil.rmtree(folder, ignore_errors=True)
@@ -80,9 +86,9 @@
 @click.command()
 @click.argument("traces", nargs=-1, required=True, type=click.Path())
 def judge(traces: tuple[str, ...]) -> None:
-    """Check the five rules from TRACES (files, or one folder of a run).
+    """Check the five rules against TRACES (files, or the folder of a run).
 
-    Exit code 0: all kept; 1: a rule broke; 2: a trace can't be read.
+    Exit code 0: all kept; 1: a rule is broken; 2: a trace can't be read.
 
     \b
     Example:
@@ -92,12 +98,12 @@
         checker = RuleChecker(trace.read(_trace_files(traces)))
     except (trace.InvalidTraceError, ValueError) as error:
         fail(error)
-    print(report.verdict(checker, MAX_FINDINGS))
+    print(report.verdict(checker, MAX_FINDINGS_PER_RULE))
     raise SystemExit(EXIT_RULE_BROKEN if checker.findings else ExitCode.OK)
 
 
 def _trace_files(paths: tuple[str, ...]) -> list[str]:
-    """The traces of the folders among the paths, then the paths that are no folders."""
+    """Returns the traces in those paths that are folders, then the other paths."""
     in_folders = [
         os.path.join(folder, name)
         for folder in paths
@@ -124,5 +130,5 @@
             equal_count, difference = recordings.replay(source)
     except (OSError, ValueError, KeyError, TypeError) as error:
         fail(f"{recording}: found {error}, expected a recording")
-    print(f"{equal_count} decisions alike" + (f"; then: {difference}" if difference else ""))
+    print(f"{equal_count} equal decisions" + (f"; first difference: {difference}" if difference else ""))
     raise SystemExit(EXIT_DECISIONS_DIFFER if difference else ExitCode.OK)
--- a/wickdyke/cli/routes.py
+++ b/wickdyke/cli/routes.py
@@ -1,4 +1,4 @@
-"""The routes command: which policy holds for a request."""
+"""The commands `routes`, which show the policy that applies to a request."""
 
 import click
 
@@ -8,14 +8,14 @@
 from wickdyke.config.gateway_config import GatewayConfig
 from wickdyke.config.route_config import Routes
 from wickdyke.config.route_format import format_values
-from wickdyke.config.route_syntax import ATTRIBUTES
+from wickdyke.config.route_syntax import ATTRIBUTES_BY_KEY
 from wickdyke.config.sexpr import InvalidConfigError
 from wickdyke.fault_injection.report import table
 from wickdyke.jsonrpc.service import policy_environment
 from wickdyke.route_policy.policy import Environment, format_sum, worst_case_components
 from wickdyke.routing.model import RequestClass
 
-DEADLINES = ("soft-deadline", "deadline")
+DEADLINE_FIELDS = ("soft-deadline", "deadline")
 
 
 @click.group()
@@ -29,7 +29,7 @@
 @click.argument("program")
 @click.option("--tenant", default="", help="The tenant of the request.")
 def show(file: str, method: str, program: str, tenant: str) -> None:
-    """Print the policy in force for a request under the gateway's settings FILE, and the line of each value.
+    """Print the policy that the gateway's settings FILE give a request, and the source line of each value.
 
     \b
     Example:
@@ -45,45 +45,45 @@
     effective = loaded.find(method, program, tenant) if loaded else None
     if effective is None:
         print(
-            f"no route takes it: soft deadline {request_class.latency_objective:g} ms, "
-            f"deadline {request_class.deadline:g} ms; the router decides without one"
+            f"no route matches: soft deadline {request_class.latency_objective:g} ms, "
+            f"deadline {request_class.deadline:g} ms; the router applies no route policy"
         )
         return
     _print_policy(effective, method, environment)
 
 
 def _read_routes(config: GatewayConfig, environment: Environment) -> Routes | None:
-    """The routes that the settings name, if any."""
+    """Returns the routes of the file that the settings name, if any. Raises InvalidConfigError."""
     if config.routes_path is None:
         return None
     return route_config.read(config.routes_path, config.request_classes, environment)
 
 
 def _request_class(config: GatewayConfig, name: str) -> RequestClass:
-    """The request class of that name; exits if there is none."""
-    by_name = {request_class.name: request_class for request_class in config.request_classes}
-    if name not in by_name:
-        fail(f"METHOD: found {name}, expected one of {', '.join(by_name)}")
-    return by_name[name]
+    """Returns the request class of that name; ends the command if there is none."""
+    classes_by_name = {request_class.name: request_class for request_class in config.request_classes}
+    if name not in classes_by_name:
+        fail(f"METHOD: found {name}, expected one of {', '.join(classes_by_name)}")
+    return classes_by_name[name]
 
 
 def _print_policy(effective: EffectivePolicy, method: str, environment: Environment) -> None:
     print(f'route "{effective.route.name}", {effective.route.location}')
-    rows = [[key, value, _describe_origin(effective, key, method)] for key, value in _values(effective).items()]
-    print(table(("field", "holds", "from"), rows))
-    longest = format_sum(worst_case_components(effective.policy, environment))
-    print(f"longest course: {longest} of {effective.policy.deadline:g} ms")
+    rows = [[key, value, _describe_origin(effective, key, method)] for key, value in _field_values(effective).items()]
+    print(table(("field", "value", "source"), rows))
+    worst_case = format_sum(worst_case_components(effective.policy, environment))
+    print(f"worst case: {worst_case} of {effective.policy.deadline:g} ms")
 
 
 def _describe_origin(effective: EffectivePolicy, key: str, method: str) -> str:
     location = effective.origins.get(key)
     if location is not None:
         return str(location)
-    return f'method "{method}"' if key in DEADLINES else "not stated"
+    return f'method "{method}"' if key in DEADLINE_FIELDS else "not stated"
 
 
-def _values(effective: EffectivePolicy) -> dict[str, str]:
-    """The value of each field, by its key in the file: as stated, else the default, else a dash."""
+def _field_values(effective: EffectivePolicy) -> dict[str, str]:
+    """Returns the value of each field by its key in the file: the stated value, else the default, else a dash."""
     policy = effective.policy
     defaults = {
         "soft-deadline": f"{policy.latency_objective:g} ms",
@@ -93,4 +93,4 @@
         "priority": str(policy.priority),
     }
     stated = format_values(effective.fields)
-    return {key: stated.get(key, defaults.get(key, "-")) for key in ATTRIBUTES}
+    return {key: stated.get(key, defaults.get(key, "-")) for key in ATTRIBUTES_BY_KEY}
--- a/wickdyke/cli/serve.py
+++ b/wickdyke/cli/serve.py
@@ -1,4 +1,4 @@
-"""The commands serve and up."""
+"""The commands `serve` and `up`, which run a gateway or a scenario's fleet in the foreground."""
 
 import os
 import signal
@@ -20,14 +20,14 @@
 
 @click.command()
 @click.argument("file", type=click.Path())
-@click.option("--log", "log_file", type=click.Path(), help="Append the log to this file (else standard error).")
+@click.option("--log", "log_file", type=click.Path(), help="Append the log to this file (default: standard error).")
 @click.option("--json", "as_json", is_flag=True, help="Log JSON lines instead of logfmt.")
-@click.option("--debug", is_flag=True, help="Also log each attempt that ends and each answer.")
+@click.option("--debug", is_flag=True, help="Also log the end of each attempt and each answer.")
 @click.option(
     "--tape", "recording_path", type=click.Path(), help="Record the router's inputs and decisions (see replay)."
 )
 def serve(file: str, log_file: str | None, as_json: bool, debug: bool, recording_path: str | None) -> None:
-    """Run a gateway with the settings in FILE, until SIGTERM.
+    """Run a gateway with the settings in FILE until SIGTERM.
 
     The first line on standard output is `ready` and the socket's path. On SIGTERM or SIGINT no new request is
     accepted, all pending ones are answered, and the exit code is 0; a second signal ends it at once.
@@ -54,14 +54,14 @@
     exit_code = serve_until_signal(gateway, report_ready)
     log_writer.close()
     sys.stdout.flush()
-    os._exit(exit_code)  # daemon threads may be blocked in a full pipe; all answers are sent
+    os._exit(exit_code)  # skips daemon threads, which may be blocked on a full pipe; all answers are sent
 
 
 @click.command()
 @click.argument("file", type=click.Path())
-@click.option("--folder", type=click.Path(), help="Where sockets, logs and traces go (else a new one).")
+@click.option("--folder", type=click.Path(), help="Folder for sockets, logs and traces (default: a temporary one).")
 def up(file: str, folder: str | None) -> None:
-    """Run the fake workers and the gateways of the scenario FILE, in the foreground, without traffic and faults.
+    """Run the fake workers and the gateways of the scenario FILE, in the foreground, without traffic or faults.
 
     The first line on standard output is `ready` and the first gateway's socket. Stops cleanly on a signal.
 
@@ -75,19 +75,19 @@
         try:
             _run_until_signal(runner)
         except RigError as error:
-            fail(error, ExitCode.RIG_FAILED)
+            fail(error, ExitCode.SCENARIO_RUN_FAILED)
         finally:
             runner.close()
 
 
 def _run_until_signal(runner: ScenarioRunner) -> None:
-    """Runs the processes of a scenario without traffic; raises RigError."""
-    signals: list[int] = []
+    """Runs the processes of a scenario without traffic until SIGTERM or SIGINT. Raises RigError."""
+    received_signals: list[int] = []
     for number in (signal.SIGTERM, signal.SIGINT):
-        signal.signal(number, lambda number, frame: signals.append(number))
+        signal.signal(number, lambda number, frame: received_signals.append(number))
     runner.start(traffic=False)
     print(f"ready {os.path.join(runner.folder, 'g1.sock')}", flush=True)
-    while not signals:
+    while not received_signals:
         runner.step()
     gateways = runner.gateways.values()
     for gateway in gateways:
--- a/wickdyke/cli/worker.py
+++ b/wickdyke/cli/worker.py
@@ -1,4 +1,4 @@
-"""The commands worker, pack and store."""
+"""The commands `worker`, `pack` and `store`, which run a worker, write a package and serve packages."""
 
 import os
 
@@ -18,22 +18,20 @@
 from wickdyke.worker.store import StoreServer
 from wickdyke.worker.store_client import StoreClient
 
-DRAIN_MARGIN = 1000  # ms beyond the longest run time that a worker drains
+DRAIN_MARGIN = 1000  # ms that a worker drains beyond the longest run time of a request
 
 
 @click.command()
 @click.argument("file", type=click.Path())
-@click.option("--log", "log_file", type=click.Path(), help="Append the log to this file (else standard error).")
+@click.option("--log", "log_file", type=click.Path(), help="Append the log to this file (default: standard error).")
 @click.option("--json", "as_json", is_flag=True, help="Log JSON lines instead of logfmt.")
 @click.option("--trace", type=click.Path(), help="Write a trace for the rule checker to this file.")
-@click.option(
-    "--start", type=click.IntRange(1), help="The number that identifies this start, as the endpoint file has it."
-)
+@click.option("--start", type=click.IntRange(1), help="The number of this start, as in the endpoint file.")
 def worker(file: str, log_file: str | None, as_json: bool, trace: str | None, start: int | None) -> None:
-    """Run a worker as FILE states, until SIGTERM.
+    """Run a worker with the settings in FILE until SIGTERM.
 
     The first line on standard output is `ready` and the socket's path. On SIGTERM or SIGINT no further request is
-    accepted, those in flight finish, and the exit code is 0; a second signal ends it at once.
+    accepted, requests in flight finish, and the exit code is 0; a second signal ends it at once.
 
     \b
     Example:
@@ -56,13 +54,13 @@
     runtime.drain(config.run_timeout + DRAIN_MARGIN)
     runtime.close()
     log_writer.close()
-    os._exit(0)  # threads may hang in a full pipe; everything else is done
+    os._exit(0)  # skips threads that may be blocked on a full pipe; all other work is done
 
 
 def _package_store(config: worker_config.WorkerConfig) -> PackageStore:
     if config.store_folder:
         return FolderStore(config.store_folder)
-    assert config.store_address is not None  # as checked when the settings were read
+    assert config.store_address is not None  # checked when the settings were read
     return StoreClient(config.store_address)
 
 
@@ -70,7 +68,7 @@
 @click.argument("folder", type=click.Path())
 @click.option("--into", default=".", type=click.Path(), help="The folder of the store.")
 def pack(folder: str, into: str) -> None:
-    """Check the package in FOLDER and write it as an archive, the same bytes for the same files.
+    """Check the package in FOLDER and write it as an archive, which is byte-identical for identical files.
 
     \b
     Example:
@@ -87,11 +85,12 @@
 
 @click.command()
 @click.argument("file", type=click.Path())
-@click.option("--log", "log_file", type=click.Path(), help="Append the log to this file (else standard error).")
+@click.option("--log", "log_file", type=click.Path(), help="Append the log to this file (default: standard error).")
 def store(file: str, log_file: str | None) -> None:
-    """Serve a folder of archives to workers as FILE states, until SIGTERM.
+    """Serve a folder of archives to workers with the settings in FILE until SIGTERM.
 
-    The first line on standard output is `ready` and the address. Workers resume reads that its end interrupts.
+    The first line on standard output is `ready` and the address. Workers resume reads that are
+    interrupted by the end of the store.
 
     \b
     Example:
--- a/wickdyke/config/route_syntax.py
+++ b/wickdyke/config/route_syntax.py
@@ -62,7 +62,7 @@
 
     def stated_fields(self) -> dict[str, Located[object]]:
         """Returns the stated fields, by their key in the file."""
-        values = {key: getattr(self, attribute) for key, attribute in ATTRIBUTES.items()}
+        values = {key: getattr(self, attribute) for key, attribute in ATTRIBUTES_BY_KEY.items()}
         return {key: value for key, value in values.items() if value is not None}
 
 
@@ -177,7 +177,7 @@
     "priority": Field(_located(count(-1000, 1000)), None, parameter="priority"),
 }
 # The attribute of RouteFields for each key of the file.
-ATTRIBUTES = {key: field.parameter for key, field in _FIELDS.items()}
+ATTRIBUTES_BY_KEY = {key: field.parameter for key, field in _FIELDS.items()}
 
 
 def _route(
