--- a/wickdyke/config/deployment_settings.py
+++ b/wickdyke/config/deployment_settings.py
@@ -248,7 +248,7 @@
 
 
 def _longest_retry_after(settings: DeploymentSettings) -> float:
-    """The longest time to retry after that an answer may state, in ms; 0 where answers state none."""
+    """Returns the longest retry-after time that an answer may state, in ms; 0 if answers state none."""
     if not settings.get("limits.retry-after", boolean, False):
         return 0.0
     return settings.get("limits.max-retry-after", duration, 0.0)
