--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -166,10 +166,10 @@
     return [d.worker.endpoint.ident for d in decisions if isinstance(d, Forward)]
 
 
-def choose_workers(placement, function, load, capacity, room, budget):
+def choose_workers(placement, function, load, capacity, free_capacity, free_memory):
     """Returns the workers that a placement pass chooses for `load` with that free capacity and free memory.
 
     A replica of the function takes 1 MB.
     """
-    this_pass = PlacementPass({}, {}, {}, {function: 1.0}, 1.0, capacity, room, budget, {})
+    this_pass = PlacementPass({}, {}, {}, {function: 1.0}, 1.0, capacity, free_capacity, free_memory, {})
     return placement.choose_workers(function, load, [], this_pass)
--- a/tests/test_concurrency.py
+++ b/tests/test_concurrency.py
@@ -64,9 +64,8 @@
             with self.subTest(ms=ms, utilization=utilization):
                 front_end = FrontEnd(workers=6, front_ends=200)
                 for at in range(12):
-                    front_end.router.health_checked(
-                        "f", "ok", front_end.load_report(utilization, 6.0)
-                    )  # elsewhere: at a busy home they would be denied
+                    # The report is of a worker that gets no requests: at a full worker they would be rejected early.
+                    front_end.router.health_checked("f", "ok", front_end.load_report(utilization, 6.0))
                     front_end.serve_requests(f"p{at}", count=2, ms=ms)
                 self.assertEqual(front_end.router.global_concurrency.concurrency_limit < 9.0, limited)
 
--- a/tests/test_prewarming.py
+++ b/tests/test_prewarming.py
@@ -20,14 +20,11 @@
                 prewarms, request_times = [], []
                 for at in range(400):
                     request_times.append(front_end.clock)
-                    decisions = front_end.submit(
-                        f"p{at % 40}"
-                    )  # later attempts all miss, so prewarms are always wanted
+                    # All attempts but the first of each function miss, so that prewarms are always wanted.
+                    decisions = front_end.submit(f"p{at % 40}")
                     for request in [d.request for d in decisions if isinstance(d, Forward)]:
                         front_end.clock += 5 * (at < 40)
-                        decisions += front_end.finish_attempt(
-                            request, "miss" if at >= 40 else "ok"
-                        )  # the first request of each function is answered
+                        decisions += front_end.finish_attempt(request, "miss" if at >= 40 else "ok")
                     decisions += front_end.advance_time(25, step=25)
                     for _ in [d for d in decisions if isinstance(d, Prewarm)]:
                         prewarms.append(front_end.clock)
--- a/tests/test_router_scale.py
+++ b/tests/test_router_scale.py
@@ -9,7 +9,7 @@
 
 from bench.simulated_fleet import SimulatedFleet
 from bench.simulated_worker import Draw, Settings, listing
-from tests.fleet_rig import CAPACITY, FLAT, SIZES, count_lines, function, names
+from tests.fleet_rig import CELL_CAPACITY, FLEET_SIZES, MAX_COST_RATIO, count_lines, function_names, make_function
 from wickdyke.routing import periods, ranking, router
 from wickdyke.routing.placement import Placement
 
@@ -28,7 +28,7 @@
     def test_a_function_costs_the_same_in_every_fleet(self):
         """Hashes and lines run for a new function do not grow with the fleet."""
         counts = []
-        for many in SIZES:
+        for many in FLEET_SIZES:
             fleet, hashed = simulated_fleet(many), []
             fleet.run(5000.0)
             front, inner = fleet.fronts[0], ranking.hash_fractions
@@ -38,26 +38,26 @@
                 return inner(first, others)
 
             with patch.object(ranking, "hash_fractions", counted):
-                lines = sum(count_lines(fleet.submit_request, front, name) for name in names(60))
+                lines = sum(count_lines(fleet.submit_request, front, name) for name in function_names(60))
             counts.append((sum(hashed) / 60, lines))
-        self.assertLessEqual(max(hashed for hashed, _ in counts), CAPACITY)
+        self.assertLessEqual(max(hashed for hashed, _ in counts), CELL_CAPACITY)
         for hashed, lines in counts[2:]:  # the smallest fleet's cells happen to be smaller than the others'
-            self.assertLessEqual(hashed, FLAT * counts[1][0])
-            self.assertLessEqual(lines, FLAT * counts[1][1])
+            self.assertLessEqual(hashed, MAX_COST_RATIO * counts[1][0])
+            self.assertLessEqual(lines, MAX_COST_RATIO * counts[1][1])
 
     def test_a_function_takes_the_same_memory_in_every_fleet(self):
         """Bytes for a function that is requested once, including the records of its worker, stay below 8 KiB."""
-        homes = []
-        for many in SIZES:
+        bytes_per_function = []
+        for many in FLEET_SIZES:
             fleet = simulated_fleet(many)
             fleet.clients(127.0, Draw(160000, 0.0, 7), 9000.0)
             tracemalloc.start()
             try:
                 fleet.run(9000.0)
-                homes.append(tracemalloc.get_traced_memory()[0] / len(fleet.fronts[0].router.functions))
+                bytes_per_function.append(tracemalloc.get_traced_memory()[0] / len(fleet.fronts[0].router.functions))
             finally:
                 tracemalloc.stop()
-        self.assertLessEqual(max(homes), 8 * 1024)
+        self.assertLessEqual(max(bytes_per_function), 8 * 1024)
 
     def test_a_worker_that_is_only_listed_costs_little(self):
         tracemalloc.start()
@@ -84,7 +84,7 @@
         with patch.object(router, "MAX_FUNCTIONS", 200):
             fleet = simulated_fleet(300)
             front = fleet.fronts[0]
-            for name in names(500):
+            for name in function_names(500):
                 fleet.submit_request(front, name)
                 fleet.run(fleet.now + 10.0)
                 in_flight_count = sum(
@@ -102,7 +102,7 @@
             front_end = front.router
             for worker in front_end.workers.values():
                 worker.concurrency_limit = 0.0
-            submitted = [(name, fleet.submit_request(front, name)) for name in names(60)]
+            submitted = [(name, fleet.submit_request(front, name)) for name in function_names(60)]
             waiting = [front_end.requests[ident].function for _, ident in submitted]
             forgotten = [entry for entry in waiting if front_end.functions.get(entry.name) is not entry]
             self.assertTrue(forgotten)
@@ -131,16 +131,16 @@
 
     def test_functions_follow_their_cells(self):
         """Through all changes of the list, each known function is registered in its home cell."""
-        fleet, chance = simulated_fleet(300), random.Random(2)
+        fleet, random_source = simulated_fleet(300), random.Random(2)
         front_end, number = fleet.fronts[0].router, 300
         fleet.clients(60.0, Draw(3000, 0.0, 7), 30000.0)
         for step in range(40):
             grows = step < 20
-            rows = [listing(number + at) for at in range(30)] if grows else [
-                replace(w.endpoint, state="gone") for w in chance.sample(list(fleet.workers.values()), 30)
+            endpoints = [listing(number + at) for at in range(30)] if grows else [
+                replace(w.endpoint, state="gone") for w in random_source.sample(list(fleet.workers.values()), 30)
             ]  # fmt: skip
             number += 30
-            fleet.announce(rows)
+            fleet.announce(endpoints)
             fleet.run(fleet.now + 600.0)
             homes = {name: cell for cell in front_end.fleet.cells.values() for name in cell.functions}
             self.assertEqual(set(homes), set(front_end.functions))
@@ -155,10 +155,10 @@
         """(state of all workers of the home) -> all front ends send the attempt to the same worker of the next cell."""
         for condition in ("ejected", "warming up", "at their limit", "without memory", "draining", "gone"):
             with self.subTest(condition=condition):
-                fleet, name, chosen = simulated_fleet(600, front_ends=3), names(1)[0], set()
+                fleet, name, chosen = simulated_fleet(600, front_ends=3), function_names(1)[0], set()
                 for front in fleet.fronts:
                     front_end = front.router
-                    home, second = list(front_end.fleet.nearest_cells(function(name), 2))
+                    home, second = list(front_end.fleet.nearest_cells(make_function(name), 2))
                     changed = []
                     for worker in home.ready_workers:
                         if condition == "ejected":
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -50,10 +50,10 @@
 
     def report(self) -> WorkerLoad | None:
         """Returns a report of utilization and requests in flight."""
-        now, born = self.fleet.now, self.endpoint.started_at
+        now, started_at = self.fleet.now, self.endpoint.started_at
         while self.arrived and self.arrived[0] <= now - REPORTED:
             self.arrived.popleft()
-        share = 1.0 if born is None else present_share(self.settings.slow_start, now - born)
+        share = 1.0 if started_at is None else present_share(self.settings.slow_start, now - started_at)
         utilization = min(1.0, len(self.arrived) * WORK / REPORTED / self.endpoint.size / share)
         return WorkerLoad.from_values(REPORT_FIELDS, (utilization, float(self.in_flight)))
 
@@ -80,23 +80,23 @@
     def traffic(self, parts: list[float], used: float, burst: float, until: float) -> None:
         """Schedules random requests that use the part `used` of all capacity, times `burst` after the restart."""
         capacity = sum(worker.endpoint.size for worker in self.workers.values()) / WORK
-        at, chance = 0.0, random.Random(5)
+        at, random_source = 0.0, random.Random(5)
         ends = list(itertools.accumulate(parts))
         while at < until:
-            at += chance.expovariate(capacity * used * (burst if at > RESTART else 1.0))
-            (number,) = chance.choices(range(len(parts)), cum_weights=ends)
-            self.at(at, self.submit_request, self.fronts[number], f"f{chance.randrange(12)}")
+            at += random_source.expovariate(capacity * used * (burst if at > RESTART else 1.0))
+            (number,) = random_source.choices(range(len(parts)), cum_weights=ends)
+            self.at(at, self.submit_request, self.fronts[number], f"f{random_source.randrange(12)}")
 
-    def restart(self, worker_count: int, outage: float, told: tuple[float, float]) -> None:
-        """Restarts workers with an outage of `gone` ms; each front end is informed `told` (range of ms) later."""
-        idents, chance = list(self.workers)[:worker_count], random.Random(9)
+    def restart(self, worker_count: int, outage: float, notice_delay: tuple[float, float]) -> None:
+        """Restarts workers after `outage` ms; front ends are informed `notice_delay` (range of ms) after that."""
+        idents, random_source = list(self.workers)[:worker_count], random.Random(9)
         for ident in idents:
             self.workers[ident].dead = True
         self.run(RESTART + outage)
         endpoints = [replace(self.workers[ident].endpoint, started_at=self.now) for ident in idents]
         self.workers.update((each.ident, MeasuredWorker(each, self)) for each in endpoints)
         for front in self.fronts:
-            self.informed_at[front.number] = self.now + chance.uniform(*told)
+            self.informed_at[front.number] = self.now + random_source.uniform(*notice_delay)
             self.at(self.informed_at[front.number], self.notify_list, front, endpoints)
 
     def restart_front_ends(self) -> None:
@@ -129,10 +129,10 @@
             limit = budget(warmup.multiple * share * listed.size / WORK * warmup.window)
             if len(window) > limit:  # the worker is overloaded, and does not recover
                 informed = {each for sent, each in window if sent >= self.informed_at[each]}
-                told = sum(each in informed for _, each in window)
-                if told > 2 / 3 * len(window):
+                informed_count = sum(each in informed for _, each in window)
+                if informed_count > 2 / 3 * len(window):
                     age = at - listed.started_at
-                    yield f"{ident}: {len(window)} of {limit:.1f} at {age:.0f} ms, {told} by informed front ends"
+                    yield f"{ident}: {len(window)} of {limit:.1f} at {age:.0f} ms, {informed_count} by informed ones"
                 return
 
 
@@ -140,11 +140,19 @@
     """Decisions of all front ends on a simulated fleet of six workers that restart."""
 
     def run_scenario(  # noqa: PLR0913 - one keyword argument for each property of the scenario
-        self, many, warmup, restarted=6, used=0.6, burst=1.0, outage=1000.0, told=(300.0, 600.0), skew=False
+        self,
+        front_end_count,
+        warmup,
+        restarted=6,
+        used=0.6,
+        burst=1.0,
+        outage=1000.0,
+        notice_delay=(300.0, 600.0),
+        skew=False,
     ):
-        """Returns the fleet after the scenario; with `skew` one of the `many` front ends has six times the traffic."""
+        """Returns the fleet after the scenario; with `skew` one of the front ends has six times the traffic."""
         settings = Settings(
-            front_ends=many,
+            front_ends=front_end_count,
             zones=1,
             idle_timeout=60000.0,
             load_time=20.0,
@@ -153,32 +161,37 @@
             slow_start=warmup,
         )
         fleet, until = MeasuredFleet(settings, 6, seed=1), RESTART + outage + 2.2 * warmup.window
-        parts = [6.0 if skew and number == many // 2 else 1.0 for number in range(many)]
+        parts = [6.0 if skew and number == front_end_count // 2 else 1.0 for number in range(front_end_count)]
         fleet.traffic(parts, used, burst, until)
         fleet.run(RESTART)
-        fleet.restart(restarted, outage, told)
+        fleet.restart(restarted, outage, notice_delay)
         fleet.run(until)
         self.assertTrue(fleet.attempts)
         return fleet
 
-    def test_all_servers_restart_under_a_burst(self):
+    def test_all_workers_restart_under_a_burst(self):
         """(settings, front ends) -> no worker is overloaded."""
-        for warmup, many in itertools.product((LEAST, USUAL, GREATEST), (1, 2, 3, 8)):
-            with self.subTest(warmup=warmup, many=many):
-                self.assertEqual(self.run_scenario(many, warmup, burst=1.5).overloaded_workers(), [])
+        for warmup, front_end_count in itertools.product((LEAST, USUAL, GREATEST), (1, 2, 3, 8)):
+            with self.subTest(warmup=warmup, front_end_count=front_end_count):
+                self.assertEqual(self.run_scenario(front_end_count, warmup, burst=1.5).overloaded_workers(), [])
 
     def test_one_front_end_has_several_times_the_mean(self):
-        for many in (4, 20, 200):
-            with self.subTest(many=many):
+        for front_end_count in (4, 20, 200):
+            with self.subTest(front_end_count=front_end_count):
                 self.assertEqual(
-                    self.run_scenario(many, LEAST, used=0.85, skew=True, told=(0.0, 0.0)).overloaded_workers(), []
+                    self.run_scenario(
+                        front_end_count, LEAST, used=0.85, skew=True, notice_delay=(0.0, 0.0)
+                    ).overloaded_workers(),
+                    [],
                 )
 
     def test_a_zone_restarts_at_once_and_is_listed_late(self):
         """(front ends) -> no worker is overloaded where four of six restart within 10 ms, listed 1 to 1.5 s later."""
-        for many in (1, 4, 30):
-            with self.subTest(many=many):
-                fleet = self.run_scenario(many, USUAL, restarted=4, outage=10.0, told=(1000.0, 1500.0))
+        for front_end_count in (1, 4, 30):
+            with self.subTest(front_end_count=front_end_count):
+                fleet = self.run_scenario(
+                    front_end_count, USUAL, restarted=4, outage=10.0, notice_delay=(1000.0, 1500.0)
+                )
                 self.assertEqual(fleet.overloaded_workers(), [])
 
 
@@ -187,13 +200,13 @@
 
     WORK, SIZE, WORKER_COUNT = 330.0, 3.0, 12
 
-    def attempts(self, many: int, warmup: SlowStart, name: str) -> list[float]:
+    def attempts(self, front_end_count: int, warmup: SlowStart, name: str) -> list[float]:
         """Returns the times (ms) at which they sent to one worker in slow start, after using half of all capacity."""
         request, sent, pairs = Mock(), [], []
         request.request_class.durations, request.request_class.latency_objective = [self.WORK], 0.0
-        busy = many // 3
+        busy = front_end_count // 3
         for number in range(busy):
-            guard = SlowStartGuard(warmup, GatewayInstance(number, many, 0, (), False))
+            guard = SlowStartGuard(warmup, GatewayInstance(number, front_end_count, 0, (), False))
             size = self.WORKER_COUNT * self.SIZE
             guard.served_work.append(WorkSample(5000.0, size * 0.5 * 5000.0 / busy))
             guard.update_estimates(
@@ -211,9 +224,9 @@
 
     def test_front_ends_with_adjacent_indexes_have_turns_apart(self):
         """(settings, front ends, worker) -> no window exceeds the budget."""
-        for warmup, many, name in itertools.product((LEAST, USUAL, GREATEST), (3, 30, 200), ("z0", "z1")):
-            with self.subTest(warmup=warmup, many=many, name=name):
-                sent = self.attempts(many, warmup, name)
+        for warmup, front_end_count, name in itertools.product((LEAST, USUAL, GREATEST), (3, 30, 200), ("z0", "z1")):
+            with self.subTest(warmup=warmup, front_end_count=front_end_count, name=name):
+                sent = self.attempts(front_end_count, warmup, name)
                 self.assertTrue(sent)
                 for start in range(0, int(warmup.ramp - warmup.window), 100):
                     share = present_share(warmup, start)
@@ -226,29 +239,29 @@
 
     def front_end_in_use(self):
         """Returns a single front end that has been sending requests to its only worker."""
-        fleet = FrontEnd(workers=1, front_ends=1)
+        front_end = FrontEnd(workers=1, front_ends=1)
         for _ in range(8):
-            fleet.serve_requests(count=5)
-            fleet.router.health_checked("a", "ok", fleet.load_report(0.5, 2.0))
-            fleet.advance_time(200)
-        return fleet
+            front_end.serve_requests(count=5)
+            front_end.router.health_checked("a", "ok", front_end.load_report(0.5, 2.0))
+            front_end.advance_time(200)
+        return front_end
 
-    def forwarded_at_once(self, fleet):
+    def forwarded_at_once(self, front_end):
         """Returns how many of 60 simultaneous requests are forwarded."""
-        return len(forwarded_to([each for number in range(60) for each in fleet.submit(f"q{number}")]))
+        return len(forwarded_to([each for number in range(60) for each in front_end.submit(f"q{number}")]))
 
-    def forwarded_before_restart_is_known(self, fleet, count):
-        """Returns how many of `calls` simultaneous requests are forwarded before the restart is known."""
-        return len(forwarded_to([each for number in range(count) for each in fleet.submit(f"b{number}")]))
+    def forwarded_before_restart_is_known(self, front_end, count):
+        """Returns how many of `count` simultaneous requests are forwarded before the restart is known."""
+        return len(forwarded_to([each for number in range(count) for each in front_end.submit(f"b{number}")]))
 
     def test_attempts_before_the_start_was_listed_count(self):
         fresh, late = self.front_end_in_use(), self.front_end_in_use()
-        born = fresh.clock
-        fresh.update_endpoints([listed_endpoint("a", started_at=born)])
+        started_at = fresh.clock
+        fresh.update_endpoints([listed_endpoint("a", started_at=started_at)])
         allowed = self.forwarded_at_once(fresh)
         before = self.forwarded_before_restart_is_known(late, 2)
         late.advance_time(50)
-        late.update_endpoints([listed_endpoint("a", started_at=born)])
+        late.update_endpoints([listed_endpoint("a", started_at=started_at)])
         self.assertGreater(allowed, before)
         self.assertGreater(before, 0)
         self.assertLessEqual(before + self.forwarded_at_once(late), allowed)
@@ -256,9 +269,9 @@
     def test_attempts_to_the_process_before_do_not_count(self):
         fresh, other = self.front_end_in_use(), self.front_end_in_use()
         self.assertGreater(self.forwarded_before_restart_is_known(other, 2), 0)
-        for fleet in (fresh, other):
-            fleet.advance_time(50)
-            fleet.update_endpoints([listed_endpoint("a", started_at=fleet.clock)])
+        for front_end in (fresh, other):
+            front_end.advance_time(50)
+            front_end.update_endpoints([listed_endpoint("a", started_at=front_end.clock)])
         self.assertEqual(self.forwarded_at_once(other), self.forwarded_at_once(fresh))
 
     def test_attempts_before_a_lost_connection_count_only_if_the_worker_was_warming_up(self):
@@ -266,22 +279,23 @@
         was already known to warm up still count after another lost connection."""
         for outcome in ("cut", "unreached"):
             with self.subTest(outcome=outcome):
-                fleet = self.front_end_in_use()
+                front_end = self.front_end_in_use()
                 requests = [
                     each.request
                     for number in range(8)
-                    for each in fleet.submit(f"b{number}")
+                    for each in front_end.submit(f"b{number}")
                     if isinstance(each, Forward)
                 ]
                 worker = requests[0].attempts[0].replica.worker
-                fleet.finish_attempt(requests[0], outcome)
-                self.assertTrue(fleet.router.slow_start.is_warming_up(worker, fleet.clock))
-                self.assertTrue(all(at >= fleet.clock for at, _ in worker.slow_start_sends))  # at most a retry remains
+                front_end.finish_attempt(requests[0], outcome)
+                self.assertTrue(front_end.router.slow_start.is_warming_up(worker, front_end.clock))
+                # At most a retry remains.
+                self.assertTrue(all(at >= front_end.clock for at, _ in worker.slow_start_sends))
                 worker.slow_start_sends.clear()
                 for _ in range(3):
-                    fleet.router.slow_start.attempt_sent(worker, requests[0], fleet.clock)
-                fleet.advance_time(50)
-                fleet.router.slow_start.connection_lost(worker, fleet.clock)
+                    front_end.router.slow_start.attempt_sent(worker, requests[0], front_end.clock)
+                front_end.advance_time(50)
+                front_end.router.slow_start.connection_lost(worker, front_end.clock)
                 self.assertEqual(len(worker.slow_start_sends), 3)
 
 
