--- a/tests/test_fault_injection.py
+++ b/tests/test_fault_injection.py
@@ -46,14 +46,14 @@
     def test_skipped_validation(self):
         """Invalid routes break a rule where validation is skipped; otherwise the gateway refuses to start."""
         with tempfile.TemporaryDirectory(prefix="wd-") as folder:
-            for name, figures, defect, rules in (
+            for name, format_arguments, defect, rules in (
                 ("accepted", ("", 1), Defect.ACCEPTS_ANY_ROUTES, {2}),
                 ("refused", ("", 1), Defect.NONE, None),
             ):
                 with self.subTest(case=name):
                     path = os.path.join(folder, f"{name}.sexp")
                     with open(path, "w") as sink:
-                        sink.write(INVALID_ROUTES_SCENARIO % figures)
+                        sink.write(INVALID_ROUTES_SCENARIO % format_arguments)
                     runner = ScenarioRunner(
                         scenario.read(path), os.path.join(folder, name), faulty_gateway_command(defect)
                     )
--- a/wickdyke/fault_injection/fake_worker/attempt_queue.py
+++ b/wickdyke/fault_injection/fake_worker/attempt_queue.py
@@ -56,7 +56,7 @@
             self.running_attempts -= 1
         if attempt.replica is not None:
             attempt.replica.running_attempts -= 1
-            attempt.replica.last_used = clock()
+            attempt.replica.last_used_at = clock()
         self.dispatch(attempt.function)
         self._fill_cores()
 
--- a/wickdyke/fault_injection/fake_worker/replicas.py
+++ b/wickdyke/fault_injection/fake_worker/replicas.py
@@ -8,13 +8,16 @@
 
 @dataclass(slots=True, eq=False)
 class FakeReplica:
-    """A replica of a function, which runs up to `concurrency` attempts at once when `ready`. Times are in ms."""
+    """A replica of a function, which runs up to `concurrency` attempts at once when `ready`.
+
+    Times are in ms, `last_used_at` on the monotonic clock.
+    """
 
     function: str
     memory_mb: float
     concurrency: int
     load_ms: float
-    last_used: float
+    last_used_at: float
     running_attempts: int = 0
     ready: bool = False
 
@@ -62,7 +65,7 @@
         used_mb = sum(replica.memory_mb for replica in self._all_replicas())
         evictable = sorted(
             (replica for replica in self._all_replicas() if replica.idle and not has_waiting(replica.function)),
-            key=lambda replica: replica.last_used,
+            key=lambda replica: replica.last_used_at,
         )
         for replica in evictable:
             if used_mb + memory_mb <= self.capacity_mb:
@@ -85,7 +88,7 @@
         """Unloads replicas that were idle for longer than `idle_life_ms` and removes functions without replicas."""
         for function, replicas in list(self.replicas_by_function.items()):
             for replica in [replica for replica in replicas if replica.idle]:
-                if clock() - replica.last_used > idle_life_ms:
+                if clock() - replica.last_used_at > idle_life_ms:
                     replicas.remove(replica)
             if not replicas and not has_waiting(function):
                 del self.replicas_by_function[function]
--- a/wickdyke/fault_injection/fake_worker/slow_start.py
+++ b/wickdyke/fault_injection/fake_worker/slow_start.py
@@ -29,7 +29,7 @@
         start_share = self.config.start_share
         return min(1.0, start_share + (1 - start_share) * age / max(1.0, self.config.ramp))
 
-    def is_overloaded_by(self, now: float, work_ms: float) -> bool:
+    def record_work(self, now: float, work_ms: float) -> bool:
         """Records work received at `now`; returns whether the work in the window exceeds the limit in slow start.
 
         All work received within the window counts, including the work of rejected attempts.
--- a/wickdyke/fault_injection/fake_worker/worker.py
+++ b/wickdyke/fault_injection/fake_worker/worker.py
@@ -59,7 +59,7 @@
         self.slow_start = SlowStart(config, self.started_at)
         self.replicas = ReplicaMemory(config.memory_mb)
         self.prewarms = Prewarms(self.replicas)
-        self.queue = AttemptQueue(config.cores, self.replicas, self._start)
+        self.queue = AttemptQueue(config.cores, self.replicas, self._start_attempt)
         self.report: dict[str, float] = {}
         self.trace.started()
         self.scheduler = Scheduler(self.lock)
@@ -84,14 +84,14 @@
         self.trace.attempt_received(attempt, received_at)
         self._record_event(TriggerEvent.ATTEMPT)
         self.attempts[key] = attempt
-        if self.slow_start.is_overloaded_by(received_at, request_input.work_ms):
+        if self.slow_start.record_work(received_at, request_input.work_ms):
             self.trace.crashed()
             os._exit(CRASHED_EXIT_CODE)
         if self.faults.hanging:
             return
         late_answer_delay = self.faults.pop_late_answer_delay()
         if late_answer_delay is not None:
-            self.scheduler.call_later(run.time_left_ms + late_answer_delay, partial(self._answer, attempt))
+            self.scheduler.call_later(run.time_left_ms + late_answer_delay, partial(self._answer_attempt, attempt))
             return
         self._admit(attempt)
 
@@ -104,7 +104,7 @@
         if attempt.has_ended:
             del self.attempts[key]
         else:
-            self._end(attempt, AttemptEnd.CANCELLED)
+            self._end_attempt(attempt, AttemptEnd.CANCELLED)
 
     def connection_closed(self, connection: LineConnection) -> None:
         """Ends all attempts of the connection."""
@@ -112,7 +112,7 @@
             self.trace.connection_closed(connection.peer)
         attempts = [attempt for attempt in self.attempts.values() if attempt.key.connection is connection]
         for attempt in [attempt for attempt in attempts if not attempt.has_ended]:
-            self._end(attempt, AttemptEnd.CONNECTION_CLOSED)
+            self._end_attempt(attempt, AttemptEnd.CONNECTION_CLOSED)
 
     def _in_flight(self, function: str | None = None) -> int:
         """Returns how many attempts of one function, or of all functions, have not ended."""
@@ -124,11 +124,11 @@
 
     def _admit(self, attempt: RunningAttempt) -> None:
         if self.draining:
-            self._reject(attempt, worker_messages.DRAINING, "draining")
+            self._reject_attempt(attempt, worker_messages.DRAINING, "draining")
         elif self.random.random() < self.faults.failure_rate:
-            self._reject(attempt, worker_messages.FAILED, "failed")
+            self._reject_attempt(attempt, worker_messages.FAILED, "failed")
         elif self._in_flight() > self.config.queue_capacity:
-            self._reject(attempt, worker_messages.FULL, "queue full")
+            self._reject_attempt(attempt, worker_messages.FULL, "queue full")
         else:
             self._enqueue(attempt)
 
@@ -137,41 +137,43 @@
         replicas = self.replicas.register(attempt.function)
         if not replicas:
             if not self.config.loads_on_demand:
-                self._reject(attempt, worker_messages.MISS, "not loaded")
+                self._reject_attempt(attempt, worker_messages.MISS, "not loaded")
                 return
             run = attempt.request
             replica = FakeReplica(run.function, run.memory_mb, run.concurrency, attempt.input.load_ms, clock())
             if not self._load(replica):
-                self._reject(attempt, worker_messages.FULL, "no memory")
+                self._reject_attempt(attempt, worker_messages.FULL, "no memory")
                 return
             attempt.load_note = LoadNote.LOAD_STARTED
         elif not any(replica.ready for replica in replicas):
             attempt.load_note = LoadNote.LOAD_AWAITED
         self.queue.add(attempt)
 
-    def _start(self, attempt: RunningAttempt) -> None:
+    def _start_attempt(self, attempt: RunningAttempt) -> None:
         """Runs an attempt on a core; the work takes time but no CPU."""
-        self.scheduler.call_later(attempt.input.work_ms * self._run_ms_per_work_ms(), partial(self._answer, attempt))
+        self.scheduler.call_later(
+            attempt.input.work_ms * self._run_ms_per_work_ms(), partial(self._answer_attempt, attempt)
+        )
 
     def _run_ms_per_work_ms(self) -> float:
         """Returns how many ms a ms of work takes on one core now."""
         capacity = self.config.speed * self.slow_start.capacity_share() * (1 - self.faults.neighbour_share)
         return self.faults.slowdown / capacity
 
-    def _answer(self, attempt: RunningAttempt) -> None:
+    def _answer_attempt(self, attempt: RunningAttempt) -> None:
         if attempt.has_ended:
             return
         if self.faults.hanging or self.random.random() < self.faults.answer_loss_rate:
-            self._end(attempt, AttemptEnd.ANSWER_LOST, keep_entry=True)
+            self._end_attempt(attempt, AttemptEnd.ANSWER_LOST, keep_entry=True)
             return
-        self._end(attempt, AttemptEnd.COMPLETED)
+        self._end_attempt(attempt, AttemptEnd.COMPLETED)
         responses.send_attempt_result(attempt, self.report)
 
-    def _reject(self, attempt: RunningAttempt, code: int, reason: str) -> None:
-        self._end(attempt, worker_messages.OUTCOMES[code])
+    def _reject_attempt(self, attempt: RunningAttempt, code: int, reason: str) -> None:
+        self._end_attempt(attempt, worker_messages.OUTCOMES[code])
         responses.send_attempt_error(attempt, code, reason, self.report, self.draining)
 
-    def _end(self, attempt: RunningAttempt, result: str, keep_entry: bool = False) -> None:
+    def _end_attempt(self, attempt: RunningAttempt, result: str, keep_entry: bool = False) -> None:
         """Ends an attempt; with `keep_entry` it stays in `attempts` until the gateway cancels it."""
         self.trace.attempt_ended(attempt, result)
         attempt.has_ended = True
@@ -189,7 +191,7 @@
             return
         replicas = self.replicas.register(prewarm_request.function)
         for replica in replicas[: prewarm_request.replicas]:
-            replica.last_used = clock()
+            replica.last_used_at = clock()
         load_ms = prewarm_request.load_ms or DEFAULT_LOAD_MS
         while len(replicas) < prewarm_request.replicas:
             replica = FakeReplica(
@@ -214,13 +216,13 @@
         replicas = self.replicas.replicas_of(replica.function)
         if replica in replicas:
             replica.ready = succeeded
-            replica.last_used = clock()
+            replica.last_used_at = clock()
             self.trace.load_finished(replica.function, succeeded)
             if not succeeded:
                 replicas.remove(replica)
                 if not replicas:
                     for attempt in self.queue.attempts_waiting(replica.function):
-                        self._reject(attempt, worker_messages.MISS, "the load failed")
+                        self._reject_attempt(attempt, worker_messages.MISS, "the load failed")
         self.queue.dispatch(replica.function)
         self.prewarms.answer_finished()
 
@@ -228,7 +230,7 @@
         """Samples the load report, advances aging and unloads expired replicas; schedules itself after the interval."""
         self.report = load_report(
             WorkerLoad(
-                running=self.queue.running_attempts,
+                running_attempts=self.queue.running_attempts,
                 cores=self.config.cores,
                 neighbour_share=self.faults.neighbour_share,
                 in_flight=self._in_flight(),
@@ -275,4 +277,4 @@
             # Attempts without a replica by now are never answered, even if the end of another attempt frees a replica.
             attempts = [attempt for attempt in self.attempts.values() if not attempt.has_ended]
             for attempt in [attempt for attempt in attempts if attempt.replica is None]:
-                self._end(attempt, AttemptEnd.ANSWER_LOST, keep_entry=True)
+                self._end_attempt(attempt, AttemptEnd.ANSWER_LOST, keep_entry=True)
--- a/wickdyke/fault_injection/faults.py
+++ b/wickdyke/fault_injection/faults.py
@@ -24,7 +24,7 @@
     FAIL = "fail"  # a share of the attempts fails
     LOSE = "lose"  # a share of the responses is not sent
     NEIGHBOUR = "neighbour"  # another tenant uses a share of the cores
-    AGE = "age"  # the worker becomes slower and slower until it is restarted
+    AGE = "age"  # the worker becomes gradually slower until it is restarted
     LATE = "late"  # one response is sent after its deadline
     RELEASE = "release"  # a release of new versions: workers unload their idle functions
     LIST_LAG = "list-lag"  # the endpoint file is written later than usual
@@ -54,7 +54,7 @@
 
 
 class FaultTarget(Enum):
-    """The kind of thing that a fault targets; the value is used in error messages."""
+    """The kinds of targets of faults; the value is used in error messages."""
 
     WORKERS = "workers"
     GATEWAYS = "gateway"
--- a/wickdyke/fault_injection/load_client/__main__.py
+++ b/wickdyke/fault_injection/load_client/__main__.py
@@ -15,7 +15,7 @@
 
 
 def follow_changes(client: LoadClient) -> None:
-    """Applies traffic changes from standard input; ends the process at its end, when the parent has ended."""
+    """Applies traffic changes from standard input; exits at the end of input, which means that the parent has ended."""
     for line in sys.stdin:
         client.change_traffic(msgspec.json.decode(line, type=TrafficChange))
     os._exit(PARENT_GONE_EXIT_CODE)
--- a/wickdyke/fault_injection/load_client/client.py
+++ b/wickdyke/fault_injection/load_client/client.py
@@ -42,7 +42,7 @@
         self.rate = plan.rate  # requests per second
         self.request_count = 0  # generated so far
         self.connections = [
-            ClientConnection(gateway, path, self.trace, self._mark)
+            ClientConnection(gateway, path, self.trace, self._request_mark)
             for gateway, path in plan.gateways.items()
             for _ in range(plan.connections)
         ]
@@ -75,7 +75,7 @@
         while clock() < give_up_at and any(connection.in_flight for connection in self.connections):
             time.sleep(POLL_PAUSE_S)
 
-    def _mark(self, request_id: jsonrpc.Ident) -> str:
+    def _request_mark(self, request_id: jsonrpc.Ident) -> str:
         return f"{self.plan.name}-{request_id}"
 
     def _send_next(self) -> None:
@@ -88,11 +88,11 @@
         for connection in self.connections[first:] + self.connections[:first]:
             if connection.send(request_id, line, request):
                 return
-        self.trace.request_unsent(self._mark(request_id))
+        self.trace.request_unsent(self._request_mark(request_id))
 
     def _call_params(self, request: GeneratedRequest, request_id: int) -> CallParams:
         kind = request.kind
-        mark = self._mark(request_id)
+        mark = self._request_mark(request_id)
         return CallParams(
             method=kind.method,
             function=request.function,
--- a/wickdyke/fault_injection/load_client/request_generator.py
+++ b/wickdyke/fault_injection/load_client/request_generator.py
@@ -52,12 +52,12 @@
     def generate(self, number: int) -> GeneratedRequest:
         """Returns a random request; `number` is the number of requests before it."""
         kind = self.rng.choices(self.plan.kinds, [kind.weight for kind in self.plan.kinds])[0]
-        function = self._function(kind, number)
+        function = self._choose_function(kind, number)
         deadline_factor = SHORT_DEADLINE_FACTOR if self.rng.random() < self.short_deadline_share else 1.0
         work_ms = kind.work_ms * self.rng.lognormvariate(WORK_LOG_MEAN, WORK_LOG_DEVIATION)
         return GeneratedRequest(kind, function, kind.deadline_ms * deadline_factor, work_ms)
 
-    def _function(self, kind: RequestKind, number: int) -> str:
+    def _choose_function(self, kind: RequestKind, number: int) -> str:
         hot = self.hot  # read once, as another thread may replace it
         rank = min(int(self.rng.paretovariate(POPULARITY_EXPONENT)) - 1, MAX_FUNCTION_RANK) % kind.function_count
         if self.rng.random() < hot.share:
--- a/wickdyke/fault_injection/rule_checker/double_effects.py
+++ b/wickdyke/fault_injection/rule_checker/double_effects.py
@@ -73,7 +73,7 @@
 def _check_idempotency_key(
     run: ObservedRun, method: MethodSettings, earlier: ObservedAttempt, attempt: ObservedAttempt
 ) -> Iterator[Finding]:
-    """Yields findings where the earlier attempt's idempotency key was not valid for a later attempt at its worker."""
+    """Yields findings where the idempotency key had expired or was unknown at the worker of a later attempt."""
     received = attempt.received
     late_ms = received.time_ms - earlier.received.time_ms - method.key_lifetime_ms
     if late_ms > run.settings.transit_ms:
--- a/wickdyke/fault_injection/rule_checker/findings.py
+++ b/wickdyke/fault_injection/rule_checker/findings.py
@@ -28,7 +28,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Finding:
-    """A violation of a rule, and the trace line that shows it: its time (ms), writer and number among the writer's."""
+    """A violation of a rule; `line` is the number of the trace line that shows it, among the lines of its writer."""
 
     rule: Rule
     time_ms: float
--- a/wickdyke/fault_injection/rule_checker/observations.py
+++ b/wickdyke/fault_injection/rule_checker/observations.py
@@ -100,7 +100,7 @@
     number: int | None
 
 
-def _key(event: AttemptReceived | AttemptEnded | AttemptCancelled) -> _AttemptKey:
+def _attempt_key(event: AttemptReceived | AttemptEnded | AttemptCancelled) -> _AttemptKey:
     return _AttemptKey(event.writer, event.mark, event.number)
 
 
@@ -136,9 +136,9 @@
     if isinstance(event, AttemptReceived):
         attempt = ObservedAttempt(event)
         run.attempts[event.mark].append(attempt)
-        latest_attempts[_key(event)] = attempt
+        latest_attempts[_attempt_key(event)] = attempt
         return
-    latest = latest_attempts.get(_key(event))
+    latest = latest_attempts.get(_attempt_key(event))
     if latest is None:
         return
     if isinstance(event, AttemptEnded):
--- a/wickdyke/fault_injection/rule_checker/prewarm_quota.py
+++ b/wickdyke/fault_injection/rule_checker/prewarm_quota.py
@@ -1,4 +1,4 @@
-"""Rule 5: a gateway sends no more prewarm requests than its quota allows, which grows with its requests."""
+"""Rule 5: a gateway sends no more prewarms than its quota, which grows with the number of its requests."""
 
 from bisect import bisect_left, bisect_right
 from collections import defaultdict
