--- a/bench/cost_meter.py
+++ b/bench/cost_meter.py
@@ -5,11 +5,14 @@
 from collections import Counter
 from dataclasses import dataclass, field
 
-FRAMES = 4  # of a call stack that are kept of an allocation
+TRACEBACK_FRAMES = 4  # that `tracemalloc` keeps for each allocation
 
 
-def product_bytes() -> int:
-    """Bytes that wickdyke's own code has allocated, without the simulation; `tracemalloc` has to keep FRAMES."""
+def wickdyke_bytes() -> int:
+    """Returns the bytes allocated by wickdyke's own code, without those of the simulation.
+
+    `tracemalloc` must have been started with TRACEBACK_FRAMES.
+    """
     traces = tracemalloc.take_snapshot().traces
     return sum(
         trace.size for trace in traces if any("wickdyke" in frame.filename.split("/") for frame in trace.traceback)
@@ -18,38 +21,38 @@
 
 @dataclass(slots=True)
 class Costs:
-    """What one front end spent: processor seconds in all and for control, the longest turn, and messages."""
+    """The cost of one front end. A turn is one input to the router with the decisions that follow from it."""
 
-    processor: float = 0.0
-    control: float = 0.0
-    longest: float = 0.0
-    longest_at: float = 0.0
-    turns: int = 0
-    decisions: Counter = field(default_factory=Counter)
-    answers: Counter = field(default_factory=Counter)
+    cpu_seconds: float = 0.0
+    control_cpu_seconds: float = 0.0
+    longest_turn_seconds: float = 0.0
+    longest_turn_at: float = 0.0  # simulated ms
+    turn_count: int = 0
+    decisions: Counter = field(default_factory=Counter)  # by name
+    answers: Counter = field(default_factory=Counter)  # by answer
 
 
-class Meter:
-    """Processor time (s) spent within some functions, counted once where they call each other."""
+class CpuMeter:
+    """Measures the processor time (s) within some functions, counted once where they call each other."""
 
     def __init__(self) -> None:
         self.depth, self.seconds, self.calls = 0, 0.0, Counter()
 
     def wrap(self, owner: object, name: str) -> None:
-        """Measures a function from now on, if its owner has it."""
-        inner = getattr(owner, name, None)
-        if inner is None:
+        """Replaces the owner's function `name` by one that is measured; does nothing where the owner has none."""
+        function = getattr(owner, name, None)
+        if function is None:
             return
 
-        def measured(*args: object, **more: object) -> object:
+        def measured(*args: object, **keywords: object) -> object:
             self.calls[name] += 1
             if self.depth:
-                return inner(*args, **more)
-            self.depth, started = 1, time.process_time()
+                return function(*args, **keywords)
+            self.depth, started_at = 1, time.process_time()
             try:
-                return inner(*args, **more)
+                return function(*args, **keywords)
             finally:
                 self.depth = 0
-                self.seconds += time.process_time() - started
+                self.seconds += time.process_time() - started_at
 
         setattr(owner, name, measured)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -5,7 +5,7 @@
 from collections import Counter
 from dataclasses import replace
 
-from bench.simulated_worker import listing
+from bench.simulated_worker import listed_endpoint
 from tests.fleet_rig import CAPACITY, FLAT, POINTS, SIZES, WHOLE, count_lines, function, names
 from wickdyke.routing import ranking
 from wickdyke.routing.fleet import Fleet
@@ -46,7 +46,7 @@
             )
 
     def test_a_fleet_that_fits_one_cell_is_ranked_by_lot(self):
-        fleet = fleet_of([listing(number, size=1.0 + number % 4) for number in range(WHOLE)])
+        fleet = fleet_of([listed_endpoint(number, size=1.0 + number % 4) for number in range(WHOLE)])
         (cell,) = fleet.cells.values()
         for name in names(20):
             self.assertEqual((fleet.find_home(name).cell, fleet.find_home(name).nearest_worker), (cell, None))
@@ -58,7 +58,7 @@
 
     def test_cells_are_bounded_and_split_late(self):
         for many in SIZES:
-            fleet = fleet_of([listing(number) for number in range(many)])
+            fleet = fleet_of([listed_endpoint(number) for number in range(many)])
             sizes = [len(cell.members) for cell in fleet.cells.values()]
             self.assertEqual(sum(sizes), many)
             self.assertLessEqual(max(sizes), CAPACITY)
@@ -69,15 +69,15 @@
                     self.assertGreater(both, CAPACITY)
 
     def test_front_ends_agree_whatever_order_the_changes_came_in(self):
-        rows, chance = [listing(number, size=1.0 + number % 3) for number in range(900)], random.Random(5)
+        rows, chance = [listed_endpoint(number, size=1.0 + number % 3) for number in range(900)], random.Random(5)
         want = fleet_of(rows)
         requested = names(300)
         for seed in range(3):
             chance.shuffle(rows)
-            fleet = fleet_of([listing(number) for number in range(2000, 2000 + 400 * seed)])
+            fleet = fleet_of([listed_endpoint(number) for number in range(2000, 2000 + 400 * seed)])
             for at in range(0, len(rows), 7):  # in pieces, with others that come and go between
                 fleet.update([replace(row, size=9.0) for row in rows[at : at + 7]], False)
-                fleet.update([listing(5000 + at, state="ready")], False)
+                fleet.update([listed_endpoint(5000 + at, state="ready")], False)
                 fleet.update(rows[at : at + 7], False)
             fleet.update(rows, True)
             self.assertEqual(shape(fleet), shape(want))
@@ -88,9 +88,9 @@
 
     def test_a_home_looked_up_before_a_change_is_that_looked_up_after_it(self):
         """(rows that come) -> the home of a function known before is that of a fleet that had the rows at once."""
-        rows = [listing(number) for number in range(400)]
+        rows = [listed_endpoint(number) for number in range(400)]
         for more in (
-            [listing(number, state="draining") for number in range(1000, 1003)],
+            [listed_endpoint(number, state="draining") for number in range(1000, 1003)],
             [replace(row, size=40.0) for row in rows[::9]],
             [replace(row, state="draining") for row in rows[::2]],
             [replace(row, state="gone") for row in rows[:300]],
@@ -112,7 +112,7 @@
         workers numbers drawn evenly give 1.28 already, and the ring may add a tenth."""
         for many, sizes, ceiling in ((200, (2.0, 4.0, 8.0), 1.3), (1000, (4.0,), 1.1 * 1.28)):
             with self.subTest(many=many, sizes=sizes):
-                rows = [listing(number, size=sizes[number % len(sizes)]) for number in range(many)]
+                rows = [listed_endpoint(number, size=sizes[number % len(sizes)]) for number in range(many)]
                 fleet, total = fleet_of(rows), sum(row.size for row in rows)
                 counts = Counter(first_of(fleet, name) for name in names(160000))
                 self.assertLessEqual(max(counts[row.ident] / (160000 * row.size / total) for row in rows), ceiling)
@@ -123,26 +123,28 @@
 
     def test_cells_of_a_large_fleet_get_their_even_share(self):
         """With 5,000 workers chance alone gives the busiest of them 1.7 times its 32 functions; cells are even."""
-        fleet = fleet_of([listing(number) for number in range(5000)])
+        fleet = fleet_of([listed_endpoint(number) for number in range(5000)])
         counts = Counter(fleet.find_home(name).cell for name in names(40000))
         for cell in fleet.cells.values():
             self.assertLessEqual(counts[cell] / (40000 * len(cell.members) / 5000), 1.3)
 
     def test_what_moves_when_workers_join_and_leave(self):
-        rows, requested = [listing(number) for number in range(1000)], names(20000)
+        rows, requested = [listed_endpoint(number) for number in range(1000)], names(20000)
         fleet = fleet_of(rows)
         before = {name: first_of(fleet, name) for name in requested}
-        fleet.update([listing(7001), listing(7002)], False)
+        fleet.update([listed_endpoint(7001), listed_endpoint(7002)], False)
         after = {name: first_of(fleet, name) for name in requested}
         moved = [name for name in requested if after[name] != before[name]]
         self.assertTrue(moved)
-        self.assertLessEqual({after[name] for name in moved}, {listing(7001).ident, listing(7002).ident})
+        self.assertLessEqual(
+            {after[name] for name in moved}, {listed_endpoint(7001).ident, listed_endpoint(7002).ident}
+        )
         self.assertLessEqual(len(moved), 1.5 * 20000 * 2 / 1002)
-        fleet.update([listing(number, state="gone") for number in (7001, 7002)], False)
+        fleet.update([listed_endpoint(number, state="gone") for number in (7001, 7002)], False)
         self.assertEqual({name: first_of(fleet, name) for name in requested}, before)
 
     def test_what_moves_when_a_zone_goes_and_comes_back(self):
-        rows, requested = [listing(number) for number in range(1100)], names(5000)
+        rows, requested = [listed_endpoint(number) for number in range(1100)], names(5000)
         fleet = fleet_of(rows)
         before = {name: first_of(fleet, name) for name in requested}
         lost = {row.ident for row in rows if row.zone == 3}
@@ -156,19 +158,19 @@
         self.assertEqual({name: first_of(fleet, name) for name in requested}, before)
 
     def test_a_cell_that_splits_moves_no_first_worker(self):
-        fleet, requested, number = fleet_of([listing(number) for number in range(600)]), names(2000), 600
+        fleet, requested, number = fleet_of([listed_endpoint(number) for number in range(600)]), names(2000), 600
         while True:
             cells, before = set(fleet.cells), {name: first_of(fleet, name) for name in requested}
-            fleet.update([listing(number)], False)
+            fleet.update([listed_endpoint(number)], False)
             if set(fleet.cells) != cells:
                 break
             number += 1
         moved = {first_of(fleet, name) for name in requested if first_of(fleet, name) != before[name]}
-        self.assertLessEqual(moved, {listing(number).ident})
+        self.assertLessEqual(moved, {listed_endpoint(number).ident})
 
     def test_there_is_always_a_next_cell_the_same_for_all(self):
         """What has happened to the home -> there is another, with ready workers, until none is left at all."""
-        rows = [listing(number) for number in range(700)]
+        rows = [listed_endpoint(number) for number in range(700)]
         for state in ("draining", "gone"):
             with self.subTest(state=state):
                 fleet, other, left = fleet_of(rows), fleet_of(rows[::-1]), True
@@ -189,10 +191,10 @@
         """Lines run for one row of the list, as the fleet grows."""
         lines = []
         for many in SIZES:
-            fleet, counted = fleet_of([listing(number) for number in range(many)]), []
+            fleet, counted = fleet_of([listed_endpoint(number) for number in range(many)]), []
             for number in range(40):
                 for state in ("ready", "draining", "gone"):
-                    counted.append(count_lines(fleet.update, [listing(90000 + number, state=state)], False))
+                    counted.append(count_lines(fleet.update, [listed_endpoint(90000 + number, state=state)], False))
             lines.append(sum(sorted(counted)[: len(counted) * 9 // 10]))  # splits and merges are rare
         self.assertLessEqual(max(lines[1:]), FLAT * lines[0])
 
--- a/tests/test_router_scale.py
+++ b/tests/test_router_scale.py
@@ -8,7 +8,7 @@
 from unittest.mock import patch
 
 from bench.simulated_fleet import SimulatedFleet
-from bench.simulated_worker import Draw, Settings, listing
+from bench.simulated_worker import FunctionSampler, Settings, listed_endpoint
 from tests.fleet_rig import CAPACITY, FLAT, SIZES, count_lines, function, names
 from wickdyke.routing import periods, ranking, router
 from wickdyke.routing.placement import Placement
@@ -17,7 +17,7 @@
 def simulated_fleet(workers, front_ends=1, **more):
     """A simulated fleet with this many workers, all announced."""
     fleet = SimulatedFleet(Settings(memory=1e9, **more), [], front_ends)
-    fleet.announce([listing(number) for number in range(workers)])
+    fleet.update_endpoints([listed_endpoint(number) for number in range(workers)])
     fleet.run(1.0)
     return fleet
 
@@ -31,7 +31,7 @@
         for many in SIZES:
             fleet, drawn = simulated_fleet(many), []
             fleet.run(5000.0)
-            front, inner = fleet.fronts[0], ranking.hash_fractions
+            front, inner = fleet.front_ends[0], ranking.hash_fractions
 
             def counted(first, others, inner=inner, drawn=drawn):
                 drawn.append(len(others))
@@ -50,11 +50,11 @@
         held = []
         for many in SIZES:
             fleet = simulated_fleet(many)
-            fleet.clients(127.0, Draw(160000, 0.0, 7), 9000.0)
+            fleet.generate_requests(127.0, FunctionSampler(160000, 0.0, 7), 9000.0)
             tracemalloc.start()
             try:
                 fleet.run(9000.0)
-                held.append(tracemalloc.get_traced_memory()[0] / len(fleet.fronts[0].router.functions))
+                held.append(tracemalloc.get_traced_memory()[0] / len(fleet.front_ends[0].router.functions))
             finally:
                 tracemalloc.stop()
         self.assertLessEqual(max(held), 8 * 1024)
@@ -72,18 +72,18 @@
 
     def test_what_is_not_called_within_an_idle_life_is_forgotten(self):
         fleet = simulated_fleet(1000, idle_timeout=5000.0)
-        fleet.clients(60.0, Draw(160000, 0.0, 7), 8000.0)
+        fleet.generate_requests(60.0, FunctionSampler(160000, 0.0, 7), 8000.0)
         fleet.run(8000.0)
-        functions = fleet.fronts[0].router.functions
+        functions = fleet.front_ends[0].router.functions
         self.assertTrue(functions)
         fleet.run(8000.0 + 5000.0 + 8 * periods.PLACEMENT_PERIOD)
         self.assertFalse(functions)
-        self.assertFalse(any(cell.functions for cell in fleet.fronts[0].router.fleet.cells.values()))
+        self.assertFalse(any(cell.functions for cell in fleet.front_ends[0].router.fleet.cells.values()))
 
     def test_no_more_functions_are_known_than_the_bound(self):
         with patch.object(router, "MAX_FUNCTIONS", 200):
             fleet = simulated_fleet(300)
-            front = fleet.fronts[0]
+            front = fleet.front_ends[0]
             for name in names(500):
                 fleet.submit_request(front, name)
                 fleet.run(fleet.now + 10.0)
@@ -96,7 +96,7 @@
         """Requests wait, their functions are forgotten and met again, the list changes: all get their answers."""
         with patch.object(router, "MAX_FUNCTIONS", 40):
             fleet = simulated_fleet(300)
-            front = fleet.fronts[0]
+            front = fleet.front_ends[0]
             front_end = front.router
             for worker in front_end.workers.values():
                 worker.concurrency_limit = 0.0
@@ -106,7 +106,7 @@
             self.assertTrue(forgotten)
             for entry in forgotten[:10]:
                 fleet.submit_request(front, entry.name)
-            fleet.announce([listing(number) for number in range(1000, 1100)])
+            fleet.update_endpoints([listed_endpoint(number) for number in range(1000, 1100)])
             for worker in front_end.workers.values():
                 worker.concurrency_limit = 8.0
             fleet.run(fleet.now + 6000.0)
@@ -123,22 +123,22 @@
             return inner(fill, cells, now)
 
         with patch.object(Placement, "run", counted):
-            fleet.clients(127.0, Draw(160000, 0.0, 7), 6000.0)
+            fleet.generate_requests(127.0, FunctionSampler(160000, 0.0, 7), 6000.0)
             fleet.run(6000.0)
         self.assertEqual(set(runs.values()), {1})
 
     def test_functions_follow_their_cells(self):
         """Whatever the list does, each known function is in the books of the cell that is its home."""
         fleet, chance = simulated_fleet(300), random.Random(2)
-        front_end, number = fleet.fronts[0].router, 300
-        fleet.clients(60.0, Draw(3000, 0.0, 7), 30000.0)
+        front_end, number = fleet.front_ends[0].router, 300
+        fleet.generate_requests(60.0, FunctionSampler(3000, 0.0, 7), 30000.0)
         for step in range(40):
             grows = step < 20
-            rows = [listing(number + at) for at in range(30)] if grows else [
+            rows = [listed_endpoint(number + at) for at in range(30)] if grows else [
                 replace(w.endpoint, state="gone") for w in chance.sample(list(fleet.workers.values()), 30)
             ]  # fmt: skip
             number += 30
-            fleet.announce(rows)
+            fleet.update_endpoints(rows)
             fleet.run(fleet.now + 600.0)
             held = {name: cell for cell in front_end.fleet.cells.values() for name in cell.functions}
             self.assertEqual(set(held), set(front_end.functions))
@@ -154,7 +154,7 @@
         for wrong in ("shunned", "cold", "at their limit", "without memory", "draining", "gone"):
             with self.subTest(wrong=wrong):
                 fleet, name, chosen = simulated_fleet(600, front_ends=3), names(1)[0], set()
-                for front in fleet.fronts:
+                for front in fleet.front_ends:
                     front_end = front.router
                     home, second = list(front_end.fleet.nearest_cells(function(name), 2))
                     away = []
@@ -169,7 +169,7 @@
                             worker.memory_short_until = fleet.now + 60000.0
                         else:
                             away.append(replace(worker.endpoint, state=wrong))
-                    fleet.notify_list(front, away)
+                    fleet.notify_endpoints(front, away)
                     members = set(second.members)
                     ident = fleet.submit_request(front, name)
                     (sent,) = front_end.requests[ident].attempts
--- a/tests/test_simulated_fleet.py
+++ b/tests/test_simulated_fleet.py
@@ -1,4 +1,4 @@
-"""Recorded decisions, the capacity tables, and a simulated fleet that loses workers and a zone."""
+"""Tests of recorded decisions, of the capacity tables, and of a simulated fleet that loses workers and a zone."""
 
 import gzip
 import json
@@ -10,27 +10,27 @@
 
 from bench import scale
 from bench.simulated_fleet import SimulatedFleet
-from bench.simulated_worker import Draw, Settings, listing
+from bench.simulated_worker import FunctionSampler, Settings, listed_endpoint
 from wickdyke.gateway import recording
 
 
-class Recorded(unittest.TestCase):
-    """Decisions of recorded runs, replayed."""
+class RecordedDecisions(unittest.TestCase):
+    """Replays recorded runs and compares the decisions."""
 
     def test_a_fleet_that_fits_one_cell_is_decided_as_before(self):
-        """Recordings of the module without cells, by bench/recording.py at 171417b: every decision is the same."""
+        """Every decision is that of the router without cells, recorded by bench/recording.py at 171417b."""
         folder = os.path.join(os.path.dirname(__file__), "recordings")
         for name in sorted(os.listdir(folder)):
             with self.subTest(name), gzip.open(os.path.join(folder, name)) as source:
-                alike, differs = recording.replay(source)
-                self.assertEqual((alike > 2000, differs), (True, None))
+                same_count, first_difference = recording.replay(source)
+                self.assertEqual((same_count > 2000, first_difference), (True, None))
 
 
-class Page(unittest.TestCase):
+class CapacityPage(unittest.TestCase):
     """The tables of docs/CAPACITY.md are those of its measurement files."""
 
     def test_the_tables_of_the_page_are_those_of_the_files(self):
-        """Every line of the measured tables stands on docs/CAPACITY.md as bench.scale prints it."""
+        """Every line that bench.scale prints of a measurement file is a line of docs/CAPACITY.md."""
         root = os.path.dirname(os.path.dirname(__file__))
         with open(os.path.join(root, "docs", "CAPACITY.md"), encoding="utf-8") as source:
             page = source.read().splitlines()
@@ -41,41 +41,44 @@
                 self.assertEqual([line for line in lines if line not in page], [])
 
 
-class Slice(unittest.TestCase):
-    """A slice of the fleet: 300 front ends, the workers of one zone of three, its functions; all rules judged."""
+class LossOfWorkersAndZone(unittest.TestCase):
+    """A fleet of 300 front ends and 240 workers in three zones; all five rules are checked."""
 
-    def test_workers_and_a_zone_are_lost_and_come_back(self):
+    def test_a_worker_is_lost_and_a_zone_is_lost_and_returns(self):
         settings = Settings(front_ends=300, zones=3, idle_timeout=6000.0, load_time=300.0, work=20.0)
-        fleet = SimulatedFleet(settings, [listing(number, 3) for number in range(240)], 300)
-        fleet.rate = 300 * 0.003 / 240  # requests a ms at each front end, over the workers
-        fleet.clients(300 * 3.0, Draw(6000, 0.8, 11), 13000.0)
-        late, chance = lambda front: 500.0 + front.number % 7 * 100.0, random.Random(4)
+        fleet = SimulatedFleet(settings, [listed_endpoint(number, 3) for number in range(240)], 300)
+        fleet.worker_request_rate = 300 * 0.003 / 240  # requests per ms for each worker: 3 a second for each front end
+        fleet.generate_requests(300 * 3.0, FunctionSampler(6000, 0.8, 11), 13000.0)
+        notification_delay, chance = lambda front_end: 500.0 + front_end.number % 7 * 100.0, random.Random(4)
         fleet.run(4000.0)
-        # One worker dies, and is listed no more between 0.5 and 1.1 s later.
-        fleet.announce([replace(next(iter(fleet.workers.values())).endpoint, state="gone")], late)
+        # One worker dies; front ends are notified of its removal 0.5 to 1.1 s later.
+        fleet.update_endpoints([replace(next(iter(fleet.workers.values())).endpoint, state="gone")], notification_delay)
         fleet.run(6000.0)
-        # A whole zone dies; half of it is told first to drain.
+        # All workers of a zone die, after half of them have begun to drain.
         zone = [worker.endpoint for worker in fleet.workers.values() if worker.endpoint.zone == 2]
-        drains = chance.sample(zone, len(zone) // 2)
-        fleet.announce([replace(row, state="draining") for row in drains])
+        draining = chance.sample(zone, len(zone) // 2)
+        fleet.update_endpoints([replace(row, state="draining") for row in draining])
         fleet.run(6200.0)
-        fleet.announce([replace(row, state="gone") for row in zone], late)
+        fleet.update_endpoints([replace(row, state="gone") for row in zone], notification_delay)
         fleet.run(9000.0)
-        cold, fleet.waits = len(zone), []
-        # It is back, cold, under the same names.
-        fleet.announce([replace(row, started_at=fleet.now, state="ready") for row in zone], late)
+        restarted_count, fleet.load_waits = len(zone), []
+        # Its workers return with the same names and without replicas.
+        fleet.update_endpoints([replace(row, started_at=fleet.now, state="ready") for row in zone], notification_delay)
         fleet.run(13000.0 + settings.deadline + 1.0)
-        answers = sum((front.costs.answers for front in fleet.fronts), Counter())
+        answers = sum((front_end.costs.answers for front_end in fleet.front_ends), Counter())
         self.assertEqual(fleet.violations, [])
         self.assertGreater(answers["ok"] / answers.total(), 0.97)
-        self.assertGreater(len(fleet.slow_start_load), cold // 4)
+        self.assertGreater(len(fleet.slow_start_load), restarted_count // 4)
         self.assertLess(max(fleet.slow_start_load.values()), 1.0)
-        waits = sorted(fleet.waits)
-        self.assertLess(waits[len(waits) * 99 // 100], 1000.0)
-        homes = [len(at) for at in fleet.places().values()]
-        self.assertLess(sum(homes) / max(1, len(homes)), 1.5)
-        agreed = {(len(front.router.fleet.cells), tuple(front.router.fleet.ring.points)) for front in fleet.fronts}
-        self.assertEqual(len(agreed), 1)
+        load_waits = sorted(fleet.load_waits)
+        self.assertLess(load_waits[len(load_waits) * 99 // 100], 1000.0)
+        worker_counts = [len(workers) for workers in fleet.workers_by_function().values()]
+        self.assertLess(sum(worker_counts) / max(1, len(worker_counts)), 1.5)
+        cell_layouts = {
+            (len(front_end.router.fleet.cells), tuple(front_end.router.fleet.ring.points))
+            for front_end in fleet.front_ends
+        }
+        self.assertEqual(len(cell_layouts), 1)
 
 
 if __name__ == "__main__":
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -14,7 +14,7 @@
 from unittest.mock import Mock
 
 from bench.simulated_fleet import SimulatedFleet, SimulatedFrontEnd
-from bench.simulated_worker import REPORT_FIELDS, Settings, SimulatedWorker, listing
+from bench.simulated_worker import REPORT_FIELDS, Settings, SimulatedWorker, listed_endpoint
 from tests.helpers import Fleet, called, row
 from wickdyke.routing.cells import Cell
 from wickdyke.routing.decisions import Forward
@@ -61,10 +61,10 @@
 class MeasuredFleet(SimulatedFleet):
     """A simulated fleet that keeps each attempt that reached a server in slow start: when, and from which front end."""
 
-    rate = None  # the simulated fleet's own check of slow start is left out
+    worker_request_rate = None  # the simulated fleet's own check of slow start is left out
 
     def __init__(self, settings: Settings, servers: int, seed: int) -> None:
-        super().__init__(settings, [listing(number, 1) for number in range(servers)], settings.front_ends, seed)
+        super().__init__(settings, [listed_endpoint(number, 1) for number in range(servers)], settings.front_ends, seed)
         self.workers = {ident: MeasuredServer(old.endpoint, self) for ident, old in self.workers.items()}
         self.attempts: dict[str, list[tuple[float, int]]] = {}
         self.heard: dict[int, float] = {}  # when each front end was told of the start
@@ -85,7 +85,7 @@
         while at < until:
             at += chance.expovariate(capacity * used * (burst if at > RESTART else 1.0))
             (number,) = chance.choices(range(len(parts)), cum_weights=ends)
-            self.at(at, self.submit_request, self.fronts[number], f"f{chance.randrange(12)}")
+            self.schedule(at, self.submit_request, self.front_ends[number], f"f{chance.randrange(12)}")
 
     def restart(self, servers: int, gone: float, told: tuple[float, float]) -> None:
         """That many servers die and start anew `gone` ms later; each front end is told at its time after that."""
@@ -95,20 +95,20 @@
         self.run(RESTART + gone)
         rows = [replace(self.workers[ident].endpoint, started_at=self.now) for ident in idents]
         self.workers.update((each.ident, MeasuredServer(each, self)) for each in rows)
-        for front in self.fronts:
+        for front in self.front_ends:
             self.heard[front.number] = self.now + chance.uniform(*told)
-            self.at(self.heard[front.number], self.notify_list, front, rows)
+            self.schedule(self.heard[front.number], self.notify_endpoints, front, rows)
 
     def start_front_ends_anew(self) -> None:
         """All of them restart and know nothing but the list."""
-        old, self.fronts = self.fronts, []
+        old, self.front_ends = self.front_ends, []
         for before in old:
             before.wake_at = float("-inf")  # the process is gone: it decides nothing more
             front = SimulatedFrontEnd(before.number, self.settings.router(self.now, before.number))
-            front.deadlines, front.final = before.deadlines, before.final
-            self.fronts.append(front)
+            front.deadlines, front.answer_by_request = before.deadlines, before.answer_by_request
+            self.front_ends.append(front)
             self.heard[front.number] = self.now
-            self.notify_list(front, [server.endpoint for server in self.workers.values()], True)
+            self.notify_endpoints(front, [server.endpoint for server in self.workers.values()], True)
 
     def falls(self) -> list[str]:
         """The servers that fell while over two thirds of the window came from front ends that had been told.
