--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements beside baselines of our own; long ones stay out of CI (docs/bench.md)."""
+"""Benchmarks of wickdyke against baselines in this package; the long ones do not run in CI (docs/bench.md)."""
--- a/bench/compare.py
+++ b/bench/compare.py
@@ -1,7 +1,7 @@
-"""The gateway beside the bare relay, paired in one run: `python -m bench.compare [--rounds N] [--seconds S]`.
+"""Compares the gateway with the bare relay in one run: `python -m bench.compare [--rounds N] [--seconds S]`.
 
-Both run all the time, before the same four workers that answer at once; each round loads one, then the other. The
-ratios are of pairs; shown are their median, minimum and maximum.
+Both run all the time, in front of the same four workers, which answer at once. Each round loads the relay, then the
+gateway. Ratios are computed for each such pair and printed as median, minimum and maximum.
 """
 
 import os
@@ -21,9 +21,11 @@
 GATEWAY_CONFIG = """(gateway (listen (json-rpc "g.sock")) (workers (file "workers.sexp")) (report busy held) (seed 1)
   (method "m" (effect idempotent) (soft-deadline 2 s) (deadline 8 s)) (program "p*" (memory 100 MB) (lanes 64))
   (stock (idle-life 30 s)) (warmup (start-share 0.2) (ramp 1 s) (multiple 3) (window 1 s)) (drain-grace 1 s))"""
-LOADS = (("closed", 1.0), ("closed", 8.0), ("closed", 32.0), ("open", 440.0), ("open", 1000.0))  # connections, or rate
-WARM_UP = ("open", 300.0, 3.0)  # load and seconds before the first round, for connections, replicas and limits
-MEMORY_REQUESTS = (10_000, 100_000)
+# The kind of each load, and its level: connections of a closed load, requests per second of an open one.
+LOADS = (("closed", 1.0), ("closed", 8.0), ("closed", 32.0), ("open", 440.0), ("open", 1000.0))
+# Load and seconds before the first round, to establish connections, replicas and limits.
+WARM_UP = ("open", 300.0, 3.0)
+MEMORY_REQUEST_COUNTS = (10_000, 100_000)
 COLUMNS = (
     "load",
     "relay requests/s",
@@ -38,26 +40,26 @@
 
 
 class LoadFigures(msgspec.Struct):
-    """The output of bench.load."""
+    """The output of bench.load, by its keys."""
 
     requests: int = msgspec.field(name="rpcs")
     failures: int = msgspec.field(name="not_ok")
-    rate: float  # requests a second
-    ms: dict[str, float]  # latencies by percentile
+    rate: float  # requests per second
+    ms: dict[str, float]  # latency by percentile
 
 
 @dataclass(slots=True, frozen=True)
 class ProcessUse:
-    """What a process has used up to now."""
+    """The resources that a process has used since its start, and its resident memory."""
 
     cpu_seconds: float
-    wake_ups: int  # of all its threads
+    wake_ups: int  # voluntary context switches of all threads
     resident_mb: float
 
 
 @dataclass(slots=True, frozen=True)
 class Server:
-    """The relay or the gateway."""
+    """The relay or the gateway, with the path of its socket."""
 
     pid: int
     path: str
@@ -65,7 +67,7 @@
 
 @dataclass(slots=True)
 class LoadRun:
-    """One load on one server, and the server's cost for each request."""
+    """One load on one server: its figures, and the server's CPU time (us) and wake-ups per request."""
 
     figures: LoadFigures
     cpu_us: float
@@ -74,29 +76,29 @@
 
 @dataclass(slots=True)
 class Pairs:
-    """The runs of one load, pair by pair."""
+    """The runs of one load. Runs with the same index are a pair."""
 
     relay: list[LoadRun] = field(default_factory=list)
     gateway: list[LoadRun] = field(default_factory=list)
 
-    def added(self, percentile: str) -> list[float]:
-        """The ms that the gateway adds to the relay's latency, by pair."""
+    def added_ms(self, percentile: str) -> list[float]:
+        """Returns the ms that the gateway adds to the relay's latency at a percentile, for each pair."""
         pairs = zip(self.relay, self.gateway, strict=True)
         return [gateway.figures.ms[percentile] - relay.figures.ms[percentile] for relay, gateway in pairs]
 
     def rate_ratios(self) -> list[float]:
-        """The gateway's rate over the relay's, by pair."""
+        """Returns the gateway's rate divided by the relay's, for each pair."""
         pairs = zip(self.relay, self.gateway, strict=True)
         return [gateway.figures.rate / relay.figures.rate for relay, gateway in pairs]
 
     def row(self, label: str) -> list[str]:
-        """A row of the table, by COLUMNS."""
+        """Returns a row of the table, by COLUMNS."""
         return [
             label,
             spread([run.figures.rate for run in self.relay]),
             spread(self.rate_ratios()),
-            spread(self.added("p50")),
-            spread(self.added("p99")),
+            spread(self.added_ms("p50")),
+            spread(self.added_ms("p99")),
             f"{statistics.median(run.cpu_us for run in self.gateway):.0f}",
             f"{statistics.median(run.cpu_us for run in self.relay):.0f}",
             f"{statistics.median(run.wake_ups for run in self.gateway):.2f}",
@@ -105,22 +107,22 @@
 
 
 def start_process(*argv: str) -> subprocess.Popen[bytes]:
-    """A process that has printed that it is ready."""
+    """Starts a Python module as a process; returns once the process has printed that it is ready."""
     process = subprocess.Popen([sys.executable, "-m", *argv], stdout=subprocess.PIPE, stderr=subprocess.DEVNULL)
-    assert process.stdout is not None  # as it is a pipe
+    assert process.stdout is not None  # since stdout is a pipe
     process.stdout.readline()
     return process
 
 
-def run_load(path: str, kind: str, figure: float, seconds: float) -> LoadFigures:
-    """One load, by a process of its own."""
-    command = [sys.executable, "-m", "bench.load", path, kind, str(figure), str(seconds)]
+def run_load(path: str, kind: str, level: float, seconds: float) -> LoadFigures:
+    """Runs one load in a process of its own; raises CalledProcessError where that fails."""
+    command = [sys.executable, "-m", "bench.load", path, kind, str(level), str(seconds)]
     output = subprocess.run(command, capture_output=True, check=True).stdout
     return msgspec.json.decode(output, type=LoadFigures)
 
 
 def process_use(pid: int) -> ProcessUse:
-    """What a process has used up to now, as the kernel counts it."""
+    """Returns the resources that a process has used, from /proc; raises OSError where it has ended."""
     with open(f"/proc/{pid}/stat") as source:
         fields = source.read().rsplit(")", 1)[1].split()
     wake_ups = 0
@@ -137,16 +139,16 @@
 
 
 def spread(values: list[float]) -> str:
-    """Median (minimum to maximum)."""
+    """Returns the median, and in parentheses the minimum and maximum."""
     return f"{statistics.median(values):.2f} ({min(values):.2f} to {max(values):.2f})"
 
 
 @click.command()
 @click.option("--rounds", default=5, help="Pairs of each load.")
 @click.option("--seconds", default=4.0, help="Length of each load.")
-@click.option("--memory/--no-memory", default=True, help="Also 10,000 and 100,000 requests and what is resident then.")
+@click.option("--memory/--no-memory", default=True, help="Also measure memory after 10,000 and 100,000 requests.")
 def main(rounds: int, seconds: float, memory: bool) -> None:
-    """Measures the gateway beside the bare relay."""
+    """Compares the gateway with the bare relay."""
     with tempfile.TemporaryDirectory(prefix="wd-") as folder:
         worker_paths = [os.path.join(folder, f"w{number}.sock") for number in range(WORKERS)]
         config_path = _write_config(folder, worker_paths)
@@ -167,7 +169,7 @@
 
 
 def _write_config(folder: str, worker_paths: list[str]) -> str:
-    """Writes the gateway's settings and its endpoint file; returns the path of the settings."""
+    """Writes the gateway's configuration and endpoint file; returns the path of the configuration."""
     rows = [EndpointRow(f"w{number}", path, None, None, 0, 8.0, "ready", 0) for number, path in enumerate(worker_paths)]
     with open(os.path.join(folder, "workers.sexp"), "w") as sink:
         sink.write(format_endpoints(rows))
@@ -178,28 +180,28 @@
 
 
 def _measure_loads(relay: Server, gateway: Server, rounds: int, seconds: float) -> None:
-    """Prints the row of each load."""
+    """Prints a table for each load, as soon as its rounds are done."""
     for server in (relay, gateway):
         run_load(server.path, *WARM_UP)
-    for kind, figure in LOADS:
+    for kind, level in LOADS:
         pairs = Pairs()
         for _ in range(rounds):
-            pairs.relay.append(_measure(relay, kind, figure, seconds))
-            pairs.gateway.append(_measure(gateway, kind, figure, seconds))
-        print(table(COLUMNS, [pairs.row(f"{kind} {figure:g}")]), flush=True)
+            pairs.relay.append(_measure(relay, kind, level, seconds))
+            pairs.gateway.append(_measure(gateway, kind, level, seconds))
+        print(table(COLUMNS, [pairs.row(f"{kind} {level:g}")]), flush=True)
 
 
-def _measure(server: Server, kind: str, figure: float, seconds: float) -> LoadRun:
+def _measure(server: Server, kind: str, level: float, seconds: float) -> LoadRun:
     before = process_use(server.pid)
-    figures = run_load(server.path, kind, figure, seconds)
+    figures = run_load(server.path, kind, level, seconds)
     after = process_use(server.pid)
     cpu_us = (after.cpu_seconds - before.cpu_seconds) * 1e6 / figures.requests
     return LoadRun(figures, cpu_us, (after.wake_ups - before.wake_ups) / figures.requests)
 
 
 def _measure_memory(gateway: Server) -> None:
-    """Prints what is resident after so many requests."""
-    for count in MEMORY_REQUESTS:
+    """Prints the gateway's resident memory after each of MEMORY_REQUEST_COUNTS."""
+    for count in MEMORY_REQUEST_COUNTS:
         requests = 0
         while requests < count:
             requests += run_load(gateway.path, "closed", 8, 5).requests
--- a/bench/hot_path.py
+++ b/bench/hot_path.py
@@ -1,6 +1,6 @@
-"""CPU time in us that the router spends on a request: received, forwarded and answered ok, without sockets.
+"""Measures the CPU time in us that the router spends on a request: received, forwarded and answered ok, no sockets.
 
-Rounds alternate between two checkouts, or between requests with and without a route, so that figures come in pairs.
+Each round measures all variants (two checkouts, or requests with and without a route), so that figures come in pairs.
 
     python -m bench.hot_path --rounds 9 --beside ../earlier
 """
@@ -18,11 +18,11 @@
 WORKERS = 20
 MAX_IN_FLIGHT = 20
 REPORT_FIELDS = ("utilization", "in_flight")
-NAMES = ("hot_path.py", "ordinary.py")  # of this file: the second in earlier checkouts
+SCRIPT_NAMES = ("hot_path.py", "ordinary.py")  # of this file; earlier checkouts have the second
 
 
-def spend(routed: bool) -> float:
-    """us of CPU for each request; with a route policy where `routed`."""
+def measure_cpu(routed: bool) -> float:
+    """Returns the CPU time (us) per request; requests have a route policy where `routed`."""
     from wickdyke.routing.decisions import Forward, Prewarm
     from wickdyke.routing.inputs import AttemptFinished, RequestReceived, WorkerLoad
     from wickdyke.routing.model import (
@@ -87,7 +87,7 @@
     now = 1.0
     in_flight: list[Request] = []
 
-    def carry_out() -> None:
+    def carry_out_decisions() -> None:
         for decision in iter(router.decide, None):
             if isinstance(decision, Forward):
                 in_flight.append(decision.request)
@@ -97,58 +97,61 @@
 
     started = 0.0
     for ident in range(REQUESTS * 5 // 4):
-        if ident == REQUESTS // 4:  # the first quarter warms it
+        if ident == REQUESTS // 4:  # the first quarter is a warm-up
             started = time.process_time()
         now += 2.0
         router.advance(now)
         received = RequestReceived(ident, 4000.0, method, f"p{ident % FUNCTIONS}", 2000.0, 2, None, None, False, policy)
         router.request_received(received)
-        carry_out()
+        carry_out_decisions()
         if len(in_flight) > MAX_IN_FLIGHT:
             request = in_flight.pop(0)
-            load = WorkerLoad.from_values(REPORT_FIELDS, (0.4, 5.0))  # made for each answer, as gateways do
+            load = WorkerLoad.from_values(REPORT_FIELDS, (0.4, 5.0))  # built for each answer, as a gateway does
             number = len(request.attempts) - 1
             router.attempt_finished(
                 AttemptFinished(request.ident, number, Outcome.OK, True, LoadNote.ALREADY_LOADED, 0, load)
             )
-            carry_out()
+            carry_out_decisions()
     return (time.process_time() - started) * 1e6 / REQUESTS
 
 
-def once(tree: str, routed: bool) -> float:
-    """The same in a process of its own in that checkout, by its own version of this file: interfaces may differ."""
-    paths = [os.path.join(tree, "bench", name) for name in NAMES]
-    path = next(path for path in paths if os.path.exists(path))
-    argv = [sys.executable, path, "--one", "routed" if routed else "plain"]
+def measure_in_checkout(tree: str, routed: bool) -> float:
+    """Runs `measure_cpu` of the checkout `tree` in a process of its own.
+
+    It uses the checkout's own version of this file, as interfaces may differ.
+    """
+    script_paths = [os.path.join(tree, "bench", name) for name in SCRIPT_NAMES]
+    script_path = next(path for path in script_paths if os.path.exists(path))
+    argv = [sys.executable, script_path, "--one", "routed" if routed else "plain"]
     environment = {**os.environ, "PYTHONPATH": tree}
     run = subprocess.run(argv, cwd=tree, env=environment, check=True, capture_output=True, text=True)
     return float(run.stdout)
 
 
 @click.command()
-@click.option("--rounds", default=9, help="Rounds, each of all that is compared.")
+@click.option("--rounds", default=9, help="Rounds; each measures every variant.")
 @click.option("--beside", help="An earlier checkout to compare with.")
-@click.option("--one", type=click.Choice(["plain", "routed"]), help="One figure for one process.")
+@click.option("--one", type=click.Choice(["plain", "routed"]), help="Measure only this variant, in this process.")
 def main(rounds: int, beside: str | None, one: str | None) -> None:
-    """Compares the cost of a request: an earlier checkout, this one without a route, this one with."""
+    """Compares the CPU time of a request: in an earlier checkout, in this one without a route and with one."""
     if one:
-        print(spend(one == "routed"))
+        print(measure_cpu(one == "routed"))
         return
-    here = os.getcwd()
-    what = {"this, no route": (here, False), "this, a route": (here, True)}
+    this_tree = os.getcwd()
+    variants = {"this, no route": (this_tree, False), "this, a route": (this_tree, True)}
     if beside:
-        what = {"earlier": (os.path.abspath(beside), False), **what}
-    rows: dict[str, list[float]] = {name: [] for name in what}
+        variants = {"earlier": (os.path.abspath(beside), False), **variants}
+    rows: dict[str, list[float]] = {name: [] for name in variants}
     for _ in range(rounds):
-        for name, (tree, routed) in what.items():
-            rows[name].append(once(tree, routed))
-    base = next(iter(rows.values()))
+        for name, (tree, routed) in variants.items():
+            rows[name].append(measure_in_checkout(tree, routed))
+    base_figures = next(iter(rows.values()))
     for name, figures in rows.items():
-        ratios = sorted(figure / first for figure, first in zip(figures, base, strict=True))
+        ratios = sorted(figure / base_figure for figure, base_figure in zip(figures, base_figures, strict=True))
         print(
             f"{name}: {statistics.median(figures):.1f} us a request; over {next(iter(rows))} "
             f"{statistics.median(ratios):.2f} ({ratios[0]:.2f} to {ratios[-1]:.2f}), of the minimum of each "
-            f"{min(figures) / min(base):.2f}"
+            f"{min(figures) / min(base_figures):.2f}"
         )
 
 
