--- a/bench/overload.py
+++ b/bench/overload.py
@@ -1,5 +1,7 @@
-"""Plays one scenario with several route files at once, seed by seed, and shows what was answered in time, second by
-second around its burst: what retries and their budget do to an overload. Workers are simulated.
+"""Measures the effect of retries and of their budget on an overload, with simulated workers.
+
+Runs one scenario with several route files at once, once for each seed, and counts the requests that are answered in
+time, by the second, during and after the scenario's burst.
 
     python -m bench.overload scripts/retries-multiply.sexp --seeds 3
 """
@@ -22,8 +24,8 @@
 from wickdyke.fault_injection.rule_checker.trace_events import RequestResult
 from wickdyke.fault_injection.scenario_runner import ScenarioRunner
 
-HEALTHY_SHARE = 0.9  # of requests answered in time, from which a second counts as recovered
-HEALTHY_SECONDS = 3  # in a row that make a recovery
+HEALTHY_SHARE = 0.9  # least share of requests in time with which a second counts as healthy
+HEALTHY_SECONDS = 3  # healthy seconds in a row that count as a recovery
 SECOND_MS = 1000.0
 BASE_VARIANT = "one attempt"
 COLUMNS = (
@@ -39,26 +41,26 @@
 
 @dataclass(slots=True)
 class Timeline:
-    """The requests of a run by the second in which they were sent."""
+    """Counts of a run's requests, by the second in which they were sent."""
 
     sent: Counter[int] = field(default_factory=Counter)
     in_time: Counter[int] = field(default_factory=Counter)  # answered ok within the soft deadline
 
     @property
     def last_second(self) -> int:
-        """The last second with a request."""
+        """The last second in which a request was sent; raises ValueError where there is none."""
         return max(self.sent)
 
     def share_in_time(self, seconds: range) -> float:
-        """The part of the requests of these seconds that was answered in time."""
+        """Returns the share of the requests of these seconds that were answered in time; 0 without requests."""
         return sum(self.in_time[second] for second in seconds) / max(1, sum(self.sent[second] for second in seconds))
 
     def is_healthy(self, second: int) -> bool:
-        """Whether nearly all requests of that second were answered in time."""
+        """Returns whether at least HEALTHY_SHARE of the requests of that second were answered in time."""
         return self.in_time[second] >= HEALTHY_SHARE * self.sent[second]
 
     def recovery(self, end: int, last_second: int) -> int | None:
-        """Seconds after `end` until some seconds in a row are healthy; None where that is not by `last_second`."""
+        """Returns the seconds from `end` until HEALTHY_SECONDS in a row are healthy; None if not by `last_second`."""
         for start in range(end, last_second - HEALTHY_SECONDS + 1):
             if all(self.is_healthy(second) for second in range(start, start + HEALTHY_SECONDS)):
                 return start - end
@@ -67,21 +69,21 @@
 
 @dataclass(slots=True, frozen=True)
 class VariantResult:
-    """What one run of a variant came to."""
+    """The figures of one run of a variant."""
 
-    in_time_rate: float  # requests a second answered in time, in the burst
-    share_after: float  # of requests answered in time, after it
-    recovery: int | None  # seconds
+    in_time_rate: float  # requests per second answered in time during the burst
+    share_after: float  # share of requests answered in time after the burst
+    recovery: int | None  # seconds from the end of the burst
     runs_per_request: float  # executions by workers
     findings: int  # broken rules
 
 
 def variants(routes: str) -> dict[str, str]:
-    """The scenario's own routes; the same without their budgets; with one attempt."""
+    """Returns the variants of a scenario's routes: with one attempt, as they are, and without their budgets."""
     expressions = sexpr.parse(routes, "routes")
 
     def without(*names: str, added: str = "") -> str:
-        kept = [
+        filtered = [
             Expression(
                 expression.name,
                 [item for item in expression.items if not (isinstance(item, Expression) and item.name in names)],
@@ -89,7 +91,7 @@
             )
             for expression in expressions
         ]
-        return " ".join(sexpr.format_expression(expression)[:-1] + added + ")" for expression in kept)
+        return " ".join(sexpr.format_expression(expression)[:-1] + added + ")" for expression in filtered)
 
     return {
         BASE_VARIANT: without("budget", "attempts", added=" (attempts 1)"),
@@ -99,47 +101,47 @@
 
 
 def timeline(checker: RuleChecker) -> Timeline:
-    """The requests of a run, by second."""
-    result = Timeline()
+    """Returns the requests of a run by the second in which they were sent."""
+    requests_by_second = Timeline()
     requests = checker.run.requests.values()
     started_at = min(request.sent.time_ms for request in requests)
     for request in requests:
         sent_at = request.sent.time_ms
         second = int((sent_at - started_at) // SECOND_MS)
-        result.sent[second] += 1
+        requests_by_second.sent[second] += 1
         soft_deadline = checker.run.settings.methods[request.sent.method].soft_deadline_ms
         answer = request.answers[0] if request.answers else None
         if answer and answer.result is RequestResult.OK and answer.time_ms - sent_at <= soft_deadline:
-            result.in_time[second] += 1
-    return result
+            requests_by_second.in_time[second] += 1
+    return requests_by_second
 
 
 def check_run(script: scenario.Scenario) -> RuleChecker:
-    """Plays a scenario once and checks its trace."""
+    """Runs a scenario once and returns the checker of its trace."""
     with tempfile.TemporaryDirectory(prefix="wd-") as folder:
         return RuleChecker(trace.read(ScenarioRunner(script, os.path.join(folder, "run")).run()))
 
 
-def play_variants(script: scenario.Scenario) -> dict[str, RuleChecker]:
-    """Plays all variants of a scenario at once."""
+def run_variants(script: scenario.Scenario) -> dict[str, RuleChecker]:
+    """Runs all variants of a scenario at once; returns the checker of each."""
     checkers: dict[str, RuleChecker] = {}
 
-    def play(name: str, routes: str) -> None:
+    def run_variant(name: str, routes: str) -> None:
         variant = copy.copy(script)
         variant.routes = routes
         checkers[name] = check_run(variant)
 
-    names = variants(script.routes)
-    threads = [threading.Thread(target=play, args=item) for item in names.items()]
+    routes_by_variant = variants(script.routes)
+    threads = [threading.Thread(target=run_variant, args=item) for item in routes_by_variant.items()]
     for thread in threads:
         thread.start()
     for thread in threads:
         thread.join()
-    return {name: checkers[name] for name in names}
+    return {name: checkers[name] for name in routes_by_variant}
 
 
 def variant_result(checker: RuleChecker, requests: Timeline, burst: range) -> VariantResult:
-    """The figures of a run whose burst is in these seconds."""
+    """Returns the figures of a run; `burst` are the seconds of its burst."""
     executions = sum(len(attempts) for attempts in checker.run.attempts.values())
     return VariantResult(
         sum(requests.in_time[second] for second in burst) / len(burst),
@@ -153,14 +155,14 @@
 @click.command()
 @click.argument("file")
 @click.option("--seeds", default=3, help="Runs of each variant.")
-@click.option("--lines/--no-lines", default=False, help="Also each second of the first seed.")
+@click.option("--lines/--no-lines", default=False, help="Also print the counts of each second for the first seed.")
 def main(file: str, seeds: int, lines: bool) -> None:
-    """Measures the variants of FILE, in pairs by seed."""
+    """Measures the variants of the scenario FILE, in pairs by seed."""
     script = scenario.read(file)
     burst = _burst_seconds(script)
     results: dict[str, list[VariantResult]] = {name: [] for name in variants(script.routes)}
     for step in range(seeds):
-        for name, checker in play_variants(script).items():
+        for name, checker in run_variants(script).items():
             requests = timeline(checker)
             results[name].append(variant_result(checker, requests, burst))
             if lines and not step:
@@ -179,12 +181,12 @@
 
 
 def _row(name: str, results: list[VariantResult], base: list[VariantResult]) -> list[str]:
-    """The row of a variant, by COLUMNS."""
+    """Returns the row of a variant, by COLUMNS."""
     pairs = zip(results, base, strict=True)
     return [
         name,
         ", ".join(f"{result.in_time_rate:.0f}" for result in results),
-        f"{statistics.median(result.in_time_rate / other.in_time_rate for result, other in pairs):.2f}",
+        f"{statistics.median(result.in_time_rate / base_result.in_time_rate for result, base_result in pairs):.2f}",
         ", ".join(f"{result.share_after:.2f}" for result in results),
         ", ".join(str(result.recovery) for result in results),
         ", ".join(f"{result.runs_per_request:.2f}" for result in results),
--- a/bench/worker.py
+++ b/bench/worker.py
@@ -1,5 +1,6 @@
-"""What a real worker costs: starts, requests, memory against an independent reading, and recovery after a mass
-restart with and without prewarming. Work in the recovery is time slept.
+"""Measures a real worker: start times, requests, reported against actual memory, and recovery from a mass restart.
+
+Recovery is measured with and without prewarming; the work of its requests is simulated by sleeping.
 
     python -m bench.worker
     python -m bench.worker --recovery scripts/real-mass-restart.sexp --seeds 3
@@ -20,7 +21,7 @@
 
 import click
 import msgspec
-import psutil  # type: ignore[import-untyped]  # it has no type hints
+import psutil  # type: ignore[import-untyped]  # psutil has no type hints
 
 from bench.overload import SECOND_MS, check_run, timeline
 from wickdyke.config import worker_config
@@ -42,19 +43,19 @@
 """
 WORKER_CONFIG = """(worker (name "w") (listen "w.sock") (store (folder "store"))
   (cache (folder "{cache}") (most 500 MB)) (memory 4 GB) (measure 100 ms) (idle-life 10 min))"""
-PACKAGE_FOLDER = "made"  # in the temporary folder
+PACKAGE_FOLDER = "made"  # within the temporary folder
 PACKAGE_SIZES = (1, 2, 4, 8, 16, 24, 32, 48, 64, 96)  # MB that packages allocate
-INTERPRETER_MB = 24  # that a package states beyond what it allocates
-SINGLE_REQUESTS = 200  # of each round
+INTERPRETER_MB = 24  # stated by a package in addition to what it allocates
+SEQUENTIAL_REQUESTS = 200  # in each round
 CONCURRENT_REQUESTS = 100
 SETTLING_TIME = 0.2  # s from the last request to the measurement
 SAMPLE_INTERVAL = 0.1  # s between two samples of a worker's memory
-SAMPLE_DELAY = 0.5  # s that the processes must be the same; a report is up to a quarter of a second old
-ACCURACY = 0.05  # relative error within which a report counts as accurate
+SAMPLE_DELAY = 0.5  # s in which no replica may start or end; a report is up to a quarter of a second old
+MAX_ACCURATE_ERROR = 0.05  # relative error within which a report counts as accurate
 
 
 def pack(folder: str, name: str, mb: int, memory: int) -> None:
-    """Packs a package that allocates so many MB, and states `memory` MB."""
+    """Builds a package that allocates `mb` MB and states `memory` MB, and puts it into the store."""
     package_folder = os.path.join(folder, PACKAGE_FOLDER)
     os.makedirs(package_folder, exist_ok=True)
     with open(os.path.join(package_folder, "main.py"), "w") as sink:
@@ -65,7 +66,7 @@
 
 
 class GatewayConnection:
-    """One connection to a worker, used by one thread."""
+    """A gateway's connection to a worker. Not thread-safe."""
 
     def __init__(self, path: str) -> None:
         self.sock = socket.socket(socket.AF_UNIX)
@@ -74,9 +75,9 @@
         self.ids = itertools.count(1)
 
     def run(self, function: str, count: int = 1) -> float:
-        """Sends `count` requests at once; returns the ms until all are answered."""
+        """Sends `count` requests at once; returns the ms until all are answered. Raises SystemExit where one fails."""
         started_at = time.perf_counter()
-        self.sock.sendall(b"".join(_run_line(next(self.ids), function) for _ in range(count)))
+        self.sock.sendall(b"".join(_run_request_line(next(self.ids), function) for _ in range(count)))
         for _ in range(count):
             answer = msgspec.json.decode(self.source.readline())
             if "result" not in answer:
@@ -84,16 +85,16 @@
         return (time.perf_counter() - started_at) * 1000
 
     def unload_idle(self, function: str) -> None:
-        """Has the worker unload its idle replicas of a function."""
+        """Tells the worker to unload its idle replicas of a function."""
         message = {"jsonrpc": "2.0", "method": "drop", "params": {"program": function}}
         self.sock.sendall(msgspec.json.encode(message) + b"\n")
 
     def close(self) -> None:
-        """Ends the connection."""
+        """Closes the connection."""
         self.sock.close()
 
 
-def _run_line(ident: int, function: str) -> bytes:
+def _run_request_line(ident: int, function: str) -> bytes:
     params = {
         "method": "m",
         "program": function,
@@ -106,7 +107,7 @@
 
 
 def start_worker(folder: str, cache: str) -> Worker:
-    """A worker in this process."""
+    """Starts a worker in this process, with its cache in the folder `cache`; the caller closes it."""
     path = os.path.join(folder, "w.sexp")
     with open(path, "w") as sink:
         sink.write(WORKER_CONFIG.format(cache=cache))
@@ -117,12 +118,15 @@
 
 
 def spread(figures: list[float]) -> str:
-    """Median, minimum and maximum."""
+    """Returns the median, and in parentheses the minimum and maximum."""
     return f"{statistics.median(figures):.2f} ({min(figures):.2f} to {max(figures):.2f})"
 
 
 def measure_starts(folder: str, rounds: int) -> list[list[str]]:
-    """A first request: with an empty cache, from the cache, and with a new interpreter instead of a forked replica."""
+    """Measures a function's first request: with an empty cache, from the cache, and against a new interpreter.
+
+    Replicas are forked; the new interpreter imports the package and calls the function instead.
+    """
     pack(folder, "p", 1, 32)
     uncached: list[float] = []
     cached: list[float] = []
@@ -146,7 +150,7 @@
 
 
 def _interpreter_start(package_folder: str) -> float:
-    """The ms that a new interpreter takes to import the package and call its function."""
+    """Returns the ms that a new interpreter takes to import the package and call its function."""
     started_at = time.perf_counter()
     command = [sys.executable, "-c", "import msgspec, main; main.run(1)"]
     subprocess.run(command, cwd=package_folder, check=True)
@@ -154,11 +158,11 @@
 
 
 def measure_requests(folder: str, rounds: int) -> list[list[str]]:
-    """Requests to one replica: one at a time, and many in flight."""
+    """Measures requests to one replica: one at a time, and CONCURRENT_REQUESTS in flight."""
     worker = start_worker(folder, "cache0")
     connection = GatewayConnection(worker.config.listen)
     connection.run("p")
-    latencies = [statistics.median(connection.run("p") for _ in range(SINGLE_REQUESTS)) for _ in range(rounds)]
+    latencies = [statistics.median(connection.run("p") for _ in range(SEQUENTIAL_REQUESTS)) for _ in range(rounds)]
     rates = [CONCURRENT_REQUESTS * 1000 / connection.run("p", CONCURRENT_REQUESTS) for _ in range(rounds)]
     connection.close()
     worker.close()
@@ -169,7 +173,7 @@
 
 
 def measure_memory(folder: str) -> list[list[str]]:
-    """Packages of different sizes at once: the worker's measurement against the mappings of /proc/PID/smaps."""
+    """Compares the worker's memory measurement with /proc/PID/smaps, for packages of different sizes at once."""
     for mb in PACKAGE_SIZES:
         pack(folder, f"m{mb}", mb, mb + INTERPRETER_MB)
     worker = start_worker(folder, "cacheM")
@@ -199,42 +203,45 @@
 
 @dataclass(slots=True, frozen=True)
 class RecoveryResult:
-    """What a run with a mass restart came to."""
+    """The figures of a run with a mass restart."""
 
     recovery: int | None  # s from the restart
-    share_in_time: float  # of the requests until the next restart
+    share_in_time: float  # of the requests sent until the next restart
     findings: int  # broken rules
 
 
 def measure_recovery(file: str, seeds: int) -> list[list[str]]:
-    """Seconds from the first mass restart until nearly all requests are in time, with and without prewarming."""
+    """Measures the seconds from the first mass restart until nearly all requests are in time, in pairs by seed.
+
+    Each pair is a run with prewarming and one without.
+    """
     script = scenario.read(file)
-    first = next(fault for fault in script.faults if fault.kind is FaultKind.DIE)
-    assert first.at is not None  # faults of this scenario start at a time
-    second = next(fault.at for fault in script.faults if fault.at is not None and fault.at > first.at)
-    restarts = range(int(first.at // SECOND_MS), int(second // SECOND_MS))
+    first_restart = next(fault for fault in script.faults if fault.kind is FaultKind.DIE)
+    assert first_restart.at is not None  # the faults of this scenario start at a time, not with an event
+    next_fault_at = next(fault.at for fault in script.faults if fault.at is not None and fault.at > first_restart.at)
+    recovery_period = range(int(first_restart.at // SECOND_MS), int(next_fault_at // SECOND_MS))
     results: dict[bool, list[RecoveryResult]] = {True: [], False: []}
     for _ in range(seeds):
-        for prewarming, checker in _play_both(script).items():
+        for prewarming, checker in _run_both(script).items():
             requests = timeline(checker)
-            recovery = requests.recovery(restarts.start + 1, restarts.stop)
+            recovery = requests.recovery(recovery_period.start + 1, recovery_period.stop)
             results[prewarming].append(
-                RecoveryResult(recovery, requests.share_in_time(restarts), len(checker.findings))
+                RecoveryResult(recovery, requests.share_in_time(recovery_period), len(checker.findings))
             )
         script.seed += 1
     return [_recovery_row(prewarming, runs) for prewarming, runs in results.items()]
 
 
-def _play_both(script: scenario.Scenario) -> dict[bool, RuleChecker]:
-    """Plays a scenario with and without prewarming, at once."""
+def _run_both(script: scenario.Scenario) -> dict[bool, RuleChecker]:
+    """Runs a scenario with and without prewarming, at once."""
     checkers: dict[bool, RuleChecker] = {}
 
-    def play(prewarming: bool) -> None:
+    def run_variant(prewarming: bool) -> None:
         variant = copy.copy(script)
         variant.prewarming = prewarming
         checkers[prewarming] = check_run(variant)
 
-    threads = [threading.Thread(target=play, args=(prewarming,)) for prewarming in (True, False)]
+    threads = [threading.Thread(target=run_variant, args=(prewarming,)) for prewarming in (True, False)]
     for thread in threads:
         thread.start()
     for thread in threads:
@@ -251,7 +258,7 @@
 
 
 def proportional_set_size(pid: int) -> float:
-    """A process's proportional set size in MB, added up from all its mappings; 0 where it is gone."""
+    """Returns a process's proportional set size in MB, summed over its mappings; 0 where the process has ended."""
     try:
         with open(f"/proc/{pid}/smaps") as source:
             return sum(int(line.split()[1]) for line in source if line.startswith("Pss:")) / 1024
@@ -263,8 +270,8 @@
 class MemorySample:
     """The memory of a worker's replicas in MB."""
 
-    reported: float  # by the worker
-    actual: float  # by the kernel
+    reported: float  # by the worker in its load report
+    actual: float  # proportional set sizes, by the kernel
 
     @property
     def error(self) -> float:
@@ -273,10 +280,10 @@
 
 
 def sample_memory(runner: ScenarioRunner, name: str) -> MemorySample | None:
-    """The memory of a worker's replicas as it reports it, and as the kernel does.
+    """Returns the memory of a worker's replicas as the worker reports it and as the kernel does.
 
-    None where a replica started or ended meanwhile, as a report is up to a quarter of a second old, and where the
-    worker does not run.
+    Returns None where a replica started or ended meanwhile, since a report is up to a quarter of a second old, and
+    where the worker does not run.
     """
     try:
         with socket.socket(socket.AF_UNIX) as sock:
@@ -291,61 +298,61 @@
             if replicas and replicas == {process.pid for process in parent.children()}:
                 return MemorySample(reported, actual)
     except (OSError, KeyError, IndexError, psutil.Error, msgspec.MsgspecError):
-        pass  # the worker was killed just then, or has not started yet
+        pass  # the worker was killed meanwhile or has not started yet
     return None
 
 
 def measure_reports(file: str) -> list[list[str]]:
-    """The memory that workers report against the kernel's, sampled all through a scenario."""
+    """Compares the memory that workers report with the kernel's figures, sampled all through a scenario."""
     samples: list[MemorySample] = []
     with tempfile.TemporaryDirectory(prefix="wd-") as folder:
         script = scenario.read(file)
         runner = ScenarioRunner(script, os.path.join(folder, "run"))
-        ended = threading.Event()
+        run_ended = threading.Event()
 
-        def watch(name: str) -> None:
-            while not ended.wait(SAMPLE_INTERVAL):
+        def sample_worker(name: str) -> None:
+            while not run_ended.wait(SAMPLE_INTERVAL):
                 sample = sample_memory(runner, name)
                 if sample is not None:
                     samples.append(sample)
 
-        watchers = [threading.Thread(target=watch, args=(name,)) for name in scenario.worker_names(script)]
-        for watcher in watchers:
-            watcher.start()
+        threads = [threading.Thread(target=sample_worker, args=(name,)) for name in scenario.worker_names(script)]
+        for thread in threads:
+            thread.start()
         try:
             runner.run()
         finally:
-            ended.set()
-            for watcher in watchers:
-                watcher.join()
+            run_ended.set()
+            for thread in threads:
+                thread.join()
     errors = sorted(sample.error for sample in samples)
     return [
         ["samples", str(len(errors))],
         ["error, median", f"{100 * statistics.median(errors):.2f}%"],
         ["error, 95th percentile", f"{100 * errors[int(len(errors) * 0.95)]:.2f}%"],
         ["error, maximum", f"{100 * errors[-1]:.2f}%"],
-        ["within 5%", f"{sum(error <= ACCURACY for error in errors)} of {len(errors)}"],
+        ["within 5%", f"{sum(error <= MAX_ACCURATE_ERROR for error in errors)} of {len(errors)}"],
     ]
 
 
 @click.command()
-@click.option("--rounds", default=7, help="Rounds of each figure.")
-@click.option("--recovery", "script", type=click.Path(), help="Measure recovery with this script instead.")
-@click.option("--seeds", default=3, help="Pairs of it.")
+@click.option("--rounds", default=7, help="Rounds of each measurement.")
+@click.option("--recovery", "script", type=click.Path(), help="Measure recovery with this scenario instead.")
+@click.option("--seeds", default=3, help="Pairs of runs that measure recovery.")
 @click.option(
-    "--memory-in", type=click.Path(), help="Compare reported and actual memory all through this script instead."
+    "--memory-in", type=click.Path(), help="Compare reported and actual memory all through this scenario instead."
 )
 def main(rounds: int, script: str | None, seeds: int, memory_in: str | None) -> None:
     """Measures a real worker."""
     if memory_in:
-        print(report.table(("memory of copies", ""), measure_reports(memory_in)))
+        print(report.table(("memory of replicas", ""), measure_reports(memory_in)))
         return
     if script:
         print(report.table(("recovery", "figures"), measure_recovery(script, seeds)))
         return
     with tempfile.TemporaryDirectory(prefix="wd-") as folder:
         rows = measure_starts(folder, rounds) + measure_requests(folder, rounds) + measure_memory(folder)
-    print(report.table(("what", "median, minimum and maximum"), rows))
+    print(report.table(("measurement", "median, minimum and maximum"), rows))
 
 
 if __name__ == "__main__":
