--- a/bench/real.py
+++ b/bench/real.py
@@ -161,5 +161,5 @@
 
 
 if __name__ == "__main__":
-    for worker_count in [int(word) for word in sys.argv[1:]] or WORKER_COUNTS:
-        print(json.dumps(measure(worker_count)), flush=True)
+    for count in [int(word) for word in sys.argv[1:]] or WORKER_COUNTS:
+        print(json.dumps(measure(count)), flush=True)
--- a/bench/simulated_fleet.py
+++ b/bench/simulated_fleet.py
@@ -57,7 +57,7 @@
     router: Router
     costs: Costs = field(default_factory=Costs)
     wake_at: float = float("-inf")
-    notified_at: dict[str, float] = field(default_factory=dict)  # by worker that drains or was removed
+    notified_at: dict[str, float] = field(default_factory=dict)  # for workers that drain or were removed
     request_times: deque[float] = field(default_factory=deque)
     prewarm_times: deque[float] = field(default_factory=deque)
     answer_by_request: dict[int, str] = field(default_factory=dict)  # of requests before their deadline
@@ -65,7 +65,14 @@
 
 
 class SimulatedFleet:
-    """Front ends, workers and clients. Checks the five rules during the run and lists the violations."""
+    """Front ends, workers and clients. Checks five rules during the run and lists the violations:
+
+    1. Each request gets one answer, before its deadline.
+    2. A request that may have run is neither rejected nor sent again where its effect forbids that.
+    3. A front end sends nothing to a worker after it was notified that the worker drains or was removed.
+    4. All front ends together keep to the limit of a worker in slow start.
+    5. Each front end keeps to its prewarm quota.
+    """
 
     def __init__(
         self,
@@ -145,7 +152,7 @@
             self.handle_input(front_end, "")
 
     def notify_endpoints(self, front_end: SimulatedFrontEnd, rows: list[Endpoint], is_full_list: bool = False) -> None:
-        """Notifies a front end of changed entries of the endpoint list, or of the full list."""
+        """Notifies a front end of changed entries of the endpoint list, or of all entries where `is_full_list`."""
         for row in rows:
             if row.state == "ready":
                 front_end.notified_at.pop(row.ident, None)
