--- a/bench/real.py
+++ b/bench/real.py
@@ -150,13 +150,13 @@
             "from_client": round(client.bytes_sent / max(1, sum(client.answers.values()))),
             "to_workers": round(_command_bytes(workers) / (LOADED_SECONDS * REQUESTS_PER_S)),
         },
-        "messages": {verb.decode(): sum(len(worker.came(verb)) for worker in workers) for verb in COMMAND_VERBS},
+        "messages": {verb.decode(): sum(len(worker.received(verb)) for worker in workers) for verb in COMMAND_VERBS},
     }
 
 
 def _command_bytes(workers: list[rig.Worker]) -> int:
     """Returns the bytes on the wire of all commands that workers received."""
-    commands = [parts for worker in workers for verb in COMMAND_VERBS for parts in worker.came(verb)]
+    commands = [parts for worker in workers for verb in COMMAND_VERBS for parts in worker.received(verb)]
     return sum(len(part) + FRAME_OVERHEAD for parts in commands for part in parts)
 
 
