--- a/tests/test_router_scale.py
+++ b/tests/test_router_scale.py
@@ -8,7 +8,7 @@
 from unittest.mock import patch
 
 from bench.simulated_fleet import SimulatedFleet
-from bench.simulated_worker import Draw, Settings, listing
+from bench.simulated_worker import FunctionSampler, Settings, listed_endpoint
 from tests.fleet_rig import CELL_CAPACITY, FLEET_SIZES, MAX_COST_RATIO, count_lines, function_names, make_function
 from wickdyke.routing import periods, ranking, router
 from wickdyke.routing.placement import Placement
@@ -17,7 +17,7 @@
 def simulated_fleet(workers, front_ends=1, **more):
     """Returns a simulated fleet with this many listed workers."""
     fleet = SimulatedFleet(Settings(memory=1e9, **more), [], front_ends)
-    fleet.announce([listing(number) for number in range(workers)])
+    fleet.update_endpoints([listed_endpoint(number) for number in range(workers)])
     fleet.run(1.0)
     return fleet
 
@@ -31,7 +31,7 @@
         for many in FLEET_SIZES:
             fleet, hashed = simulated_fleet(many), []
             fleet.run(5000.0)
-            front, inner = fleet.fronts[0], ranking.hash_fractions
+            front, inner = fleet.front_ends[0], ranking.hash_fractions
 
             def counted(first, others, inner=inner, hashed=hashed):
                 hashed.append(len(others))
@@ -50,11 +50,11 @@
         bytes_per_function = []
         for many in FLEET_SIZES:
             fleet = simulated_fleet(many)
-            fleet.clients(127.0, Draw(160000, 0.0, 7), 9000.0)
+            fleet.generate_requests(127.0, FunctionSampler(160000, 0.0, 7), 9000.0)
             tracemalloc.start()
             try:
                 fleet.run(9000.0)
-                bytes_per_function.append(tracemalloc.get_traced_memory()[0] / len(fleet.fronts[0].router.functions))
+                bytes_per_function.append(tracemalloc.get_traced_memory()[0] / len(fleet.front_ends[0].router.functions))
             finally:
                 tracemalloc.stop()
         self.assertLessEqual(max(bytes_per_function), 8 * 1024)
@@ -72,18 +72,18 @@
 
     def test_functions_not_requested_within_the_idle_timeout_are_removed(self):
         fleet = simulated_fleet(1000, idle_timeout=5000.0)
-        fleet.clients(60.0, Draw(160000, 0.0, 7), 8000.0)
+        fleet.generate_requests(60.0, FunctionSampler(160000, 0.0, 7), 8000.0)
         fleet.run(8000.0)
-        functions = fleet.fronts[0].router.functions
+        functions = fleet.front_ends[0].router.functions
         self.assertTrue(functions)
         fleet.run(8000.0 + 5000.0 + 8 * periods.PLACEMENT_PERIOD)
         self.assertFalse(functions)
-        self.assertFalse(any(cell.functions for cell in fleet.fronts[0].router.fleet.cells.values()))
+        self.assertFalse(any(cell.functions for cell in fleet.front_ends[0].router.fleet.cells.values()))
 
     def test_the_number_of_functions_is_bounded(self):
         with patch.object(router, "MAX_FUNCTIONS", 200):
             fleet = simulated_fleet(300)
-            front = fleet.fronts[0]
+            front = fleet.front_ends[0]
             for name in function_names(500):
                 fleet.submit_request(front, name)
                 fleet.run(fleet.now + 10.0)
@@ -98,7 +98,7 @@
         """Requests wait while their functions are removed and added again and the list changes: all are answered."""
         with patch.object(router, "MAX_FUNCTIONS", 40):
             fleet = simulated_fleet(300)
-            front = fleet.fronts[0]
+            front = fleet.front_ends[0]
             front_end = front.router
             for worker in front_end.workers.values():
                 worker.concurrency_limit = 0.0
@@ -108,7 +108,7 @@
             self.assertTrue(forgotten)
             for entry in forgotten[:10]:
                 fleet.submit_request(front, entry.name)
-            fleet.announce([listing(number) for number in range(1000, 1100)])
+            fleet.update_endpoints([listed_endpoint(number) for number in range(1000, 1100)])
             for worker in front_end.workers.values():
                 worker.concurrency_limit = 8.0
             fleet.run(fleet.now + 6000.0)
@@ -125,22 +125,22 @@
             return inner(placement, cells, now)
 
         with patch.object(Placement, "run", counted):
-            fleet.clients(127.0, Draw(160000, 0.0, 7), 6000.0)
+            fleet.generate_requests(127.0, FunctionSampler(160000, 0.0, 7), 6000.0)
             fleet.run(6000.0)
         self.assertEqual(set(runs.values()), {1})
 
     def test_functions_follow_their_cells(self):
         """Through all changes of the list, each known function is registered in its home cell."""
         fleet, random_source = simulated_fleet(300), random.Random(2)
-        front_end, number = fleet.fronts[0].router, 300
-        fleet.clients(60.0, Draw(3000, 0.0, 7), 30000.0)
+        front_end, number = fleet.front_ends[0].router, 300
+        fleet.generate_requests(60.0, FunctionSampler(3000, 0.0, 7), 30000.0)
         for step in range(40):
             grows = step < 20
-            endpoints = [listing(number + at) for at in range(30)] if grows else [
+            endpoints = [listed_endpoint(number + at) for at in range(30)] if grows else [
                 replace(w.endpoint, state="gone") for w in random_source.sample(list(fleet.workers.values()), 30)
             ]  # fmt: skip
             number += 30
-            fleet.announce(endpoints)
+            fleet.update_endpoints(endpoints)
             fleet.run(fleet.now + 600.0)
             homes = {name: cell for cell in front_end.fleet.cells.values() for name in cell.functions}
             self.assertEqual(set(homes), set(front_end.functions))
@@ -156,7 +156,7 @@
         for condition in ("ejected", "warming up", "at their limit", "without memory", "draining", "gone"):
             with self.subTest(condition=condition):
                 fleet, name, chosen = simulated_fleet(600, front_ends=3), function_names(1)[0], set()
-                for front in fleet.fronts:
+                for front in fleet.front_ends:
                     front_end = front.router
                     home, second = list(front_end.fleet.nearest_cells(make_function(name), 2))
                     changed = []
@@ -171,7 +171,7 @@
                             worker.memory_short_until = fleet.now + 60000.0
                         else:
                             changed.append(replace(worker.endpoint, state=condition))
-                    fleet.notify_list(front, changed)
+                    fleet.notify_endpoints(front, changed)
                     members = set(second.members)
                     ident = fleet.submit_request(front, name)
                     (sent,) = front_end.requests[ident].attempts
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -14,7 +14,7 @@
 from unittest.mock import Mock
 
 from bench.simulated_fleet import SimulatedFleet, SimulatedFrontEnd
-from bench.simulated_worker import REPORT_FIELDS, Settings, SimulatedWorker, listing
+from bench.simulated_worker import REPORT_FIELDS, Settings, SimulatedWorker, listed_endpoint
 from tests.helpers import FrontEnd, forwarded_to, listed_endpoint
 from wickdyke.routing.cells import Cell
 from wickdyke.routing.decisions import Forward
@@ -61,10 +61,10 @@
 class MeasuredFleet(SimulatedFleet):
     """A simulated fleet that records the time and the front end of each attempt at a worker in slow start."""
 
-    rate = None  # disables the simulated fleet's own check of slow start
+    worker_request_rate = None  # disables the simulated fleet's own check of slow start
 
     def __init__(self, settings: Settings, worker_count: int, seed: int) -> None:
-        super().__init__(settings, [listing(number, 1) for number in range(worker_count)], settings.front_ends, seed)
+        super().__init__(settings, [listed_endpoint(number, 1) for number in range(worker_count)], settings.front_ends, seed)
         self.workers = {ident: MeasuredWorker(old.endpoint, self) for ident, old in self.workers.items()}
         self.attempts: dict[str, list[tuple[float, int]]] = {}
         self.informed_at: dict[int, float] = {}  # time at which each front end was informed of the restart
@@ -85,7 +85,7 @@
         while at < until:
             at += random_source.expovariate(capacity * used * (burst if at > RESTART else 1.0))
             (number,) = random_source.choices(range(len(parts)), cum_weights=ends)
-            self.at(at, self.submit_request, self.fronts[number], f"f{random_source.randrange(12)}")
+            self.schedule(at, self.submit_request, self.front_ends[number], f"f{random_source.randrange(12)}")
 
     def restart(self, worker_count: int, outage: float, notice_delay: tuple[float, float]) -> None:
         """Restarts workers after `outage` ms; front ends are informed `notice_delay` (range of ms) after that."""
@@ -95,20 +95,20 @@
         self.run(RESTART + outage)
         endpoints = [replace(self.workers[ident].endpoint, started_at=self.now) for ident in idents]
         self.workers.update((each.ident, MeasuredWorker(each, self)) for each in endpoints)
-        for front in self.fronts:
+        for front in self.front_ends:
             self.informed_at[front.number] = self.now + random_source.uniform(*notice_delay)
-            self.at(self.informed_at[front.number], self.notify_list, front, endpoints)
+            self.schedule(self.informed_at[front.number], self.notify_endpoints, front, endpoints)
 
     def restart_front_ends(self) -> None:
         """Restarts all front ends, which then know only the endpoint list."""
-        old, self.fronts = self.fronts, []
+        old, self.front_ends = self.front_ends, []
         for before in old:
             before.wake_at = float("-inf")  # the process has ended and makes no more decisions
             front = SimulatedFrontEnd(before.number, self.settings.router(self.now, before.number))
-            front.deadlines, front.final = before.deadlines, before.final
-            self.fronts.append(front)
+            front.deadlines, front.answer_by_request = before.deadlines, before.answer_by_request
+            self.front_ends.append(front)
             self.informed_at[front.number] = self.now
-            self.notify_list(front, [worker.endpoint for worker in self.workers.values()], True)
+            self.notify_endpoints(front, [worker.endpoint for worker in self.workers.values()], True)
 
     def overloaded_workers(self) -> list[str]:
         """Returns the workers that were overloaded while informed front ends sent over two thirds of the window.
