--- a/tests/acceptance_rig.py
+++ b/tests/acceptance_rig.py
@@ -13,9 +13,9 @@
 from wickdyke.routing.model import Backoff, Hedging, RoutePolicy
 from wickdyke.transport import event_loop
 
-START = 1e9  # ms on the fake clock
+START_TIME = 1e9  # ms on the fake clock
 STEP = 5.0  # ms of it that pass between two iterations
-STEP_OF_HEDGE = 1.0  # ms, where a hedged request is to be caught between its attempts
+HEDGE_STEP = 1.0  # ms, where a hedged request is to be caught between its attempts
 
 LANES = [
     *rig.SETTINGS["lanes"],
@@ -30,7 +30,11 @@
     },
 ]
 LANES.append({**LANES[-1], "name": "rent", "key-scope": "zone"})
-CLASSES = ("look", "pay", "book")  # idempotent, side-effecting, with an idempotency key; `rent`'s is known in one zone
+REQUEST_CLASSES = (
+    "look",
+    "pay",
+    "book",
+)  # idempotent, side-effecting, with an idempotency key; `rent`'s is known in one zone
 KEY = "2d071f1f7aeaaed654f62e293c13f6a0"
 
 HEDGED = RoutePolicy(
@@ -62,7 +66,7 @@
 
     def setUp(self):
         super().setUp()
-        self.now = START
+        self.now = START_TIME
         self.addCleanup(patch.stopall)
         stand_in = SimpleNamespace(**{**vars(time), "monotonic": lambda: self.now / 1000})
         for module in (event_loop, context):
@@ -73,60 +77,62 @@
         self.listen = rig.free_address()  # its own: what failed before it may still hold the last
         return super().front_end(*workers, **{"settings": settings(), **more})
 
-    def hedging(self):
+    def enable_hedging(self):
         """From now on each request may be hedged 20 ms after its first attempt."""
-        take = self.serving.client_server.post
+        take = self.service.client_server.post
 
         def timed(event):
             if isinstance(event, RequestReceived):
                 event.pending.route_policy = HEDGED
             take(event)
 
-        self.serving.client_server.post = timed
+        self.service.client_server.post = timed
 
-    def attempts_out(self):
+    def pending_command_count(self):
         """Commands that wait for a worker, of any kind."""
         return sum(
             connection.commands_in_flight
-            for client in self.serving.coordinator.workers.clients.values()
+            for client in self.service.coordinator.workers.clients.values()
             for connection in client.all_connections()
         )
 
     def settle(self):
         """Steps until workers have answered all that is out, and no time passes."""
-        self.until(lambda: not self.attempts_out() and self.serving.coordinator.events.empty(), "the workers' answers")
+        self.until(
+            lambda: not self.pending_command_count() and self.service.coordinator.events.empty(), "the workers' answers"
+        )
 
-    def later(self, span, step=STEP, settle=False):
+    def advance(self, span, step=STEP, settle=False):
         """Lets a time pass, an iteration in each step; with `settle`, workers answer all within each."""
         ends = self.now + span
         while self.now < ends:
             self.now = min(ends, self.now + step)
-            self.serving.run_once()
+            self.service.run_once()
             if settle:
                 self.settle()
 
-    def final(self, client, within, settle=True, step=STEP):
+    def final_answer(self, client, within, settle=True, step=STEP):
         """The answer that comes next, which may take so many ms; with `settle`, workers answer all at once."""
         ends = self.now + within
-        self.serving.run_once()
+        self.service.run_once()
         while not client.waits():
             if settle:
                 self.settle()
-            self.serving.run_once()
+            self.service.run_once()
             if not client.waits():
                 self.assertLess(self.now, ends, "no final answer in time")
                 self.now += step
         return client.answer()
 
-    def no_more(self, client, span=1000.0):
+    def assert_no_more_answers(self, client, span=1000.0):
         """Nothing more comes on that connection."""
-        self.later(span, 20.0)
+        self.advance(span, 20.0)
         self.assertFalse(client.waits(), "a second answer, or an end")
 
 
-HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nConnection: close\r\n\r\n"
+SSE_HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nConnection: close\r\n\r\n"
 
 
-def told(number, *instances):
+def sse_event(number, *instances):
     """An event as it stands on the stream."""
     return b"id: %d\ndata: %s\n\n" % (number, json.dumps(rig.event(number, *instances)).encode())
--- a/tests/front_end_rig.py
+++ b/tests/front_end_rig.py
@@ -27,13 +27,13 @@
         self.addCleanup(self.loop.close)
 
     def until(self, done, what="it"):
-        ends = time.monotonic() + rig.LONG
+        ends = time.monotonic() + rig.TIMEOUT
         while not done():
             self.assertLess(time.monotonic(), ends, f"{what} did not come")
             self.loop.run_once(10.0, lambda: None)
 
 
-NOWHERE = "127.0.0.1:9"
+UNREACHABLE_ADDRESS = "127.0.0.1:9"
 A, B, C = "a" * 16, "b" * 16, "c" * 16
 ASCII_A, ASCII_B = A.encode(), B.encode()
 
@@ -58,7 +58,7 @@
 
 def wait_for(test, done):
     """For what another process does: looked for again and again, with a bound."""
-    ends = time.monotonic() + rig.LONG
+    ends = time.monotonic() + rig.TIMEOUT
     while not done():
         test.assertLess(time.monotonic(), ends)
         time.sleep(0.01)
@@ -88,24 +88,24 @@
         made = tempfile.TemporaryDirectory()
         self.addCleanup(made.cleanup)
         self.path, self.listen = os.path.join(made.name, "config.json"), rig.free_address()
-        self.held = []
+        self.held_commands = []
 
-    def made(self, thing):
+    def close_on_cleanup(self, thing):
         self.addCleanup(thing.close)
         return thing
 
     def worker(self):
         """A worker that holds back each answer to `slow`: (socket, command) in `held`."""
-        return self.made(
+        return self.close_on_cleanup(
             rig.Worker(
                 lambda worker, sock, parts: parts[0] == b"invoke"
                 and parts[3] == b"slow"
-                and (self.held.append((sock, parts)), True)[1]
+                and (self.held_commands.append((sock, parts)), True)[1]
             )
         )
 
-    def answer_held(self, body=b"at last"):
-        sock, parts = self.held.pop(0)
+    def answer_held_command(self, body=b"at last"):
+        sock, parts = self.held_commands.pop(0)
         sock.sendall(rig.bulk(parts[1], b"ACK", b"why=w,ahead=0", body))
 
     def write(self, bus, *workers, **more):
@@ -114,43 +114,43 @@
             json.dump(given, out)
         os.replace(self.path + ".new", self.path)
 
-    def front_end(self, *workers, bus=NOWHERE, **more):
+    def front_end(self, *workers, bus=UNREACHABLE_ADDRESS, **more):
         self.write(bus, *workers, **more)
         self.log = Mock()
-        self.serving = service.Service(configuration.read(self.path), self.path, self.log)
-        self.addCleanup(self.end)
-        self.serving.open()
-        return self.serving
+        self.service = service.Service(configuration.read(self.path), self.path, self.log)
+        self.addCleanup(self.close_front_end)
+        self.service.open()
+        return self.service
 
     def discovery_heard(self):
         """The endpoint list is complete as of now: workers need not prove ready."""
-        self.serving.coordinator.post(DiscoveryHeard(event_loop.clock()))
+        self.service.coordinator.post(DiscoveryHeard(event_loop.clock()))
 
-    def end(self):
-        for client in list(self.serving.client_server.clients.values()):
+    def close_front_end(self):
+        for client in list(self.service.client_server.clients.values()):
             client.close()
-        for upstream in list(self.serving.coordinator.workers.clients.values()):
+        for upstream in list(self.service.coordinator.workers.clients.values()):
             upstream.close()
-        self.serving.discovery.close()
-        self.serving.client_server.close_listener()
-        self.serving.loop.close()
+        self.service.discovery.close()
+        self.service.client_server.close_listener()
+        self.service.loop.close()
 
     def until(self, done, what="it"):
-        ends = time.monotonic() + rig.LONG
+        ends = time.monotonic() + rig.TIMEOUT
         while not done():
             self.assertLess(time.monotonic(), ends, f"{what} did not come")
-            self.serving.run_once()
+            self.service.run_once()
 
     def client(self):
-        return self.made(rig.Client(self.listen))
+        return self.close_on_cleanup(rig.Client(self.listen))
 
     def answer(self, client):
         """The next answer, the front end stepped until it is there."""
         self.until(client.waits, "an answer")
         return client.answer()
 
-    def at_worker(self, many):
-        self.until(lambda: len(self.held) >= many, "a call-out")
+    def wait_for_commands(self, many):
+        self.until(lambda: len(self.held_commands) >= many, "a call-out")
 
-    def faults(self):
+    def logged_errors(self):
         return self.log.error.call_args_list + self.log.bind().error.call_args_list
--- a/tests/platform_rig.py
+++ b/tests/platform_rig.py
@@ -6,7 +6,7 @@
 import threading
 from contextlib import suppress
 
-LONG = 20.0
+TIMEOUT = 20.0
 
 SETTINGS = {
     "lanes": [
@@ -154,8 +154,8 @@
 
     def __init__(self, address):
         host, _, port = address.rpartition(":")
-        self.sock = socket.create_connection((host, int(port)), LONG)
-        self.sock.settimeout(LONG)
+        self.sock = socket.create_connection((host, int(port)), TIMEOUT)
+        self.sock.settimeout(TIMEOUT)
 
     def send(self, data):
         self.sock.sendall(data)
@@ -185,7 +185,7 @@
         except OSError:
             pass
         finally:
-            self.sock.settimeout(LONG)
+            self.sock.settimeout(TIMEOUT)
         return True
 
     def close(self):
--- a/tests/test_attempts_that_fail_at_once.py
+++ b/tests/test_attempts_that_fail_at_once.py
@@ -3,7 +3,7 @@
 import unittest
 
 from tests import platform_rig as rig
-from tests.acceptance_rig import CLASSES, STEP_OF_HEDGE, SteppedClockCase, request, settings
+from tests.acceptance_rig import HEDGE_STEP, REQUEST_CLASSES, SteppedClockCase, request, settings
 from tests.front_end_rig import reset
 from wickdyke.gateway.events import EndpointsReceived
 
@@ -13,90 +13,90 @@
 
     def second_worker(self, address):
         """Tells of one more worker."""
-        self.serving.coordinator.post(EndpointsReceived([rig.event(2, rig.instance("w9", address))]))
-        self.serving.run_once()
+        self.service.coordinator.post(EndpointsReceived([rig.event(2, rig.instance("w9", address))]))
+        self.service.run_once()
 
     def refused(self):
         """How many attempts met a refused connection."""
-        counts = self.serving.protocol.pool.counts
+        counts = self.service.protocol.pool.counts
         return sum(many for name, many in counts.items() if name.startswith("connect"))
 
     def test_a_retry_that_is_refused(self):
         """The first attempt is answered as full, the only other worker is not there: one final answer."""
-        for name in CLASSES:
+        for name in REQUEST_CLASSES:
             with self.subTest(name):
                 worker = self.worker()
                 self.front_end(worker.address)
                 client = self.client()
                 client.send(request(1, name, b"slow"))
-                self.at_worker(1)
+                self.wait_for_commands(1)
                 self.second_worker(rig.free_address())
-                sock, parts = self.held.pop()
+                sock, parts = self.held_commands.pop()
                 sock.sendall(rig.bulk(parts[1], b"AGAIN", b"-", b""))
-                number, word, _ = self.final(client, 1550, settle=False)
+                number, word, _ = self.final_answer(client, 1550, settle=False)
                 self.assertEqual((number, word in ("shed", "fault", "answer")), (1, True))
-                self.no_more(client)
-                self.assertEqual((self.serving.coordinator.requests.by_id, self.faults()), ({}, []))
-                self.held.clear()
-                self.end()
+                self.assert_no_more_answers(client)
+                self.assertEqual((self.service.coordinator.requests.by_id, self.logged_errors()), ({}, []))
+                self.held_commands.clear()
+                self.close_front_end()
 
     def test_a_hedged_request_that_is_refused(self):
         """It fails at once, also for a second time: the first attempt's answer is the final one."""
         self.front_end(self.worker().address, settings=settings({"second-copies": True}))
-        self.hedging()
+        self.enable_hedging()
         client = self.client()
         client.send(request(1, "look", b"slow"))
-        self.at_worker(1)
+        self.wait_for_commands(1)
         self.second_worker(rig.free_address())
-        self.later(200)
+        self.advance(200)
         self.assertGreater(self.refused(), 0)
         self.assertFalse(client.waits())
-        self.answer_held()
+        self.answer_held_command()
         self.assertEqual(self.answer(client), (1, "answer", b"at last"))
-        self.no_more(client)
-        self.assertEqual((self.serving.coordinator.requests.by_id, self.faults()), ({}, []))
+        self.assert_no_more_answers(client)
+        self.assertEqual((self.service.coordinator.requests.by_id, self.logged_errors()), ({}, []))
 
     def test_a_hedged_request_and_the_first_attempt_fail_in_one_iteration(self):
         """The hedge's worker and the first one's connection are both reset unread: one final answer."""
         self.front_end(self.worker().address, settings=settings({"second-copies": True}))
-        self.hedging()
+        self.enable_hedging()
         client = self.client()
         client.send(request(1, "look", b"slow"))
-        self.at_worker(1)
+        self.wait_for_commands(1)
         self.second_worker(self.worker().address)
-        self.until(lambda: (self.later(STEP_OF_HEDGE), len(self.held) >= 2)[1], "the hedge")
-        for sock, _ in self.held:
+        self.until(lambda: (self.advance(HEDGE_STEP), len(self.held_commands) >= 2)[1], "the hedge")
+        for sock, _ in self.held_commands:
             reset(sock)
-        number, word, _ = self.final(client, 1550, settle=False)
+        number, word, _ = self.final_answer(client, 1550, settle=False)
         self.assertEqual(number, 1)
         self.assertIn(word, ("answer", "fault", "shed"))  # it is idempotent: a refusal is as good
-        self.no_more(client)
-        self.assertEqual((self.serving.coordinator.requests.by_id, self.faults()), ({}, []))
+        self.assert_no_more_answers(client)
+        self.assertEqual((self.service.coordinator.requests.by_id, self.logged_errors()), ({}, []))
 
     def test_both_answer_in_one_iteration(self):
         """The hedge's answer and the first attempt's are read in one iteration: the client gets one."""
         self.front_end(self.worker().address, settings=settings({"second-copies": True}))
-        self.hedging()
+        self.enable_hedging()
         client = self.client()
         client.send(request(1, "look", b"slow"))
-        self.at_worker(1)
+        self.wait_for_commands(1)
         self.second_worker(self.worker().address)
-        self.until(lambda: (self.later(STEP_OF_HEDGE), len(self.held) >= 2)[1], "the hedge")
-        self.answer_held(b"one")
-        self.answer_held(b"one")
+        self.until(lambda: (self.advance(HEDGE_STEP), len(self.held_commands) >= 2)[1], "the hedge")
+        self.answer_held_command(b"one")
+        self.answer_held_command(b"one")
         self.assertEqual(self.answer(client), (1, "answer", b"one"))
-        self.no_more(client)
-        self.assertEqual((self.serving.coordinator.requests.by_id, self.faults()), ({}, []))
+        self.assert_no_more_answers(client)
+        self.assertEqual((self.service.coordinator.requests.by_id, self.logged_errors()), ({}, []))
 
 
 class LittleTime(SteppedClockCase):
     """Requests with 1 to 30 ms left, which workers drop without a word."""
 
     def test_one_answer_in_time_and_the_worker_is_not_taken_for_sick(self):
-        for name in CLASSES:
+        for name in REQUEST_CLASSES:
             with self.subTest(name):
                 dropped = []
-                worker = self.made(
+                worker = self.close_on_cleanup(
                     rig.Worker(
                         lambda _, sock, parts, dropped=dropped: (
                             parts[0] == b"invoke" and parts[3] == b"short" and (dropped.append(parts[1]), True)[1]
@@ -106,40 +106,42 @@
                 self.front_end(worker.address)
                 client, shed = self.client(), []
                 client.send(request(1))
-                self.assertEqual(self.final(client, 500)[1], "answer")
+                self.assertEqual(self.final_answer(client, 500)[1], "answer")
                 for left in range(1, 31):
                     client.send(request(left + 1, name, b"short", d=str(left)))
-                    number, word, _ = self.final(client, left + 10, settle=False, step=1.0)
+                    number, word, _ = self.final_answer(client, left + 10, settle=False, step=1.0)
                     self.assertEqual(number, left + 1)
                     self.assertIn(word, ("shed", "fault"))
                     if word == "shed":
                         shed.append(b"%016x" % number)
-                self.later(1000, 20.0)
+                self.advance(1000, 20.0)
                 self.assertFalse(client.waits())
                 if name == "pay":
                     self.assertEqual(set(shed) & set(dropped), set())
                 for at in range(20):
                     client.send(request(100 + at, name))
-                    self.assertEqual(self.final(client, 500), (100 + at, "answer", b"did x"))
-                self.assertEqual(self.faults(), [])
-                self.end()
+                    self.assertEqual(self.final_answer(client, 500), (100 + at, "answer", b"did x"))
+                self.assertEqual(self.logged_errors(), [])
+                self.close_front_end()
 
     def test_many_at_once(self):
         """Thirty in one connection's one write, of all three classes: one answer each, in time."""
-        worker = self.made(rig.Worker(lambda _, sock, parts: parts[0] == b"invoke" and parts[3] == b"short"))
+        worker = self.close_on_cleanup(
+            rig.Worker(lambda _, sock, parts: parts[0] == b"invoke" and parts[3] == b"short")
+        )
         self.front_end(worker.address)
         client = self.client()
-        client.send(b"".join(request(at, CLASSES[at % 3], b"short", d=str(at)) for at in range(1, 31)))
+        client.send(b"".join(request(at, REQUEST_CLASSES[at % 3], b"short", d=str(at)) for at in range(1, 31)))
         answers = []
         for _ in range(50):
-            self.serving.run_once()
+            self.service.run_once()
             self.now += 1
             while client.waits():
                 answers.append(client.answer())
         self.assertEqual(sorted(number for number, _, _ in answers), list(range(1, 31)))
         self.assertLessEqual({word for _, word, _ in answers}, {"shed", "fault"})
-        self.no_more(client)
-        self.assertEqual((self.serving.coordinator.requests.by_id, self.faults()), ({}, []))
+        self.assert_no_more_answers(client)
+        self.assertEqual((self.service.coordinator.requests.by_id, self.logged_errors()), ({}, []))
 
 
 if __name__ == "__main__":
--- a/tests/test_client_connection_ends.py
+++ b/tests/test_client_connection_ends.py
@@ -58,7 +58,7 @@
 
     def there(self, client):
         """Waits until what the client did is there to be read."""
-        self.assertTrue(select.select([client.sock], [], [], rig.LONG)[0])
+        self.assertTrue(select.select([client.sock], [], [], rig.TIMEOUT)[0])
 
     def test_half_a_frame_behind_it_goes_silent(self):
         client = self.client()
@@ -177,38 +177,40 @@
         """A worker rejects an attempt in the turn in which its client's close or cancel is there, too. The worker is
         served first, so the retry is decided before that is read. How many attempts begin after that."""
         workers = [self.worker(), self.worker()]
-        serving = self.front_end(*workers)
+        front_end = self.front_end(*workers)
         client = self.idle_client()
         for number in range(2, 10):  # both have a connection
             client.send(rig.dispatch(number, rig.fields(f"{number:016x}", o=f"{number:016x}"), b"slow"))
-        self.until(lambda: len(self.held) == 8, "the call-outs")
-        while self.held:
-            sock, parts = self.held.pop()
+        self.until(lambda: len(self.held_commands) == 8, "the call-outs")
+        while self.held_commands:
+            sock, parts = self.held_commands.pop()
             sock.sendall(rig.bulk(parts[1], b"ACK", b"why=w,ahead=0", b""))
         for _ in range(8):
             self.answer(client)
         self.assertTrue(all(worker.received(b"invoke") for worker in workers))
         client.send(rig.dispatch(20, rig.fields(A), b"slow"))
-        self.until(lambda: self.held, "the call-out")
+        self.until(lambda: self.held_commands, "the call-out")
         before = sum(len(worker.received(b"invoke")) for worker in workers)
         self.now += 150
-        known = next(iter(serving.client_server.clients.values()))
+        known = next(iter(front_end.client_server.clients.values()))
         if how == "closes":
             client.close()
         elif how == "cancels":
             client.send(rig.cancel(21, 20))
         if how != "stays":
-            self.assertTrue(select.select([known.sock], [], [], rig.LONG)[0])
-        sock, parts = self.held.pop()
+            self.assertTrue(select.select([known.sock], [], [], rig.TIMEOUT)[0])
+        sock, parts = self.held_commands.pop()
         sock.sendall(rig.bulk(parts[1], b"AGAIN", b"-", b""))
         from_workers = [
-            number for number, handler in serving.loop.handlers.items() if handler.priority is event_loop.Priority.HIGH
+            number
+            for number, handler in front_end.loop.handlers.items()
+            if handler.priority is event_loop.Priority.HIGH
         ]
-        self.assertTrue(select.select(from_workers, [], [], rig.LONG)[0])
+        self.assertTrue(select.select(from_workers, [], [], rig.TIMEOUT)[0])
         if how == "stays":
-            self.until(lambda: self.held, "the retry")
+            self.until(lambda: self.held_commands, "the retry")
         else:
-            self.until(lambda: not serving.coordinator.requests.by_id, "the end of the request")
+            self.until(lambda: not front_end.coordinator.requests.by_id, "the end of the request")
         for _ in range(10):
             self.run_once()
         return sum(len(worker.received(b"invoke")) for worker in workers) - before
--- a/tests/test_client_leaving.py
+++ b/tests/test_client_leaving.py
@@ -24,14 +24,16 @@
     def test_an_unread_request_on_the_connection_to_be_evicted(self):
         """At the limit of connections, the least recently used one has just received a request, not yet read: the
         request is read, and another connection is evicted."""
-        serving = self.front_end(self.worker().address)
-        serving.client_server.connection_limit = 3
+        front_end = self.front_end(self.worker().address)
+        front_end.client_server.connection_limit = 3
         clients = [self.client() for _ in range(3)]
         for index, client in enumerate(clients):
             client.send(rig.alive(1))
             self.answer(client)
-            next(c for c in serving.client_server.clients.values() if c.number == index + 1).last_used_at = float(index)
-        readable, sent = serving.client_server.readable, []
+            next(c for c in front_end.client_server.clients.values() if c.number == index + 1).last_used_at = float(
+                index
+            )
+        readable, sent = front_end.client_server.readable, []
 
         def send_before_accept():  # after the new connection was signalled, before it is accepted
             if not sent:
@@ -39,7 +41,7 @@
                 sent.append(True)
             readable()
 
-        serving.client_server.readable = send_before_accept
+        front_end.client_server.readable = send_before_accept
         new_client = self.client()
         new_client.send(rig.alive(1))
         self.assertEqual(self.answer(clients[0]), (2, "answer", b"did a"))
@@ -48,21 +50,21 @@
 
     def test_closed_connections_are_freed_without_the_garbage_collector(self):
         """Closed connections of clients and workers are freed at once, since the garbage collector runs rarely."""
-        serving = self.front_end(self.worker().address)
+        front_end = self.front_end(self.worker().address)
         client = self.client()
         client.send(rig.dispatch(1, rig.fields(A), b"a"))
         self.answer(client)
-        upstream = serving.coordinator.workers.clients["w0"]
+        upstream = front_end.coordinator.workers.clients["w0"]
         references = [
             weakref.ref(connection)
-            for connection in (upstream.connections[0], next(iter(serving.client_server.clients.values())))
+            for connection in (upstream.connections[0], next(iter(front_end.client_server.clients.values())))
         ]
         gc.disable()
         self.addCleanup(gc.enable)
         client.close()
-        self.until(lambda: not serving.client_server.clients)
+        self.until(lambda: not front_end.client_server.clients)
         upstream.connections[0].end("idle")
-        serving.loop.timers.heap.clear()  # their timeouts, which refer to the connections
+        front_end.loop.timers.heap.clear()  # their timeouts, which refer to the connections
         self.assertEqual([reference() for reference in references], [None, None])
 
     def test_a_client_leaves_while_its_attempt_waits_for_a_connection(self):
@@ -71,13 +73,13 @@
             for how in ("cancel", "close", "reset", "close after what can't be read"):
                 with self.subTest(how=how, cancelling=cancelling):
                     full = FullListener(self)
-                    serving = self.front_end(
+                    front_end = self.front_end(
                         full.address, settings=self.settings(cancelling=cancelling, **{"dial-timeout": 60000000})
                     )
                     self.discovery_heard()
                     client = self.client()
                     client.send(rig.dispatch(1, rig.fields(A, "pay"), b"x"))
-                    upstream = serving.coordinator.workers.clients["w0"]
+                    upstream = front_end.coordinator.workers.clients["w0"]
                     self.until(lambda upstream=upstream: any(conn.pending_commands for conn in upstream.connections))
                     if how == "cancel":
                         client.send(rig.cancel(2, 1))
@@ -86,29 +88,29 @@
                     else:
                         if how != "close":
                             client.send(struct.pack(">i", -1))
-                            self.until(lambda s=serving: any(c.ending for c in s.client_server.clients.values()))
+                            self.until(lambda s=front_end: any(c.ending for c in s.client_server.clients.values()))
                             client.sock.shutdown(socket.SHUT_WR)  # a FIN, without a reset for unread data
                         else:
                             client.close()
-                    self.until(lambda s=serving: s.coordinator.counts["clients_gone"], "its leaving")
-                    serving.run_once()
-                    self.assertEqual(serving.coordinator.requests.by_id, {})
+                    self.until(lambda s=front_end: s.coordinator.counts["clients_gone"], "its leaving")
+                    front_end.run_once()
+                    self.assertEqual(front_end.coordinator.requests.by_id, {})
                     self.assertFalse(any(conn.commands_in_flight for conn in upstream.connections))
-                    self.assertEqual(self.faults(), [])
-                    self.end()
+                    self.assertEqual(self.logged_errors(), [])
+                    self.close_front_end()
 
     def test_a_drain_while_an_attempt_waits_for_a_connection(self):
         """(reported state) -> the attempt is not sent there, and another worker answers the request."""
         for state in ("DRAINING", "DELETED"):
             with self.subTest(state):
                 full, other = FullListener(self), self.worker()
-                serving = self.front_end(full.address, settings=self.settings(**{"dial-timeout": 60000000}))
+                front_end = self.front_end(full.address, settings=self.settings(**{"dial-timeout": 60000000}))
                 self.discovery_heard()
                 client = self.client()
                 client.send(rig.dispatch(1, rig.fields(A, "pay"), b"x"))
-                upstream = serving.coordinator.workers.clients["w0"]
+                upstream = front_end.coordinator.workers.clients["w0"]
                 self.until(lambda upstream=upstream: any(conn.pending_commands for conn in upstream.connections))
-                serving.coordinator.post(
+                front_end.coordinator.post(
                     EndpointsReceived(
                         [
                             rig.event(
@@ -119,41 +121,42 @@
                 )
                 self.assertEqual(self.answer(client), (1, "answer", b"did x"))
                 self.assertFalse(any(conn.commands_in_flight for conn in upstream.connections))
-                self.end()
+                self.close_front_end()
 
     def test_a_client_leaves_between_two_attempts(self):
         """The worker answers that it is full while the client closes: no second attempt once both were handled."""
-        serving = self.front_end(self.worker().address)
+        front_end = self.front_end(self.worker().address)
         client = self.client()
         client.send(rig.dispatch(1, rig.fields(A), b"slow"))
-        self.at_worker(1)
+        self.wait_for_commands(1)
         client.close()
         posted_types = []
-        post = serving.client_server.post
-        serving.client_server.post = lambda event: (posted_types.append(type(event)), post(event))
+        post = front_end.client_server.post
+        front_end.client_server.post = lambda event: (posted_types.append(type(event)), post(event))
         self.until(lambda: ClientClosed in posted_types)
-        sock, parts = self.held.pop()
+        sock, parts = self.held_commands.pop()
         with contextlib.suppress(OSError):  # the connection may have been closed with the attempt
             sock.sendall(rig.bulk(parts[1], b"AGAIN", b"-", b""))
         for _ in range(4):
-            serving.run_once()
-        self.assertEqual((self.held, serving.coordinator.requests.by_id), ([], {}))
+            front_end.run_once()
+        self.assertEqual((self.held_commands, front_end.coordinator.requests.by_id), ([], {}))
 
     def test_a_reset_before_an_answer_is_written(self):
         """A client's reset has arrived, but was not read, when its answer is written: only its connection ends."""
-        serving = self.front_end(self.worker().address)
+        front_end = self.front_end(self.worker().address)
         resetting, waiting = self.client(), self.client()
         resetting.send(rig.dispatch(1, rig.fields(A), b"slow"))
-        self.at_worker(1)
+        self.wait_for_commands(1)
         waiting.send(rig.dispatch(1, rig.fields(B), b"slow"))
-        self.at_worker(2)
+        self.wait_for_commands(2)
         reset(resetting.sock)
-        self.answer_held()
-        self.answer_held(b"second")
+        self.answer_held_command()
+        self.answer_held_command(b"second")
         self.assertEqual(self.answer(waiting), (1, "answer", b"second"))
-        self.until(lambda: len(serving.client_server.clients) == 1)
+        self.until(lambda: len(front_end.client_server.clients) == 1)
         self.assertEqual(
-            (serving.client_server.open_requests, serving.coordinator.requests.by_id, self.faults()), ({}, {}, [])
+            (front_end.client_server.open_requests, front_end.coordinator.requests.by_id, self.logged_errors()),
+            ({}, {}, []),
         )
 
     def test_an_unsent_attempt_of_an_answered_request_is_withdrawn(self):
@@ -163,7 +166,7 @@
         self.front_end(self.worker().address)
         pending = Mock(commands={"one": command}, router_id=None)
         pending.succeed.__name__ = "succeed"
-        self.serving.coordinator.requests.answer(pending, Success(b"", 1))
+        self.service.coordinator.requests.answer(pending, Success(b"", 1))
         command.worker_client.withdraw_unsent.assert_called_once_with(command)
 
 
@@ -174,15 +177,17 @@
         """The request fails at its deadline; the attempt stays in flight and is abandoned later."""
         limits = {**rig.SETTINGS["limits"], "cancelling": False}
         worker = self.worker()
-        serving = self.front_end(worker.address, settings={**rig.SETTINGS, "limits": limits})
+        front_end = self.front_end(worker.address, settings={**rig.SETTINGS, "limits": limits})
         client = self.client()
         client.send(rig.dispatch(1, rig.fields(A, "pay", d="400"), b"slow"))
         self.assertEqual(self.answer(client)[1], "fault")
-        upstream = serving.coordinator.workers.clients["w0"]
-        self.assertEqual((len(self.held), [conn.commands_in_flight for conn in upstream.connections]), (1, [1]))
+        upstream = front_end.coordinator.workers.clients["w0"]
+        self.assertEqual(
+            (len(self.held_commands), [conn.commands_in_flight for conn in upstream.connections]), (1, [1])
+        )
         self.until(lambda: not any(conn.commands_in_flight for conn in upstream.connections), "its place")
         self.assertEqual(
-            (worker.received(b"abort"), serving.coordinator.requests.by_id, upstream.connections), ([], {}, [])
+            (worker.received(b"abort"), front_end.coordinator.requests.by_id, upstream.connections), ([], {}, [])
         )
 
 
--- a/tests/test_clients_leaving_in_stops.py
+++ b/tests/test_clients_leaving_in_stops.py
@@ -26,20 +26,20 @@
         for how in WAYS_TO_LEAVE:
             with self.subTest(how=how):
                 worker = self.worker()
-                self.running(worker)
-                (client,) = self.connected()
+                self.start_front_end(worker)
+                (client,) = self.connect_clients()
                 client.send(request(1, d="3000"))
                 self.leave(client, how)
-                self.stop()
+                self.stop_process()
                 self.assert_not_sent(worker)
-                self.end()
+                self.close_front_end()
 
     def test_right_behind_a_request_on_an_open_connection(self):
         for how in WAYS_TO_LEAVE:
             with self.subTest(how=how):
                 worker = self.worker()
-                self.running(worker)
-                (client,) = self.connected()
+                self.start_front_end(worker)
+                (client,) = self.connect_clients()
                 client.send(rig.alive(1))
                 self.answer(client)
                 client.send(request(2, d="3000"))
@@ -47,17 +47,17 @@
                     client.send(rig.cancel(3, 2))
                 else:
                     self.leave(client, how)
-                self.stop()
+                self.stop_process()
                 self.assert_not_sent(worker)
-                self.end()
+                self.close_front_end()
 
     def test_behind_more_than_is_read_at_a_time(self):
         """Three requests of 16 KiB and the end of the connection, or their cancels."""
         for how in WAYS_TO_LEAVE:
             with self.subTest(how=how):
                 worker = self.worker()
-                self.running(worker)
-                (client,) = self.connected()
+                self.start_front_end(worker)
+                (client,) = self.connect_clients()
                 client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 1 << 18)
                 for number in range(1, 4):
                     client.send(request(number, d="3000", body=b"x" * (1 << 14)))
@@ -66,9 +66,9 @@
                         client.send(rig.cancel(3 + number, number))
                 if how != "cancel":
                     self.leave(client, how)
-                self.stop()
+                self.stop_process()
                 self.assert_not_sent(worker)
-                self.end()
+                self.close_front_end()
 
     def test_while_an_attempt_waits_for_its_connection(self):
         """The connection to the worker is there when the process runs again, and so is the client's leaving."""
@@ -76,21 +76,21 @@
             with self.subTest(how=how):
                 full = FullListener(self)
                 limits = {"dial-timeout": 60000000}
-                self.running(full, settings=settings(limits))
-                (client,) = self.connected()
+                self.start_front_end(full, settings=settings(limits))
+                (client,) = self.connect_clients()
                 client.send(request(1, d="4000"))
-                upstream = self.serving.coordinator.workers.clients["w0"]
+                upstream = self.service.coordinator.workers.clients["w0"]
                 self.until(
                     lambda upstream=upstream: any(each.pending_commands for each in upstream.connections), "the attempt"
                 )
                 (waiting,) = [each for each in upstream.connections if each.pending_commands]
                 self.leave(client, how)
-                self.stop()
+                self.stop_process()
                 waiting.writable()  # as it is served first, once its connect has succeeded
                 self.assertTrue(waiting.established)
                 attempts = [command for command in waiting.open_commands.values() if command.ident == b"%016x" % 1]
                 self.assertEqual(attempts, [])
-                self.end()
+                self.close_front_end()
 
 
 if __name__ == "__main__":
--- a/tests/test_clients_that_left.py
+++ b/tests/test_clients_that_left.py
@@ -23,8 +23,8 @@
     def gone(self, client, how):
         """It leaves, and 0.1 s pass."""
         self.leave(client, how)
-        self.until(lambda: self.serving.coordinator.counts["clients_gone"], "its leaving")
-        self.later(100)
+        self.until(lambda: self.service.coordinator.counts["clients_gone"], "its leaving")
+        self.advance(100)
 
     def test_a_retry(self):
         for how in ("cancel", "close", "reset"):
@@ -35,14 +35,14 @@
                         self.front_end(one.address, two.address, settings=settings({"cancelling": cancelling}))
                         client = self.client()
                         client.send(request(1, "look", b"slow"))
-                        self.at_worker(1)
+                        self.wait_for_commands(1)
                         self.gone(client, how)
-                        sock, parts = self.held.pop()
+                        sock, parts = self.held_commands.pop()
                         with contextlib.suppress(OSError):  # ended with the attempt
                             sock.sendall(rig.bulk(parts[1], word, b"-", b""))
-                        self.later(1000, 20.0)
+                        self.advance(1000, 20.0)
                         self.assertEqual(len(one.received(b"invoke") + two.received(b"invoke")), 1)
-                        self.end()
+                        self.close_front_end()
 
     def test_a_hedged_request(self):
         for how in ("cancel", "close", "reset"):
@@ -51,15 +51,15 @@
                     one, two = self.worker(), self.worker()
                     limits = {"cancelling": cancelling, "second-copies": True}
                     self.front_end(one.address, two.address, settings=settings(limits))
-                    self.hedging()
+                    self.enable_hedging()
                     client = self.client()
                     client.send(request(1, "look", b"slow"))
-                    self.at_worker(1)
+                    self.wait_for_commands(1)
                     self.gone(client, how)
-                    self.later(1000, 20.0)
+                    self.advance(1000, 20.0)
                     self.assertEqual(len(one.received(b"invoke") + two.received(b"invoke")), 1)
-                    self.held.clear()
-                    self.end()
+                    self.held_commands.clear()
+                    self.close_front_end()
 
     def test_what_waits_for_a_load(self):
         """A miss led to an order to load, and the client leaves before it ends: the request goes nowhere."""
@@ -74,21 +74,21 @@
                         return True
                     return parts[0] == b"prewarm" and (orders.append((sock, parts)), True)[1]
 
-                worker = self.made(rig.Worker(play))
+                worker = self.close_on_cleanup(rig.Worker(play))
                 self.front_end(worker.address, settings=settings(**{"family-info": family}))
                 client = self.client()
                 client.send(request(1, "look"))
-                self.until(lambda orders=orders: (self.later(1.0), orders)[1], "an order to load")
+                self.until(lambda orders=orders: (self.advance(1.0), orders)[1], "an order to load")
                 many = len(worker.received(b"invoke"))
                 self.assertFalse(client.waits())
                 self.gone(client, how)
                 worker.play = None
                 for sock, parts in orders:
                     sock.sendall(rig.bulk(parts[1], b"ACK", b"units=1", b""))
-                self.later(1000, 20.0)
+                self.advance(1000, 20.0)
                 self.settle()
                 self.assertEqual(len(worker.received(b"invoke")), many)
-                self.end()
+                self.close_front_end()
 
 
 if __name__ == "__main__":
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -343,17 +343,17 @@
                     stepped = SimpleNamespace(ms=step if when == "before" else 0.0)
                     wall = SimpleNamespace(time=lambda stepped=stepped: time.time() + stepped.ms / 1000)
                     with patch.object(service, "time", wall):
-                        source, one, two = self.made(rig.Bus()), self.worker(), self.worker()
-                        serving = self.front_end(one.address, bus=source.address)
+                        source, one, two = self.close_on_cleanup(rig.Bus()), self.worker(), self.worker()
+                        front_end = self.front_end(one.address, bus=source.address)
                         self.until(lambda source=source: source.offsets)
                         stepped.ms = step
                         started, began = int(time.time() * 1000), service.clock()
                         source.event(rig.event(2, rig.instance("w1", two.address, startedAtMs=started)))
-                        self.until(lambda serving=serving: serving.endpoints.offset == 2)
-                        born = serving.coordinator.router.workers["w1"].warming_since
+                        self.until(lambda front_end=front_end: front_end.endpoints.offset == 2)
+                        born = front_end.coordinator.router.workers["w1"].warming_since
                         self.assertGreaterEqual(born, began - 1.0)  # the stamp is cut to whole ms
                         self.assertLessEqual(born, service.clock())
-                        self.end()
+                        self.close_front_end()
 
 
 if __name__ == "__main__":
--- a/tests/test_configuration_faults.py
+++ b/tests/test_configuration_faults.py
@@ -6,7 +6,7 @@
 from unittest.mock import patch
 
 from tests import platform_rig as rig
-from tests.front_end_rig import NOWHERE, FrontEndCase
+from tests.front_end_rig import UNREACHABLE_ADDRESS, FrontEndCase
 from wickdyke.platform import configuration, service
 
 MOMENTARY = (errno.EMFILE, errno.ENFILE, errno.ENOMEM, errno.EIO, errno.ENOENT)
@@ -17,7 +17,7 @@
 
     def test_a_file_that_can_not_be_read_for_a_moment_is_read_later(self):
         """(error of open, how often) -> the new address is followed once it can be read; the log says so once."""
-        serving = self.front_end(self.worker().address)
+        front_end = self.front_end(self.worker().address)
         for number, code in enumerate(MOMENTARY):
             for times in (1, 3):
                 with self.subTest(error=errno.errorcode[code], times=times):
@@ -35,21 +35,22 @@
                         patch.object(configuration, "open", failing, create=True),
                         patch.object(service, "CONFIGURATION_RETRY_DELAY", 1.0),
                     ):
-                        serving._request_reload(1, None)
+                        front_end._request_reload(1, None)
                         self.until(
-                            lambda address=address: serving.discovery.address == configuration.address(address, "")
+                            lambda address=address: front_end.discovery.address == configuration.address(address, "")
                         )
                     said = [call.args[0] for call in self.log.warning.call_args_list]
                     self.assertEqual(said.count("configuration not read yet"), 1)
 
     def test_a_file_that_can_not_be_used_is_not_read_again(self):
-        serving = self.front_end(self.worker().address)
+        front_end = self.front_end(self.worker().address)
         with open(self.path, "w") as out:
             out.write("{")
-        serving._request_reload(1, None)
-        self.until(lambda: not serving.reload_requested)
+        front_end._request_reload(1, None)
+        self.until(lambda: not front_end.reload_requested)
         self.assertEqual(
-            (serving.reload_pending, serving.discovery.address), (False, configuration.address(NOWHERE, ""))
+            (front_end.reload_pending, front_end.discovery.address),
+            (False, configuration.address(UNREACHABLE_ADDRESS, "")),
         )
 
 
@@ -59,29 +60,29 @@
     def test_time_spent_in_the_queue_is_not_left(self):
         """A request read 1,500 ms before its turn -> its worker is told at most what its client has left by then."""
         worker = self.worker()
-        serving, client = self.front_end(worker.address), self.client()
+        front_end, client = self.front_end(worker.address), self.client()
         queued = []
-        with patch.object(serving.client_server, "post", queued.append):
+        with patch.object(front_end.client_server, "post", queued.append):
             client.send(rig.dispatch(1, rig.fields(d="4000"), b"slow"))
             self.until(lambda: queued, "the request")
         ask = queued[0].pending
         ask.received_at -= 1500.0
-        serving.coordinator.post(queued[0])
-        self.at_worker(1)
-        fields = dict(pair.split(b"=") for pair in self.held[0][1][2].split(b","))
+        front_end.coordinator.post(queued[0])
+        self.wait_for_commands(1)
+        fields = dict(pair.split(b"=") for pair in self.held_commands[0][1][2].split(b","))
         self.assertLessEqual(int(fields[b"ttl"]), 2500)
         self.assertGreater(int(fields[b"ttl"]), 1000)
 
     def test_one_whose_time_passed_in_the_queue_is_rejected(self):
         worker = self.worker()
-        serving, client = self.front_end(worker.address), self.client()
+        front_end, client = self.front_end(worker.address), self.client()
         queued = []
-        with patch.object(serving.client_server, "post", queued.append):
+        with patch.object(front_end.client_server, "post", queued.append):
             client.send(rig.dispatch(1, rig.fields(d="4000")))
             self.until(lambda: queued, "the request")
         ask = queued[0].pending
         ask.received_at -= 4000.0
-        serving.coordinator.post(queued[0])
+        front_end.coordinator.post(queued[0])
         self.assertEqual(self.answer(client)[1], "shed")
 
 
--- a/tests/test_coordinator_faults.py
+++ b/tests/test_coordinator_faults.py
@@ -20,36 +20,36 @@
 
     def test_the_router_raises_on_a_new_request(self):
         """The request is failed as a fault after its deadline."""
-        serving = self.front_end(self.worker())
+        front_end = self.front_end(self.worker())
         client = self.idle_client()
-        with patch.object(serving.coordinator.router, "request_received", side_effect=ZeroDivisionError):
+        with patch.object(front_end.coordinator.router, "request_received", side_effect=ZeroDivisionError):
             self.send(client, rig.dispatch(2, rig.fields(A), b"a"))
-            self.until(lambda: serving.coordinator.counts["faults"] == 1, "the fault")
+            self.until(lambda: front_end.coordinator.counts["faults"] == 1, "the fault")
         self.advance(1600)
         self.assertEqual(self.answer(client)[1], "fault")
-        self.assertEqual(serving.coordinator.requests.by_id, {})
+        self.assertEqual(front_end.coordinator.requests.by_id, {})
 
     def test_an_exception_before_a_request_is_admitted(self):
         """The request is rejected at once."""
-        serving = self.front_end(self.worker())
+        front_end = self.front_end(self.worker())
         client = self.idle_client()
-        serving.coordinator.requests.isolation = Mock(rejection=Mock(side_effect=ZeroDivisionError))
+        front_end.coordinator.requests.isolation = Mock(rejection=Mock(side_effect=ZeroDivisionError))
         self.send(client, rig.dispatch(2, rig.fields(A), b"a"))
         self.assertEqual(self.answer(client)[1], "shed")
         self.assertEqual(
             (
-                serving.coordinator.counts["faults"],
-                serving.coordinator.requests.by_id,
-                serving.client_server.open_requests,
+                front_end.coordinator.counts["faults"],
+                front_end.coordinator.requests.by_id,
+                front_end.client_server.open_requests,
             ),
             (1, {}, {}),
         )
 
     def test_an_exception_in_one_decision_delays_no_other(self):
         """Of three decisions in one round the first raises: the other two requests are answered."""
-        serving = self.front_end(self.worker())
+        front_end = self.front_end(self.worker())
         clients = [self.idle_client() for _ in range(3)]
-        forward, failed_requests = serving.coordinator.actions[Forward], []
+        forward, failed_requests = front_end.coordinator.actions[Forward], []
 
         def forward_after_one_failure(decision):
             if not failed_requests:
@@ -57,21 +57,21 @@
                 raise ZeroDivisionError
             forward(decision)
 
-        serving.coordinator.actions[Forward] = forward_after_one_failure
+        front_end.coordinator.actions[Forward] = forward_after_one_failure
         for number, client in enumerate(clients):
             self.send(client, rig.dispatch(2, rig.fields(f"{number:016x}"), b"a"))
-        serving.client_server.read_clients()  # so that all three are decided in one round
+        front_end.client_server.read_clients()  # so that all three are decided in one round
         for client in clients[1:]:
             self.assertEqual(self.answer(client)[1], "answer")
         self.advance(1600)
         self.assertIn(self.answer(clients[0])[1], ("shed", "fault"))
-        self.assertEqual(serving.coordinator.requests.by_id, {})
+        self.assertEqual(front_end.coordinator.requests.by_id, {})
 
     def test_an_answer_is_sent_although_withdrawing_raises(self):
         """An exception while the other attempts are withdrawn does not suppress the answer."""
-        serving = self.front_end(self.worker())
+        front_end = self.front_end(self.worker())
         client = self.idle_client()
-        with patch.object(serving.coordinator.requests, "withdraw_unsent", side_effect=ZeroDivisionError):
+        with patch.object(front_end.coordinator.requests, "withdraw_unsent", side_effect=ZeroDivisionError):
             self.send(client, rig.dispatch(2, rig.fields(A), b"a"))
             self.assertEqual(self.answer(client), (2, "answer", b"did a"))
 
--- a/tests/test_descriptor_limit.py
+++ b/tests/test_descriptor_limit.py
@@ -13,7 +13,7 @@
 from unittest.mock import Mock, patch
 
 from tests import platform_rig as rig
-from tests.front_end_rig import NOWHERE, A, wait_for
+from tests.front_end_rig import UNREACHABLE_ADDRESS, A, wait_for
 from wickdyke.platform import configuration, service
 
 
@@ -62,7 +62,7 @@
             self.addCleanup(back_again.close)
             wait_for(self, lambda: back_again.offsets)
 
-            def told():  # again and again: without a pulse the stream is left, and asked for anew
+            def send_events():  # again and again: without a pulse the stream is left, and asked for anew
                 with contextlib.suppress(OSError):
                     back_again.event(
                         rig.event(
@@ -71,7 +71,7 @@
                     )
                 return any("worker=w9" in line for line in lines)
 
-            wait_for(self, told)
+            wait_for(self, send_events)
             self.assertFalse([line for line in lines if "fault" in line])
             clients[-1].send(rig.dispatch(2, rig.fields(A), b"a"))
             self.assertEqual(clients[-1].answer(), (2, "answer", b"did a"))
@@ -82,7 +82,7 @@
         for limit in (64, 256, 544, 1024):
             with self.subTest(limit), tempfile.TemporaryDirectory() as folder:
                 path = os.path.join(folder, "config.json")
-                given = rig.config(rig.free_address(), NOWHERE)
+                given = rig.config(rig.free_address(), UNREACHABLE_ADDRESS)
                 given["limits"]["sockets"] = limit
                 with open(path, "w") as out:
                     json.dump(given, out)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -37,7 +37,7 @@
         return client
 
     def until(self, condition):
-        deadline = time.monotonic() + rig.LONG
+        deadline = time.monotonic() + rig.TIMEOUT
         while not condition():
             self.assertLess(time.monotonic(), deadline)
             self.loop.run_once(5.0, lambda: None)
--- a/tests/test_discovery_faults.py
+++ b/tests/test_discovery_faults.py
@@ -218,7 +218,7 @@
         self.loop.run_once(0.0 if is_waiting else 1.0, lambda: None)
 
     def wait_for_events(self, client, event_total=EVENT_COUNT):
-        deadline = time.monotonic() + rig.LONG
+        deadline = time.monotonic() + rig.TIMEOUT
         while len(self.recorded) < event_total:
             self.assertLess(time.monotonic(), deadline, f"events {self.recorded}, {dict(client.counts)}")
             self.run_once(client)
@@ -295,7 +295,7 @@
     def test_a_request_that_can_not_be_sent_times_out(self):
         """The connection is closed as silent after the timeout."""
         client = self.start_client(SystemCalls("send", 1, errno.EAGAIN, times=10**9))
-        deadline = time.monotonic() + rig.LONG
+        deadline = time.monotonic() + rig.TIMEOUT
         while not client.counts["silent"]:
             self.assertLess(time.monotonic(), deadline)
             if client.connected:
@@ -343,7 +343,7 @@
                 self.descriptors_before = open_descriptors()
                 calls = SystemCalls("send", nth, errno.EAGAIN, times=10**9, piece_size=PIECE_SIZE)
                 client = self.start_client(calls, f"127.0.0.1:{silent_listener.getsockname()[1]}")
-                deadline = time.monotonic() + rig.LONG
+                deadline = time.monotonic() + rig.TIMEOUT
                 while calls.count < nth:
                     self.assertLess(time.monotonic(), deadline)
                     self.run_once(client)
--- a/tests/test_discovery_lease.py
+++ b/tests/test_discovery_lease.py
@@ -5,7 +5,7 @@
 from unittest.mock import Mock, patch
 
 from tests import platform_rig as rig
-from tests.acceptance_rig import HEAD, told
+from tests.acceptance_rig import SSE_HEAD, sse_event
 from wickdyke.platform import discovery
 from wickdyke.transport import event_loop
 
@@ -83,9 +83,9 @@
         )
 
     def test_a_comment_after_the_missed_events_counts(self):
-        self.send(HEAD, lambda: self.client.response_started)
+        self.send(SSE_HEAD, lambda: self.client.response_started)
         self.now += 100
-        self.send(told(2, rig.instance("w0", "127.0.0.1:9")))
+        self.send(sse_event(2, rig.instance("w0", "127.0.0.1:9")))
         self.assertEqual((len(self.events), self.heard), (1, []))
         self.poll()
         polled_at = self.now
@@ -94,19 +94,19 @@
         self.assertEqual(self.heard, [polled_at])
 
     def test_after_that_each_event_counts(self):
-        self.send(HEAD, lambda: self.client.response_started)
+        self.send(SSE_HEAD, lambda: self.client.response_started)
         self.now += 500
         self.send(COMMENT)
         self.poll()
         count_before = len(self.heard)
         polled_at = self.now
         self.now += 300
-        self.send(told(2, rig.instance("w0", "127.0.0.1:9")))
+        self.send(sse_event(2, rig.instance("w0", "127.0.0.1:9")))
         self.assertEqual((len(self.events), self.heard[count_before:]), (1, [polled_at]))
 
     def test_a_comment_with_the_response_head_does_not_count(self):
         """Such a comment may open the stream, before the events that were missed."""
-        self.send(HEAD + COMMENT, lambda: self.client.event_parser.comment_count)
+        self.send(SSE_HEAD + COMMENT, lambda: self.client.event_parser.comment_count)
         self.assertEqual(self.heard, [])
         self.now += discovery.CATCH_UP_TIME
         self.poll()
@@ -114,7 +114,7 @@
         self.assertEqual(len(self.heard), 1)
 
     def test_a_partial_event_does_not_count(self):
-        self.send(HEAD, lambda: self.client.response_started)
+        self.send(SSE_HEAD, lambda: self.client.response_started)
         self.now += 500
         self.send(COMMENT)
         count_before = len(self.heard)
@@ -124,12 +124,12 @@
         self.assertEqual(len(self.heard), count_before)
 
     def test_a_connection_without_data_does_not_count(self):
-        self.send(HEAD, lambda: self.client.response_started)
+        self.send(SSE_HEAD, lambda: self.client.response_started)
         self.now += 5000
         self.assertEqual(self.heard, [])
 
     def test_data_that_waited_during_a_stop_counts_as_of_the_poll_before(self):
-        self.send(HEAD, lambda: self.client.response_started)
+        self.send(SSE_HEAD, lambda: self.client.response_started)
         self.now += 500
         self.send(COMMENT)
         self.poll()
@@ -140,7 +140,7 @@
         self.assertEqual(self.heard[count_before:], [polled_at])
 
     def test_data_read_in_pieces_counts_as_of_the_poll_before(self):
-        self.send(HEAD, lambda: self.client.response_started)
+        self.send(SSE_HEAD, lambda: self.client.response_started)
         self.now += 500
         self.send(COMMENT)
         self.poll()
@@ -159,14 +159,14 @@
 
     def test_sockets_are_polled_again_after_a_stop_during_a_wait(self):
         """The poll returns late without events though data has arrived; it must be read before timers run."""
-        self.send(HEAD, lambda: self.client.response_started)
+        self.send(SSE_HEAD, lambda: self.client.response_started)
         self.now += 500
         self.send(COMMENT)
         self.poll()
         polled_at = self.now
         count_before = len(self.heard)
         self.stream.send(COMMENT)
-        self.assertTrue(select.select([self.client.sock], [], [], rig.LONG)[0])
+        self.assertTrue(select.select([self.client.sock], [], [], rig.TIMEOUT)[0])
         real_epoll = self.loop.epoll
         poll_timeouts = []
 
@@ -189,7 +189,7 @@
         self.assertEqual(self.client.counts["silent"], 0)
 
     def test_disconnection_and_recovery_are_logged_once_with_durations(self):
-        self.send(HEAD, lambda: self.client.response_started)
+        self.send(SSE_HEAD, lambda: self.client.response_started)
         self.now += 500
         self.send(COMMENT)
         self.poll()
@@ -201,7 +201,7 @@
         self.now += 1000
         self.until(lambda: len(self.stream.socks) > count_before)
         self.wait_until_connected()
-        self.send(HEAD, lambda: self.client.response_started)
+        self.send(SSE_HEAD, lambda: self.client.response_started)
         self.assertFalse(self.log.info.called)
         self.now += 500
         self.send(COMMENT)
--- a/tests/test_drains_in_stops.py
+++ b/tests/test_drains_in_stops.py
@@ -11,8 +11,8 @@
 from tests import platform_rig as rig
 from tests.acceptance_rig import request, settings
 from tests.front_end_rig import FullListener, wait_for
-from tests.stopped_rig import STOP, StoppedCase
-from tests.test_busy_front_end import peeked
+from tests.stopped_rig import STOP_DURATION, StoppedCase
+from tests.test_busy_front_end import has_unread_data
 
 
 class DrainsReportedMeanwhile(StoppedCase):
@@ -21,24 +21,24 @@
     def test_an_attempt_that_waits_for_its_connection(self):
         """The connection is made, and the event is there to be read; the kernel reports the connection first."""
         full = FullListener(self)
-        bus = self.made(rig.Bus())
-        self.running(full, bus=bus.address, settings=settings({"dial-timeout": 60000000}))
+        bus = self.close_on_cleanup(rig.Bus())
+        self.start_front_end(full, bus=bus.address, settings=settings({"dial-timeout": 60000000}))
         self.until(lambda: bus.readers, "discovery")
-        (client,) = self.connected()
+        (client,) = self.connect_clients()
         client.send(request(1, d="4000"))
-        upstream = self.serving.coordinator.workers.clients["w0"]
+        upstream = self.service.coordinator.workers.clients["w0"]
         self.until(lambda: any(each.pending_commands for each in upstream.connections), "the attempt")
         (waiting,) = [each for each in upstream.connections if each.pending_commands]
         bus.event(rig.event(2, rig.instance("w0", full.address, lifecycle="DRAINING")))
-        wait_for(self, lambda: peeked(self.serving.discovery.sock))
-        self.stop()
-        self.iterate_with_events(waiting.sock, self.serving.discovery.sock)
+        wait_for(self, lambda: has_unread_data(self.service.discovery.sock))
+        self.stop_process()
+        self.iterate_with_events(waiting.sock, self.service.discovery.sock)
         self.assertEqual([command for command in waiting.open_commands.values() if command.ident == b"%016x" % 1], [])
-        self.assertEqual(self.serving.endpoints.offset, 2)
+        self.assertEqual(self.service.endpoints.offset, 2)
 
     def iterate_with_events(self, writable, readable):
         """One iteration in which the kernel reports these two sockets, in that order."""
-        loop = self.serving.loop
+        loop = self.service.loop
         events = [(writable.fileno(), select.EPOLLOUT), (readable.fileno(), select.EPOLLIN)]
         with patch.object(loop, "epoll", SimpleNamespace(**{**epoll_methods(loop), "poll": lambda *_: events})):
             loop.run_once(0.0, lambda: None)
@@ -48,44 +48,44 @@
         for ended_before in (False, True):
             with self.subTest(ended_before=ended_before):
                 worker = self.draining_worker()
-                bus = self.made(rig.Bus())
-                self.running(worker, bus=bus.address)
+                bus = self.close_on_cleanup(rig.Bus())
+                self.start_front_end(worker, bus=bus.address)
                 self.catch_up(bus)
                 if ended_before:
                     bus.close()
-                    self.until(lambda: self.serving.discovery.sock is None, "the end")
-                (client,) = self.connected()
+                    self.until(lambda: self.service.discovery.sock is None, "the end")
+                (client,) = self.connect_clients()
                 client.send(request(1, d="4000"))
                 if not ended_before:
                     bus.close()
-                self.stop()
-                self.assertEqual(self.final(client, 4000.0, settle=False)[:2], (1, "shed"))
+                self.stop_process()
+                self.assertEqual(self.final_answer(client, 4000.0, settle=False)[:2], (1, "shed"))
                 self.assertEqual(worker.received(b"invoke"), [])
-                self.end()
+                self.close_front_end()
 
     def test_a_connection_to_discovery_that_fell_silent(self):
         """No comment came in a stop of more than a second: the worker is asked first."""
         worker = self.draining_worker()
-        bus = self.made(rig.Bus())
-        self.running(worker, bus=bus.address)
+        bus = self.close_on_cleanup(rig.Bus())
+        self.start_front_end(worker, bus=bus.address)
         self.catch_up(bus)
-        (client,) = self.connected()
+        (client,) = self.connect_clients()
         client.send(request(1, d="4000"))
-        self.stop(STOP + 100.0)
-        self.assertEqual(self.final(client, 4000.0, settle=False)[:2], (1, "shed"))
+        self.stop_process(STOP_DURATION + 100.0)
+        self.assertEqual(self.final_answer(client, 4000.0, settle=False)[:2], (1, "shed"))
         self.assertEqual(worker.received(b"invoke"), [])
 
     def test_a_connection_to_discovery_that_goes_on(self):
         """The list is as good as before: the worker is sent the request."""
         worker = self.draining_worker()
-        bus = self.made(rig.Bus())
-        self.running(worker, bus=bus.address)
+        bus = self.close_on_cleanup(rig.Bus())
+        self.start_front_end(worker, bus=bus.address)
         self.catch_up(bus)
-        (client,) = self.connected()
+        (client,) = self.connect_clients()
         client.send(request(1, d="4000"))
         bus.send_raw(b": heartbeat\n\n")
-        wait_for(self, lambda: peeked(self.serving.discovery.sock))
-        self.stop(STOP + 100.0)
+        wait_for(self, lambda: has_unread_data(self.service.discovery.sock))
+        self.stop_process(STOP_DURATION + 100.0)
         self.until(lambda: worker.received(b"invoke"), "the attempt")
 
     def draining_worker(self):
@@ -96,13 +96,13 @@
                 sock.sendall(rig.bulk(parts[1], b"AGAIN", b"-", b""))
             return self.stopped
 
-        return self.made(rig.Worker(play))
+        return self.close_on_cleanup(rig.Worker(play))
 
     def catch_up(self, bus):
         """Discovery has reported all events on its present connection."""
-        discovery = self.serving.discovery
+        discovery = self.service.discovery
         self.until(lambda: bus.readers and discovery.response_started, "discovery")
-        self.later(200.0)
+        self.advance(200.0)
         bus.send_raw(b": heartbeat\n\n")
         self.until(lambda: discovery.caught_up, "the heartbeat")
         self.iterate()
@@ -110,17 +110,17 @@
     def test_more_than_is_read_of_discovery_at_a_time(self):
         """The drain is behind 200 KiB of other events: a request that came in the stop does not go to that worker."""
         worker = self.worker()
-        bus = self.made(rig.Bus())
-        self.running(worker, bus=bus.address)
+        bus = self.close_on_cleanup(rig.Bus())
+        self.start_front_end(worker, bus=bus.address)
         self.until(lambda: bus.readers, "discovery")
-        (client,) = self.connected()
+        (client,) = self.connect_clients()
         client.send(request(1, d="4000"))
         for offset in range(2, 1002):
             bus.event(rig.event(offset, rig.instance(f"x{offset}", "127.0.0.1:9", lifecycle="DRAINING")))
         bus.event(rig.event(1002, rig.instance("w0", worker.address, lifecycle="DRAINING")))
-        wait_for(self, lambda: waiting_bytes(self.serving.discovery.sock) > 1 << 15)
-        self.stop()
-        self.assertEqual(self.final(client, 4000.0, settle=False)[:2], (1, "shed"))
+        wait_for(self, lambda: waiting_bytes(self.service.discovery.sock) > 1 << 15)
+        self.stop_process()
+        self.assertEqual(self.final_answer(client, 4000.0, settle=False)[:2], (1, "shed"))
         self.assertEqual(worker.received(b"invoke"), [])
 
 
--- a/tests/test_event_loop.py
+++ b/tests/test_event_loop.py
@@ -202,7 +202,7 @@
             raise KeyError("unforeseen")
 
         loop.call_every(0.0, raise_error)
-        deadline = time.monotonic() + rig.LONG
+        deadline = time.monotonic() + rig.TIMEOUT
         while len(calls) < 3 and time.monotonic() < deadline:
             loop.run_once(1.0, lambda: None)
         self.assertEqual((len(calls), len(errors)), (3, 3))
--- a/tests/test_idle_connections.py
+++ b/tests/test_idle_connections.py
@@ -7,7 +7,7 @@
 from unittest.mock import patch
 
 from tests import platform_rig as rig
-from tests.acceptance_rig import CLASSES, SteppedClockCase, request
+from tests.acceptance_rig import REQUEST_CLASSES, SteppedClockCase, request
 from tests.front_end_rig import reset, wait_for
 from wickdyke.platform import service, worker_connection
 
@@ -38,48 +38,48 @@
             self.socks.append(sock)
             return False
 
-        return [self.made(rig.Worker(play)).address for _ in range(2)]
+        return [self.close_on_cleanup(rig.Worker(play)).address for _ in range(2)]
 
     def idle_connection(self):
         """A client, and the front end with one connection to a worker that idles."""
         self.front_end(*self.workers())
         client = self.client()
         client.send(request(1))
-        self.assertEqual(self.final(client, 500), (1, "answer", b"did x"))
+        self.assertEqual(self.final_answer(client, 500), (1, "answer", b"did x"))
         self.settle()
         return client
 
     def check(self, client, name, word, within, settle=True):
         """The next request of that class: its one final answer, and no second execution unless that is safe."""
         client.send(request(2, name, d=str(within)))
-        number, answered, _ = self.final(client, within + 50, settle)
+        number, answered, _ = self.final_answer(client, within + 50, settle)
         self.assertEqual((number, answered in word), (2, True), answered)
-        self.no_more(client)
+        self.assert_no_more_answers(client)
         executed = self.executed.count(b"%016x" % 2)
         self.assertLessEqual(executed, 1)
         self.assertEqual(executed, answered == "answer")
-        self.assertEqual(self.faults(), [])
+        self.assertEqual(self.logged_errors(), [])
 
     def test_ended_before_the_next_request(self):
         """Nothing of it went there: it is served, whatever its class."""
         for how in ("closed", "reset"):
-            for name in CLASSES:
+            for name in REQUEST_CLASSES:
                 with self.subTest(how=how, name=name):
                     client = self.idle_connection()
                     conn = next(
                         c
-                        for upstream in self.serving.coordinator.workers.clients.values()
+                        for upstream in self.service.coordinator.workers.clients.values()
                         for c in upstream.connections
                     )
                     end(self.socks[-1], how)
                     wait_for(self, lambda conn=conn: not conn.alive())
                     self.check(client, name, ("answer",), 1500)
-                    self.end()
+                    self.close_front_end()
 
     def test_ended_between_the_last_look_and_the_first_byte(self):
         """It may have run, as far as the front end can tell: only what is safe to repeat is sent again."""
         for how in ("closed", "reset"):
-            for name in CLASSES:
+            for name in REQUEST_CLASSES:
                 with self.subTest(how=how, name=name):
                     client, alive, ended = self.idle_connection(), worker_connection.WorkerConnection.alive, []
 
@@ -93,12 +93,12 @@
 
                     with patch.object(worker_connection.WorkerConnection, "alive", look):
                         client.send(request(2, name))
-                        number, answered, _ = self.final(client, 1550)
+                        number, answered, _ = self.final_answer(client, 1550)
                     self.assertEqual((number, len(ended)), (2, 1))
                     self.assertIn(answered, ("answer",) if name == "look" else ("answer", "fault"))
-                    self.no_more(client)
+                    self.assert_no_more_answers(client)
                     self.assertEqual(self.executed.count(b"%016x" % 2), answered == "answer")
-                    self.end()
+                    self.close_front_end()
 
     def test_forgotten(self):
         """The connection's state is gone at the worker's side: the next bytes meet a reset, or silence. An idempotent
@@ -118,7 +118,7 @@
                 self.how = how
                 self.forgotten += self.socks
                 self.check(client, name, word, 600, settle=how == "reset")
-                self.end()
+                self.close_front_end()
 
     def test_all_of_many_idle_connections_at_once(self):
         """Eight connections idle and all are reset as eight requests come: each its answer, none executed twice."""
@@ -127,10 +127,10 @@
         for at, client in enumerate(clients):
             client.send(request(1, ident=f"{100 + at:016x}"))
         for client in clients:
-            self.assertEqual(self.final(client, 1500)[1], "answer")
+            self.assertEqual(self.final_answer(client, 1500)[1], "answer")
         self.settle()
         conns = [
-            conn for upstream in self.serving.coordinator.workers.clients.values() for conn in upstream.connections
+            conn for upstream in self.service.coordinator.workers.clients.values() for conn in upstream.connections
         ]
         for sock in set(self.socks):
             reset(sock)
@@ -139,10 +139,10 @@
         for at, client in enumerate(clients):
             client.send(request(2, "pay", ident=f"{200 + at:016x}"))
         for client in clients:
-            self.assertEqual(self.final(client, 1500), (2, "answer", b"did x"))
+            self.assertEqual(self.final_answer(client, 1500), (2, "answer", b"did x"))
         for at in range(8):
             self.assertEqual(self.executed.count(b"%016x" % (200 + at)), 1)
-        self.assertEqual(self.faults(), [])
+        self.assertEqual(self.logged_errors(), [])
 
 
 class IdleClients(SteppedClockCase):
@@ -154,13 +154,13 @@
         self.front_end(worker.address)
         client = self.client()
         client.send(request(1, "pay", b"slow"))
-        self.at_worker(1)
+        self.wait_for_commands(1)
         client.send(struct.pack(">i", -1) + request(2, "pay"))
-        self.until(lambda: any(each.ending for each in self.serving.client_server.clients.values()))
+        self.until(lambda: any(each.ending for each in self.service.client_server.clients.values()))
         self.assertEqual(self.answer(client)[1], "exception")
         client.send(request(3, "pay"))
-        self.later(100)
-        self.answer_held()
+        self.advance(100)
+        self.answer_held_command()
         self.assertEqual(self.answer(client), (1, "answer", b"at last"))
         self.assertEqual(self.answer(client)[1], "closed")
         self.assertEqual(len(worker.received(b"invoke")), 1)
@@ -169,34 +169,34 @@
         self.front_end(self.worker().address)
         client = self.client()
         client.send(request(1))
-        self.final(client, 500)
-        self.later(180000.0, 200.0, settle=True)
+        self.final_answer(client, 500)
+        self.advance(180000.0, 200.0, settle=True)
         client.send(request(2, "pay"))
-        self.assertEqual(self.final(client, 500), (2, "answer", b"did x"))
+        self.assertEqual(self.final_answer(client, 500), (2, "answer", b"did x"))
 
     def test_crossing_the_end_of_the_grace(self):
         """Connections that rest, each with a request sent just before the listener closes: all are answered."""
-        serving = self.front_end(self.worker().address)
+        front_end = self.front_end(self.worker().address)
         clients = [self.client() for _ in range(5)]
         for client in clients:
             client.send(rig.alive(1))
             self.answer(client)
-        serving._request_shutdown(signal.SIGTERM, None)
-        self.later(service.GRACE_PERIOD - 1, settle=True)
-        shut = serving.client_server.close_listener
+        front_end._request_shutdown(signal.SIGTERM, None)
+        self.advance(service.GRACE_PERIOD - 1, settle=True)
+        shut = front_end.client_server.close_listener
 
         def crossing():
-            if not serving.client_server.listener_closed:
+            if not front_end.client_server.listener_closed:
                 for at, client in enumerate(clients):
-                    client.send(request(2, CLASSES[at % 3], ident=f"{50 + at:016x}"))
+                    client.send(request(2, REQUEST_CLASSES[at % 3], ident=f"{50 + at:016x}"))
             shut()
 
-        serving.client_server.close_listener = crossing
+        front_end.client_server.close_listener = crossing
         self.now += 2
-        serving.run_once()
+        front_end.run_once()
         for client in clients:
-            self.assertEqual(self.final(client, 1000), (2, "answer", b"did x"))
-        self.until(lambda: not serving.run_once(), "the end")
+            self.assertEqual(self.final_answer(client, 1000), (2, "answer", b"did x"))
+        self.until(lambda: not front_end.run_once(), "the end")
 
 
 if __name__ == "__main__":
--- a/tests/test_platform_service.py
+++ b/tests/test_platform_service.py
@@ -124,7 +124,7 @@
         return closeable
 
     def wait(self, condition):
-        deadline = time.monotonic() + rig.LONG
+        deadline = time.monotonic() + rig.TIMEOUT
         while not condition():
             self.assertLess(time.monotonic(), deadline)
             time.sleep(0.01)
@@ -188,7 +188,7 @@
         self.assertIsNone(self.process.poll())
         sock.sendall(rig.bulk(parts[1], b"ACK", b"-", b"at last"))
         self.assertEqual(client.answer(), (4, "answer", b"at last"))
-        self.assertEqual(self.process.wait(rig.LONG), 0)
+        self.assertEqual(self.process.wait(rig.TIMEOUT), 0)
 
     def test_a_silent_discovery_is_reconnected(self):
         bus = self.close_at_end(rig.Bus())
--- a/tests/test_platform_traffic.py
+++ b/tests/test_platform_traffic.py
@@ -40,7 +40,7 @@
         worker_state = serving.coordinator.router.workers["w0"]
 
         def until(condition):
-            deadline = time.monotonic() + rig.LONG
+            deadline = time.monotonic() + rig.TIMEOUT
             while not condition():
                 self.assertLess(time.monotonic(), deadline)
                 serving.run_once()
--- a/tests/test_process_stopped.py
+++ b/tests/test_process_stopped.py
@@ -8,8 +8,8 @@
 from tests import platform_rig as rig
 from tests.acceptance_rig import request, settings
 from tests.front_end_rig import wait_for
-from tests.stopped_rig import STOP, StoppedCase
-from tests.test_busy_front_end import peeked
+from tests.stopped_rig import STOP_DURATION, StoppedCase
+from tests.test_busy_front_end import has_unread_data
 from wickdyke.platform import client_server
 from wickdyke.platform.client_connection import SYSCALL_RETRY_DELAY
 from wickdyke.transport import event_loop
@@ -21,90 +21,92 @@
     """Connections that clients make while the process is stopped, or shortly before."""
 
     def assert_reduced(self, worker, count, deadline, stopped):
-        for time_left in self.times_passed_on(worker, count):
+        for time_left in self.time_left_values(worker, count):
             self.assertLessEqual(time_left, deadline - stopped + DEADLINE_SLACK)
 
     def test_one_alone(self):
         worker = self.worker()
-        self.running(worker)
-        (client,) = self.connected()
+        self.start_front_end(worker)
+        (client,) = self.connect_clients()
         client.send(request(1, d="1500"))
-        self.stop()
-        self.assert_reduced(worker, 1, 1500, STOP)
+        self.stop_process()
+        self.assert_reduced(worker, 1, 1500, STOP_DURATION)
 
     def test_more_than_one_iteration_accepts(self):
         worker = self.worker()
         count = 2 * client_server.ACCEPTS_PER_EVENT + 1
-        self.running(worker, limits={"cores": 1.0, "memory_mb": 64, "sockets": 1024}, settings=settings(instances=1))
-        clients = self.connected(count)
+        self.start_front_end(
+            worker, limits={"cores": 1.0, "memory_mb": 64, "sockets": 1024}, settings=settings(instances=1)
+        )
+        clients = self.connect_clients(count)
         for number, client in enumerate(clients):
             client.send(request(1, d="3000", ident=f"{number:016x}"))
-        self.stop()
-        self.until_later(lambda: all(client.waits() for client in clients), "the answers")
+        self.stop_process()
+        self.advance_until(lambda: all(client.waits() for client in clients), "the answers")
         self.assertGreater(len(worker.received(b"invoke")), count // 2)
-        self.assert_reduced(worker, 1, 3000, STOP)
+        self.assert_reduced(worker, 1, 3000, STOP_DURATION)
 
     def test_one_whose_time_is_up_is_rejected_at_once(self):
         worker = self.worker()
-        self.running(worker)
-        (client,) = self.connected()
+        self.start_front_end(worker)
+        (client,) = self.connect_clients()
         client.send(request(1, d="600"))
-        self.stop()
+        self.stop_process()
         self.assertEqual(self.answer(client)[:2], (1, "shed"))
         self.assert_not_sent(worker)
 
     def test_accepted_before_the_stop_and_not_read(self):
         worker = self.worker()
-        self.running(worker)
-        (client,) = self.connected()
-        self.until(lambda: self.serving.client_server.clients, "the connection")
+        self.start_front_end(worker)
+        (client,) = self.connect_clients()
+        self.until(lambda: self.service.client_server.clients, "the connection")
         client.send(request(1, d="1500"))
-        self.stop(400.0)
+        self.stop_process(400.0)
         self.assert_reduced(worker, 1, 1500, 400.0)
 
     def test_stops_in_series_add_up(self):
         """Stopped after the accept as well as before it, each time for less than what counts alone."""
         worker = self.worker()
-        self.running(worker)
-        (client,) = self.connected()
+        self.start_front_end(worker)
+        (client,) = self.connect_clients()
         client.send(request(1, d="1500"))
         with patch.object(event_loop, "TIME_SLICE", -1.0):  # one client or listener is served in an iteration
-            others = self.connected(8)
+            others = self.connect_clients(8)
             for other in others:
                 other.send(rig.alive(1))
             for _ in range(10):
-                self.stop(50.0)
-                self.serving.run_once()
+                self.stop_process(50.0)
+                self.service.run_once()
         self.assert_reduced(worker, 1, 1500, 100.0)
-        (known,) = [each for each in self.serving.client_server.clients.values() if each.last_request_number]
+        (known,) = [each for each in self.service.client_server.clients.values() if each.last_request_number]
         self.assertLessEqual(known.received_at, self.now - 400.0)
 
     def test_one_that_asks_later_has_all_its_time(self):
         """(connected in a stop, or before it): what the connection waited for its first request counts for nothing."""
-        for stopped in (0.0, STOP):
+        for stopped in (0.0, STOP_DURATION):
             with self.subTest(stopped=stopped):
                 worker = self.worker()
-                self.running(worker)
-                (client,) = self.connected()
-                self.stop(stopped)
+                self.start_front_end(worker)
+                (client,) = self.connect_clients()
+                self.stop_process(stopped)
                 self.iterate(5)
-                self.later(400.0)
+                self.advance(400.0)
                 client.send(request(1, d="1500"))
-                (time_left,) = self.times_passed_on(worker, 1)
+                (time_left,) = self.time_left_values(worker, 1)
                 self.assertGreater(time_left, 1450)
-                self.end()
+                self.close_front_end()
 
     def test_those_that_connect_after_a_crowd_have_all_their_time(self):
         """The backlog is empty again, so that a later connection is no older than the last iteration."""
         worker = self.worker()
-        self.running(worker)
-        self.connected(10)
-        self.stop()
+        self.start_front_end(worker)
+        self.connect_clients(10)
+        self.stop_process()
         self.iterate(5)
-        self.later(400.0)
-        (client,) = self.connected()
+        self.advance(400.0)
+        (client,) = self.connect_clients()
         client.send(request(1, d="1500"))
-        (time_left,) = self.times_passed_on(worker, 1)
+        (time_left,) = self.time_left_values(worker, 1)
         self.assertGreater(time_left, 1450)
 
 
@@ -112,22 +114,22 @@
     """Connections that could not be accepted or watched as they came: their requests waited all the same."""
 
     def assert_reduced(self, worker, waited):
-        (time_left,) = self.times_passed_on(worker, 1)
+        (time_left,) = self.time_left_values(worker, 1)
         self.assertLessEqual(time_left, 3000 - waited + DEADLINE_SLACK)
 
     def test_accepts_paused_for_want_of_descriptors(self):
         worker = self.worker()
-        self.running(worker)
-        (client,) = self.connected()
+        self.start_front_end(worker)
+        (client,) = self.connect_clients()
         client.send(request(1, d="3000"))
-        server = self.serving.client_server
+        server = self.service.client_server
         with self.failing(server, "sock", "accept", OSError(errno.ENFILE, "Too many open files in system")):
             self.until(lambda: server.accept_paused, "the pause")
-            self.stop(SYSCALL_RETRY_DELAY - 1)
+            self.stop_process(SYSCALL_RETRY_DELAY - 1)
             self.iterate()
         waited = SYSCALL_RETRY_DELAY - 1
         while not server.clients:
-            self.stop(100.0)
+            self.stop_process(100.0)
             waited += 100.0
             self.iterate(1)
         self.assert_reduced(worker, waited)
@@ -151,9 +153,9 @@
 
     def test_a_connection_that_the_kernel_does_not_watch(self):
         worker = self.worker()
-        self.running(worker)
-        (client,) = self.connected()
-        loop = self.serving.loop
+        self.start_front_end(worker)
+        (client,) = self.connect_clients()
+        loop = self.service.loop
         real = loop.add
 
         def add(sock, handler, write=False):
@@ -162,22 +164,22 @@
             real(sock, handler, write)
 
         with patch.object(loop, "add", add):
-            self.until(lambda: self.serving.client_server.clients, "the connection")
+            self.until(lambda: self.service.client_server.clients, "the connection")
             client.send(request(1, d="3000"))
-            (known,) = self.serving.client_server.clients.values()
-            wait_for(self, lambda: peeked(known.sock))
-            self.stop()
-            self.assert_reduced(worker, STOP)
+            (known,) = self.service.client_server.clients.values()
+            wait_for(self, lambda: has_unread_data(known.sock))
+            self.stop_process()
+            self.assert_reduced(worker, STOP_DURATION)
 
     def test_a_listener_that_the_kernel_does_not_watch(self):
         worker = self.worker()
         with patch.object(event_loop.EventLoop, "add", self.add_no_listener(event_loop.EventLoop.add)):
-            self.running(worker)
-            self.later(5 * SYSCALL_RETRY_DELAY)
-            (client,) = self.connected()
+            self.start_front_end(worker)
+            self.advance(5 * SYSCALL_RETRY_DELAY)
+            (client,) = self.connect_clients()
             client.send(request(1, d="3000"))
-            self.stop()
-            self.assert_reduced(worker, STOP)
+            self.stop_process()
+            self.assert_reduced(worker, STOP_DURATION)
 
     def add_no_listener(self, real):
         def add(loop, sock, handler, write=False):
@@ -189,25 +191,25 @@
 
     def test_the_backlog_as_the_listener_is_closed(self):
         worker = self.worker()
-        self.running(worker)
-        (client,) = self.connected()
+        self.start_front_end(worker)
+        (client,) = self.connect_clients()
         client.send(request(1, d="3000"))
-        self.stop()
-        self.serving.client_server.close_listener()
-        self.serving.client_server.read_clients()
-        self.assert_reduced(worker, STOP)
+        self.stop_process()
+        self.service.client_server.close_listener()
+        self.service.client_server.read_clients()
+        self.assert_reduced(worker, STOP_DURATION)
 
     def test_those_that_make_room(self):
         """All places are taken: the one that is to go is read once more, and its request is as old as the stop."""
         worker = self.worker()
-        self.running(worker)
-        self.serving.client_server.connection_limit = 1
-        (first,) = self.connected()
-        self.until(lambda: self.serving.client_server.clients, "the connection")
+        self.start_front_end(worker)
+        self.service.client_server.connection_limit = 1
+        (first,) = self.connect_clients()
+        self.until(lambda: self.service.client_server.clients, "the connection")
         first.send(request(1, d="3000"))
-        self.connected()
-        self.stop()
-        self.assert_reduced(worker, STOP)
+        self.connect_clients()
+        self.stop_process()
+        self.assert_reduced(worker, STOP_DURATION)
 
 
 if __name__ == "__main__":
--- a/tests/test_service_shutdown_races.py
+++ b/tests/test_service_shutdown_races.py
@@ -17,16 +17,16 @@
 
     def test_in_flight_half_read_and_in_the_backlog(self):
         """SIGTERM: all that was taken is answered, also by a connection the program has not looked at yet."""
-        serving = self.front_end(self.worker().address)
+        front_end = self.front_end(self.worker().address)
         flying, half = self.client(), self.client()
         flying.send(rig.dispatch(1, rig.fields(A), b"slow"))
         whole = rig.dispatch(1, rig.fields(B), b"b")
         half.send(whole[:25])
-        self.at_worker(1)
+        self.wait_for_commands(1)
         self.until(
-            lambda: any(client.frame_parser.has_partial_frame for client in serving.client_server.clients.values())
+            lambda: any(client.frame_parser.has_partial_frame for client in front_end.client_server.clients.values())
         )
-        shut, waiting = serving.client_server.close_listener, []
+        shut, waiting = front_end.client_server.close_listener, []
 
         def just_before():  # taken by the kernel, and not by the program, as the door is shut
             if not waiting:
@@ -34,28 +34,30 @@
                 waiting[0].send(rig.dispatch(1, rig.fields(C), b"c"))
             shut()
 
-        serving.client_server.close_listener = just_before
-        serving._request_shutdown(signal.SIGTERM, None)
-        serving.shutdown_requested_at -= service.GRACE_PERIOD  # it is long ago: the door is shut in the next iteration
-        self.assertTrue(serving.run_once())
-        self.assertTrue(serving.client_server.listener_closed)
+        front_end.client_server.close_listener = just_before
+        front_end._request_shutdown(signal.SIGTERM, None)
+        front_end.shutdown_requested_at -= (
+            service.GRACE_PERIOD
+        )  # it is long ago: the door is shut in the next iteration
+        self.assertTrue(front_end.run_once())
+        self.assertTrue(front_end.client_server.listener_closed)
         half.send(whole[25:])
         self.assertEqual(self.answer(waiting[0]), (1, "answer", b"did c"))
         self.assertEqual(self.answer(half), (1, "answer", b"did b"))
-        self.assertTrue(serving.run_once())
-        self.answer_held()
+        self.assertTrue(front_end.run_once())
+        self.answer_held_command()
         self.assertEqual(self.answer(flying), (1, "answer", b"at last"))
-        self.until(lambda: not serving.run_once(), "the end")
+        self.until(lambda: not front_end.run_once(), "the end")
 
     def test_a_request_between_the_last_look_and_the_end(self):
         """It has been taken: it is read, and answered, before the program ends."""
-        serving = self.front_end(self.worker().address)
+        front_end = self.front_end(self.worker().address)
         client = self.client()
         client.send(rig.alive(1))
         self.answer(client)
-        serving._request_shutdown(signal.SIGTERM, None)
-        serving.shutdown_requested_at -= service.GRACE_PERIOD
-        flushed, sent = serving.client_server.all_answers_sent, []
+        front_end._request_shutdown(signal.SIGTERM, None)
+        front_end.shutdown_requested_at -= service.GRACE_PERIOD
+        flushed, sent = front_end.client_server.all_answers_sent, []
 
         def look():
             found = flushed()
@@ -64,21 +66,21 @@
                 sent.append(True)
             return found
 
-        serving.client_server.all_answers_sent = look
-        self.assertTrue(serving.run_once())
+        front_end.client_server.all_answers_sent = look
+        self.assertTrue(front_end.run_once())
         self.assertEqual(self.answer(client), (2, "answer", b"did a"))
-        self.until(lambda: not serving.run_once(), "the end")
+        self.until(lambda: not front_end.run_once(), "the end")
 
     def test_the_time_counts_from_the_signal(self):
         """Also of one that comes in a signal's own turn, or before the front end serves: alive says no."""
         self.front_end()
         before = event_loop.clock()
         for handler in (signal.SIGTERM, signal.SIGINT):
-            self.serving._request_shutdown(handler, None)
-        self.assertTrue(before <= self.serving.shutdown_requested_at <= event_loop.clock())
-        first = self.serving.shutdown_requested_at
-        self.serving._request_shutdown(signal.SIGTERM, None)
-        self.assertEqual(self.serving.shutdown_requested_at, first)
+            self.service._request_shutdown(handler, None)
+        self.assertTrue(before <= self.service.shutdown_requested_at <= event_loop.clock())
+        first = self.service.shutdown_requested_at
+        self.service._request_shutdown(signal.SIGTERM, None)
+        self.assertEqual(self.service.shutdown_requested_at, first)
         client = self.client()
         client.send(rig.alive(1))
         self.assertEqual(self.answer(client), (1, "bad", b""))
@@ -92,13 +94,13 @@
                 super().__init__(family, *args, **more)
 
         with patch.object(socket, "socket", Noted):
-            serving = self.front_end(self.worker().address)
-            serving.handle_signals()
+            front_end = self.front_end(self.worker().address)
+            front_end.handle_signals()
             for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
                 self.addCleanup(signal.signal, number, signal.SIG_DFL)
             os.kill(os.getpid(), signal.SIGTERM)
-            serving.run_once()
-        self.assertTrue(serving.stopping)
+            front_end.run_once()
+        self.assertTrue(front_end.stopping)
         self.assertEqual(set(families), {socket.AF_INET})
 
 
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -32,7 +32,7 @@
 
     def plays(self, longest, step=5.0):
         """Requests to a worker that hangs, at many moments after SIGTERM: each has its final answer before SIGKILL."""
-        serving = self.front_end(self.worker(), settings=with_deadline(longest))
+        front_end = self.front_end(self.worker(), settings=with_deadline(longest))
         kill = min(longest, KILL_DEADLINE) + KILL_AFTER
         moments = [0, 200, 599, 601, 699, 701, 749, 751, kill - 120, kill - 80, kill - 60, kill - 20]
         moments = sorted({moment for moment in moments if moment < kill})
@@ -40,23 +40,23 @@
         clients[0].send(rig.dispatch(2, rig.fields("e" * 16, d="3000"), b"loads it"))
         self.assertEqual(self.answer(clients[0]), (2, "answer", b"did loads it"))
         clients[0].send(rig.dispatch(3, rig.fields("f" * 16, d="1500"), b"slow"))
-        self.until(lambda: len(self.held) == 1, "the call-out")
+        self.until(lambda: len(self.held_commands) == 1, "the call-out")
         self.terminate()
         sent, answers, at = [clients.pop(0)], {}, 0.0
-        while at < kill and not self.over:
+        while at < kill and not self.has_ended:
             if moments and at >= moments[0]:
                 moments.pop(0)
-                client, before = clients.pop(0), serving.client_server.read_count
+                client, before = clients.pop(0), front_end.client_server.read_count
                 self.send(client, rig.dispatch(2, rig.fields(f"{len(sent):016x}", d=str(longest)), b"slow"))
                 sent.append(client)
-                self.until(lambda before=before: serving.client_server.read_count > before, "the read")
+                self.until(lambda before=before: front_end.client_server.read_count > before, "the read")
             self.run_once()
             at += step
-            self.now = self.terminated + at
+            self.now = self.terminated_at + at
         for number, client in enumerate(sent):
             answers[number] = client.answer()[1] if client.waits() else "nothing"
         self.assertEqual({number: word for number, word in answers.items() if word not in FINAL}, {})
-        self.assertTrue(self.over, "alive as SIGKILL may come")
+        self.assertTrue(self.has_ended, "alive as SIGKILL may come")
         for client in clients:  # idle until the end
             self.assertEqual(client.answer()[1], "closed")
 
@@ -75,29 +75,29 @@
 
     def test_too_late_for_a_worker_it_is_rejected_at_once_and_not_forwarded(self):
         worker = self.worker()
-        serving = self.front_end(worker, settings=with_deadline(300))
+        front_end = self.front_end(worker, settings=with_deadline(300))
         first, second = self.idle_client(), self.idle_client()
         first.send(rig.dispatch(2, rig.fields(A, d="300"), b"slow"))
-        self.until(lambda: len(self.held) == 1, "the call-out")
+        self.until(lambda: len(self.held_commands) == 1, "the call-out")
         self.terminate()
         self.now += 300 + KILL_AFTER - MARGIN - 10
-        serving.shutdown_requested_at = self.now - (300 + KILL_AFTER - MARGIN - 10)
+        front_end.shutdown_requested_at = self.now - (300 + KILL_AFTER - MARGIN - 10)
         self.send(second, rig.dispatch(2, rig.fields(B, d="300"), b"b"))
         self.assertEqual(self.answer(second)[1], "shed")
         self.assertEqual(len(worker.received(b"invoke")), 1)
 
     def test_waits_no_longer_than_to_the_next_step(self):
         patch.object(service, "MAX_WAIT", 100.0).start()
-        serving = self.front_end(settings=with_deadline(100))
+        front_end = self.front_end(settings=with_deadline(100))
         waits = []
-        self.until(serving.coordinator.events.empty, "the list")
+        self.until(front_end.coordinator.events.empty, "the list")
         never = Mock(return_value=float("inf"))
-        patch.object(serving.coordinator, "next_deadline", never).start()
-        patch.object(serving.loop, "next_deadline", never).start()
-        with patch.object(serving.loop, "run_once", lambda wait, between, now: waits.append(wait)):
+        patch.object(front_end.coordinator, "next_deadline", never).start()
+        patch.object(front_end.loop, "next_deadline", never).start()
+        with patch.object(front_end.loop, "run_once", lambda wait, between, now: waits.append(wait)):
             self.terminate()
             self.now += 100 + KILL_AFTER - MARGIN - 3
-            serving.run_once()
+            front_end.run_once()
         self.assertLessEqual(waits[0], 3.01)
 
     def test_twice(self):
@@ -106,17 +106,17 @@
         self.terminate()
         self.run_once()
         self.now += service.GRACE_PERIOD - 1
-        self.serving._request_shutdown(signal.SIGTERM, None)
+        self.service._request_shutdown(signal.SIGTERM, None)
         self.send(client, rig.dispatch(2, rig.fields(A), b"a"))
         self.assertEqual(self.answer(client), (2, "answer", b"did a"))
         self.now += 1
-        self.until(lambda: self.over, "the end")
+        self.until(lambda: self.has_ended, "the end")
         self.assertEqual(client.answer()[1], "closed")
 
     def test_before_it_is_ready(self):
-        serving = self.front_end(self.worker(), opened=False)
+        front_end = self.front_end(self.worker(), opened=False)
         self.terminate()
-        serving.open()
+        front_end.open()
         client, other = self.client(), self.client()
         client.send(rig.alive(1))
         self.assertEqual(self.answer(client), (1, "bad", b""))
@@ -125,7 +125,7 @@
         other.send(rig.dispatch(1, rig.fields(B), b"b"))
         self.assertEqual(self.answer(other), (1, "answer", b"did b"))
         self.now += service.GRACE_PERIOD
-        self.until(lambda: self.over, "the end")
+        self.until(lambda: self.has_ended, "the end")
 
 
 class Listener(TimedFrontEndCase):
@@ -140,58 +140,60 @@
         client.send(rig.dispatch(1, rig.fields(A), b"a"))
         self.now += 1
         self.assertEqual(self.answer(client), (1, "answer", b"did a"))
-        self.until(lambda: self.over, "the end")
+        self.until(lambda: self.has_ended, "the end")
 
     def test_one_taken_as_it_closes_brings_its_request_later(self):
-        serving = self.front_end(self.worker())
+        front_end = self.front_end(self.worker())
         self.terminate()
         self.run_once()
         client = self.client()
         self.now += service.GRACE_PERIOD
-        self.until(lambda: serving.client_server.listener_closed, "the close")
+        self.until(lambda: front_end.client_server.listener_closed, "the close")
         self.run_once()
-        self.assertFalse(self.over)
+        self.assertFalse(self.has_ended)
         client.send(rig.dispatch(1, rig.fields(A), b"a"))
         self.assertEqual(self.answer(client), (1, "answer", b"did a"))
-        self.until(lambda: self.over, "the end")
+        self.until(lambda: self.has_ended, "the end")
 
     def test_one_that_never_asks_is_not_waited_for_long(self):
-        serving = self.front_end()
+        front_end = self.front_end()
         self.terminate()
         self.run_once()
         client = self.client()
         self.now += service.GRACE_PERIOD
-        self.until(lambda: serving.client_server.listener_closed, "the close")
+        self.until(lambda: front_end.client_server.listener_closed, "the close")
         self.now += client_server.NEW_CONNECTION_TIME
-        self.until(lambda: self.over, "the end")
+        self.until(lambda: self.has_ended, "the end")
         self.assertEqual(client.answer()[1], "closed")
 
     def test_half_a_request_is_waited_for(self):
-        serving = self.front_end(self.worker())
+        front_end = self.front_end(self.worker())
         client = self.idle_client()
         self.terminate()
         self.now += service.GRACE_PERIOD
         whole = rig.dispatch(2, rig.fields(A), b"a")
         self.send(client, whole[:30])
-        self.until(lambda: any(each.frame_parser.has_partial_frame for each in serving.client_server.clients.values()))
+        self.until(
+            lambda: any(each.frame_parser.has_partial_frame for each in front_end.client_server.clients.values())
+        )
         self.run_once()
-        self.assertFalse(self.over)
+        self.assertFalse(self.has_ended)
         client.send(whole[30:])
         self.assertEqual(self.answer(client), (2, "answer", b"did a"))
-        self.until(lambda: self.over, "the end")
+        self.until(lambda: self.has_ended, "the end")
 
     def test_a_connection_that_can_not_be_taken_for_a_moment(self):
         """accept fails as the listener is to close: what waits there is taken later, not reset."""
         for number in (errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EMFILE, errno.ECONNABORTED):
             with self.subTest(errno.errorcode[number]):
-                self.over = False
-                serving = self.front_end(self.worker())
+                self.has_ended = False
+                front_end = self.front_end(self.worker())
                 self.discovery_heard()
                 self.terminate()
                 self.run_once()
                 self.now += service.GRACE_PERIOD
                 self.discovery_heard()  # after the jump of the clock, which passes for a stop without discovery
-                client, real, mended = self.client(), serving.client_server.sock, self.now + 50
+                client, real, mended = self.client(), front_end.client_server.sock, self.now + 50
                 client.send(rig.dispatch(1, rig.fields(A), b"a"))
 
                 def accept(real=real, mended=mended, number=number):
@@ -199,13 +201,13 @@
                         raise OSError(number, os.strerror(number))
                     return real.accept()
 
-                serving.client_server.sock = Mock(wraps=real, accept=accept)
+                front_end.client_server.sock = Mock(wraps=real, accept=accept)
                 for _ in range(5):
                     self.run_once()
                     self.now += 20
                 self.assertEqual(self.answer(client), (1, "answer", b"did a"))
-                self.until(lambda: self.over, "the end")
-                self.end()
+                self.until(lambda: self.has_ended, "the end")
+                self.close_front_end()
 
 
 class LastLook(TimedFrontEndCase):
@@ -213,9 +215,9 @@
 
     def test_a_request_just_before_idle_connections_are_closed(self):
         """It crosses the end after all was looked at: it is read before its connection is closed, and answered."""
-        serving = self.front_end(self.worker())
+        front_end = self.front_end(self.worker())
         client, idle = self.idle_client(), self.idle_client()
-        read_clients, sent = serving.client_server.read_clients, []
+        read_clients, sent = front_end.client_server.read_clients, []
 
         def look():
             found = read_clients()
@@ -224,22 +226,22 @@
                 self.send(client, rig.dispatch(2, rig.fields(A), b"a"))
             return found
 
-        serving.client_server.read_clients = look
+        front_end.client_server.read_clients = look
         self.terminate()
         self.now += service.GRACE_PERIOD
         self.until(lambda: sent, "the last look")
         self.assertEqual(self.answer(client), (2, "answer", b"did a"))
-        self.until(lambda: self.over, "the end")
+        self.until(lambda: self.has_ended, "the end")
         self.assertEqual(idle.answer()[1], "closed")
 
     def test_connections_are_closed_by_the_end_of_the_last_turn(self):
         """Not as the process has gone: until then the kernel would acknowledge requests that nobody reads."""
-        serving = self.front_end(self.worker())
+        front_end = self.front_end(self.worker())
         clients = [self.idle_client() for _ in range(3)]
         self.terminate()
         self.now += service.GRACE_PERIOD
-        self.until(lambda: self.over, "the end")
-        self.assertEqual(serving.client_server.clients, {})
+        self.until(lambda: self.has_ended, "the end")
+        self.assertEqual(front_end.client_server.clients, {})
         self.assertEqual([client.answer()[1] for client in clients], ["closed"] * 3)
 
     def test_a_worker_that_hangs_where_nothing_may_be_cancelled(self):
@@ -252,11 +254,11 @@
         self.now += 699
         self.run_once()  # what comes after a poll has not waited unread
         self.send(client, rig.dispatch(2, rig.fields(A, "pay", d="300", k="k1"), b"slow"))
-        self.until(lambda: self.held, "the call-out")
-        while self.now < self.terminated + 300 + KILL_AFTER and not self.over:
+        self.until(lambda: self.held_commands, "the call-out")
+        while self.now < self.terminated_at + 300 + KILL_AFTER and not self.has_ended:
             self.run_once()
             self.now += 5
-        self.assertTrue(self.over)
+        self.assertTrue(self.has_ended)
         self.assertIn(client.answer()[1], FINAL)
 
 
--- a/tests/test_work_held_back.py
+++ b/tests/test_work_held_back.py
@@ -25,11 +25,11 @@
         """The attempt ends as unsent."""
         full = FullListener(self)
         settings = {**rig.SETTINGS, "limits": {**rig.SETTINGS["limits"], "dial-timeout": 60000000}}
-        serving = self.front_end(full.address, settings=settings)
-        serving.coordinator.post(DiscoveryHeard(self.now))
+        front_end = self.front_end(full.address, settings=settings)
+        front_end.coordinator.post(DiscoveryHeard(self.now))
         client = self.client()
         client.send(request(1, d="4000"))
-        upstream = serving.coordinator.workers.clients["w0"]
+        upstream = front_end.coordinator.workers.clients["w0"]
         self.until(lambda: any(connection.pending_commands for connection in upstream.connections))
         (waiting,) = [connection for connection in upstream.connections if connection.pending_commands]
         self.now += OUTAGE_NOTICE_DELAY + STOP_SENDING_WITHIN
@@ -47,7 +47,7 @@
             command for connection in upstream.all_connections() for command in connection.open_commands.values()
         ]
         self.assertEqual([command for command in in_flight if command.kind == CommandKind.ATTEMPT], [])
-        self.until(lambda: serving.coordinator.counts["attempts_unsent"], "the end of the attempt")
+        self.until(lambda: front_end.coordinator.counts["attempts_unsent"], "the end of the attempt")
 
 
 class SilentDiscovery(SteppedClockCase):
@@ -55,17 +55,17 @@
 
     def silent_worker(self):
         """A worker that answers no health check."""
-        return self.made(rig.Worker(lambda worker, sock, parts: parts[0] == b"gauges"))
+        return self.close_on_cleanup(rig.Worker(lambda worker, sock, parts: parts[0] == b"gauges"))
 
     def test_requests_are_rejected_in_time_with_the_reason(self):
         """A request is rejected before its deadline, counted under the reason, and no attempt is sent."""
         worker = self.silent_worker()
-        serving = self.front_end(worker.address)
+        front_end = self.front_end(worker.address)
         client = self.client()
         client.send(request(1))
-        number, word, _ = self.final(client, 1500, settle=False)
+        number, word, _ = self.final_answer(client, 1500, settle=False)
         self.assertEqual((number, word), (1, "shed"))
-        self.assertEqual(serving.coordinator.counts["rejected_discovery-lost"], 1)
+        self.assertEqual(front_end.coordinator.counts["rejected_discovery-lost"], 1)
         self.assertEqual(worker.received(b"invoke"), [])
 
     def test_a_worker_that_reports_that_it_is_not_ready_gets_no_commands(self):
@@ -77,21 +77,21 @@
             sock.sendall(rig.bulk(parts[1], b"AILING", b"-", b""))
             return True
 
-        not_ready = [self.made(rig.Worker(draining)) for _ in range(3)]
-        serving = self.front_end(*(worker.address for worker in not_ready))
+        not_ready = [self.close_on_cleanup(rig.Worker(draining)) for _ in range(3)]
+        front_end = self.front_end(*(worker.address for worker in not_ready))
         client = self.client()
         client.send(request(1))
-        self.assertEqual(self.final(client, 1500)[:2], (1, "shed"))
-        self.assertEqual(serving.coordinator.counts["health_checks_not-ready"], 3)
+        self.assertEqual(self.final_answer(client, 1500)[:2], (1, "shed"))
+        self.assertEqual(front_end.coordinator.counts["health_checks_not-ready"], 3)
         ready = self.worker()
-        serving.coordinator.post(EndpointsReceived([rig.event(2, rig.instance("w9", ready.address))]))
+        front_end.coordinator.post(EndpointsReceived([rig.event(2, rig.instance("w9", ready.address))]))
         for number in range(2, 9):
             client.send(request(number))
-            self.assertEqual(self.final(client, 1500), (number, "answer", b"did x"))
+            self.assertEqual(self.final_answer(client, 1500), (number, "answer", b"did x"))
         self.assertEqual(
             [worker.received(b"invoke") + worker.received(b"prewarm") for worker in not_ready], [[], [], []]
         )
-        self.assertEqual(self.faults(), [])
+        self.assertEqual(self.logged_errors(), [])
 
 
 class ProcessesBehindConnections(LoopCase):
--- a/tests/timed_rig.py
+++ b/tests/timed_rig.py
@@ -22,7 +22,7 @@
 )
 from wickdyke.transport import event_loop
 
-NOWHERE = "127.0.0.1:1"
+UNREACHABLE_ADDRESS = "127.0.0.1:1"
 
 
 class TimedFrontEndCase(FrontEndCase):
@@ -47,25 +47,25 @@
         ):
             patch.object(module, "clock", lambda: self.now).start()
         patch.object(service, "MAX_WAIT", 5.0).start()
-        self.over = False
+        self.has_ended = False
 
     def front_end(self, *workers, opened=True, **more):
         instances = (rig.instance(f"w{number}", worker.address) for number, worker in enumerate(workers))
         with open(self.path, "w") as out:
-            json.dump(rig.config(self.listen, NOWHERE, *instances, **more), out)
+            json.dump(rig.config(self.listen, UNREACHABLE_ADDRESS, *instances, **more), out)
         self.log = Mock()
-        self.serving = service.Service(configuration.read(self.path), self.path, self.log)
-        self.addCleanup(self.end)
+        self.service = service.Service(configuration.read(self.path), self.path, self.log)
+        self.addCleanup(self.close_front_end)
         if opened:
-            self.serving.open()
-        return self.serving
+            self.service.open()
+        return self.service
 
     def run_once(self):
-        if not self.over:
-            self.over = not self.serving.run_once()
+        if not self.has_ended:
+            self.has_ended = not self.service.run_once()
 
     def until(self, done, what="it"):
-        for _ in range(int(rig.LONG * 200)):
+        for _ in range(int(rig.TIMEOUT * 200)):
             if done():
                 return
             self.run_once()
@@ -81,10 +81,10 @@
     def send(self, client, data):
         """Sends to a connection the front end knows; returns once the bytes are there to be read."""
         port = client.sock.getsockname()[1]
-        (known,) = [each for each in self.serving.client_server.clients.values() if each.sock.getpeername()[1] == port]
+        (known,) = [each for each in self.service.client_server.clients.values() if each.sock.getpeername()[1] == port]
         client.send(data)
-        self.assertTrue(select.select([known.sock], [], [], rig.LONG)[0])
+        self.assertTrue(select.select([known.sock], [], [], rig.TIMEOUT)[0])
 
     def terminate(self):
-        self.serving._request_shutdown(signal.SIGTERM, None)
-        self.terminated = self.now
+        self.service._request_shutdown(signal.SIGTERM, None)
+        self.terminated_at = self.now
