--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -78,7 +78,10 @@
                     self.assertGreater(both, CELL_CAPACITY)
 
     def test_front_ends_agree_regardless_of_the_order_of_changes(self):
-        endpoints, random_source = [listed_endpoint(number, size=1.0 + number % 3) for number in range(900)], random.Random(5)
+        endpoints, random_source = (
+            [listed_endpoint(number, size=1.0 + number % 3) for number in range(900)],
+            random.Random(5),
+        )
         expected = fleet_of(endpoints)
         requested = function_names(300)
         for seed in range(3):
@@ -175,7 +178,11 @@
         self.assertEqual({name: nearest_ident(fleet, name) for name in requested}, before)
 
     def test_cell_splits_move_no_nearest_worker(self):
-        fleet, requested, number = fleet_of([listed_endpoint(number) for number in range(600)]), function_names(2000), 600
+        fleet, requested, number = (
+            fleet_of([listed_endpoint(number) for number in range(600)]),
+            function_names(2000),
+            600,
+        )
         while True:
             cells, before = set(fleet.cells), {name: nearest_ident(fleet, name) for name in requested}
             fleet.update([listed_endpoint(number)], False)
--- a/tests/test_router_scale.py
+++ b/tests/test_router_scale.py
@@ -54,7 +54,9 @@
             tracemalloc.start()
             try:
                 fleet.run(9000.0)
-                bytes_per_function.append(tracemalloc.get_traced_memory()[0] / len(fleet.front_ends[0].router.functions))
+                bytes_per_function.append(
+                    tracemalloc.get_traced_memory()[0] / len(fleet.front_ends[0].router.functions)
+                )
             finally:
                 tracemalloc.stop()
         self.assertLessEqual(max(bytes_per_function), 8 * 1024)
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -64,7 +64,9 @@
     worker_request_rate = None  # disables the simulated fleet's own check of slow start
 
     def __init__(self, settings: Settings, worker_count: int, seed: int) -> None:
-        super().__init__(settings, [listed_endpoint(number, 1) for number in range(worker_count)], settings.front_ends, seed)
+        super().__init__(
+            settings, [listed_endpoint(number, 1) for number in range(worker_count)], settings.front_ends, seed
+        )
         self.workers = {ident: MeasuredWorker(old.endpoint, self) for ident, old in self.workers.items()}
         self.attempts: dict[str, list[tuple[float, int]]] = {}
         self.informed_at: dict[int, float] = {}  # time at which each front end was informed of the restart
