--- a/bench/recording.py
+++ b/bench/recording.py
@@ -15,7 +15,7 @@
 from dataclasses import replace
 
 from bench.simulated_fleet import SimulatedFleet
-from bench.simulated_worker import FunctionSampler, Settings, listed_endpoint
+from bench.simulated_worker import FunctionSampler, Settings, simulated_endpoint
 from wickdyke.gateway.recording import DecisionRecorder
 from wickdyke.routing.model import EndpointState
 
@@ -34,7 +34,7 @@
         raw_path = os.path.join(folder, "recording")
         recorder = DecisionRecorder(raw_path)
         fleet = SimulatedFleet(
-            settings, [listed_endpoint(number, 2, kind=0) for number in range(workers)], 1, seed, recorder
+            settings, [simulated_endpoint(number, 2, kind=0) for number in range(workers)], 1, seed, recorder
         )
         fleet.generate_requests(REQUESTS_PER_S, FunctionSampler(400, 0.9, seed), DURATION)
         _change_fleet(fleet, workers, random.Random(seed))
@@ -51,7 +51,9 @@
         changed = chance.sample(list(fleet.workers.values()), 6)
         fleet.update_endpoints([replace(worker.endpoint, state=EndpointState.DRAINING) for worker in changed[:3]])
         fleet.update_endpoints([replace(worker.endpoint, state=EndpointState.GONE) for worker in changed[3:]])
-        fleet.update_endpoints([listed_endpoint(next_number + offset, 2, started_at=fleet.now) for offset in range(3)])
+        fleet.update_endpoints(
+            [simulated_endpoint(next_number + offset, 2, started_at=fleet.now) for offset in range(3)]
+        )
         for worker in chance.sample(list(fleet.workers.values()), 3):
             worker.dead = not worker.dead
         next_number += 3
--- a/bench/scale.py
+++ b/bench/scale.py
@@ -26,7 +26,7 @@
 
 from bench.cost_meter import TRACEBACK_FRAMES, CpuMeter, wickdyke_bytes
 from bench.simulated_fleet import SimulatedFleet
-from bench.simulated_worker import FunctionSampler, Settings, listed_endpoint
+from bench.simulated_worker import FunctionSampler, Settings, simulated_endpoint
 from wickdyke.routing.fleet import Fleet
 from wickdyke.routing.model import EndpointState
 from wickdyke.routing.placement import Placement
@@ -130,7 +130,7 @@
 
 def list_workers(fleet: SimulatedFleet, point: Point) -> None:
     """Lists the point's workers, then sets the garbage collector up as wickdyke/platform/service.py does."""
-    fleet.update_endpoints([listed_endpoint(number) for number in range(point.workers)])
+    fleet.update_endpoints([simulated_endpoint(number) for number in range(point.workers)])
     fleet.run(1.0)
     gc.collect()
     gc.freeze()
@@ -148,7 +148,7 @@
     def replace_worker() -> None:
         removed = fleet.workers[next(iter(fleet.workers))].endpoint
         fleet.update_endpoints([replace(removed, state=EndpointState.GONE)])
-        fleet.update_endpoints([listed_endpoint(next(new_numbers), started_at=fleet.now - 1e6)])
+        fleet.update_endpoints([simulated_endpoint(next(new_numbers), started_at=fleet.now - 1e6)])
         fleet.schedule(fleet.now + 2000.0 / point.changes, replace_worker)
 
     if point.changes:
@@ -217,7 +217,7 @@
     router = fleet.front_ends[0].router
     cpu_seconds = 0.0
     for step in range(CHANGE_COUNT):
-        endpoint = listed_endpoint(point.workers * 2 + step // len(CHANGE_STATES))
+        endpoint = simulated_endpoint(point.workers * 2 + step // len(CHANGE_STATES))
         state = CHANGE_STATES[step % len(CHANGE_STATES)]
         router.advance(fleet.now)
         started_at = time.process_time()
--- a/bench/simulated_worker.py
+++ b/bench/simulated_worker.py
@@ -83,7 +83,7 @@
         return Router(now, number + 1, classes, settings)
 
 
-def listed_endpoint(number: int, zones: int = 11, **changes: object) -> Endpoint:
+def simulated_endpoint(number: int, zones: int = 11, **changes: object) -> Endpoint:
     """Returns the endpoint list's entry of worker `number`, with some of its fields changed."""
     endpoint = Endpoint(f"s-{number:08x}", number % zones, 0, number // zones // WORKERS_PER_RACK, "ready", 4.0, None)
     return replace(endpoint, **changes)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -5,7 +5,7 @@
 from collections import Counter
 from dataclasses import replace
 
-from bench.simulated_worker import listed_endpoint
+from bench.simulated_worker import simulated_endpoint
 from tests.fleet_rig import (
     CELL_CAPACITY,
     FLEET_SIZES,
@@ -55,7 +55,7 @@
             )
 
     def test_a_fleet_of_one_cell_is_ranked_by_rendezvous_hashing(self):
-        fleet = fleet_of([listed_endpoint(number, size=1.0 + number % 4) for number in range(SINGLE_CELL_LIMIT)])
+        fleet = fleet_of([simulated_endpoint(number, size=1.0 + number % 4) for number in range(SINGLE_CELL_LIMIT)])
         (cell,) = fleet.cells.values()
         for name in function_names(20):
             self.assertEqual((fleet.find_home(name).cell, fleet.find_home(name).nearest_worker), (cell, None))
@@ -67,7 +67,7 @@
 
     def test_cells_are_bounded_and_split_late(self):
         for many in FLEET_SIZES:
-            fleet = fleet_of([listed_endpoint(number) for number in range(many)])
+            fleet = fleet_of([simulated_endpoint(number) for number in range(many)])
             sizes = [len(cell.members) for cell in fleet.cells.values()]
             self.assertEqual(sum(sizes), many)
             self.assertLessEqual(max(sizes), CELL_CAPACITY)
@@ -79,17 +79,17 @@
 
     def test_front_ends_agree_regardless_of_the_order_of_changes(self):
         endpoints, random_source = (
-            [listed_endpoint(number, size=1.0 + number % 3) for number in range(900)],
+            [simulated_endpoint(number, size=1.0 + number % 3) for number in range(900)],
             random.Random(5),
         )
         expected = fleet_of(endpoints)
         requested = function_names(300)
         for seed in range(3):
             random_source.shuffle(endpoints)
-            fleet = fleet_of([listed_endpoint(number) for number in range(2000, 2000 + 400 * seed)])
+            fleet = fleet_of([simulated_endpoint(number) for number in range(2000, 2000 + 400 * seed)])
             for at in range(0, len(endpoints), 7):  # in pieces, with other changes in between
                 fleet.update([replace(endpoint, size=9.0) for endpoint in endpoints[at : at + 7]], False)
-                fleet.update([listed_endpoint(5000 + at, state="ready")], False)
+                fleet.update([simulated_endpoint(5000 + at, state="ready")], False)
                 fleet.update(endpoints[at : at + 7], False)
             fleet.update(endpoints, True)
             self.assertEqual(cell_members(fleet), cell_members(expected))
@@ -102,9 +102,9 @@
 
     def test_known_functions_follow_changes_of_the_list(self):
         """(changed entries) -> a known function has the same home as in a fleet that had all entries at once."""
-        endpoints = [listed_endpoint(number) for number in range(400)]
+        endpoints = [simulated_endpoint(number) for number in range(400)]
         for more in (
-            [listed_endpoint(number, state="draining") for number in range(1000, 1003)],
+            [simulated_endpoint(number, state="draining") for number in range(1000, 1003)],
             [replace(endpoint, size=40.0) for endpoint in endpoints[::9]],
             [replace(endpoint, state="draining") for endpoint in endpoints[::2]],
             [replace(endpoint, state="gone") for endpoint in endpoints[:300]],
@@ -130,7 +130,7 @@
         """
         for many, sizes, ceiling in ((200, (2.0, 4.0, 8.0), 1.3), (1000, (4.0,), 1.1 * 1.28)):
             with self.subTest(many=many, sizes=sizes):
-                endpoints = [listed_endpoint(number, size=sizes[number % len(sizes)]) for number in range(many)]
+                endpoints = [simulated_endpoint(number, size=sizes[number % len(sizes)]) for number in range(many)]
                 fleet, total = fleet_of(endpoints), sum(endpoint.size for endpoint in endpoints)
                 counts = Counter(nearest_ident(fleet, name) for name in function_names(160000))
                 self.assertLessEqual(
@@ -143,28 +143,28 @@
 
     def test_cells_of_a_large_fleet_get_even_shares(self):
         """With 5,000 workers chance alone gives one worker 1.7 times its even share of 32 functions; cells are even."""
-        fleet = fleet_of([listed_endpoint(number) for number in range(5000)])
+        fleet = fleet_of([simulated_endpoint(number) for number in range(5000)])
         counts = Counter(fleet.find_home(name).cell for name in function_names(40000))
         for cell in fleet.cells.values():
             self.assertLessEqual(counts[cell] / (40000 * len(cell.members) / 5000), 1.3)
 
     def test_joining_workers_move_only_their_share(self):
-        endpoints, requested = [listed_endpoint(number) for number in range(1000)], function_names(20000)
+        endpoints, requested = [simulated_endpoint(number) for number in range(1000)], function_names(20000)
         fleet = fleet_of(endpoints)
         before = {name: nearest_ident(fleet, name) for name in requested}
-        fleet.update([listed_endpoint(7001), listed_endpoint(7002)], False)
+        fleet.update([simulated_endpoint(7001), simulated_endpoint(7002)], False)
         after = {name: nearest_ident(fleet, name) for name in requested}
         moved = [name for name in requested if after[name] != before[name]]
         self.assertTrue(moved)
         self.assertLessEqual(
-            {after[name] for name in moved}, {listed_endpoint(7001).ident, listed_endpoint(7002).ident}
+            {after[name] for name in moved}, {simulated_endpoint(7001).ident, simulated_endpoint(7002).ident}
         )
         self.assertLessEqual(len(moved), 1.5 * 20000 * 2 / 1002)
-        fleet.update([listed_endpoint(number, state="gone") for number in (7001, 7002)], False)
+        fleet.update([simulated_endpoint(number, state="gone") for number in (7001, 7002)], False)
         self.assertEqual({name: nearest_ident(fleet, name) for name in requested}, before)
 
     def test_zone_loss_moves_only_its_functions_until_it_returns(self):
-        endpoints, requested = [listed_endpoint(number) for number in range(1100)], function_names(5000)
+        endpoints, requested = [simulated_endpoint(number) for number in range(1100)], function_names(5000)
         fleet = fleet_of(endpoints)
         before = {name: nearest_ident(fleet, name) for name in requested}
         lost_idents = {endpoint.ident for endpoint in endpoints if endpoint.zone == 3}
@@ -179,22 +179,22 @@
 
     def test_cell_splits_move_no_nearest_worker(self):
         fleet, requested, number = (
-            fleet_of([listed_endpoint(number) for number in range(600)]),
+            fleet_of([simulated_endpoint(number) for number in range(600)]),
             function_names(2000),
             600,
         )
         while True:
             cells, before = set(fleet.cells), {name: nearest_ident(fleet, name) for name in requested}
-            fleet.update([listed_endpoint(number)], False)
+            fleet.update([simulated_endpoint(number)], False)
             if set(fleet.cells) != cells:
                 break
             number += 1
         moved = {nearest_ident(fleet, name) for name in requested if nearest_ident(fleet, name) != before[name]}
-        self.assertLessEqual(moved, {listed_endpoint(number).ident})
+        self.assertLessEqual(moved, {simulated_endpoint(number).ident})
 
     def test_next_cell_is_the_same_for_all_front_ends(self):
         """(state of the home's workers) -> another cell with ready workers becomes home, while there is one."""
-        endpoints = [listed_endpoint(number) for number in range(700)]
+        endpoints = [simulated_endpoint(number) for number in range(700)]
         for state in ("draining", "gone"):
             with self.subTest(state=state):
                 fleet, other, any_left = fleet_of(endpoints), fleet_of(endpoints[::-1]), True
@@ -215,10 +215,10 @@
         """The number of lines run to apply one entry of the list does not grow with the fleet."""
         lines = []
         for many in FLEET_SIZES:
-            fleet, counted = fleet_of([listed_endpoint(number) for number in range(many)]), []
+            fleet, counted = fleet_of([simulated_endpoint(number) for number in range(many)]), []
             for number in range(40):
                 for state in ("ready", "draining", "gone"):
-                    counted.append(count_lines(fleet.update, [listed_endpoint(90000 + number, state=state)], False))
+                    counted.append(count_lines(fleet.update, [simulated_endpoint(90000 + number, state=state)], False))
             lines.append(sum(sorted(counted)[: len(counted) * 9 // 10]))  # splits and merges are rare
         self.assertLessEqual(max(lines[1:]), MAX_COST_RATIO * lines[0])
 
--- a/tests/test_router_scale.py
+++ b/tests/test_router_scale.py
@@ -8,7 +8,7 @@
 from unittest.mock import patch
 
 from bench.simulated_fleet import SimulatedFleet
-from bench.simulated_worker import FunctionSampler, Settings, listed_endpoint
+from bench.simulated_worker import FunctionSampler, Settings, simulated_endpoint
 from tests.fleet_rig import CELL_CAPACITY, FLEET_SIZES, MAX_COST_RATIO, count_lines, function_names, make_function
 from wickdyke.routing import periods, ranking, router
 from wickdyke.routing.placement import Placement
@@ -17,7 +17,7 @@
 def simulated_fleet(workers, front_ends=1, **more):
     """Returns a simulated fleet with this many listed workers."""
     fleet = SimulatedFleet(Settings(memory=1e9, **more), [], front_ends)
-    fleet.update_endpoints([listed_endpoint(number) for number in range(workers)])
+    fleet.update_endpoints([simulated_endpoint(number) for number in range(workers)])
     fleet.run(1.0)
     return fleet
 
@@ -110,7 +110,7 @@
             self.assertTrue(forgotten)
             for entry in forgotten[:10]:
                 fleet.submit_request(front, entry.name)
-            fleet.update_endpoints([listed_endpoint(number) for number in range(1000, 1100)])
+            fleet.update_endpoints([simulated_endpoint(number) for number in range(1000, 1100)])
             for worker in front_end.workers.values():
                 worker.concurrency_limit = 8.0
             fleet.run(fleet.now + 6000.0)
@@ -138,7 +138,7 @@
         fleet.generate_requests(60.0, FunctionSampler(3000, 0.0, 7), 30000.0)
         for step in range(40):
             grows = step < 20
-            endpoints = [listed_endpoint(number + at) for at in range(30)] if grows else [
+            endpoints = [simulated_endpoint(number + at) for at in range(30)] if grows else [
                 replace(w.endpoint, state="gone") for w in random_source.sample(list(fleet.workers.values()), 30)
             ]  # fmt: skip
             number += 30
--- a/tests/test_simulated_fleet.py
+++ b/tests/test_simulated_fleet.py
@@ -10,7 +10,7 @@
 
 from bench import scale
 from bench.simulated_fleet import SimulatedFleet
-from bench.simulated_worker import FunctionSampler, Settings, listed_endpoint
+from bench.simulated_worker import FunctionSampler, Settings, simulated_endpoint
 from wickdyke.gateway import recording
 
 
@@ -46,7 +46,7 @@
 
     def test_a_worker_is_lost_and_a_zone_is_lost_and_returns(self):
         settings = Settings(front_ends=300, zones=3, idle_timeout=6000.0, load_time=300.0, work=20.0)
-        fleet = SimulatedFleet(settings, [listed_endpoint(number, 3) for number in range(240)], 300)
+        fleet = SimulatedFleet(settings, [simulated_endpoint(number, 3) for number in range(240)], 300)
         fleet.worker_request_rate = 300 * 0.003 / 240  # requests per ms for each worker: 3 a second for each front end
         fleet.generate_requests(300 * 3.0, FunctionSampler(6000, 0.8, 11), 13000.0)
         notification_delay, chance = lambda front_end: 500.0 + front_end.number % 7 * 100.0, random.Random(4)
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -14,7 +14,7 @@
 from unittest.mock import Mock
 
 from bench.simulated_fleet import SimulatedFleet, SimulatedFrontEnd
-from bench.simulated_worker import REPORT_FIELDS, Settings, SimulatedWorker, listed_endpoint
+from bench.simulated_worker import REPORT_FIELDS, Settings, SimulatedWorker, simulated_endpoint
 from tests.helpers import FrontEnd, forwarded_to, listed_endpoint
 from wickdyke.routing.cells import Cell
 from wickdyke.routing.decisions import Forward
@@ -65,7 +65,7 @@
 
     def __init__(self, settings: Settings, worker_count: int, seed: int) -> None:
         super().__init__(
-            settings, [listed_endpoint(number, 1) for number in range(worker_count)], settings.front_ends, seed
+            settings, [simulated_endpoint(number, 1) for number in range(worker_count)], settings.front_ends, seed
         )
         self.workers = {ident: MeasuredWorker(old.endpoint, self) for ident, old in self.workers.items()}
         self.attempts: dict[str, list[tuple[float, int]]] = {}
