--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -51,14 +51,14 @@
     def test_zones_are_placed_separately_where_crossing_has_a_cost(self):
         """(cost of crossing, loads on demand, workers of the zone ejected) -> zones in which functions are placed."""
         endpoints = [listed_endpoint(name, zone=at % 2) for at, name in enumerate("abcdefgh")]
-        for crossing_cost, on_call, ejected, zones in (
+        for crossing_cost, on_demand, ejected, zones in (
             (0.0, False, 0, {0, 1}),
             (0.05, True, 0, {0, 1}),
             (0.05, False, 0, {0}),
             (0.05, False, 3, {0, 1}),
         ):
-            with self.subTest(crossing_cost=crossing_cost, on_call=on_call, ejected=ejected):
-                front_end = FrontEnd(endpoints=endpoints, cross_zone_cost=crossing_cost, loads_on_demand=on_call)
+            with self.subTest(crossing_cost=crossing_cost, on_demand=on_demand, ejected=ejected):
+                front_end = FrontEnd(endpoints=endpoints, cross_zone_cost=crossing_cost, loads_on_demand=on_demand)
                 for worker in [w for w in front_end.ready_workers if w.endpoint.zone == 0][:ejected]:
                     worker.ejections = 1
                 self.assertEqual({w.endpoint.zone for w in front_end.placement.scope.update(front_end.clock)}, zones)
--- a/tests/test_prewarming.py
+++ b/tests/test_prewarming.py
@@ -47,13 +47,13 @@
                 )
 
     def test_further_replicas_are_prewarmed_only_where_attempts_load(self):
-        for loads_on_call in (True, False):
-            front_end = FrontEnd(workers=3, loads_on_demand=loads_on_call, front_ends=1, prewarm_outcome=None)
+        for loads_on_demand in (True, False):
+            front_end = FrontEnd(workers=3, loads_on_demand=loads_on_demand, front_ends=1, prewarm_outcome=None)
             decisions = [d for _ in range(30) for d in front_end.submit() + front_end.advance_time(20, 10)]
             for request in [d.request for d in decisions if isinstance(d, Forward)]:
                 decisions += front_end.finish_attempt(request)
             decisions += front_end.advance_time(1500)
-            self.assertEqual(any(d.replicas > 1 for d in decisions if isinstance(d, Prewarm)), loads_on_call)
+            self.assertEqual(any(d.replicas > 1 for d in decisions if isinstance(d, Prewarm)), loads_on_demand)
 
     def test_functions_requested_once_are_not_prewarmed(self):  # a prewarm would be too late for the request itself
         front_end = FrontEnd(
@@ -159,10 +159,10 @@
 
     def test_front_ends_spread_new_functions_before_the_first_placement(self):
         """(loads on demand) -> whether 20 front ends choose different workers for a function that is new to them."""
-        for on_call, several in ((True, False), (False, True)):
-            with self.subTest(on_call=on_call):
+        for on_demand, several in ((True, False), (False, True)):
+            with self.subTest(on_demand=on_demand):
                 first_workers = {
-                    forwarded_to(FrontEnd(workers=8, loads_on_demand=on_call, seed=seed).submit())[0]
+                    forwarded_to(FrontEnd(workers=8, loads_on_demand=on_demand, seed=seed).submit())[0]
                     for seed in range(20)
                 }
                 self.assertEqual(len(first_workers) > 1, several)
--- a/tests/test_readiness_refusals.py
+++ b/tests/test_readiness_refusals.py
@@ -5,7 +5,7 @@
 from tests.helpers import FrontEnd, decision_names, forwarded_to, listed_endpoint
 from tests.readiness_rig import ReadinessCase, checked, prewarmed
 from wickdyke.routing.decisions import Forward, LogNote
-from wickdyke.routing.health_checks import CHECK_EVERY
+from wickdyke.routing.health_checks import CHECK_INTERVAL
 from wickdyke.routing.model import Outcome
 from wickdyke.routing.prewarming import PrewarmPlan
 from wickdyke.routing.readiness import MAX_ANSWER_WAIT, MAX_DISCOVERY_SILENCE, NEVER
@@ -37,7 +37,7 @@
         front_end.submit(time_left=500.0)
         self.answer("a", Outcome.NOT_READY)
         self.heard()
-        self.assertEqual(checked(front_end.advance_time(CHECK_EVERY + 1000.0))[:1], ["a"])
+        self.assertEqual(checked(front_end.advance_time(CHECK_INTERVAL + 1000.0))[:1], ["a"])
         self.answer("a")
         self.assertTrue(front_end.router.may_send(front_end.router.workers["a"], front_end.clock))
 
--- a/wickdyke/routing/demand.py
+++ b/wickdyke/routing/demand.py
@@ -49,11 +49,11 @@
         samples_by_worker = Counter(worker for worker, _ in samples)
         if not samples_by_worker:
             return own if self.reports_concurrency else scaled
-        beside = sum(concurrent / samples_by_worker[worker] for worker, concurrent in samples)
+        others_in_flight = sum(concurrent / samples_by_worker[worker] for worker, concurrent in samples)
         request_count = own * self.idle_timeout / self.latency.usual_work(function) / self.latency.average_slowdown
         scaled_variance = scaled**2 * (1 - share) / request_count
-        beside_variance = (beside + 1 / PRIOR_SAMPLES) * len(samples_by_worker) / len(samples)
-        return (scaled * beside_variance + beside * scaled_variance) / (scaled_variance + beside_variance)
+        others_variance = (others_in_flight + 1 / PRIOR_SAMPLES) * len(samples_by_worker) / len(samples)
+        return (scaled * others_variance + others_in_flight * scaled_variance) / (scaled_variance + others_variance)
 
     def own_share(self, workers: list[Worker], own: float, even: float) -> float:
         """Returns the own part of the workers' requests in flight, close to `even` where there are few reports."""
--- a/wickdyke/routing/dispatcher.py
+++ b/wickdyke/routing/dispatcher.py
@@ -143,7 +143,7 @@
         return limited and active_attempts(self.global_concurrency, now) >= self.global_concurrency.concurrency_limit
 
     def _choose(self, request: Request, excluded: set[Worker], now: float) -> Replica | None:
-        can_serve = self._filter(request, excluded, now)
+        can_serve = self._make_filter(request, excluded, now)
         if self.outliers.network_fault:  # prefer workers with open connections while new connections fail
             idle_timeout = self.limits.idle_timeout
 
@@ -159,7 +159,7 @@
 
         Checking whichever worker has the lowest latency would cost a health check for almost every request.
         """
-        can_serve = self._filter(request, excluded, now)
+        can_serve = self._make_filter(request, excluded, now)
 
         def is_proved(worker: Worker) -> bool:
             return self.readiness.may_send(worker, now) and can_serve(worker)
@@ -169,7 +169,7 @@
             self.readiness.require_ready(preferred.worker, now)
         return proved_replica
 
-    def _filter(self, request: Request, excluded: set[Worker], now: float) -> Callable[[Worker], bool]:
+    def _make_filter(self, request: Request, excluded: set[Worker], now: float) -> Callable[[Worker], bool]:
         allowed = attempts_allowed(request, self.limits)
         missed_workers = {
             attempt.replica.worker
--- a/wickdyke/routing/fleet.py
+++ b/wickdyke/routing/fleet.py
@@ -72,7 +72,7 @@
         self.workers: dict[str, Worker] = {}
         self.functions: dict[str, Function] = {}
         self.cells: dict[tuple[int, int], Cell] = {}
-        self._open(Cell(0, 0))
+        self._open_cell(Cell(0, 0))
         self.cells_without_workers: set[Cell] = set(self.cells.values())
         self.version = 0  # incremented by each change that may move a function to another home
         self.ring = HashRing()
@@ -90,17 +90,17 @@
         """
         named = {endpoint.ident: endpoint for endpoint in endpoints}
         missing = [ident for ident in self.workers if ident not in named] if whole else []
-        removed = [self._remove(ident) for ident in missing]
+        removed = [self._remove_worker(ident) for ident in missing]
         for ident, endpoint in named.items():
             worker = self.workers.get(ident)
             if worker and _replaces(endpoint, worker):
-                removed.append(self._remove(ident))
+                removed.append(self._remove_worker(ident))
         for endpoint in named.values():
             if endpoint.state != EndpointState.GONE:
-                self._put(endpoint)
-        return self._changes(removed)
+                self._update_or_add_worker(endpoint)
+        return self._collect_changes(removed)
 
-    def _changes(self, removed: list[Worker]) -> FleetChanges:
+    def _collect_changes(self, removed: list[Worker]) -> FleetChanges:
         live = [cell for cell in self.touched_cells if self.cells.get((cell.depth, cell.prefix)) is cell]
         changed = []
         for cell in live:
@@ -117,10 +117,10 @@
         self.version += bool(live or removed_cells)
         return FleetChanges(removed, changed)
 
-    def _put(self, endpoint: Endpoint) -> None:
+    def _update_or_add_worker(self, endpoint: Endpoint) -> None:
         worker = self.workers.get(endpoint.ident)
         if worker is None:
-            self._add(endpoint)
+            self._add_worker(endpoint)
             return
         if worker.endpoint.size != endpoint.size:
             self.ring.resize(endpoint.ident, size_of(endpoint))
@@ -128,7 +128,7 @@
         worker.endpoint = endpoint
         self.touched_cells[self.cell_of(endpoint.ident)] = None
 
-    def _add(self, endpoint: Endpoint) -> None:
+    def _add_worker(self, endpoint: Endpoint) -> None:
         ident = endpoint.ident
         worker = self.workers[ident] = self.make_worker(endpoint)
         path, point = unpack(">2Q", blake2b(ident.encode(), digest_size=16).digest())
@@ -140,14 +140,14 @@
         if len(self.workers) > self.single_cell_limit:
             self._split(cell)
 
-    def _remove(self, ident: str) -> Worker:
+    def _remove_worker(self, ident: str) -> Worker:
         worker, cell = self.workers.pop(ident), self.cell_of(ident)
         _, point = self.positions.pop(ident)
         self.ring.remove(point, ident)
         del cell.members[ident]
         self.touched_cells[cell] = None
         if len(self.workers) == self.single_cell_limit:
-            self._replace(list(self.cells.values()), [Cell(0, 0, dict(self.workers))])
+            self._replace_cells(list(self.cells.values()), [Cell(0, 0, dict(self.workers))])
         while cell.depth and len(self.workers) > self.single_cell_limit and (joined := self._merge(cell)):
             cell = joined
         worker.endpoint, worker.failed_checks = replace(worker.endpoint, state=EndpointState.GONE), 0
@@ -171,7 +171,7 @@
         halves = [Cell(depth, cell.prefix << 1 | bit) for bit in (0, 1)]
         for ident, worker in cell.members.items():
             halves[self.positions[ident][0] >> PATH_BITS - depth & 1].members[ident] = worker
-        self._replace([cell], halves)
+        self._replace_cells([cell], halves)
         for half in halves:
             self._split(half)
 
@@ -180,22 +180,22 @@
         if sibling is None or len(cell.members) + len(sibling.members) > self.cell_capacity:
             return None
         joined = Cell(cell.depth - 1, cell.prefix >> 1, {**cell.members, **sibling.members})
-        self._replace([cell, sibling], [joined])
+        self._replace_cells([cell, sibling], [joined])
         return joined
 
-    def _replace(self, old: list[Cell], new: list[Cell]) -> None:
+    def _replace_cells(self, old: list[Cell], new: list[Cell]) -> None:
         for cell in old:
             del self.cells[cell.depth, cell.prefix]
             self.removed_cells.append(cell)
         for cell in new:
-            self._open(cell)
+            self._open_cell(cell)
             self.touched_cells[cell] = None
         for cell in old:  # provisional homes, until the functions are refreshed or requested again
             new[0].functions.update(cell.functions)
             for function in cell.functions.values():
                 function.cell = new[0]
 
-    def _open(self, cell: Cell) -> None:
+    def _open_cell(self, cell: Cell) -> None:
         self.cells[cell.depth, cell.prefix] = cell
         cell.placement = self.make_placement(cell)
 
@@ -208,8 +208,8 @@
 
     def ready_workers(self, excluded: Collection[Worker] = ()) -> Iterator[Worker]:
         """Returns the workers that are listed as ready, without the `excluded` ones."""
-        everyone = chain.from_iterable(cell.ready_workers for cell in self.cells.values())
-        return (worker for worker in everyone if worker not in excluded)
+        all_ready = chain.from_iterable(cell.ready_workers for cell in self.cells.values())
+        return (worker for worker in all_ready if worker not in excluded)
 
     # ---- functions ----
 
--- a/wickdyke/routing/health_checks.py
+++ b/wickdyke/routing/health_checks.py
@@ -8,8 +8,8 @@
 from wickdyke.routing.decisions import Decision, HealthCheck
 from wickdyke.routing.model import EndpointState, Outcome, Worker
 
-CHECK_EVERY = 1000.0  # ms between checks of a worker
-CHECK_SOON = 300.0  # ms between checks of a worker where a decision depends on the result
+CHECK_INTERVAL = 1000.0  # ms between checks of a worker
+URGENT_CHECK_INTERVAL = 300.0  # ms between checks of a worker where a decision depends on the result
 
 
 class HealthChecker:
@@ -23,14 +23,14 @@
         self.check_rotation: deque[Worker] = deque()  # workers on whose reports decisions depend, checked in turn
         self.unresponsive_workers: list[Worker] = []
 
-    def check(self, worker: Worker, every: float, now: float) -> None:
-        """Checks the worker, unless a report was received or a check was sent within the last `every` ms."""
+    def check(self, worker: Worker, interval: float, now: float) -> None:
+        """Checks the worker, unless a report was received or a check was sent within the last `interval` ms."""
         reported = worker.load_reports[-1].received_at if worker.load_reports else 0.0
         if (
             self.enabled
             and self.budget.has_token()
             and worker.endpoint.state == EndpointState.READY
-            and now - max(reported, worker.last_check_at) >= every
+            and now - max(reported, worker.last_check_at) >= interval
         ):
             self.budget.spend()
             self._send(worker, now)
@@ -49,15 +49,15 @@
         self.decisions.append(HealthCheck(worker))
 
     def check_in_turn(self, elapsed: float, now: float) -> None:
-        """Checks the next workers of the rotation, at a rate that checks each worker once in CHECK_EVERY ms.
+        """Checks the next workers of the rotation, at a rate that checks each worker once in CHECK_INTERVAL ms.
 
         `elapsed` is the time since the last call (ms).
         """
         if not self.budget.has_spare_tokens():
             return
-        for _ in range(ceil(len(self.check_rotation) * elapsed / CHECK_EVERY)):
+        for _ in range(ceil(len(self.check_rotation) * elapsed / CHECK_INTERVAL)):
             self.check_rotation.rotate(-1)
-            self.check(self.check_rotation[0], CHECK_EVERY, now)
+            self.check(self.check_rotation[0], CHECK_INTERVAL, now)
 
     def set_rotation(self, workers: Iterable[Worker]) -> None:
         """Sets the workers that are checked in turn."""
--- a/wickdyke/routing/placement.py
+++ b/wickdyke/routing/placement.py
@@ -19,11 +19,11 @@
 from wickdyke.routing.samples import mean
 from wickdyke.routing.settings import CostWeights, FunctionCache, GatewayInstance
 
-KEEP_WORKERS_FOR = 5000.0  # ms for which a function stays on its workers, divided by 1 minus this front end's share
+MIN_ASSIGNMENT_TIME = 5000.0  # ms for which a function stays on its workers, divided by 1 minus this front end's share
 FILL_UTILIZATION = 0.7  # utilization up to which this front end fills its part of a worker
 HEADROOM = 1.5  # standard deviations of the concurrency that are kept free
 FAIR_SHARE_SLACK = 1.2  # multiple of its even part of this front end's load that a worker may be given
-KEEP_FACTOR = 1.4  # multiple of a worker's capacity up to which functions stay on it
+KEPT_CAPACITY_FACTOR = 1.4  # multiple of a worker's capacity up to which functions stay on it
 SMALL_LOAD = 0.15  # part of the mean capacity; smaller loads may exceed a worker's free capacity
 MAX_LOAD_AFTER_REMOVAL = 0.75  # part of the capacity of one worker less, over which a function keeps all its workers
 HOT_UTILIZATION_FACTOR = 1.2  # multiple of the mean utilization above which a worker is given nothing new
@@ -172,7 +172,7 @@
         }
 
     def _kept_workers(self, demand: dict[Function, float], share: float, now: float) -> dict[Function, list[Worker]]:
-        keep_for = KEEP_WORKERS_FOR / max(1 - share, MIN_CAPACITY)  # a single front end keeps its workers
+        keep_for = MIN_ASSIGNMENT_TIME / max(1 - share, MIN_CAPACITY)  # a single front end keeps its workers
         return {
             function: [
                 replica.worker
@@ -236,7 +236,7 @@
         chosen = [
             worker
             for worker in kept
-            if this_pass.free_capacity[worker] + (KEEP_FACTOR - 1) * this_pass.capacity[worker] >= load_each
+            if this_pass.free_capacity[worker] + (KEPT_CAPACITY_FACTOR - 1) * this_pass.capacity[worker] >= load_each
         ][:needed]
         if len(chosen) == needed:
             return chosen
@@ -257,7 +257,7 @@
     ) -> None:
         """Adds workers with free capacity until `needed` are chosen, those with free memory first."""
         # A small load hardly uses cores, and must not move back and forth between workers.
-        slack = KEEP_FACTOR - 1 if load_each < SMALL_LOAD * self.mean_capacity else 0.0
+        slack = KEPT_CAPACITY_FACTOR - 1 if load_each < SMALL_LOAD * self.mean_capacity else 0.0
         short_of_memory: list[Worker] = []
         for worker in ranking:
             if worker in chosen or worker.utilization > self.hot_utilization:
--- a/wickdyke/routing/placement_schedule.py
+++ b/wickdyke/routing/placement_schedule.py
@@ -18,7 +18,7 @@
 PERIOD_JITTER = 0.2  # relative range of random periods, which keeps front ends out of step
 FEW_REQUESTS = 16  # requests in a period; with fewer the next period is longer
 MAX_PERIOD_FACTOR = 4.0  # limit on how many times longer a period becomes
-FORGET_AFTER = 3  # idle timeouts without requests after which a function is removed, in a fleet of one cell
+MAX_IDLE_TIMEOUTS = 3  # idle timeouts without requests after which a function is removed, in a fleet of one cell
 MAX_CELLS_COMPARED = 32  # cells compared for one placement
 
 
@@ -43,7 +43,9 @@
             self.next_at = now + (TICK_INTERVAL if self.fleet.functions else PLACEMENT_PERIOD)
             return None
         self._reschedule(cell, cells, used, now)
-        self.fleet.refresh_functions(cell, now - self.cache.idle_timeout * (FORGET_AFTER if len(cells) == 1 else 1))
+        self.fleet.refresh_functions(
+            cell, now - self.cache.idle_timeout * (MAX_IDLE_TIMEOUTS if len(cells) == 1 else 1)
+        )
         cell.sum_reports(now - MAX_REPORT_AGE)
         if len(cells) == 1 or now - self.last_estimate_at >= PLACEMENT_PERIOD:
             self._update_estimates(cells, now)
--- a/wickdyke/routing/results.py
+++ b/wickdyke/routing/results.py
@@ -18,7 +18,7 @@
 from wickdyke.routing.settings import FunctionCache
 from wickdyke.routing.slow_start import SlowStartGuard
 
-MEMORY_SHORT_FOR = 1000.0  # ms for which a worker that had no memory for a replica counts as short of memory
+MEMORY_SHORTAGE_TIME = 1000.0  # ms for which a worker that had no memory for a replica counts as short of memory
 BUDGET_GROWTH = 1.25  # factor of a worker's memory budget after a successful prewarm
 BUDGET_SHRINK = 0.7  # factor of the budget after a prewarm that was rejected or failed, or when memory is short
 
@@ -104,7 +104,7 @@
         if not concurrent and self.cache.reports_concurrency and not replica.in_flight:  # no memory for a replica
             if worker.memory_short_until <= now:
                 worker.memory_budget *= BUDGET_SHRINK
-            worker.memory_short_until = now + MEMORY_SHORT_FOR
+            worker.memory_short_until = now + MEMORY_SHORTAGE_TIME
             replica.loaded_replicas = 0
             replica.last_used = 0.0
 
--- a/wickdyke/routing/router.py
+++ b/wickdyke/routing/router.py
@@ -14,7 +14,7 @@
 from wickdyke.routing.demand import MAX_REQUEST_TIMES
 from wickdyke.routing.dispatcher import Dispatcher
 from wickdyke.routing.fleet import Fleet
-from wickdyke.routing.health_checks import CHECK_EVERY, CHECK_SOON, HealthChecker
+from wickdyke.routing.health_checks import CHECK_INTERVAL, URGENT_CHECK_INTERVAL, HealthChecker
 from wickdyke.routing.in_flight import GlobalConcurrency
 from wickdyke.routing.inputs import AttemptFinished, RequestReceived, WorkerLoad
 from wickdyke.routing.latency import (
@@ -326,7 +326,7 @@
             self.readiness.check_workers_in_use(self.workers.values(), now)
         self._check_silent_workers(now)
         for worker in [*self.outliers.ejected, *self.readiness.not_ready]:
-            self.health_checker.check(worker, CHECK_EVERY, now)
+            self.health_checker.check(worker, CHECK_INTERVAL, now)
         self.health_checker.check_in_turn(TICK_INTERVAL, now)
         hedgeable = [attempt.request for attempt in self.global_concurrency.in_flight if attempt.request.route_policy]
         if self.retry_budgets:
@@ -340,7 +340,7 @@
         if not self.readiness.list_was_expired:
             self.wake_at = min(self.wake_at, self.readiness.list_valid_until)
         if self.readiness.not_ready:
-            self.wake_at = min(self.wake_at, now + CHECK_EVERY)
+            self.wake_at = min(self.wake_at, now + CHECK_INTERVAL)
 
     def may_send(self, worker: Worker, now: float) -> bool:
         """Returns whether new work may be sent to the worker at `now` (ms).
@@ -362,7 +362,8 @@
                 self.outliers.eject(worker, now, f"silent with {len(worker.in_flight)} in flight")
             oldest = worker.in_flight[0] if worker.in_flight else None
             if oldest and worker.last_answer_at <= oldest.sent_at and is_overdue(oldest, now):
-                self.health_checker.check(worker, CHECK_SOON, now)  # its result decides whether to eject the worker
+                # The result decides whether the worker is ejected.
+                self.health_checker.check(worker, URGENT_CHECK_INTERVAL, now)
 
     def _rank(self, request: Request) -> tuple[float, float]:
         """Returns the sort key of a waiting request: its route's priority, then its weight, or its weight over work."""
--- a/wickdyke/routing/selection.py
+++ b/wickdyke/routing/selection.py
@@ -135,10 +135,10 @@
             for workers in ((worker for worker in ranking if worker in active), ranking):
                 free = [worker for worker in islice(workers, MAX_WORKERS_COMPARED) if can_load(worker)]
                 if free:
-                    return replica_of(function, self._pick(request, placement, free))
+                    return replica_of(function, self._choose_worker(request, placement, free))
         return None
 
-    def _pick(self, request: Request, placement: Placement, free: list[Worker]) -> Worker:
+    def _choose_worker(self, request: Request, placement: Placement, free: list[Worker]) -> Worker:
         # Before a function's first placement, hundreds of front ends would all send to the first worker of the ranking,
         # as they would when all start at once. A random choice avoids that. The cost is memory: a function with few
         # requests may be loaded on several workers.
