--- a/tests/acceptance_rig.py
+++ b/tests/acceptance_rig.py
@@ -1,4 +1,4 @@
-"""A front end stepped by hand on a clock that only the test moves."""
+"""A front end whose iterations the test runs, on a monotonic clock that only the test advances."""
 
 import json
 import time
@@ -13,9 +13,9 @@
 from wickdyke.routing.model import Backoff, Hedging, RoutePolicy
 from wickdyke.transport import event_loop
 
-START_TIME = 1e9  # ms on the fake clock
-STEP = 5.0  # ms of it that pass between two iterations
-HEDGE_STEP = 1.0  # ms, where a hedged request is to be caught between its attempts
+START_TIME = 1e9  # ms, of the simulated clock
+STEP = 5.0  # ms of simulated time between two iterations
+HEDGE_STEP = 1.0  # ms between iterations where a test acts between the two attempts of a hedged request
 
 LANES = [
     *rig.SETTINGS["lanes"],
@@ -34,7 +34,7 @@
     "look",
     "pay",
     "book",
-)  # idempotent, side-effecting, with an idempotency key; `rent`'s is known in one zone
+)  # idempotent, side-effecting, with an idempotency key valid in all zones (for `rent`: in one)
 KEY = "2d071f1f7aeaaed654f62e293c13f6a0"
 
 HEDGED = RoutePolicy(
@@ -51,18 +51,18 @@
 
 
 def settings(limits=None, **more):
-    """Settings with a class of each kind."""
+    """Returns settings with a request class of each kind; `limits` replaces limits, `more` settings."""
     return {**rig.SETTINGS, "lanes": LANES, "limits": {**rig.SETTINGS["limits"], **(limits or {})}, **more}
 
 
 def request(number, name="look", body=b"x", ident=None, **more):
-    """A request of that class, its id drawn from its number where none is given."""
+    """Returns the frame of a request of the class `name`; its id is its number where none is given."""
     more |= {"k": KEY} if name in ("book", "rent") else {}
     return rig.dispatch(number, rig.fields(ident or f"{number:016x}", name, **more), body)
 
 
 class SteppedClockCase(front_end_rig.FrontEndCase):
-    """A front end whose monotonic clock stands still until the test moves it on."""
+    """Base of tests in which a front end's monotonic clock stands still until the test advances it."""
 
     def setUp(self):
         super().setUp()
@@ -71,25 +71,27 @@
         stand_in = SimpleNamespace(**{**vars(time), "monotonic": lambda: self.now / 1000})
         for module in (event_loop, context):
             patch.object(module, "time", stand_in).start()
-        patch.object(service, "MAX_WAIT", 1.0).start()  # real ms of one wait: the clock does not move meanwhile
+        patch.object(
+            service, "MAX_WAIT", 1.0
+        ).start()  # real ms of one wait, during which the simulated clock stands still
 
     def front_end(self, *workers, **more):
-        self.listen = rig.free_address()  # its own: what failed before it may still hold the last
+        self.listen = rig.free_address()  # a failed subtest may have left a front end on the previous address
         return super().front_end(*workers, **{"settings": settings(), **more})
 
     def enable_hedging(self):
-        """From now on each request may be hedged 20 ms after its first attempt."""
-        take = self.service.client_server.post
+        """From now on the front end may hedge each request 20 ms after its first attempt."""
+        post = self.service.client_server.post
 
-        def timed(event):
+        def post_with_policy(event):
             if isinstance(event, RequestReceived):
                 event.pending.route_policy = HEDGED
-            take(event)
+            post(event)
 
-        self.service.client_server.post = timed
+        self.service.client_server.post = post_with_policy
 
     def pending_command_count(self):
-        """Commands that wait for a worker, of any kind."""
+        """Returns how many commands of any kind are unanswered."""
         return sum(
             connection.commands_in_flight
             for client in self.service.coordinator.workers.clients.values()
@@ -97,42 +99,48 @@
         )
 
     def settle(self):
-        """Steps until workers have answered all that is out, and no time passes."""
+        """Runs iterations until workers have answered all commands; the clock stands still."""
         self.until(
             lambda: not self.pending_command_count() and self.service.coordinator.events.empty(), "the workers' answers"
         )
 
-    def advance(self, span, step=STEP, settle=False):
-        """Lets a time pass, an iteration in each step; with `settle`, workers answer all within each."""
-        ends = self.now + span
-        while self.now < ends:
-            self.now = min(ends, self.now + step)
+    def advance(self, duration, step=STEP, settle=False):
+        """Advances the clock by `duration` (ms), with an iteration after each `step`.
+
+        With `settle`, workers answer all commands in each iteration.
+        """
+        end = self.now + duration
+        while self.now < end:
+            self.now = min(end, self.now + step)
             self.service.run_once()
             if settle:
                 self.settle()
 
     def final_answer(self, client, within, settle=True, step=STEP):
-        """The answer that comes next, which may take so many ms; with `settle`, workers answer all at once."""
-        ends = self.now + within
+        """Returns the next answer to a client; fails if it takes longer than `within` (ms).
+
+        With `settle`, workers answer without delay.
+        """
+        deadline = self.now + within
         self.service.run_once()
         while not client.waits():
             if settle:
                 self.settle()
             self.service.run_once()
             if not client.waits():
-                self.assertLess(self.now, ends, "no final answer in time")
+                self.assertLess(self.now, deadline, "no final answer in time")
                 self.now += step
         return client.answer()
 
-    def assert_no_more_answers(self, client, span=1000.0):
-        """Nothing more comes on that connection."""
-        self.advance(span, 20.0)
-        self.assertFalse(client.waits(), "a second answer, or an end")
+    def assert_no_more_answers(self, client, duration=1000.0):
+        """Fails if an answer or the end of the connection arrives within `duration` (ms)."""
+        self.advance(duration, 20.0)
+        self.assertFalse(client.waits(), "a second answer, or the end of the connection")
 
 
 SSE_HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nConnection: close\r\n\r\n"
 
 
 def sse_event(number, *instances):
-    """An event as it stands on the stream."""
+    """Returns an event of the endpoint list as a server-sent event."""
     return b"id: %d\ndata: %s\n\n" % (number, json.dumps(rig.event(number, *instances)).encode())
--- a/tests/descriptors.py
+++ b/tests/descriptors.py
@@ -1,23 +1,23 @@
-"""The descriptors that this process has open, told apart by what they are open for."""
+"""Lists the file descriptors that this process has open, with their targets."""
 
 import os
 from contextlib import suppress
 
-FOLDER = "/proc/self/fd"
+DESCRIPTOR_FOLDER = "/proc/self/fd"
 
 
 def open_descriptors():
-    """(number, target) of each."""
+    """Returns a pair (number, target) for each open descriptor."""
     found = set()
-    for number in os.listdir(FOLDER):
-        with suppress(FileNotFoundError):  # that of this listing is closed by now
-            found.add((number, os.readlink(f"{FOLDER}/{number}")))
+    for number in os.listdir(DESCRIPTOR_FOLDER):
+        with suppress(FileNotFoundError):  # the descriptor of this listing, which is closed by now
+            found.add((number, os.readlink(f"{DESCRIPTOR_FOLDER}/{number}")))
     return found
 
 
 def opened_since(before):
-    """Those open now that are not among those of before.
+    """Returns the open descriptors that are not in `before`.
 
-    Not their number: one that another test module left may be closed meanwhile, and would hide one that leaks.
+    Comparing counts would hide a leak: a descriptor that another test module left open may be closed meanwhile.
     """
     return open_descriptors() - before
--- a/tests/front_end_rig.py
+++ b/tests/front_end_rig.py
@@ -1,4 +1,4 @@
-"""Set-up shared by tests of the platform: a front end, or an event loop, that the test itself steps."""
+"""Fixtures shared by the platform's tests: a front end or an event loop whose iterations the test runs itself."""
 
 import errno
 import json
@@ -20,16 +20,17 @@
 
 
 class LoopCase(unittest.TestCase):
-    """What is stepped by a loop in the test's own thread."""
+    """Base of tests that run the iterations of an event loop in their own thread."""
 
     def setUp(self):
         self.loop, self.recorded = EventLoop(), []
         self.addCleanup(self.loop.close)
 
-    def until(self, done, what="it"):
-        ends = time.monotonic() + rig.TIMEOUT
-        while not done():
-            self.assertLess(time.monotonic(), ends, f"{what} did not come")
+    def until(self, condition, description="the expected state"):
+        """Runs iterations until `condition()` is true; fails after TIMEOUT."""
+        deadline = time.monotonic() + rig.TIMEOUT
+        while not condition():
+            self.assertLess(time.monotonic(), deadline, f"timed out waiting for {description}")
             self.loop.run_once(10.0, lambda: None)
 
 
@@ -39,7 +40,7 @@
 
 
 def reset(sock):
-    """Ends a connection with a reset, also where a file of it is being read."""
+    """Resets a connection, also while another thread reads it through `makefile()`."""
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     sock.shutdown(socket.SHUT_RD)
     sock.close()
@@ -47,55 +48,56 @@
 
 @contextmanager
 def no_descriptor(sockets=socket.socket):
-    """No socket can be made by the loop's dial, as when all descriptors are in use."""
+    """Makes the event loop fail with EMFILE where it creates a socket to connect, as when all are in use."""
 
-    def none(*args, **more):
+    def raise_emfile(*args, **kwargs):
         raise OSError(errno.EMFILE, "Too many open files")
 
-    with patch.object(event_loop, "socket", SimpleNamespace(**{**vars(socket), "socket": none})):
+    with patch.object(event_loop, "socket", SimpleNamespace(**{**vars(socket), "socket": raise_emfile})):
         yield
 
 
-def wait_for(test, done):
-    """For what another process does: looked for again and again, with a bound."""
-    ends = time.monotonic() + rig.TIMEOUT
-    while not done():
-        test.assertLess(time.monotonic(), ends)
+def wait_for(test, condition):
+    """Polls every 10 ms until `condition()` is true, for effects of another thread or process; fails after TIMEOUT."""
+    deadline = time.monotonic() + rig.TIMEOUT
+    while not condition():
+        test.assertLess(time.monotonic(), deadline)
         time.sleep(0.01)
 
 
 class FullListener:
-    """A listener that takes no more connections: whoever dials it waits. `open()` takes all of them."""
+    """A listener whose backlog is full: a new connection to it stays unestablished until the test accepts others."""
 
     def __init__(self, test):
         self.sock = socket.socket()
         self.sock.bind(("127.0.0.1", 0))
         self.sock.listen(0)
         self.address = f"127.0.0.1:{self.sock.getsockname()[1]}"
-        self.first, self.taken = [], []
+        self.backlog_clients, self.accepted = [], []
         for _ in range(8):
-            dialled = socket.socket()
-            dialled.setblocking(False)
-            dialled.connect_ex(self.sock.getsockname())
-            self.first.append(dialled)
-        test.addCleanup(lambda: [each.close() for each in [self.sock, *self.first, *self.taken]])
+            client = socket.socket()
+            client.setblocking(False)
+            client.connect_ex(self.sock.getsockname())
+            self.backlog_clients.append(client)
+        test.addCleanup(lambda: [each.close() for each in [self.sock, *self.backlog_clients, *self.accepted]])
 
 
 class FrontEndCase(unittest.TestCase):
-    """A front end stepped by the test's own thread."""
+    """Base of tests that run the iterations of a front end in their own thread."""
 
     def setUp(self):
-        made = tempfile.TemporaryDirectory()
-        self.addCleanup(made.cleanup)
-        self.path, self.listen = os.path.join(made.name, "config.json"), rig.free_address()
-        self.held_commands = []
+        folder = tempfile.TemporaryDirectory()
+        self.addCleanup(folder.cleanup)
+        self.path, self.listen = os.path.join(folder.name, "config.json"), rig.free_address()
+        self.held_commands = []  # (socket, command)
 
-    def close_on_cleanup(self, thing):
-        self.addCleanup(thing.close)
-        return thing
+    def close_on_cleanup(self, resource):
+        """Returns `resource`, which is closed when the test ends."""
+        self.addCleanup(resource.close)
+        return resource
 
     def worker(self):
-        """A worker that holds back each answer to `slow`: (socket, command) in `held`."""
+        """Returns a worker that leaves attempts with the input `slow` unanswered and adds them to `held_commands`."""
         return self.close_on_cleanup(
             rig.Worker(
                 lambda worker, sock, parts: parts[0] == b"invoke"
@@ -105,17 +107,22 @@
         )
 
     def answer_held_command(self, body=b"at last"):
+        """Answers the oldest of `held_commands`."""
         sock, parts = self.held_commands.pop(0)
         sock.sendall(rig.bulk(parts[1], b"ACK", b"why=w,ahead=0", body))
 
-    def write(self, bus, *workers, **more):
-        given = rig.config(self.listen, bus, *(rig.instance(f"w{n}", at) for n, at in enumerate(workers)), **more)
+    def write(self, bus, *workers, **config_fields):
+        """Replaces the configuration file; `workers` are addresses."""
+        config = rig.config(
+            self.listen, bus, *(rig.instance(f"w{n}", address) for n, address in enumerate(workers)), **config_fields
+        )
         with open(self.path + ".new", "w") as out:
-            json.dump(given, out)
+            json.dump(config, out)
         os.replace(self.path + ".new", self.path)
 
-    def front_end(self, *workers, bus=UNREACHABLE_ADDRESS, **more):
-        self.write(bus, *workers, **more)
+    def front_end(self, *workers, bus=UNREACHABLE_ADDRESS, **config_fields):
+        """Starts a front end with workers at these addresses; returns its service."""
+        self.write(bus, *workers, **config_fields)
         self.log = Mock()
         self.service = service.Service(configuration.read(self.path), self.path, self.log)
         self.addCleanup(self.close_front_end)
@@ -123,10 +130,11 @@
         return self.service
 
     def discovery_heard(self):
-        """The endpoint list is complete as of now: workers need not prove ready."""
+        """Reports to the front end that its endpoint list is current, so that workers need no health check first."""
         self.service.coordinator.post(DiscoveryHeard(event_loop.clock()))
 
     def close_front_end(self):
+        """Closes all sockets of the front end."""
         for client in list(self.service.client_server.clients.values()):
             client.close()
         for upstream in list(self.service.coordinator.workers.clients.values()):
@@ -135,22 +143,26 @@
         self.service.client_server.close_listener()
         self.service.loop.close()
 
-    def until(self, done, what="it"):
-        ends = time.monotonic() + rig.TIMEOUT
-        while not done():
-            self.assertLess(time.monotonic(), ends, f"{what} did not come")
+    def until(self, condition, description="the expected state"):
+        """Runs iterations until `condition()` is true; fails after TIMEOUT."""
+        deadline = time.monotonic() + rig.TIMEOUT
+        while not condition():
+            self.assertLess(time.monotonic(), deadline, f"timed out waiting for {description}")
             self.service.run_once()
 
     def client(self):
+        """Returns a new connection to the front end."""
         return self.close_on_cleanup(rig.Client(self.listen))
 
     def answer(self, client):
-        """The next answer, the front end stepped until it is there."""
+        """Returns the next answer to a client; runs iterations until it has arrived."""
         self.until(client.waits, "an answer")
         return client.answer()
 
-    def wait_for_commands(self, many):
-        self.until(lambda: len(self.held_commands) >= many, "a call-out")
+    def wait_for_commands(self, count):
+        """Runs iterations until `held_commands` has `count` commands."""
+        self.until(lambda: len(self.held_commands) >= count, "an attempt")
 
     def logged_errors(self):
+        """Returns the calls that logged an error."""
         return self.log.error.call_args_list + self.log.bind().error.call_args_list
--- a/tests/platform_rig.py
+++ b/tests/platform_rig.py
@@ -1,4 +1,4 @@
-"""The other sides of the platform's protocol, written apart from the code under test: client, worker, bus, settings."""
+"""The front end's peers: client, worker, discovery bus and settings, independent of the code under test."""
 
 import json
 import socket
@@ -6,7 +6,7 @@
 import threading
 from contextlib import suppress
 
-TIMEOUT = 20.0
+TIMEOUT = 20.0  # s
 
 SETTINGS = {
     "lanes": [
@@ -50,7 +50,7 @@
 
 
 def instance(name, address, **more):
-    """A ready instance of the platform's list."""
+    """Returns a ready instance as an entry of the platform's endpoint list."""
     return {
         "instanceId": name,
         "hostPort": address,
@@ -65,12 +65,12 @@
 
 
 def event(offset, *instances, reset=False):
-    """An event of the list that changes these instances, or replaces all with `reset`."""
+    """Returns an event of the endpoint list that updates these instances; with `reset` they replace the whole list."""
     return {"offset": offset, "topology": {"generation": offset, "reset": reset, "instances": list(instances)}}
 
 
 def config(listen, bus, *instances, **more):
-    """A configuration of a front end, with these instances' fields."""
+    """Returns a configuration of a front end whose endpoint list has these instances."""
     return {
         "name": "n0",
         "listen": listen,
@@ -84,73 +84,73 @@
 
 
 def free_address():
-    """A loopback address that no socket is bound to now."""
+    """Returns a loopback address that no socket is bound to at present."""
     with socket.socket() as sock:
         sock.bind(("127.0.0.1", 0))
         return f"127.0.0.1:{sock.getsockname()[1]}"
 
 
-# ---- Thrift, as a client writes and reads it ----
+# ---- Thrift, encoded and decoded as by a client ----
 
 
 def text(value):
-    """A Thrift string."""
+    """Encodes a Thrift string."""
     value = value.encode() if isinstance(value, str) else value
     return struct.pack(">i", len(value)) + value
 
 
 def table(fields):
-    """A Thrift map of strings to strings."""
+    """Encodes a Thrift map of strings to strings."""
     return b"\x0b\x0b" + struct.pack(">i", len(fields)) + b"".join(text(k) + text(v) for k, v in fields.items())
 
 
 def message(verb, number, args, kind=1):
-    """A Thrift message without its frame; `kind` 1 is a call, 4 is one without an answer."""
+    """Encodes a Thrift message without its frame; `kind` 1 is a call, 4 a one-way call."""
     return struct.pack(">I", 0x80010000 | kind) + text(verb) + struct.pack(">i", number) + args
 
 
 def framed(data):
-    """Bytes behind their length."""
+    """Prefixes a message with its length."""
     return struct.pack(">i", len(data)) + data
 
 
 def fields(ident="9b1f03aa5c7e2d41", name="look", **more):
-    """The fields of a valid request, with those of `more` instead."""
+    """Returns the fields of a valid request; those of `more` are added or replaced."""
     return {"c": name, "i": ident, "d": "1500", "o": "7f3a9c21e0b4d655", "tags": "memory_mb:512;lanes:2", **more}
 
 
 def dispatch(number, given, body=b"hello"):
-    """The frame of a request."""
+    """Returns the frame of a request."""
     return framed(message("dispatch", number, b"\x0d\x00\x01" + table(given) + b"\x0b\x00\x02" + text(body) + b"\x00"))
 
 
-def cancel(number, about):
-    """The frame that cancels the request with the number `about`."""
-    return framed(message("cancelRequest", number, b"\x08\x00\x01" + struct.pack(">i", about) + b"\x00", 4))
+def cancel(number, request_number):
+    """Returns the frame that cancels the request with the number `request_number`."""
+    return framed(message("cancelRequest", number, b"\x08\x00\x01" + struct.pack(">i", request_number) + b"\x00", 4))
 
 
 def alive(number):
-    """The frame of a liveness check."""
+    """Returns the frame of a liveness check."""
     return framed(message("alive", number, b"\x02\x00\x01\x01\x00"))
 
 
 def parse_answer(data):
-    """The number, the word and the body of an answer, from its frame without the length."""
+    """Parses the frame of an answer without its length; returns its number, its kind as a word, and its body."""
     kind, length = data[3], struct.unpack_from(">i", data, 4)[0]
     verb, (number,) = data[8 : 8 + length], struct.unpack_from(">i", data, 8 + length)
     rest = data[12 + length :]
     if kind == 3:
         return number, "exception", rest
-    place = struct.unpack_from(">h", rest, 1)[0]
-    if place:
-        return number, {1: "shed", 2: "fault"}[place], rest
+    field_id = struct.unpack_from(">h", rest, 1)[0]
+    if field_id:
+        return number, {1: "shed", 2: "fault"}[field_id], rest
     size = struct.unpack_from(">i", rest, 6)[0]
-    good = rest[10 + size + 3 + 6 + 3]
-    return number, ("good" if good else "bad") if verb == b"alive" else "answer", rest[10 : 10 + size]
+    healthy = rest[10 + size + 3 + 6 + 3]
+    return number, ("good" if healthy else "bad") if verb == b"alive" else "answer", rest[10 : 10 + size]
 
 
 class Client:
-    """One connection: `answer()` gives (number, word, body), the word "closed" at its end."""
+    """A client's connection. `answer()` returns (number, word, body); the word is "closed" after its end."""
 
     def __init__(self, address):
         host, _, port = address.rpartition(":")
@@ -158,25 +158,27 @@
         self.sock.settimeout(TIMEOUT)
 
     def send(self, data):
+        """Sends bytes."""
         self.sock.sendall(data)
 
-    def _take(self, many):
+    def _receive(self, size):
         data = b""
-        while len(data) < many:
-            data += (more := self.sock.recv(many - len(data)))
-            if not more:
+        while len(data) < size:
+            data += (received := self.sock.recv(size - len(data)))
+            if not received:
                 raise ConnectionError
         return data
 
     def answer(self):
+        """Returns the next answer; waits for it up to TIMEOUT."""
         try:
-            data = self._take(struct.unpack(">i", self._take(4))[0])
+            data = self._receive(struct.unpack(">i", self._receive(4))[0])
         except OSError:
             return None, "closed", b""
         return parse_answer(data)
 
     def waits(self):
-        """Whether an answer, or the connection's end, is there to be read."""
+        """Returns whether an answer or the end of the connection can be read."""
         self.sock.setblocking(False)
         try:
             self.sock.recv(1, socket.MSG_PEEK)
@@ -189,6 +191,7 @@
         return True
 
     def close(self):
+        """Closes the connection."""
         self.sock.close()
 
 
@@ -196,12 +199,12 @@
 
 
 def bulk(*parts):
-    """A RESP array of bulk strings."""
+    """Encodes a RESP array of bulk strings."""
     return b"*%d\r\n" % len(parts) + b"".join(b"$%d\r\n%b\r\n" % (len(p), p) for p in parts)
 
 
 class Listener:
-    """Accepts connections on loopback, each with a thread that calls `_serve(sock)`. `close` closes all of them."""
+    """Accepts connections on loopback and calls `_serve(sock)` in a thread of each."""
 
     def __init__(self):
         self.socks, self.lock, self.closed = [], threading.Lock(), False
@@ -216,13 +219,14 @@
             except OSError:
                 return
             with self.lock:
-                if self.closed:  # accepted during `close`, which does not close it
+                if self.closed:  # accepted while `close` ran, which did not see it
                     sock.close()
                     return
                 self.socks.append(sock)
             threading.Thread(target=self._serve, args=(sock,), daemon=True).start()
 
     def close(self):
+        """Closes the listener and all connections."""
         with self.lock:
             self.closed = True
             for sock in self.socks:
@@ -233,10 +237,13 @@
 
 
 class Worker(Listener):
-    """A worker that answers by `play(worker, sock, command)`, or serves all. `commands` holds those received."""
+    """A worker that passes each command to `handle(worker, sock, command)` and serves those for which it returns false.
 
-    def __init__(self, play=None):
-        self.play, self.commands = play, []
+    `commands` has all commands received.
+    """
+
+    def __init__(self, handle=None):
+        self.handle, self.commands = handle, []
         super().__init__()
 
     def _serve(self, sock):
@@ -248,12 +255,13 @@
                     parts.append(source.read(int(source.readline()[1:]) + 2)[:-2])
                 with self.lock:
                     self.commands.append(parts)
-                if not (self.play and self.play(self, sock, parts)):
+                if not (self.handle and self.handle(self, sock, parts)):
                     self.serve(sock, parts)
         except (OSError, ValueError):
             pass
 
     def serve(self, sock, parts):
+        """Answers a command as a worker that is ready."""
         verb = parts[0]
         if verb == b"invoke":
             sock.sendall(bulk(parts[1], b"ACK", b"why=w,ahead=0", b"did " + parts[3]))
@@ -263,6 +271,7 @@
             sock.sendall(bulk(parts[1], b"ACK", b"units=1", b""))
 
     def received(self, verb):
+        """Returns the commands received with this verb."""
         with self.lock:
             return [parts for parts in self.commands if parts[0] == verb]
 
@@ -271,7 +280,7 @@
 
 
 class Bus(Listener):
-    """Serves `GET /bus/read`: `offsets` holds each Last-Event-ID, `send_raw` writes to the latest reader."""
+    """A discovery bus at `GET /bus/read`. `offsets` has the Last-Event-ID of each request, `readers` their sockets."""
 
     def __init__(self):
         self.offsets, self.readers = [], []
@@ -291,7 +300,9 @@
         )
 
     def send_raw(self, raw):
+        """Writes bytes to the latest reader."""
         self.readers[-1].sendall(raw)
 
     def event(self, content):
+        """Sends an event to the latest reader."""
         self.send_raw(f"id: {content['offset']}\ndata: {json.dumps(content)}\n\n".encode())
--- a/tests/test_client_connection_ends.py
+++ b/tests/test_client_connection_ends.py
@@ -1,4 +1,4 @@
-"""Connections of clients that end while answers are owed, and attempts after their clients have left."""
+"""Client connections that end while requests are unanswered, and attempts for clients that have left."""
 
 import select
 import unittest
@@ -14,122 +14,126 @@
 from wickdyke.transport import event_loop, write_buffer
 
 
-class AnswersOwed(unittest.TestCase):
-    """What was read is answered, whatever else its connection does."""
+class UnansweredRequests(unittest.TestCase):
+    """Each request that was read is answered, whatever else happens on its connection."""
 
     def setUp(self):
         self.now = 0.0
         self.addCleanup(patch.stopall)
         for module in (event_loop, client_server, client_connection):
             patch.object(module, "clock", lambda: self.now).start()
-        self.loop, self.recorded = event_loop.EventLoop(), []
+        self.loop, self.events = event_loop.EventLoop(), []
         self.addCleanup(self.loop.close)
-        methods = [RequestClass("look", "idempotent", "all", 0.0, 500.0, 0.0, 4000.0, 1.0, 0.1)]
+        request_classes = [RequestClass("look", "idempotent", "all", 0.0, 500.0, 0.0, 4000.0, 1.0, 0.1)]
         self.address = rig.free_address()
         host, port = self.address.split(":")
-        self.front = client_server.ClientServer(
+        self.client_server = client_server.ClientServer(
             self.loop,
-            client_server.ClientServerSettings((host, int(port)), methods, 2),
-            self.recorded.append,
+            client_server.ClientServerSettings((host, int(port)), request_classes, 2),
+            self.events.append,
             lambda: "",
             Mock(),
         )
-        self.front.listen()
-        self.addCleanup(self.front.close_listener)
-        self.addCleanup(lambda: [client.close() for client in list(self.front.clients.values())])
+        self.client_server.listen()
+        self.addCleanup(self.client_server.close_listener)
+        self.addCleanup(lambda: [client.close() for client in list(self.client_server.clients.values())])
 
     def client(self):
+        """Returns a new connection to the client server."""
         client = rig.Client(self.address)
         self.addCleanup(client.close)
         return client
 
-    def until(self, done, what="it"):
+    def until(self, condition, description="the expected state"):
+        """Runs iterations until `condition()` is true; fails after 4000."""
         for _ in range(4000):
-            if done():
+            if condition():
                 return
             self.loop.run_once(5.0, lambda: None)
-        self.fail(f"{what} did not come")
+        self.fail(f"timed out waiting for {description}")
 
-    def asked(self, client, data, many=1):
-        """Sends, and gives the request that came last of so many."""
+    def send_request(self, client, data, count=1):
+        """Sends bytes, waits until `count` events have been recorded, and returns the pending request of the last."""
         client.send(data)
-        self.until(lambda: len(self.recorded) == many, "a request")
-        return self.recorded[-1].pending
+        self.until(lambda: len(self.events) == count, "a request")
+        return self.events[-1].pending
 
-    def there(self, client):
-        """Waits until what the client did is there to be read."""
+    def wait_readable(self, client):
+        """Waits until the server's side of a connection has something to read."""
         self.assertTrue(select.select([client.sock], [], [], rig.TIMEOUT)[0])
 
-    def test_half_a_frame_behind_it_goes_silent(self):
+    def test_silent_connection_with_a_partial_frame_after_a_request(self):
         client = self.client()
-        ask = self.asked(client, rig.dispatch(1, rig.fields(A)))
+        pending = self.send_request(client, rig.dispatch(1, rig.fields(A)))
         client.send(rig.dispatch(2, rig.fields(B))[:20])
-        self.until(lambda: next(iter(self.front.clients.values())).frame_parser.has_partial_frame)
+        self.until(lambda: next(iter(self.client_server.clients.values())).frame_parser.has_partial_frame)
         self.now += client_server.SILENCE_TIMEOUT + 2 * client_server.SWEEP_INTERVAL
         self.loop.run_once(0.0, lambda: None)
-        ask.succeed(b"done", 1)
+        pending.succeed(b"done", 1)
         self.until(client.waits)
         self.assertEqual(client.answer(), (1, "answer", b"done"))
         self.until(client.waits)
         self.assertEqual(client.answer()[1], "closed")
 
-    def test_an_error_behind_it_and_a_long_wait(self):
+    def test_protocol_error_after_a_request_that_takes_long(self):
         client = self.client()
-        ask = self.asked(client, rig.dispatch(1, rig.fields(A)))
-        client.send(rig.dispatch(1, rig.fields(B)))  # a number twice: the connection ends after what is open
-        self.until(lambda: next(iter(self.front.clients.values())).ending)
+        pending = self.send_request(client, rig.dispatch(1, rig.fields(A)))
+        client.send(
+            rig.dispatch(1, rig.fields(B))
+        )  # a request number used twice: the connection ends once its open requests are answered
+        self.until(lambda: next(iter(self.client_server.clients.values())).ending)
         for _ in range(15):
             self.now += client_server.SWEEP_INTERVAL
             self.loop.run_once(0.0, lambda: None)
-        ask.succeed(b"done", 1)
+        pending.succeed(b"done", 1)
         self.until(client.waits)
         self.assertEqual(client.answer(), (1, "answer", b"done"))
         self.until(client.waits)
         self.assertEqual(client.answer()[1], "closed")
 
-    def test_a_cancel_after_an_error_is_heard(self):
-        """In the same bytes, in later ones, and cut in two."""
-        for cut in (0, 9, None):
-            with self.subTest(cut):
-                self.recorded.clear()
+    def test_cancel_after_a_protocol_error_takes_effect(self):
+        """The cancel arrives together with the invalid frame, after it, or split between the two."""
+        for split_at in (0, 9, None):
+            with self.subTest(split_at):
+                self.events.clear()
                 client = self.client()
-                ask = self.asked(client, rig.dispatch(1, rig.fields(A)) + rig.dispatch(2, rig.fields(B)), 2)
-                wrong, cancels = rig.dispatch(2, rig.fields(C)), rig.cancel(3, 2)
-                first = wrong + (cancels if cut is None else cancels[:cut])
+                pending = self.send_request(client, rig.dispatch(1, rig.fields(A)) + rig.dispatch(2, rig.fields(B)), 2)
+                invalid, cancel = rig.dispatch(2, rig.fields(C)), rig.cancel(3, 2)
+                first = invalid + (cancel if split_at is None else cancel[:split_at])
                 client.send(first)
-                self.until(lambda: next(iter(self.front.clients.values())).ending)
-                if cut is not None:
-                    client.send(cancels[cut:])
-                self.until(lambda: len(self.recorded) == 3, "the cancel")
-                self.assertEqual(event_tuple(self.recorded[-1]), ("cancelled", ask))
-                self.assertEqual(list(self.front.open_requests), [A.encode()])
+                self.until(lambda: next(iter(self.client_server.clients.values())).ending)
+                if split_at is not None:
+                    client.send(cancel[split_at:])
+                self.until(lambda: len(self.events) == 3, "the cancel")
+                self.assertEqual(event_tuple(self.events[-1]), ("cancelled", pending))
+                self.assertEqual(list(self.client_server.open_requests), [A.encode()])
                 client.close()
-                self.until(lambda: not self.front.clients)
+                self.until(lambda: not self.client_server.clients)
 
-    def test_a_request_that_came_in_time_is_read_before_silence_ends_it(self):
-        """The process stood still: its clock is late, and what came meanwhile was not read."""
+    def test_unread_request_is_read_before_a_silent_connection_is_closed(self):
+        """After a stop of the process, a request that arrived meanwhile is unread when the connection times out."""
         client = self.client()
-        self.until(lambda: self.front.clients)
+        self.until(lambda: self.client_server.clients)
         client.send(rig.dispatch(1, rig.fields(A)))
-        self.there(next(iter(self.front.clients.values())))
+        self.wait_readable(next(iter(self.client_server.clients.values())))
         self.now += client_server.SILENCE_TIMEOUT + 2 * client_server.SWEEP_INTERVAL
-        self.front._sweep()
-        self.assertEqual([type(event) for event in self.recorded], [RequestReceived])
-        self.assertTrue(self.front.clients)
+        self.client_server._sweep()
+        self.assertEqual([type(event) for event in self.events], [RequestReceived])
+        self.assertTrue(self.client_server.clients)
 
-    def test_room_is_not_made_of_one_whose_answer_is_on_its_way(self):
+    def test_connection_with_an_unsent_answer_is_not_closed_to_make_room(self):
         first, second = self.client(), self.client()
-        ask = self.asked(first, rig.dispatch(1, rig.fields(A)))
-        other = self.asked(second, rig.dispatch(1, rig.fields(B)), 2)
-        with patch.object(write_buffer.WriteBuffer, "send_waiting"):  # the kernel takes nothing for now
-            known = ask.client
-            real = known.write_buffer.sock
-            known.write_buffer.sock = Mock(send=Mock(side_effect=BlockingIOError))
-            ask.succeed(b"done", 1)
-            known.write_buffer.sock = real
+        pending = self.send_request(first, rig.dispatch(1, rig.fields(A)))
+        other = self.send_request(second, rig.dispatch(1, rig.fields(B)), 2)
+        with patch.object(write_buffer.WriteBuffer, "send_waiting"):  # the socket accepts no bytes for now
+            connection = pending.client
+            real = connection.write_buffer.sock
+            connection.write_buffer.sock = Mock(send=Mock(side_effect=BlockingIOError))
+            pending.succeed(b"done", 1)
+            connection.write_buffer.sock = real
             third = self.client()
-            self.until(lambda: self.front.counts["accepted"] == 3)
-            self.assertEqual(self.front.counts["no_room"], 1)
+            self.until(lambda: self.client_server.counts["accepted"] == 3)
+            self.assertEqual(self.client_server.counts["no_room"], 1)
         self.until(first.waits)
         self.assertEqual(first.answer(), (1, "answer", b"done"))
         self.until(third.waits)
@@ -138,50 +142,53 @@
         self.until(second.waits)
         self.assertEqual(second.answer()[1], "answer")
 
-    def test_one_that_breaks_is_answered_first(self):
+    def test_connection_with_an_internal_error_is_answered_before_it_ends(self):
         client = self.client()
-        ask = self.asked(client, rig.dispatch(1, rig.fields(A)))
-        known = ask.client
+        pending = self.send_request(client, rig.dispatch(1, rig.fields(A)))
+        connection = pending.client
         self.loop.on_error = Mock()
         with patch.object(client_connection.thrift, "parse_message", side_effect=ZeroDivisionError):
             client.send(rig.dispatch(2, rig.fields(B)))
-            self.until(lambda: known.ending)
-        ask.succeed(b"done", 1)
+            self.until(lambda: connection.ending)
+        pending.succeed(b"done", 1)
         self.until(client.waits)
         self.assertEqual(client.answer(), (1, "answer", b"done"))
 
-    def test_who_has_left_is_known_before_an_attempt(self):
-        """A close or a cancel that waits to be read counts."""
-        for leaves in ("close", "cancel"):
-            with self.subTest(leaves):
-                self.recorded.clear()
+    def test_client_that_left_is_detected_before_an_attempt(self):
+        """A close or a cancel that has arrived but is unread counts."""
+        for way in ("close", "cancel"):
+            with self.subTest(way):
+                self.events.clear()
                 client = self.client()
-                ask = self.asked(client, rig.dispatch(1, rig.fields(A)))
-                self.assertTrue(ask.is_client_waiting())
-                ask.router_id = 1
-                if leaves == "close":
+                pending = self.send_request(client, rig.dispatch(1, rig.fields(A)))
+                self.assertTrue(pending.is_client_waiting())
+                pending.router_id = 1
+                if way == "close":
                     client.close()
                 else:
                     client.send(rig.cancel(2, 1))
-                self.there(ask.client)
+                self.wait_readable(pending.client)
                 self.now += 100
-                self.assertFalse(ask.is_client_waiting())
-                want = ("closed", [ask]) if leaves == "close" else ("cancelled", ask)
-                self.assertEqual([event_tuple(event) for event in self.recorded[1:]], [want])
+                self.assertFalse(pending.is_client_waiting())
+                expected = ("closed", [pending]) if way == "close" else ("cancelled", pending)
+                self.assertEqual([event_tuple(event) for event in self.events[1:]], [expected])
 
 
-class Attempts(TimedFrontEndCase):
+class AttemptsAfterLeaving(TimedFrontEndCase):
     """No attempt begins for a client that has closed or cancelled."""
 
-    def leaves(self, how):
-        """A worker rejects an attempt in the turn in which its client's close or cancel is there, too. The worker is
-        served first, so the retry is decided before that is read. How many attempts begin after that."""
+    def attempts_after_leaving(self, how):
+        """A worker rejects an attempt in the iteration in which its client's close or cancel is readable too.
+
+        The worker's connection is served first, so that the retry is decided before the client's bytes are read.
+        Returns how many attempts begin after that.
+        """
         workers = [self.worker(), self.worker()]
         front_end = self.front_end(*workers)
         client = self.idle_client()
-        for number in range(2, 10):  # both have a connection
+        for number in range(2, 10):  # so that both workers have a connection
             client.send(rig.dispatch(number, rig.fields(f"{number:016x}", o=f"{number:016x}"), b"slow"))
-        self.until(lambda: len(self.held_commands) == 8, "the call-outs")
+        self.until(lambda: len(self.held_commands) == 8, "the attempts")
         while self.held_commands:
             sock, parts = self.held_commands.pop()
             sock.sendall(rig.bulk(parts[1], b"ACK", b"why=w,ahead=0", b""))
@@ -189,40 +196,40 @@
             self.answer(client)
         self.assertTrue(all(worker.received(b"invoke") for worker in workers))
         client.send(rig.dispatch(20, rig.fields(A), b"slow"))
-        self.until(lambda: self.held_commands, "the call-out")
-        before = sum(len(worker.received(b"invoke")) for worker in workers)
+        self.until(lambda: self.held_commands, "the attempt")
+        earlier_count = sum(len(worker.received(b"invoke")) for worker in workers)
         self.now += 150
-        known = next(iter(front_end.client_server.clients.values()))
+        connection = next(iter(front_end.client_server.clients.values()))
         if how == "closes":
             client.close()
         elif how == "cancels":
             client.send(rig.cancel(21, 20))
         if how != "stays":
-            self.assertTrue(select.select([known.sock], [], [], rig.TIMEOUT)[0])
+            self.assertTrue(select.select([connection.sock], [], [], rig.TIMEOUT)[0])
         sock, parts = self.held_commands.pop()
         sock.sendall(rig.bulk(parts[1], b"AGAIN", b"-", b""))
-        from_workers = [
+        worker_descriptors = [
             number
             for number, handler in front_end.loop.handlers.items()
             if handler.priority is event_loop.Priority.HIGH
         ]
-        self.assertTrue(select.select(from_workers, [], [], rig.TIMEOUT)[0])
+        self.assertTrue(select.select(worker_descriptors, [], [], rig.TIMEOUT)[0])
         if how == "stays":
             self.until(lambda: self.held_commands, "the retry")
         else:
             self.until(lambda: not front_end.coordinator.requests.by_id, "the end of the request")
         for _ in range(10):
             self.run_once()
-        return sum(len(worker.received(b"invoke")) for worker in workers) - before
+        return sum(len(worker.received(b"invoke")) for worker in workers) - earlier_count
 
-    def test_a_client_that_stays_has_its_retry(self):
-        self.assertEqual(self.leaves("stays"), 1)
+    def test_request_of_a_client_that_stays_is_retried(self):
+        self.assertEqual(self.attempts_after_leaving("stays"), 1)
 
-    def test_none_begins_after_a_close(self):
-        self.assertEqual(self.leaves("closes"), 0)
+    def test_no_attempt_after_a_close(self):
+        self.assertEqual(self.attempts_after_leaving("closes"), 0)
 
-    def test_none_begins_after_a_cancel(self):
-        self.assertEqual(self.leaves("cancels"), 0)
+    def test_no_attempt_after_a_cancel(self):
+        self.assertEqual(self.attempts_after_leaving("cancels"), 0)
 
 
 if __name__ == "__main__":
--- a/tests/test_clients_that_left.py
+++ b/tests/test_clients_that_left.py
@@ -82,7 +82,7 @@
                 many = len(worker.received(b"invoke"))
                 self.assertFalse(client.waits())
                 self.gone(client, how)
-                worker.play = None
+                worker.handle = None
                 for sock, parts in orders:
                     sock.sendall(rig.bulk(parts[1], b"ACK", b"units=1", b""))
                 self.advance(1000, 20.0)
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown of a front end: steps are forced by their order and by a clock that the test sets."""
+"""Graceful shutdown of a front end, on a clock that the test sets."""
 
 import copy
 import errno
@@ -13,13 +13,14 @@
 from wickdyke.platform import client_server
 
 A, B, C, D = (letter * 16 for letter in "abcd")
-KILL_AFTER, KILL_DEADLINE = 700, 3000  # ms, from the protocol: SIGKILL after SIGTERM
-MARGIN = 100  # ms before SIGKILL by which all is to be answered
-FINAL = {"answer", "shed", "fault"}
+# ms, from the protocol: SIGKILL follows SIGTERM after the longest deadline, counted as 3000 at most, and 700 more.
+KILL_AFTER, KILL_DEADLINE = 700, 3000
+MARGIN = 100  # ms before SIGKILL, by which all requests are to be answered
+FINAL_ANSWERS = {"answer", "shed", "fault"}
 
 
 def with_deadline(milliseconds):
-    """The settings with that as the longest deadline."""
+    """Returns settings whose longest deadline is `milliseconds`."""
     settings = copy.deepcopy(rig.SETTINGS)
     for lane in settings["lanes"]:
         lane["deadline"] = milliseconds * 1000
@@ -27,25 +28,25 @@
     return settings
 
 
-class Moments(TimedFrontEndCase):
-    """The moments of the steps of a shutdown, for short and long deadlines."""
+class ShutdownTiming(TimedFrontEndCase):
+    """The times of the steps of a shutdown, for short and long deadlines."""
 
-    def plays(self, longest, step=5.0):
-        """Requests to a worker that hangs, at many moments after SIGTERM: each has its final answer before SIGKILL."""
+    def check_answers_before_kill(self, longest, step=5.0):
+        """Requests to a worker that hangs, sent at many times after SIGTERM: each is answered before SIGKILL."""
         front_end = self.front_end(self.worker(), settings=with_deadline(longest))
         kill = min(longest, KILL_DEADLINE) + KILL_AFTER
-        moments = [0, 200, 599, 601, 699, 701, 749, 751, kill - 120, kill - 80, kill - 60, kill - 20]
-        moments = sorted({moment for moment in moments if moment < kill})
-        clients = [self.idle_client() for _ in range(len(moments) + 1)]
-        clients[0].send(rig.dispatch(2, rig.fields("e" * 16, d="3000"), b"loads it"))
-        self.assertEqual(self.answer(clients[0]), (2, "answer", b"did loads it"))
+        send_times = [0, 200, 599, 601, 699, 701, 749, 751, kill - 120, kill - 80, kill - 60, kill - 20]
+        send_times = sorted({send_time for send_time in send_times if send_time < kill})
+        clients = [self.idle_client() for _ in range(len(send_times) + 1)]
+        clients[0].send(rig.dispatch(2, rig.fields("e" * 16, d="3000"), b"load"))
+        self.assertEqual(self.answer(clients[0]), (2, "answer", b"did load"))
         clients[0].send(rig.dispatch(3, rig.fields("f" * 16, d="1500"), b"slow"))
-        self.until(lambda: len(self.held_commands) == 1, "the call-out")
+        self.until(lambda: len(self.held_commands) == 1, "the attempt")
         self.terminate()
         sent, answers, at = [clients.pop(0)], {}, 0.0
         while at < kill and not self.has_ended:
-            if moments and at >= moments[0]:
-                moments.pop(0)
+            if send_times and at >= send_times[0]:
+                send_times.pop(0)
                 client, before = clients.pop(0), front_end.client_server.read_count
                 self.send(client, rig.dispatch(2, rig.fields(f"{len(sent):016x}", d=str(longest)), b"slow"))
                 sent.append(client)
@@ -55,25 +56,25 @@
             self.now = self.terminated_at + at
         for number, client in enumerate(sent):
             answers[number] = client.answer()[1] if client.waits() else "nothing"
-        self.assertEqual({number: word for number, word in answers.items() if word not in FINAL}, {})
-        self.assertTrue(self.has_ended, "alive as SIGKILL may come")
+        self.assertEqual({number: word for number, word in answers.items() if word not in FINAL_ANSWERS}, {})
+        self.assertTrue(self.has_ended, "still running when SIGKILL may come")
         for client in clients:  # idle until the end
             self.assertEqual(client.answer()[1], "closed")
 
     def test_a_longest_deadline_of_100_ms(self):
-        self.plays(100)
+        self.check_answers_before_kill(100)
 
     def test_a_longest_deadline_of_300_ms(self):
-        self.plays(300)
+        self.check_answers_before_kill(300)
 
     def test_a_longest_deadline_of_3_s(self):
-        self.plays(3000)
+        self.check_answers_before_kill(3000)
 
     def test_a_longest_deadline_of_10_s(self):
-        """Counted as 3 s: who may wait for 10 s has its answer by then."""
-        self.plays(10000)
+        """Counts as 3 s: a request that may wait for 10 s is answered by then."""
+        self.check_answers_before_kill(10000)
 
-    def test_too_late_for_a_worker_it_is_rejected_at_once_and_not_forwarded(self):
+    def test_request_too_late_for_a_worker_is_rejected_at_once(self):
         worker = self.worker()
         front_end = self.front_end(worker, settings=with_deadline(300))
         first, second = self.idle_client(), self.idle_client()
@@ -86,21 +87,21 @@
         self.assertEqual(self.answer(second)[1], "shed")
         self.assertEqual(len(worker.received(b"invoke")), 1)
 
-    def test_waits_no_longer_than_to_the_next_step(self):
+    def test_loop_waits_no_longer_than_until_the_next_step(self):
         patch.object(service, "MAX_WAIT", 100.0).start()
         front_end = self.front_end(settings=with_deadline(100))
         waits = []
-        self.until(front_end.coordinator.events.empty, "the list")
-        never = Mock(return_value=float("inf"))
-        patch.object(front_end.coordinator, "next_deadline", never).start()
-        patch.object(front_end.loop, "next_deadline", never).start()
+        self.until(front_end.coordinator.events.empty, "the endpoint list")
+        no_deadline = Mock(return_value=float("inf"))
+        patch.object(front_end.coordinator, "next_deadline", no_deadline).start()
+        patch.object(front_end.loop, "next_deadline", no_deadline).start()
         with patch.object(front_end.loop, "run_once", lambda wait, between, now: waits.append(wait)):
             self.terminate()
             self.now += 100 + KILL_AFTER - MARGIN - 3
             front_end.run_once()
         self.assertLessEqual(waits[0], 3.01)
 
-    def test_twice(self):
+    def test_second_sigterm_changes_nothing(self):
         self.front_end(self.worker())
         client = self.idle_client()
         self.terminate()
@@ -113,7 +114,7 @@
         self.until(lambda: self.has_ended, "the end")
         self.assertEqual(client.answer()[1], "closed")
 
-    def test_before_it_is_ready(self):
+    def test_sigterm_before_the_front_end_is_open(self):
         front_end = self.front_end(self.worker(), opened=False)
         self.terminate()
         front_end.open()
@@ -128,10 +129,10 @@
         self.until(lambda: self.has_ended, "the end")
 
 
-class Listener(TimedFrontEndCase):
+class ListenerClose(TimedFrontEndCase):
     """Connections made as the listener closes."""
 
-    def test_a_connection_1_ms_before_it_closes(self):
+    def test_connection_made_1_ms_before_the_close(self):
         self.front_end(self.worker())
         self.terminate()
         self.run_once()
@@ -142,7 +143,7 @@
         self.assertEqual(self.answer(client), (1, "answer", b"did a"))
         self.until(lambda: self.has_ended, "the end")
 
-    def test_one_taken_as_it_closes_brings_its_request_later(self):
+    def test_connection_accepted_at_the_close_sends_its_request_later(self):
         front_end = self.front_end(self.worker())
         self.terminate()
         self.run_once()
@@ -155,7 +156,7 @@
         self.assertEqual(self.answer(client), (1, "answer", b"did a"))
         self.until(lambda: self.has_ended, "the end")
 
-    def test_one_that_never_asks_is_not_waited_for_long(self):
+    def test_connection_without_a_request_delays_the_end_briefly(self):
         front_end = self.front_end()
         self.terminate()
         self.run_once()
@@ -166,24 +167,24 @@
         self.until(lambda: self.has_ended, "the end")
         self.assertEqual(client.answer()[1], "closed")
 
-    def test_half_a_request_is_waited_for(self):
+    def test_partial_request_is_awaited(self):
         front_end = self.front_end(self.worker())
         client = self.idle_client()
         self.terminate()
         self.now += service.GRACE_PERIOD
-        whole = rig.dispatch(2, rig.fields(A), b"a")
-        self.send(client, whole[:30])
+        frame = rig.dispatch(2, rig.fields(A), b"a")
+        self.send(client, frame[:30])
         self.until(
             lambda: any(each.frame_parser.has_partial_frame for each in front_end.client_server.clients.values())
         )
         self.run_once()
         self.assertFalse(self.has_ended)
-        client.send(whole[30:])
+        client.send(frame[30:])
         self.assertEqual(self.answer(client), (2, "answer", b"did a"))
         self.until(lambda: self.has_ended, "the end")
 
-    def test_a_connection_that_can_not_be_taken_for_a_moment(self):
-        """accept fails as the listener is to close: what waits there is taken later, not reset."""
+    def test_connection_that_accept_fails_for_at_first(self):
+        """accept fails as the listener is to close: waiting connections are accepted later, not reset."""
         for number in (errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EMFILE, errno.ECONNABORTED):
             with self.subTest(errno.errorcode[number]):
                 self.has_ended = False
@@ -192,12 +193,12 @@
                 self.terminate()
                 self.run_once()
                 self.now += service.GRACE_PERIOD
-                self.discovery_heard()  # after the jump of the clock, which passes for a stop without discovery
-                client, real, mended = self.client(), front_end.client_server.sock, self.now + 50
+                self.discovery_heard()  # the jump of the clock looks like a stop of the process, without discovery
+                client, real, succeeds_from = self.client(), front_end.client_server.sock, self.now + 50
                 client.send(rig.dispatch(1, rig.fields(A), b"a"))
 
-                def accept(real=real, mended=mended, number=number):
-                    if self.now < mended:
+                def accept(real=real, succeeds_from=succeeds_from, number=number):
+                    if self.now < succeeds_from:
                         raise OSError(number, os.strerror(number))
                     return real.accept()
 
@@ -210,32 +211,32 @@
                 self.close_front_end()
 
 
-class LastLook(TimedFrontEndCase):
+class LastIteration(TimedFrontEndCase):
     """Requests that arrive in the last iteration before connections are closed."""
 
-    def test_a_request_just_before_idle_connections_are_closed(self):
-        """It crosses the end after all was looked at: it is read before its connection is closed, and answered."""
+    def test_request_just_before_idle_connections_are_closed(self):
+        """A request that arrives after the last read of all connections is read before the close, and answered."""
         front_end = self.front_end(self.worker())
         client, idle = self.idle_client(), self.idle_client()
         read_clients, sent = front_end.client_server.read_clients, []
 
-        def look():
-            found = read_clients()
-            if not found and not sent:
+        def read_then_send():
+            has_read = read_clients()
+            if not has_read and not sent:
                 sent.append(True)
                 self.send(client, rig.dispatch(2, rig.fields(A), b"a"))
-            return found
+            return has_read
 
-        front_end.client_server.read_clients = look
+        front_end.client_server.read_clients = read_then_send
         self.terminate()
         self.now += service.GRACE_PERIOD
-        self.until(lambda: sent, "the last look")
+        self.until(lambda: sent, "the last read")
         self.assertEqual(self.answer(client), (2, "answer", b"did a"))
         self.until(lambda: self.has_ended, "the end")
         self.assertEqual(idle.answer()[1], "closed")
 
-    def test_connections_are_closed_by_the_end_of_the_last_turn(self):
-        """Not as the process has gone: until then the kernel would acknowledge requests that nobody reads."""
+    def test_connections_are_closed_in_the_last_iteration(self):
+        """A close left to the end of the process would let the kernel acknowledge requests that nobody reads."""
         front_end = self.front_end(self.worker())
         clients = [self.idle_client() for _ in range(3)]
         self.terminate()
@@ -244,7 +245,7 @@
         self.assertEqual(front_end.client_server.clients, {})
         self.assertEqual([client.answer()[1] for client in clients], ["closed"] * 3)
 
-    def test_a_worker_that_hangs_where_nothing_may_be_cancelled(self):
+    def test_hanging_worker_without_cancelling(self):
         settings = with_deadline(300)
         settings["limits"]["cancelling"] = False
         self.front_end(self.worker(), settings=settings)
@@ -252,14 +253,14 @@
         self.terminate()
         self.run_once()
         self.now += 699
-        self.run_once()  # what comes after a poll has not waited unread
+        self.run_once()  # so that the request, which arrives after this poll, does not count as unread for 699 ms
         self.send(client, rig.dispatch(2, rig.fields(A, "pay", d="300", k="k1"), b"slow"))
-        self.until(lambda: self.held_commands, "the call-out")
+        self.until(lambda: self.held_commands, "the attempt")
         while self.now < self.terminated_at + 300 + KILL_AFTER and not self.has_ended:
             self.run_once()
             self.now += 5
         self.assertTrue(self.has_ended)
-        self.assertIn(client.answer()[1], FINAL)
+        self.assertIn(client.answer()[1], FINAL_ANSWERS)
 
 
 if __name__ == "__main__":
--- a/tests/test_work_held_back.py
+++ b/tests/test_work_held_back.py
@@ -33,13 +33,13 @@
         self.until(lambda: any(connection.pending_commands for connection in upstream.connections))
         (waiting,) = [connection for connection in upstream.connections if connection.pending_commands]
         self.now += OUTAGE_NOTICE_DELAY + STOP_SENDING_WITHIN
-        for dialled in full.first:
+        for dialled in full.backlog_clients:
             dialled.close()
         full.sock.setblocking(False)
 
         def is_established():
             with suppress(BlockingIOError):
-                full.taken.append(full.sock.accept()[0])
+                full.accepted.append(full.sock.accept()[0])
             return waiting.established
 
         self.until(is_established, "the connection")
--- a/tests/timed_rig.py
+++ b/tests/timed_rig.py
@@ -1,4 +1,4 @@
-"""A front end stepped by the test, at times that the test sets."""
+"""A front end whose iterations the test runs, on a clock that the test sets."""
 
 import json
 import select
@@ -26,7 +26,7 @@
 
 
 class TimedFrontEndCase(FrontEndCase):
-    """A front end stepped by the test, at times that the test sets; workers are real and hold back what is `slow`."""
+    """Base of tests that run a front end's iterations on a clock of their own; its sockets and workers are real."""
 
     def setUp(self):
         super().setUp()
@@ -49,10 +49,11 @@
         patch.object(service, "MAX_WAIT", 5.0).start()
         self.has_ended = False
 
-    def front_end(self, *workers, opened=True, **more):
+    def front_end(self, *workers, opened=True, **config_fields):
+        """Creates a front end with these workers, and starts it unless `opened` is false; returns its service."""
         instances = (rig.instance(f"w{number}", worker.address) for number, worker in enumerate(workers))
         with open(self.path, "w") as out:
-            json.dump(rig.config(self.listen, UNREACHABLE_ADDRESS, *instances, **more), out)
+            json.dump(rig.config(self.listen, UNREACHABLE_ADDRESS, *instances, **config_fields), out)
         self.log = Mock()
         self.service = service.Service(configuration.read(self.path), self.path, self.log)
         self.addCleanup(self.close_front_end)
@@ -61,30 +62,35 @@
         return self.service
 
     def run_once(self):
+        """Runs one iteration unless the front end has ended."""
         if not self.has_ended:
             self.has_ended = not self.service.run_once()
 
-    def until(self, done, what="it"):
+    def until(self, condition, description="the expected state"):
+        """Runs iterations until `condition()` is true; fails after 4000."""
         for _ in range(int(rig.TIMEOUT * 200)):
-            if done():
+            if condition():
                 return
             self.run_once()
-        self.fail(f"{what} did not come")
+        self.fail(f"timed out waiting for {description}")
 
     def idle_client(self):
-        """A connection that was answered once."""
+        """Returns a connection that is idle after one answer."""
         client = self.client()
         client.send(rig.alive(1))
         self.answer(client)
         return client
 
     def send(self, client, data):
-        """Sends to a connection the front end knows; returns once the bytes are there to be read."""
+        """Sends on a connection that the front end has accepted; returns once it can read the bytes."""
         port = client.sock.getsockname()[1]
-        (known,) = [each for each in self.service.client_server.clients.values() if each.sock.getpeername()[1] == port]
+        (accepted,) = [
+            each for each in self.service.client_server.clients.values() if each.sock.getpeername()[1] == port
+        ]
         client.send(data)
-        self.assertTrue(select.select([known.sock], [], [], rig.TIMEOUT)[0])
+        self.assertTrue(select.select([accepted.sock], [], [], rig.TIMEOUT)[0])
 
     def terminate(self):
+        """Requests a shutdown as SIGTERM does."""
         self.service._request_shutdown(signal.SIGTERM, None)
         self.terminated_at = self.now
