--- a/tests/test_attempts_that_fail_at_once.py
+++ b/tests/test_attempts_that_fail_at_once.py
@@ -8,21 +8,21 @@
 from wickdyke.gateway.events import EndpointsReceived
 
 
-class FailAtOnce(SteppedClockCase):
+class ImmediateFailures(SteppedClockCase):
     """Retries and hedged requests whose attempt fails as it begins."""
 
-    def second_worker(self, address):
-        """Tells of one more worker."""
+    def add_worker(self, address):
+        """Adds a worker to the endpoint list."""
         self.service.coordinator.post(EndpointsReceived([rig.event(2, rig.instance("w9", address))]))
         self.service.run_once()
 
-    def refused(self):
-        """How many attempts met a refused connection."""
+    def refused_connects(self):
+        """Returns how many connects failed."""
         counts = self.service.protocol.pool.counts
-        return sum(many for name, many in counts.items() if name.startswith("connect"))
+        return sum(count for name, count in counts.items() if name.startswith("connect"))
 
-    def test_a_retry_that_is_refused(self):
-        """The first attempt is answered as full, the only other worker is not there: one final answer."""
+    def test_retry_whose_connection_is_refused(self):
+        """The first worker is full and the only other one refuses connections: one final answer."""
         for name in REQUEST_CLASSES:
             with self.subTest(name):
                 worker = self.worker()
@@ -30,7 +30,7 @@
                 client = self.client()
                 client.send(request(1, name, b"slow"))
                 self.wait_for_commands(1)
-                self.second_worker(rig.free_address())
+                self.add_worker(rig.free_address())
                 sock, parts = self.held_commands.pop()
                 sock.sendall(rig.bulk(parts[1], b"AGAIN", b"-", b""))
                 number, word, _ = self.final_answer(client, 1550, settle=False)
@@ -40,47 +40,47 @@
                 self.held_commands.clear()
                 self.close_front_end()
 
-    def test_a_hedged_request_that_is_refused(self):
-        """It fails at once, also for a second time: the first attempt's answer is the final one."""
+    def test_hedge_whose_connection_is_refused(self):
+        """The hedge fails at once, a second one too: the first attempt's answer is the final one."""
         self.front_end(self.worker().address, settings=settings({"second-copies": True}))
         self.enable_hedging()
         client = self.client()
         client.send(request(1, "look", b"slow"))
         self.wait_for_commands(1)
-        self.second_worker(rig.free_address())
+        self.add_worker(rig.free_address())
         self.advance(200)
-        self.assertGreater(self.refused(), 0)
+        self.assertGreater(self.refused_connects(), 0)
         self.assertFalse(client.waits())
         self.answer_held_command()
         self.assertEqual(self.answer(client), (1, "answer", b"at last"))
         self.assert_no_more_answers(client)
         self.assertEqual((self.service.coordinator.requests.by_id, self.logged_errors()), ({}, []))
 
-    def test_a_hedged_request_and_the_first_attempt_fail_in_one_iteration(self):
-        """The hedge's worker and the first one's connection are both reset unread: one final answer."""
+    def test_hedge_and_first_attempt_fail_in_one_iteration(self):
+        """The connections of both attempts are reset in one iteration: one final answer."""
         self.front_end(self.worker().address, settings=settings({"second-copies": True}))
         self.enable_hedging()
         client = self.client()
         client.send(request(1, "look", b"slow"))
         self.wait_for_commands(1)
-        self.second_worker(self.worker().address)
+        self.add_worker(self.worker().address)
         self.until(lambda: (self.advance(HEDGE_STEP), len(self.held_commands) >= 2)[1], "the hedge")
         for sock, _ in self.held_commands:
             reset(sock)
         number, word, _ = self.final_answer(client, 1550, settle=False)
         self.assertEqual(number, 1)
-        self.assertIn(word, ("answer", "fault", "shed"))  # it is idempotent: a refusal is as good
+        self.assertIn(word, ("answer", "fault", "shed"))  # a rejection is as good, as the request is idempotent
         self.assert_no_more_answers(client)
         self.assertEqual((self.service.coordinator.requests.by_id, self.logged_errors()), ({}, []))
 
-    def test_both_answer_in_one_iteration(self):
-        """The hedge's answer and the first attempt's are read in one iteration: the client gets one."""
+    def test_hedge_and_first_attempt_are_answered_in_one_iteration(self):
+        """The answers of both attempts are read in one iteration: the client gets one."""
         self.front_end(self.worker().address, settings=settings({"second-copies": True}))
         self.enable_hedging()
         client = self.client()
         client.send(request(1, "look", b"slow"))
         self.wait_for_commands(1)
-        self.second_worker(self.worker().address)
+        self.add_worker(self.worker().address)
         self.until(lambda: (self.advance(HEDGE_STEP), len(self.held_commands) >= 2)[1], "the hedge")
         self.answer_held_command(b"one")
         self.answer_held_command(b"one")
@@ -89,10 +89,10 @@
         self.assertEqual((self.service.coordinator.requests.by_id, self.logged_errors()), ({}, []))
 
 
-class LittleTime(SteppedClockCase):
-    """Requests with 1 to 30 ms left, which workers drop without a word."""
+class ShortDeadlines(SteppedClockCase):
+    """Requests with 1 to 30 ms left, which workers drop without an answer."""
 
-    def test_one_answer_in_time_and_the_worker_is_not_taken_for_sick(self):
+    def test_one_answer_in_time_and_the_worker_counts_as_healthy(self):
         for name in REQUEST_CLASSES:
             with self.subTest(name):
                 dropped = []
@@ -104,28 +104,28 @@
                     )
                 )
                 self.front_end(worker.address)
-                client, shed = self.client(), []
+                client, rejected = self.client(), []
                 client.send(request(1))
                 self.assertEqual(self.final_answer(client, 500)[1], "answer")
-                for left in range(1, 31):
-                    client.send(request(left + 1, name, b"short", d=str(left)))
-                    number, word, _ = self.final_answer(client, left + 10, settle=False, step=1.0)
-                    self.assertEqual(number, left + 1)
+                for time_left in range(1, 31):
+                    client.send(request(time_left + 1, name, b"short", d=str(time_left)))
+                    number, word, _ = self.final_answer(client, time_left + 10, settle=False, step=1.0)
+                    self.assertEqual(number, time_left + 1)
                     self.assertIn(word, ("shed", "fault"))
                     if word == "shed":
-                        shed.append(b"%016x" % number)
+                        rejected.append(b"%016x" % number)
                 self.advance(1000, 20.0)
                 self.assertFalse(client.waits())
                 if name == "pay":
-                    self.assertEqual(set(shed) & set(dropped), set())
+                    self.assertEqual(set(rejected) & set(dropped), set())
                 for at in range(20):
                     client.send(request(100 + at, name))
                     self.assertEqual(self.final_answer(client, 500), (100 + at, "answer", b"did x"))
                 self.assertEqual(self.logged_errors(), [])
                 self.close_front_end()
 
-    def test_many_at_once(self):
-        """Thirty in one connection's one write, of all three classes: one answer each, in time."""
+    def test_many_requests_in_one_write(self):
+        """Thirty requests of all three classes, sent in one write: one answer each, in time."""
         worker = self.close_on_cleanup(
             rig.Worker(lambda _, sock, parts: parts[0] == b"invoke" and parts[3] == b"short")
         )
--- a/tests/test_clients_leaving_in_stops.py
+++ b/tests/test_clients_leaving_in_stops.py
@@ -1,4 +1,4 @@
-"""Clients that leave while the process does not run: no attempt begins for them."""
+"""No attempt begins for a client that leaves while the process is stopped."""
 
 import socket
 import unittest
@@ -11,10 +11,11 @@
 WAYS_TO_LEAVE = ("close", "reset", "cancel")
 
 
-class ClientsThatLeave(StoppedCase):
-    """No attempt begins for a client that left while the process was stopped."""
+class ClientsLeavingInStops(StoppedCase):
+    """Clients that close, reset or cancel while the process is stopped."""
 
     def leave(self, client, how):
+        """Closes or resets the client's connection, or cancels its request 1."""
         if how == "close":
             client.close()
         elif how == "reset":
@@ -22,7 +23,7 @@
         else:
             client.send(rig.cancel(2, 1))
 
-    def test_right_behind_a_request_on_a_new_connection(self):
+    def test_after_a_request_on_a_new_connection(self):
         for how in WAYS_TO_LEAVE:
             with self.subTest(how=how):
                 worker = self.worker()
@@ -34,7 +35,7 @@
                 self.assert_not_sent(worker)
                 self.close_front_end()
 
-    def test_right_behind_a_request_on_an_open_connection(self):
+    def test_after_a_request_on_an_open_connection(self):
         for how in WAYS_TO_LEAVE:
             with self.subTest(how=how):
                 worker = self.worker()
@@ -51,8 +52,8 @@
                 self.assert_not_sent(worker)
                 self.close_front_end()
 
-    def test_behind_more_than_is_read_at_a_time(self):
-        """Three requests of 16 KiB and the end of the connection, or their cancels."""
+    def test_after_more_data_than_one_read_takes(self):
+        """Three requests of 16 KiB, followed by the end of the connection or by their cancels."""
         for how in WAYS_TO_LEAVE:
             with self.subTest(how=how):
                 worker = self.worker()
@@ -71,7 +72,7 @@
                 self.close_front_end()
 
     def test_while_an_attempt_waits_for_its_connection(self):
-        """The connection to the worker is there when the process runs again, and so is the client's leaving."""
+        """When the process runs again, the worker's connection is established and the client has left."""
         for how in WAYS_TO_LEAVE:
             with self.subTest(how=how):
                 full = FullListener(self)
@@ -86,7 +87,7 @@
                 (waiting,) = [each for each in upstream.connections if each.pending_commands]
                 self.leave(client, how)
                 self.stop_process()
-                waiting.writable()  # as it is served first, once its connect has succeeded
+                waiting.writable()  # the worker's connection is served first, once its connect has succeeded
                 self.assertTrue(waiting.established)
                 attempts = [command for command in waiting.open_commands.values() if command.ident == b"%016x" % 1]
                 self.assertEqual(attempts, [])
--- a/tests/test_descriptor_limit.py
+++ b/tests/test_descriptor_limit.py
@@ -1,4 +1,4 @@
-"""A front end with few descriptors, which idle clients try to use up."""
+"""A front end whose few descriptors idle clients try to use up."""
 
 import contextlib
 import json
@@ -17,36 +17,36 @@
 from wickdyke.platform import configuration, service
 
 
-class Descriptors(unittest.TestCase):
-    """The program with few descriptors, which idle clients try to take."""
+class DescriptorLimit(unittest.TestCase):
+    """A process with a low limit of descriptors, and how it divides them."""
 
-    def test_clients_that_idle_while_the_list_is_away(self):
+    def test_idle_clients_during_an_outage_of_discovery(self):
         with tempfile.TemporaryDirectory() as folder:
             path, listen = os.path.join(folder, "config.json"), rig.free_address()
-            first, one, two = rig.Bus(), rig.Worker(), rig.Worker()
-            for made in (one, two):
-                self.addCleanup(made.close)
-            given = rig.config(listen, first.address, rig.instance("w0", one.address))
+            bus, first, second = rig.Bus(), rig.Worker(), rig.Worker()
+            for worker in (first, second):
+                self.addCleanup(worker.close)
+            given = rig.config(listen, bus.address, rig.instance("w0", first.address))
             given["limits"]["sockets"] = 64
             with open(path, "w") as out:
                 json.dump(given, out)
-            ran = subprocess.Popen(
+            process = subprocess.Popen(
                 [sys.executable, "-m", "wickdyke.platform"],
                 stderr=subprocess.PIPE,
                 text=True,
                 env={**os.environ, "GW_CONFIG": path, "GW_LISTEN": listen},
                 preexec_fn=lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (64, 64)),
             )
-            self.addCleanup(ran.stderr.close)
-            self.addCleanup(ran.wait)
-            self.addCleanup(ran.kill)
+            self.addCleanup(process.stderr.close)
+            self.addCleanup(process.wait)
+            self.addCleanup(process.kill)
             lines = []
-            threading.Thread(target=lambda: [lines.append(line) for line in ran.stderr], daemon=True).start()
+            threading.Thread(target=lambda: [lines.append(line) for line in process.stderr], daemon=True).start()
             wait_for(self, lambda: any("event=serving" in line for line in lines))
-            port = int(first.address.rpartition(":")[2])
-            wait_for(self, lambda: first.readers)
-            first.listener.shutdown(socket.SHUT_RDWR)
-            first.close()
+            port = int(bus.address.rpartition(":")[2])
+            wait_for(self, lambda: bus.readers)
+            bus.listener.shutdown(socket.SHUT_RDWR)
+            bus.close()
             clients = []
             for _ in range(90):
                 client = rig.Client(listen)
@@ -54,19 +54,21 @@
                 client.send(rig.alive(1))
                 self.assertEqual(client.answer()[1], "good")
                 clients.append(client)
-            back_again = rig.Bus.__new__(rig.Bus)
-            back_again.offsets, back_again.readers = [], []
-            make = socket.create_server
-            with patch.object(rig.socket, "create_server", lambda at: make(("127.0.0.1", port))):
-                rig.Listener.__init__(back_again)
-            self.addCleanup(back_again.close)
-            wait_for(self, lambda: back_again.offsets)
+            restarted_bus = rig.Bus.__new__(rig.Bus)
+            restarted_bus.offsets, restarted_bus.readers = [], []
+            create_server = socket.create_server
+            with patch.object(rig.socket, "create_server", lambda address: create_server(("127.0.0.1", port))):
+                rig.Listener.__init__(restarted_bus)
+            self.addCleanup(restarted_bus.close)
+            wait_for(self, lambda: restarted_bus.offsets)
 
-            def send_events():  # again and again: without a pulse the stream is left, and asked for anew
+            def send_events():  # repeated, as the front end leaves a connection without heartbeats for a new one
                 with contextlib.suppress(OSError):
-                    back_again.event(
+                    restarted_bus.event(
                         rig.event(
-                            2, rig.instance("w0", one.address, lifecycle="DELETED"), rig.instance("w9", two.address)
+                            2,
+                            rig.instance("w0", first.address, lifecycle="DELETED"),
+                            rig.instance("w9", second.address),
                         )
                     )
                 return any("worker=w9" in line for line in lines)
@@ -75,10 +77,10 @@
             self.assertFalse([line for line in lines if "fault" in line])
             clients[-1].send(rig.dispatch(2, rig.fields(A), b"a"))
             self.assertEqual(clients[-1].answer(), (2, "answer", b"did a"))
-            self.assertEqual(len(two.received(b"invoke")), 1)
+            self.assertEqual(len(second.received(b"invoke")), 1)
 
-    def test_dealt_out_whole(self):
-        """(limit): clients, workers and what is kept back are never more than the process may have."""
+    def test_division_of_the_limit(self):
+        """(limit): connections of clients and workers and reserved descriptors together stay within it."""
         for limit in (64, 256, 544, 1024):
             with self.subTest(limit), tempfile.TemporaryDirectory() as folder:
                 path = os.path.join(folder, "config.json")
@@ -86,17 +88,19 @@
                 given["limits"]["sockets"] = limit
                 with open(path, "w") as out:
                     json.dump(given, out)
-                made = service.Service(configuration.read(path), path, Mock())
-                self.addCleanup(made.loop.close)
-                most, used = (
-                    made.client_server.connection_limit + made.protocol.pool.capacity,
+                created_service = service.Service(configuration.read(path), path, Mock())
+                self.addCleanup(created_service.loop.close)
+                connection_count, used = (
+                    created_service.client_server.connection_limit + created_service.protocol.pool.capacity,
                     service.open_descriptors(limit),
                 )
                 self.assertLessEqual(
-                    most + used + service.RESERVED_DESCRIPTORS - 1, limit
-                )  # the loop's own was made in between
-                self.assertGreater(most, limit / 2)
-                self.assertLessEqual(made.client_server.connection_limit, made.protocol.pool.capacity)
+                    connection_count + used + service.RESERVED_DESCRIPTORS - 1, limit
+                )  # the event loop opened its own descriptor in between
+                self.assertGreater(connection_count, limit / 2)
+                self.assertLessEqual(
+                    created_service.client_server.connection_limit, created_service.protocol.pool.capacity
+                )
 
 
 if __name__ == "__main__":
--- a/tests/test_idle_connections.py
+++ b/tests/test_idle_connections.py
@@ -1,4 +1,4 @@
-"""Connections to workers and of clients that were idle: closed or reset under the next request, at rest for minutes."""
+"""Idle connections of workers and clients: closed or reset as the next request is sent, or idle for minutes."""
 
 import signal
 import socket
@@ -12,8 +12,8 @@
 from wickdyke.platform import service, worker_connection
 
 
-def end(sock, how):
-    """A worker's end of a connection, closed or reset."""
+def end_connection(sock, how):
+    """Closes or resets a worker's side of a connection."""
     if how == "reset":
         reset(sock)
     else:
@@ -21,13 +21,13 @@
 
 
 class IdleConnections(SteppedClockCase):
-    """Workers that close, reset or forget connections that idle: the next request of each class on one."""
+    """The next request of each class on an idle connection that a worker has closed, reset or forgotten."""
 
     def workers(self):
-        """Two that note what they executed; on a forgotten connection they execute nothing."""
+        """Starts two workers that record executions, none on a forgotten connection; returns their addresses."""
         self.executed, self.socks, self.forgotten, self.how = [], [], [], ""
 
-        def play(worker, sock, parts):
+        def handle(worker, sock, parts):
             if parts[0] != b"invoke":
                 return False
             if sock in self.forgotten:
@@ -38,10 +38,10 @@
             self.socks.append(sock)
             return False
 
-        return [self.close_on_cleanup(rig.Worker(play)).address for _ in range(2)]
+        return [self.close_on_cleanup(rig.Worker(handle)).address for _ in range(2)]
 
     def idle_connection(self):
-        """A client, and the front end with one connection to a worker that idles."""
+        """Starts a front end, which has one idle connection to a worker; returns its client."""
         self.front_end(*self.workers())
         client = self.client()
         client.send(request(1))
@@ -49,11 +49,11 @@
         self.settle()
         return client
 
-    def check(self, client, name, word, within, settle=True):
-        """The next request of that class: its one final answer, and no second execution unless that is safe."""
+    def check(self, client, name, words, within, settle=True):
+        """Sends a request of that class: one final answer with one of `words`, and no second execution."""
         client.send(request(2, name, d=str(within)))
         number, answered, _ = self.final_answer(client, within + 50, settle)
-        self.assertEqual((number, answered in word), (2, True), answered)
+        self.assertEqual((number, answered in words), (2, True), answered)
         self.assert_no_more_answers(client)
         executed = self.executed.count(b"%016x" % 2)
         self.assertLessEqual(executed, 1)
@@ -61,7 +61,7 @@
         self.assertEqual(self.logged_errors(), [])
 
     def test_ended_before_the_next_request(self):
-        """Nothing of it went there: it is served, whatever its class."""
+        """Nothing of the request was sent there: it is served, whatever its class."""
         for how in ("closed", "reset"):
             for name in REQUEST_CLASSES:
                 with self.subTest(how=how, name=name):
@@ -71,27 +71,27 @@
                         for upstream in self.service.coordinator.workers.clients.values()
                         for c in upstream.connections
                     )
-                    end(self.socks[-1], how)
+                    end_connection(self.socks[-1], how)
                     wait_for(self, lambda conn=conn: not conn.alive())
                     self.check(client, name, ("answer",), 1500)
                     self.close_front_end()
 
-    def test_ended_between_the_last_look_and_the_first_byte(self):
-        """It may have run, as far as the front end can tell: only what is safe to repeat is sent again."""
+    def test_ended_between_the_last_check_and_the_first_byte(self):
+        """The front end cannot tell whether the request ran: only one that is safe to repeat is sent again."""
         for how in ("closed", "reset"):
             for name in REQUEST_CLASSES:
                 with self.subTest(how=how, name=name):
                     client, alive, ended = self.idle_connection(), worker_connection.WorkerConnection.alive, []
 
-                    def look(conn, how=how, alive=alive, ended=ended):
-                        stands = alive(conn)
-                        if stands and not ended:
+                    def check_then_end(conn, how=how, alive=alive, ended=ended):
+                        is_alive = alive(conn)
+                        if is_alive and not ended:
                             ended.append(conn)
-                            end(self.socks[-1], how)
+                            end_connection(self.socks[-1], how)
                             wait_for(self, lambda: not alive(conn))
-                        return stands
+                        return is_alive
 
-                    with patch.object(worker_connection.WorkerConnection, "alive", look):
+                    with patch.object(worker_connection.WorkerConnection, "alive", check_then_end):
                         client.send(request(2, name))
                         number, answered, _ = self.final_answer(client, 1550)
                     self.assertEqual((number, len(ended)), (2, 1))
@@ -101,15 +101,17 @@
                     self.close_front_end()
 
     def test_forgotten(self):
-        """The connection's state is gone at the worker's side: the next bytes meet a reset, or silence. An idempotent
-        request may be refused at its end; one that may have had its effect may not."""
-        for how, name, word in (
+        """The worker has lost the connection's state: the next bytes are answered with a reset, or not at all.
+
+        An idempotent request may be rejected in the end; one that may have had its effect may not.
+        """
+        for how, name, words in (
             ("reset", "look", ("answer",)),
             ("reset", "pay", ("fault",)),
             ("reset", "book", ("answer", "fault")),
             ("silence", "look", ("answer", "fault", "shed")),
             ("silence", "pay", ("fault",)),
-            ("silence", "book", ("answer", "fault", "shed")),  # its key is known everywhere: trying again is harmless
+            ("silence", "book", ("answer", "fault", "shed")),  # its key is valid in all zones: a retry is safe
             ("reset", "rent", ("answer", "fault")),
             ("silence", "rent", ("answer", "fault")),
         ):
@@ -117,11 +119,11 @@
                 client = self.idle_connection()
                 self.how = how
                 self.forgotten += self.socks
-                self.check(client, name, word, 600, settle=how == "reset")
+                self.check(client, name, words, 600, settle=how == "reset")
                 self.close_front_end()
 
-    def test_all_of_many_idle_connections_at_once(self):
-        """Eight connections idle and all are reset as eight requests come: each its answer, none executed twice."""
+    def test_many_idle_connections_reset_at_once(self):
+        """Eight idle connections are reset as eight requests arrive: each is answered, and none is executed twice."""
         self.front_end(*self.workers())
         clients = [self.client() for _ in range(8)]
         for at, client in enumerate(clients):
@@ -146,10 +148,10 @@
 
 
 class IdleClients(SteppedClockCase):
-    """Requests that cross the end of a client's connection that rests."""
+    """Requests that cross the end of a client's idle connection."""
 
-    def test_an_unreadable_frame_behind_an_open_request(self):
-        """The request before it is answered, then the connection ends; nothing after it reaches a worker."""
+    def test_invalid_frame_after_an_open_request(self):
+        """The open request is answered, then the connection ends; no later request reaches a worker."""
         worker = self.worker()
         self.front_end(worker.address)
         client = self.client()
@@ -165,7 +167,7 @@
         self.assertEqual(self.answer(client)[1], "closed")
         self.assertEqual(len(worker.received(b"invoke")), 1)
 
-    def test_a_connection_that_rested_for_minutes_is_served(self):
+    def test_connection_idle_for_minutes_is_served(self):
         self.front_end(self.worker().address)
         client = self.client()
         client.send(request(1))
@@ -174,8 +176,8 @@
         client.send(request(2, "pay"))
         self.assertEqual(self.final_answer(client, 500), (2, "answer", b"did x"))
 
-    def test_crossing_the_end_of_the_grace(self):
-        """Connections that rest, each with a request sent just before the listener closes: all are answered."""
+    def test_requests_crossing_the_end_of_the_grace_period(self):
+        """Idle connections, each with a request sent just before the listener closes: all are answered."""
         front_end = self.front_end(self.worker().address)
         clients = [self.client() for _ in range(5)]
         for client in clients:
@@ -183,15 +185,15 @@
             self.answer(client)
         front_end._request_shutdown(signal.SIGTERM, None)
         self.advance(service.GRACE_PERIOD - 1, settle=True)
-        shut = front_end.client_server.close_listener
+        close_listener = front_end.client_server.close_listener
 
-        def crossing():
+        def send_then_close():
             if not front_end.client_server.listener_closed:
                 for at, client in enumerate(clients):
                     client.send(request(2, REQUEST_CLASSES[at % 3], ident=f"{50 + at:016x}"))
-            shut()
+            close_listener()
 
-        front_end.client_server.close_listener = crossing
+        front_end.client_server.close_listener = send_then_close
         self.now += 2
         front_end.run_once()
         for client in clients:
--- a/tests/test_process_stopped.py
+++ b/tests/test_process_stopped.py
@@ -1,4 +1,4 @@
-"""Requests that arrive while the process does not run count from when they arrived."""
+"""The deadline of a request that arrives while the process is stopped counts from its arrival."""
 
 import errno
 import unittest
@@ -14,17 +14,18 @@
 from wickdyke.platform.client_connection import SYSCALL_RETRY_DELAY
 from wickdyke.transport import event_loop
 
-DEADLINE_SLACK = 150  # ms by which the time passed on may exceed what is left
+DEADLINE_SLACK = 150  # ms by which the time left sent to a worker may exceed the actual one
 
 
 class RequestsOnNewConnections(StoppedCase):
     """Connections that clients make while the process is stopped, or shortly before."""
 
     def assert_reduced(self, worker, count, deadline, stopped):
+        """Fails unless each of `count` attempts was sent with the time left after so many ms of `stopped`."""
         for time_left in self.time_left_values(worker, count):
             self.assertLessEqual(time_left, deadline - stopped + DEADLINE_SLACK)
 
-    def test_one_alone(self):
+    def test_single_request(self):
         worker = self.worker()
         self.start_front_end(worker)
         (client,) = self.connect_clients()
@@ -32,7 +33,7 @@
         self.stop_process()
         self.assert_reduced(worker, 1, 1500, STOP_DURATION)
 
-    def test_more_than_one_iteration_accepts(self):
+    def test_more_connections_than_one_iteration_accepts(self):
         worker = self.worker()
         count = 2 * client_server.ACCEPTS_PER_EVENT + 1
         self.start_front_end(
@@ -46,7 +47,7 @@
         self.assertGreater(len(worker.received(b"invoke")), count // 2)
         self.assert_reduced(worker, 1, 3000, STOP_DURATION)
 
-    def test_one_whose_time_is_up_is_rejected_at_once(self):
+    def test_expired_request_is_rejected_at_once(self):
         worker = self.worker()
         self.start_front_end(worker)
         (client,) = self.connect_clients()
@@ -55,7 +56,7 @@
         self.assertEqual(self.answer(client)[:2], (1, "shed"))
         self.assert_not_sent(worker)
 
-    def test_accepted_before_the_stop_and_not_read(self):
+    def test_connection_accepted_but_unread_before_the_stop(self):
         worker = self.worker()
         self.start_front_end(worker)
         (client,) = self.connect_clients()
@@ -64,13 +65,13 @@
         self.stop_process(400.0)
         self.assert_reduced(worker, 1, 1500, 400.0)
 
-    def test_stops_in_series_add_up(self):
-        """Stopped after the accept as well as before it, each time for less than what counts alone."""
+    def test_repeated_short_stops_add_up(self):
+        """Stops before and after the accept, each shorter than the shortest that counts by itself."""
         worker = self.worker()
         self.start_front_end(worker)
         (client,) = self.connect_clients()
         client.send(request(1, d="1500"))
-        with patch.object(event_loop, "TIME_SLICE", -1.0):  # one client or listener is served in an iteration
+        with patch.object(event_loop, "TIME_SLICE", -1.0):  # serves one client or listener in each iteration
             others = self.connect_clients(8)
             for other in others:
                 other.send(rig.alive(1))
@@ -78,11 +79,11 @@
                 self.stop_process(50.0)
                 self.service.run_once()
         self.assert_reduced(worker, 1, 1500, 100.0)
-        (known,) = [each for each in self.service.client_server.clients.values() if each.last_request_number]
-        self.assertLessEqual(known.received_at, self.now - 400.0)
+        (connection,) = [each for each in self.service.client_server.clients.values() if each.last_request_number]
+        self.assertLessEqual(connection.received_at, self.now - 400.0)
 
-    def test_one_that_asks_later_has_all_its_time(self):
-        """(connected in a stop, or before it): what the connection waited for its first request counts for nothing."""
+    def test_connection_idle_before_its_request_has_its_whole_time(self):
+        """(connected in a stop, or without one): the time until a connection's first request does not count."""
         for stopped in (0.0, STOP_DURATION):
             with self.subTest(stopped=stopped):
                 worker = self.worker()
@@ -96,8 +97,8 @@
                 self.assertGreater(time_left, 1450)
                 self.close_front_end()
 
-    def test_those_that_connect_after_a_crowd_have_all_their_time(self):
-        """The backlog is empty again, so that a later connection is no older than the last iteration."""
+    def test_connection_made_after_a_burst_has_its_whole_time(self):
+        """Once the backlog has been empty, a new connection is no older than the last iteration."""
         worker = self.worker()
         self.start_front_end(worker)
         self.connect_clients(10)
@@ -110,14 +111,15 @@
         self.assertGreater(time_left, 1450)
 
 
-class ShortOfResources(StoppedCase):
-    """Connections that could not be accepted or watched as they came: their requests waited all the same."""
+class LackOfResources(StoppedCase):
+    """Requests on connections that could not be accepted or watched at first: their waiting time counts."""
 
     def assert_reduced(self, worker, waited):
+        """Fails unless the attempt of a request of 3000 ms was sent without the time that it `waited` (ms)."""
         (time_left,) = self.time_left_values(worker, 1)
         self.assertLessEqual(time_left, 3000 - waited + DEADLINE_SLACK)
 
-    def test_accepts_paused_for_want_of_descriptors(self):
+    def test_accepts_paused_for_lack_of_descriptors(self):
         worker = self.worker()
         self.start_front_end(worker)
         (client,) = self.connect_clients()
@@ -136,14 +138,14 @@
 
     @contextmanager
     def failing(self, owner, name, method, error):
-        """Calls of a method of `owner.name` raise."""
+        """Makes a method of the object `owner.name` raise `error`."""
         real = getattr(owner, name)
 
         class Failing:
             def __getattr__(self, attribute):
                 return getattr(real, attribute)
 
-        def fail(*arguments, **more):
+        def fail(*arguments, **keywords):
             raise error
 
         stand_in = Failing()
@@ -151,7 +153,7 @@
         with patch.object(owner, name, stand_in):
             yield
 
-    def test_a_connection_that_the_kernel_does_not_watch(self):
+    def test_connection_that_epoll_does_not_watch(self):
         worker = self.worker()
         self.start_front_end(worker)
         (client,) = self.connect_clients()
@@ -166,12 +168,12 @@
         with patch.object(loop, "add", add):
             self.until(lambda: self.service.client_server.clients, "the connection")
             client.send(request(1, d="3000"))
-            (known,) = self.service.client_server.clients.values()
-            wait_for(self, lambda: has_unread_data(known.sock))
+            (connection,) = self.service.client_server.clients.values()
+            wait_for(self, lambda: has_unread_data(connection.sock))
             self.stop_process()
             self.assert_reduced(worker, STOP_DURATION)
 
-    def test_a_listener_that_the_kernel_does_not_watch(self):
+    def test_listener_that_epoll_does_not_watch(self):
         worker = self.worker()
         with patch.object(event_loop.EventLoop, "add", self.add_no_listener(event_loop.EventLoop.add)):
             self.start_front_end(worker)
@@ -182,6 +184,8 @@
             self.assert_reduced(worker, STOP_DURATION)
 
     def add_no_listener(self, real):
+        """Returns a replacement of `EventLoop.add` that fails for the listener."""
+
         def add(loop, sock, handler, write=False):
             if isinstance(handler, client_server.ClientServer):
                 raise OSError(errno.ENOSPC, "No space left on device")
@@ -189,7 +193,7 @@
 
         return add
 
-    def test_the_backlog_as_the_listener_is_closed(self):
+    def test_backlog_when_the_listener_is_closed(self):
         worker = self.worker()
         self.start_front_end(worker)
         (client,) = self.connect_clients()
@@ -199,8 +203,8 @@
         self.service.client_server.read_clients()
         self.assert_reduced(worker, STOP_DURATION)
 
-    def test_those_that_make_room(self):
-        """All places are taken: the one that is to go is read once more, and its request is as old as the stop."""
+    def test_connection_closed_to_make_room(self):
+        """At the connection limit, the connection to close is read once more; its request is as old as the stop."""
         worker = self.worker()
         self.start_front_end(worker)
         self.service.client_server.connection_limit = 1
