--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# make demo: the main job on a fresh clone; make test: everything CI does.
+# make demo: runs the demo scenario on a fresh clone; make test: runs all checks of CI.
 PYTHON ?= python3
 BIN := .venv/bin
 READY := .venv/.ready-for-wickdyke
@@ -23,15 +23,16 @@
 unit: $(READY)
 	$(BIN)/python -m tests.known_red
 
-# All scripts, judged, twenty seeds each: about an hour and a half.
+# Runs and checks all scenarios with twenty seeds each: about an hour and a half.
 prove: $(READY)
 	$(BIN)/wickdyke prove --brief --seeds 20 scripts/*.sexp
 
-# The gateway beside a bare relay: about five minutes on a quiet machine.
+# Compares the gateway with a relay without decisions: about five minutes on an idle machine.
 bench: $(READY)
 	$(BIN)/python -m bench.compare
 
-# What a front end costs as the fleet grows, and one real front end beside a hollow fleet: about half an hour, two cores.
+# Measures the cost of a front end as the fleet grows, and one real front end with simulated workers: about half an
+# hour on two cores.
 scale: $(READY)
 	mkdir -p build
 	$(BIN)/python -m bench.scale run build/scale.json
--- a/deploy/store.sexp
+++ b/deploy/store.sexp
@@ -2,5 +2,5 @@
 (store
   (listen "run/store.sock")
   (folder "run/store")      ; archives, as `wickdyke pack` writes them
-  (pace 100 MB)             ; bandwidth a second, for all readers together
-  (readers 64))             ; more are rejected, and their loads fail for now
+  (pace 100 MB)             ; bandwidth in bytes per second, shared by all readers
+  (readers 64))             ; more are rejected, and their loads fail temporarily
--- a/deploy/worker.sexp
+++ b/deploy/worker.sexp
@@ -1,4 +1,4 @@
-; A worker of our own. Paths are relative to this file. docs/worker.md explains each field.
+; A wickdyke worker. Paths are relative to this file. docs/worker.md explains each field.
 (worker
   (name "w1")
   (listen "run/w1.sock")
--- a/scripts/ageing.sexp
+++ b/scripts/ageing.sexp
@@ -1,4 +1,4 @@
-; Workers grow slower and then die, one beside a neighbour that takes its machine.
+; Workers grow slower and then die; meanwhile another tenant takes most of the cores of another worker.
 (script "ageing"
   (seed 1) (length 14 s) (gateways 3) (workers 8) (rate 150)
   (method "suggest-tags" (effect idempotent) (soft-deadline 750 ms) (deadline 4 s) (work 50 ms))
--- a/scripts/attempts-just-missed.sexp
+++ b/scripts/attempts-just-missed.sexp
@@ -1,4 +1,4 @@
-; Each attempt has less time than a load takes, and one worker answers just after an attempt's time.
+; The attempt timeout is shorter than a load takes, and some answers arrive just after their attempt's timeout.
 (script "attempts just missed"
   (seed 1) (length 12 s) (gateways 2) (workers 8) (rate 140)
   (method "suggest-tags" (effect idempotent) (soft-deadline 750 ms) (deadline 4 s) (work 50 ms) (load 600 ms))
--- a/scripts/bad-day.sexp
+++ b/scripts/bad-day.sexp
@@ -1,4 +1,4 @@
-; The demo: three gateways, ten workers, seven troubles, several of them at once.
+; The demo: three gateways, ten workers and ten faults, several of them at once.
 (script "bad day"
   (seed 11) (length 30 s) (gateways 3) (workers 10) (zones 2) (rate 180)
   (warmup (start-share 0.2) (ramp 6 s) (multiple 2) (window 1500 ms))
--- a/scripts/cancel-races-answer.sexp
+++ b/scripts/cancel-races-answer.sexp
@@ -1,4 +1,4 @@
-; Work takes as long as an attempt, and copies go out as answers come in: cancels and answers cross on their way.
+; Work takes as long as an attempt, and further attempts are sent as answers arrive: cancels cross answers.
 (script "cancel races answer"
   (seed 1) (length 12 s) (gateways 2) (workers 6) (rate 60) (overlap yes)
   (method "suggest-tags" (effect idempotent) (soft-deadline 1 s) (deadline 4 s) (work 199 ms))
--- a/scripts/cold-eight-gateways.sexp
+++ b/scripts/cold-eight-gateways.sexp
@@ -1,4 +1,4 @@
-; Half of the workers start anew at once, cold, before eight gateways that know nothing of each other.
+; Half of the workers restart cold at once, before eight gateways that do not share their state.
 (script "cold, eight gateways"
   (seed 1) (length 14 s) (gateways 8) (workers 8) (zones 2) (rate 260) (connections 1)
   (warmup (start-share 0.1) (ramp 6 s) (multiple 2) (window 2 s))
--- a/scripts/cold-two-gateways.sexp
+++ b/scripts/cold-two-gateways.sexp
@@ -1,4 +1,4 @@
-; The same before two gateways: each carries much, so that each alone could push a cold worker over.
+; As cold-eight-gateways, with two gateways: each sends so much that it could overload a cold worker alone.
 (script "cold, two gateways"
   (seed 1) (length 14 s) (gateways 2) (workers 8) (zones 2) (rate 260)
   (warmup (start-share 0.1) (ramp 6 s) (multiple 2) (window 2 s))
--- a/scripts/crash-lagging-list.sexp
+++ b/scripts/crash-lagging-list.sexp
@@ -1,4 +1,4 @@
-; Workers die in the middle of calls and come back cold while the list lags and traffic rises.
+; Workers die during requests and come back cold, while the endpoint list lags and traffic rises.
 (script "crash, lagging list"
   (seed 1) (length 12 s) (gateways 2) (workers 8) (rate 160)
   (method "suggest-tags" (effect idempotent) (soft-deadline 750 ms) (deadline 4 s) (work 50 ms))
--- a/scripts/deploy-release.sexp
+++ b/scripts/deploy-release.sexp
@@ -1,4 +1,4 @@
-; A rolling deploy, programs released anew under it, and one worker drained beside it.
+; A rolling deployment; meanwhile functions are released anew, and another worker is drained.
 (script "deploy, release"
   (seed 1) (length 14 s) (gateways 2) (workers 8) (rate 140) (drain-grace 500 ms) (transit 200 ms)
   (method "position" (effect idempotent) (soft-deadline 600 ms) (deadline 4 s) (work 50 ms))
--- a/scripts/effects.sexp
+++ b/scripts/effects.sexp
@@ -1,4 +1,4 @@
-; Only RPCs that must not run twice, or twice only within a group and window, while connections break.
+; Only requests that must not be repeated, or only within a scope and a window, while connections break.
 (script "effects"
   (seed 1) (length 12 s) (gateways 2) (workers 6) (zones 2) (rate 120)
   (method "seal-alert" (effect side-effecting) (soft-deadline 1 s) (deadline 3 s) (gain 5) (work 50 ms) (programs 10))
--- a/scripts/errors-lost-answers.sexp
+++ b/scripts/errors-lost-answers.sexp
@@ -1,4 +1,4 @@
-; Workers fail their RPCs quickly, others lose answers, and clients come with little time.
+; Workers fail their requests quickly, others lose answers, and clients send short deadlines.
 (script "errors, lost answers, little time"
   (seed 1) (length 12 s) (gateways 2) (workers 8) (rate 160)
   (method "suggest-tags" (effect idempotent) (soft-deadline 750 ms) (deadline 4 s) (work 50 ms))
--- a/scripts/gateways-killed.sexp
+++ b/scripts/gateways-killed.sexp
@@ -1,4 +1,4 @@
-; Front ends are killed and started again while a worker dies and traffic rises.
+; Gateways are killed and restarted while workers die and traffic rises.
 (script "gateways killed"
   (seed 1) (length 14 s) (gateways 3) (workers 8) (rate 150)
   (warmup (start-share 0.2) (ramp 6 s) (multiple 2) (window 1500 ms))
--- a/scripts/hang-slow-neighbour.sexp
+++ b/scripts/hang-slow-neighbour.sexp
@@ -1,4 +1,4 @@
-; One worker takes call-outs and answers none, one is slow, a third shares its machine: all at once.
+; Workers that accept attempts and answer none, slow workers and one that shares its machine, all at once.
 (script "hang, slow, neighbour"
   (seed 1) (length 12 s) (gateways 2) (workers 8) (rate 160)
   (method "suggest-tags" (effect idempotent) (soft-deadline 750 ms) (deadline 4 s) (work 50 ms))
--- a/scripts/load-as-long-as-attempt.sexp
+++ b/scripts/load-as-long-as-attempt.sexp
@@ -1,4 +1,4 @@
-; A load takes as long as an attempt: each first attempt of a program is over just as its copy stands, and copies go early.
+; A load takes as long as an attempt: first attempts end just as replicas are ready. Idle replicas end early.
 (script "load as long as attempt"
   (seed 1) (length 12 s) (gateways 2) (workers 6) (rate 90) (idle-life 1500 ms)
   (method "suggest-tags" (effect idempotent) (soft-deadline 900 ms) (deadline 4 s) (work 40 ms) (load 700 ms)
--- a/scripts/real-many-programs.sexp
+++ b/scripts/real-many-programs.sexp
@@ -1,4 +1,4 @@
-; Two hundred programs on workers of our own that have memory for forty copies in all.
+; Two hundred functions on wickdyke workers that have memory for forty replicas in all.
 (script "real workers, many programs"
   (seed 1) (length 20 s) (gateways 4) (workers 10) (cores 4) (rate 100) (memory 170 MB) (idle-life 6 s) (runtime yes)
   (method "suggest-tags" (effect idempotent) (soft-deadline 900 ms) (deadline 4 s) (work 30 ms) (memory 40 MB)
--- a/scripts/real-mass-restart.sexp
+++ b/scripts/real-mass-restart.sexp
@@ -1,4 +1,4 @@
-; Ten workers of our own: all killed at once, and again three while three others are cold. Loads and work are time slept.
+; Ten wickdyke workers: all are killed at once, later three while three others are cold. Loads and work sleep.
 (script "real workers, mass restart"
   (seed 1) (length 26 s) (gateways 4) (workers 10) (cores 4) (rate 120) (memory 1 GB) (idle-life 6 s) (runtime yes)
   (method "suggest-tags" (effect idempotent) (soft-deadline 900 ms) (deadline 4 s) (work 40 ms) (memory 40 MB)
--- a/scripts/real-replacement.sexp
+++ b/scripts/real-replacement.sexp
@@ -1,4 +1,4 @@
-; Ten workers of our own replaced one after another under load, and copies killed in between.
+; Ten wickdyke workers are replaced one after another under load, and replicas are killed meanwhile.
 (script "real workers, replacement"
   (seed 1) (length 26 s) (gateways 4) (workers 10) (cores 4) (rate 120) (memory 1 GB) (idle-life 6 s) (runtime yes)
   (method "suggest-tags" (effect idempotent) (soft-deadline 900 ms) (deadline 4 s) (work 40 ms) (memory 40 MB)
--- a/scripts/real-store-trouble.sexp
+++ b/scripts/real-store-trouble.sexp
@@ -1,4 +1,4 @@
-; The store of workers of our own stalls, then is away, then a new release empties all workers while it stalls again.
+; The store of wickdyke workers stalls, then is down, then stalls again while restarted workers load anew.
 (script "real workers, store in trouble"
   (seed 1) (length 20 s) (gateways 2) (workers 5) (cores 4) (rate 80) (memory 300 MB) (idle-life 1500 ms) (runtime yes)
   (method "suggest-tags" (effect idempotent) (soft-deadline 900 ms) (deadline 4 s) (work 30 ms) (memory 40 MB)
--- a/scripts/retries-in-overload.sexp
+++ b/scripts/retries-in-overload.sexp
@@ -1,4 +1,4 @@
-; Load of one and a half times what the workers stand, with a budget for further attempts.
+; One and a half times the load that the workers can serve, with a retry budget.
 (script "retries in overload"
   (seed 1) (length 20 s) (gateways 2) (workers 4) (cores 2) (rate 90)
   (method "suggest-tags" (effect idempotent) (soft-deadline 750 ms) (deadline 4 s) (work 60 ms) (programs 10))
--- a/scripts/routes-changed.sexp
+++ b/scripts/routes-changed.sexp
@@ -1,4 +1,4 @@
-; The file of routes changes under load: to a bad one, to fewer attempts, to more.
+; The routes file changes under load: to an invalid one, to fewer attempts, to more.
 (script "routes changed"
   (seed 1) (length 12 s) (gateways 2) (workers 8) (rate 140)
   (method "suggest-tags" (effect idempotent) (soft-deadline 750 ms) (deadline 4 s) (work 50 ms))
--- a/scripts/second-copies.sexp
+++ b/scripts/second-copies.sexp
@@ -1,4 +1,4 @@
-; Where two call-outs may be out at once: copies beside slow workers and lost answers, the first answer wins.
+; Two attempts may overlap: requests to slow workers and after lost answers are hedged, and the first answer wins.
 (script "second copies"
   (seed 1) (length 12 s) (gateways 2) (workers 8) (rate 140) (overlap yes)
   (method "suggest-tags" (effect idempotent) (soft-deadline 750 ms) (deadline 4 s) (work 50 ms))
--- a/scripts/small.sexp
+++ b/scripts/small.sexp
@@ -1,4 +1,4 @@
-; For `wickdyke up`: two gateways and four workers, to try things on.
+; For `wickdyke up`: two gateways and four workers to experiment with.
 (script "small"
   (length 1 s) (gateways 2) (workers 4)
   (method "suggest-tags" (effect idempotent) (soft-deadline 750 ms) (deadline 4 s) (work 50 ms))
--- a/scripts/store-stalls.sexp
+++ b/scripts/store-stalls.sexp
@@ -1,4 +1,4 @@
-; The store stands still while all copies go void, programs asked for once come in, and new ones are hot.
+; The store stalls while a release empties the workers, functions are requested once, and new functions are hot.
 (script "store stalls"
   (seed 1) (length 14 s) (gateways 2) (workers 8) (rate 140) (store-pace 8)
   (ration (free 6) (share 0.2) (window 5 s))
--- a/scripts/ten-thousand.sexp
+++ b/scripts/ten-thousand.sexp
@@ -1,4 +1,4 @@
-; Ten thousand RPCs with one call-out at a time, a worker dying in the middle of one, one answering too late.
+; Ten thousand requests, one attempt at a time: a worker dies during one, and one is answered too late.
 (script "ten thousand"
   (seed 1) (length 40 s) (most 10000) (gateways 2) (workers 12) (rate 440) (connections 4)
   (method "suggest-tags" (effect idempotent) (soft-deadline 750 ms) (deadline 4 s) (work 40 ms))
--- a/wickdyke/__init__.py
+++ b/wickdyke/__init__.py
@@ -1,1 +1,1 @@
-"""wickdyke: a front end that sends RPCs to workers which load programs on demand."""
+"""wickdyke: a front end that sends requests to workers that load functions on demand."""
