--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,10 +1,10 @@
-"""Runs all tests; failures that KNOWN-RED.txt lists are printed and passed over, all others fail the run.
+"""Runs all tests. Failures listed in KNOWN-RED.txt are printed and tolerated; any other failure fails the run.
 
 A line of the list is `TEST | COMMAND AND SEED | KINDS: WHAT WAS SEEN | ISSUE`; `#` begins a comment. TEST is named as
 unittest names it, a subtest with its parameters (`tests.test_x.Case.test_y (seed=3)`). KINDS, separated by commas, are
 the rules that were seen broken there (lines `  RULE: ...` of the failure), or the exception's type where it names none.
-A failure of another test, of another subtest or of a kind that is not named counts. A listed test that does not exist
-fails the run.
+A failure of another test, of another subtest or of a kind that is not named fails the run, and so does a listed test
+that does not exist.
 """
 
 import re
@@ -21,7 +21,7 @@
 
 
 class KnownFailure(NamedTuple):
-    """One line of the list."""
+    """One entry of KNOWN-RED.txt."""
 
     test: str
     command: str
@@ -30,28 +30,28 @@
 
     @property
     def test_name(self) -> str:
-        """The test, without the parameters of a subtest."""
+        """The name of the test, without the parameters of a subtest."""
         return self.test.partition(" (")[0]
 
     @property
     def kinds(self) -> set[str]:
-        """The kinds of failure that were seen."""
+        """The kinds of failure that are tolerated."""
         return {kind.strip() for kind in self.seen.partition(":")[0].split(",")}
 
 
 class Failure(NamedTuple):
-    """A failure of a run: the test or subtest, and of which kinds it was."""
+    """A failure of a run: the name of the test or subtest, and the kinds of failure."""
 
     test: str
     kinds: frozenset[str]
 
 
 class InvalidListError(Exception):
-    """KNOWN-RED.txt is not as described above; the message names the line."""
+    """A line of KNOWN-RED.txt does not have the format above; the message states the line."""
 
 
 def read_list(text: str) -> list[KnownFailure]:
-    """Parses KNOWN-RED.txt. Raises InvalidListError."""
+    """Parses KNOWN-RED.txt. Raises InvalidListError where a line is malformed."""
     known = []
     for number, line in enumerate(text.splitlines(), 1):
         if not line.strip() or line.startswith("#"):
@@ -65,7 +65,7 @@
 
 
 def test_names(suite: unittest.TestSuite) -> Iterator[str]:
-    """The names of all tests of a suite."""
+    """Yields the names of all tests of a suite."""
     for test in suite:
         if isinstance(test, unittest.TestSuite):
             yield from test_names(test)
@@ -74,30 +74,30 @@
 
 
 def kinds_of(failure_text: str) -> frozenset[str]:
-    """The rules that a failure names, else the type of its exception."""
+    """Returns the rules that a failure names, or the type of its exception where it names none."""
     rules = RULE_LINE.findall(failure_text)
     return frozenset(rules or EXCEPTION_LINE.findall(failure_text)[-1:] or ["unknown"])
 
 
 def failures_of(result: unittest.TestResult) -> list[Failure]:
-    """What failed in a run, subtests by themselves."""
+    """Returns the failures of a run, with an entry for each subtest."""
     failed = [Failure(test.id(), kinds_of(text)) for test, text in result.failures + result.errors]
     return failed + [Failure(test.id(), frozenset(["unexpected success"])) for test in result.unexpectedSuccesses]
 
 
 def report(known: list[KnownFailure], existing: set[str], failures: list[Failure]) -> bool:
-    """Prints what the list has to do with the run; returns whether the run passes."""
-    passed_over: set[Failure] = set()
-    for each in known:
-        matching = {failure for failure in failures if failure.test == each.test and failure.kinds <= each.kinds}
-        passed_over |= matching
-        exists = each.test_name in existing
+    """Prints the outcome of each listed test and all other failures; returns whether the run passes."""
+    tolerated: set[Failure] = set()
+    for entry in known:
+        matching = {failure for failure in failures if failure.test == entry.test and failure.kinds <= entry.kinds}
+        tolerated |= matching
+        exists = entry.test_name in existing
         state = "failed" if matching else "passed this time" if exists else "does not exist"
-        print(f"known red: {each.test} {state}: {each.seen} ({each.issue})")
-    others = [failure for failure in failures if failure not in passed_over]
+        print(f"known red: {entry.test} {state}: {entry.seen} ({entry.issue})")
+    others = [failure for failure in failures if failure not in tolerated]
     for failure in others:
         print(f"failed and not listed: {failure.test}: {', '.join(sorted(failure.kinds))}")
-    return not others and all(each.test_name in existing for each in known)
+    return not others and all(entry.test_name in existing for entry in known)
 
 
 def main() -> int:
--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -1,4 +1,4 @@
-"""The layers that docs/architecture.md states: imports go down its table, and no circle of imports stands."""
+"""The layers of docs/architecture.md: packages import only those below them in its table, without import cycles."""
 
 import ast
 import re
@@ -9,19 +9,19 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 PACKAGE = "wickdyke"
-PAGE = ROOT / "docs" / "architecture.md"
+ARCHITECTURE_PAGE = ROOT / "docs" / "architecture.md"
 TABLE_ROW = re.compile(r"^\| `(\w+)/` \|", re.MULTILINE)
 STANDARD_LIBRARY_ONLY = ("routing", "simulator")
 
 
 def module_name(path: Path) -> str:
-    """The dotted name of a module's file."""
+    """Returns the dotted name of a module's file."""
     parts = path.relative_to(ROOT).with_suffix("").parts
     return ".".join(parts[:-1] if parts[-1] == "__init__" else parts)
 
 
 def imports_of(path: Path) -> set[str]:
-    """The dotted names that a module imports, wherever the statement stands but under TYPE_CHECKING."""
+    """Returns the dotted names that a module imports, in any statement of its file."""
     names: set[str] = set()
     for node in ast.walk(ast.parse(path.read_text(encoding="utf-8"))):
         if isinstance(node, ast.Import):
@@ -36,13 +36,13 @@
 
     @classmethod
     def setUpClass(cls) -> None:
-        """Reads every module once."""
+        """Parses every module once."""
         paths = {module_name(path): path for path in sorted((ROOT / PACKAGE).rglob("*.py"))}
         cls.imports = {name: imports_of(path) for name, path in paths.items()}
-        cls.layers = TABLE_ROW.findall(PAGE.read_text(encoding="utf-8"))
+        cls.layers = TABLE_ROW.findall(ARCHITECTURE_PAGE.read_text(encoding="utf-8"))
 
     def modules_imported(self, name: str) -> set[str]:
-        """The modules of ours that one module imports."""
+        """Returns the modules of the package that a module imports."""
         found = set()
         for imported in self.imports[name]:
             for candidate in (imported, imported.rpartition(".")[0]):
@@ -52,12 +52,12 @@
         return found
 
     def test_the_table_lists_every_package(self) -> None:
-        """No package is missing from the page, and none stands there that is gone."""
+        """The page lists every package, and none that no longer exists."""
         packages = {path.parent.name for path in (ROOT / PACKAGE).glob("*/__init__.py")}
         self.assertEqual(set(self.layers), packages)
 
     def test_imports_go_down_the_table(self) -> None:
-        """No module imports a package that stands above its own."""
+        """No module imports a package above its own in the table."""
         rank = {package: number for number, package in enumerate(self.layers)}
         upward = []
         for name in self.imports:
@@ -68,30 +68,30 @@
                     upward.append(f"{name} imports {imported}")
         self.assertEqual(upward, [])
 
-    def test_no_circle_of_imports(self) -> None:
-        """Every module can be read after those that it imports."""
+    def test_no_import_cycles(self) -> None:
+        """Every module can be loaded after those that it imports."""
         graph = {name: self.modules_imported(name) for name in self.imports}
         try:
             TopologicalSorter(graph).prepare()
         except CycleError as error:
-            self.fail(f"circle of imports: {' -> '.join(error.args[1])}")
+            self.fail(f"import cycle: {' -> '.join(error.args[1])}")
 
-    def test_the_deploy_file_names_every_module_of_the_decisions(self) -> None:
-        """`policy` lists what the simulator and the gateways share."""
+    def test_the_deploy_file_names_every_routing_module(self) -> None:
+        """`policy` lists the modules that the simulator and the gateways share."""
         policy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text(encoding="utf-8"))["policy"]
         modules = {str(path.relative_to(ROOT)) for path in (ROOT / PACKAGE / "routing").glob("*.py")}
         self.assertEqual(set(policy), {path for path in modules if not path.endswith("__init__.py")})
 
-    def test_the_decisions_import_the_standard_library_alone(self) -> None:
-        """What the simulator runs needs no package that is installed."""
+    def test_routing_and_simulator_import_only_the_standard_library(self) -> None:
+        """The simulator runs without installed packages."""
         allowed = (f"{PACKAGE}.routing", f"{PACKAGE}.config.deployment_settings", f"{PACKAGE}.simulator")
         for package in STANDARD_LIBRARY_ONLY:
             for name in self.imports:
                 if not name.startswith(f"{PACKAGE}.{package}"):
                     continue
-                ours = {each for each in self.imports[name] if each.split(".")[0] == PACKAGE}
+                own_imports = {each for each in self.imports[name] if each.split(".")[0] == PACKAGE}
                 with self.subTest(module=name):
-                    self.assertEqual([each for each in ours if not each.startswith(allowed)], [])
+                    self.assertEqual([each for each in own_imports if not each.startswith(allowed)], [])
 
 
 if __name__ == "__main__":
--- a/tests/test_busy_front_end.py
+++ b/tests/test_busy_front_end.py
@@ -95,7 +95,7 @@
         return patch.object(connection_type, "readable", readable)
 
     def test_client_that_left_among_many_that_send(self):
-        """Reading 40 others takes 5 ms each. A client closes, and its worker is full 150 ms later: no attempt follows."""
+        """Reading 40 others takes 5 ms each. One client closes, its worker is full 150 ms later: no attempt."""
         first, second = self.worker(), self.worker()
         front_end = self.front_end(first.address, second.address)
         client = self.client()
--- a/tests/test_drains_in_stops.py
+++ b/tests/test_drains_in_stops.py
@@ -1,4 +1,4 @@
-"""Drains that discovery reports while the process does not run are in force before anything that waited is sent."""
+"""Drains that discovery reports while the process is stopped take effect before any waiting request is sent."""
 
 import fcntl
 import select
@@ -15,21 +15,21 @@
 from tests.test_busy_front_end import has_unread_data
 
 
-class DrainsReportedMeanwhile(StoppedCase):
-    """Discovery has reported a drain while the process was stopped: nothing that waited goes to that worker."""
+class DrainsInStops(StoppedCase):
+    """Discovery reports a drain while the process is stopped: no waiting request is sent to that worker."""
 
-    def test_an_attempt_that_waits_for_its_connection(self):
-        """The connection is made, and the event is there to be read; the kernel reports the connection first."""
-        full = FullListener(self)
+    def test_attempt_waiting_for_its_connection(self):
+        """The worker's connection is established and the event is readable; epoll reports the connection first."""
+        full_listener = FullListener(self)
         bus = self.close_on_cleanup(rig.Bus())
-        self.start_front_end(full, bus=bus.address, settings=settings({"dial-timeout": 60000000}))
+        self.start_front_end(full_listener, bus=bus.address, settings=settings({"dial-timeout": 60000000}))
         self.until(lambda: bus.readers, "discovery")
         (client,) = self.connect_clients()
         client.send(request(1, d="4000"))
         upstream = self.service.coordinator.workers.clients["w0"]
         self.until(lambda: any(each.pending_commands for each in upstream.connections), "the attempt")
         (waiting,) = [each for each in upstream.connections if each.pending_commands]
-        bus.event(rig.event(2, rig.instance("w0", full.address, lifecycle="DRAINING")))
+        bus.event(rig.event(2, rig.instance("w0", full_listener.address, lifecycle="DRAINING")))
         wait_for(self, lambda: has_unread_data(self.service.discovery.sock))
         self.stop_process()
         self.iterate_with_events(waiting.sock, self.service.discovery.sock)
@@ -37,14 +37,14 @@
         self.assertEqual(self.service.endpoints.offset, 2)
 
     def iterate_with_events(self, writable, readable):
-        """One iteration in which the kernel reports these two sockets, in that order."""
+        """Runs an iteration in which epoll reports these two sockets, in that order."""
         loop = self.service.loop
         events = [(writable.fileno(), select.EPOLLOUT), (readable.fileno(), select.EPOLLIN)]
         with patch.object(loop, "epoll", SimpleNamespace(**{**epoll_methods(loop), "poll": lambda *_: events})):
             loop.run_once(0.0, lambda: None)
 
-    def test_a_connection_to_discovery_that_ended(self):
-        """It ended in the stop, or before it: a drain may have been reported since, and the worker is asked first."""
+    def test_ended_connection_to_discovery(self):
+        """It ended in the stop or before it: as a drain may be unreported, the worker's health is checked first."""
         for ended_before in (False, True):
             with self.subTest(ended_before=ended_before):
                 worker = self.draining_worker()
@@ -63,8 +63,8 @@
                 self.assertEqual(worker.received(b"invoke"), [])
                 self.close_front_end()
 
-    def test_a_connection_to_discovery_that_fell_silent(self):
-        """No comment came in a stop of more than a second: the worker is asked first."""
+    def test_silent_connection_to_discovery(self):
+        """No heartbeat arrived in a stop of more than 1 s: the worker's health is checked first."""
         worker = self.draining_worker()
         bus = self.close_on_cleanup(rig.Bus())
         self.start_front_end(worker, bus=bus.address)
@@ -75,8 +75,8 @@
         self.assertEqual(self.final_answer(client, 4000.0, settle=False)[:2], (1, "shed"))
         self.assertEqual(worker.received(b"invoke"), [])
 
-    def test_a_connection_to_discovery_that_goes_on(self):
-        """The list is as good as before: the worker is sent the request."""
+    def test_live_connection_to_discovery(self):
+        """A heartbeat arrived in the stop, so the endpoint list is current: the request is sent."""
         worker = self.draining_worker()
         bus = self.close_on_cleanup(rig.Bus())
         self.start_front_end(worker, bus=bus.address)
@@ -89,17 +89,17 @@
         self.until(lambda: worker.received(b"invoke"), "the attempt")
 
     def draining_worker(self):
-        """A worker that drains in the stop: it rejects work from then on, and does not prove ready."""
+        """Returns a worker that drains from the stop on: it rejects work and answers no health check."""
 
-        def play(worker, sock, parts):
+        def handle(worker, sock, parts):
             if self.stopped and parts[0] == b"invoke":
                 sock.sendall(rig.bulk(parts[1], b"AGAIN", b"-", b""))
             return self.stopped
 
-        return self.close_on_cleanup(rig.Worker(play))
+        return self.close_on_cleanup(rig.Worker(handle))
 
     def catch_up(self, bus):
-        """Discovery has reported all events on its present connection."""
+        """Waits until discovery has reported all events on its connection."""
         discovery = self.service.discovery
         self.until(lambda: bus.readers and discovery.response_started, "discovery")
         self.advance(200.0)
@@ -107,8 +107,8 @@
         self.until(lambda: discovery.caught_up, "the heartbeat")
         self.iterate()
 
-    def test_more_than_is_read_of_discovery_at_a_time(self):
-        """The drain is behind 200 KiB of other events: a request that came in the stop does not go to that worker."""
+    def test_more_events_than_one_read_takes(self):
+        """The drain follows 200 KiB of other events: a request that arrived in the stop is not sent to that worker."""
         worker = self.worker()
         bus = self.close_on_cleanup(rig.Bus())
         self.start_front_end(worker, bus=bus.address)
@@ -118,19 +118,19 @@
         for offset in range(2, 1002):
             bus.event(rig.event(offset, rig.instance(f"x{offset}", "127.0.0.1:9", lifecycle="DRAINING")))
         bus.event(rig.event(1002, rig.instance("w0", worker.address, lifecycle="DRAINING")))
-        wait_for(self, lambda: waiting_bytes(self.service.discovery.sock) > 1 << 15)
+        wait_for(self, lambda: unread_size(self.service.discovery.sock) > 1 << 15)
         self.stop_process()
         self.assertEqual(self.final_answer(client, 4000.0, settle=False)[:2], (1, "shed"))
         self.assertEqual(worker.received(b"invoke"), [])
 
 
 def epoll_methods(loop):
-    """The methods of the loop's epoll object."""
+    """Returns the methods of the loop's epoll object by name."""
     return {name: getattr(loop.epoll, name) for name in ("register", "modify", "unregister", "close")}
 
 
-def waiting_bytes(sock):
-    """How many bytes there are to read."""
+def unread_size(sock):
+    """Returns how many bytes can be read."""
     count = bytearray(4)
     fcntl.ioctl(sock, termios.FIONREAD, count)
     return int.from_bytes(count, sys.byteorder)
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of known failures: what it lets pass, and what it does not."""
+"""The list of known failures: which failures it tolerates, and which not."""
 
 import contextlib
 import io
@@ -15,7 +15,7 @@
 
 
 def failure(test, *kinds):
-    """A failure of these kinds."""
+    """Returns a failure of a test, of these kinds."""
     return Failure(test, frozenset(kinds))
 
 
@@ -23,6 +23,7 @@
     """The rules of KNOWN-RED.txt."""
 
     def passes(self, *failures, existing=EXISTING):
+        """Returns whether a run with these failures passes; `printed` has the output."""
         with contextlib.redirect_stdout(io.StringIO()) as self.printed:
             return report([LISTED], existing, list(failures))
 
@@ -35,7 +36,7 @@
         self.assertIn(f"{LISTED.test} passed this time: ", self.printed.getvalue())
 
     def test_all_others_fail_the_run(self):
-        """Another test, another seed, the test as a whole, another rule alone and beside the one listed."""
+        """Another test, another seed, the whole test, and another rule alone or together with the listed one."""
         for other in (
             failure("other", "deadline"),
             failure(f"{TEST} (seed=4)", "deadline"),
@@ -52,7 +53,7 @@
     def test_a_listed_test_that_does_not_exist_fails(self):
         self.assertFalse(self.passes(existing={"other"}))
 
-    def test_lines(self):
+    def test_parsing(self):
         line = " | ".join(LISTED)
         self.assertEqual(read_list(f"# a comment\n\n{line}\n{line}\n"), [LISTED, LISTED])
         self.assertEqual(LISTED.kinds, {"deadline", "gone"})
@@ -66,8 +67,8 @@
             with self.subTest(invalid), self.assertRaises(InvalidListError):
                 read_list(invalid)
 
-    def test_what_failed_in_a_run(self):
-        """A subtest counts by itself; the kind is the exception's type, or the rules that its text names."""
+    def test_failures_of_a_run(self):
+        """Each subtest is an entry; its kinds are the rules that its text names, or the exception's type."""
 
         class Case(unittest.TestCase):
             def test_one(self):
@@ -88,8 +89,8 @@
         failed = {name.rpartition(".")[2]: set(kinds) for name, kinds in failures_of(result)}
         self.assertEqual(failed, {"test_one (seed=2)": {"drain", "deadline"}, "test_two": {"ValueError"}})
 
-    def test_each_rule_that_a_soak_broke_is_seen(self):
-        """However many findings of another rule there are before it."""
+    def test_every_broken_rule_of_a_soak_is_reported(self):
+        """A rule is reported however many findings of another rule precede it."""
         broken = [f"deadline: {number} ms passed on" for number in range(50)] + ["slow start: 9 in 2 s", "gone: late"]
         text = describe(SoakResult(3, broken, 100, 1.0, []))
         self.assertEqual(kinds_of(text), {"deadline", "slow start", "gone"})
