--- a/tests/readiness_rig.py
+++ b/tests/readiness_rig.py
@@ -5,7 +5,7 @@
 from tests.helpers import FrontEnd
 from wickdyke.routing.decisions import HealthCheck, Prewarm
 from wickdyke.routing.model import Outcome
-from wickdyke.routing.readiness import GRACE_FRACTION, NEVER, OUTAGE_NOTICE_DELAY
+from wickdyke.routing.readiness import EARLIEST_TIME, GRACE_FRACTION, OUTAGE_NOTICE_DELAY
 
 GRACE = 1000.0  # ms, the grace period of a drain in the settings of FrontEnd
 WORKER_LEASE = GRACE_FRACTION * GRACE
@@ -39,7 +39,7 @@
             self.answer(worker)
         self.front_end.advance_time(WORKER_LEASE + 50.0)
 
-    def answer(self, worker, outcome=Outcome.OK, same_process_since=NEVER):
+    def answer(self, worker, outcome=Outcome.OK, same_process_since=EARLIEST_TIME):
         """Answers the health check of a worker; returns the decisions."""
         self.front_end.router.advance(self.front_end.clock)
         self.front_end.router.health_checked(worker, outcome, None, same_process_since)
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -47,7 +47,7 @@
     """Retries, hedged attempts and queueing as the policy of a route allows them."""
 
     def test_attempt_timeout(self):
-        """An attempt is forwarded with its route's attempt time-out, and without a route with none."""
+        """An attempt is forwarded with its route's attempt timeout, and without a route with none."""
         front_end = FrontEnd()
         self.assertEqual(first_decision(front_end.submit(policy=make_policy())).timeout, 500.0)
         self.assertIsNone(first_decision(front_end.submit()).timeout)
@@ -156,7 +156,7 @@
     def test_timeouts_lower_the_limits(self):
         """(outcome, policy, utilization) -> whether the concurrency limits are lowered.
 
-        Attempts that end by their route's time-out count as late answers. Cancelled attempts, errors and attempts that
+        Attempts that end by their route's timeout count as late answers. Cancelled attempts, errors and attempts that
         end by the request's own deadline do not count.
         """
         for outcome, policy, utilization, lowered in (
@@ -223,7 +223,7 @@
                 self.assertNotIn(request.ident, front_end.router.requests)
 
     def test_queue_and_priority(self):
-        """Requests that wait for their first attempt are rejected after the queue time-out; priorities go first."""
+        """Requests that wait for their first attempt are rejected after the queue timeout; priorities go first."""
         front_end = FrontEnd(workers=1, prewarm_outcome=None)  # no prewarm may add a second replica
         front_end.concurrency = 1
         served = front_end.serve_requests(count=5)
--- a/tests/test_readiness.py
+++ b/tests/test_readiness.py
@@ -5,7 +5,7 @@
 from tests.helpers import forwarded_to, listed_endpoint
 from tests.readiness_rig import LIST_LEASE, WORKER_LEASE, ReadinessCase, checked
 from wickdyke.routing.decisions import Forward
-from wickdyke.routing.readiness import NEVER
+from wickdyke.routing.readiness import EARLIEST_TIME
 
 
 class ListLease(ReadinessCase):
@@ -36,14 +36,14 @@
 
     def test_a_list_of_unknown_age_has_expired(self):
         front_end = self.start_front_end()
-        self.heard(NEVER)
+        self.heard(EARLIEST_TIME)
         decisions = front_end.submit()
         self.assertEqual((forwarded_to(decisions), len(checked(decisions))), ([], 1))
 
     def test_older_reports_do_not_shorten_the_lease(self):
         front_end = self.start_front_end()
         self.heard()
-        self.heard(NEVER)
+        self.heard(EARLIEST_TIME)
         self.heard(front_end.clock - 5 * LIST_LEASE)
         self.assertEqual(len(forwarded_to(front_end.submit())), 1)
 
@@ -71,7 +71,7 @@
 
     def test_waiting_requests_are_sent_as_soon_as_discovery_is_heard(self):
         front_end = self.start_front_end()
-        self.heard(NEVER)
+        self.heard(EARLIEST_TIME)
         self.assertEqual(forwarded_to(front_end.submit()), [])
         self.assertEqual(len(forwarded_to(self.heard())), 1)
 
@@ -87,7 +87,7 @@
 
     def test_work_waits_for_the_answer_of_its_worker(self):
         front_end = self.start_front_end()
-        self.heard(NEVER)
+        self.heard(EARLIEST_TIME)
         (worker,) = checked(front_end.submit())
         self.assertEqual(forwarded_to(self.answer(worker)), [worker])
 
@@ -96,7 +96,7 @@
         for before, after, sent in ((200.0, 599.0, 1), (200.0, 600.0, 0), (900.0, 0.0, 0)):
             with self.subTest(before=before, after=after):
                 front_end = self.start_front_end(1)
-                self.heard(NEVER)
+                self.heard(EARLIEST_TIME)
                 (worker,) = checked(front_end.submit("q", 300.0))
                 front_end.clock += before
                 self.answer(worker)
@@ -105,11 +105,11 @@
 
     def test_accepted_work_renews_the_lease_as_of_its_sending(self):
         front_end = self.start_front_end(1)
-        self.heard(NEVER)
+        self.heard(EARLIEST_TIME)
         front_end.submit()
         (forwarded,) = [each for each in self.answer("a") if isinstance(each, Forward)]
         worker = front_end.router.workers["a"]
-        worker.ready_at = NEVER
+        worker.ready_at = EARLIEST_TIME
         sent_at = front_end.clock
         front_end.clock += 300.0
         front_end.finish_attempt(forwarded.request)
@@ -121,7 +121,7 @@
         for outcome in ("full", "error", "timeout", "miss", "cut", "unsent", "unreached"):
             with self.subTest(outcome):
                 front_end = self.start_front_end(1)
-                self.heard(NEVER)
+                self.heard(EARLIEST_TIME)
                 front_end.submit()
                 (forwarded,) = [each for each in self.answer("a") if isinstance(each, Forward)]
                 worker = front_end.router.workers["a"]
@@ -133,7 +133,7 @@
     def test_a_rejection_ends_the_lease(self):
         """The worker may be draining, so it is checked before it is sent more work."""
         front_end = self.start_front_end(1)
-        self.heard(NEVER)
+        self.heard(EARLIEST_TIME)
         front_end.submit()
         (forwarded,) = [each for each in self.answer("a") if isinstance(each, Forward)]
         front_end.finish_attempt(forwarded.request, "full")
@@ -171,10 +171,10 @@
 
     def test_a_retry_needs_a_lease_too(self):
         front_end = self.start_front_end(2)
-        self.heard(NEVER)
+        self.heard(EARLIEST_TIME)
         (first,) = checked(front_end.submit())
         (forwarded,) = [each for each in self.answer(first) if isinstance(each, Forward)]
-        forwarded.worker.ready_at = NEVER
+        forwarded.worker.ready_at = EARLIEST_TIME
         decisions = front_end.finish_attempt(forwarded.request, "error", final=False)
         self.assertEqual(forwarded_to(decisions), [])
         sent = [worker for worker in checked(decisions) if forwarded_to(self.answer(worker)) == [worker]]
--- a/tests/test_readiness_refusals.py
+++ b/tests/test_readiness_refusals.py
@@ -8,7 +8,7 @@
 from wickdyke.routing.health_checks import CHECK_INTERVAL
 from wickdyke.routing.model import Outcome
 from wickdyke.routing.prewarming import PrewarmPlan
-from wickdyke.routing.readiness import MAX_ANSWER_WAIT, MAX_DISCOVERY_SILENCE, NEVER
+from wickdyke.routing.readiness import EARLIEST_TIME, MAX_ANSWER_WAIT, MAX_DISCOVERY_SILENCE
 
 
 class NotReadyWorkers(ReadinessCase):
@@ -16,7 +16,7 @@
 
     def test_worker_that_is_not_ready_is_excluded_and_the_next_is_checked_at_once(self):
         front_end = self.start_front_end(2)
-        self.heard(NEVER)
+        self.heard(EARLIEST_TIME)
         (first,) = checked(front_end.submit())
         (second,) = checked(self.answer(first, Outcome.NOT_READY))
         self.assertNotEqual(first, second)
@@ -33,7 +33,7 @@
 
     def test_excluded_worker_is_checked_each_second_and_used_once_it_is_ready(self):
         front_end = self.start_front_end(1)
-        self.heard(NEVER)
+        self.heard(EARLIEST_TIME)
         front_end.submit(time_left=500.0)
         self.answer("a", Outcome.NOT_READY)
         self.heard()
@@ -43,14 +43,14 @@
 
     def test_missing_answer_leads_to_a_check_of_the_next_worker(self):
         front_end = self.start_front_end(2)
-        self.heard(NEVER)
+        self.heard(EARLIEST_TIME)
         (first,) = checked(front_end.submit())
         decisions = front_end.advance_time(MAX_ANSWER_WAIT + 50.0)
         self.assertEqual(len(set(checked(decisions)) - {first}), 1)
 
     def test_no_worker_has_two_checks_in_flight(self):
         front_end = self.start_front_end(1)
-        self.heard(NEVER)
+        self.heard(EARLIEST_TIME)
         decisions = front_end.submit()
         for number in range(50):
             decisions += front_end.submit(f"function {number}")
@@ -59,7 +59,7 @@
 
     def test_requests_end_in_time_where_no_worker_is_ready(self):
         front_end = self.start_front_end(2)
-        self.heard(NEVER)
+        self.heard(EARLIEST_TIME)
         decisions = front_end.submit(time_left=1000.0)
         for worker in ("a", "b"):
             decisions += self.answer(worker, Outcome.NOT_READY)
@@ -70,7 +70,7 @@
 
     def test_same_process_that_is_ready_again_needs_no_slow_start(self):
         front_end = self.start_front_end(1)
-        self.heard(NEVER)
+        self.heard(EARLIEST_TIME)
         front_end.submit(time_left=500.0)
         self.answer("a", Outcome.NOT_READY, 10.0)
         front_end.clock += 2000.0
@@ -81,7 +81,7 @@
     def test_another_process_at_its_address_is_sent_nothing_until_discovery_is_heard(self):
         """The process may be another worker; once discovery is heard, the worker counts as just started."""
         front_end = self.start_front_end(1)
-        self.heard(NEVER)
+        self.heard(EARLIEST_TIME)
         front_end.submit(time_left=500.0)
         self.answer("a", Outcome.NOT_READY)
         record = front_end.router.workers["a"]
@@ -98,7 +98,7 @@
 
     def test_worker_listed_as_restarted_is_ready(self):
         front_end = self.start_front_end(1)
-        self.heard(NEVER)
+        self.heard(EARLIEST_TIME)
         front_end.submit(time_left=500.0)
         self.answer("a", Outcome.NOT_READY)
         self.heard()
@@ -140,7 +140,7 @@
     def test_without_health_checks_nothing_is_sent_while_the_list_is_expired(self):
         front_end = FrontEnd(2)
         self.front_end = front_end
-        self.heard(NEVER)
+        self.heard(EARLIEST_TIME)
         decisions = front_end.submit() + front_end.advance_time(1000.0)
         self.assertEqual((forwarded_to(decisions), checked(decisions)), ([], []))
         self.heard()
@@ -215,10 +215,10 @@
             step(None)
         for _ in range(3):
             router.readiness.health_checker.check_now(router.workers["a"], front_end.clock)
-            step("health_checked", "a", Outcome.OK, None, NEVER)
+            step("health_checked", "a", Outcome.OK, None, EARLIEST_TIME)
         for _ in range(3):
             router.readiness.health_checker.check_now(router.workers["b"], front_end.clock)
-            step("health_checked", "b", Outcome.NOT_READY, None, NEVER)
+            step("health_checked", "b", Outcome.NOT_READY, None, EARLIEST_TIME)
         step("discovery_heard", front_end.clock)
         step(None)
         self.assertEqual(
--- a/tests/test_worker_reachability.py
+++ b/tests/test_worker_reachability.py
@@ -1,4 +1,4 @@
-"""What failed connects show about a worker: time-outs, missing routes, faults of this machine."""
+"""What failed connects show about a worker: timeouts, missing routes, faults of this machine."""
 
 import errno
 import unittest
@@ -54,7 +54,7 @@
                     client.close()
 
     def test_answers_do_not_reset_the_count_of_timeouts(self):
-        """If a worker answers on old connections but accepts no new one, the second time-out still counts."""
+        """If a worker answers on old connections but accepts no new one, the second timeout still counts."""
         with self.prepare(Faults()):
             client = self.make_client(self.make_workers()[0])
             self.assertEqual(self.outcome(client, 0), "ok")
--- a/wickdyke/gateway/attempts.py
+++ b/wickdyke/gateway/attempts.py
@@ -93,7 +93,7 @@
             self._withdraw(pending, attempt, Outcome.CANCELLED)
 
     def _withdraw(self, pending: PendingRequest, attempt: Attempt, outcome: Outcome) -> None:
-        # While the cancel is still in our write buffer, the next attempt would run concurrently with this one. So the
+        # While the cancel is still in the write buffer, the next attempt would run concurrently with this one. So the
         # outcome is reported only once the cancel is written to the socket or the connection was closed instead.
         command = pending.commands[attempt]
         client = command.worker_client
--- a/wickdyke/gateway/context.py
+++ b/wickdyke/gateway/context.py
@@ -49,7 +49,7 @@
         except Exception as error:  # noqa: BLE001 - no exception may affect the other requests
             self.counts["faults"] += 1
             last = traceback.extract_tb(error.__traceback__)[-1]
-            where = f"{os.path.basename(last.filename)}:{last.lineno}"
+            location = f"{os.path.basename(last.filename)}:{last.lineno}"
             self.log.error(
-                "unhandled exception in the coordinator", reason=f"{type(error).__name__}: {error}", where=where
+                "unhandled exception in the coordinator", reason=f"{type(error).__name__}: {error}", where=location
             )
--- a/wickdyke/gateway/recording.py
+++ b/wickdyke/gateway/recording.py
@@ -159,7 +159,7 @@
 
 
 def entries(lines: Iterable[bytes]) -> Iterator[list[Any]]:
-    """Yields the entries of a recording, up to where it was broken off or its writer was killed within a line."""
+    """Yields a recording's entries, up to the one that marks it as incomplete or to a line that is cut off."""
     for line in lines:
         if not line.endswith(b"\n"):
             return
--- a/wickdyke/platform/discovery.py
+++ b/wickdyke/platform/discovery.py
@@ -205,9 +205,9 @@
         """Reconnects if the connection of that number has been silent for too long."""
         if self.sock is None or number != self.connection_number:
             return
-        due = self.last_activity + self._silence_limit()
-        if clock() < due:
-            self.loop.call_at(due, self._check_timeout, number)
+        timeout_at = self.last_activity + self._silence_limit()
+        if clock() < timeout_at:
+            self.loop.call_at(timeout_at, self._check_timeout, number)
             return
         self.counts["silent"] += 1
         # An event that takes longer than the timeout would be restarted for ever. So the timeout is doubled for the
--- a/wickdyke/platform/endpoint_list.py
+++ b/wickdyke/platform/endpoint_list.py
@@ -204,9 +204,9 @@
         """Converts a reported start time, as the module describes. Raises ValueError where it is not finite."""
         if not math.isfinite(reported):
             raise ValueError(reported)
-        for earlier in (self.start_times.get(name), self.removed_start_times.get(name)):
-            if earlier is not None and earlier.reported == reported:
-                return earlier
+        for known_start in (self.start_times.get(name), self.removed_start_times.get(name)):
+            if known_start is not None and known_start.reported == reported:
+                return known_start
         converted = reported - self.initial_wall_clock_offset
         wall_clock_offset = self.wall_clock_offset()
         if abs(wall_clock_offset - self.initial_wall_clock_offset) > CLOCK_STEP_THRESHOLD:
--- a/wickdyke/platform/reachability.py
+++ b/wickdyke/platform/reachability.py
@@ -12,7 +12,7 @@
 NO_ROUTE_ERRORS = (errno.ENETUNREACH, errno.EHOSTUNREACH, errno.ENETDOWN, errno.EHOSTDOWN, errno.ETIMEDOUT)
 # ms for which connects must find no route, with no gap as long between them, before a worker counts as unreachable
 NO_ROUTE_DURATION = 1000.0
-# Consecutive connects that time out, each started after the previous time-out, before a worker counts as unreachable.
+# Consecutive connects that time out, each started after the previous timeout, before a worker counts as unreachable.
 MAX_CONNECT_TIMEOUTS = 2
 
 
@@ -36,8 +36,8 @@
     def connect_timed_out(self, started_at: float) -> bool:
         """Records a connect, started at that time (ms), that timed out. Returns whether the worker is unreachable."""
         # Now and then a single connect is late or fails. The router treats an unreachable worker as restarted: it drops
-        # the record of the loaded functions and applies the whole slow start. So one time-out is not enough. The cost:
-        # if the machine is really down, the first command sent there learns that one time-out later.
+        # the record of the loaded functions and applies the whole slow start. So one timeout is not enough. The cost:
+        # if the machine is really down, the first command sent there learns that one timeout later.
         if started_at >= self.last_timeout_at:
             self.consecutive_timeouts += 1
             self.last_timeout_at = clock()
--- a/wickdyke/platform/worker_connection.py
+++ b/wickdyke/platform/worker_connection.py
@@ -360,12 +360,12 @@
                 self.worker_client.finish(command, Outcome.UNREACHED)
 
     def _end_in_flight(self, in_flight: list[Command], cause: EndCause) -> None:
-        begun = [command for command in in_flight if command.send_started]
+        possibly_sent = [command for command in in_flight if command.send_started]
         for command in in_flight:
             if not command.send_started:
                 self.worker_client.finish(command, Outcome.UNSENT)
-        if begun:
-            self.worker_client.answers_lost(begun, cause is EndCause.INVALID_ANSWER)
+        if possibly_sent:
+            self.worker_client.answers_lost(possibly_sent, cause is EndCause.INVALID_ANSWER)
 
     def _close_socket(self) -> None:
         """Closes the socket."""
--- a/wickdyke/routing/active_workers.py
+++ b/wickdyke/routing/active_workers.py
@@ -12,11 +12,11 @@
 TARGET_UTILIZATION = 0.4  # utilization at which active workers are meant to run
 MAX_LOAD_AFTER_REMOVAL = 0.75  # a worker is removed only if the others could carry the load divided by this
 SLOWDOWN_GRADE_FACTOR = 1.3  # ratio of adjacent slowdown grades; coarse, so that all front ends order workers alike
-CROWDED_UTILIZATION = 0.85  # utilization of the own zone from which other zones are used
-RELIEVED_UTILIZATION = 0.75  # utilization of the own zone below which other zones are used less again
+CROWDED_UTILIZATION = 0.85  # utilization of the front end's zone from which other zones are used
+RELIEVED_UTILIZATION = 0.75  # utilization of the front end's zone below which other zones are used less again
 MIN_UTILIZATION_DIFFERENCE = 0.2  # by which the other zones' utilization must be lower for them to be used
-INITIAL_OTHER_ZONES_WEIGHT = 0.125  # part of their size with which other zones' workers count at first
-MIN_HEALTHY_FRACTION = 0.5  # part of the own zone's workers; where no more than this are healthy, all zones count fully
+INITIAL_OTHER_ZONES_WEIGHT = 0.125  # fraction of their size with which other zones' workers count at first
+MIN_HEALTHY_FRACTION = 0.5  # fraction of workers in the front end's zone; if no more are healthy, all zones count fully
 UNLIMITED_WORKERS = 10**6  # initial number of active workers, above the size of any fleet
 
 
@@ -24,8 +24,8 @@
     """The workers that functions of a cell may be placed on.
 
     Where traffic between zones has a cost, each front end places functions in its own zone, as placements across the
-    fleet would send attempts to other zones. While the own zone is overloaded and others are not, the other zones'
-    workers count with a part of their size (`other_zones_weight`). The disadvantage is memory: a function needs
+    fleet would send attempts to other zones. While its own zone is overloaded and others are not, the other zones'
+    workers count with a fraction of their size (`other_zones_weight`). The disadvantage is memory: a function needs
     replicas in each zone.
     """
 
@@ -33,7 +33,7 @@
         """Creates the scope of a cell for front ends of `zone`; None where zones make no difference."""
         self.cell = cell
         self.zone = zone
-        self.other_zones_weight = 0.0  # part of their size with which other zones' workers count now
+        self.other_zones_weight = 0.0  # fraction of their size with which other zones' workers count now
         self.ranked_other_zones_weight = 0.0  # the weight for which `candidates` was created
         self.workers: list[Worker] = []
         self.candidates = Candidates([])
@@ -45,11 +45,11 @@
     def update(self, now: float) -> list[Worker]:
         """Updates and returns the workers in scope at `now` (ms)."""
         workers = self.cell.ready_workers
-        own = [worker for worker in workers if self.zone in (None, worker.endpoint.zone)]
+        own_zone_workers = [worker for worker in workers if self.zone in (None, worker.endpoint.zone)]
         self._adjust_other_zones_weight(workers, now)
-        healthy = sum(not worker.ejections for worker in own)
-        other_zones_weight = self.other_zones_weight if healthy > MIN_HEALTHY_FRACTION * len(own) else 1.0
-        in_scope = list(workers) if other_zones_weight else own
+        healthy = sum(not worker.ejections for worker in own_zone_workers)
+        other_zones_weight = self.other_zones_weight if healthy > MIN_HEALTHY_FRACTION * len(own_zone_workers) else 1.0
+        in_scope = list(workers) if other_zones_weight else own_zone_workers
         if in_scope != self.workers or other_zones_weight != self.ranked_other_zones_weight:
             self.workers = in_scope
             self.ranked_other_zones_weight = other_zones_weight
--- a/wickdyke/routing/concurrency.py
+++ b/wickdyke/routing/concurrency.py
@@ -10,19 +10,19 @@
 
 INITIAL_LIMIT = 8.0  # attempts
 MIN_LIMIT = 1.0  # attempts
-TARGET_OBJECTIVE_SHARE = 0.33  # part of the latency objective that answers should take on average
+TARGET_OBJECTIVE_SHARE = 0.33  # fraction of the latency objective that answers should take on average
 MIN_DECREASE_FACTOR = 0.5  # smallest factor by which the limit is lowered at once
-RAISE_THRESHOLD = 0.7  # part of the limit that must be in use for it to be raised
+RAISE_THRESHOLD = 0.7  # fraction of the limit that must be in use for it to be raised
 FULL_UTILIZATION = 0.85  # utilization from which late answers are evidence of a queue at the worker
 
 
 def adapt_limit(pool: ConcurrencyLimited, attempt: Attempt, active: int, timed_out: bool, now: float) -> None:
-    """Adapts the limit to an answer, or to an attempt that ended by its route's time-out.
+    """Adapts the limit to an answer, or to an attempt that ended by its route's timeout.
 
     `active` is the number of this front end's attempts that were active in the pool when the attempt was sent. A full
-    queue makes all answers late. Attempts with a time-out that is shorter than that delay would end before they count
+    queue makes all answers late. Attempts with a timeout that is shorter than that delay would end before they count
     as late, and the limit would grow while the worker is overloaded; attempts that time out therefore count as late.
-    This lowers the limit wrongly where answers are lost or the time-out is too short.
+    This lowers the limit wrongly where answers are lost or the timeout is too short.
     """
     objective_share = (now - attempt.sent_at) / attempt.request.request_class.latency_objective
     pool.objective_shares.append(ObjectiveShare(max(timed_out, objective_share), active))
--- a/wickdyke/routing/decisions.py
+++ b/wickdyke/routing/decisions.py
@@ -23,7 +23,10 @@
 
 @dataclass(slots=True, frozen=True, eq=False)
 class Reject:
-    """Answer that the request may safely be repeated, after `retry_after` ms if that is given."""
+    """Answer the request as rejected: the client may safely repeat it, after `retry_after` ms if that is given.
+
+    Only for requests for which `retries.may_reject` holds; the others are answered with `Fail`.
+    """
 
     request: Request
     retry_after: float | None
--- a/wickdyke/routing/demand.py
+++ b/wickdyke/routing/demand.py
@@ -36,29 +36,31 @@
         latency = max(self.latency.usual_work(function) * self.latency.average_slowdown, MIN_DEMAND)
         return len(recent) / max(span, 1.0) * latency
 
-    def fleet_demand(self, function: Function, own: float, share: float) -> float:
+    def fleet_demand(self, function: Function, own_demand: float, share: float) -> float:
         """Returns the demand of all front ends' requests of the function.
 
-        `own` is the demand of own requests, `share` the usual own part. The result combines two estimates, weighted by
-        their variances: the own demand over the own share, and the other requests of the function that were in flight
-        at workers by their answers. Without the second one, each of many front ends would load functions with little
-        demand.
+        `own_demand` is the demand of this front end's requests, `share` its usual share. The result combines two
+        estimates, weighted by their variances: `own_demand` over `share`, and the other requests of the function that
+        were in flight at workers by their answers. Without the second one, each of many front ends would load functions
+        with little demand.
         """
-        scaled = own / share
+        scaled = own_demand / share
         samples = function.concurrency_samples
         samples_by_worker = Counter(worker for worker, _ in samples)
         if not samples_by_worker:
-            return own if self.reports_concurrency else scaled
+            return own_demand if self.reports_concurrency else scaled
         others_in_flight = sum(concurrent / samples_by_worker[worker] for worker, concurrent in samples)
-        request_count = own * self.idle_timeout / self.latency.usual_work(function) / self.latency.average_slowdown
+        request_count = (
+            own_demand * self.idle_timeout / self.latency.usual_work(function) / self.latency.average_slowdown
+        )
         scaled_variance = scaled**2 * (1 - share) / request_count
         others_variance = (others_in_flight + 1 / PRIOR_SAMPLES) * len(samples_by_worker) / len(samples)
         return (scaled * others_variance + others_in_flight * scaled_variance) / (scaled_variance + others_variance)
 
-    def own_share(self, workers: list[Worker], own: float, even: float) -> float:
-        """Returns the own part of the workers' requests in flight, close to `even` where there are few reports."""
+    def own_share(self, workers: list[Worker], own_demand: float, even: float) -> float:
+        """Returns this front end's share of the workers' requests in flight; close to `even` without many reports."""
         in_flight = [
             report.in_flight for worker in workers for report in worker.load_reports if report.in_flight is not None
         ]
-        part = min(1.0, own / max(mean(in_flight, 0.0) * len(workers), own, MIN_DEMAND))
-        return (part * len(in_flight) + PRIOR_SAMPLES * even) / (len(in_flight) + PRIOR_SAMPLES)
+        reported_share = min(1.0, own_demand / max(mean(in_flight, 0.0) * len(workers), own_demand, MIN_DEMAND))
+        return (reported_share * len(in_flight) + PRIOR_SAMPLES * even) / (len(in_flight) + PRIOR_SAMPLES)
--- a/wickdyke/routing/dispatcher.py
+++ b/wickdyke/routing/dispatcher.py
@@ -155,7 +155,7 @@
         return self.selector.choose(request, can_serve, now)
 
     def _choose_proved(self, preferred: Replica, request: Request, excluded: set[Worker], now: float) -> Replica | None:
-        """Returns a loaded replica on a worker that is proved ready, or checks the `preferred` worker and returns None.
+        """Returns a loaded replica on a worker known as ready, or checks the `preferred` worker and returns None.
 
         Checking whichever worker has the lowest latency would cost a health check for almost every request.
         """
@@ -275,7 +275,7 @@
         return not self._is_late(request, now)
 
     def _is_late(self, request: Request, now: float) -> bool:
-        """Returns whether the usual latency exceeds the objective, or the route's queue time-out has passed."""
+        """Returns whether the usual latency exceeds the objective, or the route's queue timeout has passed."""
         usual = self.latency.expected_work(request) * self.latency.average_slowdown
         late = now + usual >= request.objective_at
         policy = request.route_policy
--- a/wickdyke/routing/fleet.py
+++ b/wickdyke/routing/fleet.py
@@ -30,7 +30,7 @@
 from wickdyke.routing.replicas import forget_replicas
 
 PATH_BITS = 64
-EVICTED_FRACTION = 1 / 8  # part of the largest cell's functions that is removed when there are too many functions
+EVICTED_FRACTION = 1 / 8  # fraction of the largest cell's functions that is removed when there are too many functions
 
 
 @dataclass(slots=True, frozen=True)
--- a/wickdyke/routing/in_flight.py
+++ b/wickdyke/routing/in_flight.py
@@ -12,7 +12,7 @@
 class GlobalConcurrency:
     """The attempts of this front end at all workers, and the limit on them."""
 
-    load_reports: deque[LoadReport]  # mean reports of the fleet
+    load_reports: deque[LoadReport]  # means of the workers' reports
     objective_shares: deque[ObjectiveShare]
     concurrency_limit: float = inf
     limit_lowered_at: float = 0.0  # ms
--- a/wickdyke/routing/inputs.py
+++ b/wickdyke/routing/inputs.py
@@ -16,10 +16,10 @@
     `reported` holds all values, also those that the router does not use, in the order of the settings' report fields.
     """
 
-    utilization: float | None  # busy part of its cores
+    utilization: float | None  # busy fraction of its cores
     in_flight: float | None  # requests that the worker runs
     queued: float  # requests that wait at the worker
-    pinned: float  # part of the worker's memory that is in use
+    pinned: float  # fraction of the worker's memory that is in use
     reported: tuple[float, ...]
 
     @classmethod
--- a/wickdyke/routing/latency.py
+++ b/wickdyke/routing/latency.py
@@ -25,14 +25,14 @@
 MAX_OBJECTIVE_SHARES = 8  # samples of a worker; its limit is lowered only on the mean of that many
 WORKER_RECORDS = RecordLengths(MAX_LATENCY_SAMPLES, MAX_RESULT_SAMPLES, MAX_LOAD_REPORTS, MAX_OBJECTIVE_SHARES)
 MAX_DURATION_SAMPLES = 16  # samples of a function, of a request class and of loads
-PRIOR_ANSWERS = 6.0  # answers that the slowdown of its kind counts as in a worker's slowdown
+PRIOR_ANSWERS = 6.0  # weight, in answers, of the kind's slowdown in the estimate of a worker's slowdown
 MAX_REPORT_AGE = 4000.0  # ms over which the weight of a load report falls to 0
 DEFAULT_LOAD_TIME = 1000.0  # ms, until a load is measured
 MIN_LOAD_TIME = 50.0  # ms; a shorter time is taken as evidence that nothing was loaded
 MIN_LOADS_WITHOUT_HINT = 4  # measured loads of a function from which its hint no longer counts
-DEFAULT_WORK_FRACTION = 0.25  # work as a part of the latency objective, until an answer is received
-MIN_REMAINING_LOAD_FRACTION = 0.2  # remaining part of the load time of a load that should have ended
-KIND_PRIOR_DIVISOR = 16  # the average slowdown counts as 1/16 of all work in the slowdown of a kind
+DEFAULT_WORK_FRACTION = 0.25  # work as a fraction of the latency objective, until an answer is received
+MIN_REMAINING_LOAD_FRACTION = 0.2  # remaining fraction of the load time of a load that should have ended
+KIND_PRIOR_DIVISOR = 16  # weight of the average slowdown in a kind's slowdown: 1/16 of all work
 MAX_CORE_SAMPLES = 400
 MIN_CORE_SAMPLES = 16  # number of samples above which they are used
 DEFAULT_CORES = 4.0  # requests that a worker is assumed to run at once, without any evidence
@@ -41,7 +41,7 @@
 MIN_UTILIZATION_FOR_CORES = 0.15
 MAX_UTILIZATION_FOR_CORES = 0.85
 CLOCK_RESOLUTION = 0.001  # ms; shortest time of an attempt, as an answer may arrive within one reading of the clock
-PROMISED_UTILIZATION = 0.8  # part of a fleet's capacity that is assumed to be promised to tenants
+PROMISED_UTILIZATION = 0.8  # fraction of a fleet's capacity that is assumed to be promised to tenants
 OVERDUE_FACTOR = 3.0  # multiple of its expected latency after which an attempt is overdue
 MIN_OVERDUE = 400.0  # ms before which no attempt is overdue
 
@@ -198,8 +198,8 @@
         others = 0.0  # attempts of other front ends in flight there
         if worker.load_reports:
             report = worker.load_reports[-1]
-            fade = max(0.0, 1 - (now - report.received_at) / MAX_REPORT_AGE)
-            others = max(0.0, (report.in_flight or 0.0) - report.own_in_flight) * fade
+            report_weight = max(0.0, 1 - (now - report.received_at) / MAX_REPORT_AGE)
+            others = max(0.0, (report.in_flight or 0.0) - report.own_in_flight) * report_weight
         contention = 1 + (len(worker.in_flight) + others) / self.cores(worker)
         return self.expected_work(request) * self.slowdown(worker) * contention + self._remaining_load(replica, now)
 
--- a/wickdyke/routing/model.py
+++ b/wickdyke/routing/model.py
@@ -85,7 +85,7 @@
 
 
 class ObjectiveShare(NamedTuple):
-    """The part of its latency objective that an answer took.
+    """The fraction of its latency objective that an answer took.
 
     `active` is the number of this front end's attempts that were active in the same pool when the attempt was sent.
     """
@@ -144,7 +144,7 @@
     first: float  # ms
     growth: float
     maximum: float  # ms
-    jitter: float  # largest part of a wait by which it is randomly extended
+    jitter: float  # largest fraction of a wait by which it is randomly extended
 
 
 class Hedging(NamedTuple):
@@ -233,7 +233,7 @@
     last_answer_at: float = 0.0
     last_check_at: float = 0.0
     check_sent_at: float | None = None  # time at which the health check in flight was sent
-    ready_at: float = float("-inf")  # latest time at which its own answers proved it ready
+    ready_at: float = float("-inf")  # send time of the latest work or health check that showed it ready
     not_ready_since: float | None = None  # time since which it is known as not ready, or its process as ended
     same_process_since: float = float("-inf")  # earliest time since which its connections show the same process
     limit_lowered_at: float = 0.0
@@ -265,7 +265,7 @@
         self.sampled_work = sum(map(_work_of, self.latency_samples))
 
     def pinned_memory(self) -> float:
-        """Returns the part of the worker's memory that is in use by its last report; 0 without a report."""
+        """Returns the fraction of the worker's memory that is in use by its last report; 0 without a report."""
         return self.load_reports[-1].pinned_memory if self.load_reports else 0.0
 
     def open_records(self, lengths: "RecordLengths") -> None:
--- a/wickdyke/routing/outliers.py
+++ b/wickdyke/routing/outliers.py
@@ -16,9 +16,9 @@
 FIRST_EJECTION_TIME = 1500.0  # ms, doubled at each ejection
 MAX_EJECTION_TIME = 4000.0  # ms
 MIN_FAILURES = 3  # recent failures from which a worker may be ejected
-FAILURE_SHARE = 0.5  # part of the recent results that failures must exceed to eject a worker
+FAILURE_SHARE = 0.5  # fraction of the recent results that failures must exceed to eject a worker
 MAX_RESULT_AGE = 5000.0  # ms for which a result counts
-NETWORK_FAULT_SHARE = 0.25  # part of the recent workers; more unreached ones without a lost connection: network fault
+NETWORK_FAULT_SHARE = 0.25  # fraction of recent workers; more unreached ones without a lost connection: network fault
 # Silence is measured in multiples of the expected latency.
 SILENCE_THRESHOLD = 26.0  # silence, summed over all attempts, from which a worker counts as silent
 MAX_SILENCE_PER_ATTEMPT = 6.0
@@ -108,9 +108,9 @@
         }
         counts = Counter(outcome for _, outcome in self.last_outcomes.values())
         unreached = counts[Outcome.UNREACHED]
-        begins = unreached >= MIN_FAILURES and unreached > NETWORK_FAULT_SHARE * len(self.last_outcomes)
-        continues = self.network_fault and unreached > 0  # until no recent worker is unreached
-        fault = not counts[Outcome.CONNECTION_LOST] and (begins or continues)
+        fault_starts = unreached >= MIN_FAILURES and unreached > NETWORK_FAULT_SHARE * len(self.last_outcomes)
+        fault_persists = self.network_fault and unreached > 0  # until no recent worker is unreached
+        fault = not counts[Outcome.CONNECTION_LOST] and (fault_starts or fault_persists)
         if fault != self.network_fault:
             state = "fail" if fault else "work"
             self.log_note(f"new connections {state}: {unreached} of {len(self.last_outcomes)}")
--- a/wickdyke/routing/placement.py
+++ b/wickdyke/routing/placement.py
@@ -20,15 +20,15 @@
 from wickdyke.routing.settings import CostWeights, FunctionCache, GatewayInstance
 
 MIN_ASSIGNMENT_TIME = 5000.0  # ms for which a function stays on its workers, divided by 1 minus this front end's share
-FILL_UTILIZATION = 0.7  # utilization up to which this front end fills its part of a worker
+FILL_UTILIZATION = 0.7  # utilization up to which this front end fills its share of a worker
 HEADROOM = 1.5  # standard deviations of the concurrency that are kept free
-FAIR_SHARE_SLACK = 1.2  # multiple of its even part of this front end's load that a worker may be given
+FAIR_SHARE_SLACK = 1.2  # multiple of an even share of this front end's load that a worker may be given
 KEPT_CAPACITY_FACTOR = 1.4  # multiple of a worker's capacity up to which functions stay on it
-SMALL_LOAD = 0.15  # part of the mean capacity; smaller loads may exceed a worker's free capacity
-MAX_LOAD_AFTER_REMOVAL = 0.75  # part of the capacity of one worker less, over which a function keeps all its workers
+SMALL_LOAD = 0.15  # fraction of the mean capacity; smaller loads may exceed a worker's free capacity
+MAX_LOAD_AFTER_REMOVAL = 0.75  # fraction of the capacity of one worker less, over which a function keeps its workers
 HOT_UTILIZATION_FACTOR = 1.2  # multiple of the mean utilization above which a worker is given nothing new
 MIN_HOT_UTILIZATION = 0.8  # utilization below which no worker counts as hot
-MAX_CAPACITY_FRACTION = 0.2  # part of a worker's capacity for one function where workers do not report concurrency
+MAX_CAPACITY_FRACTION = 0.2  # fraction of a worker's capacity for one function where workers do not report concurrency
 MAX_FALLBACK_WORKERS = 8  # workers compared where none has free capacity
 MIN_REQUESTS_KEEPING_LOADED = 3.0  # other front ends' requests within an idle timeout that keep a replica loaded
 MIN_CAPACITY = 1e-9  # lower bound of capacities and shares that are divisors
@@ -44,8 +44,8 @@
     own_demand: dict[Function, float]  # demand of own requests
     fleet_demand: dict[Function, float]  # demand of all front ends' requests
     demand: dict[Function, float]  # own share of the fleet's demand, in busy cores
-    memory: dict[Function, float]  # own part of a replica's memory
-    share: float  # own part of the workers' load
+    memory: dict[Function, float]  # own share of a replica's memory
+    share: float  # own share of the workers' load
     capacity: dict[Worker, float]  # load that this front end may put on each worker
     free_capacity: dict[Worker, float]  # part of `capacity` that is left
     free_memory: dict[Worker, float]  # MB of own memory budget that are left
@@ -84,7 +84,7 @@
         self.selected_workers: dict[Worker, None] = {}  # the workers that functions are placed on, in order
         self.mean_capacity = 1.0  # load that this front end may put on an active worker, on average
         self.hot_utilization = inf  # utilization above which a worker is given nothing new
-        self.own_share = 1.0  # this front end's part of the workers' load
+        self.own_share = 1.0  # this front end's share of the workers' load
 
     def ranking(self, function: Function) -> list[Worker]:
         """Returns the workers in scope in the function's order, which all front ends agree on."""
@@ -142,7 +142,7 @@
         )
 
     def _share(self, workers: list[Worker], own_total: float) -> float:
-        """Returns this front end's part of the workers' load; close to an even part where there are few reports."""
+        """Returns this front end's share of the workers' load; close to an even share where there are few reports."""
         even = min(1.0, len(self.cell.ready_workers) / len(workers) / self.front_end_count)
         return self.demand_estimator.own_share(workers, own_total, even)
 
@@ -162,7 +162,7 @@
     def _capacity(self, healthy: list[Worker], demand: float, share: float) -> dict[Worker, float]:
         """Returns the load that this front end may put on each worker.
 
-        This is an even part of its demand with some slack, or its share of the worker's cores if that is larger.
+        This is an even share of its demand with some slack, or its share of the worker's cores if that is larger.
         """
         relative = self.active_workers.capacity
         even = FAIR_SHARE_SLACK * demand / sum(relative[worker] for worker in self.selected_workers)
@@ -216,10 +216,10 @@
     def _assume_kept_loaded(self, replica: Replica, now: float) -> None:
         """Assumes that other front ends' requests keep the replica loaded, unless own attempts showed otherwise."""
         if self.explicit_loads:
-            assumed = now - replica.last_miss > self.latency.load_time(replica.function)
+            likely_loaded = now - replica.last_miss > self.latency.load_time(replica.function)
         else:
-            assumed = bool(replica.last_used)
-        if assumed and replica.worker.memory_short_until <= now:
+            likely_loaded = bool(replica.last_used)
+        if likely_loaded and replica.worker.memory_short_until <= now:
             replica.loaded_replicas = max(1, replica.loaded_replicas)
             replica.last_used = now
 
@@ -264,8 +264,8 @@
                 continue
             if this_pass.free_capacity[worker] + slack * this_pass.capacity[worker] < load_each:
                 continue
-            fits = this_pass.free_memory[worker] >= this_pass.memory[function]
-            (chosen if fits else short_of_memory).append(worker)
+            has_memory = this_pass.free_memory[worker] >= this_pass.memory[function]
+            (chosen if has_memory else short_of_memory).append(worker)
             if len(chosen) == needed:
                 break
         chosen += short_of_memory[: needed - len(chosen)]
--- a/wickdyke/routing/prewarming.py
+++ b/wickdyke/routing/prewarming.py
@@ -13,12 +13,12 @@
 from wickdyke.routing.samples import trim_times
 from wickdyke.routing.settings import FunctionCache, PrewarmQuota
 
-RENEWAL_IDLE_FRACTION = 0.7  # part of the idle timeout after which a loaded replica is prewarmed again to keep it
+RENEWAL_IDLE_FRACTION = 0.7  # fraction of the idle timeout after which a loaded replica is prewarmed again to keep it
 LOST_LOAD_FACTOR = 4.0  # multiple of the load time after which a load without a result counts as lost
 MAX_NEW_PER_WORKER = 2  # new replicas per worker and placement
 MAX_REPLICAS = 16  # replicas that one prewarm requests
-FRACTION_FOR_NEW = 0.34  # part of the quota that is reserved for new replicas; renewals may not use it
-MAX_HELD_PLANS = 8  # prewarms that wait for their workers to prove ready
+FRACTION_FOR_NEW = 0.34  # fraction of the quota that is reserved for new replicas; renewals may not use it
+MAX_HELD_PLANS = 8  # prewarms that wait until their workers are known as ready
 WINDOW_MARGIN = 1e-3  # ms by which a prewarm counts longer than the window, so that rounding never exceeds the quota
 
 
--- a/wickdyke/routing/ranking.py
+++ b/wickdyke/routing/ranking.py
@@ -32,7 +32,7 @@
     def __init__(self, workers: list[Worker], zone: int | None = None, other_zones_weight: float = 1.0) -> None:
         """Prepares the ranking of `workers`; `zone` is None where zones make no difference."""
         self.workers = workers
-        self.zoned = zone is not None
+        self.has_zone = zone is not None
         self.hashes = [worker.name_hash for worker in workers]
         self.sizes = [size_of(worker.endpoint) for worker in workers]
         self.zone_weights = [
@@ -43,7 +43,7 @@
         """Returns the workers by rank, the function's nearest worker first; by rank alone where a zone is given."""
         fractions = hash_fractions(function.name_hash, self.hashes)
         ranks = [-log(fraction) / size for fraction, size in zip(fractions, self.sizes, strict=True)]
-        if self.zoned:
+        if self.has_zone:
             ranks = [rank / weight for rank, weight in zip(ranks, self.zone_weights, strict=True)]
         elif function.nearest_worker in self.workers:
             ranks[self.workers.index(function.nearest_worker)] = FIRST_RANK
--- a/wickdyke/routing/readiness.py
+++ b/wickdyke/routing/readiness.py
@@ -25,13 +25,13 @@
 OUTAGE_NOTICE_DELAY = 2000.0
 # ms since the last message from discovery within which no update can be missing: discovery sends one each second.
 MAX_DISCOVERY_SILENCE = 1500.0
-GRACE_FRACTION = 0.8  # part of the drain's grace period; the rest covers the time between decision and transmission
+GRACE_FRACTION = 0.8  # fraction of the drain's grace period; the rest covers the time between decision and transmission
 MIN_WORKER_LEASE = 20.0  # ms, for grace periods near 0; every time limit of the protocol has 50 ms of tolerance
 MAX_ANSWER_WAIT = 40.0  # ms without an answer to a health check after which another worker is checked
 UNANSWERED_RETRY_DELAY = 1000.0  # ms until a worker that did not answer is checked again
 IN_USE_WINDOW = 2000.0  # ms since its last answer for which a worker counts as in use
 MAX_CHECKED_IN_ADVANCE = 8  # workers in use that are checked as soon as the list expires
-NEVER = -math.inf
+EARLIEST_TIME = -math.inf  # ms; stands for a time that is unknown or an event that has not occurred
 
 
 class Readiness:
@@ -54,11 +54,11 @@
         self.worker_lease = max(MIN_WORKER_LEASE, GRACE_FRACTION * drain_grace)
         self.list_lease = OUTAGE_NOTICE_DELAY + self.worker_lease
         self.discovery_heard_at: float | None = None  # ms; None where the host does not report it
-        self.discovery_lost_at = NEVER  # ms; updates since then may be missing, however short the outage was
+        self.discovery_lost_at = EARLIEST_TIME  # ms; updates since then may be missing, however short the outage was
         self.list_valid_until = math.inf  # ms
         self.list_was_expired = False
-        self.not_ready: dict[Worker, None] = {}  # workers that answered so, or whose process has ended
-        self.proved_ready: set[Worker] = set()  # workers that answered that they are ready since the list expired
+        self.not_ready: dict[Worker, None] = {}  # workers that answered as not ready, or whose process has ended
+        self.proved_ready: set[Worker] = set()  # workers that, since the list expired, have answered as ready
 
     # ---- information received ----
 
@@ -90,7 +90,7 @@
     def work_rejected(self, worker: Worker, now: float) -> None:
         """Ends the worker's lease: a worker that rejects work may be full or draining, so earlier answers are void."""
         if self.list_expired(now):
-            worker.ready_at = NEVER
+            worker.ready_at = EARLIEST_TIME
 
     def check_finished(self, worker: Worker, outcome: Outcome, same_process_since: float | None, now: float) -> None:
         """Records the outcome of a health check of the worker.
@@ -133,7 +133,7 @@
         self.not_ready[worker] = None
 
     def _record_ready(self, worker: Worker, check_sent_at: float, same_process_since: float | None, now: float) -> None:
-        process_since = NEVER if same_process_since is None else same_process_since
+        process_since = EARLIEST_TIME if same_process_since is None else same_process_since
         is_new_process = process_since > worker.same_process_since
         worker.same_process_since = max(process_since, worker.same_process_since)
         if worker.not_ready_since is not None:
--- a/wickdyke/routing/results.py
+++ b/wickdyke/routing/results.py
@@ -18,7 +18,7 @@
 from wickdyke.routing.settings import FunctionCache
 from wickdyke.routing.slow_start import SlowStartGuard
 
-MEMORY_SHORTAGE_TIME = 1000.0  # ms for which a worker that had no memory for a replica counts as short of memory
+MEMORY_SHORTAGE_TIME = 1000.0  # ms for which a worker is assumed to lack memory after it had none for a replica
 BUDGET_GROWTH = 1.25  # factor of a worker's memory budget after a successful prewarm
 BUDGET_SHRINK = 0.7  # factor of the budget after a prewarm that was rejected or failed, or when memory is short
 
--- a/wickdyke/routing/selection.py
+++ b/wickdyke/routing/selection.py
@@ -58,10 +58,10 @@
         if recovering_worker := self._recovering_worker_to_try(request, placement, can_serve):
             return replica_of(function, recovering_worker)
         withdrawn_from = _withdrawn_from(request)
-        usable = _usable_replicas(request, withdrawn_from, can_serve)
-        if replica := self._best_existing(request, usable, placement, now):
+        usable_replicas = _usable_replicas(request, withdrawn_from, can_serve)
+        if replica := self._best_existing(request, usable_replicas, placement, now):
             return replica
-        loaded_but_full = _loaded_but_full(usable, placement, now)
+        loaded_but_full = _loaded_but_full(usable_replicas, placement, now)
         if loaded_but_full and (placement.explicit_loads or _any_below_limit(loaded_but_full, now)):
             return None  # a load on another worker would take too long and add load on the package store
 
@@ -79,8 +79,8 @@
     def choose_loaded(self, request: Request, can_serve: CanServe, now: float) -> Replica | None:
         """Returns the best replica that is loaded and has capacity, on a worker that `can_serve`; None without one."""
         placement = self.fleet.home_of(request.function).placement
-        usable = _usable_replicas(request, _withdrawn_from(request), can_serve)
-        loaded = [replica for replica in usable if placement.latency.is_loaded(replica, now)]
+        usable_replicas = _usable_replicas(request, _withdrawn_from(request), can_serve)
+        loaded = [replica for replica in usable_replicas if placement.latency.is_loaded(replica, now)]
         return self._best_existing(request, loaded, placement, now)
 
     def _recovering_worker_to_try(self, request: Request, placement: Placement, can_serve: CanServe) -> Worker | None:
@@ -94,13 +94,13 @@
         return min(recovering_workers, key=lambda worker: rendezvous_rank(request.function, worker), default=None)
 
     def _best_existing(
-        self, request: Request, usable: list[Replica], placement: Placement, now: float
+        self, request: Request, usable_replicas: list[Replica], placement: Placement, now: float
     ) -> Replica | None:
         """Returns the best replica with capacity: loaded before loading, untried before tried, placed before others."""
-        with_capacity = [replica for replica in usable if _has_capacity(replica, now)]
+        with_capacity = [replica for replica in usable_replicas if _has_capacity(replica, now)]
         loaded = [replica for replica in with_capacity if placement.latency.is_loaded(replica, now)]
-        tried = _tried_workers(request, placement)
-        untried = [replica for replica in loaded if replica.worker not in tried]
+        tried_workers = _tried_workers(request, placement)
+        untried = [replica for replica in loaded if replica.worker not in tried_workers]
         placed = [replica for replica in untried if replica.is_placed]
         if candidates := placed or untried or loaded:
             return self._lowest_latency(request, candidates, placement, now)
@@ -143,8 +143,8 @@
         # as they would when all start at once. A random choice avoids that. The cost is memory: a function with few
         # requests may be loaded on several workers.
         is_new = not (request.attempts or request.function.replicas)
-        tried = _tried_workers(request, placement)
-        untried = [worker for worker in free if worker not in tried] or free
+        tried_workers = _tried_workers(request, placement)
+        untried = [worker for worker in free if worker not in tried_workers] or free
         if placement.explicit_loads and is_new:
             return untried[self.random.below(min(MAX_FIRST_CHOICES, len(untried)))]
         return untried[0]
--- a/wickdyke/routing/settings.py
+++ b/wickdyke/routing/settings.py
@@ -80,7 +80,7 @@
 
 @dataclass(slots=True, frozen=True)
 class CostWeights:
-    """Costs as parts of a request's priority weight."""
+    """Costs as fractions of a request's priority weight."""
 
     waste: float
     late: float
--- a/wickdyke/routing/slow_start.py
+++ b/wickdyke/routing/slow_start.py
@@ -10,16 +10,16 @@
 from wickdyke.routing.seeded_random import hash_fraction
 from wickdyke.routing.settings import GatewayInstance, SlowStart
 
-USED_CAPACITY_FRACTION = 0.6  # part of a warming worker's capacity that is used
+USED_CAPACITY_FRACTION = 0.6  # fraction of a warming worker's capacity that is used
 MIN_UTILIZATION = 0.3  # lower bound of the fleet's utilization, by which this front end's rate of work is divided
 SERVED_WINDOW = 5000.0  # ms for which served requests count
-SIZE_DECAY = 0.9  # part of the fleet's size that remains at each update after the fleet shrank
+SIZE_DECAY = 0.9  # fraction of the fleet's size that remains at each update after the fleet shrank
 MIN_SIZE = 1e-6  # lower bound of the fleet's size, which is a divisor
 GOLDEN_RATIO = 0.618034  # conjugate of the golden ratio; spreads the front ends' turns evenly
 
 
 class SlowStartGuard:
-    """Admits attempts at a warming worker up to this front end's part of the worker's present capacity."""
+    """Admits attempts at a warming worker up to this front end's share of the worker's present capacity."""
 
     def __init__(self, settings: SlowStart, instance: GatewayInstance) -> None:
         """Creates a guard for this front end, before the first update of its estimates."""
@@ -90,14 +90,14 @@
             return sum(send.work for send in sends) + work <= allowed
         return not sends and self._has_turn(worker, allowed / work, age)
 
-    def _has_turn(self, worker: Worker, part: float, age: float) -> bool:
+    def _has_turn(self, worker: Worker, request_share: float, age: float) -> bool:
         # One request of each of many front ends would be too much, and with independent random choices many could send
-        # at once. Each front end therefore has turns, assigned by its index, that are as rare as its part is small.
+        # at once. Each front end therefore has turns, assigned by its index, that are as rare as its share is small.
         # This wastes capacity where all functions are on warming workers.
         offset = self.instance_fraction / self.even_share * GOLDEN_RATIO % 1
         turn = int(age / self.settings.window + offset)
         turn_position = (hash_fraction(worker.name_hash, turn) + self.instance_fraction) % 1
-        return turn > 0 and turn_position < max(part, self.even_share)
+        return turn > 0 and turn_position < max(request_share, self.even_share)
 
     def mean_work(self, request: Request) -> float:
         """Returns the mean work (ms) of requests of the request's class."""
