--- a/tests/test_work_held_back.py
+++ b/tests/test_work_held_back.py
@@ -51,7 +51,7 @@
 
 
 class SilentDiscovery(SteppedClockCase):
-    """The answers of the front end where discovery is silent and no worker proves ready."""
+    """The answers of the front end where discovery is silent and no worker is known as ready."""
 
     def silent_worker(self):
         """A worker that answers no health check."""
--- a/wickdyke/gateway/interfaces.py
+++ b/wickdyke/gateway/interfaces.py
@@ -26,7 +26,7 @@
     OVERRUN = "overrun"  # the coordinator's event queue is too long
     NO_TIME = "no-time"  # the request's deadline has passed
     NO_PLACE = "no-place"  # no worker could be chosen
-    DISCOVERY_LOST = "discovery-lost"  # the endpoint list is too old, and no worker was shown to be ready in time
+    DISCOVERY_LOST = "discovery-lost"  # the endpoint list is too old, and no worker was known as ready in time
     LOAD_FAILED = "load-failed"  # the circuit breaker of the request's function is open
     POISON = "poison"  # the circuit breaker of the request's input is open
     FAULT = "fault"  # handling the request raised an exception
--- a/wickdyke/routing/prewarming.py
+++ b/wickdyke/routing/prewarming.py
@@ -131,7 +131,7 @@
     def send(self, plan: PrewarmPlan, now: float) -> None:
         """Sends a prewarm, if the quota and the control budget allow it.
 
-        Where the worker has to prove ready first, the plan is held until the worker has answered.
+        Where the worker has to be known as ready first, the plan is held until the worker has answered.
         """
         replica = plan.replica
         covered = self.budget.has_token() or not self.cache.loads_on_demand
