--- a/tests/soak/__main__.py
+++ b/tests/soak/__main__.py
@@ -1,6 +1,6 @@
-"""Plays seeds of the soak by hand: `python -m tests.soak --seeds 1-50 --jobs 4`. Exit code 1 where a rule broke.
+"""Runs seeds of the soak test: `python -m tests.soak --seeds 1-50 --jobs 4`. Exits with 1 where a rule was broken.
 
-With --stops front ends are stopped often, in series too, while clients connect, ask and leave.
+With --stops, front ends are stopped often, also in series, while clients connect, send requests and leave.
 """
 
 import argparse
@@ -10,11 +10,11 @@
 
 from tests.soak.play import SoakResult, play, play_stops
 
-MAX_FINDINGS = 12  # shown of one run
+MAX_FINDINGS = 12  # printed of one run
 
 
 def parse_seeds(text: str) -> list[int]:
-    """1-3 or 1,5,9."""
+    """Parses seeds given as `1-3` or `1,5,9`."""
     if "-" in text:
         first, last = text.split("-")
         return list(range(int(first), int(last) + 1))
@@ -22,7 +22,7 @@
 
 
 def shown_findings(broken: list[str]) -> list[str]:
-    """The first finding of each rule, then the others, MAX_FINDINGS at most or one of each rule."""
+    """Returns the first finding of each rule, then others, up to MAX_FINDINGS unless more rules were broken."""
     first_of_rule = {finding.partition(":")[0]: finding for finding in reversed(broken)}
     first = [finding for finding in broken if finding in first_of_rule.values()]
     others = [finding for finding in broken if finding not in first_of_rule.values()]
@@ -30,7 +30,7 @@
 
 
 def describe(result: SoakResult) -> str:
-    """One line, and one for each finding that is shown."""
+    """Returns a summary line, a line for each finding that is printed and, where a rule broke, the steps of the run."""
     lines = [f"seed {result.seed}: {result.requests} requests, served {result.served:.3f}, {len(result.broken)} broken"]
     lines += [f"  {line}"[:400] for line in shown_findings(result.broken)]
     if result.broken:
@@ -39,7 +39,7 @@
 
 
 def main() -> int:
-    """Plays the seeds, several at a time; returns the exit code."""
+    """Runs the seeds, several in parallel; returns the exit code."""
     parser = argparse.ArgumentParser(prog="python -m tests.soak")
     parser.add_argument("--seeds", type=parse_seeds, default=parse_seeds("1-50"))
     parser.add_argument("--jobs", type=int, default=4)
--- a/tests/soak/bus.py
+++ b/tests/soak/bus.py
@@ -1,4 +1,4 @@
-"""Discovery as a stand-in: a log of events that is served over HTTP, and the ways in which it can be out of reach."""
+"""A simulated discovery service: an event log served over HTTP, with several kinds of outage."""
 
 import json
 import socket
@@ -14,24 +14,24 @@
 HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nConnection: close\r\n\r\n"
 UNAVAILABLE = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
 HEARTBEAT_SECONDS = 1.0
-FLAP_SECONDS = 0.1  # for which a connection lasts while discovery is flapping
-DRIP_SECONDS = 0.3  # between two bytes of an event that never completes
+FLAP_SECONDS = 0.1  # lifetime of a connection while discovery is flapping
+PARTIAL_EVENT_BYTE_INTERVAL = 0.3  # s between two bytes of an event that never completes
 
 
 class BusMode(Enum):
     """How discovery behaves."""
 
     UP = auto()
-    REFUSED = auto()  # connections are reset, new ones refused
-    SILENT = auto()  # open connections bring nothing, new ones are accepted and get no answer
-    ERRORS = auto()  # connections are closed, new ones get an error
-    HALF_EVENT = auto()  # new connections bring an event that never completes
-    FLAPPING = auto()  # new connections end soon and bring nothing
+    REFUSED = auto()  # open connections are closed, new ones refused
+    SILENT = auto()  # open connections carry no more data, new ones are accepted and get no answer
+    ERRORS = auto()  # open connections are closed, new ones get an error
+    HALF_EVENT = auto()  # new connections carry an event that is never complete
+    FLAPPING = auto()  # new connections end after FLAP_SECONDS without an event
 
 
 @dataclass
 class Outage:
-    """When discovery was out of reach (Unix s); `ended_at` is None while it lasts."""
+    """When discovery was unavailable (Unix s); `ended_at` is None while the outage lasts."""
 
     began_at: float
     ended_at: float | None = None
@@ -39,24 +39,24 @@
 
 @dataclass
 class Reader:
-    """One connection of a front end."""
+    """A connection of a front end."""
 
     sock: socket.socket
-    generation: int  # of the mode under which it was accepted
+    generation: int  # of the mode when it was accepted
     offset: int = 0
     response_begun: bool = False
 
 
 @dataclass
 class EventLog:
-    """The events so far, and the instances as they result from them."""
+    """All events so far, and the instances that result from them."""
 
     condition: threading.Condition = field(default_factory=threading.Condition)
     events: list[dict] = field(default_factory=list)
     instances: dict[str, dict] = field(default_factory=dict)
 
     def append(self, *instances: dict) -> int:
-        """Adds an event that changes these instances; returns its number."""
+        """Appends an event that updates these instances; returns its offset."""
         with self.condition:
             offset = len(self.events) + 1
             self.events.append(rig.event(offset, *instances, reset=not self.events))
@@ -68,7 +68,7 @@
             return offset
 
     def known(self) -> dict:
-        """What a configuration written now holds."""
+        """Returns the `known` part of a configuration that is written now."""
         with self.condition:
             offset = len(self.events)
             return {"offset": offset, "batch": [rig.event(offset, *self.instances.values(), reset=True)]}
@@ -83,12 +83,12 @@
         self.generation = 0  # counts changes of the mode
         self.outages: list[Outage] = []
         self.readers: list[Reader] = []
-        self.left_silent: list[Reader] = []  # connections that bring nothing any more
+        self.silent_readers: list[Reader] = []  # connections that carry no more data
         self.address = reserve_address()
         self._listen()
 
     def set_mode(self, mode: BusMode) -> None:
-        """Behaves that way from now on."""
+        """Switches to a mode; records the begin or end of an outage."""
         now = time.time()
         with self.log.condition:
             was_up = self.mode is BusMode.UP
@@ -102,7 +102,7 @@
             self.readers = []
             self.log.condition.notify_all()
         if mode is BusMode.SILENT:
-            self.left_silent += readers
+            self.silent_readers += readers
         else:
             for reader in readers:
                 self._end(reader)
@@ -112,9 +112,9 @@
             self._listen()
 
     def close(self) -> None:
-        """Ends for good."""
+        """Closes the listener and all connections."""
         self.set_mode(BusMode.REFUSED)
-        for reader in self.left_silent:
+        for reader in self.silent_readers:
             self._end(reader)
 
     def _listen(self) -> None:
@@ -165,11 +165,11 @@
         reader.offset = next(int(line.split(b":")[1]) for line in lines if line.startswith(b"last-event-id"))
 
     def _serve_once(self, reader: Reader) -> bool:
-        """Does one step of serving a connection; returns whether it goes on."""
+        """Does one step of serving a connection; returns whether to continue."""
         with self.log.condition:
             mode = self.mode
             if reader.generation != self.generation:
-                return False  # it was ended with the mode, or left silent
+                return False  # the change of mode closed or silenced the connection
             new = [event for event in self.log.events if event["offset"] > reader.offset]
             if mode is BusMode.UP:
                 self._write_events(reader, new)
@@ -177,7 +177,7 @@
                 if reader.generation == self.generation and len(self.log.events) == reader.offset:
                     reader.sock.sendall(b": heartbeat\n\n")
                 return True
-        return self._misbehave(reader, mode)
+        return self._serve_outage(reader, mode)
 
     def _write_events(self, reader: Reader, events: list[dict]) -> None:
         if not reader.response_begun:
@@ -187,8 +187,8 @@
             reader.sock.sendall(f"id: {event['offset']}\ndata: {json.dumps(event)}\n\n".encode())
             reader.offset = event["offset"]
 
-    def _misbehave(self, reader: Reader, mode: BusMode) -> bool:
-        """One step where discovery is out of reach; returns whether the connection goes on."""
+    def _serve_outage(self, reader: Reader, mode: BusMode) -> bool:
+        """Does one step of serving a connection in an outage; returns whether to continue."""
         if mode is BusMode.ERRORS:
             reader.sock.sendall(UNAVAILABLE)
             self._end(reader)
@@ -199,6 +199,6 @@
         elif mode is BusMode.HALF_EVENT:
             reader.sock.sendall(b"." if reader.response_begun else HEAD + b"id: 99\ndata: ")
             reader.response_begun = True
-            time.sleep(DRIP_SECONDS)
+            time.sleep(PARTIAL_EVENT_BYTE_INTERVAL)
             return True
         return False
--- a/tests/soak/checks.py
+++ b/tests/soak/checks.py
@@ -1,4 +1,4 @@
-"""The rules, checked on what the peers of the front ends recorded."""
+"""Checks the rules of the soak on the records of the front ends' peers."""
 
 from collections import Counter
 from collections.abc import Iterator
@@ -10,19 +10,19 @@
 from tests.soak.scene import DRAIN_GRACE_SECONDS, ListChange, Scene
 from tests.soak.worker import Arrival
 
-OUTAGE_CLOCK_SECONDS = 4.0  # after it broke off, what discovery would have reported counts as reported
-SLACK_SECONDS = 0.05  # that every limit of the protocol grows by
-ANSWER_SLACK_SECONDS = 0.5  # after its time within which a late answer is not lost
+OUTAGE_CLOCK_SECONDS = 4.0  # after the start of an outage, by which a change of the list counts as reported
+SLACK_SECONDS = 0.05  # tolerance added to every limit of the protocol
+ANSWER_SLACK_SECONDS = 0.5  # after its deadline, within which an answer counts as late but not lost
 CLIENT_GONE_SECONDS = 0.1  # after a client has left, no attempt begins for it
-DEADLINE_SLACK_MS = 150  # by which the time passed on may exceed what is left
+DEADLINE_SLACK_MS = 150  # by which the time left sent to a worker may exceed the actual one
 KILL_AFTER_SECONDS = 0.7  # after SIGTERM: requests from then on have to be answered before SIGKILL
-WORKER_CAPACITY = 40.0  # requests a second: two at a time, of WORK_SECONDS each
+WORKER_CAPACITY = 40.0  # requests per second: two at a time, of WORK_SECONDS each
 PREWARM_WINDOW_SECONDS = rig.SETTINGS["family-info"]["load-window"] / 1e6
-PREWARM_GROWTH = 1.15  # by which the quota of prewarms grows, and one more
+PREWARM_GROWTH = 1.15  # factor on the quota of prewarms, as a tolerance; one more per process is added
 
 
 def notified_at(change: ListChange, outages: list[Outage]) -> float:
-    """When a change of the list counts as known to the front ends (Unix s)."""
+    """Returns when a change of the list counts as known to the front ends (Unix s)."""
     for outage in outages:
         if outage.began_at <= change.at and (outage.ended_at is None or change.at < outage.ended_at):
             clock_ends = outage.began_at + OUTAGE_CLOCK_SECONDS
@@ -31,7 +31,7 @@
 
 
 def sent_while_draining(scene: Scene) -> list[tuple[ListChange, Arrival]]:
-    """New work that reached a worker later than the drain rule allows."""
+    """Returns new work that reached a worker later than the drain rule allows, with the drain."""
     found = []
     for change in scene.changes:
         if change.lifecycle != "DRAINING":
@@ -58,7 +58,7 @@
 
 
 def _paused_until(scene: Scene, address: str, request: SentRequest) -> float:
-    """When a front end ran again that was stopped while it had time for a request; else the request's time (Unix s)."""
+    """Returns a request's deadline, or the end of the last pause of its front end that overlaps it (Unix s)."""
     front_end = next(each for each in scene.front_ends if each.address == address)
     pauses = [pause for life in front_end.lives for pause in life.pauses]
     ends = [end for begin, end in pauses if begin < request.due_at + ANSWER_SLACK_SECONDS and end > request.sent_at]
@@ -66,7 +66,7 @@
 
 
 def _killed_in_time(life: ProcessLife, request: SentRequest) -> bool:
-    """Whether its process was killed while the request might still have been answered."""
+    """Returns whether the process was killed while it could still have answered the request."""
     if life.killed_at is None:
         return False
     if life.terminated_at is not None and request.sent_at > life.terminated_at + KILL_AFTER_SECONDS:
@@ -120,7 +120,7 @@
 
 
 def _prewarm_violations(scene: Scene) -> Iterator[str]:
-    """The quota over all front ends together."""
+    """Checks the quota of prewarms over all front ends together."""
     settings = rig.SETTINGS["family-info"]
     prewarms = sorted(
         arrival.at for worker in scene.workers for arrival in worker.new_work() if arrival.verb == b"prewarm"
@@ -138,7 +138,7 @@
 
 
 def _slow_start_violations(scene: Scene) -> Iterator[str]:
-    """What a worker that has started anew bears from all front ends, from when its start counts as known."""
+    """Checks the load of restarted workers from all front ends, from when their start counts as known."""
     rules = rig.SETTINGS["rules"]
     window = rules["tip-after"] / 1e6
     ramp = rules["ramp-time"] / 1e6
@@ -153,11 +153,11 @@
         ]
         for at in sent:
             share = rules["cold-from"] + (1 - rules["cold-from"]) * (at - change.at) / ramp
-            bears = rules["overload-factor"] * share * WORKER_CAPACITY * window
+            allowed = rules["overload-factor"] * share * WORKER_CAPACITY * window
             count = sum(at - window < each <= at for each in sent)
-            if count > bears + 2 * bears**0.5 + 2:
+            if count > allowed + 2 * allowed**0.5 + 2:
                 where = f"{change.worker.name}, {at - change.at:.1f} s old"
-                yield f"slow start: {count} in {window:.0f} s at {where}, {bears:.1f} borne"
+                yield f"slow start: {count} in {window:.0f} s at {where}, {allowed:.1f} borne"
                 break
 
 
@@ -174,7 +174,7 @@
 
 
 def violations(scene: Scene) -> list[str]:
-    """All broken rules, a line each."""
+    """Returns a line for each broken rule."""
     checks = (
         _drain_violations,
         _answer_violations,
@@ -188,7 +188,7 @@
 
 
 def served_share(scene: Scene, since: float, until: float) -> float:
-    """The part of the requests sent between these times (Unix s) that a worker's answer reached in time."""
+    """Returns the share of the requests sent between these times (Unix s) that a worker answered in time."""
     sent = [request for request in scene.requests() if since <= request.sent_at < until and request.gone_at is None]
     served = [
         request
--- a/tests/soak/delayed_calls.py
+++ b/tests/soak/delayed_calls.py
@@ -1,4 +1,4 @@
-"""Calls that are due later, made by one thread."""
+"""Runs delayed callbacks in one thread."""
 
 import heapq
 import itertools
@@ -8,7 +8,7 @@
 
 
 class DelayedCalls:
-    """Makes calls in the order of their times (Unix s)."""
+    """A queue of callbacks that one thread calls when they are due, in the order of their times (Unix s)."""
 
     def __init__(self) -> None:
         self.condition = threading.Condition()
@@ -17,21 +17,21 @@
         self.closed = False
         threading.Thread(target=self._run, daemon=True).start()
 
-    def after(self, seconds: float, call: Callable[[], object]) -> None:
-        """Makes the call after that time."""
+    def after(self, seconds: float, callback: Callable[[], object]) -> None:
+        """Schedules a callback after so many seconds."""
         with self.condition:
-            heapq.heappush(self.heap, (time.time() + seconds, next(self.numbers), call))
+            heapq.heappush(self.heap, (time.time() + seconds, next(self.numbers), callback))
             self.condition.notify()
 
     def close(self) -> None:
-        """Makes no more calls."""
+        """Stops the thread; no more callbacks are called."""
         with self.condition:
             self.closed = True
             self.condition.notify()
 
     def _run(self) -> None:
-        while (call := self._next()) is not None:
-            call()
+        while (callback := self._next()) is not None:
+            callback()
 
     def _next(self) -> Callable[[], object] | None:
         with self.condition:
--- a/tests/soak/front_end.py
+++ b/tests/soak/front_end.py
@@ -1,4 +1,4 @@
-"""A front end as a process of its own, and what is known of its life."""
+"""A front end in its own process, with a record of each of its processes."""
 
 import json
 import os
@@ -13,7 +13,7 @@
 from tests import platform_rig as rig
 from tests.soak.addresses import reserve_address
 
-READY_SECONDS = 20.0
+READY_SECONDS = 20.0  # within which a process is to serve
 
 
 @dataclass
@@ -31,7 +31,7 @@
 
 
 class SoakFrontEnd:
-    """A front end on an address of its own, which it keeps over restarts."""
+    """A front end that keeps its address over restarts."""
 
     def __init__(self, name: str, folder: str, settings: dict, index: int, count: int) -> None:
         self.name = name
@@ -41,14 +41,14 @@
         self.lives: list[ProcessLife] = []
 
     def write(self, bus: str, known: dict) -> None:
-        """Replaces the configuration."""
-        given = rig.config(self.address, bus, name=self.name, known=known, settings=self.settings)
+        """Replaces the configuration file."""
+        config = rig.config(self.address, bus, name=self.name, known=known, settings=self.settings)
         with open(self.path + ".new", "w") as out:
-            json.dump(given, out)
+            json.dump(config, out)
         os.replace(self.path + ".new", self.path)
 
     def start(self) -> None:
-        """Starts a process; returns once it serves."""
+        """Starts a process; returns once it serves, or after READY_SECONDS."""
         life = ProcessLife(time.time())
         self.process = subprocess.Popen(
             [sys.executable, "-m", "wickdyke.platform"],
@@ -60,7 +60,7 @@
         serving = threading.Event()
         threading.Thread(target=self._read_log, args=(self.process, life, serving), daemon=True).start()
         if not serving.wait(READY_SECONDS):
-            return  # which the checks find
+            return  # the checks report a process that is not ready
         life.ready_at = time.time()
 
     def _read_log(self, process: subprocess.Popen, life: ProcessLife, serving: threading.Event) -> None:
@@ -74,16 +74,16 @@
 
     @property
     def life(self) -> ProcessLife:
-        """The present process."""
+        """The current process."""
         return self.lives[-1]
 
     def log_lines(self, event: str) -> list[str]:
-        """The lines of that event, of all its processes."""
+        """Returns the log lines of an event, of all processes so far."""
         quoted = f'event="{event}"' if " " in event else f"event={event}"
         return [line for life in self.lives for line in list(life.lines) if quoted in line]
 
     def signal(self, number: signal.Signals) -> None:
-        """Sends a signal to the present process."""
+        """Sends a signal to the current process; records the first SIGTERM and each SIGKILL."""
         if number == signal.SIGTERM and self.life.terminated_at is None:
             self.life.terminated_at = time.time()
         if number == signal.SIGKILL:
@@ -92,7 +92,7 @@
             self.process.send_signal(number)
 
     def close(self) -> None:
-        """Ends it."""
+        """Kills the current process if it still runs, and waits for its end."""
         if self.life.ended_at is None:
             self.signal(signal.SIGKILL)
         self.process.wait()
--- a/tests/soak/load_client.py
+++ b/tests/soak/load_client.py
@@ -1,4 +1,4 @@
-"""A client that sends requests on a connection that it keeps open, and records what became of each."""
+"""A client that sends requests over a persistent connection and records the outcome of each."""
 
 import random
 import select
@@ -10,7 +10,7 @@
 
 from tests import platform_rig as rig
 
-MAX_OPEN = 32  # requests on a connection
+MAX_OPEN_REQUESTS = 32  # on a connection
 RECONNECT_SECONDS = 0.05
 CROSSING_SECONDS = 0.05  # a request sent this shortly before a close is sent again, once
 LENGTH = struct.Struct(">i")
@@ -18,7 +18,7 @@
 
 @dataclass
 class SentRequest:
-    """One request: its times are Unix s."""
+    """A request and its outcome; times are Unix s."""
 
     ident: str
     request_class: str
@@ -28,19 +28,19 @@
     word: str = ""  # of the answer
     answers: int = 0
     connected_at: float = 0.0  # when its connection was made
-    unreached: bool = False  # its connection had ended as it was sent, and no other could be made
+    unreached: bool = False  # its connection had ended when it was sent, and the client could not reconnect
     gone_at: float | None = None  # when the client cancelled it
     closed_at: float | None = None  # when its connection ended without an answer
     sent_again: bool = False
 
     @property
     def due_at(self) -> float:
-        """When the client's time is up."""
+        """The deadline (Unix s)."""
         return self.sent_at + self.deadline_ms / 1000
 
 
 class LoadClient:
-    """One connection at a time to a front end, made again whenever it ends."""
+    """A client with one connection at a time to a front end, which it reopens whenever it ends."""
 
     def __init__(self, address: str, rate: float, functions: list[str], seed: int) -> None:
         self.address = address
@@ -48,7 +48,7 @@
         self.functions = functions
         self.random = random.Random(seed)
         self.requests: list[SentRequest] = []
-        self.open: dict[int, SentRequest] = {}  # by their number on the connection
+        self.open: dict[int, SentRequest] = {}  # by request number
         self.sock: socket.socket | None = None
         self.buffer = b""
         self.connected_at = 0.0
@@ -59,14 +59,14 @@
         self.thread = threading.Thread(target=self._run, daemon=True)
 
     def start(self) -> None:
-        """Begins to send."""
+        """Starts to send requests."""
         self.thread.start()
 
     def stop(self, wait: float) -> None:
-        """Sends no more, and waits for open requests that long (s)."""
-        ends = time.time() + wait
+        """Stops sending; waits up to `wait` (s) for open requests, then closes the connection."""
+        deadline = time.time() + wait
         self.stopping = True
-        while self.open and time.time() < ends:
+        while self.open and time.time() < deadline:
             time.sleep(0.02)
         self.paused = True
         self.thread.join()
@@ -82,7 +82,7 @@
                 continue
             if now >= next_at and not self.stopping:
                 next_at = max(next_at + self.interval, now - 1.0)
-                if len(self.open) < MAX_OPEN:
+                if len(self.open) < MAX_OPEN_REQUESTS:
                     self._send_new()
                 continue
             if self.cancel_wanted:
@@ -94,14 +94,14 @@
         assert self.sock is not None
         self.cancel_wanted = False
         if self.open:
-            about, request = next(iter(self.open.items()))
+            request_number, request = next(iter(self.open.items()))
             self.number += 1
-            del self.open[about]
+            del self.open[request_number]
             request.gone_at = time.time()
             try:
-                self.sock.sendall(rig.cancel(self.number, about))
+                self.sock.sendall(rig.cancel(self.number, request_number))
             except OSError:
-                self._ended()
+                self._handle_connection_end()
 
     def _connect(self) -> bool:
         host, _, port = self.address.rpartition(":")
@@ -137,7 +137,7 @@
         try:
             self.sock.sendall(rig.dispatch(self.number, fields, request.ident.encode()))
         except OSError:
-            self._ended()
+            self._handle_connection_end()
 
     def _read(self, wait: float) -> None:
         assert self.sock is not None
@@ -148,17 +148,17 @@
         except OSError:
             data = b""
         if not data:
-            self._ended()
+            self._handle_connection_end()
             return
         self.buffer += data
         while len(self.buffer) >= LENGTH.size:
             end = LENGTH.size + LENGTH.unpack_from(self.buffer)[0]
             if len(self.buffer) < end:
                 return
-            self._answered(self.buffer[LENGTH.size : end])
+            self._handle_answer(self.buffer[LENGTH.size : end])
             self.buffer = self.buffer[end:]
 
-    def _answered(self, frame: bytes) -> None:
+    def _handle_answer(self, frame: bytes) -> None:
         number, word, body = rig.parse_answer(frame)
         request = self.open.pop(number, None)
         if request is None:
@@ -167,24 +167,24 @@
         request.answered_at = time.time()
         request.word = word if word != "answer" or body == request.ident.encode() else "spoilt"
 
-    def _ended(self) -> None:
-        """The connection has ended, with what is open on it."""
+    def _handle_connection_end(self) -> None:
+        """Handles the end of the connection: resends requests that crossed it, records the others as closed."""
         now = time.time()
         assert self.sock is not None
         self.sock.close()
         self.sock = None
         unanswered = list(self.open.values())
         self.open = {}
-        again = []
+        to_resend = []
         for request in unanswered:
             if now - request.sent_at <= CROSSING_SECONDS and not request.sent_again:
-                again.append(request)
+                to_resend.append(request)
             else:
                 request.closed_at = now
-        if again and self._connect():
-            for request in again:
+        if to_resend and self._connect():
+            for request in to_resend:
                 request.sent_again = True
                 self._send(request)
         else:
-            for request in again:
+            for request in to_resend:
                 request.unreached = True
--- a/tests/soak/plan.py
+++ b/tests/soak/plan.py
@@ -1,4 +1,4 @@
-"""What happens in one run of the soak, drawn from its seed."""
+"""The steps of one run of the soak, generated from its seed."""
 
 import random
 from collections.abc import Callable
@@ -9,16 +9,16 @@
 
 OUTAGE_MODES = [mode for mode in BusMode if mode is not BusMode.UP]
 LONGEST_SECONDS = 18.0  # from the start of the load to its end
-CALM_SECONDS = 2.0  # before anything happens
-TERM_SERIES = 3  # signals of one kind that come in a row, at most
+CALM_SECONDS = 2.0  # before the first step
+TERM_SERIES = 3  # most signals of one kind in a row
 HUP_SERIES = 4
-CROWD_RATE = 60.0  # requests a second of each client that joins
-STOP_SERIES = 6  # of stops in one run
-WAYS_BACK = 0.5  # part of the drained workers that end and come back
+CROWD_RATE = 60.0  # requests per second of each additional client
+STOP_SERIES = 6  # series of stops in one run
+RETURNING_SHARE = 0.5  # share of the drained workers that end and return
 
 
 class StepKind(Enum):
-    """What is done."""
+    """The kind of a step."""
 
     OUTAGE = auto()
     RECOVERY = auto()
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True, order=True)
 class Step:
-    """At that time (s after the start of the load), this is done to that front end or worker."""
+    """An action on the front end or worker with an index, `at` s after the start of the load."""
 
     at: float
     kind: StepKind = field(compare=False)
@@ -50,7 +50,7 @@
 
 
 def make_plan(seed: int, front_ends: int, workers: int) -> list[Step]:
-    """The steps of a run, in their order."""
+    """Returns the steps of a run in order of time."""
     draw = random.Random(seed)
     steps: list[Step] = []
     _add_outages(draw, steps)
@@ -66,7 +66,7 @@
 
 
 def make_stop_plan(seed: int, front_ends: int, workers: int) -> list[Step]:
-    """The steps of a run in which front ends are stopped often, in series too, while visitors connect."""
+    """Returns the steps of a run in which front ends are stopped often, also in series, while visitors connect."""
     draw = random.Random(seed)
     steps = make_plan(seed, front_ends, workers)
     for _ in range(STOP_SERIES):
@@ -87,12 +87,12 @@
 def _add_outages(draw: random.Random, steps: list[Step]) -> None:
     at = CALM_SECONDS + draw.uniform(0.0, 2.0)
     for _ in range(draw.choice((1, 1, 2))):
-        lasts = draw.choice((draw.uniform(0.3, 3.0), draw.uniform(5.0, 12.0)))
+        duration = draw.choice((draw.uniform(0.3, 3.0), draw.uniform(5.0, 12.0)))
         steps.append(Step(at, StepKind.OUTAGE, mode=draw.choice(OUTAGE_MODES)))
-        if draw.random() < 0.3:  # it changes how it is out of reach
-            steps.append(Step(at + lasts / 2, StepKind.OUTAGE, mode=draw.choice(OUTAGE_MODES)))
-        steps.append(Step(at + lasts, StepKind.RECOVERY))
-        at += lasts + draw.uniform(0.2, 2.0)
+        if draw.random() < 0.3:  # the outage changes its mode
+            steps.append(Step(at + duration / 2, StepKind.OUTAGE, mode=draw.choice(OUTAGE_MODES)))
+        steps.append(Step(at + duration, StepKind.RECOVERY))
+        at += duration + draw.uniform(0.2, 2.0)
 
 
 def _add_drains(draw: random.Random, steps: list[Step], workers: int) -> None:
@@ -104,10 +104,10 @@
             steps.append(Step(at, StepKind.CRASH, number, span=draw.uniform(0.5, 3.0)))
             continue
         steps.append(Step(at, StepKind.DRAIN, number))
-        if draw.random() < WAYS_BACK:
-            gone_at = at + draw.uniform(1.0, 6.0)
-            steps.append(Step(gone_at, StepKind.REMOVE, number))
-            steps.append(Step(gone_at + draw.uniform(0.5, 2.0), StepKind.BRING_BACK, number))
+        if draw.random() < RETURNING_SHARE:
+            removed_at = at + draw.uniform(1.0, 6.0)
+            steps.append(Step(removed_at, StepKind.REMOVE, number))
+            steps.append(Step(removed_at + draw.uniform(0.5, 2.0), StepKind.BRING_BACK, number))
 
 
 def _add_restarts(draw: random.Random, steps: list[Step], front_ends: int) -> None:
@@ -138,6 +138,6 @@
 
 
 def _add_pauses(draw: random.Random, steps: list[Step], front_ends: int) -> None:
-    """The process does not run for a while, as in a long pause of the machine."""
+    """Adds a pause of a process, as in a long pause of the machine."""
     number = draw.randrange(front_ends)
     steps.append(Step(draw.uniform(CALM_SECONDS, 12.0), StepKind.PAUSE, number, span=draw.uniform(0.5, 4.0)))
--- a/tests/soak/play.py
+++ b/tests/soak/play.py
@@ -1,4 +1,4 @@
-"""Plays one run of the soak: the steps of its plan, each at its time, and the checks at the end."""
+"""Executes one run of the soak: the steps of its plan, each at its time, and the checks at the end."""
 
 import signal
 import threading
@@ -12,30 +12,31 @@
 from tests.soak.scene import Scene, SceneSize
 
 SIZE = SceneSize(front_ends=3, workers=5, clients_per_front_end=3, rate=6.0)
-# After SIGTERM, SIGKILL comes at the protocol's earliest: the longest deadline, counted as 3 s at most, and 0.7 s.
+# SIGKILL follows SIGTERM at the earliest that the protocol allows: the longest deadline, counted as 3 s at most, and
+# 0.7 s.
 KILL_SECONDS = 3.7
-MIN_GAP_SECONDS = 0.05  # between two stops, in which a process gets something done: else they count as one
+MIN_GAP_SECONDS = 0.05  # between two stops; with a shorter gap the process does too little, and they count as one
 LIST_CHANGES = {StepKind.DRAIN: Scene.drain, StepKind.REMOVE: Scene.remove, StepKind.BRING_BACK: Scene.bring_back}
 
 
 @dataclass(frozen=True)
 class SoakResult:
-    """What came of one run."""
+    """The outcome of one run."""
 
     seed: int
     broken: list[str]
     requests: int
-    served: float  # part of the requests
+    served: float  # share of the requests answered in time
     steps: list[Step]
 
 
 class Player:
-    """Carries out the steps of a plan on a scene."""
+    """Executes the steps of a plan on a scene."""
 
     def __init__(self, scene: Scene) -> None:
         self.scene = scene
         self.threads: list[threading.Thread] = []
-        self.lock = threading.Lock()  # one step on a front end at a time
+        self.lock = threading.Lock()  # guards `restarting`, by which a front end has one step at a time
         self.restarting: set[str] = set()
         self.long_steps: dict[StepKind, Callable[[Step], None]] = {
             StepKind.CRASH: self._crash,
@@ -48,7 +49,7 @@
         }
 
     def carry_out(self, step: Step) -> None:
-        """Does one step; what takes long goes on in a thread of its own."""
+        """Executes one step; one that takes long runs in its own thread."""
         scene = self.scene
         if step.kind in (StepKind.OUTAGE, StepKind.RECOVERY):
             scene.set_discovery(step.mode)
@@ -61,7 +62,7 @@
             self._in_thread(self.long_steps[step.kind], step)
 
     def finish(self) -> None:
-        """Waits for the steps that take long."""
+        """Waits for steps that still run."""
         for thread in self.threads:
             thread.join()
 
@@ -135,7 +136,7 @@
                 began_at = time.time()
             front_end.signal(signal.SIGSTOP)
             for _ in range(step.visitors):
-                visitors.come(step.span)
+                visitors.connect_one(step.span)
             time.sleep(step.span)
             front_end.signal(signal.SIGCONT)
             front_end.life.pauses.append((began_at, time.time()))
@@ -151,12 +152,12 @@
 
 
 def play(seed: int) -> SoakResult:
-    """Plays one run."""
+    """Executes the run of a seed."""
     return _play(seed, make_plan(seed, SIZE.front_ends, SIZE.workers))
 
 
 def play_stops(seed: int) -> SoakResult:
-    """Plays one run in which front ends are stopped often."""
+    """Executes the run of a seed in which front ends are stopped often."""
     return _play(seed, make_stop_plan(seed, SIZE.front_ends, SIZE.workers))
 
 
--- a/tests/soak/scene.py
+++ b/tests/soak/scene.py
@@ -1,4 +1,4 @@
-"""Front ends, workers, discovery and clients together, and when the list of workers changed."""
+"""Front ends, workers, discovery and clients of a run, and the changes of the endpoint list."""
 
 import tempfile
 import threading
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True)
 class ListChange:
-    """A worker's new state in the list, in force at the event log since `at` (Unix s)."""
+    """A worker's new state in the list, in the event log since `at` (Unix s)."""
 
     worker: SoakWorker
     lifecycle: str
@@ -27,16 +27,16 @@
 
 @dataclass(frozen=True)
 class SceneSize:
-    """How many of each there are."""
+    """The numbers of front ends, workers and clients."""
 
     front_ends: int = 3
     workers: int = 4
     clients_per_front_end: int = 2
-    rate: float = 10.0  # requests a second of each client
+    rate: float = 10.0  # requests per second of each client
 
 
 class Scene:
-    """A running rig; `close` ends all of it."""
+    """The processes and threads of a run."""
 
     def __init__(self, size: SceneSize, seed: int = 1) -> None:
         self.size = size
@@ -67,7 +67,7 @@
             self.add_clients(self.size.rate)
 
     def add_clients(self, rate: float) -> list[LoadClient]:
-        """Starts one more client of each front end."""
+        """Starts one more client of each front end; returns these clients."""
         added = []
         for front_end in self.front_ends:
             client = LoadClient(front_end.address, rate, FUNCTIONS, self.seed * 1000 + len(self.clients))
@@ -77,28 +77,28 @@
         return added
 
     def add_visitors(self, front_end: SoakFrontEnd) -> Visitors:
-        """Clients of one front end that come when told to."""
+        """Adds visitors of a front end, which connect on request."""
         visitors = Visitors(front_end.address, FUNCTIONS, self.seed * 1000 + len(self.clients))
         self.clients.append(visitors)
         return visitors
 
     def set_discovery(self, mode: BusMode) -> None:
-        """Discovery behaves that way at each of its addresses."""
+        """Sets the mode of discovery at each of its addresses."""
         for bus in self.buses:
             bus.set_mode(mode)
 
     def drain(self, worker: SoakWorker) -> None:
-        """The worker drains, and the list says so."""
+        """Drains a worker and reports it in the list."""
         worker.drain()
         self._change(worker, "DRAINING")
 
     def remove(self, worker: SoakWorker) -> None:
-        """The worker ends, and leaves the list."""
+        """Stops a worker and removes it from the list."""
         worker.stop()
         self._change(worker, "DELETED")
 
     def bring_back(self, worker: SoakWorker) -> None:
-        """The worker starts anew, with nothing loaded, and the list says so."""
+        """Restarts a worker with nothing loaded and reports it in the list."""
         worker.start()
         worker.started_at_ms = int(time.time() * 1000)
         self._change(worker, "SERVING")
@@ -111,15 +111,15 @@
         return rig.instance(worker.name, worker.address, lifecycle=lifecycle, startedAtMs=worker.started_at_ms)
 
     def requests(self) -> list[SentRequest]:
-        """All requests of all clients."""
+        """Returns all requests of all clients."""
         return [request for client in self.clients for request in client.requests]
 
     def busiest_worker(self) -> SoakWorker:
-        """The worker that most work was sent to."""
+        """Returns the worker that received the most work."""
         return max(self.workers, key=lambda worker: len(worker.new_work()))
 
     def stop_clients(self, wait: float = 4.0) -> None:
-        """No more requests; waits for the open ones that long (s)."""
+        """Stops all clients, which wait up to `wait` (s) for open requests."""
         stopping = [threading.Thread(target=client.stop, args=(wait,)) for client in self.clients]
         for thread in stopping:
             thread.start()
@@ -127,7 +127,7 @@
             thread.join()
 
     def close(self) -> None:
-        """Ends everything."""
+        """Stops all clients, front ends, discovery services and workers."""
         self.stop_clients(0.0)
         for front_end in self.front_ends:
             front_end.close()
--- a/tests/soak/visitors.py
+++ b/tests/soak/visitors.py
@@ -1,4 +1,4 @@
-"""Clients that connect, send one request, and leave or wait for the answer."""
+"""Clients that connect, send one request, and wait for its answer or leave."""
 
 import random
 import socket
@@ -11,8 +11,8 @@
 from tests import platform_rig as rig
 from tests.soak.load_client import CROSSING_SECONDS, SentRequest
 
-ANSWER_SECONDS = 5.0  # after which no answer is waited for: it leaves
-LINGER_SECONDS = 1.0  # for which a connection stays open after its request was cancelled
+ANSWER_SECONDS = 5.0  # after which a visitor leaves without an answer
+LINGER_SECONDS = 1.0  # for which a connection stays open after the cancel of its request
 RESET = struct.pack("ii", 1, 0)  # SO_LINGER: a close resets the connection
 DEADLINES_MS = (300, 600, 1500, 3000)
 
@@ -27,7 +27,7 @@
 
 
 class Visitors:
-    """All visitors of one front end, and what became of their requests; used like a LoadClient."""
+    """The visitors of a front end and the outcomes of their requests, with the interface of a LoadClient."""
 
     def __init__(self, address: str, functions: list[str], seed: int) -> None:
         self.address = address
@@ -35,13 +35,13 @@
         self.random = random.Random(seed)
         self.requests: list[SentRequest] = []
         self.threads: list[threading.Thread] = []
-        self.cancel_wanted = False  # as with a LoadClient; these cancel in their own time
+        self.cancel_wanted = False  # part of the interface; visitors decide by themselves when to cancel
 
     def start(self) -> None:
-        """Nobody comes yet."""
+        """Does nothing: visitors connect on `connect_one`."""
 
-    def come(self, within: float) -> None:
-        """One connects within that time (s), and sends its request at once."""
+    def connect_one(self, within: float) -> None:
+        """Lets a visitor connect within that time (s) and send its request at once."""
         way = self.random.choice(list(WayToLeave))
         request_class = "pay" if self.random.random() < 0.2 else "look"
         request = SentRequest(
@@ -56,10 +56,10 @@
         thread.start()
 
     def stop(self, wait: float) -> None:
-        """Waits for all of them that long (s)."""
-        ends = time.time() + wait
+        """Waits up to `wait` (s) for all visitors."""
+        deadline = time.time() + wait
         for thread in self.threads:
-            thread.join(max(0.0, ends - time.time()))
+            thread.join(max(0.0, deadline - time.time()))
 
     def _visit(self, delay: float, way: WayToLeave, request: SentRequest, fields: dict[str, str]) -> None:
         time.sleep(delay)
@@ -83,7 +83,7 @@
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
 
     def _wait(self, sock: socket.socket, request: SentRequest) -> bool:
-        """Waits for the answer or the connection's end; returns whether either came."""
+        """Waits for the answer or the end of the connection; returns whether either came within ANSWER_SECONDS."""
         sock.settimeout(ANSWER_SECONDS)
         source = sock.makefile("rb")
         try:
--- a/tests/soak/worker.py
+++ b/tests/soak/worker.py
@@ -1,4 +1,4 @@
-"""A worker that records when each command reached this machine, and that drains, ends and restarts when told to."""
+"""A worker that records when each command reached this machine, and that a test can drain, stop and restart."""
 
 import socket
 import struct
@@ -13,7 +13,7 @@
 from tests.soak.delayed_calls import DelayedCalls
 
 READ_SIZE = 1 << 16  # bytes read at a time
-SO_TIMESTAMPNS = 35  # socket(7): the kernel gives the time at which data arrived, however late it is read
+SO_TIMESTAMPNS = 35  # socket(7): the kernel reports when data arrived, however late the process reads it
 TIMESTAMP = struct.Struct("qq")  # s and ns of Unix time
 ANCILLARY_SIZE = 64  # bytes, enough for one timestamp
 WORK_SECONDS = 0.05
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True)
 class Arrival:
-    """A command, and when its first byte reached this machine (Unix s)."""
+    """A command, when its first byte reached this machine (Unix s), and the state of the worker then."""
 
     at: float
     parts: list[bytes]
@@ -39,7 +39,7 @@
 
     @property
     def verb(self) -> bytes:
-        """The command's word."""
+        """The name of the command."""
         return self.parts[0]
 
     @property
@@ -49,19 +49,19 @@
 
     @property
     def is_new_work(self) -> bool:
-        """Whether a draining worker must not be sent it."""
+        """Whether a draining worker must not receive the command."""
         return self.verb == b"invoke" or (self.verb == b"prewarm" and self.fields["units"] != "0")
 
 
 class CommandReader:
-    """Splits a stream into commands, each with the time at which its first byte arrived."""
+    """Parses a stream into commands, each with the arrival time of its first byte."""
 
     def __init__(self) -> None:
         self.buffer = bytearray()
         self.begun_at: float | None = None  # of the command whose first byte is at the start of the buffer
 
     def feed(self, data: bytes, at: float) -> list[tuple[float, list[bytes]]]:
-        """Takes bytes that arrived at that time; returns the commands that are complete."""
+        """Adds bytes that arrived at a time; returns the commands that are complete now."""
         complete = []
         self.buffer += data
         if self.begun_at is None:
@@ -76,7 +76,7 @@
         return complete
 
     def _parse(self) -> tuple[list[bytes], int] | None:
-        """The parts of the first command and its size; None where it is incomplete."""
+        """Returns the parts of the first command and its size, or None while it is incomplete."""
         position = 0
         lengths: list[int] = []
         parts = []
@@ -95,7 +95,7 @@
 
 
 class SoakWorker:
-    """A worker on a loopback address of its own, which it keeps over restarts."""
+    """A worker that keeps its loopback address over restarts."""
 
     def __init__(self, name: str) -> None:
         self.name = name
@@ -111,7 +111,7 @@
         self.start()
 
     def start(self) -> None:
-        """Listens, with nothing loaded."""
+        """Starts to listen, with nothing loaded."""
         host, _, port = self.address.rpartition(":")
         with self.lock:
             self.loaded = set()
@@ -125,7 +125,7 @@
             self.state = WorkerState.DRAINING
 
     def stop(self) -> None:
-        """Ends as a process does: resets its connections and refuses new ones."""
+        """Resets all connections and refuses new ones, as when a process ends."""
         with self.lock:
             self.state = WorkerState.DOWN
             socks = self.socks
@@ -140,12 +140,12 @@
             sock.close()
 
     def close(self) -> None:
-        """Ends for good."""
+        """Stops the worker and its delayed answers."""
         self.delayed.close()
         self.stop()
 
     def new_work(self) -> list[Arrival]:
-        """The attempts and prewarms that came so far."""
+        """Returns the attempts and prewarms received so far."""
         with self.lock:
             return [arrival for arrival in self.arrivals if arrival.is_new_work]
 
@@ -184,7 +184,7 @@
             self.delayed.after(delay, lambda: self._send(sock, answer))
 
     def _answer(self, arrival: Arrival) -> tuple[float, tuple[bytes, ...] | None]:
-        """After how many seconds what is answered."""
+        """Returns the delay (s) and the parts of the answer, or None for no answer."""
         ready = arrival.state is WorkerState.READY
         tag = arrival.parts[1]
         match arrival.verb:
