--- a/tests/acceptance_rig.py
+++ b/tests/acceptance_rig.py
@@ -76,6 +76,7 @@
         ).start()  # real ms of one wait, during which the simulated clock stands still
 
     def front_end(self, *workers, **more):
+        """Starts a front end with workers at these addresses; returns its service."""
         self.listen = rig.free_address()  # a failed subtest may have left a front end on the previous address
         return super().front_end(*workers, **{"settings": settings(), **more})
 
--- a/tests/test_busy_front_end.py
+++ b/tests/test_busy_front_end.py
@@ -31,7 +31,7 @@
         self.assertEqual(self.final_answer(client, 500), (1, "answer", b"did x"))
 
     def test_rest_of_a_partial_frame_that_arrives_as_it_times_out(self):
-        """The rest of a frame begun 2 s ago is there, unread, as the sweep comes: it is answered."""
+        """The rest of a frame begun 2 s ago is unread when idle connections are closed: the request is answered."""
         self.front_end(self.worker().address)
         client, frame = self.client(), request(1)
         client.send(frame[:20])
--- a/tests/test_client_connection_faults.py
+++ b/tests/test_client_connection_faults.py
@@ -64,23 +64,28 @@
         return getattr(self.real, name)
 
     def accept(self):
+        """Accepts a connection, whose calls may fail too."""
         self.plan.call("accept")
         sock, address = self.real.accept()
         return FaultyCalls(sock, self.plan, self.first_send_size), address
 
     def setblocking(self, blocking):
+        """Sets the blocking mode."""
         self.plan.call("setblocking")
         self.real.setblocking(blocking)
 
     def setsockopt(self, *arguments):
+        """Sets a socket option."""
         self.plan.call("setsockopt")
         self.real.setsockopt(*arguments)
 
     def recv(self, size):
+        """Receives bytes."""
         self.plan.call("recv")
         return self.real.recv(size)
 
     def send(self, data, flags=0):
+        """Sends bytes."""
         self.plan.call("send")
         self.send_count += 1
         if self.first_send_size is None or self.send_count > 2:
@@ -90,10 +95,12 @@
         return self.real.send(data[: self.first_send_size], flags)
 
     def register(self, *arguments):
+        """Registers a descriptor."""
         self.plan.call("register")
         self.real.register(*arguments)
 
     def modify(self, *arguments):
+        """Changes the events of a descriptor."""
         self.plan.call("modify")
         self.real.modify(*arguments)
 
@@ -127,6 +134,7 @@
             patch.object(module, "clock", lambda: self.now).start()
 
     def listen(self, plan, first_send_size=None):
+        """Creates a listening client server whose calls follow `plan`; returns its address."""
         self.now, self.events = 0.0, []
         self.loop_errors = []
         self.loop = event_loop.EventLoop(self.loop_errors.append)
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -38,11 +38,11 @@
 class FollowedList:
     """An endpoint list that is followed on a connection accepted `connected` ms after the start."""
 
-    def __init__(self, clocks, known=(), connected=100.0):
+    def __init__(self, clocks, known_at_start=(), connected=100.0):
         self.clocks, self.offset = clocks, 0
         self.connected_at = clocks.now + connected
         self.endpoint_list = endpoint_list.EndpointList(("hall",), ("std",), clocks.ahead, lambda: self.connected_at)
-        self.send_raw(rig.instance("old", "h:9"), *known, reset=True)
+        self.send_raw(rig.instance("old", "h:9"), *known_at_start, reset=True)
 
     def send_raw(self, *instances, reset=False):
         """Applies an event with these instances; returns the changes."""
@@ -64,7 +64,7 @@
 
     def test_age_is_exact_without_a_step(self):
         """(whether the list had the worker at the start, ms since then, age when reported) -> that age."""
-        for known, after, age in (
+        for known_at_start, after, age in (
             (True, 0.0, 0.0),
             (True, 0.0, 700.0),
             (True, 0.0, HOUR),
@@ -73,10 +73,10 @@
             (False, 60 * SECOND, endpoint_list.MAX_EVENT_DELAY),
             (False, 1000.0, 1500.0),
         ):
-            with self.subTest(known=known, after=after, age=age):
+            with self.subTest(known_at_start=known_at_start, after=after, age=age):
                 clocks = Clocks()
-                followed = FollowedList(clocks, [started_instance(started=clocks.stamp(age))] if known else ())
-                if not known:
+                followed = FollowedList(clocks, [started_instance(started=clocks.stamp(age))] if known_at_start else ())
+                if not known_at_start:
                     clocks.now += after
                     followed.send_raw(started_instance(started=clocks.stamp(age)))
                 self.assertEqual(followed.age("a"), age)
@@ -127,13 +127,13 @@
 
     def test_start_time_in_the_future_counts_as_now(self):
         """Known at the start or reported live: the worker has just started, and its age grows from then on."""
-        for known in (True, False):
-            with self.subTest(known=known):
+        for known_at_start in (True, False):
+            with self.subTest(known_at_start=known_at_start):
                 clocks = Clocks()
                 stamp = clocks.stamp() + HOUR
-                followed = FollowedList(clocks, [started_instance(started=stamp)] if known else ())
-                clocks.now += 0 if known else 60 * SECOND
-                if not known:
+                followed = FollowedList(clocks, [started_instance(started=stamp)] if known_at_start else ())
+                clocks.now += 0 if known_at_start else 60 * SECOND
+                if not known_at_start:
                     followed.send_raw(started_instance(started=stamp))
                 self.assertEqual(followed.age("a"), 0.0)
                 clocks.now += 5 * SECOND
@@ -304,14 +304,14 @@
 class SlowStartTest(unittest.TestCase):
     """The router limits the requests to a worker that has just started, whatever the clocks show."""
 
-    def forward_count(self, clock_step, writer_step, known):
+    def forward_count(self, clock_step, writer_step, known_at_start):
         """Returns how many of 60 requests in a second a worker gets that has just started."""
         fleet, clocks = FrontEnd(endpoints=[], front_ends=1), Clocks(now=0.0)
         clocks.now = fleet.clock
-        clocks.writer_offset = writer_step if known else 0.0
+        clocks.writer_offset = writer_step if known_at_start else 0.0
         row = started_instance(started=clocks.stamp(100.0))
-        followed = FollowedList(clocks, [row] if known else ())
-        if not known:
+        followed = FollowedList(clocks, [row] if known_at_start else ())
+        if not known_at_start:
             fleet.clock += 60 * SECOND
             clocks.now = fleet.clock
             clocks.local_offset += clock_step
--- a/tests/test_process_stopped.py
+++ b/tests/test_process_stopped.py
@@ -21,7 +21,7 @@
     """Connections that clients make while the process is stopped, or shortly before."""
 
     def assert_reduced(self, worker, count, deadline, stopped):
-        """Fails unless each of `count` attempts was sent with the time left after so many ms of `stopped`."""
+        """Fails unless each of `count` attempts was sent with the time left after a stop of `stopped` ms."""
         for time_left in self.time_left_values(worker, count):
             self.assertLessEqual(time_left, deadline - stopped + DEADLINE_SLACK)
 
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -79,7 +79,7 @@
         front_end = self.front_end(worker, settings=with_deadline(300))
         first, second = self.idle_client(), self.idle_client()
         first.send(rig.dispatch(2, rig.fields(A, d="300"), b"slow"))
-        self.until(lambda: len(self.held_commands) == 1, "the call-out")
+        self.until(lambda: len(self.held_commands) == 1, "the attempt")
         self.terminate()
         self.now += 300 + KILL_AFTER - MARGIN - 10
         front_end.shutdown_requested_at = self.now - (300 + KILL_AFTER - MARGIN - 10)
